--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
 """Tests that fail for a real fault which is known and not yet mended: KNOWN-RED.txt at the root.
 
-One line each, three at most: `test id | cause | issue`, the issue by its number. A listed test
-still runs; its failure is printed and borne. One that passes, an id that no test has, a line
-that can't be read and a fourth line fail the run, so the list can't outlive its faults.
+One entry a line, three at most: `test id | command and seed | what was seen | issue`, the issue by
+its number. A listed test still runs; its failure is printed and does not fail the run. One that
+passes, an id that no test has, a line that can't be read and a fourth entry fail the run, so the
+list can't outlive its faults.
 """
 
 from __future__ import annotations
@@ -16,52 +17,59 @@
     from _pytest.terminal import TerminalReporter
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+FORM = "test id | command and seed | what was seen | issue"
+FIELDS = FORM.count("|") + 1
+MAX_ENTRIES = 3
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
+    """One entry of the list."""
+
     test: str
-    cause: str
+    command: str
+    seen: str
     issue: int
 
 
-def read(text: str) -> list[Red]:
+def read(text: str) -> list[KnownFailure]:
     """The listed tests; ValueError names the line that breaks the form."""
-    reds: list[Red] = []
+    entries: list[KnownFailure] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         parts = [part.strip() for part in line.split(" | ")]
-        if len(parts) != 3 or "::" not in parts[0] or not all(parts) or not parts[2].isdecimal():
-            raise ValueError(f"{FILE}:{number}: not `test id | cause | issue`: {line!r}")
-        if any(red.test == parts[0] for red in reds):
-            raise ValueError(f"{FILE}:{number}: {parts[0]} stands twice")
-        reds.append(Red(parts[0], parts[1], int(parts[2])))
-    if len(reds) > MOST:
-        raise ValueError(f"{FILE}: {len(reds)} tests, {MOST} at most")
-    return reds
+        complete = len(parts) == FIELDS and all(parts)
+        if not complete or "::" not in parts[0] or not parts[-1].isdecimal():
+            raise ValueError(f"{FILE}:{number}: not `{FORM}`: {line!r}")
+        test, command, seen, issue = parts
+        if any(entry.test == test for entry in entries):
+            raise ValueError(f"{FILE}:{number}: {test} stands twice")
+        entries.append(KnownFailure(test, command, seen, int(issue)))
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(f"{FILE}: {len(entries)} tests, {MAX_ENTRIES} at most")
+    return entries
 
 
 class KnownRed:
     """Holds the run to the list."""
 
-    def __init__(self, reds: list[Red], whole: bool) -> None:
-        self.reds = {red.test: red for red in reds}
-        self.whole = whole  # nothing was left out: every id of the list has to turn up
-        self.seen: set[str] = set()
+    def __init__(self, entries: list[KnownFailure], complete: bool) -> None:
+        self.entries = {entry.test: entry for entry in entries}
+        self.complete = complete  # nothing was deselected: every id of the list has to turn up
+        self.reported: set[str] = set()
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
         for item in items:
-            red = self.reds.get(item.nodeid)
-            if red is not None:
-                reason = f"{red.cause} (issue {red.issue})"
+            entry = self.entries.get(item.nodeid)
+            if entry is not None:
+                reason = f"{entry.seen} (issue {entry.issue}; {entry.command})"
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        self.seen.add(report.nodeid)
+        self.reported.add(report.nodeid)
 
     def missing(self) -> list[str]:
-        return sorted(set(self.reds) - self.seen) if self.whole else []
+        return sorted(set(self.entries) - self.reported) if self.complete else []
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
         if self.missing() and not hasattr(session.config, "workerinput"):
@@ -84,8 +92,8 @@
     if not path.exists():
         return
     try:
-        reds = read(path.read_text())
+        entries = read(path.read_text())
     except ValueError as err:
         raise pytest.UsageError(str(err)) from None
-    if reds:
-        config.pluginmanager.register(KnownRed(reds, selects_all(config)))
+    if entries:
+        config.pluginmanager.register(KnownRed(entries, selects_all(config)))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -9,7 +9,7 @@
 import pytest
 
 from .harness import ROOT
-from .known_red import MOST, read
+from .known_red import MAX_ENTRIES, read
 
 SUITE = """
 def test_good():
@@ -20,12 +20,12 @@
 """
 
 
-def play(tmp_path: Path, reds: str, *args: str) -> tuple[int, str]:
+def run_suite(tmp_path: Path, known_red: str, *args: str) -> tuple[int, str]:
     """A run of its own over two tests, one of which fails: status and output."""
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_it.py").write_text(SUITE)
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\naddopts = --xfail-tb -rx\n")
-    (tmp_path / "KNOWN-RED.txt").write_text(reds)
+    (tmp_path / "KNOWN-RED.txt").write_text(known_red)
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "tests.known_red", "-p", "no:cacheprovider", *args],
         cwd=tmp_path,
@@ -38,35 +38,40 @@
 
 BAD = "tests/test_it.py::test_bad"
 GOOD = "tests/test_it.py::test_good"
+REST = "pytest, seed 7 | the fault | 35"
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")])
 def test_a_listed_failure_is_borne_and_printed(tmp_path: Path, workers: tuple[str, ...]) -> None:
-    status, text = play(tmp_path, f"{BAD} | the fault | 35\n", *workers)
+    status, text = run_suite(tmp_path, f"{BAD} | {REST}\n", *workers)
     assert status == 0, text
-    assert "the fault shows" in text and "the fault (issue 35)" in text
+    assert "the fault shows" in text and "the fault (issue 35; pytest, seed 7)" in text
     assert "1 passed, 1 xfailed" in text
 
 
 @pytest.mark.parametrize(
-    ("reds", "says"),
+    ("known_red", "message"),
     [
         ("", "1 failed"),
-        (f"{BAD} | the fault | 35\n{GOOD} | none | 35\n", "[XPASS(strict)]"),
-        (f"{BAD} | the fault | 35\ntests/test_it.py::test_gone | x | 3\n", "no test is called"),
+        (f"{BAD} | {REST}\n{GOOD} | pytest | none | 35\n", "[XPASS(strict)]"),
+        (f"{BAD} | {REST}\ntests/test_it.py::test_gone | x | y | 3\n", "no test is called"),
         (f"{BAD} | the fault\n", "KNOWN-RED.txt:1"),
-        (f"{BAD} | the fault | soon\n", "KNOWN-RED.txt:1"),
-        (f"{BAD} | a | 1\n{BAD} | b | 2\n", "stands twice"),
-        ("".join(f"a.py::b{i} | c | 1\n" for i in range(MOST + 1)), "3 at most"),
+        (f"{BAD} | the fault | 35\n", "KNOWN-RED.txt:1"),
+        (f"{BAD} | pytest, seed 7 | | 35\n", "KNOWN-RED.txt:1"),
+        (f"{BAD} | pytest, seed 7 | the fault | soon\n", "KNOWN-RED.txt:1"),
+        (f"{BAD} | p | a | 1\n{BAD} | p | b | 2\n", "stands twice"),
+        ("".join(f"a.py::b{i} | p | c | 1\n" for i in range(MAX_ENTRIES + 1)), "3 at most"),
     ],
 )
-def test_the_list_fails_the_run_where_it_is_not_right(tmp_path: Path, reds: str, says: str) -> None:
-    status, text = play(tmp_path, reds, "-n", "1")
-    assert status != 0 and says in text, text
+def test_the_list_fails_the_run_where_it_is_not_right(
+    tmp_path: Path, known_red: str, message: str
+) -> None:
+    status, text = run_suite(tmp_path, known_red, "-n", "1")
+    assert status != 0 and message in text, text
 
 
 def test_a_part_of_the_suite_may_leave_listed_tests_out(tmp_path: Path) -> None:
-    status, text = play(tmp_path, f"{BAD} | the fault | 35\n", "-k", "good")
+    status, text = run_suite(tmp_path, f"{BAD} | {REST}\n", "-k", "good")
     assert status == 0, text
 
 
