--- /dev/null
+++ b/tests/golden/bindings_node.py
@@ -0,0 +1,669 @@
+"""What the recorded bytes of a node are decoded and encoded by: the one file here that imports it.
+
+Plain values are JSON with the wire's own words. Where names in the code change, this file is
+edited and nothing beside it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import functools
+import json
+import signal
+import socket
+import struct
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+from zlib import crc32
+
+from flinthatch import Balancer, Effect, Listing, RequestClass, Settings, State, Update, legacy
+from flinthatch.fleet.copies import NOTHING, Packed, Piece, Step, mark_of, pack, unpack
+from flinthatch.fleet.leases import Held, Lent
+from flinthatch.fleet.messages import Kind, Life, Listed, Message, Observation, Reading
+from flinthatch.fleet.shared import Taken
+from flinthatch.halves import Left
+from flinthatch.model import MS, SECOND
+from windrelay.admin import Admin, Caller
+from windrelay.config import Address, parse_address
+from windrelay.consul.file import ConsulFile
+from windrelay.consul.reader import Reader
+from windrelay.consul.relay import Relay
+from windrelay.consul.rows import Fields, RowError, words
+from windrelay.discovery import Discovery, ListError, Roster
+from windrelay.peers import codec, link
+from windrelay.peers.lists import raw_of, rows_of
+from windrelay.peers.terms import FleetFile
+from windrelay.service import Service
+from windrelay.upgrade import handing
+from windrelay.upgrade import state as handed
+from windrelay.upgrade.handing import Predecessor, Successor
+from windrelay.upgrade.link import Link, be_greeted, greet
+from windrelay.watchers import Watcher
+
+Plain = Any
+
+NOW = 5_000 * SECOND  # of the monotonic clock
+WALL_MS = 1_760_000_000_000  # Unix time
+RECORDS = {"life": Life, "listed": Listed, "observation": Observation, "reading": Reading}
+CLASSES = (
+    RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
+    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND),
+)
+SETTINGS = Settings(CLASSES, ask=True, balancers=4, max_attempts=4)
+
+
+def encode(kind: str, plain: Plain) -> bytes:
+    """The bytes of a plain value, as the code writes them."""
+    return _ENCODERS[kind](plain)
+
+
+def decode(kind: str, data: bytes) -> Plain:
+    """The plain value of these bytes; {"refused": why} where the code takes them for none."""
+    return _DECODERS[kind](data)
+
+
+def writes(kind: str) -> bool:
+    """Whether the code writes this kind."""
+    return kind in _ENCODERS
+
+
+def reads(kind: str) -> bool:
+    """Whether the code reads this kind."""
+    return kind in _DECODERS
+
+
+def _clocks() -> Any:
+    """Both clocks stand still."""
+    return mock.patch.multiple(
+        "time", monotonic_ns=lambda: NOW, time_ns=lambda: WALL_MS * MS
+    )  # fmt: skip
+
+
+class _Transport:
+    """Keeps what is written."""
+
+    def __init__(self) -> None:
+        self.written = b""
+
+    def write(self, data: bytes) -> None:
+        self.written += data
+
+    def get_write_buffer_size(self) -> int:
+        return 0
+
+    def is_closing(self) -> bool:
+        return False
+
+    def close(self) -> None: ...
+    def abort(self) -> None: ...
+
+
+# ---- gossip ----------------------------------------------------------------------
+
+
+def _message(plain: Plain) -> Message:
+    records = []
+    for row in plain["records"]:
+        figures = {name: value for name, value in row.items() if name != "is"}
+        if "age_ms" in figures:
+            figures["age"] = figures.pop("age_ms") * MS
+        records.append(RECORDS[row["is"]](**figures))
+    digest = Piece(**plain["piece"]) if "piece" in plain else plain["digest"]
+    return Message(
+        Kind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
+        plain["subject"], tuple(digest), tuple(records), bytes.fromhex(plain["body"]),
+    )  # fmt: skip
+
+
+def _encode_gossip(plain: Plain) -> bytes:
+    return codec.encode(_message(plain), codec.tier(plain["tier"]))
+
+
+def _decode_gossip(data: bytes) -> Plain:
+    try:
+        message = codec.decode(data, codec.tier("nodes"))
+    except codec.BadMessage as err:
+        return {"refused": str(err)}
+    if message is None:
+        return None
+    records = []
+    for record in message.records:
+        name = next(name for name, made in RECORDS.items() if isinstance(record, made))
+        figures: dict[str, Any] = {"is": name} | record._asdict()
+        if "age" in figures:
+            figures["age_ms"] = figures.pop("age") // MS
+        records.append(figures)
+    plain = {
+        "tier": "nodes", "kind": message.kind.name.lower(), "origin": message.origin,
+        "incarnation": message.incarnation, "serial": message.serial, "subject": message.subject,
+        "records": records, "body": message.body.hex(),
+    }  # fmt: skip
+    if message.kind == Kind.PIECE:
+        return plain | {"piece": Piece(*message.digest)._asdict()}
+    return plain | {"digest": list(message.digest)}
+
+
+# ---- the list that a few nodes read for all -----------------------------------------
+
+
+def _encode_step(plain: Plain) -> bytes:
+    packed = pack(Step(-1, NOTHING, plain))
+    assert packed.check == crc32(packed.data)
+    return packed.data
+
+
+def _decode_step(data: bytes) -> Plain:
+    step = unpack(Packed(-1, NOTHING, crc32(data), data))
+    return {"refused": "no step"} if step is None else dict(step.rows)
+
+
+def _encode_mark(plain: Plain) -> bytes:
+    return struct.pack(">Q", mark_of(plain["uid"], plain["row"]))
+
+
+def _encode_rows(plain: Plain) -> bytes:
+    return json.dumps(raw_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
+
+
+def _decode_rows(data: bytes) -> Plain:
+    raw = json.loads(data)
+    return {"rev": raw["rev"], "all": raw["all"], "rows": rows_of(raw)}
+
+
+# ---- between two processes of one node -----------------------------------------------
+
+
+def _encode_hello(plain: Plain) -> bytes:
+    ours, theirs = socket.socketpair()
+    with ours, theirs, socket.socket() as listener:
+        if plain["from"] == "predecessor":
+            greet(ours, listener)
+        else:
+            greet(theirs, listener)
+            be_greeted(ours).close()
+        data, fds, _, _ = socket.recv_fds(theirs, 100, 1)
+        for fd in fds:
+            socket.close(fd)
+        assert len(fds) == (plain["from"] == "predecessor")
+        return data
+
+
+def _decode_hello(data: bytes) -> Plain:
+    ours, theirs = socket.socketpair()
+    with ours, theirs, socket.socket() as listener:
+        socket.send_fds(theirs, [data], [listener.fileno()])
+        try:
+            be_greeted(ours).close()
+        except ConnectionError:
+            return {"refused": "another hello"}
+        return {"from": "predecessor"}
+
+
+def _link(told: Callable[[dict[str, Any]], None] = lambda _frame: None) -> tuple[Link, _Transport]:
+    transport: Any = _Transport()
+    made = Link(told, lambda: None)
+    made.connection_made(transport)
+    return made, transport
+
+
+def _encode_frame(plain: Plain) -> bytes:
+    made, transport = _link()
+    made.send(plain)
+    return transport.written
+
+
+def _decode_frame(data: bytes) -> Plain:
+    told: list[Any] = []
+    made, _ = _link(told.append)
+    for at in range(len(data)):  # however it is cut
+        made.data_received(data[at : at + 1])
+    return told[0] if told else {"refused": "no frame"}
+
+
+def _process(**more: Any) -> Any:
+    """A process with just what the two sides of an upgrade ask of it."""
+    node = SimpleNamespace(config=SimpleNamespace(listen=Address("127.0.0.1", 8080)), **more)
+    return SimpleNamespace(node=node)
+
+
+def _encode_word(plain: Plain) -> bytes:
+    """A frame as the side that says it builds it."""
+    made, transport = _link()
+    says = plain["says"]
+    if says == "keeps":
+        labels = {label.encode("latin-1"): None for label in plain["labels"]}  # in this order
+        side = Predecessor(
+            _process(
+                labels=labels,
+                descriptors=lambda: plain["descriptors"],
+                spare_descriptors=lambda: 0,
+                lend_descriptors=lambda _count: None,
+            )
+        )
+        side._link = made
+        side._need = 0.0 if plain["empty"] else 1.0
+        side._tell({int(server): slots for server, slots in plain["keeps"].items()})
+    elif says == "state":
+        side = Predecessor(_process(log=lambda _text: None))
+        side.host.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
+        with (
+            mock.patch.object(handing, "write", lambda *_: plain["state"]),
+            mock.patch.object(handing, "disown"),
+        ):
+            asyncio.run(_begin(side, made, transport))
+    elif says in ("serving", "news"):
+        heir = Successor(_process(discovery=SimpleNamespace(pass_on=None)))
+        heir._link = made
+        if says == "news":
+            heir._news(plain["answer"].encode())
+        else:
+            asyncio.run(_serve(heir))
+    else:
+        run = SimpleNamespace(
+            pass_on=made.send,
+            set_standby=lambda _on: None,
+            service=Service(),
+            node=SimpleNamespace(take_over=_refuse, log=lambda _text: None),
+            config=None,
+        )
+        if says == "reload":
+            with mock.patch.dict("os.environ", clear=True):  # nothing to read: told all the same
+                _process_class().reload(run)
+        else:
+            (_process_class().standby if plain["on"] else _process_class().active)(run)
+    return transport.written
+
+
+async def _begin(side: Any, made: Link, transport: _Transport) -> None:
+    async def connected(*_: Any) -> tuple[_Transport, Link]:
+        return transport, made
+
+    side.host.loop = SimpleNamespace(connect_accepted_socket=connected)
+    await side._begin(made, None)
+
+
+async def _serve(heir: Any) -> None:
+    heir.host.loop = asyncio.get_running_loop()
+    await heir.serve()
+
+
+def _refuse(_config: object) -> None:
+    raise AssertionError("no configuration was to be read")
+
+
+def _decode_word(data: bytes) -> Plain:
+    """A frame as the side that hears it takes it."""
+    heard: dict[str, Any] = {}
+    host = _process(
+        divide=lambda _part: None,
+        lend_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
+        discovery=SimpleNamespace(
+            hear=lambda body: heard.update(says="news", answer=body.decode())
+        ),
+    )
+    host.reload = lambda passed_on: heard.update(says="reload")
+    host.set_standby = lambda on: heard.update(says="standby", on=on)
+    heir, elder = Successor(host), Predecessor(host)
+    left = heir._left = Left()
+    awaited: Any = SimpleNamespace(
+        done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
+    )
+    heir._state = awaited
+    with (
+        mock.patch.object(elder, "_relieve", lambda: heard.update(says="serving")),
+        mock.patch.object(handing, "read", lambda raw, _now: raw),
+    ):
+        _link(heir._told)[0].data_received(data)
+        if not heard:
+            _link(elder._told)[0].data_received(data)
+    if heard["says"] == "keeps":
+        heard["keeps"] = {str(server): slots for server, slots in left.kept.items()}
+        heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
+    return heard
+
+
+def _encode_state(plain: Plain) -> bytes:
+    """What a process leaves that has this list and has learned this."""
+    nobody: Any = SimpleNamespace(
+        set_timer=lambda *_: None, watch=lambda: None, log=lambda _text: None
+    )
+    balancer = Balancer(SETTINGS, 1, nobody)
+    balancer.start(0)
+    rows = [
+        Listing(
+            m["server"], State(m["state"]), m["zone"], m["cell"], m["kind"],
+            0 if m["age_ns"] < 0 else NOW - m["age_ns"], m["rating"],
+        )
+        for m in plain["members"]
+    ]  # fmt: skip
+    balancer.on_members(0, Update.CACHED, rows)
+    legacy.take_over(balancer, NOW, legacy.read(plain["learned"]))
+    boots = {m["server"]: m["boot_ms"] for m in plain["members"]}
+    roster = SimpleNamespace(
+        rev=plain["rev"],
+        endpoints={m["server"]: Address(m["host"], m["port"]) for m in plain["members"]},
+        boot_ms=boots.__getitem__,
+    )
+    node: Any = SimpleNamespace(balancer=balancer, discovery=SimpleNamespace(roster=roster))
+    with _clocks():
+        return json.dumps(handed.write(node, plain["standby"])).encode()
+
+
+def _decode_state(data: bytes) -> Plain:
+    try:
+        left = handed.read(json.loads(data), NOW)
+    except ValueError:
+        return {"refused": "not what a process leaves"}
+    members = []
+    for row, address, boot_ms in left.members:
+        members.append(
+            {
+                "server": row.backend, "state": int(row.state), "zone": row.zone, "cell": row.cell,
+                "kind": row.kind, "age_ns": NOW - row.boot if row.boot else -1,
+                "rating": row.rating, "host": address.host, "port": address.port,
+                "boot_ms": boot_ms,
+            }
+        )  # fmt: skip
+    learned = left.learned
+    return {
+        "rev": left.rev, "members": members, "standby": left.standby,
+        "learned": {
+            "level": learned.level, "send_rate": learned.send_rate,
+            "retry_credit": learned.retry_credit,
+            "classes": {
+                name: [*known[:4], list(known.lefts)] for name, known in learned.classes.items()
+            },
+            "backends": {str(server): list(held) for server, held in learned.backends.items()},
+        },
+    }  # fmt: skip
+
+
+# ---- the second address ------------------------------------------------------------------
+
+
+def _process_class() -> Any:
+    """The running node's class. Importing it takes the signals over: they are put back."""
+    numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    before = {number: signal.getsignal(number) for number in numbers}
+    try:
+        from windrelay import __main__ as process
+    finally:
+        for number, handler in before.items():
+            signal.signal(number, handler)
+    return process.Run
+
+
+def _encode_reply(plain: Plain) -> bytes:
+    """The answer to a call at a node in this state, as the caller gets it."""
+    run_class = _process_class()
+    service = Service()
+    service.serving, service.listed = plain["serving"], plain["listed"]
+    service.stopping = plain["stopping"]
+    run: Any = SimpleNamespace(
+        service=service,
+        loop=SimpleNamespace(add_reader=lambda *_: None, call_later=lambda *_: mock.Mock()),
+        node=SimpleNamespace(log=lambda _text: None, peers=_peers() if plain["gossip"] else None),
+        pass_on=lambda _frame: None,
+        set_standby=lambda on: service.begin_standby(NOW) if on else service.end_standby(),
+    )
+    run.set_standby(plain["standby"])
+    for name in ("status", "peers", "standby", "active"):
+        setattr(run, name, functools.partial(getattr(run_class, name), run))
+    made: list[Admin] = []
+
+    def listen(admin: Admin, _address: Address) -> int:
+        made.append(admin)
+        return 9000
+
+    with mock.patch.object(Admin, "listen", listen):
+        run_class.answer_calls(run, Address("127.0.0.1", 9000))
+    ours, theirs = socket.socketpair()
+    with ours, theirs, _clocks():
+        ours.sendall(plain["call"].encode())
+        caller = Caller(made[0], theirs)
+        caller._read()
+        return ours.recv(1 << 16)
+
+
+def _peers() -> link.Peers:
+    """The first of four nodes, which has heard of the others what `status` shows."""
+    host: Any = SimpleNamespace(log=lambda _text: None)
+    config: Any = _node_config()
+    host.discovery = Discovery(config, lambda *_: None, host.log)
+    host.balancer = Balancer(SETTINGS, 1, host)
+    with _clocks(), mock.patch.object(link, "FleetFile", lambda: FleetFile(readers=2)):
+        peers = link.Peers(host, config)
+        fleet = peers.fleet
+        fleet.receive(
+            NOW - 30 * MS,
+            Message(
+                Kind.GOSSIP, 2, 1_759_999_000_000,
+                records=(
+                    Life(1, 1_759_999_000_001, 1),
+                    Life(3, 1_759_999_000_003, 3),
+                    Listed(0x1F2E3D4C5B6A7988, 1_759_000_000_000, 41, 2, 700 * MS),
+                    Observation(
+                        0x0A0B0C0D0E0F1011, 1_759_000_000_001, 2, 1_759_999_000_000, 7, 3, 1, 2, 36,
+                        900 * MS,
+                    ),
+                    Reading(2, 1_759_999_000_000, 4, 1, 2, 41, 77, 1200 * MS),
+                ),
+            ),
+        )  # fmt: skip
+        fleet.leases.lent |= {c: Lent(2, NOW + (300 + c) * MS) for c in (1, 4)}
+        fleet.leases.held[1] = Held(0b101, NOW, NOW + 700 * MS)
+        peers.counts["broken"] += 2
+        return peers
+
+
+# ---- calls to list services, and the list as it is served --------------------------------
+
+
+def _node_config() -> Any:
+    return SimpleNamespace(
+        discovery=Address("discovery.test", 8600), settings=SETTINGS, seed=1,
+        zones=("east", "west"), kinds=("small", "large"), fleet="", consul="",
+        peer_listen=Address("127.0.0.1", 7946),
+        known={
+            "rev": 7, "all": True,
+            "targets": [{"uid": "s-1", "state": "active", "endpoint": "10.0.0.1:8080"}],
+        },
+        peers=tuple(Address("127.0.0.1", 7946 + n) for n in range(4)),
+    )  # fmt: skip
+
+
+async def _called(calls: Callable[[], None]) -> list[tuple[Any, bytes]]:
+    """The connections that `calls` opens: each one's protocol, and what it sent."""
+    loop = asyncio.get_running_loop()
+    made: list[tuple[Any, Any]] = []
+
+    async def connect(factory: Callable[[], Any], *_: Any, **_more: Any) -> None:
+        protocol, transport = factory(), _Transport()
+        made.append((protocol, transport))
+        protocol.connection_made(transport)
+
+    with mock.patch.object(loop, "create_connection", connect):
+        calls()
+        for _ in range(3):
+            await asyncio.sleep(0)
+    return [(protocol, transport.written) for protocol, transport in made]
+
+
+def _encode_discovery(plain: Plain) -> bytes:
+    """The call for what has changed since `from`, or for the whole list where it has none."""
+
+    async def ask() -> bytes:
+        discovery = Discovery(_node_config(), lambda *_: None, lambda _text: None)
+        discovery.roster.rev = plain["from"] or 0
+        address = parse_address(plain["address"])
+        if plain["from"] is None:  # its service has moved
+            found = await _called(lambda: discovery.move(address, SETTINGS))
+        else:
+            discovery._address = address
+            found = await _called(discovery.watch)
+            if plain["hold_ms"] > 1:  # the watch comes after an answer
+                answer = json.dumps({"rev": plain["from"], "all": False, "targets": []})
+                head = f"HTTP/1.1 200 -\r\nContent-Length: {len(answer)}\r\n\r\n"
+                first = found[0][0]
+                found = await _called(lambda: first.data_received((head + answer).encode()))
+        discovery.close()
+        return found[0][1]
+
+    return asyncio.run(ask())
+
+
+def _asked(data: bytes) -> tuple[Plain, Watcher, _Transport]:
+    """What a service that serves the list takes a call for."""
+    got: dict[str, Any] = {}
+
+    def asked(_watcher: Watcher, since: int, hold: float, _query: Any) -> None:
+        got.update({"from": since, "hold_ms": round(hold * 1000)})
+
+    host: Any = SimpleNamespace(
+        most_watchers=1, connections=0, waits=lambda _c: False, forget=lambda _c: None,
+        ready=lambda: True, asked=asked,
+    )  # fmt: skip
+    transport: Any = _Transport()
+
+    async def hear() -> Watcher:
+        watcher = Watcher(host)
+        watcher.connection_made(transport)
+        watcher.data_received(data)
+        watcher.connection_lost(None)
+        return watcher
+
+    return got, asyncio.run(hear()), transport
+
+
+def _decode_question(data: bytes) -> Plain:
+    got, _, transport = _asked(data)
+    return got or {"refused": transport.written.decode()}
+
+
+def _decode_listing(data: bytes) -> Plain:
+    """An answer of discovery's as a node reads it."""
+    raw = json.loads(data)
+    roster = Roster(_node_config())
+    try:
+        with _clocks():
+            update, rows, endpoints = roster.read(raw)
+    except ListError:
+        return {"refused": "a list that can't be used"}
+    return {
+        "rev": raw["rev"], "all": update == Update.FULL,
+        "rows": [
+            {
+                "server": r.backend, "state": r.state.name.lower(), "zone": r.zone, "cell": r.cell,
+                "kind": r.kind, "rating": r.rating, "boot_ms": roster.boot_ms(r.backend),
+                "address": str(endpoints[r.backend]) if r.backend in endpoints else None,
+            }
+            for r in rows
+        ],
+    }  # fmt: skip
+
+
+def _encode_relayed(plain: Plain) -> bytes:
+    """The list as it is served on: what changed after `since`, with its head."""
+    transport: Any = _Transport()
+    file = ConsulFile((), "shop", {}, None, None, 1, "stale", 60)
+
+    async def serve() -> None:
+        with _clocks():
+            relay = Relay(file, lambda _text: None, 1)
+        relay.list.rev = relay.list._floor = plain["first_rev"]
+        for members in plain["lists"]:
+            told: list[Any] = [
+                SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
+                for m in members
+            ]
+            relay.merged = SimpleNamespace(  # type: ignore[assignment]
+                members=SimpleNamespace(
+                    members=lambda told=told: told, complete=lambda: plain["complete"]
+                )
+            )
+            relay._pass_on()
+        watcher = Watcher(relay)
+        watcher.connection_made(transport)
+        watcher.data_received(plain["call"].encode())
+        watcher.connection_lost(None)
+
+    asyncio.run(serve())
+    written: bytes = transport.written
+    return written
+
+
+def _encode_consul(plain: Plain) -> bytes:
+    """All calls of one datacentre's reader in their order, as they were sent.
+
+    Each is answered before the next, two seconds later: no share of lines has to be waited for.
+    """
+    file = ConsulFile(
+        (parse_address(plain["agent"]),), plain["service"], {plain["datacentre"]: ""}, None, None,
+        plain["lines"], plain["consistency"], 60, tuple(plain["tags"]), plain["read"],
+        plain["shard_by"],
+    )  # fmt: skip
+
+    async def ask() -> bytes:
+        reader = Reader(file, plain["token"], lambda *_: None, lambda _text: None, 1)
+        center = reader.centers[0]
+        sent = b""
+        for at, step in enumerate(plain["calls"]):
+            what = center._watch if step["is"] == "watch" else center._ask
+            with mock.patch("time.monotonic_ns", lambda at=at: NOW + 2 * at * SECOND):
+                found = await _called(what)
+            sent += found[0][1]
+            body = json.dumps(step["answer"])
+            head = f"HTTP/1.1 200 -\r\nX-Consul-Index: {step['index']}\r\n"
+            answer = f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
+            with mock.patch.object(center, "_ask"):  # the next one comes with its own step
+                found[0][0].data_received(answer)
+        reader.close()
+        return sent
+
+    return asyncio.run(ask())
+
+
+def _decode_servers(data: bytes, catalog: bool) -> Plain:
+    """An answer of Consul's as a reader takes it."""
+    try:
+        found = words(data, "east", Fields(catalog, zone_meta="zone"))
+    except RowError:
+        return {"refused": "rows that can't be used"}
+    return [
+        {
+            "uid": w.uid, "host": w.host, "port": w.port, "zone": w.zone,
+            "health": w.health.name.lower(), "weight": w.weight,
+        }
+        for w in found
+    ]  # fmt: skip
+
+
+_ENCODERS: dict[str, Callable[[Plain], bytes]] = {
+    "gossip": _encode_gossip,
+    "step": _encode_step,
+    "mark": _encode_mark,
+    "rows": _encode_rows,
+    "hello": _encode_hello,
+    "frame": _encode_frame,
+    "word": _encode_word,
+    "state": _encode_state,
+    "reply": _encode_reply,
+    "discovery": _encode_discovery,
+    "relayed": _encode_relayed,
+    "consul": _encode_consul,
+}
+_DECODERS: dict[str, Callable[[bytes], Plain]] = {
+    "gossip": _decode_gossip,
+    "step": _decode_step,
+    "rows": _decode_rows,
+    "hello read": _decode_hello,
+    "frame": _decode_frame,
+    "word": _decode_word,
+    "state": _decode_state,
+    "question": _decode_question,
+    "listing": _decode_listing,
+    "health": functools.partial(_decode_servers, catalog=False),
+    "catalog": functools.partial(_decode_servers, catalog=True),
+}
