--- /dev/null
+++ b/tests/golden/bindings_control.py
@@ -0,0 +1,627 @@
+"""The control side's product code as the recorded bytes need it: `encode` and `decode` by kind.
+
+Only this file names product code. The words on the left are those of the recorded files and
+stay; where a class or an attribute gets another name, the right side alone is edited.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import tempfile
+from collections.abc import Callable
+from functools import cache
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+from envoy.service.discovery.v3 import discovery_pb2
+from google.protobuf import any_pb2, json_format
+
+from flinthatch.handout.picture import Kind, Reply, Resource, type_version
+from flinthatch.handout.snapshot import Audience, ProxyKind, plan
+from flinthatch.model import Effect, RequestClass, ServerView, Settings, State
+from flinthatch.routes.file import decode as decode_routes
+from flinthatch.scale.changes import ChangeLog
+from flinthatch.scale.messages import (
+    Append,
+    Appended,
+    Fetch,
+    Fetched,
+    ImagePart,
+    ServiceImage,
+    Status,
+    StatusRequest,
+    Vote,
+    VoteRequest,
+)
+from flinthatch.scale.model import Change, Delta, MachineSpec, NodeSpec, Position, Row, ServiceSpec
+from flinthatch.scale.model import Snapshot as WholeServices
+from flinthatch.scale.presence import PresenceUpdate
+from flinthatch.scale.release import NodeRelease, ReleaseGrant
+from flinthatch.scale.replication import Outcome, Proposal
+from windrelay.config import parse_address
+from windrelay.httpcall import Call as OutgoingCall
+from windrelay.operator.tomlfile import parse
+from windrelay.scale import changes as handed_in
+from windrelay.scale import listform
+from windrelay.scale.backends import read_backends
+from windrelay.scale.calls import Call, Calls
+from windrelay.scale.file import Bound, Limits, ScaleFileError, read_scale
+from windrelay.scale.machine import ControlMachine
+from windrelay.scale.messages import NodeReport, PresenceWanted, Reports, codec
+from windrelay.scale.questions import Questions, Subscription
+from windrelay.scale.stream import Hello, Streams, _Incoming
+from windrelay.scale.subscriber import AskTiming, Subscriber, _Region
+from windrelay.scale.version import position_of, version_of
+from windrelay.xds.encode import Encoder, stub_cluster
+from windrelay.xds.server import _read_delta, _read_whole
+from windrelay.xds.wire import Answers
+
+REFUSED = (ValueError, ScaleFileError)
+
+# A record's class and fields: WORD, WORD=ATTRIBUTE where they differ, WORD:RECORD or
+# WORD:RECORD* where the value is another record or several.
+RECORDS: dict[str, tuple[Any, str]] = {
+    "position": (Position, "epoch revision"),
+    "row": (Row, "uid body leaving"),
+    "change": (Change, "position:position service rows:row* removed deleted whole"),
+    "service-image": (ServiceImage, "service changed rows:row*"),
+    "node-report": (NodeReport, "node serving"),
+    "node-release": (NodeRelease, "node services"),
+    "delta": (Delta, "region base:position position:position changes:change*"),
+    "wanted": (handed_in.Wanted, "service rows:row* removed deleted"),
+    "machine-spec": (MachineSpec, "name region zone"),
+    "node-spec": (NodeSpec, "name region zone capacity rate"),
+    "service-spec": (ServiceSpec, "name region zones rate backends"),
+    "bound": (Bound, "machine service"),
+    "limits": (Limits, "subscribers change_bytes backlog snapshot_rate"),
+}
+MESSAGES: dict[str, tuple[Any, str]] = {
+    "hello": (Hello, "machine fleet"),
+    "presence-update": (PresenceUpdate, "serial whole came left"),
+    "presence-wanted": (PresenceWanted, ""),
+    "reports": (Reports, "reports:node-report*"),
+    "vote-request": (
+        VoteRequest,
+        "region epoch history:position last:position trial reload transfer",
+    ),
+    "vote": (Vote, "region epoch current granted trial"),
+    "append": (
+        Append,
+        "region epoch history:position previous:position entries:change* accepted far",
+    ),
+    "appended": (Appended, "region epoch ok revision counts"),
+    "fetch": (
+        Fetch,
+        "region position:position serial reported:position image:position part",
+    ),
+    "fetched": (Fetched, "region serial position:position changes:change*"),
+    "image-part": (
+        ImagePart,
+        "region serial position:position part parts services:service-image* gone"
+        " epochs:position* history:position",
+    ),
+    "status-request": (StatusRequest, "region nonce"),
+    "status": (Status, "region nonce empty epoch last:position reported:position"),
+    "release-grant": (ReleaseGrant, "region epoch releases:node-release*"),
+}
+RECORDS |= MESSAGES
+RESOURCE_TYPES = {
+    "CDS": Kind.CLUSTER, "EDS": Kind.ENDPOINTS, "LDS": Kind.LISTENER, "RDS": Kind.ROUTES,
+}  # fmt: skip
+ASKED = "127.0.0.1:7001"
+SERVICES = {"cart": "east", "pay": "east", "empty": "east"}  # and their home regions
+CONTROL_FILE = """\
+version = 1
+{key} = "lines.jsonl"
+[regions]
+east = ["east-1", "east-2"]
+west = ["west-1"]
+[[machine]]
+name = "east-a"
+region = "east"
+zone = "east-1"
+subscribers = "127.0.0.1:7001"
+peers = "127.0.0.1:7002"
+admin = "127.0.0.1:7003"
+"""
+
+
+@cache
+def _fields(record: str) -> list[tuple[str, str, str, bool]]:
+    """Each field's word, attribute, record or "", and whether it is several of these."""
+    found = []
+    for text in RECORDS[record][1].split():
+        name, _, inner = text.partition(":")
+        word, _, attribute = name.partition("=")
+        found.append((word, attribute or word, inner.rstrip("*"), inner.endswith("*")))
+    return found
+
+
+def _plain(record: str, value: Any) -> Any:
+    """A record as plain values by the recorded files' words."""
+    if value is None:
+        return None
+    found: dict[str, Any] = {}
+    for word, attribute, inner, several in _fields(record):
+        one = getattr(value, attribute)
+        if several:
+            one = [_plain(inner, part) for part in one]
+        elif inner:
+            one = _plain(inner, one)
+        found[word] = list(one) if isinstance(one, tuple) else one
+    return found
+
+
+def _built(record: str, plain: Any) -> Any:
+    """The record that these plain values describe."""
+    if plain is None:
+        return None
+    found: dict[str, Any] = {}
+    for word, attribute, inner, several in _fields(record):
+        one = plain[word]
+        if several:
+            one = tuple(_built(inner, part) for part in one)
+        elif inner:
+            one = _built(inner, one)
+        found[attribute] = tuple(one) if isinstance(one, list) else one
+    return RECORDS[record][0](**found)
+
+
+def encode(kind: str, plain: Any) -> bytes:
+    """The bytes that the code writes for these values."""
+    if kind in MESSAGES:
+        return codec().encode(_built(kind, plain))
+    return WRITERS[kind](plain)
+
+
+def decode(kind: str, data: bytes) -> Any:
+    """The values that the code reads from these bytes; one of REFUSED where it takes none."""
+    if kind in MESSAGES:
+        message = codec().decode(data)
+        assert type(message) is MESSAGES[kind][0]
+        return _plain(kind, message)
+    return READERS[kind](data)
+
+
+# ---- streams between machines ------------------------------------------------
+
+
+def _write_stream(plain: Any) -> bytes:
+    """What a machine writes on a stream: its hello, then messages, each in a frame."""
+    sent: list[bytes] = []
+    transport = SimpleNamespace(
+        is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=sent.append
+    )
+    hello = _built("hello", plain["hello"])
+    streams = Streams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
+    streams._out["other"] = transport  # type: ignore[assignment]
+    streams.send("other", hello)
+    for message in plain["messages"]:
+        streams.send("other", _built(message["kind"], message["fields"]))
+    return b"".join(sent)
+
+
+def _read_stream(data: bytes) -> Any:
+    kinds = {type_: kind for kind, (type_, _) in MESSAGES.items()}
+    found: dict[str, Any] = {"messages": []}
+
+    def told(sender: str, message: Any) -> None:
+        assert sender == found["hello"]["machine"]
+        kind = kinds[type(message)]
+        found["messages"].append({"kind": kind, "fields": _plain(kind, message)})
+
+    def knows(hello: Hello) -> bool:
+        found["hello"] = _plain("hello", hello)
+        return True
+
+    async def read() -> None:
+        streams = Streams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
+        with mock.patch.object(streams, "knows", knows):
+            incoming = _Incoming(streams)
+            incoming.connection_made(mock.Mock())
+            for at in range(0, len(data), 7):  # frames come in pieces
+                incoming.data_received(data[at : at + 7])
+        assert not streams.counts and not incoming._data
+
+    asyncio.run(read())
+    return found
+
+
+# ---- the list's form ---------------------------------------------------------
+
+
+def _write_version(plain: Any) -> bytes:
+    return str(version_of(_built("position", plain))).encode()
+
+
+def _read_version(data: bytes) -> Any:
+    return _plain("position", position_of(int(data)))
+
+
+def _update(plain: Any) -> Any:
+    if plain["form"] == "delta":
+        return _built("delta", plain)
+    held = {
+        name: {row["uid"]: _built("row", row) for row in rows}
+        for name, rows in plain["services"].items()
+    }
+    return WholeServices(plain["region"], _built("position", plain["position"]), held)
+
+
+def _plain_update(update: Any) -> Any:
+    if update is None:
+        return None
+    if isinstance(update, Delta):
+        return {"form": "delta"} | _plain("delta", update)
+    held = {
+        name: [_plain("row", row) for row in rows.values()]
+        for name, rows in update.services.items()
+    }
+    position = _plain("position", update.position)
+    return {"form": "whole", "region": update.region, "position": position, "services": held}
+
+
+def _orders(plain: Any) -> listform.Orders | None:
+    if plain is None:
+        return None
+    return listform.Orders(
+        wanted=plain["wanted"],
+        releasable=frozenset(plain["releasable"]),
+        generation=plain["generation"],
+    )
+
+
+def _write_answer(plain: Any) -> bytes:
+    position, orders = _built("position", plain["position"]), _orders(plain["orders"])
+    if plain["update"] is not None:
+        return listform.encode(_update(plain["update"]), orders)
+    if orders is not None:
+        return listform.orders_only(position, orders)
+    more = {key: plain[key] for key in ("elsewhere", "address", "pause_ms") if plain[key]}
+    return listform.nothing(position, **more)
+
+
+def _read_answer(data: bytes) -> Any:
+    answer = listform.decode(data, 100)
+    orders = answer.orders
+    return {
+        "position": _plain("position", answer.position),
+        "update": _plain_update(answer.update),
+        "orders": orders
+        and {
+            "wanted": dict(orders.wanted),
+            "releasable": sorted(orders.releasable),
+            "generation": orders.generation,
+        },
+        "elsewhere": answer.elsewhere,
+        "address": answer.address,
+        "pause_ms": answer.pause_ms,
+    }
+
+
+def _write_plain_list(plain: Any) -> bytes:
+    rows = [_built("row", row) for row in plain["rows"]]
+    version = version_of(_built("position", plain["position"]))
+    return listform.plain_list(version, plain["whole"], rows, plain["gone"])
+
+
+# ---- questions of nodes ------------------------------------------------------
+
+
+def _write_question(plain: Any) -> bytes:
+    held, serving = (frozenset(plain[key] or ()) for key in ("held", "serving"))
+    holder: Any = SimpleNamespace(
+        name=plain["node"],
+        position=lambda _: _built("position", plain["position"]),
+        current=lambda _: held,
+        subscription=lambda _: held,
+        serving=lambda: serving,
+    )
+    timing = AskTiming(hold=plain["hold_ms"] / 1000)
+    asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
+    asker.generation = plain["generation"]
+    state = _Region(0, anew=plain["held"] is not None)
+    state.stray_until = float("inf") if plain["redirected"] else 0.0
+    if plain["serving"] is None:
+        state.reported = (asker.generation, "")
+    target = asker._target(plain["region"], state)
+
+    async def head() -> str:
+        call = OutgoingCall(parse_address(ASKED), target, 1.0, lambda _: None)
+        call.drop()
+        return call._head
+
+    return asyncio.run(head()).encode()
+
+
+def _read_question(data: bytes) -> Any:
+    asked: list[Any] = []
+    host: Any = mock.Mock(most_watchers=1, connections=0)
+    host.waits.return_value = False
+    host.asked = lambda _, *rest: asked.append(rest)
+    connection = Subscription(host)
+    connection.data_received(data)
+    ((since, hold, query),) = asked
+    nodes: Any = mock.Mock()
+    nodes.on_report.return_value = None
+    questions = Questions(nodes, mock.Mock(), mock.Mock(), {}, 1)
+    question = questions._question(0, since, hold, query)
+    questions._heard(0, question, query)
+    report = nodes.on_report.call_args
+    return {
+        "node": question.node,
+        "region": question.region,
+        "position": _plain("position", question.position),
+        "hold_ms": question.until // 1_000_000,
+        "held": None if question.held is None else sorted(question.held),
+        "serving": report and sorted(report.args[1]),
+        "generation": report.args[2] if report else 0,
+        "redirected": question.redirected,
+    }
+
+
+def _write_http_answer(plain: Any) -> bytes:
+    sent: list[bytes] = []
+    connection = Subscription(mock.Mock(most_watchers=1, connections=0))
+    transport: Any = mock.Mock(write=sent.append)
+    transport.is_closing.return_value = False
+    transport.get_write_buffer_size.return_value = 0
+    connection._transport = transport
+    connection.reply(plain["status"], plain["body"].encode())
+    return b"".join(sent)
+
+
+# ---- operators' calls ---------------------------------------------------------
+
+
+def _handed_in() -> handed_in.Changes:
+    return handed_in.Changes(mock.Mock(), "east", SERVICES)
+
+
+def _read_operator_call(data: bytes) -> Any:
+    found: dict[str, Any] = {}
+
+    def status() -> dict[str, Any]:
+        found["call"] = "status"
+        return {}
+
+    def log_after(region: str, version: int) -> tuple[int, bytes]:
+        found.update(call="log", region=region, position=_plain("position", position_of(version)))
+        return 200, b""
+
+    def change(body: bytes, reply: Any) -> None:
+        found.update(call="changes", changes=body)
+
+    machine: Any = SimpleNamespace(status=status, log_after=log_after, change=change)
+    Call(Calls(machine, 1 << 20)).data_received(data)
+    if "changes" in found:
+        rows = _handed_in()._decode(found["changes"])
+        found["changes"] = [_plain("wanted", one) for one in rows]
+    return found
+
+
+def _write_changes_answer(plain: Any) -> bytes:
+    """The answer to changes handed in: HTTP status, a space, the body."""
+    answers: list[bytes] = []
+    call = handed_in._Call(lambda status, body: answers.append(f"{status} ".encode() + body))
+    hosts = _handed_in()
+    if "outcome" in plain:
+        hosts._refuse(call, Proposal(Outcome(plain["outcome"]), leader=plain["leader"]))
+    for one in plain.get("accepted", ()):
+        call.accepted[_built("position", one["position"])] = None
+    hosts._open = dict.fromkeys(call.accepted, call)
+    for one in plain.get("accepted", ()):
+        change = Change(_built("position", one["position"]), "cart")
+        with mock.patch("time.monotonic_ns", lambda at=one["at_ns"]: at):
+            hosts.on_committed("east", change)
+    return b"".join(answers)
+
+
+def _write_log_answer(plain: Any) -> bytes:
+    """The answer to GET /log: HTTP status, a space, the body."""
+    log = ChangeLog("east", 100, 1 << 20)
+    for change in plain["log"]:
+        log.append(_built("change", change))
+    machine: Any = SimpleNamespace(logs={"east": log})
+    version = version_of(_built("position", plain["position"]))
+    status, body = ControlMachine.log_after(machine, plain["region"], version)
+    return f"{status} ".encode() + body
+
+
+# ---- files ---------------------------------------------------------------------
+
+
+def _read_backends_file(data: bytes) -> Any:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "backends.jsonl"
+        path.write_bytes(data)
+        found = read_backends(path, SERVICES)
+    return {name: [_plain("row", row) for row in rows] for name, rows in found.items()}
+
+
+def _read_lines(key: str, attribute: str, record: str, data: bytes) -> Any:
+    """A file of JSON lines beside a control file that names it."""
+    with tempfile.TemporaryDirectory() as folder:
+        (Path(folder) / "lines.jsonl").write_bytes(data)
+        path = Path(folder) / "scale.toml"
+        path.write_text(CONTROL_FILE.format(key=key))
+        rows = getattr(read_scale(str(path)), attribute)
+    return [_plain(record, row) for row in rows]
+
+
+def _read_control_file(data: bytes) -> Any:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "scale.toml"
+        path.write_bytes(data)
+        file = read_scale(str(path))
+    return {
+        "regions": {name: list(zones) for name, zones in file.regions.items()},
+        "machines": [
+            _plain("machine-spec", one.spec)
+            | {key: str(getattr(one, key)) for key in ("subscribers", "peers", "admin")}
+            for one in file.machines
+        ],
+        "nodes": [_plain("node-spec", one) for one in file.nodes],
+        "services": [_plain("service-spec", one) for one in file.services],
+        "bound": [_plain("bound", one) | {"listen": str(one.listen)} for one in file.bound],
+        "limits": _plain("limits", file.limits),
+        "seed": file.seed,
+        "assignment": {
+            "least_per_zone": file.rules.least_per_zone,
+            "most_sharers": file.rules.most_sharers,
+            "node_rate": file.rules.node_rate,
+        },
+        "backends_file": file.backends and file.backends.name,
+    }
+
+
+# ---- xDS -----------------------------------------------------------------------
+
+
+def resources(plain: Any) -> list[dict[str, Any]]:
+    """Every resource of a plan, for one kind of proxy, in the order in which they are made."""
+    settings = Settings(
+        classes=tuple(
+            RequestClass(one["name"], one["wanted"], one["give_up"], Effect[one["effect"]])
+            for one in plain["classes"]
+        ),
+        cold_from=plain["cold_from"],
+    )
+    table = decode_routes(*parse(plain["routes"].encode())).table
+    assert table is not None
+    view = [
+        ServerView(
+            backend=one["backend"], zone=one["zone"], state=State[one["state"]], cap=one["cap"],
+            warmth=one["warmth"], latency=1.0, down=one["down"],
+        )
+        for one in plain["servers"]
+    ]  # fmt: skip
+    addresses = {one["backend"]: (one["host"], one["port"]) for one in plain["servers"]}
+    proxy = ProxyKind(plain["proxy"])
+    to = Audience(proxy, plain["zone"], tuple(plain["zones"]), plain["proxies"], plain["own_ramp"])
+    plans = [
+        plan(service, settings, table.node_budget, view, addresses, to)
+        for service in table.services
+    ]
+    host, port = plain["listen"]
+    picture = Encoder(proxy, (host, port)).build(plans)
+    return [
+        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.names),
+         "hex": one.body.hex()}
+        for word, kind in RESOURCE_TYPES.items()
+        for one in picture.of(kind).values()
+    ]  # fmt: skip
+
+
+def resource_message(data: bytes) -> Any:
+    """What a serialised resource says, by protobuf's own JSON form."""
+    return json_format.MessageToDict(any_pb2.Any.FromString(data))
+
+
+def _type_word(url: str) -> str:
+    words = {"Cluster": "CDS", "ClusterLoadAssignment": "EDS", "Listener": "LDS"}
+    return words.get(url.rpartition(".")[2], "RDS")
+
+
+def _write_discovery_answer(plain: Any) -> bytes:
+    rows = tuple(
+        Resource(one["name"], one["version"], bytes.fromhex(one["hex"]))
+        for one in plain["resources"]
+    )
+    kind = RESOURCE_TYPES[plain["type"]]
+    reply = Reply(kind, plain["version"], plain["nonce"], rows, tuple(plain["removed"]))
+    return Answers(plain["incremental"]).encode(reply)
+
+
+def _read_incremental_answer(data: bytes) -> Any:
+    message = discovery_pb2.DeltaDiscoveryResponse.FromString(data)
+    rows = [
+        {"name": one.name, "version": one.version,
+         "hex": one.resource.SerializeToString(deterministic=True).hex()}
+        for one in message.resources
+    ]  # fmt: skip
+    return {
+        "incremental": True,
+        "type": _type_word(message.type_url),
+        "version": message.system_version_info,
+        "nonce": message.nonce,
+        "resources": rows,
+        "removed": list(message.removed_resources),
+    }
+
+
+def _read_whole_answer(data: bytes) -> Any:
+    message = discovery_pb2.DiscoveryResponse.FromString(data)
+    rows = []
+    for one in message.resources:
+        said = json_format.MessageToDict(one)
+        body = one.SerializeToString(deterministic=True)
+        rows.append({"name": said["name"], "version": "", "hex": body.hex()})
+    return {
+        "incremental": False,
+        "type": _type_word(message.type_url),
+        "version": message.version_info,
+        "nonce": message.nonce,
+        "resources": rows,
+        "removed": [],
+    }
+
+
+def _discovery_request(message: Any, read: Callable[[Any, Any], Any], data: bytes) -> Any:
+    found = message.FromString(data)
+    request = read(RESOURCE_TYPES[_type_word(found.type_url)], found)
+    return {
+        "type": next(word for word, kind in RESOURCE_TYPES.items() if kind is request.kind),
+        "names": list(request.names),
+        "gone": list(request.gone),
+        "nonce": request.nonce,
+        "error": request.error,
+        "version": request.version,
+        "held": dict(request.held),
+    }
+
+
+def _write_set_version(plain: Any) -> bytes:
+    """One version for a set of resources, which proxies tell again after a restart."""
+    held = {name: Resource(name, version, b"") for name, version in plain["held"].items()}
+    return type_version(RESOURCE_TYPES[plain["type"]], held).encode()
+
+
+WRITERS: dict[str, Callable[[Any], bytes]] = {
+    "stream": _write_stream,
+    "version": _write_version,
+    "answer": _write_answer,
+    "plain-list": _write_plain_list,
+    "target": lambda plain: listform.body_of(plain).encode(),
+    "question": _write_question,
+    "http-answer": _write_http_answer,
+    "changes-answer": _write_changes_answer,
+    "log-answer": _write_log_answer,
+    "stub-cluster": lambda plain: stub_cluster(plain["name"]).body,
+    "discovery-answer": _write_discovery_answer,
+    "incremental-discovery-answer": _write_discovery_answer,
+    "set-version": _write_set_version,
+}
+READERS: dict[str, Callable[[bytes], Any]] = {
+    "stream": _read_stream,
+    "version": _read_version,
+    "answer": _read_answer,
+    "target": lambda data: json.loads(listform.row_of(json.loads(data)).body),
+    "question": _read_question,
+    "operator-call": _read_operator_call,
+    "backends-file": _read_backends_file,
+    "nodes-file": lambda data: _read_lines("nodes_file", "nodes", "node-spec", data),
+    "services-file": lambda data: _read_lines("services_file", "services", "service-spec", data),
+    "control-file": _read_control_file,
+    "discovery-answer": _read_whole_answer,
+    "incremental-discovery-answer": _read_incremental_answer,
+    "discovery-request": lambda data: _discovery_request(
+        discovery_pb2.DiscoveryRequest, _read_whole, data
+    ),
+    "incremental-discovery-request": lambda data: _discovery_request(
+        discovery_pb2.DeltaDiscoveryRequest, _read_delta, data
+    ),
+}
