--- a/lab/callers.py
+++ b/lab/callers.py
@@ -4,10 +4,17 @@
 service works through calls in turn, so many lines a second, turns away who has waited too long,
 and works on for callers that have given up. Thousands of callers in seconds of real time, which
 `lab/lists.py` with its whole nodes is too slow for.
+
+    python -m lab.callers --seeds 100          # all cores; the seeds that fail, each a command
+    python -m lab.callers --seed 17            # one again
+    python -m lab.callers --digest --seeds 20  # a digest of each seed's run
+
+Drawn from each seed: how many callers, their lines, and what is wrong with the service.
 """
 
 from __future__ import annotations
 
+import sys
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,11 +23,14 @@
 
 from flinthatch import RequestClass, Settings
 from flinthatch.membership.asking import CONNECT, PAUSE_LEAST, PAUSE_MOST
-from flinthatch.membership.caller import Caller, failure_of
+from flinthatch.membership.caller import QUICK, Caller, failure_of
 from flinthatch.model import MS, SECOND
+from lab.digest import Digest
+from lab.seeds import run
 
 CLASS = RequestClass("balance", 800 * MS, 2 * SECOND)
 TRIP = MS
+SPREAD = 2500 * MS  # of first calls, as the settings' usual time for asking has it
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,9 +47,11 @@
     """Nodes that all begin with `rows` in hand and need `lines` lines each."""
 
     def __init__(
-        self, nodes: int, rows: int, lines: int, plan: ServicePlan, spread: int, seed: int = 1
-    ) -> None:
+        self, nodes: int, rows: int, lines: int, plan: ServicePlan, spread: int, seed: int = 1,
+        digest: Digest | None = None,
+    ) -> None:  # fmt: skip
         self.now = 0
+        self.digest = digest  # takes all that is called, answered and decided
         self.plan, self.rows, self.lines = plan, rows, lines
         self.random = Random(seed)
         settings = Settings((CLASS,), balancers=nodes, ask=True)
@@ -78,6 +90,8 @@
         self.calls[began // SECOND] += 1
         self.counts["calls"] += 1
         limit = self.callers[node].limit(self.rows)
+        if self.digest is not None:
+            self.digest.add(began, node, number, limit)
         plan = self.plan
         if began < plan.silent_until:
             self._later(began + CONNECT, self._failed, node, number, began, limit, False)
@@ -103,6 +117,8 @@
         self._number[node] += 1
         self.callers[node].answered(self.now - began)
         self.done_at[node] = self.now
+        if self.digest is not None:
+            self.digest.add(self.now, node, number)
 
     def _failed(self, node: int, number: int, began: int, limit: int, connected: bool) -> None:
         if number != self._number[node]:
@@ -112,4 +128,49 @@
         failure = failure_of(took, limit, connected, False)
         pause = self.callers[node].failed(failure, took, self.rows)
         host = self.random.randint(PAUSE_LEAST, PAUSE_MOST)
+        if self.digest is not None:
+            self.digest.add(self.now, node, number, took, connected, pause, host)
         self._later(self.now + max(pause, host), self._ask, node)
+
+
+def play(seed: int, digest: Digest | None = None) -> list[str]:
+    """One seed's breaches; what is called, answered and decided goes into `digest`."""
+    draw = Random(seed)
+    nodes, lines = draw.randint(40, 200), draw.randint(100, 270)
+    trouble = draw.randrange(5 * SECOND, 20 * SECOND)
+    plan = draw.choice(
+        [
+            ServicePlan(),
+            ServicePlan(patience=3 * SECOND),
+            ServicePlan(refuses_until=trouble),
+            ServicePlan(silent_until=trouble),
+            ServicePlan(lines=20),
+        ]
+    )
+    rows = draw.choice([0, lines])
+    world = CallWorld(nodes, rows, lines, plan, SPREAD, seed, digest)
+    needed = nodes * lines / plan.lines
+    # With an old list the quick first rounds are given up: what the queue took in comes on top.
+    wasted = QUICK * (plan.patience / SECOND + 2) if rows else 0.0
+    back = max(plan.refuses_until, plan.silent_until) / SECOND
+    within = back + 1.1 * needed + wasted
+    if not world.run(int(within * SECOND)):
+        missing = nodes - len(world.done_at)
+        return [f"{missing} of {nodes} callers have no list after {within:.0f} s"]
+    return []
+
+
+def digest_of(seed: int) -> str:
+    """The digest of one seed's run."""
+    digest = Digest()
+    play(seed, digest)
+    return digest.value()
+
+
+def main() -> int:
+    """0 where no seed breaks a rule, 1 where one does."""
+    return run(__doc__, "lab.callers", play, 100, None, digest_of)
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/lab/digest.py
@@ -0,0 +1,70 @@
+"""One number for all that a seed's run sent and decided, to compare a run before and after.
+
+Only values count: what a type, a field or a module is called doesn't. Messages that have a form
+on the wire are added as those bytes, so that records may also be cut otherwise.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import fields, is_dataclass
+from enum import Enum
+from functools import cache
+from hashlib import sha256
+from typing import Any
+
+from flinthatch.fleet.messages import Message
+from windrelay.peers import codec
+from windrelay.scale.codec import Codec
+from windrelay.scale.messages import codec as machine_codec
+
+
+class Digest:
+    """SHA-256 over lines, each a time and values, in the order in which they are added."""
+
+    def __init__(self) -> None:
+        self._hash = sha256()
+
+    def add(self, now: int, *values: object) -> None:
+        """Something was sent or decided at this time of the world."""
+        self._hash.update(repr((now, *map(plain, values))).encode() + b"\n")
+
+    def value(self) -> str:
+        """Of all that was added, in hexadecimal."""
+        return self._hash.hexdigest()
+
+
+def plain(value: Any) -> Any:
+    """The value by numbers, texts, bytes, None and tuples alone.
+
+    A mapping keeps its order, a set is sorted. TypeError on whatever else could carry a name.
+    """
+    kind = type(value)
+    if value is None or kind in (int, bool, float, str, bytes):
+        return value
+    if isinstance(value, Enum):
+        return plain(value.value)
+    if isinstance(value, tuple | list):
+        return tuple(map(plain, value))
+    if isinstance(value, set | frozenset):
+        return tuple(sorted(map(plain, value), key=repr))
+    if isinstance(value, Mapping):
+        return tuple((plain(key), plain(held)) for key, held in value.items())
+    if is_dataclass(value) and not isinstance(value, type):
+        return tuple(plain(getattr(value, field.name)) for field in fields(value))
+    raise TypeError(f"no plain form of a {kind.__name__}")
+
+
+def gossip_bytes(message: Message) -> bytes:
+    """A message between nodes as it goes on the wire."""
+    return codec.encode(message, 0)
+
+
+@cache
+def _machine_codec() -> Codec:
+    return machine_codec()
+
+
+def machine_bytes(message: object) -> bytes:
+    """A message between control machines as it goes on the wire."""
+    return _machine_codec().encode(message)
--- a/lab/fleets.py
+++ b/lab/fleets.py
@@ -11,6 +11,7 @@
 from flinthatch.fleet.fleet import Fleet, Terms
 from flinthatch.fleet.messages import Message, Outgoing
 from flinthatch.model import SECOND, State
+from lab.digest import Digest, gossip_bytes
 from lab.links import Links
 
 START = 1_700_000_000_000  # the first incarnation, ms
@@ -29,6 +30,7 @@
         readers: int = 0,
     ) -> None:
         self.now = 0
+        self.digest: Digest | None = None  # takes all that is sent and decided
         self.random = Random(seed)
         self.links = Links(Random(seed + 1))
         self.terms = [Terms(nodes, me, zones, slots=slots, readers=readers) for me in range(nodes)]
@@ -105,7 +107,10 @@
     def send(self, node: int, out: list[Outgoing]) -> None:
         for to, message in out:
             self.sent[node] += 1
-            for delay in self.links.passing(node, to):
+            delays = self.links.passing(node, to)
+            if self.digest is not None:
+                self.digest.add(self.now, node, to, gossip_bytes(message), delays)
+            for delay in delays:
                 self.later(self.now + delay, self._deliver, node, to, message)
 
     def _deliver(self, source: int, target: int, message: Message) -> None:
--- a/lab/play.py
+++ b/lab/play.py
@@ -2,6 +2,7 @@
 
     python -m lab.play --seeds 300          # all cores; the seeds that fail, each a command
     python -m lab.play --seed 17            # one again
+    python -m lab.play --digest --seeds 20  # a digest of each seed's run
 
 Drawn from each seed: nodes, servers, loss, delay, doubles, cuts, kills, stops, restarts,
 drains, servers that fall silent. Then all heals. The referee keeps books of its own: the four
@@ -20,6 +21,7 @@
 from flinthatch.fleet.leases import Held, SlotLeases
 from flinthatch.fleet.messages import Listed, Observation, Standing
 from flinthatch.model import MS, SECOND, State
+from lab.digest import Digest
 from lab.seeds import run
 from lab.service import Service
 
@@ -189,13 +191,14 @@
             world.breach(f"{busiest:.0f} messages a second of one node")
 
 
-def play(seed: int) -> list[str]:
-    """One seed's breaches."""
+def play(seed: int, digest: Digest | None = None) -> list[str]:
+    """One seed's breaches; what is sent and decided goes into `digest`."""
     draw = Random(seed)
     nodes, servers = draw.randint(3, 9), draw.randint(4, 8)
     # Every other seed has few slots, and one node that gets most of what all servers can do.
     rate, hot, slots = (150.0, [0], 6) if seed % 2 else (30.0, [], 15)
     world = Service(nodes, servers, seed, True, rate * servers, hot, 16, slots)
+    world.digest = digest
     referee = Referee(world)
     world.start_all()
     world.run(2 * SECOND)
@@ -272,9 +275,16 @@
     _start(world)
 
 
+def digest_of(seed: int) -> str:
+    """The digest of one seed's run."""
+    digest = Digest()
+    play(seed, digest)
+    return digest.value()
+
+
 def main() -> int:
     """0 where no seed breaks a rule, 1 where one does."""
-    return run(__doc__, "lab.play", play, 300, None)
+    return run(__doc__, "lab.play", play, 300, None, digest_of)
 
 
 if __name__ == "__main__":
--- a/lab/scale_play.py
+++ b/lab/scale_play.py
@@ -2,6 +2,7 @@
 
     python -m lab.scale_play --seeds 200          # six processes; a command for each that fails
     python -m lab.scale_play --seed 17            # one again
+    python -m lab.scale_play --digest --seeds 20  # a digest of each seed's run
 
 Drawn from each seed: loss, delay, doubles, one-way cuts, cut regions, control machines and nodes
 killed, stopped and started empty, a rack and a zone gone and back, all while services change.
@@ -22,6 +23,7 @@
 from flinthatch.scale.handover import Handover
 from flinthatch.scale.holder import Holder, Kind, Taken
 from flinthatch.scale.model import Change
+from lab.digest import Digest
 from lab.scale_world import REGIONS, World
 from lab.seeds import run
 
@@ -237,9 +239,9 @@
         self._start_all()
 
 
-def play(seed: int, faults_for: int = FAULTS_FOR) -> list[str]:
-    """One seed's breaches."""
-    world = World(seed)
+def play(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
+    """One seed's breaches; what is sent and decided goes into `digest`."""
+    world = World(seed, digest=digest)
     faults = Faults(world, seed + 2)
     loaded = world.run(20 * SECOND, lambda: not world.differences())
     if not loaded:
@@ -277,9 +279,16 @@
         setattr(mutant.owner, mutant.name, kept)
 
 
+def digest_of(seed: int) -> str:
+    """The digest of one seed's run."""
+    digest = Digest()
+    play(seed, digest=digest)
+    return digest.value()
+
+
 def main() -> int:
     """0 where no seed breaks a rule, 1 where one does."""
-    return run(__doc__, "lab.scale_play", play, 200, PROCESSES)
+    return run(__doc__, "lab.scale_play", play, 200, PROCESSES, digest_of)
 
 
 if __name__ == "__main__":
--- a/lab/scale_world.py
+++ b/lab/scale_world.py
@@ -43,6 +43,7 @@
 )
 from flinthatch.scale.release import ReleaseAuthority, ReleaseGrant, ReleaseRules
 from flinthatch.scale.replication import Outcome, Replica, Role, Timing
+from lab.digest import Digest, machine_bytes
 from lab.links import Links
 from lab.scale_referee import NodeLife, Referee
 
@@ -205,9 +206,11 @@
             world.send_between_machines(self.index, recipient, message)
         for region in self.replica.restored():
             world.referee.on_restored(self.spec.name, self.logs[region])
+            world.decided(self.index, self.life, region, self.logs[region].position)
             self._wake(region, self.publisher.on_restored(region))
         for region, change in self.replica.committed():
             world.referee.on_committed(self.spec.name, region, change)
+            world.decided(self.index, self.life, region, change.position, change.service)
             self._wake(region, self.publisher.on_change(region, change))
 
     def _load(self) -> None:
@@ -341,6 +344,8 @@
         if isinstance(answer, Now):
             taken = self.holder.on_update(world.now, answer.update, question.asked)
             world.counts[taken.kind.name] += 1
+            position = self.holder.position(question.region)
+            world.decided(self.name, question.region, position, taken.kind, taken.changed)
             world.referee.on_update(self.name, self.holder, answer.update, taken.kind)
         world.referee.look_at(self.name, self.holder)
         if not current:
@@ -437,6 +442,7 @@
                 world.now, service, content, removed, deleted=rows is None
             )
             if proposal.outcome is Outcome.PROPOSED and proposal.position is not None:
+                world.decided(machine.index, self.region, proposal.position, service, content)
                 world.referee.on_proposed(
                     self.region, proposal.position, service, None if rows is None else dict(rows)
                 )
@@ -445,10 +451,44 @@
                 return
 
 
+def _told_values(told: Told | None) -> object:
+    return None if told is None else (told.wanted, told.releasable)
+
+
+def _question_values(question: Question) -> tuple[object, ...]:
+    """What the digest takes of a question."""
+    asked = question.asked
+    values = (asked.region, asked.position, asked.services, asked.current)
+    told = _told_values(question.told)
+    return question.life, question.serial, *values, told, question.redirected
+
+
+def _answer_values(reply: Reply) -> tuple[object, ...]:
+    """What the digest takes of an answer.
+
+    Services of a snapshot come in the order of a set, which differs by process: sorted here.
+    """
+    answer: object = reply.answer
+    if isinstance(answer, Now):
+        update = answer.update
+        if isinstance(update, Snapshot):
+            rows = [(name, tuple(update.services[name].values())) for name in update.services]
+            answer = update.region, update.position, sorted(rows), answer.size
+        else:
+            changes = [
+                (one.position, one.service, one.rows, one.removed, one.deleted, one.whole)
+                for one in update.changes
+            ]
+            answer = update.region, update.base, update.position, changes, answer.size
+    told = _told_values(reply.told)
+    return reply.question.life, reply.question.serial, answer, told, reply.generation
+
+
 class World:
     """All of it, and the events to come."""
 
-    def __init__(self, seed: int, size: Size | None = None) -> None:
+    def __init__(self, seed: int, size: Size | None = None, digest: Digest | None = None) -> None:
+        self.digest = digest  # takes all that is sent and decided
         self.size = size or Size()
         self.now = 0
         self.tick = TICK * self.size.pace
@@ -527,6 +567,11 @@
         """A rule was broken."""
         self.breaches.append(f"{self.now / SECOND:.3f} s: {text}")
 
+    def decided(self, *values: object) -> None:
+        """For the digest: something that a machine, a node or a source has decided or taken."""
+        if self.digest is not None:
+            self.digest.add(self.now, *values)
+
     def _look(self) -> None:
         self.referee.look()
         for machine in self.machines.values():
@@ -710,8 +755,12 @@
         """Nothing passes between the regions."""
         self.links.part(self.ends("east"), self.ends("west"))
 
-    def _pass(self, source: int, target: int, what: Callable[[], None]) -> None:
-        for delay in self.links.passing(source, target):
+    def _pass(self, source: int, target: int, content: object, what: Callable[[], None]) -> None:
+        """`content` is what the digest takes of the message."""
+        delays = self.links.passing(source, target)
+        if self.digest is not None:
+            self.digest.add(self.now, source, target, content, delays)
+        for delay in delays:
             self.later(delay, what)
 
     def _at_machine(self, index: int, event: Callable[[Machine], None]) -> None:
@@ -736,7 +785,8 @@
                 machine.on_message(sender, message)
 
         self.counts[type(message).__name__] += 1
-        self._pass(sender, to, lambda: self._at_machine(to, arrive))
+        content = machine_bytes(message) if self.digest is not None else None
+        self._pass(sender, to, content, lambda: self._at_machine(to, arrive))
 
     def ping(self, sender: int, to: int, grant: ReleaseGrant | None) -> None:
         """A machine says that it lives."""
@@ -744,7 +794,9 @@
         def arrive(machine: Machine) -> None:
             machine.on_ping(sender, grant)
 
-        self._pass(sender, to, lambda: self._at_machine(to, arrive))
+        said = grant is not None and self.digest is not None
+        content = machine_bytes(grant) if said else None
+        self._pass(sender, to, content, lambda: self._at_machine(to, arrive))
 
     def report(self, node: int, to: int, serving: frozenset[str], generation: int) -> None:
         """A node says what it serves."""
@@ -755,7 +807,8 @@
             if self.node_lives[node] == life and machine.life == machine_life:
                 machine.on_report(name, serving, generation)
 
-        self._pass(self.place(node), to, lambda: self._at_machine(to, arrive))
+        content = (serving, generation)
+        self._pass(self.place(node), to, content, lambda: self._at_machine(to, arrive))
 
     def ask(self, to: int, question: Question) -> None:
         """A node's question."""
@@ -764,7 +817,9 @@
             machine.on_question(question)
 
         self.counts["questions"] += 1
-        self._pass(self.place(question.node), to, lambda: self._at_machine(to, arrive))
+        source = self.place(question.node)
+        content = _question_values(question) if self.digest is not None else None
+        self._pass(source, to, content, lambda: self._at_machine(to, arrive))
 
     def reply(self, reply: Reply) -> None:
         """A machine's answer."""
@@ -774,4 +829,5 @@
             there.on_reply(reply)
 
         self.counts[type(reply.answer).__name__] += 1
-        self._pass(reply.machine, self.place(node), lambda: self._at_node(node, arrive))
+        content = _answer_values(reply) if self.digest is not None else None
+        self._pass(reply.machine, self.place(node), content, lambda: self._at_node(node, arrive))
--- a/lab/service.py
+++ b/lab/service.py
@@ -129,6 +129,11 @@
     def alive(self) -> bool:
         return self.world.hosts.get(self.node) is self
 
+    def decided(self, *values: object) -> None:
+        """For the digest: something that this node has decided or was told to do."""
+        if self.world.digest is not None:
+            self.world.digest.add(self.world.now, self.node, self.life, *values)
+
     # ---- actions -----------------------------------------------------------
 
     def send(self, request: int, backend: int, timeout: int) -> None:
@@ -137,12 +142,15 @@
         entry = Sent(backend, self.world.now, (self.node << 16 | self.life, request))
         sent.append(entry)
         self.open[request, attempt] = entry
+        self.decided(request, attempt, backend, timeout)
         self.world.attempt(self, request, attempt, backend, timeout)
 
     def refuse(self, request: int, retry_after: int) -> None:
+        self.decided(request, retry_after)
         self.end(request, "refused")
 
     def fail(self, request: int) -> None:
+        self.decided(request)
         self.end(request, "failed")
 
     def end(self, request: int, how: str) -> None:
@@ -197,6 +205,7 @@
         if entry is None or not self.alive():
             return
         taken = self.world.now - entry.at
+        self.decided(request, attempt, outcome, taken)
         if outcome == Outcome.OK and request not in self.ended:
             self.ended.add(request)
             self.world.count("served")
@@ -335,6 +344,10 @@
             host.client.after()
         update = bridge.collect(self.clock(node))
         if update is not None:
+            if self.digest is not None:
+                told = [(c.server, c.told, c.ratio, c.cold) for c in update.changes]
+                drains = [(row.backend, row.state) for row in update.draining]
+                host.decided(told, drains, update.deal)
             bridge.apply(self.clock(node), update)
 
     # ---- the list --------------------------------------------------------------
@@ -406,6 +419,7 @@
         for server, state in news:
             self.tell(node, server, state)
         rows = [Listing(s, fleet.over(s, 0, state) if self.gossip else state) for s, state in news]
+        host.decided(rev, [(row.backend, row.state) for row in rows])
         host.balancer.on_members(now, Update.DELTA, rows)
 
     # ---- requests ---------------------------------------------------------------
