--- a/tests/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -12,11 +12,21 @@
 
 import pytest
 
-from windrelay.http1.connection import ClientConnection
-from windrelay.http1.listener import Listener
-from windrelay.service import Service
-
-from .harness import LIMIT, Peer, Running, accept, answer, listen, node, request, roster, target
+from loadbalancer.proxy.downstream.connection import ClientConnection
+from loadbalancer.proxy.downstream.listener import Listener
+from loadbalancer.proxy.lifecycle import Service
+from tests.harness import (
+    LIMIT,
+    Peer,
+    Running,
+    accept,
+    answer,
+    listen,
+    node,
+    request,
+    roster,
+    target,
+)
 
 
 @contextmanager
--- a/tests/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -13,9 +13,8 @@
 
 import uvloop
 
-from windrelay.sockets import disown
-
-from .harness import LIMIT, accept, answer, listen, node, roster, served_by, target
+from loadbalancer.proxy.sockets import disown
+from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
 
 class Aborts(asyncio.Protocol):
--- a/tests/test_long.py
+++ b/tests/proxy/test_long_messages.py
@@ -10,13 +10,12 @@
 
 import pytest
 
-from flinthatch import Outcome
-from flinthatch.balancer import MOST_MOVING
-from flinthatch.model import MS, SECOND
-from windrelay.flow import WHOLE, WINDOW, Budget, Flow
-
-from .fakes import build
-from .harness import Peer, Running, accept, answer, listen, node, request, roster, target
+from loadbalancer.core import Outcome
+from loadbalancer.core.balancing.balancer import MOST_MOVING
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.proxy.flow_control import WHOLE, WINDOW, Budget, Flow
+from tests.harness import Peer, Running, accept, answer, listen, node, request, roster, target
+from tests.recording_host import build
 
 SIZE = 3_000_000
 LONG = bytes(range(256)) * (SIZE // 256)
--- a/tests/test_node.py
+++ b/tests/proxy/test_node.py
@@ -10,9 +10,8 @@
 
 import pytest
 
-from windrelay.config import ConfigError, load
-
-from .harness import (
+from loadbalancer.config.node import ConfigError, load
+from tests.harness import (
     SETTINGS,
     accept,
     answer,
--- a/tests/test_policies.py
+++ b/tests/proxy/test_policies.py
@@ -12,9 +12,8 @@
 
 import pytest
 
-from standins.files import routes_toml
-
-from .harness import (
+from fakes.files import routes_toml
+from tests.harness import (
     LONG_MS,
     Running,
     accept,
@@ -29,7 +28,7 @@
     target,
     until,
 )
-from .scripted import Scripted
+from tests.scripted import Scripted
 
 PLENTY = "[node]\nbudget = { part = 1.0, floor = 100 }"
 ALL = 'retry_on = ["connect-failure", "refused", "reset-before-sent", "reset", "error", "timeout"]'
@@ -443,10 +442,10 @@
 def run(*words: str) -> subprocess.CompletedProcess[str]:
     import sys
 
-    from .harness import ROOT
+    from tests.harness import ROOT
 
     return subprocess.run(
-        [sys.executable, "-m", "windrelay", *words],
+        [sys.executable, "-m", "loadbalancer", *words],
         cwd=ROOT, capture_output=True, text=True, timeout=60,
     )  # fmt: skip
 
--- a/tests/test_moments.py
+++ b/tests/proxy/test_races.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from .harness import (
+from tests.harness import (
     LIMIT,
     LONG_MS,
     SETTINGS,
@@ -33,7 +33,7 @@
     target,
     until,
 )
-from .test_reload import replace_config
+from tests.proxy.test_reload import replace_config
 
 SLOTS = 4  # that one backend has at the start, by the level to begin with
 
--- a/tests/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from .harness import accept, answer, listen, node, request, roster, served_by, target
+from tests.harness import accept, answer, listen, node, request, roster, served_by, target
 
 
 def replace_config(tmp_path: Path, text: str) -> None:
--- a/tests/fakes.py
+++ b/tests/recording_host.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from flinthatch import Balancer, Effect, Listing, RequestClass, Settings, State, Update
-from flinthatch.model import MS, SECOND
+from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
+from loadbalancer.core.balancing.model import MS, SECOND
 
 
 class Host:
--- a/tests/scalemachines.py
+++ b/tests/scalemachines.py
@@ -13,13 +13,12 @@
 from typing import Any, TypeVar
 
 from benchmarks.scale.fleet import call
-from flinthatch.model import MS
-from flinthatch.scale.replication import Timing
-from windrelay.config import Address
-from windrelay.scale.file import ScaleFile, read_scale
-from windrelay.scale.machine import ControlMachine
-
-from .harness import LIMIT, until
+from loadbalancer.config.node import Address
+from loadbalancer.control.machine.file import ScaleFile, read_scale
+from loadbalancer.control.machine.machine import ControlMachine
+from loadbalancer.core.balancing.model import MS
+from loadbalancer.core.replicated_log.replication import Timing
+from tests.harness import LIMIT, until
 
 T = TypeVar("T")
 # As in service, but so short that a test need not wait for it.
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from .harness import LIMIT, Peer, answer, listen
+from tests.harness import LIMIT, Peer, answer, listen
 
 
 class Scripted:
--- a/tests/test_scale_world.py
+++ b/tests/simulation/test_control_world.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from flinthatch.model import MS, SECOND
-from flinthatch.scale.model import Position
-from flinthatch.scale.publisher import Limits
-from flinthatch.scale.replication import Role, Timing
-from lab.scale_play import MUTANTS, play, play_mutant
-from lab.scale_world import REGIONS, Size, World
+from loadbalancer.core.assignment.model import Position
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.replicated_log.replication import Role, Timing
+from loadbalancer.core.subscription.publisher import Limits
+from simulation.control_faults import MUTANTS, play, play_mutant
+from simulation.control_world import REGIONS, Size, World
 
 CALM = 60 * SECOND
 
--- a/tests/test_wire.py
+++ b/tests/simulator/test_adapter.py
@@ -7,13 +7,11 @@
 import struct
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 
-from flinthatch.drill import Drill, WireError, serve, settings_from_json
-
-ROOT = Path(__file__).resolve().parent.parent
+from loadbalancer.simulator.adapter import Drill, WireError, serve, settings_from_json
+from tests.harness import ROOT
 
 SETTINGS = {
     "balancers": 2,
@@ -126,7 +124,7 @@
 
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "flinthatch.drill"],
+        [sys.executable, "-B", "-m", "loadbalancer.simulator.adapter"],
         input=data,
         capture_output=True,
         cwd=ROOT,
@@ -139,7 +137,7 @@
     done = run(frame(b"\x63"))
     assert done.returncode == 2
     assert done.stdout == b""
-    assert done.stderr.decode().splitlines() == ["flinthatch: unknown event code 99"]
+    assert done.stderr.decode().splitlines() == ["loadbalancer.core: unknown event code 99"]
 
 
 def test_clean_end_and_no_word_from_the_hash_seed() -> None:
--- a/tests/test_consul.py
+++ b/tests/sources/consul/test_consul.py
@@ -13,21 +13,20 @@
 
 import pytest
 
-from flinthatch.handout.picture import Kind
-from flinthatch.membership.members import Health
-from flinthatch.model import SECOND
-from standins.files import write_control
-from standins.fleet import Process, started
-from windrelay.consul.file import ConsulError, read_consul, read_token
-from windrelay.consul.merge import open_reader
-from windrelay.consul.reader import ROUND_S
-from windrelay.consul.rows import RowError, words
-from windrelay.consul.source import ConsulMembers
-
-from .harness import ROOT, SETTINGS, roster, target
-from .test_control import raw
-from .test_hostile import until_said
-from .test_pools import Envoy
+from fakes.files import write_control
+from fakes.fleet import Process, started
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.merged_list import Health
+from loadbalancer.core.xds.snapshot import Kind
+from loadbalancer.sources.consul.file import ConsulError, read_consul, read_token
+from loadbalancer.sources.consul.merge import open_reader
+from loadbalancer.sources.consul.reader import ROUND_S
+from loadbalancer.sources.consul.rows import RowError, words
+from loadbalancer.sources.consul.source import ConsulMembers
+from tests.control.xds.test_hostile import until_said
+from tests.control.xds.test_pools import Envoy
+from tests.control.xds.test_service import raw
+from tests.harness import ROOT, SETTINGS, roster, target
 
 FILE = """\
 version = 1
@@ -53,7 +52,7 @@
 
 @pytest.fixture
 def agent() -> Iterator[Process]:
-    with started(("-m", "standins.consul")) as process:
+    with started(("-m", "fakes.consul")) as process:
         yield process
 
 
@@ -63,7 +62,7 @@
     text = FILE.format(agent='", "'.join(agents))
     (tmp_path / "consul.toml").write_text(text)
     path = write_control(tmp_path, SETTINGS, known or roster(), more='consul = "consul.toml"\n')
-    with started(("-m", "windrelay", "control", str(path))) as process:
+    with started(("-m", "loadbalancer", "control", str(path))) as process:
         yield process
 
 
@@ -132,7 +131,7 @@
 
 
 def test_the_next_agent_is_asked_when_one_is_gone(tmp_path: Path, agent: Process) -> None:
-    with started(("-m", "standins.consul")) as other:
+    with started(("-m", "fakes.consul")) as other:
         for each in (agent, other):
             listed(each, 1, 2)
         with control(tmp_path, agent.address, other.address) as process, proxy(process) as p:
@@ -162,7 +161,7 @@
 def members(tmp_path: Path, agent: Process, *words: str) -> subprocess.CompletedProcess[str]:
     path = tmp_path / "consul.toml"
     path.write_text(FILE.format(agent=agent.address))
-    command = (sys.executable, "-m", "windrelay", "members", str(path), *words)
+    command = (sys.executable, "-m", "loadbalancer", "members", str(path), *words)
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
 
--- a/tests/test_consul_hard.py
+++ b/tests/sources/consul/test_consul_hard.py
@@ -14,19 +14,18 @@
 import pytest
 import trustme
 
-from flinthatch import State
-from flinthatch.membership.members import Health, Members, Source, Word
-from flinthatch.membership.shards import Question, Ration, Rounds
-from flinthatch.model import SECOND
-from standins.fleet import Process, started
-from windrelay.config import Address, parse_address
-from windrelay.consul.file import ConsulFile, read_consul
-from windrelay.consul.merge import open_reader, sources
-from windrelay.consul.reader import BACKOFF_MOST_S, Reader
-
-from .harness import LIMIT
-from .test_consul import FILE, listed, service
-from .test_shards import Service, each_second, named, play
+from fakes.fleet import Process, started
+from loadbalancer.config.node import Address, parse_address
+from loadbalancer.core import State
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.merged_list import Health, Members, Source, Word
+from loadbalancer.core.endpoints.shards import Question, Ration, Rounds
+from loadbalancer.sources.consul.file import ConsulFile, read_consul
+from loadbalancer.sources.consul.merge import open_reader, sources
+from loadbalancer.sources.consul.reader import BACKOFF_MOST_S, Reader
+from tests.core.endpoints.test_shards import Service, each_second, named, play
+from tests.harness import LIMIT
+from tests.sources.consul.test_consul import FILE, listed, service
 
 READERS = 21
 
@@ -80,7 +79,7 @@
             for x in listeners:
                 x.reader.close()
 
-    with started(("-m", "standins.consul")) as agent:
+    with started(("-m", "fakes.consul")) as agent:
         listed(agent, *range(1, 11))
         asyncio.run(play(agent))
 
@@ -98,7 +97,7 @@
             (center,) = listener.reader.centers
             await until(lambda: center._pause is not None and center._blocked is not None)
             await asyncio.to_thread(agent_hangs, first)
-            monkeypatch.setattr("windrelay.consul.reader.CALL_S", 0.2)
+            monkeypatch.setattr("loadbalancer.sources.consul.reader.CALL_S", 0.2)
             center._unrest()
             await until(lambda: bool(listener.said))
             end = time.monotonic() + LIMIT
@@ -111,7 +110,7 @@
     def agent_hangs(agent: Process) -> None:
         agent.call("POST", "/standin/faults", {"silent": True})
 
-    with started(("-m", "standins.consul")) as first, started(("-m", "standins.consul")) as second:
+    with started(("-m", "fakes.consul")) as first, started(("-m", "fakes.consul")) as second:
         for agent in (first, second):
             listed(agent, 1, 2, 3)
         asyncio.run(play(first, second))
@@ -129,7 +128,7 @@
         finally:
             listener.reader.close()
 
-    with started(("-m", "standins.consul")) as agent:
+    with started(("-m", "fakes.consul")) as agent:
         rows = [service(i) for i in range(5000)]
         for upto in (2500, 5000):
             agent.call("PUT", "/standin/services", rows[:upto])
@@ -149,7 +148,7 @@
         finally:
             listener.reader.close()
 
-    with started(("-m", "standins.consul")) as agent:
+    with started(("-m", "fakes.consul")) as agent:
         rows = [
             service(
                 i, ID=f"t-{i}:8080", Address=f"127.0.0.{i}", Tags=["retail"] if i < 13 else [],
--- a/tests/test_consul_node.py
+++ b/tests/sources/consul/test_consul_node.py
@@ -15,12 +15,11 @@
 
 import pytest
 
-from standins.fleet import SETTINGS, Process, backends, started
-from standins.fleet import node as fleet_node
-from standins.load import Clients, play
-
-from .harness import LIMIT, Peer, Running, node, request, roster, target, until
-from .test_consul import FILE, service
+from fakes.fleet import SETTINGS, Process, backends, started
+from fakes.fleet import node as fleet_node
+from fakes.load import Clients, play
+from tests.harness import LIMIT, Peer, Running, node, request, roster, target, until
+from tests.sources.consul.test_consul import FILE, service
 
 
 def listed_at(servers: list[Process], **more: Any) -> list[dict[str, Any]]:
@@ -80,7 +79,7 @@
 
 @pytest.fixture
 def agent() -> Iterator[Process]:
-    with started(("-m", "standins.consul")) as process:
+    with started(("-m", "fakes.consul")) as process:
         yield process
 
 
@@ -149,7 +148,7 @@
 def test_the_platforms_list_is_one_more_source_and_its_drains_are_orders(
     tmp_path: Path, agent: Process
 ) -> None:
-    with backends(3, 1.0) as servers, started(("-m", "standins.discovery")) as discovery:
+    with backends(3, 1.0) as servers, started(("-m", "fakes.discovery")) as discovery:
         ports = [int(s.address.rpartition(":")[2]) for s in servers]
         rows = [target(f"s-{i}", port) for i, port in enumerate(ports, 1)]
         discovery.call("POST", "/standin/targets", rows)
@@ -173,7 +172,7 @@
 def relaying(tmp_path: Path, agent: Process) -> Iterator[Process]:
     path = tmp_path / "consul.toml"
     path.write_text(FILE.format(agent=agent.address))
-    with started(("-m", "windrelay", "members", str(path), "--serve", "127.0.0.1:0")) as relay:
+    with started(("-m", "loadbalancer", "members", str(path), "--serve", "127.0.0.1:0")) as relay:
         yield relay
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -14,15 +14,14 @@
 
 import pytest
 
-from flinthatch.membership import asking
-from flinthatch.model import SECOND
-from standins.discovery import target
-from standins.fleet import Process, backends, started
-from standins.tier import tier
-
-from .harness import accept, answer, listen, node, roster, served_by
-from .harness import target as listed
-from .test_cold_start import EMPTY
+from fakes.discovery import target
+from fakes.fleet import Process, backends, started
+from fakes.tier import tier
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints import poll_timing as asking
+from tests.harness import accept, answer, listen, node, roster, served_by
+from tests.harness import target as listed
+from tests.sources.test_cold_start import EMPTY
 
 NODES = 8
 SERVERS = 100
@@ -42,7 +41,7 @@
 ) -> None:
     """Without words between nodes each asks for itself; nobody gives a call up."""
     how = {"words": False, "settings": {"registry_mode": "ask"}, "over": lambda _node: EMPTY}
-    command = ("-m", "standins.discovery", "--lines", str(LINES))
+    command = ("-m", "fakes.discovery", "--lines", str(LINES))
     with started(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
--- a/tests/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -10,12 +10,11 @@
 
 import pytest
 
-from standins.discovery import target
-from standins.fleet import Process, backends, started
-from standins.tier import Tier, tier, wait_until
-from windrelay.operator.peers import main as show
-
-from .test_peers import ask, received
+from fakes.discovery import target
+from fakes.fleet import Process, backends, started
+from fakes.tier import Tier, tier, wait_until
+from loadbalancer.cli.peers import main as show
+from tests.gossip_transport.test_transport import ask, received
 
 NODES = 9
 ROWS = 60
@@ -30,7 +29,7 @@
 
 @pytest.fixture
 def discovery(servers: list[Process]) -> Iterator[Process]:
-    with started(("-m", "standins.discovery", "--lines", "60")) as found:
+    with started(("-m", "fakes.discovery", "--lines", "60")) as found:
         found.call("POST", "/standin/targets", rows(servers))
         yield found
 
@@ -170,7 +169,7 @@
 ) -> None:
     """SIGHUP at all nodes; each has another day's list, of a later number than the service's."""
     other = [row | {"boot_ms": 77} for row in rows(servers, 40)]
-    with started(("-m", "standins.discovery", "--lines", "60")) as second:
+    with started(("-m", "fakes.discovery", "--lines", "60")) as second:
         second.call("POST", "/standin/faults", {"rev": 1})
         second.call("POST", "/standin/targets", rows(servers, 7))
         how: dict[str, Any] = {
--- a/tests/test_rooms.py
+++ b/tests/test_imports.py
@@ -1,16 +1,16 @@
-"""What imports what: no circles, types included, and no arrow from deciders to talkers."""
+"""What imports what: no cycles, types included, and nothing in `core` imports outward."""
 
 from __future__ import annotations
 
 import ast
 from graphlib import TopologicalSorter
 
-from .harness import ROOT
+from tests.harness import ROOT
 
 
 def imports() -> dict[str, set[str]]:
     """Each module of the product, and which others of it its source names."""
-    paths = [p for room in ("flinthatch", "windrelay") for p in (ROOT / room).rglob("*.py")]
+    paths = (ROOT / "loadbalancer").rglob("*.py")
     names = {".".join(p.relative_to(ROOT).with_suffix("").parts): p for p in paths}
     graph: dict[str, set[str]] = {}
     for name, path in names.items():
@@ -25,10 +25,12 @@
 def test_modules_form_no_circle() -> None:
     graph = imports()
     order = list(TopologicalSorter(graph).static_order())  # raises CycleError, naming the circle
-    assert order.index("windrelay.exchange") < order.index("windrelay.upstream")
+    assert order.index("loadbalancer.proxy.exchange") < order.index(
+        "loadbalancer.proxy.upstream.pool"
+    )
 
 
-def test_nothing_that_decides_imports_what_talks() -> None:
+def test_core_imports_nothing_outside_core() -> None:
     for name, found in imports().items():
-        if name.startswith("flinthatch"):
-            assert not [f for f in found if f.startswith("windrelay")], name
+        if name.startswith("loadbalancer.core"):
+            assert not [f for f in found if not f.startswith("loadbalancer.core")], name
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from .harness import ROOT
-from .known_red import MAX_ENTRIES, read
+from tests.harness import ROOT
+from tests.known_red import MAX_ENTRIES, read
 
 SUITE = """
 def test_good():
--- a/tests/test_upgrade.py
+++ b/tests/upgrade/test_handover.py
@@ -11,10 +11,9 @@
 
 import pytest
 
-from windrelay.config import Address
-from windrelay.upgrade import place
-
-from .harness import (
+from loadbalancer.config.node import Address
+from loadbalancer.upgrade import socket_path as place
+from tests.harness import (
     LIMIT,
     LONG_MS,
     Peer,
@@ -32,7 +31,7 @@
     target,
     until,
 )
-from .test_reload import replace_config
+from tests.proxy.test_reload import replace_config
 
 ADMIN = "127.0.0.1:0"
 # What is held over the start of a second and a third process must not run out meanwhile.
