--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -9,6 +9,7 @@
 from typing import Any, NamedTuple
 
 from loadbalancer.core import Settings
+from loadbalancer.core.errors import ConfigurationError
 from loadbalancer.simulator.adapter import WireError, settings_from_json, without_nulls
 
 DEFAULT_MEMORY_MB = 128
@@ -17,7 +18,7 @@
 OPTIONAL = {"aim_stretch"}  # of a class: one that has none is whole
 
 
-class ConfigError(Exception):
+class ConfigError(ConfigurationError):
     """The environment or the configuration can't be used; the text says why."""
 
 
--- a/loadbalancer/config/toml_file.py
+++ b/loadbalancer/config/toml_file.py
@@ -15,6 +15,8 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
+from loadbalancer.core.errors import ConfigurationError
+
 MAX_FILE = 16 << 20
 _TOML = Language(tree_sitter_toml.language())
 _AT_LINE = re.compile(r" \(at line (\d+), column \d+\)$")
@@ -22,7 +24,7 @@
 Key = tuple[str | int, ...]
 
 
-class FileError(Exception):
+class FileError(ConfigurationError):
     """A file that can't be read, or is not TOML: `line` from 1, `rule` and what is wrong."""
 
     def __init__(self, line: int, rule: str, wrong: str, right: str) -> None:
--- a/loadbalancer/control/machine/codec.py
+++ b/loadbalancer/control/machine/codec.py
@@ -14,11 +14,13 @@
 
 import msgpack
 
+from loadbalancer.core.errors import ProtocolError
+
 Decoder = Callable[[Any], Any]
 Encoder = Callable[[Any], Any]
 
 
-class BadMessage(ValueError):
+class BadMessageError(ProtocolError, ValueError):
     """Bytes that are no message of ours; the text is what it is counted under."""
 
 
@@ -37,14 +39,14 @@
         return packed
 
     def decode(self, data: bytes) -> Any:
-        """The message; BadMessage on anything else."""
+        """The message; BadMessageError on anything else."""
         try:
             number, row = msgpack.unpackb(data, use_list=True)
             if type(number) is not int or not 0 <= number < len(self._decoders):
-                raise BadMessage("unknown kind")
+                raise BadMessageError("unknown kind")
             return self._decoders[number](row)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
-            raise BadMessage("unsound") from err
+            raise BadMessageError("unsound") from err
 
 
 def _parts(kind: type) -> list[tuple[str, Any]] | None:
@@ -87,7 +89,7 @@
 def _tuple_decoder(item: Decoder) -> Decoder:
     def decode(value: Any) -> Any:
         if type(value) is not list:
-            raise BadMessage("unsound")
+            raise BadMessageError("unsound")
         return tuple([item(one) for one in value])
 
     return decode
@@ -96,7 +98,7 @@
 def _record_decoder(kind: type, decoders: list[Decoder]) -> Decoder:
     def decode(value: Any) -> Any:
         if type(value) is not list or len(value) != len(decoders):
-            raise BadMessage("unsound")
+            raise BadMessageError("unsound")
         return kind(*[decode(one) for decode, one in zip(decoders, value, strict=True)])
 
     return decode
@@ -105,7 +107,7 @@
 def _plain_decoder(kind: Any) -> Decoder:
     def decode(value: Any) -> Any:
         if type(value) is not kind:
-            raise BadMessage("unsound")
+            raise BadMessageError("unsound")
         return value
 
     return decode
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -21,6 +21,7 @@
 from loadbalancer.config.toml_section import Section
 from loadbalancer.core.assignment.assignment import AssignmentRules
 from loadbalancer.core.assignment.model import MachineSpec, NodeSpec, ServiceSpec
+from loadbalancer.core.errors import ConfigurationError
 from loadbalancer.core.routes.faults import Fault
 
 SECTIONS: Mapping[str, tuple[str, ...]] = {
@@ -45,7 +46,7 @@
 T = TypeVar("T")
 
 
-class ScaleFileError(Exception):
+class ScaleFileError(ConfigurationError):
     """A control file that can't be used; one fault a line."""
 
 
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -14,13 +14,14 @@
 
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Row, Snapshot, Update
+from loadbalancer.core.errors import ProtocolError
 from loadbalancer.sources.watchers import gone_row
 
 LEAVING = "leaving"
 GONE = "left"
 
 
-class ListFormError(ValueError):
+class ListFormError(ProtocolError, ValueError):
     """An answer that is no update; the text says why."""
 
 
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -15,7 +15,7 @@
 from typing import Any, cast
 
 from loadbalancer.config.node import Address
-from loadbalancer.control.machine.codec import BadMessage, Codec
+from loadbalancer.control.machine.codec import BadMessageError, Codec
 
 MAX_FRAME = 32 << 20  # bytes
 REDIAL_S = 0.5
@@ -174,7 +174,7 @@
         """Take one frame; False where it ended the stream."""
         try:
             message = self._streams.codec.decode(frame)
-        except BadMessage as err:
+        except BadMessageError as err:
             self._cut(str(err))
             return False
         if self._sender:
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -12,6 +12,7 @@
 from loadbalancer.control.machine.list_form import ListFormError, row_of
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Change, Position, Row
+from loadbalancer.core.errors import ProtocolError
 from loadbalancer.core.replicated_log.replication import Outcome, Proposal, Replica
 
 ACCEPT_S = 5.0  # for a majority to hold a change
@@ -21,7 +22,7 @@
 Reply = Callable[[int, bytes], None]
 
 
-class BadChange(ValueError):
+class BadChangeError(ProtocolError, ValueError):
     """A change that can't be used; the text names the place and the rule."""
 
 
@@ -61,7 +62,7 @@
         """
         try:
             wanted = self._decode(body)
-        except BadChange as err:
+        except BadChangeError as err:
             reply(400, str(err).encode())
             return
         now = time.monotonic_ns()
@@ -112,29 +113,29 @@
         try:
             raw = json.loads(body)
         except (ValueError, RecursionError):
-            raise BadChange("body: [syntax] is no JSON; write an array of changes") from None
+            raise BadChangeError("body: [syntax] is no JSON; write an array of changes") from None
         if not isinstance(raw, list) or not 1 <= len(raw) <= MOST_CHANGES:
-            raise BadChange(f"body: [size] not 1 to {MOST_CHANGES} changes; write an array")
+            raise BadChangeError(f"body: [size] not 1 to {MOST_CHANGES} changes; write an array")
         return [self._wanted(f"change {place}", one) for place, one in enumerate(raw)]
 
     def _wanted(self, place: str, raw: Any) -> Wanted:
         if not isinstance(raw, dict):
-            raise BadChange(f"{place}: [syntax] is no object; write service, rows and removed")
+            raise BadChangeError(f"{place}: [syntax] is no object; write service, rows and removed")
         unknown = raw.keys() - {"service", "rows", "removed", "deleted"}
         if unknown:
-            raise BadChange(f"{place}: [unknown-key] no key {min(unknown)!r}")
+            raise BadChangeError(f"{place}: [unknown-key] no key {min(unknown)!r}")
         service = raw.get("service")
         if not isinstance(service, str) or service not in self._homes:
-            raise BadChange(f"{place}: [unknown-service] no service {str(service)[:64]!r}")
+            raise BadChangeError(f"{place}: [unknown-service] no service {str(service)[:64]!r}")
         rows, removed = raw.get("rows", []), raw.get("removed", [])
         if not isinstance(rows, list) or not isinstance(removed, list):
-            raise BadChange(f"{place}: [bad-value] rows and removed are arrays")
+            raise BadChangeError(f"{place}: [bad-value] rows and removed are arrays")
         if len(rows) + len(removed) > MOST_ROWS:
-            raise BadChange(f"{place}: [size] over {MOST_ROWS} rows")
+            raise BadChangeError(f"{place}: [size] over {MOST_ROWS} rows")
         if not all(isinstance(uid, str) and uid for uid in removed):
-            raise BadChange(f"{place}: [bad-value] removed holds no uids")
+            raise BadChangeError(f"{place}: [bad-value] removed holds no uids")
         try:
             found = tuple([row_of(row) for row in rows])
         except ListFormError as err:
-            raise BadChange(f"{place}: [bad-value] {err}") from None
+            raise BadChangeError(f"{place}: [bad-value] {err}") from None
         return Wanted(service, found, tuple(removed), raw.get("deleted") is True)
--- a/loadbalancer/control/xds/file.py
+++ b/loadbalancer/control/xds/file.py
@@ -14,6 +14,7 @@
 from loadbalancer.config.node import Address
 from loadbalancer.config.toml_file import Key
 from loadbalancer.config.toml_section import Section
+from loadbalancer.core.errors import ConfigurationError
 from loadbalancer.core.routes.faults import Fault
 
 SECTIONS: Mapping[str, tuple[str, ...]] = {
@@ -67,7 +68,7 @@
     tls: TlsFile | None
 
 
-class ControlError(Exception):
+class ControlError(ConfigurationError):
     """A control file that can't be used; one fault a line."""
 
 
--- a/loadbalancer/control/xds/load_reports.py
+++ b/loadbalancer/control/xds/load_reports.py
@@ -10,7 +10,13 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from loadbalancer.control.xds.file import TlsFile
-from loadbalancer.control.xds.peers import REQUESTS, PeerError, Rate, first_request, identify
+from loadbalancer.control.xds.peers import (
+    REQUESTS,
+    Rate,
+    RejectedProxyError,
+    first_request,
+    identify,
+)
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.xds.load_reports import Ledger, Row
 
@@ -74,7 +80,7 @@
     async def _reports(self, first: Any, requests: AsyncIterator[Any], context: Any) -> None:
         try:
             peer = identify(first.node, context, self._tls)
-        except PeerError as err:
+        except RejectedProxyError as err:
             await context.abort(err.code, str(err))
             return
         pools = self._pools()
--- a/loadbalancer/control/xds/peers.py
+++ b/loadbalancer/control/xds/peers.py
@@ -10,6 +10,7 @@
 import grpc
 
 from loadbalancer.control.xds.file import TlsFile
+from loadbalancer.core.errors import PeerError
 from loadbalancer.core.xds.plan import ProxyKind, kind_of
 
 MAX_ID = 256  # bytes of a node's id
@@ -17,7 +18,7 @@
 REQUESTS = 200  # a second and stream; a proxy that asks for everything sends some ten
 
 
-class PeerError(ValueError):
+class RejectedProxyError(PeerError, ValueError):
     """A proxy that is not served; the text goes to it and to the log."""
 
     def __init__(self, text: str, code: grpc.StatusCode = grpc.StatusCode.INVALID_ARGUMENT) -> None:
@@ -65,21 +66,21 @@
 
 
 def identify(node: Any, context: Any, tls: TlsFile | None) -> Peer:
-    """The peer by its first message; PeerError where it can't be served."""
+    """The peer by its first message; RejectedProxyError where it can't be served."""
     if not node.id or len(node.id) > MAX_ID:
-        raise PeerError(f"the node's id is empty or over {MAX_ID} bytes")
+        raise RejectedProxyError(f"the node's id is empty or over {MAX_ID} bytes")
     if tls is not None:
         names = certificate_names(context)
         if not tls.allows(names, node.id):
             text = f"certificate {', '.join(names)!r} may not speak for {node.id!r}"
-            raise PeerError(text, grpc.StatusCode.PERMISSION_DENIED)
+            raise RejectedProxyError(text, grpc.StatusCode.PERMISSION_DENIED)
     version = node.user_agent_version
     if node.HasField("user_agent_build_version"):
         number = node.user_agent_build_version.version
         version = f"{number.major_number}.{number.minor_number}"
     kind = kind_of(node.user_agent_name, version)
     if kind is None:
-        raise PeerError("the node's user_agent_name is neither envoy nor gRPC's")
+        raise RejectedProxyError("the node's user_agent_name is neither envoy nor gRPC's")
     return Peer(node.id, Group(kind, node.locality.zone[:MAX_ID]))
 
 
--- a/loadbalancer/control/xds/server.py
+++ b/loadbalancer/control/xds/server.py
@@ -17,8 +17,8 @@
     REQUESTS,
     Group,
     Peer,
-    PeerError,
     Rate,
+    RejectedProxyError,
     first_request,
     identify,
 )
@@ -196,7 +196,7 @@
         """Who it is, once it is its turn."""
         try:
             peer = identify(first.node, context, self._tls)
-        except PeerError as err:
+        except RejectedProxyError as err:
             self._log(f"proxy {first.node.id[:100]!r}: not served: {err}")
             await context.abort(err.code, str(err))
             raise
--- a/loadbalancer/core/assignment/model.py
+++ b/loadbalancer/core/assignment/model.py
@@ -14,8 +14,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from loadbalancer.core.errors import ConfigurationError
 
-class ScaleError(ValueError):
+
+class ScaleError(ConfigurationError, ValueError):
     """An input that can't be used; the message names the place and the rule."""
 
 
--- a/loadbalancer/core/routes/canonical.py
+++ b/loadbalancer/core/routes/canonical.py
@@ -12,6 +12,8 @@
 from ipaddress import AddressValueError, IPv6Address
 from typing import NamedTuple
 
+from loadbalancer.core.errors import ProtocolError
+
 MAX_PATH = 8192  # bytes, as sent
 MAX_SEGMENTS = 256
 MAX_HOST = 255
@@ -33,7 +35,7 @@
 _ABSOLUTE = re.compile(rb"(?i:https?)://([^/?]*)(.*)", re.DOTALL).fullmatch
 
 
-class FormError(ValueError):
+class FormError(ProtocolError, ValueError):
     """A host or path without a canonical form; the text says which rule it breaks."""
 
 
--- a/loadbalancer/core/xds/snapshot.py
+++ b/loadbalancer/core/xds/snapshot.py
@@ -20,6 +20,8 @@
 from enum import IntEnum
 from hashlib import blake2b
 
+from loadbalancer.core.errors import ProtocolError, StateError
+
 MAX_NAMES = 10_000  # names one stream may subscribe to, of one kind
 MAX_NAME = 512  # bytes
 MAX_TOLD = 2000  # bytes of names in a version
@@ -43,7 +45,7 @@
 WHOLE = frozenset((Kind.CLUSTER, Kind.LISTENER))
 
 
-class SubscriptionError(ValueError):
+class SubscriptionError(ProtocolError, ValueError):
     """A request beyond the bounds; the stream is to be ended with this text."""
 
 
@@ -66,7 +68,7 @@
     return Resource(name, version, body, frozenset(names))
 
 
-class PictureError(ValueError):
+class PictureError(StateError, ValueError):
     """A picture that names what it does not hold."""
 
 
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -18,6 +18,7 @@
 import msgpack
 
 from loadbalancer.core.balancing.model import MS
+from loadbalancer.core.errors import ProtocolError
 from loadbalancer.core.gossip.messages import (
     Kind,
     Life,
@@ -35,7 +36,7 @@
 _KNOWN = {int(kind) for kind in Kind}
 
 
-class BadMessage(ValueError):
+class BadMessageError(ProtocolError, ValueError):
     """A datagram that is none of ours; the text is what it is counted under."""
 
 
@@ -62,43 +63,43 @@
 
 
 def decode(data: bytes, number: int) -> Message | None:
-    """The message; None where its kind is not known here. BadMessage on anything else."""
+    """The message; None where its kind is not known here. BadMessageError on anything else."""
     if len(data) < _HEAD.size:
-        raise BadMessage("short")
+        raise BadMessageError("short")
     check, version, of = _HEAD.unpack_from(data)
     if crc32(data[4:]) != check:
-        raise BadMessage("broken")
+        raise BadMessageError("broken")
     if version != VERSION:
-        raise BadMessage("another version")
+        raise BadMessageError("another version")
     if of != number:
-        raise BadMessage("another tier")
+        raise BadMessageError("another tier")
     try:
         fields = msgpack.unpackb(data[_HEAD.size :])
         kind, origin, incarnation, serial, subject, digest, rows = fields[:7]
         figures = (kind, origin, incarnation, serial, subject, *digest)
         if not all(type(f) is int for f in figures):
-            raise BadMessage("unsound")
+            raise BadMessageError("unsound")
         if kind not in _KNOWN:
             return None
         records = tuple(r for r in map(_record, rows) if r is not None)
         body = fields[7] if kind == Kind.PIECE and len(fields) > 7 else b""
         if not isinstance(body, bytes):
-            raise BadMessage("unsound")
+            raise BadMessageError("unsound")
     except (ValueError, TypeError, msgpack.UnpackException) as err:
-        raise BadMessage("unsound") from err
+        raise BadMessageError("unsound") from err
     return Message(Kind(kind), origin, incarnation, serial, subject, tuple(digest), records, body)
 
 
 def _record(row: list[int]) -> Record | None:
     """One record; None where its kind is not known here. ValueError on one that is short."""
     if not isinstance(row, list) or not row or not all(type(f) is int for f in row):
-        raise BadMessage("unsound")
+        raise BadMessageError("unsound")
     made = _KINDS.get(row[0])
     if made is None:
         return None
     count = len(made._fields)
     if len(row) <= count:
-        raise BadMessage("unsound")
+        raise BadMessageError("unsound")
     figures = row[1 : count + 1]
     if made is not Life:
         figures[-1] *= MS
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -22,7 +22,7 @@
 from loadbalancer.core.gossip.gossip_node import Fleet, Terms
 from loadbalancer.core.gossip.messages import Outgoing, Standing
 from loadbalancer.core.gossip.token_bucket import Bucket
-from loadbalancer.gossip_transport.codec import BadMessage, decode, encode, tier
+from loadbalancer.gossip_transport.codec import BadMessageError, decode, encode, tier
 from loadbalancer.gossip_transport.settings import FleetFile
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
             return
         try:
             message = decode(data, self._tier)
-        except BadMessage as err:
+        except BadMessageError as err:
             self.counts[str(err)] += 1
             return
         if message is None:
--- a/loadbalancer/proxy/downstream/reader.py
+++ b/loadbalancer/proxy/downstream/reader.py
@@ -13,7 +13,7 @@
 import httptools
 
 from loadbalancer.core.balancing.model import MS
-from loadbalancer.errors import BadRequest
+from loadbalancer.errors import BadRequestError
 from loadbalancer.proxy.downstream.registry import Connection, ConnectionRegistry
 from loadbalancer.proxy.downstream.request import MAX_HEAD, NOT_PASSED_ON, READ, IncomingRequest
 from loadbalancer.proxy.flow_control import MOST, WHOLE, WINDOW, Flow
@@ -84,9 +84,9 @@
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as err:
             cause = err.__context__
-            if not isinstance(cause, BadRequest):
+            if not isinstance(cause, BadRequestError):
                 self._registry.node.log(f"reading a request: {cause!r}")
-            bad = cause if isinstance(cause, BadRequest) else BadRequest(400)
+            bad = cause if isinstance(cause, BadRequestError) else BadRequestError(400)
             self._reject(bad.status, bad.text)
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -122,7 +122,7 @@
 
     def on_message_begin(self) -> None:
         if len(self._waiting) + (self._request is not None) > MOST_WAITING:
-            raise BadRequest(400)
+            raise BadRequestError(400)
         self._incoming = IncomingRequest()
         self._headers_done = False
         # From its first byte on: a client that connects ahead of its need is not slow.
@@ -141,7 +141,7 @@
         value = value.strip(b" \t")  # RFC 9110, section 5.5: no part of the value
         if lower in READ:
             if lower in incoming.fields:
-                raise BadRequest(400)  # which of the two would be meant?
+                raise BadRequestError(400)  # which of the two would be meant?
             incoming.fields[lower] = value
         elif lower == b"idempotency-key":
             incoming.keyed = True
@@ -157,13 +157,13 @@
         incoming.keep_alive = parser.should_keep_alive()
         size = len(incoming.url) + sum(map(len, incoming.lines))
         if size > MAX_HEAD:
-            raise BadRequest(431)
+            raise BadRequestError(431)
         if parser.get_http_version() not in ("1.0", "1.1"):
-            raise BadRequest(400)
+            raise BadRequestError(400)
         incoming.old = parser.get_http_version() == "1.0"
         self._registry.heads.check(incoming)
         if incoming.length > MOST:
-            raise BadRequest(413)
+            raise BadRequestError(413)
         if incoming.length or incoming.chunked:
             if incoming.length > WHOLE:
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW)
@@ -180,7 +180,7 @@
         assert incoming is not None
         incoming.size += len(body)
         if incoming.size > MOST:
-            raise BadRequest(413)
+            raise BadRequestError(413)
         if incoming.flow is not None:
             incoming.flow.push(body)
             return
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -10,7 +10,7 @@
 from loadbalancer.core import Effect
 from loadbalancer.core.balancing.balancer import ClassState
 from loadbalancer.core.balancing.model import MS, RequestClass
-from loadbalancer.errors import BadRequest
+from loadbalancer.errors import BadRequestError
 
 if TYPE_CHECKING:
     from loadbalancer.core.routes.table import Policy
@@ -87,7 +87,7 @@
         self._tenants = {tenant.name.encode(): i for i, tenant in enumerate(tenants)}
 
     def check(self, incoming: IncomingRequest) -> None:
-        """Check a head and fill in what the module wants to know; BadRequest if it is unfit."""
+        """Check a head and fill in what the Balancer needs; BadRequestError if it is unfit."""
         fields = incoming.fields
         if self._node.routing is None and not incoming.url.startswith(b"/"):
             incoming.url = ABSOLUTE.sub(b"", incoming.url, 1)  # RFC 9112, section 3.2.2
@@ -96,32 +96,32 @@
         path = incoming.path = incoming.url.partition(b"?")[0]
         incoming.chunked = b"transfer-encoding" in fields
         if incoming.chunked and b"content-length" in fields:
-            raise BadRequest(400)  # one may hide a request from whoever goes by the other
+            raise BadRequestError(400)  # one may hide a request from whoever goes by the other
         incoming.length = int(fields.get(b"content-length", b"0"))
         if path == b"/health/ready":
             incoming.probe = True
             if incoming.method != b"GET" or incoming.length or incoming.chunked:
-                raise BadRequest(400)
+                raise BadRequestError(400)
             return
         if b"host" not in fields:
-            raise BadRequest(400)
+            raise BadRequestError(400)
         cls = self._class_of(incoming)
         if incoming.method != (b"GET" if cls.effect == Effect.PURE else b"POST"):
-            raise BadRequest(405)
+            raise BadRequestError(405)
         if incoming.method == b"GET" and (incoming.length or incoming.chunked):
-            raise BadRequest(400)
+            raise BadRequestError(400)
         label = fields.get(b"x-request-id", b"")
         if not 0 < len(label) <= MAX_ID:
-            raise BadRequest(400)
+            raise BadRequestError(400)
         incoming.label = label
         if self._tenants:
             tenant = self._tenants.get(fields.get(b"x-tenant-id", b""))
             if tenant is None:
-                raise BadRequest(400)
+                raise BadRequestError(400)
             incoming.tenant = tenant
         timeout = fields.get(b"x-timeout-ms", b"")
         if not timeout.isdigit() or len(timeout) > MAX_DIGITS or not int(timeout):
-            raise BadRequest(400)
+            raise BadRequestError(400)
         incoming.cls = cls
         incoming.timeout = min(int(timeout) * MS, cls.spec.deadline)
         head, _, last = incoming.path.rpartition(b"/")
@@ -142,13 +142,13 @@
         name = parts[1].decode("latin-1") if len(parts) > 1 and not parts[0] else ""
         cls = self._named(incoming, name)
         if incoming.fields.get(b"x-priority-class", parts[1]) != parts[1]:
-            raise BadRequest(400)
+            raise BadRequestError(400)
         return cls
 
     def _named(self, incoming: IncomingRequest, name: str) -> ClassState:
-        """The class of this name that the request's method and key fit; BadRequest for none."""
+        """The class of this name that fits the method and key; BadRequestError for none."""
         safe, keyed = incoming.method == b"GET", incoming.keyed
         cls = self._node.balancer.class_named(time.monotonic_ns(), name, safe, keyed)
         if cls is None:
-            raise BadRequest(404)
+            raise BadRequestError(404)
         return cls
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -14,7 +14,7 @@
 from loadbalancer.core import Settings
 from loadbalancer.core.routes.canonical import FormError, canonical_host, is_canonical, target
 from loadbalancer.core.routes.table import Policy, Service, Table
-from loadbalancer.errors import BadRequest, RoutesError
+from loadbalancer.errors import BadRequestError, RoutesError
 
 MAX_HOSTS = 1024  # spellings of Host remembered; clients choose them
 
@@ -74,7 +74,7 @@
         self._hosts.clear()
 
     def place(self, head: Head) -> Policy:
-        """The policy a request falls under; BadRequest where there is none."""
+        """The policy a request falls under; BadRequestError where there is none."""
         fields = head.fields
         host = given = fields.get(b"host", b"")
         path = head.url
@@ -123,9 +123,9 @@
         self._hosts[raw] = known
         return known
 
-    def _refuse(self, reason: str) -> BadRequest:
+    def _refuse(self, reason: str) -> BadRequestError:
         self.refused[reason] += 1
-        return BadRequest(*TEXTS[reason])
+        return BadRequestError(*TEXTS[reason])
 
 
 def _rewrite_host(head: Head, host: bytes) -> None:
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -24,6 +24,7 @@
     Tenant,
     Update,
 )
+from loadbalancer.core.errors import ProtocolError
 
 HEAD = struct.Struct(">IIIQ")
 REPLY = struct.Struct(">III")
@@ -57,7 +58,7 @@
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-class WireError(Exception):
+class WireError(ProtocolError):
     """The input is not what the wire describes; the text says where."""
 
 
--- a/loadbalancer/sources/consul/rows.py
+++ b/loadbalancer/sources/consul/rows.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from loadbalancer.core.endpoints.merged_list import Health, Word
+from loadbalancer.core.errors import ProtocolError
 
 MAX_ROWS = 100_000
 MAINTENANCE = ("_service_maintenance:", "_node_maintenance")
@@ -25,7 +26,7 @@
 }
 
 
-class RowError(ValueError):
+class RowError(ProtocolError, ValueError):
     """An answer that can't be used; the text says where and why."""
 
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -16,6 +16,7 @@
 from loadbalancer.core.endpoints.poll_backoff import Caller, Failure, failure_of
 from loadbalancer.core.endpoints.poll_timing import terms
 from loadbalancer.core.endpoints.revisions import Lag
+from loadbalancer.core.errors import ProtocolError
 from loadbalancer.sources.http_get import Answer, Call, Probe
 
 if TYPE_CHECKING:
@@ -26,7 +27,7 @@
 STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
 
 
-class ListError(ValueError):
+class ListError(ProtocolError, ValueError):
     """A list that can't be used."""
 
 
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.backends import read_backends
-from loadbalancer.control.machine.codec import BadMessage
+from loadbalancer.control.machine.codec import BadMessageError
 from loadbalancer.control.machine.file import read_scale
 from loadbalancer.control.machine.list_form import ListFormError, Orders, decode, encode
 from loadbalancer.control.machine.messages import NodeReport, Reports, codec
@@ -101,7 +101,7 @@
     [b"", b"\xc1", b"\x90", b"\x91\x01", b"\x92\xff\x90", b"\x92\xcc\xc8\x90", b"\x92\x01\x90"],
 )
 def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
-    with pytest.raises(BadMessage):
+    with pytest.raises(BadMessageError):
         codec().decode(data)
 
 
@@ -109,7 +109,7 @@
     form = codec()
     good = form.encode(PresenceUpdate(1, False, ("n1",)))
     for old, new in ((b"\xc2", b"\x01"), (b"\xa2n1", b"\x01"), (b"\x01\xc2", b"\xa1x\xc2")):
-        with pytest.raises(BadMessage):
+        with pytest.raises(BadMessageError):
             form.decode(good.replace(old, new, 1))
 
 
--- a/tests/core/gossip/test_gossip.py
+++ b/tests/core/gossip/test_gossip.py
@@ -43,7 +43,7 @@
 from loadbalancer.core.gossip.records import KEEP_OBSERVATION, Beliefs
 from loadbalancer.core.gossip.slot_leases import SLACK, SPAN, SlotLeases
 from loadbalancer.core.gossip.slots import Slots
-from loadbalancer.gossip_transport.codec import BadMessage, decode, encode
+from loadbalancer.gossip_transport.codec import BadMessageError, decode, encode
 
 DRAINING, GONE = State.DRAINING, State.GONE
 
@@ -537,5 +537,5 @@
         (data[:4], "short"), (data[:-1], "broken"), (data[:9] + b"\0" + data[10:], "broken"),
         (encode(message, 8), "another tier"),
     ):  # fmt: skip
-        with pytest.raises(BadMessage, match=cause):
+        with pytest.raises(BadMessageError, match=cause):
             decode(spoilt, 7)
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -134,7 +134,7 @@
 def _decode_gossip(data: bytes) -> Plain:
     try:
         message = codec.decode(data, codec.tier("nodes"))
-    except codec.BadMessage as err:
+    except codec.BadMessageError as err:
         return {"refused": str(err)}
     if message is None:
         return None
--- a/tests/many_nodes.py
+++ b/tests/many_nodes.py
@@ -73,7 +73,7 @@
         attempt = self.tries[request] = self.tries.get(request, -1) + 1
         self.world.attempt(self, request, attempt, backend, timeout)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def refuse(self, request: int, _retry_after: int) -> None:
         self.not_served(request)
 
     def fail(self, request: int) -> None:
@@ -93,7 +93,7 @@
         self.world.later(due, lambda: self.balancer.on_timer(self.world.now, token))
 
     def __getattr__(self, action: str) -> Callable[..., None]:
-        return lambda *args: None
+        return lambda *_args: None
 
 
 class World:
--- a/tests/scalemachines.py
+++ b/tests/scalemachines.py
@@ -81,7 +81,7 @@
         def run() -> None:
             try:
                 found.set_result(work())
-            except Exception as err:
+            except Exception as err:  # noqa: BLE001  # the caller gets it, whatever it is
                 found.set_exception(err)
 
         self.loop.call_soon_threadsafe(run)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -45,7 +45,8 @@
 def test_a_listed_failure_is_borne_and_printed(tmp_path: Path, workers: tuple[str, ...]) -> None:
     status, text = run_suite(tmp_path, f"{BAD} | {REST}\n", *workers)
     assert status == 0, text
-    assert "the fault shows" in text and "the fault (issue 35; pytest, seed 7)" in text
+    assert "the fault shows" in text
+    assert "the fault (issue 35; pytest, seed 7)" in text
     assert "1 passed, 1 xfailed" in text
 
 
@@ -67,7 +68,8 @@
     tmp_path: Path, known_red: str, message: str
 ) -> None:
     status, text = run_suite(tmp_path, known_red, "-n", "1")
-    assert status != 0 and message in text, text
+    assert status != 0, text
+    assert message in text, text
 
 
 def test_a_part_of_the_suite_may_leave_listed_tests_out(tmp_path: Path) -> None:
