--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -42,6 +42,14 @@
 LOAD_AGAIN_S = 2.0  # after a source that could not be used
 LOG_ANSWER = 1 << 20  # bytes of changes in one answer to GET /log
 STATUS_MEMORY = "/proc/self/statm"
+# The roles by the words of GET /status, which stay as operators' tools know them.
+ROLE_STATUS = {
+    Role.RECOVERING: "empty",
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "candidate",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
 
 
 class ControlMachine:
@@ -152,7 +160,7 @@
             self._log(f"control machines heard: {', '.join(sorted(living))}")
             self.questions.answer_keys(self.publisher.on_living(living))
         leads = self.replica.role is Role.LEADER
-        grant = self.nodes.turn_releases(now, self.replica.epoch if leads else None)
+        grant = self.nodes.turn_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
         if self.nodes.changed:
@@ -175,7 +183,7 @@
             self._loading = None
             return
         if self.replica.needs_load():
-            self.replica.load(time.monotonic_ns(), rows)
+            self.replica.load(rows)
             self._log(f"region {region} is loaded: {len(services)} services")
             self._pump()
         self._loading = None
@@ -261,8 +269,8 @@
         return {
             "machine": self.machine.spec.name,
             "region": self.machine.spec.region,
-            "role": self.replica.role.value,
-            "epoch": self.replica.epoch,
+            "role": ROLE_STATUS[self.replica.role],
+            "epoch": self.replica.current_term,
             "leader": self.replica.leader,
             "needs_load": self.replica.needs_load(),
             "logs": {
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -65,11 +65,10 @@
         except BadChangeError as err:
             reply(400, str(err).encode())
             return
-        now = time.monotonic_ns()
         call = _Call(reply)
         for one in wanted:
             proposal = self._replica.propose(
-                now, one.service, one.rows, one.removed, one.deleted, self._homes[one.service]
+                one.service, one.rows, one.removed, one.deleted, self._homes[one.service]
             )
             if proposal.position is None:
                 self._refuse(call, proposal)
--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -1,9 +1,9 @@
-"""One region's accepted changes: the current rows of every service and a bounded log.
+"""One region's committed changes: the current rows of every service and a bounded log.
 
-A subscriber resumes from its position with the changes of its own services. The log is trimmed by
-number and by bytes, and how far back it reaches is known for each service: one that has not
+A subscriber resumes from its position with the changes of its own services. The log is compacted
+by number and by bytes, and how far back it reaches is known for each service: one that has not
 changed since a subscriber's position needs no log at all. Cost follows the subscriber's services
-and their changes, never the region's size. Pure: no I/O and no clock.
+and their changes, never the region's size.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 ROW_OVERHEAD = 12  # bytes around one row on the wire: quotes, commas, flags
 CHANGE_OVERHEAD = 32  # bytes around one change on the wire: its position and its flags
-MOST_EPOCHS = 1024  # leaders that a log remembers; older positions need a snapshot
+MAX_EPOCHS = 1024  # epochs whose start is remembered; older positions need a snapshot
 
 Rows = Mapping[str, Row]
 
@@ -46,7 +46,7 @@
 
 
 def applied(rows: Rows, change: Change) -> Rows:
-    """The rows of a service after a change; the given ones stay as they are."""
+    """The rows of a service after a change; the given ones are not modified."""
     if change.deleted:
         return {}
     merged = {} if change.whole else dict(rows)
@@ -58,23 +58,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogImage:
-    """All that a log's successor needs: what a machine that starts empty takes over.
+class LogSnapshot:
+    """A change log's state without its changes (Raft, section 7): all that a copy of it needs.
 
-    `changed` gives the revision of each service's last change, `gone` that of the last deletion,
-    `epochs` the first revision of each epoch, in order, `history` as `ChangeLog` does.
-    Rows are shared and never written to.
+    Rows are shared with the log and never written to.
     """
 
     position: Position
-    rows: Mapping[str, Rows] = field(default_factory=dict)
-    changed: Mapping[str, int] = field(default_factory=dict)
-    gone: int = 0
-    epochs: tuple[Position, ...] = ()
-    history: Position = START
+    rows: Mapping[str, Rows] = field(default_factory=dict)  # by service
+    last_changed: Mapping[str, int] = field(default_factory=dict)  # each service's last revision
+    last_deletion: int = 0  # revision of the last deletion of any service
+    epoch_starts: tuple[Position, ...] = ()  # the first position of each epoch, in order
+    history: Position = START  # as in `ChangeLog.reset`
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class _Logged:
     change: Change
     size: int
@@ -83,141 +81,158 @@
 class ChangeLog:
     """The services of one region as of `position`, and the changes that led there."""
 
-    def __init__(self, region: str, most_changes: int, most_bytes: int) -> None:
-        """At most `most_changes` changes of `most_bytes` bytes together are kept as a log.
+    def __init__(self, region: str, max_changes: int, max_bytes: int) -> None:
+        """Keep at most `max_changes` changes of `max_bytes` bytes together.
 
-        Raises ScaleError where a bound is not positive.
+        Raises:
+            ScaleError: a bound is not positive.
         """
-        if most_changes < 1 or most_bytes < 1:
+        if max_changes < 1 or max_bytes < 1:
             raise ScaleError(f"change log of {region}: bounds must be at least 1")
         self.region = region
-        self._most_changes = most_changes
-        self._most_bytes = most_bytes
+        self._max_changes = max_changes
+        self._max_bytes = max_bytes
         self.reset()
 
     def reset(self, history: Position = START) -> None:
         """Forget all: a new history follows.
 
-        `history` is the epoch in which it was begun, and the revision before its first change.
+        Args:
+            history: the epoch in which it was begun, and the revision before its first change.
         """
         self.position = Position(0, history.revision)
         self.history = history
-        self.bytes = 0  # of the changes in the log
+        self.size_bytes = 0  # of the changes in the log
         self._rows: dict[str, Rows] = {}
         self._sizes: dict[str, int] = {}
         self._log: deque[_Logged] = deque()
         self._by_service: dict[str, deque[Change]] = {}
-        self._changed: dict[str, int] = {}  # revision of each service's last change
-        self._trimmed: dict[str, int] = {}  # revision of each service's last change not in the log
-        self._deleted = 0  # revision of the last deletion of any service
-        self._gone = 0  # services deleted up to this revision may have left the log
-        self._epochs: list[Position] = []  # the first position of each epoch
+        self._last_changed: dict[str, int] = {}  # revision of each service's last change
+        self._compacted: dict[str, int] = {}  # each service's last revision that left the log
+        self._last_deletion = 0  # revision of the last deletion of any service
+        self._compacted_deletion = 0  # deletions up to this revision may have left the log
+        self._epoch_starts: list[Position] = []  # the first position of each epoch
 
     # ---- writing ----------------------------------------------------------
 
     def append(self, change: Change) -> None:
-        """Take the next accepted change. One with no service moves the position alone.
+        """Apply the next committed change. One without a service moves the position alone.
 
-        Raises ScaleError unless it follows the log's position directly.
+        Raises:
+            ScaleError: the change does not follow the log's position directly.
         """
         epoch, revision = change.position
         if revision != self.position.revision + 1 or epoch < max(self.position.epoch, 1):
             raise ScaleError(
                 f"change log of {self.region}: {change.position} does not follow {self.position}"
             )
-        if not self._epochs or epoch > self._epochs[-1].epoch:
-            self._epochs.append(change.position)
-            if len(self._epochs) > MOST_EPOCHS:
-                del self._epochs[0]
+        if not self._epoch_starts or epoch > self._epoch_starts[-1].epoch:
+            self._epoch_starts.append(change.position)
+            if len(self._epoch_starts) > MAX_EPOCHS:
+                del self._epoch_starts[0]
         self.position = change.position
         if change.service:
             self._apply(change)
         size = change_size(change)
         self._log.append(_Logged(change, size))
-        self.bytes += size
-        while len(self._log) > self._most_changes or self.bytes > self._most_bytes:
-            self._trim()
+        self.size_bytes += size
+        while len(self._log) > self._max_changes or self.size_bytes > self._max_bytes:
+            self._compact()
 
     def _apply(self, change: Change) -> None:
         service = change.service
         if service not in self._rows and service not in self._by_service:
-            # It may have been deleted before: whoever still holds it from then needs it whole.
-            self._trimmed.setdefault(service, self._gone)
+            # A service of this name may have been deleted, and its deletion compacted away. A
+            # subscriber that still has the old one must not get the new one as a delta.
+            self._compacted.setdefault(service, self._compacted_deletion)
         rows = applied(self._rows.get(service, {}), change)
         if change.deleted:
-            self._deleted = change.position.revision
+            self._last_deletion = change.position.revision
             self._rows.pop(service, None)
             self._sizes.pop(service, None)
-            self._changed.pop(service, None)
+            self._last_changed.pop(service, None)
         else:
             self._rows[service] = rows
             self._sizes[service] = rows_size(service, rows.values())
-            self._changed[service] = change.position.revision
+            self._last_changed[service] = change.position.revision
         self._by_service.setdefault(service, deque()).append(change)
 
-    def _trim(self) -> None:
+    def _compact(self) -> None:
+        """Remove the oldest change from the log (Raft, section 7)."""
         oldest = self._log.popleft()
-        self.bytes -= oldest.size
+        self.size_bytes -= oldest.size
         service = oldest.change.service
         if not service:
             return
         logged = self._by_service[service]
         logged.popleft()
-        self._trimmed[service] = oldest.change.position.revision
+        self._compacted[service] = oldest.change.position.revision
         if not logged:
             del self._by_service[service]
             if service not in self._rows:
-                self._gone = max(self._gone, self._trimmed.pop(service))
+                self._compacted_deletion = max(
+                    self._compacted_deletion, self._compacted.pop(service)
+                )
 
-    def restore(self, image: LogImage) -> None:
-        """Take over another machine's image, in place of all that is here.
+    def restore(self, snapshot: LogSnapshot) -> None:
+        """Replace all by another machine's snapshot.
 
-        Raises ScaleError where the image is older than the log.
+        Raises:
+            ScaleError: the snapshot is older than the log.
         """
-        if image.position < self.position:
+        if snapshot.position < self.position:
             raise ScaleError(
-                f"change log of {self.region}: an image of {image.position}"
+                f"change log of {self.region}: a snapshot of {snapshot.position}"
                 f" is older than {self.position}"
             )
         self.reset()
-        self.position = image.position
-        self.history = image.history
-        self._rows = dict(image.rows)
+        self.position = snapshot.position
+        self.history = snapshot.history
+        self._rows = dict(snapshot.rows)
         self._sizes = {name: rows_size(name, rows.values()) for name, rows in self._rows.items()}
-        self._changed = dict(image.changed)
-        self._trimmed = {
-            name: self._changed.get(name, image.position.revision) for name in image.rows
+        self._last_changed = dict(snapshot.last_changed)
+        self._compacted = {
+            name: self._last_changed.get(name, snapshot.position.revision) for name in snapshot.rows
         }
-        self._deleted = self._gone = image.gone
-        self._epochs = list(image.epochs)
+        self._last_deletion = self._compacted_deletion = snapshot.last_deletion
+        self._epoch_starts = list(snapshot.epoch_starts)
 
     # ---- reading ----------------------------------------------------------
 
-    def image(self) -> LogImage:
-        """The region as of now; later changes leave it as it is. Cost: an entry a service."""
-        return LogImage(
-            self.position, dict(self._rows), dict(self._changed), self._deleted,
-            tuple(self._epochs), self.history,
+    def log_snapshot(self) -> LogSnapshot:
+        """The region as of now, unaffected by later changes. Cost: an entry a service."""
+        return LogSnapshot(
+            self.position, dict(self._rows), dict(self._last_changed), self._last_deletion,
+            tuple(self._epoch_starts), self.history,
         )  # fmt: skip
 
     def contains(self, position: Position) -> bool:
         """Whether the log's history went through this position."""
         if position > self.position or position.revision > self.position.revision:
             return False
-        index = bisect_right(self._epochs, position.revision, key=lambda first: first.revision)
-        return index > 0 and self._epochs[index - 1].epoch == position.epoch
+        return self._logged_epoch(position.revision) == position.epoch
+
+    def epoch_at(self, revision: int) -> int | None:
+        """The epoch of the change with this revision; None where it is not known."""
+        if not 0 < revision <= self.position.revision:
+            return None
+        return self._logged_epoch(revision)
+
+    def _logged_epoch(self, revision: int) -> int | None:
+        index = bisect_right(self._epoch_starts, revision, key=lambda start: start.revision)
+        return self._epoch_starts[index - 1].epoch if index else None
 
     def missing(self, position: Position, services: Iterable[str]) -> frozenset[str]:
         """Of these services, those whose changes since `position` are no longer all logged."""
         revision = position.revision
-        return frozenset(name for name in services if self._reach(name) > revision)
+        return frozenset(name for name in services if self._complete_after(name) > revision)
 
-    def _reach(self, service: str) -> int:
-        """The log holds every change of the service after this revision."""
-        reach = self._trimmed.get(service)
-        if reach is not None:
-            return reach
-        return 0 if service in self._rows else self._gone
+    def _complete_after(self, service: str) -> int:
+        """The log has every change of the service after this revision."""
+        compacted = self._compacted.get(service)
+        if compacted is not None:
+            return compacted
+        return 0 if service in self._rows else self._compacted_deletion
 
     def since(self, position: Position, services: Iterable[str]) -> Delta | None:
         """What changed in these services after `position`, up to now.
@@ -230,7 +245,7 @@
         revision = position.revision
         changes: list[Change] = []
         for service in services:
-            if self._reach(service) > revision:
+            if self._complete_after(service) > revision:
                 return None
             for change in reversed(self._by_service.get(service, ())):
                 if change.position.revision <= revision:
@@ -239,23 +254,26 @@
         changes.sort(key=lambda change: change.position.revision)
         return Delta(self.region, position, self.position, tuple(changes))
 
-    def whole(self, services: Iterable[str]) -> tuple[Change, ...]:
-        """These services whole as of `position`, each as one change; unknown ones as deleted."""
-        return tuple(self._whole(service) for service in services)
+    def replacements(self, services: Iterable[str]) -> tuple[Change, ...]:
+        """Each service's rows as of `position` as one change that replaces them all.
 
-    def _whole(self, service: str) -> Change:
+        A service that the region does not know is given as deleted.
+        """
+        return tuple(self._replacement(service) for service in services)
+
+    def _replacement(self, service: str) -> Change:
         rows = self._rows.get(service)
         if rows is None:
             return Change(self.position, service, deleted=True, whole=True)
         return Change(self.position, service, tuple(rows.values()), whole=True)
 
     def snapshot(self, services: Iterable[str]) -> Snapshot:
-        """These services whole. One that the region does not know is left out."""
-        held = {name: self._rows[name] for name in services if name in self._rows}
-        return Snapshot(self.region, self.position, held)
+        """A subscriber's snapshot of these services, without those the region does not know."""
+        found = {name: self._rows[name] for name in services if name in self._rows}
+        return Snapshot(self.region, self.position, found)
 
     def size(self, services: Iterable[str]) -> int:
-        """Bytes of these services whole, about."""
+        """Bytes of all rows of these services, about."""
         return sum(self._sizes.get(name, CHANGE_OVERHEAD) for name in services)
 
     def rows(self, service: str) -> Rows | None:
@@ -263,13 +281,13 @@
         return self._rows.get(service)
 
     def services(self) -> Iterator[str]:
-        """Every service of the region that there is."""
+        """Every service of the region."""
         return iter(self._rows)
 
-    def after(self, position: Position, most_bytes: int) -> tuple[Change, ...] | None:
-        """All changes after `position`, in order, up to about `most_bytes` and at least one.
+    def after(self, position: Position, max_bytes: int) -> tuple[Change, ...] | None:
+        """All changes after `position`, in order, up to about `max_bytes` and at least one.
 
-        None where the log does not reach back to it: an image is needed.
+        None where the log does not reach back to it: a snapshot is needed.
         """
         if not self.contains(position):
             return None
@@ -280,19 +298,12 @@
         size = 0
         for index in range(skip, len(self._log)):
             entry = self._log[index]
-            if found and size + entry.size > most_bytes:
+            if found and size + entry.size > max_bytes:
                 break
             found.append(entry.change)
             size += entry.size
         return tuple(found)
 
-    def epoch_at(self, revision: int) -> int | None:
-        """The epoch of the change with this revision; None where it is not known."""
-        if not 0 < revision <= self.position.revision:
-            return None
-        index = bisect_right(self._epochs, revision, key=lambda first: first.revision)
-        return self._epochs[index - 1].epoch if index else None
-
     def __len__(self) -> int:
         """Changes in the log."""
         return len(self._log)
--- /dev/null
+++ b/loadbalancer/core/replicated_log/follower.py
@@ -0,0 +1,67 @@
+"""The follower: it appends its leader's entries in order, or not at all (paper, section 5.3)."""
+
+from __future__ import annotations
+
+from loadbalancer.core.assignment.model import Position
+from loadbalancer.core.replicated_log.messages import AppendEntries, AppendEntriesResponse
+from loadbalancer.core.replicated_log.model import MAX_TERM, Role
+from loadbalancer.core.replicated_log.recovery import Recovery
+from loadbalancer.core.replicated_log.state import RaftState
+
+
+class Follower:
+    """The follower's part of one member; a recovering member follows too, without a vote."""
+
+    def __init__(self, state: RaftState, recovery: Recovery) -> None:
+        self._state = state
+        self._recovery = recovery
+
+    def on_append(self, now: int, sender: str, request: AppendEntries) -> None:
+        """Append a leader's entries, and commit as far as the leader has."""
+        state = self._state
+        if request.term < state.current_term or request.history < state.log.history:
+            state.counts["older epochs"] += 1
+            self._respond(sender, False, state.log.commit_index)
+            return
+        own_term = state.role is Role.LEADER and request.term == state.current_term
+        if request.term > MAX_TERM or own_term:
+            state.counts["nonsense epochs"] += 1
+            return
+        self._follow(now, sender, request)
+        state.needs_snapshot = request.needs_snapshot
+        if not state.log.append_entries(request.prev_log, request.entries):
+            last = state.log.last.revision
+            self._respond(sender, False, min(last, self._retry_index(request.prev_log)))
+            return
+        match_index = request.prev_log.revision + len(request.entries)
+        state.commit(min(request.leader_commit, match_index))
+        self._recovery.complete_if_caught_up(request.term)
+        # Entries committed here are in every later leader's log, whether it sent them or not.
+        self._respond(sender, True, max(match_index, state.log.commit_index))
+
+    def _follow(self, now: int, leader: str, request: AppendEntries) -> None:
+        state = self._state
+        state.leader_contact_at = now
+        if state.role is Role.RECOVERING:
+            state.current_term, state.leader = request.term, leader
+            state.reset_election_timer(now)
+        else:
+            state.become_follower(now, request.term, leader)
+        if request.history > state.log.history:
+            state.log.begin_history(request.history)
+            self._recovery.on_new_history(now, leader, request.term)
+
+    def _retry_index(self, prev_log: Position) -> int:
+        """The last index that may match where `prev_log` does not."""
+        log = self._state.log
+        if prev_log.revision > log.last.revision:
+            return log.last.revision
+        return log.commit_index
+
+    def _respond(self, leader: str, success: bool, match_index: int) -> None:
+        state = self._state
+        voting = state.role is not Role.RECOVERING
+        state.send(
+            leader,
+            AppendEntriesResponse(state.region, state.current_term, success, match_index, voting),
+        )
--- a/loadbalancer/core/replicated_log/learner.py
+++ b/loadbalancer/core/replicated_log/learner.py
@@ -1,224 +1,130 @@
-"""How a machine that does not take part in a log's group follows it, and whom it may ask.
+"""A learner: it follows a region's committed changes without a vote in its group.
 
-A learner asks one machine at a time for accepted changes after its position; one that has none
-holds the question for a while. After each answer without news, and after each that does not
-come, the next machine is asked, so that one that is cut off holds nobody back. A learner whose
-position the log no longer reaches is sent an image in parts, and takes it whole.
+A learner fetches from one machine at a time; a machine without new changes holds the fetch for a
+while. After each answer without new changes, and after each timeout, the next machine is asked, so
+that a machine that is cut off delays nobody. A learner whose position the log no longer reaches
+fetches a snapshot in chunks, and installs it once it has them all.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Sequence
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from itertools import pairwise
 
-from loadbalancer.core.assignment.model import START, Change, Row
-from loadbalancer.core.replicated_log.change_log import ROW_OVERHEAD, ChangeLog, LogImage
-from loadbalancer.core.replicated_log.messages import Fetch, Fetched, ImagePart, ServiceImage
+from loadbalancer.core.assignment.model import START, Change, Position, Row
+from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
+from loadbalancer.core.replicated_log.messages import Fetch, FetchResponse, InstallSnapshot
+from loadbalancer.core.replicated_log.model import highest
 
-MOST_PARTS = 65_536  # of one image; an answer that names more is nonsense
+MAX_CHUNKS = 65_536  # of one snapshot; an answer that names more is not plausible
 
 
 class Learner:
-    """Asks for one region's accepted changes."""
+    """Fetches one region's committed changes."""
 
-    def __init__(self, log: ChangeLog, sources: Sequence[str], patience: int) -> None:
-        """`sources` in the order in which they are asked, each for `patience` nanoseconds."""
+    def __init__(self, log: ChangeLog, sources: Sequence[str], fetch_timeout_ns: int) -> None:
+        """`sources` are asked in turn; each has `fetch_timeout_ns` to answer."""
         self.counts: Counter[str] = Counter()
-        self.reported = START  # the highest epoch and revision heard of
         self._log = log
         self._sources = tuple(sources)
-        self._patience = patience
-        self._turn = 0
-        self._serial = 0
-        self._asked: Fetch | None = None
-        self._until = 0  # the answer is waited for
-        self._parts: list[ImagePart] = []
+        self._fetch_timeout_ns = fetch_timeout_ns
+        self._highest_reported = START
+        self._source = 0  # number of the source asked, counted on without end
+        self._request_id = 0
+        self._pending: Fetch | None = None
+        self._deadline = 0  # of the pending fetch
+        self._chunks: list[InstallSnapshot] = []  # of the snapshot being fetched, from the first
+
+    def on_reported(self, position: Position) -> None:
+        """Somebody has this position of the region's log; the next fetch passes it on."""
+        self._highest_reported = highest(self._highest_reported, position)
 
     def poll(self, now: int) -> tuple[str, Fetch] | None:
-        """Whom to ask now, and for what."""
+        """The machine to ask now, and the fetch; None while an answer is waited for."""
         if not self._sources:
             return None
-        if self._asked is not None:
-            if now < self._until:
+        if self._pending is not None:
+            if now < self._deadline:
                 return None
             self.counts["unanswered"] += 1
             self._next_source()
-        self._serial += 1
-        self._until = now + self._patience
+        self._request_id += 1
+        self._deadline = now + self._fetch_timeout_ns
         fetch = Fetch(
-            self._log.region, self._log.position, self._serial, self.reported
-        )  # fmt: skip
-        if self._parts:
-            first = self._parts[0]
-            fetch = replace(fetch, image=first.position, part=len(self._parts))
-        self._asked = fetch
-        return self._sources[self._turn % len(self._sources)], fetch
+            self._log.region, self._log.position, self._request_id, self._highest_reported
+        )
+        if self._chunks:
+            first = self._chunks[0]
+            fetch = replace(fetch, snapshot=first.position, chunk=len(self._chunks))
+        self._pending = fetch
+        return self._sources[self._source % len(self._sources)], fetch
 
     def stop(self) -> None:
-        """Nothing is to be asked for now; what is on its way is dropped."""
-        self._asked = None
-        self._parts = []
+        """Fetch nothing for now; an answer on its way is dropped."""
+        self._pending = None
+        self._chunks = []
 
     def _next_source(self) -> None:
-        self._turn += 1
-        self._parts = []
+        self._source += 1
+        self._chunks = []
 
-    def on_fetched(self, answer: Fetched) -> tuple[Change, ...]:
-        """The changes to take, in order, right after the log's position."""
-        if not self._awaited(answer.serial):
+    def on_response(self, response: FetchResponse) -> tuple[Change, ...]:
+        """The changes to apply, in order, right after the log's position."""
+        if not self._is_pending(response.request_id):
             return ()
-        self._parts = []
+        self._chunks = []
         position = self._log.position
-        follows = [c for c in answer.changes if c.position.revision > position.revision]
-        if not follows or follows[0].position.revision != position.revision + 1:
+        newer = [one for one in response.changes if one.position.revision > position.revision]
+        if not newer or newer[0].position.revision != position.revision + 1:
             self._next_source()
             return ()
-        for before, after in pairwise(follows):
+        for before, after in pairwise(newer):
             if (
                 after.position.revision != before.position.revision + 1
                 or after.position.epoch < before.position.epoch
             ):
                 self.counts["out of order"] += 1
                 return ()
-        return tuple(follows) if follows[0].position.epoch >= position.epoch else ()
+        return tuple(newer) if newer[0].position.epoch >= position.epoch else ()
 
-    def on_part(self, part: ImagePart) -> LogImage | None:
-        """The image, once all its parts are here and where it is later than the log."""
-        if not self._awaited(part.serial):
+    def on_chunk(self, chunk: InstallSnapshot) -> LogSnapshot | None:
+        """The snapshot, once all its chunks are here, if it is later than the log."""
+        if not self._is_pending(chunk.request_id):
             return None
-        if not 0 < part.parts <= MOST_PARTS or part.position <= self._log.position:
+        if not 0 < chunk.chunks <= MAX_CHUNKS or chunk.position <= self._log.position:
             self.counts["useless images"] += 1
             self._next_source()
             return None
-        if part.part == 0 or (self._parts and self._parts[0].position != part.position):
-            self._parts = []
-        if part.part != len(self._parts):
+        if chunk.chunk == 0 or (self._chunks and self._chunks[0].position != chunk.position):
+            self._chunks = []
+        if chunk.chunk != len(self._chunks):
             self._next_source()
             return None
-        self._parts.append(part)
-        if len(self._parts) < part.parts:
+        self._chunks.append(chunk)
+        if len(self._chunks) < chunk.chunks:
             return None
-        parts, self._parts = self._parts, []
-        return _joined(parts)
+        chunks, self._chunks = self._chunks, []
+        return _joined(chunks)
 
-    def _awaited(self, serial: int) -> bool:
-        """Each question is answered once: late and doubled answers are dropped."""
-        if self._asked is None or serial != self._asked.serial:
+    def _is_pending(self, request_id: int) -> bool:
+        """Whether this answers the pending fetch; late and duplicate answers are dropped."""
+        if self._pending is None or request_id != self._pending.request_id:
             self.counts["late answers"] += 1
             return False
-        self._asked = None
+        self._pending = None
         return True
 
 
-def _joined(parts: Sequence[ImagePart]) -> LogImage:
+def _joined(chunks: Sequence[InstallSnapshot]) -> LogSnapshot:
     rows: dict[str, dict[str, Row]] = {}
-    changed: dict[str, int] = {}
-    for part in parts:
-        for image in part.services:
-            rows.setdefault(image.service, {}).update((row.uid, row) for row in image.rows)
-            changed[image.service] = image.changed
-    first = parts[0]
-    return LogImage(first.position, rows, changed, first.gone, first.epochs, first.history)
-
-
-@dataclass(slots=True)
-class _Held:
-    fetch: Fetch
-    until: int
-
-
-class Source:
-    """Answers learners of one region's log."""
-
-    def __init__(self, log: ChangeLog, hold: int, most_bytes: int) -> None:
-        """Without news a question is held for `hold` nanoseconds; answers are of `most_bytes`."""
-        self._log = log
-        self._hold = hold
-        self._most_bytes = most_bytes
-        self._held: dict[str, _Held] = {}
-        self._images: dict[str, list[ImagePart]] = {}  # by learner, while it fetches one
-        self._latest: list[ImagePart] = []
-
-    def on_fetch(self, now: int, sender: str, fetch: Fetch) -> Fetched | ImagePart | None:
-        """The answer, or None where it is held. One question a sender is held."""
-        answer = self._answer(sender, fetch)
-        if answer is None:
-            self._held[sender] = _Held(fetch, now + self._hold)
-        else:
-            self._held.pop(sender, None)
-        return answer
-
-    def on_news(self) -> list[tuple[str, Fetched | ImagePart]]:
-        """The log has moved: answers to those who wait."""
-        answers = []
-        for sender, held in list(self._held.items()):
-            if (answer := self._answer(sender, held.fetch)) is not None:
-                del self._held[sender]
-                answers.append((sender, answer))
-        return answers
-
-    def on_tick(self, now: int) -> list[tuple[str, Fetched]]:
-        """Answers without news to those who have waited long enough."""
-        late = [(sender, held) for sender, held in self._held.items() if held.until <= now]
-        for sender, _ in late:
-            del self._held[sender]
-        return [(sender, self._fetched(held.fetch, ())) for sender, held in late]
-
-    def _fetched(self, fetch: Fetch, changes: tuple[Change, ...]) -> Fetched:
-        return Fetched(fetch.region, fetch.serial, self._log.position, changes)
-
-    def _answer(self, sender: str, fetch: Fetch) -> Fetched | ImagePart | None:
-        if fetch.image is not None and (part := self._next_part(sender, fetch)):
-            return part
-        self._images.pop(sender, None)
-        if fetch.position >= self._log.position:
-            return None
-        changes = self._log.after(fetch.position, self._most_bytes)
-        if changes is not None:
-            return self._fetched(fetch, changes)
-        parts = self._images[sender] = self._image()
-        return replace(parts[0], serial=fetch.serial)
-
-    def _next_part(self, sender: str, fetch: Fetch) -> ImagePart | None:
-        parts = self._images.get(sender, [])
-        if not 0 <= fetch.part < len(parts) or parts[0].position != fetch.image:
-            return None
-        part = parts[fetch.part]
-        if fetch.part == len(parts) - 1:
-            del self._images[sender]
-        return replace(part, serial=fetch.serial)
-
-    def _image(self) -> list[ImagePart]:
-        """The log's image in parts; made once for all who ask while it does not move."""
-        if not self._latest or self._latest[0].position != self._log.position:
-            self._latest = image_parts(self._log, self._most_bytes)
-        return self._latest
-
-
-def image_parts(log: ChangeLog, most_bytes: int) -> list[ImagePart]:
-    """A log's image in parts of about `most_bytes`, at least one."""
-    image = log.image()
-    groups: list[list[ServiceImage]] = [[]]
-    free = most_bytes
-    for service, rows in image.rows.items():
-        piece: list[Row] = []
-        for row in rows.values():
-            size = len(row.uid) + len(row.body) + ROW_OVERHEAD
-            if size > free and (piece or groups[-1]):
-                if piece:
-                    groups[-1].append(ServiceImage(service, image.changed[service], tuple(piece)))
-                groups.append([])
-                piece, free = [], most_bytes
-            piece.append(row)
-            free -= size
-        groups[-1].append(ServiceImage(service, image.changed[service], tuple(piece)))
-        free -= len(service) + ROW_OVERHEAD
-    return [
-        ImagePart(
-            log.region, 0, image.position, number, len(groups), tuple(group), image.gone,
-            image.epochs, image.history,
-        )
-        for number, group in enumerate(groups)
-    ]  # fmt: skip
+    last_changed: dict[str, int] = {}
+    for chunk in chunks:
+        for part in chunk.services:
+            rows.setdefault(part.service, {}).update((row.uid, row) for row in part.rows)
+            last_changed[part.service] = part.last_changed
+    first = chunks[0]
+    return LogSnapshot(
+        first.position, rows, last_changed, first.last_deletion, first.epoch_starts, first.history
+    )
--- a/loadbalancer/core/replicated_log/messages.py
+++ b/loadbalancer/core/replicated_log/messages.py
@@ -1,7 +1,7 @@
-"""What control machines say to each other: typed messages; their bytes are the sender's matter.
+"""Messages between control machines about one region's log; `control.machine.codec` has the bytes.
 
-Every message names the region whose log it is about. An epoch is a term and a revision an index
-of Raft (Ongaro and Ousterhout, 2014: "In Search of an Understandable Consensus Algorithm").
+The codec numbers the types by their order in `Message` and writes fields in their order here, so
+that both orders are part of the wire format. Names of types and fields are not.
 """
 
 from __future__ import annotations
@@ -12,123 +12,139 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoteRequest:
-    """Asks for a vote in `epoch`."""
+class RequestVote:
+    """A candidate's RequestVote RPC (paper, section 5.2)."""
 
     region: str
-    epoch: int
-    history: Position  # of the candidate's log, as in `Append`
-    last: Position  # its last entry, accepted or not
-    trial: bool = False  # only whether it would be given (a pre-vote)
-    reload: bool = False  # a majority of the region has lost its log, which is to be loaded again
-    transfer: bool = False  # the leader itself asks, to begin a history above a position reported
+    term: int
+    history: Position  # of the candidate's log, as in `AppendEntries`
+    last_log: Position  # the candidate's last entry, committed or not
+    pre_vote: bool = False  # only whether the vote would be granted (thesis, section 9.6)
+    reload: bool = False  # a majority has lost its log, which is to be loaded from its source
+    transfer: bool = False  # the present leader asks, to begin a history above a reported position
 
 
 @dataclass(frozen=True, slots=True)
-class Vote:
-    """The answer to a `VoteRequest` for `epoch`; `current` is the voter's own epoch."""
+class RequestVoteResponse:
+    """The answer to a `RequestVote` for `term`."""
 
     region: str
-    epoch: int
-    current: int
-    granted: bool
-    trial: bool = False
+    term: int
+    current_term: int  # the voter's
+    vote_granted: bool
+    pre_vote: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Append:
-    """The leader's entries after `previous`, and how far they are accepted. Heartbeat if empty."""
+class AppendEntries:
+    """The leader's AppendEntries RPC (paper, section 5.3); a heartbeat if it has no entries."""
 
     region: str
-    epoch: int
-    history: Position  # the epoch in which the log was loaded, the revision before its first
-    previous: Position
+    term: int
+    history: Position  # the term in which the log was loaded, and the index before its first entry
+    prev_log: Position  # prevLogTerm and prevLogIndex
     entries: tuple[Change, ...]
-    accepted: int  # the revision up to which a majority holds the log
-    far: bool = False  # the log does not reach back to the follower: it is to fetch an image
+    leader_commit: int
+    needs_snapshot: bool = False  # the log does not reach back to the follower: it is to fetch one
 
 
 @dataclass(frozen=True, slots=True)
-class Appended:
-    """A follower's answer to an `Append`.
-
-    Where `ok`, it holds all up to `revision`; otherwise that is the last that may match.
-    `counts` is False from a machine that has lost its memory: it is sent more, and that is all.
-    """
+class AppendEntriesResponse:
+    """A follower's answer to an `AppendEntries`."""
 
     region: str
-    epoch: int
-    ok: bool
-    revision: int
-    counts: bool = True
+    term: int
+    success: bool
+    match_index: int  # on success, all up to it match; otherwise the last index that may match
+    voting: bool = True  # False while the follower recovers: its log counts for no majority
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Asks any machine for accepted changes after `position`; it may wait for one."""
+    """A learner asks a machine for committed changes after `position`; the answer may be held."""
 
     region: str
     position: Position
-    serial: int  # is repeated in the answer
-    reported: Position = START  # the highest epoch and revision that the sender has heard of
-    image: Position | None = None  # of the image whose next part is asked for
-    part: int = 0
+    request_id: int  # repeated in the answer
+    highest_reported: Position = START  # the highest epoch and revision the sender was told of
+    snapshot: Position | None = None  # of the snapshot whose next chunk is asked for
+    chunk: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
-    """Accepted changes after the position asked for; `position` is how far the sender's log is."""
+class FetchResponse:
+    """Committed changes after the position asked for."""
 
     region: str
-    serial: int
-    position: Position
+    request_id: int
+    position: Position  # of the sender's log
     changes: tuple[Change, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceImage:
-    """One service in an image of the log; one of very many rows goes in several."""
+class ServiceRows:
+    """Rows of one service in a snapshot of the log; a large service takes several."""
 
     service: str
-    changed: int  # revision of its last change
+    last_changed: int  # revision of its last change
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ImagePart:
-    """One part of a log's image as of `position`; taken over when all parts are there."""
+class InstallSnapshot:
+    """One chunk of a log's snapshot as of `position` (paper, section 7), in answer to a `Fetch`.
+
+    The receiver asks for each chunk in turn, and installs the snapshot once it has them all.
+    """
 
     region: str
-    serial: int
-    position: Position
-    part: int  # from 0
-    parts: int
-    services: tuple[ServiceImage, ...]
-    gone: int
-    epochs: tuple[Position, ...]
+    request_id: int
+    position: Position  # the last entry that the snapshot includes
+    chunk: int  # from 0
+    chunks: int
+    services: tuple[ServiceRows, ...]
+    last_deletion: int  # revision of the last deletion of any service
+    epoch_starts: tuple[Position, ...]  # the first position of each epoch
     history: Position
 
 
 @dataclass(frozen=True, slots=True)
-class StatusRequest:
-    """A machine that has started empty asks its region's others what they have."""
+class RecoveryRequest:
+    """A restarted member asks the others for their state (Viewstamped Replication, 4.3)."""
 
     region: str
-    nonce: int  # drawn anew with each start, so that no answer to an earlier life counts
+    nonce: int  # drawn at each start: answers to an earlier incarnation do not count
 
 
 @dataclass(frozen=True, slots=True)
-class Status:
-    """The answer to a `StatusRequest`."""
+class RecoveryResponse:
+    """The answer to a `RecoveryRequest`."""
 
     region: str
     nonce: int
-    empty: bool  # the sender itself has lost its memory
-    epoch: int
-    last: Position  # its last entry, accepted or not
-    reported: Position  # the highest epoch and revision that it has heard of from anyone
-
-
+    recovering: bool  # the sender has lost its own log too
+    term: int
+    last_log: Position  # its last entry, committed or not
+    highest_reported: Position  # the highest epoch and revision that it was told of
+
+
+RaftMessage = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | RecoveryRequest
+    | RecoveryResponse
+)
+# The order is part of the wire format.
 Message = (
-    VoteRequest | Vote | Append | Appended | Fetch | Fetched | ImagePart | StatusRequest | Status
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | Fetch
+    | FetchResponse
+    | InstallSnapshot
+    | RecoveryRequest
+    | RecoveryResponse
 )
--- /dev/null
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -0,0 +1,191 @@
+"""One member's Raft log: committed entries in a `ChangeLog`, uncommitted ones after them.
+
+An entry is applied to the `ChangeLog` when it is committed, so that `lastApplied` of the paper is
+always the commit index. A log that a majority has lost begins a new history: in the term of the
+leader that loads it, and from a higher index. Entries of a load are kept apart until the entry
+that ends it is committed; then they replace the whole `ChangeLog` at once. A leader's first entry
+of its term, and the last one of a load, has no service.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from loadbalancer.core.assignment.model import Change, Position, Row, ScaleError
+from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot, change_size
+
+
+class Committed(NamedTuple):
+    """What a commit added to the change log."""
+
+    changes: Sequence[Change]
+    replaced: bool  # a load has ended: `changes` replaced all that the change log had
+
+
+def no_op(position: Position) -> Change:
+    """The entry with which a leader begins its term (paper, section 8), or ends a load."""
+    return Change(position, "")
+
+
+class RaftLog:
+    """Committed and uncommitted entries of one region, in order of their index."""
+
+    def __init__(self, change_log: ChangeLog) -> None:
+        """Nobody else may write to `change_log`."""
+        self._change_log = change_log
+        self._base = change_log.position  # of the entry before the first uncommitted one
+        self._uncommitted: list[Change] = []
+        self.history = change_log.history
+        self.loading = False
+
+    @property
+    def last(self) -> Position:
+        """The position of the last entry: lastLogTerm and lastLogIndex."""
+        return self._uncommitted[-1].position if self._uncommitted else self._base
+
+    @property
+    def commit_index(self) -> int:
+        """The index of the last committed entry; none of a load counts until the load ends."""
+        return self._base.revision
+
+    @property
+    def uncommitted(self) -> Sequence[Change]:
+        """Entries that this member does not know to be committed."""
+        return self._uncommitted
+
+    def is_loaded(self) -> bool:
+        """Whether there is a log, or at least the end of a load among the uncommitted entries."""
+        if self.loading:
+            return any(not entry.service for entry in self._uncommitted)
+        return self._base.epoch > 0
+
+    def has_committed_in(self, term: int) -> bool:
+        """Whether an entry of this term is committed, and so all entries before it."""
+        return not self.loading and self._base.epoch == term
+
+    def rows(self) -> dict[str, tuple[Row, ...]]:
+        """All committed services."""
+        log = self._change_log
+        return {name: tuple((log.rows(name) or {}).values()) for name in log.services()}
+
+    def begin_history(self, history: Position) -> None:
+        """Begin to load a new history; the change log keeps the old one until the load ends."""
+        self.history = history
+        self.loading = True
+        self._base = Position(0, history.revision)
+        self._uncommitted = []
+
+    # ---- leader ----------------------------------------------------------
+
+    def append(self, change: Change) -> None:
+        """Append the leader's next entry."""
+        self._uncommitted.append(change)
+
+    def position_at(self, index: int) -> Position | None:
+        """The position of the entry with this index; None where it is not known."""
+        offset = index - self._base.revision
+        if offset > len(self._uncommitted):
+            return None
+        if offset > 0:
+            return self._uncommitted[offset - 1].position
+        if offset == 0:
+            return self._base
+        epoch = self._change_log.epoch_at(index)
+        return None if epoch is None else Position(epoch, index)
+
+    def entries_after(self, previous: Position, max_bytes: int) -> tuple[Change, ...] | None:
+        """Entries after this position, up to about `max_bytes` and at least one.
+
+        None where they were compacted away.
+        """
+        start = previous.revision - self._base.revision
+        if start < 0:
+            return self._change_log.after(previous, max_bytes)
+        end = start
+        size = 0
+        while end < len(self._uncommitted):
+            size += change_size(self._uncommitted[end])
+            if end > start and size > max_bytes:
+                break
+            end += 1
+        return tuple(self._uncommitted[start:end])
+
+    # ---- follower ----------------------------------------------------------
+
+    def append_entries(self, previous: Position, entries: Sequence[Change]) -> bool:
+        """Append a leader's entries after `previous` (paper, figure 2, AppendEntries 2 to 4).
+
+        An uncommitted entry that conflicts is removed with all that follow it.
+
+        Returns:
+            False where the log has no entry `previous`.
+
+        Raises:
+            ScaleError: the entries do not follow each other.
+        """
+        for index, entry in enumerate(entries, previous.revision + 1):
+            if entry.position.revision != index or entry.position.epoch < previous.epoch:
+                raise ScaleError(f"entries after {previous}: {entry.position} is out of order")
+        if previous.revision >= self._base.revision:
+            if self.position_at(previous.revision) != previous:
+                return False
+        elif previous.revision + len(entries) < self._base.revision:
+            return True  # all of them are committed here
+        for entry in entries:
+            offset = entry.position.revision - self._base.revision - 1
+            if offset < 0:
+                continue
+            if offset < len(self._uncommitted):
+                if self._uncommitted[offset].position == entry.position:
+                    continue
+                del self._uncommitted[offset:]
+            self._uncommitted.append(entry)
+        return True
+
+    # ---- commit ----------------------------------------------------------
+
+    def commit(self, index: int) -> Committed:
+        """Commit and apply the entries up to `index`, which a majority has."""
+        count = min(index - self._base.revision, len(self._uncommitted))
+        entries = self._uncommitted[: max(count, 0)]
+        if not entries:
+            return Committed((), False)
+        replaced = self.loading
+        if replaced:
+            if all(entry.service for entry in entries):
+                return Committed((), False)  # the load goes on
+            self._change_log.reset(self.history)
+            self.loading = False
+        for entry in entries:
+            self._change_log.append(entry)
+        del self._uncommitted[:count]
+        self._base = self._change_log.position
+        return Committed(entries, replaced)
+
+    def apply_fetched(self, changes: Sequence[Change]) -> None:
+        """Apply committed changes fetched from any machine; they follow the change log."""
+        for change in changes:
+            self._change_log.append(change)
+        if not self.loading:
+            self._rebase()
+
+    def install_snapshot(self, snapshot: LogSnapshot) -> None:
+        """Install a snapshot that is later than the change log (paper, section 7).
+
+        Raises:
+            ScaleError: the snapshot is older than the change log.
+        """
+        self._change_log.restore(snapshot)
+        if not self.loading or snapshot.history == self.history:
+            self.loading = False
+            self._rebase()
+
+    def _rebase(self) -> None:
+        """Keep those uncommitted entries that follow the change log's new position."""
+        position = self._change_log.position
+        follows = self.position_at(position.revision) == position
+        count = position.revision - self._base.revision
+        self._uncommitted = self._uncommitted[count:] if follows and count >= 0 else []
+        self._base = position
+        self.history = self._change_log.history
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -1,8 +1,7 @@
-"""One control machine's part in the log of its own region, and its copy of the others'.
+"""One control machine's logs: its own region's as a Raft member, the others' as a learner.
 
-Of its own region's log it is a `Member`, of the others' a `Learner`; a member that hears no
-leader learns as well. Whoever asks it is told what it has. Sans-I/O: told messages and the time
-in nanoseconds, it leaves what is to be sent in `outgoing`.
+A member that hears no leader learns as well, and every machine serves learners. Sans-I/O: given
+messages and the time in nanoseconds, it leaves what is to be sent in `outgoing`.
 """
 
 from __future__ import annotations
@@ -13,32 +12,29 @@
 from enum import Enum
 
 from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row, ScaleError
-from loadbalancer.core.replicated_log.change_log import ChangeLog, LogImage
-from loadbalancer.core.replicated_log.learner import Learner, Source
+from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
+from loadbalancer.core.replicated_log.fetch_server import FetchServer
+from loadbalancer.core.replicated_log.learner import Learner
 from loadbalancer.core.replicated_log.messages import (
-    Append,
-    Appended,
     Fetch,
-    Fetched,
-    ImagePart,
+    FetchResponse,
+    InstallSnapshot,
     Message,
-    Status,
-    StatusRequest,
-    Vote,
-    VoteRequest,
 )
-from loadbalancer.core.replicated_log.raft import Member, Role, Timing, highest, may_be
+from loadbalancer.core.replicated_log.model import Role, Timing, highest, is_plausible
+from loadbalancer.core.replicated_log.raft import RaftMember
+from loadbalancer.core.replicated_log.state import Membership, Outbox
 
 ONE_WRITER = "a service's changes are accepted by the machines of its home region alone"
 
 
 class Outcome(Enum):
-    """What becomes of a proposal at the machine that was asked."""
+    """What became of a proposal; the values are words of the operators' HTTP answers."""
 
-    PROPOSED = "proposed"  # in the leader's log; accepted once `committed` gives it
+    PROPOSED = "proposed"  # in the leader's log; committed once `committed` gives it
     NOT_LEADER = "not leader"
     WRONG_REGION = "wrong region"
-    BUSY = "busy"  # too many changes wait for a majority, or the log is being loaded
+    BUSY = "busy"  # too many entries wait for a majority, or the log is being loaded
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,12 +43,12 @@
 
     outcome: Outcome
     position: Position | None = None  # of the change, where PROPOSED
-    leader: str = ""  # whom to ask, where NOT_LEADER and one is known
+    leader: str = ""  # the machine to turn to, where NOT_LEADER and one is known
     rule: str = ""  # where WRONG_REGION
 
 
 class Replica:
-    """One machine's logs: its own region's as a member, the others' as a learner."""
+    """One machine's logs, by region."""
 
     def __init__(
         self,
@@ -63,45 +59,45 @@
         now: int,
         timing: Timing | None = None,
     ) -> None:
-        """`logs` has one log a region, empty and written to here alone.
+        """`logs` has one empty log a region, written to here alone; `seed` differs by start.
 
-        `seed` is to differ from one start to the next. Raises ScaleError where the machine is
-        not among `machines` or a region has no log.
+        Raises:
+            ScaleError: the machine is not among `machines`, or a region has no log.
         """
         if machine not in machines:
             raise ScaleError(f"replica: {machine.name} is not among the machines")
         if missing := {spec.region for spec in machines} - logs.keys():
             raise ScaleError(f"replica: no log for {', '.join(sorted(missing))}")
-        self._timing = timing or Timing()
+        timing = timing or Timing()
         self._region = machine.region
         self._logs = dict(logs)
         self._machines = {spec.name: spec.region for spec in machines if spec != machine}
         self._counts: Counter[str] = Counter()
-        self._out: list[tuple[str, Message]] = []
+        self._outbox: Outbox = []
         self._committed: list[tuple[str, Change]] = []
         self._restored: list[str] = []
-        names = [spec.name for spec in machines if spec.region == machine.region]
-        self._member = Member(
-            machine.region, machine.name, names, logs[machine.region], seed, now, self._timing,
-            self._out,
+        members = tuple(spec.name for spec in machines if spec.region == machine.region)
+        self._member = RaftMember(
+            Membership(machine.region, machine.name, members), logs[machine.region], seed, now,
+            timing, self._outbox,
         )  # fmt: skip
         self._learners = {
-            region: Learner(log, self._sources(region, machine.name), self._timing.patience)
+            region: Learner(log, self._sources(region, machine.name), timing.fetch_timeout_ns)
             for region, log in logs.items()
         }
-        self._serving = {
-            region: Source(log, self._timing.hold, self._timing.most_bytes)
+        self._servers = {
+            region: FetchServer(log, timing.fetch_hold_ns, timing.max_message_bytes)
             for region, log in logs.items()
         }
 
     def _sources(self, region: str, name: str) -> list[str]:
-        """The region's own machines first; each machine begins with another one."""
+        """The region's own machines first; machines begin with different ones, to share load."""
         home = [other for other, where in self._machines.items() if where == region]
         away = [other for other, where in self._machines.items() if where != region]
         turn = sum(name.encode()) % len(home) if home else 0
         return home[turn:] + home[:turn] + away
 
-    # ---- what is asked of it ------------------------------------------------
+    # ---- state -----------------------------------------------------------
 
     @property
     def role(self) -> Role:
@@ -109,9 +105,9 @@
         return self._member.role
 
     @property
-    def epoch(self) -> int:
-        """The highest epoch of its own region that it has entered."""
-        return self._member.epoch
+    def current_term(self) -> int:
+        """The highest term of its own region that it has entered."""
+        return self._member.current_term
 
     @property
     def leader(self) -> str:
@@ -120,26 +116,29 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What happened, what could not be used included."""
+        """Events by name, messages that could not be used included."""
         total = self._counts + self._member.counts
         for learner in self._learners.values():
             total += learner.counts
         return total
 
+    # ---- proposals and loads ---------------------------------------------
+
     def propose(
         self,
-        now: int,
         service: str,
         rows: Sequence[Row] = (),
         removed: Sequence[str] = (),
         deleted: bool = False,
         region: str | None = None,
     ) -> Proposal:
-        """Ask for a change of a service whose home is `region`, this machine's own by default.
+        """Propose a change of a service whose home is `region`, this machine's own by default.
+
+        A leader's `Proposal` names the position; the change is committed only when `committed`
+        gives it. After a change of leader it may be lost and has to be proposed again.
 
-        A leader's `Proposal` names the position; the change is accepted only when `committed`
-        gives it. After a change of leader it may be lost and has to be proposed again. Raises
-        ScaleError where the service has no name.
+        Raises:
+            ScaleError: the service has no name.
         """
         if not service:
             raise ScaleError("proposed change: the service has no name")
@@ -148,11 +147,10 @@
         member = self._member
         if member.role is not Role.LEADER:
             return Proposal(Outcome.NOT_LEADER, leader=member.leader)
-        if not member.room():
+        if not member.has_capacity():
             return Proposal(Outcome.BUSY)
-        change = Change(START, service, tuple(rows), tuple(removed), deleted)
-        position = member.propose(now, change)
-        self._collect(now)
+        position = member.propose(Change(START, service, tuple(rows), tuple(removed), deleted))
+        self._collect()
         return Proposal(Outcome.PROPOSED, position)
 
     def _home(self, service: str, region: str | None) -> str:
@@ -167,58 +165,60 @@
         """Whether this machine leads a region that has lost its log and waits for `load`."""
         return self._member.needs_load()
 
-    def load(self, now: int, services: Mapping[str, Iterable[Row]]) -> None:
-        """All services of this region from their source, where `needs_load`."""
-        self._member.load(now, services)
-        self._collect(now)
+    def load(self, services: Mapping[str, Iterable[Row]]) -> None:
+        """Load all services of this region from their source, where `needs_load`."""
+        self._member.load(services)
+        self._collect()
 
     def on_reported(self, now: int, region: str, position: Position) -> None:
-        """A subscriber holds this position of a region's log."""
-        if not may_be(position):
+        """A subscriber has this position of a region's log."""
+        if not is_plausible(position):
             self._counts["nonsense reported"] += 1
         elif region == self._region:
             self._member.on_reported(now, position)
         elif (learner := self._learners.get(region)) is not None:
-            learner.reported = highest(learner.reported, position)
+            learner.on_reported(position)
+
+    # ---- drained by the owner --------------------------------------------
 
     def committed(self) -> list[tuple[str, Change]]:
-        """Drains the (region, change) pairs that were appended to the logs since the last call."""
+        """Drain the (region, change) pairs that were appended to the logs since the last call."""
         drained, self._committed = self._committed, []
         return drained
 
     def restored(self) -> list[str]:
-        """Drains the regions whose log was replaced, by an image or a load, since the last call.
+        """Drain the regions whose log was replaced, by a snapshot or a load, since the last call.
 
-        To be asked before `committed`, which gives the changes of a load as well.
+        To be called before `committed`, which gives the changes of a load as well.
         """
         drained, self._restored = self._restored, []
         return drained
 
     def outgoing(self) -> list[tuple[str, Message]]:
-        """Drains the (recipient, message) pairs to send."""
-        drained = list(self._out)
-        self._out.clear()
+        """Drain the (recipient, message) pairs to send."""
+        drained = list(self._outbox)
+        self._outbox.clear()
         return drained
 
-    # ---- events ---------------------------------------------------------------
+    # ---- events ----------------------------------------------------------
 
     def on_tick(self, now: int) -> None:
         """Time has passed; to be called every 50 ms or so."""
         self._member.on_tick(now)
-        for source in self._serving.values():
-            self._out.extend(source.on_tick(now))
+        for server in self._servers.values():
+            self._outbox.extend(server.on_tick(now))
         for region, learner in self._learners.items():
             self._poll(now, region, learner)
-        self._collect(now)
+        self._collect()
 
     def _poll(self, now: int, region: str, learner: Learner) -> None:
-        if region == self._region and self._member.led(now):
+        if region == self._region and self._member.has_leader(now):
             learner.stop()
-        elif asked := learner.poll(now):
-            self._out.append(asked)
+        elif fetch := learner.poll(now):
+            self._outbox.append(fetch)
 
     def on_message(self, now: int, sender: str, message: Message) -> None:
-        """A message of another control machine. What can't be used is counted and dropped."""
+        """Handle another control machine's message; one that can't be used is counted."""
         if sender not in self._machines or message.region not in self._logs:
             self._counts["unknown senders or regions"] += 1
             return
@@ -226,86 +226,68 @@
             self._dispatch(now, sender, message)
         except ScaleError:
             self._counts["unsound messages"] += 1
-        self._collect(now)
+        self._collect()
 
     def _dispatch(self, now: int, sender: str, message: Message) -> None:
         region = message.region
         if isinstance(message, Fetch):
-            if region == self._region:
-                self._member.on_reported(now, highest(message.position, message.reported))
-            answer = self._serving[region].on_fetch(now, sender, message)
-            if answer is not None:
-                self._out.append((sender, answer))
-        elif isinstance(message, Fetched):
+            self._on_fetch(now, sender, message)
+        elif isinstance(message, FetchResponse):
             learner = self._learners[region]
-            self._learn(region, learner.on_fetched(message))
+            self._apply(region, learner.on_response(message))
             self._poll(now, region, learner)
-        elif isinstance(message, ImagePart):
+        elif isinstance(message, InstallSnapshot):
             learner = self._learners[region]
-            self._restore(region, learner.on_part(message))
+            self._install(region, learner.on_chunk(message))
             self._poll(now, region, learner)
         elif region != self._region or self._machines[sender] != region:
             self._counts["messages of no member"] += 1
         else:
-            self._to_member(now, sender, message)
+            self._member.on_message(now, sender, message)
 
-    def _to_member(
-        self,
-        now: int,
-        sender: str,
-        message: VoteRequest | Vote | Append | Appended | StatusRequest | Status,
-    ) -> None:
-        member = self._member
-        if isinstance(message, Append):
-            member.on_append(now, sender, message)
-        elif isinstance(message, Appended):
-            member.on_appended(now, sender, message)
-        elif isinstance(message, VoteRequest):
-            member.on_vote_request(now, sender, message)
-        elif isinstance(message, Vote):
-            member.on_vote(now, sender, message)
-        elif isinstance(message, StatusRequest):
-            member.on_status_request(sender, message)
-        else:
-            member.on_status(now, sender, message)
+    def _on_fetch(self, now: int, sender: str, fetch: Fetch) -> None:
+        if fetch.region == self._region:
+            reported = highest(fetch.position, fetch.highest_reported)
+            self._member.on_reported(now, reported)
+        answer = self._servers[fetch.region].on_fetch(now, sender, fetch)
+        if answer is not None:
+            self._outbox.append((sender, answer))
 
-    def _learn(self, region: str, changes: Sequence[Change]) -> None:
+    def _apply(self, region: str, changes: Sequence[Change]) -> None:
         if not changes:
             return
         if region == self._region:
-            self._member.entries.learn(changes)
+            self._member.log.apply_fetched(changes)
         else:
             for change in changes:
                 self._logs[region].append(change)
         self._committed += [(region, change) for change in changes]
-        self._news(region)
+        self._answer_fetches(region)
 
-    def _restore(self, region: str, image: LogImage | None) -> None:
-        if image is None:
+    def _install(self, region: str, snapshot: LogSnapshot | None) -> None:
+        if snapshot is None:
             return
         if region == self._region:
-            if not self._member.may_restore(image):
+            if not self._member.accepts_snapshot(snapshot):
                 return
-            self._member.entries.restore(image)
+            self._member.log.install_snapshot(snapshot)
         else:
-            self._logs[region].restore(image)
+            self._logs[region].restore(snapshot)
         self._restored.append(region)
-        self._news(region)
+        self._answer_fetches(region)
 
-    def _collect(self, now: int) -> None:
-        """What the member took into its log since the last event."""
-        member = self._member
-        if member.replaced:
+    def _collect(self) -> None:
+        """Take over what the member has committed since the last event."""
+        changes, replaced = self._member.drain_committed()
+        if replaced:
             self._restored.append(self._region)
-        elif not member.accepted:
+        elif not changes:
             return
-        self._committed += [(self._region, change) for change in member.accepted]
-        member.accepted = []
-        member.replaced = False
-        self._news(self._region)
+        self._committed += [(self._region, change) for change in changes]
+        self._answer_fetches(self._region)
 
-    def _news(self, region: str) -> None:
-        self._out.extend(self._serving[region].on_news())
+    def _answer_fetches(self, region: str) -> None:
+        self._outbox.extend(self._servers[region].on_log_advanced())
 
 
 __all__ = ["ONE_WRITER", "Outcome", "Proposal", "Replica", "Role", "Timing"]
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -255,7 +255,7 @@
         size = sum(change_size(change) for change in delta.changes)
         self._pacer.spend(now, size)
         update = Delta(
-            log.region, position, log.position, (*delta.changes, *log.whole(sorted(whole)))
+            log.region, position, log.position, (*delta.changes, *log.replacements(sorted(whole)))
         )
         self.counts["deltas"] += 1
         return self._sent(subscriber, update, size + log.size(whole), held | whole)
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -64,10 +64,10 @@
     return taken
 
 
-def _untrimmed(self: Any) -> None:
+def _uncompacted(self: Any) -> None:
     """The oldest change is counted as gone and kept."""
-    self._most_changes += 1
-    self._most_bytes += 1 << 20
+    self._max_changes += 1
+    self._max_bytes += 1 << 20
 
 
 def _released_at_once(self: Any, service: str) -> None:
@@ -79,7 +79,7 @@
 MUTANTS: dict[str, Mutant] = {
     "older-epoch-taken": Mutant(Holder, "_on_snapshot", _older_taken),
     "gap-ignored": Mutant(Holder, "_on_delta", _gap_ignored),
-    "unbounded-log": Mutant(ChangeLog, "_trim", _untrimmed),
+    "unbounded-log": Mutant(ChangeLog, "_compact", _uncompacted),
     "release-before-hand-over": Mutant(Handover, "_settle", _released_at_once),
 }
 
--- a/simulation/control_world.py
+++ b/simulation/control_world.py
@@ -188,7 +188,7 @@
         now = self.world.now
         self.replica.on_tick(now)
         leads = self.replica.role is Role.LEADER
-        self.releases.on_turn(now, self.replica.epoch if leads else None)
+        self.releases.on_turn(now, self.replica.current_term if leads else None)
         self._load()
         self.settle()
         self._turn_liveness()
@@ -217,9 +217,7 @@
         if self.replica.needs_load():
             source = self.world.sources[self.spec.region]
             self.world.referee.on_load(self.spec.region, source.desired)
-            self.replica.load(
-                self.world.now, {name: rows.values() for name, rows in source.desired.items()}
-            )
+            self.replica.load({name: rows.values() for name, rows in source.desired.items()})
 
     def _turn_liveness(self) -> None:
         turned = self.liveness.turn(self.world.now)
@@ -438,9 +436,7 @@
         content = () if rows is None else tuple(rows.values())
         removed = tuple(sorted(self._ever[service] - (rows or {}).keys())) if rows else ()
         for machine in world.running_machines(self.region):
-            proposal = machine.replica.propose(
-                world.now, service, content, removed, deleted=rows is None
-            )
+            proposal = machine.replica.propose(service, content, removed, deleted=rows is None)
             if proposal.outcome is Outcome.PROPOSED and proposal.position is not None:
                 world.decided(machine.index, self.region, proposal.position, service, content)
                 world.referee.on_proposed(
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -27,7 +27,7 @@
 from loadbalancer.core.assignment.presence import Presence, PresenceUpdate
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.replicated_log.messages import Append, Fetch
+from loadbalancer.core.replicated_log.messages import AppendEntries, Fetch
 from tests.scalemachines import write_file
 
 AT, LATER = Position(3, 7), Position(3, 9)
@@ -86,9 +86,9 @@
     form = codec()
     change = Change(AT, "cart", (row("a"),), ("b",))
     for message in (
-        Append("east", 3, AT, AT, (change,), 7),
+        AppendEntries("east", 3, AT, AT, (change,), 7),
         Fetch("west", AT, 1),
-        Fetch("west", AT, 1, image=LATER),
+        Fetch("west", AT, 1, snapshot=LATER),
         PresenceUpdate(1, False, ("n1",), ("n2",)),
         Reports((NodeReport("n1", ("cart", "pay")),)),
         ReleaseGrant("east", 3, (NodeRelease("n1", ("cart", "pay")),)),
--- /dev/null
+++ b/tests/core/replicated_log/group.py
@@ -0,0 +1,140 @@
+"""Six control machines of two regions with messages in memory, for the tests of this folder."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.replicated_log.change_log import ChangeLog
+from loadbalancer.core.replicated_log.messages import (
+    Message,
+)
+from loadbalancer.core.replicated_log.replication import Outcome, Replica, Role, Timing
+
+REGIONS = ("east", "west")
+SPECS = [MachineSpec(f"{region}-{i}", region, region) for region in REGIONS for i in range(3)]
+EAST = ["east-0", "east-1", "east-2"]
+STEP = 50 * MS  # between two ticks; a message takes one
+
+
+class Sent(NamedTuple):
+    """A message under way."""
+
+    sender: str
+    recipient: str
+    message: Message
+
+
+class Group:
+    """Six machines; messages of one step arrive in the next, except those that `drops` names."""
+
+    def __init__(
+        self, services: int = 4, max_changes: int = 500, max_message_bytes: int = 4096
+    ) -> None:
+        self.now = 0
+        self.services = services
+        self.max_changes = max_changes
+        self.timing = Timing(max_message_bytes=max_message_bytes)
+        self.replicas: dict[str, Replica] = {}
+        self.logs: dict[str, dict[str, ChangeLog]] = {}
+        self.starts = 0  # of all machines; seeds a replica
+        self.stopped: set[str] = set()
+        self.under_way: list[Sent] = []
+        self.drops: Callable[[Sent], bool] = lambda _: False
+        self.loads: list[str] = []
+        self.seen: list[Message] = []
+        self.committed: dict[str, list[Change]] = {}
+        for spec in SPECS:
+            self.start(spec.name)
+
+    def start(self, name: str) -> None:
+        spec = next(spec for spec in SPECS if spec.name == name)
+        self.starts += 1
+        logs = {region: ChangeLog(region, self.max_changes, 1 << 20) for region in REGIONS}
+        self.logs[name] = logs
+        self.committed[name] = []
+        self.replicas[name] = Replica(spec, SPECS, logs, self.starts, self.now, self.timing)
+
+    def heal(self) -> None:
+        """No message is lost from now on."""
+        self.drops = lambda _: False
+
+    def kill(self, *names: str) -> None:
+        for name in names:
+            del self.replicas[name]
+
+    def run(self, span: int, done: Callable[[], bool] | None = None) -> bool:
+        until = self.now + span
+        while self.now < until and not (done is not None and done()):
+            self.now += STEP
+            arriving, self.under_way = self.under_way, []
+            for sent in arriving:
+                self._deliver(sent)
+            for name in self.replicas:
+                if name not in self.stopped:
+                    self._tick(name)
+        return done is not None and done()
+
+    def _deliver(self, sent: Sent) -> None:
+        if sent.recipient in self.stopped:
+            self.under_way.append(sent)
+        elif sent.recipient in self.replicas and not self.drops(sent):
+            replica = self.replicas[sent.recipient]
+            replica.on_message(self.now, sent.sender, sent.message)
+
+    def _tick(self, name: str) -> None:
+        replica = self.replicas[name]
+        replica.on_tick(self.now)
+        if replica.needs_load():
+            self.loads.append(name)
+            replica.load(self.source(name.split("-")[0]))
+        self.drain(name)
+
+    def drain(self, name: str) -> None:
+        replica = self.replicas[name]
+        for recipient, message in replica.outgoing():
+            self.seen.append(message)
+            self.under_way.append(Sent(name, recipient, message))
+        replica.restored()
+        self.committed[name] += [change for region, change in replica.committed()]
+
+    def source(self, region: str) -> dict[str, list[Row]]:
+        return {f"{region}-s{i}": [Row(f"u{i}", "loaded")] for i in range(self.services)}
+
+    def leader(self, region: str = "east") -> str:
+        leaders = [
+            name
+            for name, replica in self.replicas.items()
+            if replica.role is Role.LEADER and name.startswith(region) and name not in self.stopped
+        ]
+        return max(leaders, key=lambda name: self.replicas[name].current_term, default="")
+
+    def ready(self) -> bool:
+        logs = [log for name in self.replicas for log in self.logs[name].values()]
+        return all(log.position > START for log in logs) and bool(self.leader())
+
+    def has(self, name: str, uid: str) -> bool:
+        return uid in (self.logs[name]["east"].rows("east-s0") or {})
+
+    def propose(self, name: str, uid: str) -> Position:
+        proposal = self.replicas[name].propose("east-s0", [Row(uid, "x")])
+        assert proposal.outcome is Outcome.PROPOSED
+        assert proposal.position is not None
+        self.drain(name)
+        return proposal.position
+
+    def everywhere(self, uid: str) -> bool:
+        return all(self.has(name, uid) for name in self.replicas)
+
+
+def started(**sizes: int) -> Group:
+    group = Group(**sizes)
+    assert group.run(15 * SECOND, group.ready)
+    return group
+
+
+def cut(group: Group, *names: str) -> None:
+    """Nothing passes between these and the others."""
+    group.drops = lambda sent: (sent.sender in names) != (sent.recipient in names)
--- a/tests/core/replicated_log/test_change_log.py
+++ b/tests/core/replicated_log/test_change_log.py
@@ -14,8 +14,8 @@
     return Change(Position(epoch, revision), service, (Row(uid, f"{epoch}.{revision}"),))
 
 
-def log_of(*changes: Change, most: int = 100) -> ChangeLog:
-    log = ChangeLog("east", most, 1 << 20)
+def log_of(*changes: Change, max_changes: int = 100) -> ChangeLog:
+    log = ChangeLog("east", max_changes, 1 << 20)
     for entry in changes:
         log.append(entry)
     return log
@@ -24,7 +24,8 @@
 def test_a_subscriber_is_given_the_changes_of_its_services_in_order() -> None:
     log = log_of(change(1, 1), change(1, 2, "b"), change(2, 3), change(2, 4, "c"))
     delta = log.since(Position(1, 1), ["a", "b"])
-    assert delta is not None and delta.position == Position(2, 4)
+    assert delta is not None
+    assert delta.position == Position(2, 4)
     assert [entry.position.revision for entry in delta.changes] == [2, 3]
     assert log.since(Position(2, 4), ["a"]).changes == ()  # type: ignore[union-attr]
 
@@ -32,12 +33,13 @@
 @pytest.mark.parametrize("position", [START, Position(2, 2), Position(1, 9), Position(9, 2)])
 def test_a_position_of_another_history_gets_no_delta(position: Position) -> None:
     log = log_of(change(1, 1), change(1, 2), change(3, 3))
-    assert log.since(position, ["a"]) is None and not log.contains(position)
+    assert log.since(position, ["a"]) is None
+    assert not log.contains(position)
     assert log.contains(Position(1, 2))
 
 
-def test_a_trimmed_log_reaches_back_for_what_has_not_changed_since() -> None:
-    log = log_of(*(change(1, n, "a" if n < 4 else "b") for n in range(1, 9)), most=3)
+def test_a_compacted_log_reaches_back_for_what_has_not_changed_since() -> None:
+    log = log_of(*(change(1, n, "a" if n < 4 else "b") for n in range(1, 9)), max_changes=3)
     assert len(log) == 3
     assert log.missing(Position(1, 3), ["a", "b"]) == {"b"}
     assert log.since(Position(1, 3), ["a"]) is not None
@@ -50,17 +52,23 @@
     log = ChangeLog("east", 50, size * 10 + 5)
     for revision in range(1, 10_000):
         log.append(change(1, revision, f"s{revision % 7}"))
-        assert len(log) <= 10 and log.bytes <= size * 11
+        assert len(log) <= 10
+        assert log.size_bytes <= size * 11
     assert sum(len(entries) for entries in log._by_service.values()) == len(log)
 
 
-def test_a_service_deleted_and_created_again_beyond_the_log_is_sent_whole() -> None:
-    gone = Change(Position(1, 2), "a", deleted=True)
+def test_a_service_deleted_and_created_again_beyond_the_log_is_replaced() -> None:
+    """A service is deleted and created again, and the deletion is compacted away.
+
+    A subscriber from before must get the new service as a replacement: with a delta it would keep
+    the old service's rows for ever.
+    """
+    deletion = Change(Position(1, 2), "a", deleted=True)
     filler = [change(1, revision, "b") for revision in range(3, 9)]
-    log = log_of(change(1, 1), gone, *filler, change(1, 9, "a", "u2"), most=3)
-    assert log.missing(Position(1, 1), ["a"]) == {"a"}  # or u1 would be kept for ever
-    assert [row.uid for row in log.whole(["a"])[0].rows] == ["u2"]
-    assert log.whole(["x"])[0].deleted
+    log = log_of(change(1, 1), deletion, *filler, change(1, 9, "a", "u2"), max_changes=3)
+    assert log.missing(Position(1, 1), ["a"]) == {"a"}
+    assert [row.uid for row in log.replacements(["a"])[0].rows] == ["u2"]
+    assert log.replacements(["x"])[0].deleted
 
 
 def test_a_change_that_does_not_follow_is_refused() -> None:
@@ -69,18 +77,19 @@
         with pytest.raises(ScaleError, match="does not follow"):
             log.append(bad)
     with pytest.raises(ScaleError, match="older"):
-        log.restore(ChangeLog("east", 1, 1).image())
+        log.restore(ChangeLog("east", 1, 1).log_snapshot())
     with pytest.raises(ScaleError, match="at least 1"):
         ChangeLog("east", 0, 1)
 
 
-def test_an_image_stays_as_it_is_while_the_log_goes_on() -> None:
+def test_a_log_snapshot_is_unaffected_by_later_changes() -> None:
     log = log_of(change(1, 1), change(1, 2, "b"))
-    image = log.image()
+    snapshot = log.log_snapshot()
     log.append(change(1, 3, "a", "u2"))
-    assert list(image.rows["a"]) == ["u1"] and image.position == Position(1, 2)
+    assert list(snapshot.rows["a"]) == ["u1"]
+    assert snapshot.position == Position(1, 2)
     other = ChangeLog("east", 10, 1000)
-    other.restore(image)
+    other.restore(snapshot)
     assert other.since(Position(1, 1), ["a"]) is not None  # a has not changed since
     assert other.missing(Position(1, 1), ["b"]) == {"b"}
 
@@ -89,7 +98,7 @@
 def test_deltas_lead_to_what_the_snapshot_has(seed: int) -> None:
     draw = Random(seed)
     log = ChangeLog("east", 12, 1 << 20)
-    held: dict[str, dict[str, Row]] = {}
+    copy: dict[str, dict[str, Row]] = {}
     position = START
     services = ["a", "b", "c"]
     for revision in range(1, 300):
@@ -106,10 +115,10 @@
         if draw.random() < 0.3:
             delta = log.since(position, services)
             if delta is None:
-                held = {k: dict(v) for k, v in log.snapshot(services).services.items()}
+                copy = {k: dict(v) for k, v in log.snapshot(services).services.items()}
             else:
                 for entry in delta.changes:
-                    held[entry.service] = dict(applied(held.get(entry.service, {}), entry))
+                    copy[entry.service] = dict(applied(copy.get(entry.service, {}), entry))
             position = log.position
             expected = {name: log.rows(name) or {} for name in services}
-            assert {name: held.get(name, {}) for name in services} == expected
+            assert {name: copy.get(name, {}) for name in services} == expected
--- /dev/null
+++ b/tests/core/replicated_log/test_leader.py
@@ -0,0 +1,137 @@
+"""The leader: replication, commit and its quorum."""
+
+from __future__ import annotations
+
+from loadbalancer.core.assignment.model import Change, Position, Row
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.replicated_log.change_log import ChangeLog, change_size
+from loadbalancer.core.replicated_log.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    RequestVoteResponse,
+)
+from loadbalancer.core.replicated_log.raft import RaftMember
+from loadbalancer.core.replicated_log.replication import Outcome, Role, Timing
+from loadbalancer.core.replicated_log.state import Membership
+from tests.core.replicated_log.group import EAST, STEP, cut, started
+
+
+def test_a_change_is_committed_by_a_majority_and_reaches_all_machines_at_once() -> None:
+    group = started()
+    began = group.now
+    group.propose(group.leader(), "new")
+    assert group.run(SECOND, lambda: group.everywhere("new"))
+    assert group.now - began <= 5 * STEP
+    positions = {group.logs[name]["east"].position for name in group.replicas}
+    assert len(positions) == 1
+
+
+def test_without_a_majority_nothing_is_committed() -> None:
+    """The leader is cut off from all other machines and is given a change.
+
+    It must not commit the change alone, and must step down; the others elect another leader.
+    """
+    group = started()
+    leader = group.leader()
+    cut(group, leader)
+    group.propose(leader, "alone")
+    group.run(5 * SECOND)
+    assert not any(group.has(name, "alone") for name in group.replicas)
+    assert group.replicas[leader].role is not Role.LEADER  # it stepped down by itself
+    assert group.leader()
+    assert group.leader() != leader
+
+
+def test_a_leader_killed_while_it_replicates_loses_nothing_committed() -> None:
+    """A leader has committed a change and is killed before the other region has it.
+
+    The next leader must have the change too, and pass it on to all machines.
+    """
+    group = started()
+    leader = group.leader()
+    term = group.replicas[leader].current_term
+    group.propose(leader, "kept")
+    other = next(name for name in EAST if name != leader)
+    assert group.run(SECOND, lambda: group.has(leader, "kept"))
+    group.kill(leader)
+    assert group.run(10 * SECOND, lambda: group.leader() in EAST)
+    assert group.replicas[other].current_term > term
+    assert group.run(5 * SECOND, lambda: group.everywhere("kept"))
+
+
+def test_a_leader_stopped_for_30_s_leaves_no_uncommitted_entry() -> None:
+    """A leader's process is stopped for 30 s with proposals unsent, and then goes on.
+
+    It still takes itself for the leader and takes a proposal. None of its uncommitted entries may
+    become visible anywhere, and its successor's changes must reach it.
+    """
+    group = started()
+    leader = group.leader()
+    for i in range(3):
+        group.propose(leader, f"late-{i}")
+    group.under_way = [sent for sent in group.under_way if sent.sender != leader]  # unsent
+    group.stopped.add(leader)
+    group.run(30 * SECOND)
+    successor = group.leader()
+    assert successor
+    assert successor != leader
+    group.propose(successor, "meanwhile")
+    group.run(SECOND)
+    group.stopped.clear()
+    stale = group.replicas[leader].propose("east-s0", [Row("stale", "x")])
+    assert stale.outcome is Outcome.PROPOSED  # it does not know yet
+    group.drain(leader)
+    group.run(3 * SECOND)
+    assert group.leader() == successor
+    assert group.everywhere("meanwhile")
+    for uid in ("stale", "late-0", "late-1", "late-2"):
+        assert not any(group.has(name, uid) for name in group.replicas)
+
+
+def test_entries_of_an_earlier_term_are_committed_with_one_of_the_leader_s_own() -> None:
+    """A new leader replicates an entry of an earlier term to a majority.
+
+    Raft, section 5.4.2: a majority alone does not commit it; an entry of the leader's own term
+    after it has to be on a majority too.
+    """
+    log = ChangeLog("east", 100, 1 << 20)
+    log.append(Change(Position(1, 1), "a"))
+    membership = Membership("east", "east-0", tuple(EAST))
+    member = RaftMember(membership, log, 1, 0, Timing(), [])
+    member.state.role, member.state.current_term = Role.FOLLOWER, 2
+    older = Change(Position(2, 2), "a", (Row("u", "x"),))
+    assert member.log.append_entries(Position(1, 1), (older,))
+    now = 3 * SECOND
+    member.on_tick(now)
+    roles = [member.role]
+    member.on_message(now, "east-1", RequestVoteResponse("east", 3, 2, True, pre_vote=True))
+    roles.append(member.role)
+    member.on_message(now, "east-1", RequestVoteResponse("east", 3, 3, True))
+    roles.append(member.role)
+    assert roles == [Role.PRE_CANDIDATE, Role.CANDIDATE, Role.LEADER]
+    assert member.log.last == Position(3, 3)
+    member.on_message(now, "east-1", AppendEntriesResponse("east", 3, True, 2))
+    assert log.position == Position(1, 1)
+    assert member.drain_committed() == ([], False)
+    member.on_message(now, "east-1", AppendEntriesResponse("east", 3, True, 3))
+    assert log.position == Position(3, 3)
+
+
+def test_messages_are_bounded_and_many_entries_are_batched() -> None:
+    """200 changes of 100 bytes are proposed at once.
+
+    No message to a follower may be larger than the bound.
+    """
+    group = started()
+    leader = group.leader()
+    group.seen.clear()
+    for i in range(200):
+        group.replicas[leader].propose("east-s0", [Row(f"u{i}", "x" * 100)])
+    group.drain(leader)
+    assert group.run(5 * SECOND, lambda: group.everywhere("u199"))
+    largest = max(
+        sum(change_size(entry) for entry in message.entries)
+        for message in group.seen
+        if isinstance(message, AppendEntries)
+    )
+    assert largest <= group.timing.max_message_bytes
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -50,16 +50,16 @@
 from loadbalancer.core.balancing.model import Effect, RequestClass, ServerView, Settings, State
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Fetch,
-    Fetched,
-    ImagePart,
-    ServiceImage,
-    Status,
-    StatusRequest,
-    Vote,
-    VoteRequest,
+    FetchResponse,
+    InstallSnapshot,
+    RecoveryRequest,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
+    ServiceRows,
 )
 from loadbalancer.core.replicated_log.replication import Outcome, Proposal
 from loadbalancer.core.routes.file import decode as decode_routes
@@ -75,7 +75,7 @@
     "position": (Position, "epoch revision"),
     "row": (Row, "uid body leaving"),
     "change": (Change, "position:position service rows:row* removed deleted whole"),
-    "service-image": (ServiceImage, "service changed rows:row*"),
+    "service-image": (ServiceRows, "service changed=last_changed rows:row*"),
     "node-report": (NodeReport, "node serving"),
     "node-release": (NodeRelease, "node services"),
     "delta": (Delta, "region base:position position:position changes:change*"),
@@ -92,27 +92,40 @@
     "presence-wanted": (PresenceWanted, ""),
     "reports": (Reports, "reports:node-report*"),
     "vote-request": (
-        VoteRequest,
-        "region epoch history:position last:position trial reload transfer",
+        RequestVote,
+        "region epoch=term history:position last=last_log:position trial=pre_vote reload transfer",
+    ),
+    "vote": (
+        RequestVoteResponse,
+        "region epoch=term current=current_term granted=vote_granted trial=pre_vote",
     ),
-    "vote": (Vote, "region epoch current granted trial"),
     "append": (
-        Append,
-        "region epoch history:position previous:position entries:change* accepted far",
+        AppendEntries,
+        "region epoch=term history:position previous=prev_log:position entries:change*"
+        " accepted=leader_commit far=needs_snapshot",
+    ),
+    "appended": (
+        AppendEntriesResponse,
+        "region epoch=term ok=success revision=match_index counts=voting",
     ),
-    "appended": (Appended, "region epoch ok revision counts"),
     "fetch": (
         Fetch,
-        "region position:position serial reported:position image:position part",
+        "region position:position serial=request_id reported=highest_reported:position"
+        " image=snapshot:position part=chunk",
     ),
-    "fetched": (Fetched, "region serial position:position changes:change*"),
+    "fetched": (FetchResponse, "region serial=request_id position:position changes:change*"),
     "image-part": (
-        ImagePart,
-        "region serial position:position part parts services:service-image* gone"
-        " epochs:position* history:position",
+        InstallSnapshot,
+        "region serial=request_id position:position part=chunk parts=chunks"
+        " services:service-image* gone=last_deletion epochs=epoch_starts:position*"
+        " history:position",
+    ),
+    "status-request": (RecoveryRequest, "region nonce"),
+    "status": (
+        RecoveryResponse,
+        "region nonce empty=recovering epoch=term last=last_log:position"
+        " reported=highest_reported:position",
     ),
-    "status-request": (StatusRequest, "region nonce"),
-    "status": (Status, "region nonce empty epoch last:position reported:position"),
     "release-grant": (ReleaseGrant, "region epoch releases:node-release*"),
 }
 RECORDS |= MESSAGES
--- a/tests/scalemachines.py
+++ b/tests/scalemachines.py
@@ -23,12 +23,12 @@
 T = TypeVar("T")
 # As in service, but so short that a test need not wait for it.
 TIMING = Timing(
-    heartbeat=20 * MS,
-    election=150 * MS,
-    patience=200 * MS,
-    hold=50 * MS,
-    reload_wait=100 * MS,
-    missing_wait=200 * MS,
+    heartbeat_interval_ns=20 * MS,
+    election_timeout_ns=150 * MS,
+    fetch_timeout_ns=200 * MS,
+    fetch_hold_ns=50 * MS,
+    reload_wait_ns=100 * MS,
+    unreachable_wait_ns=200 * MS,
 )
 NAMES = ("east-a", "east-b", "east-c")
 
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -26,7 +26,7 @@
     led = [
         machine for machine in world.running_machines(region) if machine.replica.role is Role.LEADER
     ]
-    return max(led, key=lambda machine: machine.replica.epoch).index
+    return max(led, key=lambda machine: machine.replica.current_term).index
 
 
 def changing(world: World, span: int) -> None:
@@ -214,7 +214,12 @@
 
 def test_the_regions_cut_for_an_hour() -> None:
     """Each accepts its own services' changes and serves the other's as last heard."""
-    slow = Timing(heartbeat=2 * SECOND, election=8 * SECOND, patience=8 * SECOND, hold=4 * SECOND)
+    slow = Timing(
+        heartbeat_interval_ns=2 * SECOND,
+        election_timeout_ns=8 * SECOND,
+        fetch_timeout_ns=8 * SECOND,
+        fetch_hold_ns=4 * SECOND,
+    )
     size = Size(nodes_a_zone=1, services_a_region=3, most_changes=50, timing=slow, pace=8)
     world = started(2, size)
     world.cut_regions()
@@ -235,7 +240,7 @@
     for region in REGIONS:  # the other's services are refused, whoever is asked
         other = next(name for name in REGIONS if name != region)
         for machine in world.running_machines(region):
-            proposal = machine.replica.propose(world.now, f"{other}-s0", ())
+            proposal = machine.replica.propose(f"{other}-s0", ())
             assert proposal.outcome.value == "wrong region"
     world.links.cut.clear()
     sound(world, 60 * SECOND)
