--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -24,7 +24,8 @@
 from benchmarks.stats import spread
 from fakes.files import write_control
 from fakes.fleet import SETTINGS, Process, started
-from loadbalancer.cli.check import check_file, settings_of
+from loadbalancer.cli.check import settings_of
+from loadbalancer.config.routes_file import check_file
 from loadbalancer.control.xds.encode import Encoder
 from loadbalancer.control.xds.wire import Answers
 from loadbalancer.core import State
--- a/loadbalancer/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator runs beside the node: check, demo and their like."""
+"""The command line: `python -m loadbalancer COMMAND`, one module a sub-command."""
--- a/loadbalancer/cli/check.py
+++ b/loadbalancer/cli/check.py
@@ -1,39 +1,36 @@
-"""`python -m loadbalancer check`: every fault of a file, before it reaches a socket."""
+"""`python -m loadbalancer check FILE...`: every fault of files under deploy/, with place and rule.
+
+A file's kind shows in its keys. Status 0 where all files are good, 2 where one is not.
+"""
 
 from __future__ import annotations
 
 import argparse
 import json
 import sys
-from collections.abc import Sequence
 from pathlib import Path
 from typing import TextIO
 
+from loadbalancer.config.routes_file import check_file
 from loadbalancer.config.toml_file import FileError, read
 from loadbalancer.core import Settings
-from loadbalancer.core.routes.faults import Fault
+from loadbalancer.core.errors import ConfigurationError
 from loadbalancer.core.routes.file import Result, decode
 from loadbalancer.core.routes.services import Explained
 from loadbalancer.core.routes.specs import REPEAT_NAMES
 from loadbalancer.core.routes.table import Policy
 from loadbalancer.simulator.adapter import WireError, settings_from_json
 
-NOTHING = "as without a file"
+NOTHING_SET = "as without a file"
+NS_PER_MS = 1_000_000
 
 
-def check_file(path: str, settings: Settings | None) -> Result:
-    """A file's table or faults; what can't be read or parsed is a fault like any other."""
-    try:
-        raw, lines = read(path)
-    except FileError as err:
-        return Result(None, [Fault(err.line, err.rule, err.wrong, err.right)], [])
-    return decode(raw, lines, settings)
+class SettingsFileError(ConfigurationError):
+    """A node's JSON configuration holds no usable settings; the text says why."""
 
 
 def check_any(path: str, settings: Settings | None) -> Result:
-    """As check_file, also for the control service's file, which has no table."""
-    from loadbalancer.control.xds.file import decode as decode_control
-
+    """As `check_file`, for each kind of file; only a routes file has a table."""
     try:
         raw, lines = read(path)
     except FileError:
@@ -51,83 +48,109 @@
 
         return Result(None, decode_scale(raw, lines, Path(path).resolve().parent)[1], [])
     if "service" not in raw and "listen" in raw:
+        from loadbalancer.control.xds.file import decode as decode_control
+
         return Result(None, decode_control(raw, lines)[1], [])
     return decode(raw, lines, settings)
 
 
 def settings_of(path: str) -> Settings:
-    """The settings in a node's JSON configuration; ValueError where it can't be used."""
+    """The settings in a node's JSON configuration.
+
+    Raises:
+        SettingsFileError: where the file can't be read or its settings can't be used.
+    """
     try:
         with open(path, "rb") as file:
             raw = json.load(file)
         return settings_from_json(json.dumps(raw["settings"]).encode())
     except (OSError, ValueError, TypeError, KeyError, WireError) as err:
-        raise ValueError(f"{path} holds no settings: {err}") from None
+        raise SettingsFileError(f"{path} holds no settings: {err}") from None
 
 
 def explain(explained: Explained) -> str:
     """One policy's values, each with the section and line it comes from."""
-    p = explained.policy
-    lines = [f"route {p.name}, class {p.cls}: repeats {REPEAT_NAMES[p.effect]}"]
-    for key, text in _texts(p).items():
+    policy = explained.policy
+    lines = [f"route {policy.name}, class {policy.cls}: repeats {REPEAT_NAMES[policy.effect]}"]
+    for key, text in _value_texts(policy).items():
         given = explained.values.get(key)
-        source = f"({given.where}, line {given.line})" if given else f"({NOTHING})"
-        if given is None and key == "retry_on" and p.retry_on is not None:
+        source = f"({given.where}, line {given.line})" if given else f"({NOTHING_SET})"
+        if given is None and key == "retry_on" and policy.retry_on is not None:
             source = "(what never ran, since it repeats never)"
         lines.append(f"  {key:<16}{text or '-':<40}{source}")
     return "\n".join(lines)
 
 
-def _texts(p: Policy) -> dict[str, str]:
-    def ms(ns: int) -> str:
-        return f"{ns / 1_000_000:g}ms" if ns else ""
+def _milliseconds(duration_ns: int) -> str:
+    return f"{duration_ns / NS_PER_MS:g}ms" if duration_ns else ""
 
-    copy = p.copy
-    when = ""
-    if copy is not None:
-        at = ms(copy.after) if copy.after else f"p{copy.percentile:g}"
-        when = f"after {at}, {copy.most:.1%} of requests at most"
+
+def _value_texts(policy: Policy) -> dict[str, str]:
+    """A policy's values by their keys in the file; an empty text for what it does not set."""
+    retry_on = ""
+    if policy.retry_on is not None:
+        retry_on = ", ".join(sorted(policy.retry_on)) or "nothing"
+    backoff = ""
+    if policy.backoff_base:
+        base, longest = _milliseconds(policy.backoff_base), _milliseconds(policy.backoff_most)
+        backoff = f"0 to {base}, doubling, {longest} at most"
+    budget = ""
+    if policy.budget:
+        budget = f"{policy.budget.part:.0%} of requests and {policy.budget.floor:g}/s"
     return {
-        "wanted": ms(p.wanted),
-        "timeout": ms(p.timeout),
-        "attempt_timeout": ms(p.attempt_timeout),
-        "attempts": str(p.attempts or ""),
-        "retry_on": "" if p.retry_on is None else ", ".join(sorted(p.retry_on)) or "nothing",
-        "backoff": f"0 to {ms(p.backoff_base)}, doubling, {ms(p.backoff_most)} at most"
-        if p.backoff_base
-        else "",
-        "budget": f"{p.budget.part:.0%} of requests and {p.budget.floor:g}/s" if p.budget else "",
-        "second_copy": when,
+        "wanted": _milliseconds(policy.wanted),
+        "timeout": _milliseconds(policy.timeout),
+        "attempt_timeout": _milliseconds(policy.attempt_timeout),
+        "attempts": str(policy.attempts or ""),
+        "retry_on": retry_on,
+        "backoff": backoff,
+        "budget": budget,
+        "second_copy": _hedging_text(policy),
     }
 
 
-def main(words: Sequence[str], out: TextIO = sys.stdout) -> int:
-    """Check files; 0, or 2 where one has a fault or can't be checked."""
-    parser = argparse.ArgumentParser(prog="python -m loadbalancer check", description=__doc__)
+def _hedging_text(policy: Policy) -> str:
+    hedging = policy.copy
+    if hedging is None:
+        return ""
+    delay = _milliseconds(hedging.after) if hedging.after else f"p{hedging.percentile:g}"
+    return f"after {delay}, {hedging.most:.1%} of requests at most"
+
+
+def configure(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments."""
     parser.add_argument("files", nargs="+", metavar="FILE")
     parser.add_argument("--config", help="a node's JSON configuration, to check against")
     parser.add_argument("--explain", action="store_true", help="print each resolved policy")
-    args = parser.parse_args(words)
+
+
+def run(arguments: argparse.Namespace, out: TextIO) -> int:
+    """Check files; 0, or 2 where one has a fault or can't be checked."""
     settings = None
-    if args.config:
+    if arguments.config:
         try:
-            settings = settings_of(args.config)
-        except ValueError as err:
+            settings = settings_of(arguments.config)
+        except SettingsFileError as err:
             print(f"check: {err}", file=sys.stderr)
             return 2
-    faults = 0
-    for path in args.files:
-        result = check_any(path, settings)
-        faults += len(result.faults)
-        for fault in result.faults:
-            print(f"{path}:{fault}", file=out)
-        for fault in result.warnings:
-            print(f"warning: {path}:{fault}", file=out)
-        if args.explain and result.table is not None:
-            for one in result.explained:
-                print(explain(one), file=out)
-        if not result.faults:
-            table = result.table
-            routes = f", {sum(len(s.routes) for s in table.services)} routes" if table else ""
-            print(f"{path}: good{routes}", file=out)
-    return 2 if faults else 0
+    results = {path: check_any(path, settings) for path in arguments.files}
+    for path, result in results.items():
+        _report(path, result, arguments.explain, out)
+    return 2 if any(result.faults for result in results.values()) else 0
+
+
+def _report(path: str, result: Result, explained: bool, out: TextIO) -> None:
+    """Print one file's faults and warnings, its policies where asked for, or that it is good."""
+    for fault in result.faults:
+        print(f"{path}:{fault}", file=out)
+    for warning in result.warnings:
+        print(f"warning: {path}:{warning}", file=out)
+    if explained and result.table is not None:
+        for one in result.explained:
+            print(explain(one), file=out)
+    if not result.faults:
+        table = result.table
+        routes = (
+            f", {sum(len(service.routes) for service in table.services)} routes" if table else ""
+        )
+        print(f"{path}: good{routes}", file=out)
--- a/loadbalancer/cli/members.py
+++ b/loadbalancer/cli/members.py
@@ -1,6 +1,8 @@
 """`python -m loadbalancer members FILE`: the merged list, and why each server is in or out.
 
-With --serve it stays and passes the list on to nodes.
+With --serve it stays and serves the list to nodes as their discovery; with --why it prints one
+server's health checks. Status 0 where servers are listed, 1 where none is or Consul did not answer
+in time, 2 where the file or an address can't be used.
 """
 
 from __future__ import annotations
@@ -11,7 +13,6 @@
 import json
 import sys
 import time
-from collections.abc import Sequence
 from difflib import get_close_matches
 from typing import Any, TextIO
 from urllib.parse import quote
@@ -24,20 +25,57 @@
 from loadbalancer.sources.consul.merge import MergedList, open_reader
 from loadbalancer.sources.http_get import Answer, Call
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
+OK = 200
 
 
-def say(text: str) -> None:
+def configure(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments."""
+    parser.add_argument("file", help="a consul.toml")
+    parser.add_argument("--seconds", type=float, default=60.0, help="how long to wait for it")
+    parser.add_argument(
+        "--serve", metavar="HOST:PORT", help="serve the list to nodes as their discovery"
+    )
+    parser.add_argument("--why", metavar="ID", help="print one server's checks and their output")
+
+
+def run(arguments: argparse.Namespace, out: TextIO) -> int:
+    """Print the list, or serve it; 2 for a bad file, 1 where Consul did not answer in time."""
+    try:
+        file = read_consul(arguments.file)
+        if arguments.why:
+            return _print_checks(file, arguments.why, out)
+        if arguments.serve:
+            return _serve_nodes(file, arguments.serve)
+        members, complete = asyncio.run(_read_once(file, arguments.seconds))
+    except ConsulError as err:
+        print(err, file=sys.stderr)
+        return 2
+    now = time.monotonic_ns()
+    for member in members.members():
+        print(_member_line(member, now), file=out)
+    if not complete:
+        print(f"members: no whole list within {arguments.seconds:g} s", file=sys.stderr)
+        return 1
+    if not members.members():
+        similar = asyncio.run(_similar_names(file))
+        hint = f"; the catalogue has {', '.join(similar)}" if similar else ""
+        print(f"members: no server of {file.service!r} is listed{hint}", file=sys.stderr)
+        return 1
+    return 0
+
+
+def _log(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
-async def read_once(file: ConsulFile, seconds: float) -> tuple[Members, bool]:
-    """One whole round of every datacentre; False where it did not end in time."""
+async def _read_once(file: ConsulFile, timeout_s: float) -> tuple[Members, bool]:
+    """One complete round of every datacentre; False where it did not end in time."""
     done = asyncio.Event()
-    merged = MergedList(file, done.set, say, time.time_ns())
+    merged = MergedList(file, done.set, _log, time.time_ns())
     merged.start()
     try:
-        await asyncio.wait_for(done.wait(), seconds)
+        await asyncio.wait_for(done.wait(), timeout_s)
     except TimeoutError:
         return merged.members, False
     finally:
@@ -45,107 +83,75 @@
     return merged.members, True
 
 
-def line(m: Member, now: int) -> str:
-    """One server: where, what is told on and why, and who says what since when."""
-    said = ", ".join(
+def _member_line(member: Member, now: int) -> str:
+    """One server: where it is, its state and why, and what each source reports since when."""
+    reports = ", ".join(
         f"{source} {health.name.lower()} for {(now - since) // SECOND} s"
-        for source, health, since in m.words
+        for source, health, since in member.words
     )
-    return f"{m.uid} {m.host}:{m.port} {m.state.name.lower()} ({m.why}): {said}"
+    state = member.state.name.lower()
+    return f"{member.uid} {member.host}:{member.port} {state} ({member.why}): {reports}"
 
 
-def pass_on(file: ConsulFile, listen: str) -> int:
+def _serve_nodes(file: ConsulFile, listen: str) -> int:
     """Serve nodes until a signal ends it; 2 where the address can't be used."""
     try:
-        asyncio.run(serve(file, parse_address(listen), say, time.time_ns()))
+        asyncio.run(serve(file, parse_address(listen), _log, time.time_ns()))
     except (OSError, ValueError) as err:
         print(f"members: --serve: {err}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError):
-        pass
+        # An operator's Ctrl-C is the usual end of it.
+        return 0
     return 0
 
 
-async def ask(file: ConsulFile, path: str, query: str = "") -> list[Any]:
-    """One question to the first agent in every datacentre; the answers that can be read."""
-    reader = open_reader(file, lambda *_: None, say, 0)
+async def _query(file: ConsulFile, path: str, query: str = "") -> list[Any]:
+    """One GET to the first agent for every datacentre; the answers that can be read."""
+    reader = open_reader(file, lambda *_: None, _log, 0)
     found = []
-    for dc in file.datacentres:
+    for datacentre in file.datacentres:
         done: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
-        target = f"{path}?dc={quote(dc, safe='')}&stale{query}"
-        Call(file.agents[0], target, CALL_S, done.set_result, reader.headers, reader.tls)
+        target = f"{path}?dc={quote(datacentre, safe='')}&stale{query}"
+        Call(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, reader.headers, reader.tls)
         answer = await done
-        if answer is not None and answer.status == 200:
+        if answer is not None and answer.status == OK:
+            # An agent that answers with something else counts as one that did not answer.
             with contextlib.suppress(ValueError, RecursionError):
                 found.append(json.loads(answer.body))
     return found
 
 
-async def close_names(file: ConsulFile) -> list[str]:
-    """Services of the catalogue that are named much as the file's is.
+async def _similar_names(file: ConsulFile) -> list[str]:
+    """Services of the catalogue whose names are close to the file's.
 
     Source: Consul HTTP API, "Catalog": GET /v1/catalog/services answers with tags by name.
     """
-    found = await ask(file, "/v1/catalog/services")
-    return get_close_matches(
-        file.service, {n for one in found if isinstance(one, dict) for n in one}
-    )
+    found = await _query(file, "/v1/catalog/services")
+    names = {name for one in found if isinstance(one, dict) for name in one}
+    return get_close_matches(file.service, names)
 
 
-async def checks(file: ConsulFile, uid: str) -> list[str] | None:
-    """One server's checks with what they print, a line each; None without an answer.
+async def _check_lines(file: ConsulFile, uid: str) -> list[str] | None:
+    """One server's checks with their output, a line each; None without an answer.
 
     Source: Consul HTTP API, "Health": GET /v1/health/state/any, with a filter.
     """
     name = json.dumps(uid.rpartition("/")[2], ensure_ascii=False)
-    only = quote(f"ServiceID == {name}", safe="")
-    found = await ask(file, "/v1/health/state/any", f"&filter={only}")
+    expression = quote(f"ServiceID == {name}", safe="")
+    found = await _query(file, "/v1/health/state/any", f"&filter={expression}")
     rows = [row for one in found if isinstance(one, list) for row in one if isinstance(row, dict)]
     keys = ("Node", "CheckID", "Status", "Output")
-    out = [" ".join(str(row.get(key, "")) for key in keys).rstrip() for row in rows]
-    return out if found else None
+    lines = [" ".join(str(row.get(key, "")) for key in keys).rstrip() for row in rows]
+    return lines if found else None
 
 
-def explain(file: ConsulFile, uid: str, out: TextIO) -> int:
+def _print_checks(file: ConsulFile, uid: str, out: TextIO) -> int:
     """Print a server's checks; 1 where there are none."""
-    rows = asyncio.run(checks(file, uid))
-    for row in rows or ():
-        print(row, file=out)
-    if not rows:
-        why = "the agent did not answer" if rows is None else f"{uid!r} has no checks"
+    lines = asyncio.run(_check_lines(file, uid))
+    for line in lines or ():
+        print(line, file=out)
+    if not lines:
+        why = "the agent did not answer" if lines is None else f"{uid!r} has no checks"
         print(f"members: {why}", file=sys.stderr)
-    return 0 if rows else 1
-
-
-def main(words: Sequence[str], out: TextIO = sys.stdout) -> int:
-    """Print the list; 2 for a bad file, 1 where Consul did not answer in time."""
-    parser = argparse.ArgumentParser(prog="python -m loadbalancer members", description=__doc__)
-    parser.add_argument("file", help="a consul.toml")
-    parser.add_argument("--seconds", type=float, default=60.0, help="how long to wait for it")
-    parser.add_argument(
-        "--serve", metavar="HOST:PORT", help="pass the list on to nodes as their discovery"
-    )
-    parser.add_argument("--why", metavar="ID", help="print one server's checks and their output")
-    args = parser.parse_args(words)
-    try:
-        file = read_consul(args.file)
-        if args.why:
-            return explain(file, args.why, out)
-        if args.serve:
-            return pass_on(file, args.serve)
-        members, whole = asyncio.run(read_once(file, args.seconds))
-    except ConsulError as err:
-        print(err, file=sys.stderr)
-        return 2
-    now = time.monotonic_ns()
-    for m in members.members():
-        print(line(m, now), file=out)
-    if whole and not members.members():
-        near = asyncio.run(close_names(file))
-        hint = f"; the catalogue has {', '.join(near)}" if near else ""
-        print(f"members: no server of {file.service!r} is listed{hint}", file=sys.stderr)
-        return 1
-    if not whole:
-        print(f"members: no whole list within {args.seconds:g} s", file=sys.stderr)
-        return 1
-    return 0
+    return 0 if lines else 1
--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -6,15 +6,18 @@
 from __future__ import annotations
 
 import argparse
-from collections.abc import Sequence
+from typing import TextIO
 
 
-def main(words: Sequence[str]) -> int:
-    """Run it; 0 after a stop, 2 where the file, the name or an address can't be used."""
-    parser = argparse.ArgumentParser(prog="python -m loadbalancer scale", description=__doc__)
+def configure(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments."""
     parser.add_argument("file", metavar="FILE", help="the control machines' file")
     parser.add_argument("--machine", metavar="NAME", required=True, help="which one this is")
-    args = parser.parse_args(words)
+
+
+def run(arguments: argparse.Namespace, out: TextIO) -> int:
+    """Run it; 0 after a stop, 2 where the file, the name or an address can't be used."""
+    del out  # the machine prints nothing but its log
     from loadbalancer.control.machine.machine import main as serve
 
-    return serve(args.file, args.machine)
+    return serve(arguments.file, arguments.machine)
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -19,8 +19,8 @@
 
 import grpc
 
-from loadbalancer.cli.check import check_file
 from loadbalancer.config.node import Config, ConfigError, load
+from loadbalancer.config.routes_file import check_file
 from loadbalancer.control.xds.encode import Encoder
 from loadbalancer.control.xds.file import ControlError, ControlFile, PoolFile, TlsFile, read_file
 from loadbalancer.control.xds.load_reports import LoadReports
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from typing import Protocol
 
-from loadbalancer.cli.check import check_file
+from loadbalancer.config.routes_file import check_file
 from loadbalancer.core import Settings
 from loadbalancer.core.routes.canonical import FormError, canonical_host, is_canonical, target
 from loadbalancer.core.routes.table import Policy, Service, Table
--- /dev/null
+++ b/tests/cli/test_commands.py
@@ -0,0 +1,55 @@
+"""The sub-commands: each can be called, says what it takes, and refuses what it can't use."""
+
+from __future__ import annotations
+
+import io
+
+import pytest
+
+from loadbalancer.cli.commands import COMMANDS, main, usage
+
+
+@pytest.mark.parametrize("name", [command.name for command in COMMANDS])
+def test_each_sub_command_prints_its_help(name: str, capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(SystemExit) as ended:
+        main([name, "--help"])
+    assert ended.value.code == 0
+    assert f"usage: python -m loadbalancer {name}" in capsys.readouterr().out
+
+
+@pytest.mark.parametrize("name", ["check", "control", "members", "peers", "scale"])
+def test_a_sub_command_without_its_argument_ends_with_status_2(
+    name: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    with pytest.raises(SystemExit) as ended:
+        main([name])
+    assert ended.value.code == 2
+    assert "the following arguments are required" in capsys.readouterr().err
+
+
+def test_an_unknown_sub_command_ends_with_status_2(capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(["chekc"]) == 2
+    assert usage() in capsys.readouterr().err
+
+
+def test_help_names_every_sub_command_on_standard_output() -> None:
+    out = io.StringIO()
+    assert main(["--help"], out) == 0
+    assert all(f"{command.name} {command.usage}".rstrip() in out.getvalue() for command in COMMANDS)
+
+
+@pytest.mark.parametrize(
+    ("words", "message"),
+    [
+        (["check", "--config", "none.json", "none.toml"], "check: none.json holds no settings"),
+        (["peers", "127.0.0.1"], "peers: '127.0.0.1' is no host:port"),
+        (["peers", "127.0.0.1:1"], "peers: 127.0.0.1:1 can't be asked"),
+    ],
+)
+def test_what_can_not_be_used_is_one_line_and_status_2(
+    words: list[str], message: str, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert main(words) == 2
+    error = capsys.readouterr().err
+    assert error.startswith(message)
+    assert error.count("\n") == 1
--- a/tests/control/machine/test_file.py
+++ b/tests/control/machine/test_file.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.cli.check import main as check
+from loadbalancer.cli.commands import main as run_command
 from loadbalancer.control.machine.file import ScaleFileError, read_scale
 from tests.harness import ROOT
 
@@ -27,7 +27,7 @@
     found = read_scale(str(ROOT / "deploy" / "scale.toml"))
     assert [machine.spec.name for machine in found.machines] == ["east-a", "east-b", "east-c"]
     assert found.bound[0].service == "checkout"
-    assert check([str(ROOT / "deploy" / "scale.toml")]) == 0
+    assert run_command(["check", str(ROOT / "deploy" / "scale.toml")]) == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/core/routes/test_route_file.py
+++ b/tests/core/routes/test_route_file.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from loadbalancer.cli.check import check_any, main
+from loadbalancer.cli.check import check_any
+from loadbalancer.cli.commands import main as run_command
 from loadbalancer.config.toml_file import FileError, parse
 from loadbalancer.core import Effect, RequestClass, Scope, Settings
 from loadbalancer.core.balancing.model import MS
@@ -320,22 +321,22 @@
     bad.write_text(spoilt(("attempts = 3", "atempts = 3"), ('"800ms"', '"800"')))
     good.write_text(GOOD)
     out = io.StringIO()
-    assert main([str(bad), str(good), "--explain"], out) == 2
+    assert run_command(["check", str(bad), str(good), "--explain"], out) == 2
     lines = out.getvalue().splitlines()
     assert lines[0].startswith(f"{bad}:15: [bad-unit] ")
     assert lines[1].startswith(f"{bad}:18: [unknown-key] ")
     assert "did you mean 'attempts'?" in lines[1]
     assert any("attempt_timeout" in x and "(class balance, line 17)" in x for x in lines)
     assert lines[-1] == f"{good}: good, 3 routes"
-    assert main([str(good)], io.StringIO()) == 0
-    assert main([str(tmp_path / "none.toml")], out) == 2
+    assert run_command(["check", str(good)], io.StringIO()) == 0
+    assert run_command(["check", str(tmp_path / "none.toml")], out) == 2
 
 
 @pytest.mark.parametrize("name", ["routes.toml", "control.toml"])
 def test_the_examples_that_are_delivered_are_good(name: str) -> None:
     result = check_any(str(ROOT / "deploy" / name), None)
     assert not result.faults and not result.warnings
-    assert main([str(ROOT / "deploy" / name)], io.StringIO()) == 0
+    assert run_command(["check", str(ROOT / "deploy" / name)], io.StringIO()) == 0
 
 
 def test_lines_are_kept_through_every_way_of_writing_a_key() -> None:
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -20,8 +20,7 @@
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
 from fakes.tier import Tier, tier, wait_until
-from loadbalancer.cli.check import main as check
-from loadbalancer.cli.peers import main as show
+from loadbalancer.cli.commands import main as run_command
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation
 from loadbalancer.gossip_transport.codec import decode, encode
@@ -101,7 +100,9 @@
         t.agree({0, 1, 2}, [0, 1, 2])
         assert {ask(t.nodes[0], f"a{i}") for i in range(20)} == {200}
         said = StringIO()
-        assert show([t.nodes[0].admin], said) == 1  # the answer is that some are missing
+        assert (
+            run_command(["peers", t.nodes[0].admin], said) == 1
+        )  # the answer is that some are missing
         assert "3 of 5 nodes live" in said.getvalue()
         assert "node 3 dead, incarnation" in said.getvalue()
         t.signal(signal.SIGCONT, 4)
@@ -135,7 +136,7 @@
         for n in (2, 3, 4):
             wait_until(lambda n=n: t.verdicts(n).get(bad) != "-")  # type: ignore[misc]
         said = StringIO()
-        assert show([t.nodes[4].admin], said) == 0
+        assert run_command(["peers", t.nodes[4].admin], said) == 0
         assert f"server {bad}: " in said.getvalue() and " s ago: failures " in said.getvalue()
         before = received(servers[1])
         for n in (2, 3, 4):
@@ -334,7 +335,7 @@
 
         def told() -> bool:
             said = StringIO()
-            show([f"127.0.0.1:{n.admin}"], said)
+            run_command(["peers", f"127.0.0.1:{n.admin}"], said)
             return "slots lent: at 8 in 8 servers to node 2" in said.getvalue()
 
         # Nothing at first: an earlier start of this node may have lent what is its own.
@@ -372,7 +373,10 @@
         probe.bind(to)  # nobody has it
         probe.close()
         assert n.call("GET /peers")[0] == "HTTP/1.1 404 Not Found"
-        assert show([f"127.0.0.1:{n.admin}"]) == 2 and show(["127.0.0.1:1"]) == 2
+        assert (
+            run_command(["peers", f"127.0.0.1:{n.admin}"]) == 2
+            and run_command(["peers", "127.0.0.1:1"]) == 2
+        )
         assert served(n, server) == "HTTP/1.1 200 OK"
 
 
@@ -470,8 +474,8 @@
     said = StringIO()
     path = tmp_path / "fleet.toml"
     path.write_text('version = 1\ntier = ""\ndatagram = 64\nword = 3\nseats = "x"\n')
-    assert check([str(path)], said) == 2
+    assert run_command(["check", str(path)], said) == 2
     out = said.getvalue()
     for line, rule in ((2, "missing-key"), (3, "bad-value"), (4, "unknown-key"), (5, "bad-value")):
         assert f"{path}:{line}: [{rule}]" in out
-    assert check([str(ROOT / "deploy" / "fleet.toml")], said) == 0
+    assert run_command(["check", str(ROOT / "deploy" / "fleet.toml")], said) == 0
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -13,7 +13,7 @@
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
 from fakes.tier import Tier, tier, wait_until
-from loadbalancer.cli.peers import main as show
+from loadbalancer.cli.commands import main as run_command
 from tests.gossip_transport.test_transport import ask, received
 
 NODES = 9
@@ -92,7 +92,7 @@
 
         def told() -> bool:
             said = StringIO()
-            show([p.admin for p in t.nodes.values()][:1], said)
+            run_command(["peers", next(iter(t.nodes.values())).admin], said)
             assert f"list: {ROWS} rows, version 3 of epoch 1" in said.getvalue()
             return ": read, version 3 of epoch 1, " in said.getvalue()
 
