--- a/benchmarks/assignment.py
+++ b/benchmarks/assignment.py
@@ -77,20 +77,26 @@
 def difference(before: Assignment, after: Assignment) -> dict[str, int]:
     """Services and nodes that a change touched, and holders that lost a service by it."""
     services = [name for name in before.holders if before.holders[name] != after.holders[name]]
-    nodes = [name for name in before.held if before.held[name] != after.held.get(name)]
+    nodes = [
+        name
+        for name in before.services_by_node
+        if before.services_by_node[name] != after.services_by_node.get(name)
+    ]
     left = sum(len(set(before.holders[name]) - set(after.holders[name])) for name in services)
     return {"services": len(services), "nodes": len(nodes), "left": left}
 
 
 def spread_of(assignment: Assignment) -> dict[str, float]:
-    held = [len(services) for services in assignment.held.values()]
+    held = [len(services) for services in assignment.services_by_node.values()]
     sharers = [len(nodes) for nodes in assignment.holders.values()]
     return {
         "services_a_node_mean": round(mean(held), 2),
         "services_a_node_most": max(held),
         "sharers_mean": round(mean(sharers), 2),
         "sharers_most": max(sharers),
-        "over_their_connections": sum(one.rule.name == "CONNECTIONS" for one in assignment.unmet),
+        "over_their_connections": sum(
+            one.constraint.name == "CONNECTIONS" for one in assignment.unmet
+        ),
         "unmet": len(assignment.unmet),
     }
 
@@ -114,7 +120,7 @@
             "nodes_mean": round(mean(one["nodes"] for one in touched), 1),
             "nodes_most": max(one["nodes"] for one in touched),
             "services_most": max(one["services"] for one in touched),
-            "held_most": max(max(map(len, after.held.values())) for _, after in found),
+            "held_most": max(max(map(len, after.services_by_node.values())) for _, after in found),
             "unmet_more": max(len(after.unmet) for _, after in found) - len(before.unmet),
         }
     back = assigner.with_alive(alive)
@@ -151,7 +157,7 @@
         node = f"east-1-{random.randrange(a_zone // 2, a_zone):04}"
         after = assigner.with_alive(alive - {node})
         moved = {name for name in before.holders if before.holders[name] != after.holders[name]}
-        others += len(moved - set(before.held[node]))
+        others += len(moved - set(before.services_by_node[node]))
     return {"losses": runs, "services_moved_that_it_did_not_hold": others}
 
 
@@ -186,7 +192,7 @@
 
         def report(nodes: frozenset[str], assignment: Assignment, to: Handover = handover) -> None:
             for node in nodes:
-                to.on_report(node, assignment.held[node], to.generation)
+                to.on_report(node, assignment.services_by_node[node], to.generation)
 
         def go(lost: set[str] = dead, after: Assignment = without, to: Handover = handover) -> None:
             for node in lost:
@@ -241,7 +247,7 @@
     a_zone, count, runs = (100, 230, 20) if args.quick else (1950, 4500, 200)
     rate = RATE * a_zone / 1950
     plain = AssignmentRules()
-    everywhere = AssignmentRules(everywhere=frozenset({f"service-{count - 1:04}"}))
+    everywhere = AssignmentRules(on_every_node=frozenset({f"service-{count - 1:04}"}))
     cases = {
         "zipf 0.8": (make_services(count, rate, 0.8), plain),
         "zipf 1.2": (make_services(count, rate, 1.2), plain),
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -19,7 +19,12 @@
 from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.publisher import Later, Limits, Now, Publisher
+from loadbalancer.core.subscription.publisher import (
+    Publisher,
+    PublisherLimits,
+    RetryAfter,
+    SendUpdate,
+)
 from simulation.control_world import REGIONS, World
 
 MACHINES = [MachineSpec(f"{r}-{i}", r, f"{r}-{i % 2}") for r in REGIONS for i in range(3)]
@@ -37,7 +42,7 @@
 
 
 def _publisher(log: ChangeLog, nodes: int) -> Publisher:
-    publisher = Publisher(MACHINES[0], MACHINES, {"east": log}, Limits())
+    publisher = Publisher(MACHINES[0], MACHINES, {"east": log}, PublisherLimits())
     publisher.on_nodes({f"n{i}": "east" for i in range(nodes)})
     return publisher
 
@@ -63,7 +68,7 @@
         for node in publisher.on_change("east", change):
             names = held[node]
             answer = publisher.subscribe(0, node, "east", before, names, names, True)
-            assert isinstance(answer, Now)
+            assert isinstance(answer, SendUpdate)
             size += answer.size
         spent += time.process_time() - began
         for node, names in held.items():
@@ -89,9 +94,9 @@
         number = int(node[1:])
         names = frozenset(f"s{(number * 31 + k) % 2250}" for k in range(HELD))
         answer = publisher.subscribe(now, node, "east", START, names, None, True)
-        if isinstance(answer, Later):
-            heappush(due, (now + answer.pause, node))
-        elif isinstance(answer, Now):
+        if isinstance(answer, RetryAfter):
+            heappush(due, (now + answer.delay, node))
+        elif isinstance(answer, SendUpdate):
             sent[now // SECOND] += answer.size
             answered[now // SECOND] += 1
     return {
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -38,7 +38,7 @@
 from loadbalancer.core.assignment.model import Update as ScaleUpdate
 from loadbalancer.core.balancing.balancer import TIMER_CYCLE, Balancer
 from loadbalancer.core.balancing.model import MS, SECOND, Outcome, RequestClass, Tenant
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, Taken
+from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
 from loadbalancer.sources.discovery import Roster, backend_id
 
 ZONES = tuple(zone for zones in REGIONS.values() for zone in zones)
@@ -196,7 +196,9 @@
         self.zone = zone
         self.seed: int = process.plan.seed + number
         limits = (
-            HolderLimits(services=20_000, bytes=1 << 33) if process.plan.every else HolderLimits()
+            HolderLimits(max_services=20_000, max_bytes=1 << 33)
+            if process.plan.every
+            else HolderLimits()
         )
         self.holder = Holder(name, REGIONS, limits)
         self.services: dict[str, HeldService] = {}
@@ -221,7 +223,7 @@
             held.actions.close()
         self.services.clear()
 
-    def _told(self, update: ScaleUpdate, taken: Taken) -> None:
+    def _told(self, update: ScaleUpdate, taken: UpdateResult) -> None:
         """Pass on what has changed, and note the step."""
         steps = []
         for service in taken.changed:
@@ -229,7 +231,7 @@
             self._pass_on(service, update, rows)
             steps.append((service, digest(rows) if rows is not None else -1))
         position = self.holder.position(update.region)
-        self.process.step(self.number, update.region, position, taken.kind.name, steps)
+        self.process.step(self.number, update.region, position, taken.status.name, steps)
 
     def _released(self, services: tuple[str, ...]) -> None:
         """These are held no more."""
@@ -252,7 +254,7 @@
         changes: list[Change] = []
         if not isinstance(update, Snapshot):
             changes = [change for change in update.changes if change.service == service]
-        if not changes or any(change.whole or change.deleted for change in changes):
+        if not changes or any(change.complete or change.deleted for change in changes):
             held.take(True, [json.loads(row.body) for row in rows.values()])
             return
         for change in changes:
@@ -346,7 +348,7 @@
             "nodes": len(self.nodes),
             "services": sum(len(node.services) for node in nodes),
             "rows": sum(len(h.roster.endpoints) for n in nodes for h in n.services.values()),
-            "bytes_held": sum(node.holder.bytes_held for node in nodes),
+            "bytes_held": sum(node.holder.retained_bytes for node in nodes),
             "sent": self.sent + sum(node.subscriber.counts.sent for node in nodes),
             "received": self.received + sum(node.subscriber.counts.received for node in nodes),
             "cpu_s": usage.ru_utime + usage.ru_stime,
--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -10,22 +10,30 @@
 from pathlib import Path
 
 from loadbalancer.control.machine.list_form import ListFormError, row_of
-from loadbalancer.core.assignment.model import Row, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, Row
 
 MOST_BYTES = 1 << 30
 
 
 def read_backends(path: Path, services: Collection[str]) -> dict[str, tuple[Row, ...]]:
-    """The rows of these services; ScaleError naming the line where the file can't be used."""
+    """The rows of these services.
+
+    Raises:
+        InvalidInputError: the file can't be used; the text names the line.
+    """
     found: dict[str, tuple[Row, ...]] = dict.fromkeys(services, ())
     try:
         if path.stat().st_size > MOST_BYTES:
-            raise ScaleError(f"{path.name}: [too-large] over {MOST_BYTES} bytes; divide the fleet")
+            raise InvalidInputError(
+                f"{path.name}: [too-large] over {MOST_BYTES} bytes; divide the fleet"
+            )
         with open(path, "rb") as file:
             for number, line in enumerate(file, 1):
                 _line(f"{path.name}:{number}", line, found)
     except OSError as err:
-        raise ScaleError(f"{path.name}: [unreadable] {err.strerror}; see backends_file") from None
+        raise InvalidInputError(
+            f"{path.name}: [unreadable] {err.strerror}; see backends_file"
+        ) from None
     return found
 
 
@@ -37,4 +45,6 @@
             found[service] = tuple([row_of(target) for target in raw["targets"]])
     except (ValueError, TypeError, KeyError, RecursionError, ListFormError) as err:
         right = 'write {"service": NAME, "targets": [...]}'
-        raise ScaleError(f"{place}: [bad-row] {type(err).__name__}: {err}; {right}") from None
+        raise InvalidInputError(
+            f"{place}: [bad-row] {type(err).__name__}: {err}; {right}"
+        ) from None
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.control.machine.list_form import plain_list
 from loadbalancer.control.machine.version import position_of, version_of
-from loadbalancer.core.assignment.model import START, Row, ScaleError
+from loadbalancer.core.assignment.model import START, InvalidInputError, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.sources.watchers import Query, Watcher
 
@@ -37,7 +37,7 @@
     def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
         try:
             position = position_of(since)
-        except ScaleError as err:
+        except InvalidInputError as err:
             watcher.reply(400, str(err).encode())
             return
         if position > self._log.position:
@@ -67,7 +67,7 @@
         """What changed since a version, or the whole list."""
         delta = self._log.since(position_of(since), (self.service,)) if since else None
         version = version_of(self._log.position)
-        if delta is None or any(change.whole or change.deleted for change in delta.changes):
+        if delta is None or any(change.complete or change.deleted for change in delta.changes):
             rows = self._log.rows(self.service) or {}
             return plain_list(version, True, rows.values(), ())
         latest: dict[str, Row | None] = {}
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -196,8 +196,8 @@
         table.fault("node_rate", "bad-value", "node_rate is 0", "write over 0 a second")
         node_rate = usual.node_rate
     return AssignmentRules(
-        _whole(table, "least_per_zone", usual.least_per_zone, 1, 64),
-        _whole(table, "most_sharers", usual.most_sharers, 1, 20_000),
+        _whole(table, "least_per_zone", usual.min_per_zone, 1, 64),
+        _whole(table, "most_sharers", usual.max_sharers, 1, 20_000),
         node_rate,
     )
 
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -88,7 +88,7 @@
         changes.append(
             [
                 change.service, version_of(change.position), len(change.rows),
-                len(change.removed), change.deleted, change.whole,
+                len(change.removed), change.deleted, change.complete,
             ]
         )  # fmt: skip
     more: dict[str, Any] = {"region": update.region, "changes": changes}
@@ -104,7 +104,7 @@
     if isinstance(update, Delta):
         return update.changes
     return [
-        Change(update.position, service, tuple(rows.values()), whole=True)
+        Change(update.position, service, tuple(rows.values()), complete=True)
         for service, rows in update.services.items()
     ]
 
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -12,7 +12,6 @@
 import time
 from collections import Counter
 from collections.abc import Callable
-from hashlib import blake2b
 from typing import Any
 
 import uvloop
@@ -20,6 +19,7 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.bound_list import BoundList
 from loadbalancer.control.machine.file import Machine, ScaleFile, ScaleFileError, read_scale
+from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.messages import PresenceWanted, Reports, codec
 from loadbalancer.control.machine.node_requests import Questions, Subscription
 from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
@@ -27,13 +27,13 @@
 from loadbalancer.control.machine.stream import Hello, Streams
 from loadbalancer.control.machine.submitted_changes import Changes
 from loadbalancer.control.machine.version import position_of, version_of
-from loadbalancer.core.assignment.model import ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.assignment.presence import PresenceUpdate
 from loadbalancer.core.assignment.release import ReleaseAuthority, ReleaseGrant
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import Message
 from loadbalancer.core.replicated_log.replication import Replica, Role, Timing
-from loadbalancer.core.subscription.publisher import Limits, Publisher
+from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
 from loadbalancer.sources.watchers import Watcher
 
 TICK_S = 0.05  # of the replica
@@ -63,7 +63,7 @@
         self.logs = {name: ChangeLog(name, LOG_CHANGES, LOG_BYTES) for name in file.regions}
         seed = int.from_bytes(os.urandom(8), "big")
         self.replica = Replica(machine.spec, specs, self.logs, seed, now, timing)
-        limits = Limits(
+        limits = PublisherLimits(
             snapshot_rate=file.limits.snapshot_rate, snapshot_burst=file.limits.snapshot_rate
         )
         self.publisher = Publisher(machine.spec, specs, self.logs, limits)
@@ -169,7 +169,7 @@
             else:
                 loop = asyncio.get_running_loop()
                 rows = await loop.run_in_executor(None, read_backends, self.file.backends, services)
-        except ScaleError as err:
+        except InvalidInputError as err:
             self._log(f"region {region} is not loaded: {err}")
             await asyncio.sleep(LOAD_AGAIN_S)
             self._loading = None
@@ -188,7 +188,7 @@
 
     def _told(self, sender: str, message: Any) -> None:
         now = time.monotonic_ns()
-        self.nodes.presence.on_machine(now, sender)
+        self.nodes.presence.on_machine_heartbeat(now, sender)
         if isinstance(message, PresenceUpdate):
             if not self.nodes.on_presence(now, sender, message):
                 self.streams.send(sender, PresenceWanted())
@@ -237,7 +237,7 @@
             return 400, f"region: [unknown-region] no region {region[:64]!r}".encode()
         try:
             changes = log.after(position_of(version), LOG_ANSWER)
-        except ScaleError as err:
+        except InvalidInputError as err:
             return 400, str(err).encode()
         if changes is None:
             return 410, b"the log does not reach back to it"
@@ -248,7 +248,7 @@
                 "rows": [row.body for row in change.rows],
                 "removed": change.removed,
                 "deleted": change.deleted,
-                "whole": change.whole,
+                "whole": change.complete,
             }
             for change in changes
         ]
@@ -274,7 +274,7 @@
             "nodes": {
                 "registered": len(self.file.nodes),
                 "alive": len(nodes.liveness.alive),
-                "here": nodes.presence.here(),
+                "here": nodes.presence.local_count(),
             },
             "questions": {
                 "connections": self.questions.connections,
@@ -307,13 +307,6 @@
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-def fleet_digest(file: ScaleFile) -> str:
-    """Of what the machines' assignment depends on: two that differ must not speak."""
-    text = repr((sorted(file.regions.items()), file.nodes, file.services, file.rules, file.seed))
-    machines = repr([one.spec for one in file.machines])
-    return blake2b((text + machines).encode(), digest_size=16).hexdigest()
-
-
 async def serve(file: ScaleFile, name: str, log: Callable[[str], None]) -> None:
     """Run one machine until SIGTERM or SIGINT."""
     machine = ControlMachine(file, file.machine(name), log)
@@ -337,7 +330,7 @@
     try:
         file = read_scale(path)
         uvloop.run(serve(file, name, log))
-    except (ScaleFileError, ScaleError) as err:
+    except (ScaleFileError, InvalidInputError) as err:
         print(err, file=sys.stderr)
         return 2
     except OSError as err:
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -13,7 +13,7 @@
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.nodes import Nodes
 from loadbalancer.control.machine.version import position_of
-from loadbalancer.core.assignment.model import Position, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, Position
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.replication import Replica
 from loadbalancer.core.subscription import publisher
@@ -88,7 +88,7 @@
         try:
             question = self._question(now, since, hold, query)
             self._heard(now, question, query)
-        except ScaleError as err:
+        except InvalidInputError as err:
             self._refuse(watcher, str(err))
             return
         anew = since == 0
@@ -125,7 +125,7 @@
     def _question(self, now: int, since: int, hold: float, query: Query) -> Question:
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.knows(node):
-            raise ScaleError(f"node: [{Refusal.UNKNOWN_NODE.value}] no node {node[:64]!r}")
+            raise InvalidInputError(f"node: [{Refusal.UNKNOWN_NODE.value}] no node {node[:64]!r}")
         held = None
         if "held" in query:
             held = frozenset(_names(query["held"][0]))
@@ -139,7 +139,7 @@
         if "serving" in query:
             generation = whole_number(query.get("generation", ["0"])[0])
             if generation is None:
-                raise ScaleError("generation: [range] no whole number")
+                raise InvalidInputError("generation: [range] no whole number")
             self._nodes.on_report(question.node, _names(query["serving"][0]), generation)
 
     def _refuse(self, watcher: Watcher, why: str) -> None:
@@ -164,9 +164,9 @@
             self._nodes.on_answered(now, node)
             return
         self._replica.on_reported(now, region, question.position)
-        if isinstance(found, publisher.Elsewhere):
+        if isinstance(found, publisher.Redirect):
             self._send_on(now, watcher, question, found.machine)
-        elif isinstance(found, publisher.Now):
+        elif isinstance(found, publisher.SendUpdate):
             orders = self._nodes.fresh_orders(now, node, region, anew)
             self._reply(now, watcher, question, listform.encode(found.update, orders), orders)
         else:
@@ -177,15 +177,15 @@
         now: int,
         watcher: Watcher,
         question: Question,
-        found: publisher.Later | publisher.Wait,
+        found: publisher.RetryAfter | publisher.Wait,
         anew: bool,
     ) -> None:
         """There is nothing to send yet: orders alone, or a pause, or a wait."""
         orders = self._nodes.fresh_orders(now, question.node, question.region, anew)
-        if isinstance(found, publisher.Later):
-            pause = max(found.pause // MS, 1)
+        if isinstance(found, publisher.RetryAfter):
+            pause = max(found.delay // MS, 1)
             body = listform.nothing(question.position, pause_ms=pause)
-            self._reply(now, watcher, question, body, None, found.pause)
+            self._reply(now, watcher, question, body, None, found.delay)
         elif orders is not None:
             body = listform.orders_only(question.position, orders)
             self._reply(now, watcher, question, body, orders)
@@ -242,5 +242,5 @@
 def _names(text: str) -> list[str]:
     names = [name for name in text.split(",") if name]
     if len(names) > MOST_NAMES:
-        raise ScaleError(f"names: [too-many] {len(names)}; at most {MOST_NAMES}")
+        raise InvalidInputError(f"names: [too-many] {len(names)}; at most {MOST_NAMES}")
     return names
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -26,7 +26,7 @@
 SETTLE_MOST = 15 * SECOND
 REPORTS_A_MESSAGE = 512
 # Turns and grants come once a second: one may be late or lost.
-RELEASE_RULES = ReleaseRules(grant_for=2500 * MS, pause=2500 * MS)
+RELEASE_RULES = ReleaseRules(lease_duration=2500 * MS, max_pause=2500 * MS)
 
 
 class Nodes:
@@ -40,7 +40,7 @@
         self._released: Mapping[str, frozenset[str]] = {}  # as of the last turn, by node
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
-        self.liveness = Liveness(now, names, LivenessRules(silence=SILENCE))
+        self.liveness = Liveness(now, names, LivenessRules(timeout=SILENCE))
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False  # orders may differ from what nodes were told
@@ -90,7 +90,7 @@
         """It asks here."""
         self._due[node] = now + 3600 * SECOND  # it waits for an answer: `on_answered` says more
         self.presence.on_present(node)
-        self.liveness.on_word(now, node)
+        self.liveness.on_heartbeat(now, node)
 
     def on_answered(self, now: int, node: str, pause: int = 0) -> None:
         """Its question has been answered, or its connection is gone: it has to ask again."""
@@ -116,12 +116,12 @@
 
     def whole(self, send: Callable[[object], None]) -> None:
         """Tell a machine that has just come up all that others have been told."""
-        send(self.presence.whole())
+        send(self.presence.complete_update())
         _send_reports(send, self._reports)
 
     def pass_on(self, send: Callable[[object], None]) -> None:
         """Tell the machines that are up what is new."""
-        send(self.presence.update())
+        send(self.presence.next_update())
         _send_reports(send, self._news)
         self._news = {}
 
@@ -135,7 +135,7 @@
         """Once a second: the grant to send where this machine leads its region, in `epoch`."""
         if self.releases is None:
             return None
-        self.releases.on_turn(now, epoch)
+        self.releases.on_tick(now, epoch)
         views = {node: self.handover.releasable(node) for node in self.assigner.nodes}
         grant = self.releases.grant(now, views)
         released = self.releases.all_releasable(now)
@@ -159,8 +159,8 @@
         self._unheard -= present
         starting = self._unheard if now - self._began < START else ()
         for node in (*present, *starting):
-            self.liveness.on_word(now, node)
-        change = self.liveness.turn(now)
+            self.liveness.on_heartbeat(now, node)
+        change = self.liveness.advance(now)
         for node in change.died:
             self._on_dead(node)
         if change.died or change.returned:
@@ -197,8 +197,10 @@
         before = self.assignment
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
-        held = before.held
-        self.touched = sum(1 for node, now in self.assignment.held.items() if now != held.get(node))
+        held = before.services_by_node
+        self.touched = sum(
+            1 for node, now in self.assignment.services_by_node.items() if now != held.get(node)
+        )
         self.changed = True
 
 
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -18,8 +18,8 @@
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.list_form import ListFormError, Orders
 from loadbalancer.control.machine.version import version_of
-from loadbalancer.core.assignment.model import START, ScaleError, Update
-from loadbalancer.core.subscription.holder import Holder, Kind, Taken
+from loadbalancer.core.assignment.model import START, InvalidInputError, Update
+from loadbalancer.core.subscription.holder import Holder, UpdateResult, UpdateStatus
 from loadbalancer.sources.http_get import Answer, Call
 from loadbalancer.sources.watchers import LIST
 
@@ -29,7 +29,7 @@
 HEAD_BYTES = 48  # of a question's head beside its target
 ANSWER_BYTES = 24  # of an answer's head beside its fields
 
-Told = Callable[[Update, Taken], None]
+Told = Callable[[Update, UpdateResult], None]
 Released = Callable[[tuple[str, ...]], None]
 
 
@@ -95,12 +95,12 @@
         self._regions = {region: _Region(0) for region in regions}
 
     def start(self) -> None:
-        """Ask now."""
+        """ServiceQuery now."""
         for region in self._regions:
             self._ask(region)
 
     def close(self) -> None:
-        """Ask no more."""
+        """ServiceQuery no more."""
         for state in self._regions.values():
             if state.call is not None:
                 state.call.drop()
@@ -148,7 +148,7 @@
         return "&".join(parts)
 
     def _later(self, region: str, seconds: float) -> None:
-        """Ask after a time, from this turn of the loop on at the earliest."""
+        """ServiceQuery after a time, from this turn of the loop on at the earliest."""
         loop = asyncio.get_running_loop()
         self._regions[region].timer = loop.call_later(seconds, self._ask, region)
 
@@ -165,11 +165,11 @@
         try:
             found = listform.decode(answer.body, MOST_SERVICES)
             self._take(region, state, found)
-        except (ListFormError, ScaleError):
+        except (ListFormError, InvalidInputError):
             self._failed(region, state, "unusable answers")
 
     def _failed(self, region: str, state: _Region, why: str) -> None:
-        """Ask the next machine, which knows nothing of what is held here."""
+        """ServiceQuery the next machine, which knows nothing of what is held here."""
         self.counts.events[why] += 1
         timing = self._timing
         state.machine = (state.machine + 1) % len(self._machines)
@@ -219,11 +219,13 @@
 
     def _take_update(self, region: str, state: _Region, update: Update) -> None:
         if update.region != region:
-            raise ScaleError(f"update: region {update.region!r} where {region!r} was asked for")
+            raise InvalidInputError(
+                f"update: region {update.region!r} where {region!r} was asked for"
+            )
         taken = self.holder.on_update(time.monotonic_ns(), update)
-        self.counts.events[taken.kind.name.lower()] += 1
+        self.counts.events[taken.status.name.lower()] += 1
         state.anew = False
-        state.snapshot = taken.kind in (Kind.GAP, Kind.MALFORMED)
+        state.snapshot = taken.status in (UpdateStatus.GAP, UpdateStatus.MALFORMED)
         self._told(update, taken)
 
 
--- a/loadbalancer/control/machine/version.py
+++ b/loadbalancer/control/machine/version.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.assignment.model import Position, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, Position
 
 REVISION_BITS = 40  # a thousand changes a second for 34 years
 MOST_REVISION = (1 << REVISION_BITS) - 1
@@ -16,10 +16,10 @@
 
 
 def version_of(position: Position) -> int:
-    """The position as one integer; ScaleError where a part is out of range."""
+    """The position as one integer; InvalidInputError where a part is out of range."""
     epoch, revision = position
     if not 0 <= epoch <= MOST_EPOCH or not 0 <= revision <= MOST_REVISION:
-        raise ScaleError(
+        raise InvalidInputError(
             f"position: [range] epoch {epoch}, revision {revision}; "
             f"write 0 to {MOST_EPOCH} and 0 to {MOST_REVISION}"
         )
@@ -27,7 +27,7 @@
 
 
 def position_of(version: int) -> Position:
-    """The position that a version means; ScaleError where none has it."""
+    """The position that a version means; InvalidInputError where none has it."""
     if not 0 <= version <= MOST_VERSION:
-        raise ScaleError(f"version: [range] {version}; write 0 to {MOST_VERSION}")
+        raise InvalidInputError(f"version: [range] {version}; write 0 to {MOST_VERSION}")
     return Position(version >> REVISION_BITS, version & MOST_REVISION)
--- a/loadbalancer/core/assignment/assignment.py
+++ b/loadbalancer/core/assignment/assignment.py
@@ -31,7 +31,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from loadbalancer.core.assignment.model import NodeSpec, ScaleError, ServiceSpec
+from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec, ServiceSpec
 from loadbalancer.core.assignment.substitutes import Substitutes
 from loadbalancer.core.assignment.validation import check_nodes, check_services
 from loadbalancer.core.assignment.zones import Loads, Zone, hash64, zones_of
@@ -42,63 +42,75 @@
     """What decides how many nodes hold a service, and how much of it one node takes.
 
     Raises:
-        ScaleError: a figure is out of its range.
+        InvalidInputError: a figure is out of its range.
     """
 
-    least_per_zone: int = 2  # holders in each zone that a service's clients come in
-    most_sharers: int = 12  # nodes that share one service's backends: 15 connections, less room
+    min_per_zone: int = 2  # holders in each zone that a service's clients come in
+    max_sharers: int = 12  # nodes that share one service's backends: 15 connections, less room
     node_rate: float = 400.0  # requests a second that a node may take, where it states none
     load_factor: float = 1.25  # of the mean number of services a node, that one may hold
-    largest_share: float = 0.5  # of a node's rate, that one service may take
-    sharers: Mapping[str, int] = field(default_factory=dict)  # other `most_sharers`, by service
-    everywhere: frozenset[str] = frozenset()  # services that every node of their zones holds
+    max_share: float = 0.5  # of a node's rate, that one service may take
+    max_sharers_by_service: Mapping[str, int] = field(default_factory=dict)
+    on_every_node: frozenset[str] = frozenset()  # services that every node of their zones holds
 
     def __post_init__(self) -> None:
-        if not 1 <= self.least_per_zone <= 64:
-            raise ScaleError(f"rules: least_per_zone is {self.least_per_zone}, must be 1 to 64")
-        if not 1 <= self.most_sharers <= 20_000:
-            raise ScaleError(f"rules: most_sharers is {self.most_sharers}, must be 1 to 20000")
+        if not 1 <= self.min_per_zone <= 64:
+            raise InvalidInputError(
+                f"rules: least_per_zone is {self.min_per_zone}, must be 1 to 64"
+            )
+        if not 1 <= self.max_sharers <= 20_000:
+            raise InvalidInputError(
+                f"rules: most_sharers is {self.max_sharers}, must be 1 to 20000"
+            )
         if not 0 < self.node_rate <= 1e9:
-            raise ScaleError(f"rules: node_rate is {self.node_rate}, must be over 0, up to 1e9")
+            raise InvalidInputError(
+                f"rules: node_rate is {self.node_rate}, must be over 0, up to 1e9"
+            )
         if not 1 < self.load_factor <= 10:
-            raise ScaleError(f"rules: load_factor is {self.load_factor}, must be over 1, up to 10")
-        if not 0 < self.largest_share <= 1:
-            raise ScaleError(f"rules: largest_share is {self.largest_share}, must be over 0 to 1")
-        for service, most in self.sharers.items():
+            raise InvalidInputError(
+                f"rules: load_factor is {self.load_factor}, must be over 1, up to 10"
+            )
+        if not 0 < self.max_share <= 1:
+            raise InvalidInputError(
+                f"rules: largest_share is {self.max_share}, must be over 0 to 1"
+            )
+        for service, most in self.max_sharers_by_service.items():
             if not 1 <= most <= 20_000:
-                raise ScaleError(f"rules: sharers of {service!r} is {most}, must be 1 to 20000")
+                raise InvalidInputError(
+                    f"rules: sharers of {service!r} is {most}, must be 1 to 20000"
+                )
 
 
-class Rule(Enum):
+class Constraint(Enum):
     """What an assignment could not keep."""
 
     CONNECTIONS = "more nodes share the backends than their connections allow"
     RATE = "the zone has too few nodes for the rate"
-    LEAST = "fewer nodes of the zone hold it than the least"
-    ROOM = "its nodes are lost and no living node of the zone has room"
+    MINIMUM = "fewer nodes of the zone hold it than the least"
+    CAPACITY = "its nodes are lost and no living node of the zone has room"
     ZONES = "no living node of its zones has room, other zones hold it"
-    NOBODY = "no living node has room"
+    NO_NODE = "no living node has room"
 
 
-class Unmet(NamedTuple):
+class UnmetConstraint(NamedTuple):
     """A rule that is not kept for a service; `zone` is empty where it concerns all zones."""
 
     service: str
     zone: str
-    rule: Rule
+    constraint: Constraint
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Who holds what. `holders` names every service, `held` every registered node.
+    """Who holds what. `holders` names every service, `services_by_node` every registered node.
 
     `digest` is of a canonical form of `holders` (blake2b, 16 bytes as hex): two machines with the
     same digest have the same assignment.
     """
 
     holders: Mapping[str, tuple[str, ...]]
-    held: Mapping[str, tuple[str, ...]]
-    unmet: tuple[Unmet, ...]
+    services_by_node: Mapping[str, tuple[str, ...]]
+    unmet: tuple[UnmetConstraint, ...]
     digest: str
 
 
@@ -111,7 +123,7 @@
     """Assign services to nodes; see `Assigner`, which is cheaper for a second question.
 
     Raises:
-        ScaleError: as `Assigner` and `Assigner.with_alive` do.
+        InvalidInputError: as `Assigner` and `Assigner.with_alive` do.
     """
     return Assigner(nodes, services, rules).with_alive(alive)
 
@@ -120,7 +132,7 @@
     """The base deal, kept, and the assignment for any set of living nodes.
 
     Raises:
-        ScaleError: the nodes or services can't be used (see `checks`).
+        InvalidInputError: the nodes or services can't be used (see `checks`).
     """
 
     def __init__(
@@ -133,11 +145,11 @@
         self.services = {spec.name: spec for spec in sorted(services, key=lambda spec: spec.name)}
         self._zones = zones_of(self.nodes.values(), rules.node_rate)
         self._shares = {spec.name: _share(spec, self._zones, rules) for spec in services}
-        self._order = sorted(services, key=lambda spec: _deal_order(spec, rules.everywhere))
+        self._order = sorted(services, key=lambda spec: _deal_order(spec, rules.on_every_node))
         self._loads = {name: Loads(zone) for name, zone in self._zones.items()}
         self._place = {spec.name: place for place, spec in enumerate(self._order)}
         self._base: dict[str, dict[str, tuple[str, ...]]] = {}
-        self._base_unmet: dict[str, tuple[Unmet, ...]] = {}
+        self._base_unmet: dict[str, tuple[UnmetConstraint, ...]] = {}
         self._deal()
         self._base_holders = {name: _flat(self._base[name]) for name in self.services}
         self._base_digests = {
@@ -151,12 +163,12 @@
         Costs what the dead nodes held, and a copy of the tables.
 
         Raises:
-            ScaleError: a name that no registered node has.
+            InvalidInputError: a name that no registered node has.
         """
         living = alive if isinstance(alive, set | frozenset) else frozenset(alive)
         for name in living:
             if name not in self.nodes:
-                raise ScaleError(f"alive: unknown node {name!r}, must be a registered one")
+                raise InvalidInputError(f"alive: unknown node {name!r}, must be a registered one")
         dead = [name for name in self.nodes if name not in living]
         return _Repair(self, living, dead).run()
 
@@ -177,8 +189,10 @@
             chosen = self._loads[zone].take_first(order, wanted, share.rate[zone])
             dealt[zone] = tuple(sorted(chosen))
             if len(chosen) < wanted:
-                rule = Rule.LEAST if len(chosen) < self.rules.least_per_zone else Rule.RATE
-                unmet.append(Unmet(service, zone, rule))
+                rule = (
+                    Constraint.MINIMUM if len(chosen) < self.rules.min_per_zone else Constraint.RATE
+                )
+                unmet.append(UnmetConstraint(service, zone, rule))
         self._base[service] = dealt
         self._base_unmet[service] = tuple(unmet)
 
@@ -224,7 +238,9 @@
         digest = blake2b(b"".join(digests.values()), digest_size=16).hexdigest()
         return Assignment(holders, held, all_unmet, digest)
 
-    def _service(self, service: str) -> tuple[dict[str, tuple[str, ...]], tuple[Unmet, ...]]:
+    def _service(
+        self, service: str
+    ) -> tuple[dict[str, tuple[str, ...]], tuple[UnmetConstraint, ...]]:
         of = self._of
         base = of._base[service]
         unmet = list(of._base_unmet[service])
@@ -232,10 +248,14 @@
         for zone, before in base.items():
             dealt[zone] = self._zone_of(service, zone, before)
             if len(dealt[zone]) < self._asked(service, before):
-                unmet.append(Unmet(service, zone, self._why_short(dealt[zone])))
+                unmet.append(UnmetConstraint(service, zone, self._why_short(dealt[zone])))
         if not any(dealt.values()):
             dealt = self._elsewhere(service)
-            unmet.append(Unmet(service, "", Rule.ZONES if any(dealt.values()) else Rule.NOBODY))
+            unmet.append(
+                UnmetConstraint(
+                    service, "", Constraint.ZONES if any(dealt.values()) else Constraint.NO_NODE
+                )
+            )
         return dealt, tuple(dict.fromkeys(unmet))
 
     def _zone_of(self, service: str, zone: str, before: tuple[str, ...]) -> tuple[str, ...]:
@@ -251,12 +271,16 @@
     def _asked(self, service: str, before: Collection[str]) -> int:
         """How many holders of a zone are a fault to be without: one that all nodes hold has none
         to put in a dead one's place."""
-        if service in self._of.rules.everywhere:
-            return min(len(before), self._of.rules.least_per_zone)
+        if service in self._of.rules.on_every_node:
+            return min(len(before), self._of.rules.min_per_zone)
         return len(before)
 
-    def _why_short(self, holders: Collection[str]) -> Rule:
-        return Rule.LEAST if len(holders) < self._of.rules.least_per_zone else Rule.ROOM
+    def _why_short(self, holders: Collection[str]) -> Constraint:
+        return (
+            Constraint.MINIMUM
+            if len(holders) < self._of.rules.min_per_zone
+            else Constraint.CAPACITY
+        )
 
     def _elsewhere(self, service: str) -> dict[str, tuple[str, ...]]:
         """Holders in the living zones of its home region, or else in all that live."""
@@ -294,27 +318,27 @@
 
     holders: Mapping[str, int]
     rate: Mapping[str, float]  # of one holder, once one of the other zones is lost
-    unmet: tuple[Unmet, ...]
+    unmet: tuple[UnmetConstraint, ...]
 
 
 def _share(spec: ServiceSpec, zones: Mapping[str, Zone], rules: AssignmentRules) -> _Share:
     worst = spec.rate / max(len(spec.zones) - 1, 1)
     holders: dict[str, int] = {}
     rate: dict[str, float] = {}
-    unmet: list[Unmet] = []
+    unmet: list[UnmetConstraint] = []
     for name in sorted(spec.zones):
         zone = zones[name]
         node_rate = zone.least_rate
-        needed = max(rules.least_per_zone, ceil(worst / (node_rate * rules.largest_share)))
-        everywhere = spec.name in rules.everywhere
+        needed = max(rules.min_per_zone, ceil(worst / (node_rate * rules.max_share)))
+        everywhere = spec.name in rules.on_every_node
         holders[name] = len(zone.nodes) if everywhere else min(needed, len(zone.nodes))
         rate[name] = min(worst / holders[name], node_rate)
         if worst > node_rate * holders[name]:
-            unmet.append(Unmet(spec.name, name, Rule.RATE))
-        if holders[name] < rules.least_per_zone:
-            unmet.append(Unmet(spec.name, name, Rule.LEAST))
-    if sum(holders.values()) > rules.sharers.get(spec.name, rules.most_sharers):
-        unmet.append(Unmet(spec.name, "", Rule.CONNECTIONS))
+            unmet.append(UnmetConstraint(spec.name, name, Constraint.RATE))
+        if holders[name] < rules.min_per_zone:
+            unmet.append(UnmetConstraint(spec.name, name, Constraint.MINIMUM))
+    if sum(holders.values()) > rules.max_sharers_by_service.get(spec.name, rules.max_sharers):
+        unmet.append(UnmetConstraint(spec.name, "", Constraint.CONNECTIONS))
     return _Share(holders, rate, tuple(unmet))
 
 
--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -24,7 +24,7 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from loadbalancer.core.assignment.assignment import Assignment
-from loadbalancer.core.assignment.model import NodeSpec, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec
 
 MOST_FORMER = 256  # services that are noted of one node beside its assigned ones
 MOST_TOLD = 1024  # services of one node of which older words are told apart one by one
@@ -56,7 +56,7 @@
         do.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         kept = {
             service
@@ -69,7 +69,7 @@
         """Those of `wanted` that are the node's own by the assignment.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         return frozenset(self._held.get(node, ()))
@@ -78,7 +78,7 @@
         """The services that the node need not hold any more, as far as it does.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         return frozenset(self._releasable_of.get(node, ()))
@@ -91,13 +91,17 @@
         """Begin to move to this assignment. Those whose loss it follows come first, in `on_dead`.
 
         Raises:
-            ScaleError: it names a node that is not registered; nothing has changed then.
+            InvalidInputError: it names a node that is not registered; nothing has changed then.
         """
-        for node in assignment.held:
+        for node in assignment.services_by_node:
             self._check(node)
         self.generation += 1
         first = not self._assigned
-        before, self._assigned, self._held = self._assigned, assignment.holders, assignment.held
+        before, self._assigned, self._held = (
+            self._assigned,
+            assignment.holders,
+            assignment.services_by_node,
+        )
         for service in sorted(before.keys() | self._assigned.keys()):
             old, new = before.get(service, ()), self._assigned.get(service, ())
             if old != new:
@@ -113,7 +117,7 @@
         node serves too many that are not assigned to it.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         if not self._counts(node, service, generation):
@@ -131,7 +135,7 @@
         """The node says all that it serves: what it doesn't name, it has released or lost.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         if generation is not None and generation < self._told_all.get(node, 0):
@@ -147,7 +151,7 @@
         """The node says that it does not hold the service.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         noted = (self._serving, self._former, self._releasable)
@@ -162,7 +166,7 @@
         """The node is gone: it serves nothing, and what it said before counts no more.
 
         Raises:
-            ScaleError: there is no such node.
+            InvalidInputError: there is no such node.
         """
         self._check(node)
         self.generation += 1
@@ -253,7 +257,7 @@
 
     def _check(self, node: str) -> None:
         if node not in self._zones:
-            raise ScaleError(f"handover: unknown node {node!r}, must be a registered one")
+            raise InvalidInputError(f"handover: unknown node {node!r}, must be a registered one")
 
 
 class _Tally:
--- a/loadbalancer/core/assignment/liveness.py
+++ b/loadbalancer/core/assignment/liveness.py
@@ -1,8 +1,9 @@
 """Who counts as alive, damped: one who comes and goes does not move services each time.
 
-A node counts as dead after `silence` without a word. It counts as back only once it has been
-heard for `stay` without a gap as long as `silence`; each death within `memory` doubles that wait,
-up to `longest_stay`. The doubling is that of route flap damping (RFC 2439) in its simplest form.
+A node counts as dead after `timeout` without a heartbeat. It counts as back only once it has been
+heard for `recovery_time` without a gap as long as `timeout`; each death within `flap_memory`
+doubles that wait, up to `max_recovery_time`. The doubling is that of route flap damping (RFC 2439)
+in its simplest form.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from loadbalancer.core.assignment.model import ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
 
 
@@ -20,21 +21,23 @@
     """Times in nanoseconds.
 
     Raises:
-        ScaleError: a time is out of its range.
+        InvalidInputError: a time is out of its range.
     """
 
-    silence: int = 3 * SECOND
-    stay: int = 5 * SECOND
-    longest_stay: int = 300 * SECOND
-    memory: int = 600 * SECOND  # a death so long after the last one counts as the first
+    timeout: int = 3 * SECOND
+    recovery_time: int = 5 * SECOND
+    max_recovery_time: int = 300 * SECOND
+    flap_memory: int = 600 * SECOND  # a death so long after the last one counts as the first
 
     def __post_init__(self) -> None:
-        if not self.silence > 0:
-            raise ScaleError(f"liveness: silence is {self.silence}, must be over 0")
-        if not 0 <= self.stay <= self.longest_stay:
-            raise ScaleError("liveness: stay must be 0 to longest_stay")
-        if self.memory < 0:
-            raise ScaleError(f"liveness: memory is {self.memory}, must not be negative")
+        if not self.timeout > 0:
+            raise InvalidInputError(f"liveness: timeout is {self.timeout}, must be over 0")
+        if not 0 <= self.recovery_time <= self.max_recovery_time:
+            raise InvalidInputError("liveness: recovery_time must be 0 to max_recovery_time")
+        if self.flap_memory < 0:
+            raise InvalidInputError(
+                f"liveness: flap_memory is {self.flap_memory}, must not be negative"
+            )
 
 
 class LivenessChange(NamedTuple):
@@ -56,7 +59,7 @@
 class Liveness:
     """The state of all registered nodes; others' words count for nothing.
 
-    All count as alive when it begins, and have `silence` to be heard: a control machine that has
+    All count as alive when it begins, and have `timeout` to be heard: a control machine that has
     just begun knows nothing against anybody.
     """
 
@@ -66,39 +69,39 @@
 
     @property
     def alive(self) -> frozenset[str]:
-        """Those who count as alive, as of the last `turn`."""
+        """Those who count as alive, as of the last `advance`."""
         return frozenset(name for name, pulse in self._pulses.items() if pulse.alive)
 
-    def on_word(self, now: int, node: str) -> bool:
+    def on_heartbeat(self, now: int, node: str) -> bool:
         """The node was heard; False where it is not registered."""
         pulse = self._pulses.get(node)
         if pulse is None:
             return False
-        if now - pulse.heard >= self.rules.silence:
+        if now - pulse.heard >= self.rules.timeout:
             pulse.since = now
         pulse.heard = max(now, pulse.heard)
         return True
 
-    def turn(self, now: int) -> LivenessChange:
+    def advance(self, now: int) -> LivenessChange:
         """Take time on to `now`: who has died or is back since the last turn."""
         died, returned = [], []
         for name, pulse in self._pulses.items():
-            silent = now - pulse.heard >= self.rules.silence
+            silent = now - pulse.heard >= self.rules.timeout
             if pulse.alive and silent:
                 self._die(now, pulse)
                 died.append(name)
-            elif not pulse.alive and not silent and now - pulse.since >= self.stay(name):
+            elif not pulse.alive and not silent and now - pulse.since >= self.recovery_time(name):
                 pulse.alive = True
                 returned.append(name)
         return LivenessChange(tuple(sorted(died)), tuple(sorted(returned)))
 
-    def stay(self, node: str) -> int:
+    def recovery_time(self, node: str) -> int:
         """How long the node must be heard before it counts as back."""
         doublings = min(max(self._pulses[node].deaths - 1, 0), 32)
-        return min(self.rules.stay << doublings, self.rules.longest_stay)
+        return min(self.rules.recovery_time << doublings, self.rules.max_recovery_time)
 
     def _die(self, now: int, pulse: _Pulse) -> None:
-        if now - pulse.died >= self.rules.memory:
+        if now - pulse.died >= self.rules.flap_memory:
             pulse.deaths = 0
         pulse.alive = False
         pulse.deaths += 1
--- a/loadbalancer/core/assignment/model.py
+++ b/loadbalancer/core/assignment/model.py
@@ -17,7 +17,7 @@
 from loadbalancer.core.errors import ConfigurationError
 
 
-class ScaleError(ConfigurationError, ValueError):
+class InvalidInputError(ConfigurationError, ValueError):
     """An input that can't be used; the message names the place and the rule."""
 
 
@@ -70,12 +70,12 @@
     """One backend of a service, as the list service words it.
 
     `body` is the JSON object of one target (`uid`, `endpoint`, `az`, `state`, ...): it is passed
-    on as it is. `leaving` repeats what its state says, so that nobody has to parse it.
+    on as it is. `draining` repeats what its state says, so that nobody has to parse it.
     """
 
     uid: str
     body: str
-    leaving: bool = False
+    draining: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     rows: tuple[Row, ...] = ()  # new or changed
     removed: tuple[str, ...] = ()  # uids that have gone
     deleted: bool = False  # the service itself has gone
-    whole: bool = False  # `rows` is all there is: a service's first change at a holder is whole
+    complete: bool = False  # `rows` is all there is: a service's first change at a holder is whole
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/core/assignment/presence.py
+++ b/loadbalancer/core/assignment/presence.py
@@ -19,13 +19,13 @@
 class PresenceUpdate:
     """One machine's word on who is present at it.
 
-    Follows the sender's word of `serial` - 1, unless `whole`: then `came` is everybody.
+    Follows the sender's word of `serial` - 1, unless `complete`: then `joined` is everybody.
     """
 
     serial: int
-    whole: bool
-    came: tuple[str, ...]
-    left: tuple[str, ...] = ()
+    complete: bool
+    joined: tuple[str, ...]
+    departed: tuple[str, ...] = ()
 
 
 class Presence:
@@ -56,19 +56,19 @@
             self._came.discard(node)
             self._left.add(node)
 
-    def on_machine(self, now: int, machine: str) -> None:
+    def on_machine_heartbeat(self, now: int, machine: str) -> None:
         """Another machine was heard, whatever it said."""
         self._heard[machine] = now
 
     def on_update(self, now: int, machine: str, update: PresenceUpdate) -> bool:
         """Another machine's word; False where one before it is missing: a whole one is needed."""
         self._heard[machine] = now
-        if not update.whole and update.serial != self._serials.get(machine, -1) + 1:
+        if not update.complete and update.serial != self._serials.get(machine, -1) + 1:
             return False
         self._serials[machine] = update.serial
-        before = set() if update.whole else self._elsewhere.get(machine, set())
-        came = self._nodes.intersection(update.came)
-        self._elsewhere[machine] = (before | came).difference(update.left)
+        before = set() if update.complete else self._elsewhere.get(machine, set())
+        came = self._nodes.intersection(update.joined)
+        self._elsewhere[machine] = (before | came).difference(update.departed)
         return True
 
     def on_time(self, now: int) -> None:
@@ -78,7 +78,7 @@
                 self._serials.pop(machine, None)
                 self._elsewhere.pop(machine, None)
 
-    def update(self) -> PresenceUpdate:
+    def next_update(self) -> PresenceUpdate:
         """What is to be told to the machines that heard the last one."""
         self._serial += 1
         came, left = tuple(sorted(self._came)), tuple(sorted(self._left))
@@ -86,7 +86,7 @@
         self._left.clear()
         return PresenceUpdate(self._serial, False, came, left)
 
-    def whole(self) -> PresenceUpdate:
+    def complete_update(self) -> PresenceUpdate:
         """What is to be told to a machine that has just come up: all, as of the last word."""
         told = (self._here - self._came) | self._left
         return PresenceUpdate(self._serial, True, tuple(sorted(told)))
@@ -95,7 +95,7 @@
         """The nodes that ask anywhere."""
         return frozenset(self._here).union(*self._elsewhere.values())
 
-    def here(self) -> int:
+    def local_count(self) -> int:
         """How many nodes ask here."""
         return len(self._here)
 
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -14,7 +14,7 @@
 from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from loadbalancer.core.assignment.model import MachineSpec, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec
 from loadbalancer.core.balancing.model import MS, SECOND
 
 
@@ -22,15 +22,19 @@
 class ReleaseRules:
     """Nanoseconds, and the bound of one grant."""
 
-    lead_for: int = 5 * SECOND  # a leader has heard by then of all that its predecessors granted
-    grant_for: int = 1500 * MS  # from its arrival, a grant counts so long
-    pause: int = 200 * MS  # between two turns; after a longer one the machine was stopped
-    most_pairs: int = 65_536  # of node and service in one grant
+    leadership_delay: int = (
+        5 * SECOND
+    )  # a leader has heard by then of all that its predecessors granted
+    lease_duration: int = 1500 * MS  # from its arrival, a grant counts so long
+    max_pause: int = 200 * MS  # between two turns; after a longer one the machine was stopped
+    max_pairs: int = 65_536  # of node and service in one grant
 
     def __post_init__(self) -> None:
-        """Raises ScaleError unless all are positive."""
-        if min(self.lead_for, self.grant_for, self.pause, self.most_pairs) < 1:
-            raise ScaleError("release: lead_for, grant_for, pause and most_pairs must be over 0")
+        """Raises InvalidInputError unless all are positive."""
+        if min(self.leadership_delay, self.lease_duration, self.max_pause, self.max_pairs) < 1:
+            raise InvalidInputError(
+                "release: leadership_delay, lease_duration, max_pause and max_pairs must be over 0"
+            )
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +88,7 @@
         self._led_since = now
         self._held: dict[str, _Held] = {}  # by region
 
-    def on_turn(self, now: int, epoch: int | None) -> None:
+    def on_tick(self, now: int, epoch: int | None) -> None:
         """Time has passed; `epoch` is the one that this machine leads its region in, if it does."""
         paused = self._paused(now)
         if paused:
@@ -102,7 +106,7 @@
         """
         if self._epoch is None or self._paused(now):
             return None
-        if now - self._led_since < self.rules.lead_for:
+        if now - self._led_since < self.rules.leadership_delay:
             return None
         grant = ReleaseGrant(self._machine.region, self._epoch, self._releases(releasable))
         self._take(now, grant)
@@ -130,10 +134,12 @@
         """The grants that count now."""
         if self._paused(now):
             return []
-        return [held for held in self._held.values() if now - held.arrived < self.rules.grant_for]
+        return [
+            held for held in self._held.values() if now - held.arrived < self.rules.lease_duration
+        ]
 
     def _paused(self, now: int) -> bool:
-        return now - self._turned > self.rules.pause
+        return now - self._turned > self.rules.max_pause
 
     def _void(self) -> None:
         """What is held counts no more; the epochs still do."""
@@ -141,7 +147,7 @@
             self._held[region] = _Held(held.arrived, held.epoch, {})
 
     def _releases(self, releasable: Mapping[str, Collection[str]]) -> tuple[NodeRelease, ...]:
-        room = self.rules.most_pairs
+        room = self.rules.max_pairs
         releases: list[NodeRelease] = []
         for node in sorted(releasable):
             services = tuple(self._at_home(releasable[node])[:room])
@@ -159,10 +165,10 @@
             return "unknown machine"
         if self._regions[sender] != grant.region:
             return "other region"
-        if len(grant.releases) > self.rules.most_pairs:
+        if len(grant.releases) > self.rules.max_pairs:
             return "too many"
         services = [service for release in grant.releases for service in release.services]
-        if len(services) > self.rules.most_pairs:
+        if len(services) > self.rules.max_pairs:
             return "too many"
         if any(self._homes.get(service) != grant.region for service in services):
             return "other region"
--- a/loadbalancer/core/assignment/validation.py
+++ b/loadbalancer/core/assignment/validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from math import isfinite
 
-from loadbalancer.core.assignment.model import MachineSpec, NodeSpec, ScaleError, ServiceSpec
+from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec, NodeSpec, ServiceSpec
 
 MOST_NODES = 20_000
 MOST_SERVICES = 20_000
@@ -20,7 +20,8 @@
     """Refuse a table of nodes that no assignment can be made of.
 
     Raises:
-        ScaleError: a name twice or out of bounds, a zone in two regions, a size out of range.
+        InvalidInputError: a name twice or out of bounds, a zone in two regions, or a size out
+            of range.
     """
     _check_count("nodes", len(nodes), MOST_NODES)
     _check_names("node", (node.name for node in nodes))
@@ -35,7 +36,7 @@
     """Refuse a table of services that these nodes can't be assigned.
 
     Raises:
-        ScaleError: a name twice, a region or zone that no node is in, a size out of range.
+        InvalidInputError: a name twice, a region or zone that no node is in, a size out of range.
     """
     _check_count("services", len(services), MOST_SERVICES)
     _check_names("service", (service.name for service in services))
@@ -45,9 +46,9 @@
         place = f"service {service.name!r}"
         _check_known(place, "region", service.region, regions)
         if not service.zones:
-            raise ScaleError(f"{place}: zones names none, it must name at least one")
+            raise InvalidInputError(f"{place}: zones names none, it must name at least one")
         if len(set(service.zones)) != len(service.zones):
-            raise ScaleError(f"{place}: zones names one twice, each may be named once")
+            raise InvalidInputError(f"{place}: zones names one twice, each may be named once")
         for zone in service.zones:
             _check_known(place, "zone", zone, zones)
         _check_range(place, "rate", service.rate, 0, MOST_RATE)
@@ -58,7 +59,8 @@
     """Refuse a table of control machines that does not fit these nodes.
 
     Raises:
-        ScaleError: a name twice, a region or zone that no node is in, a zone of another region.
+        InvalidInputError: a name twice, a region or zone that no node is in, or a zone of
+            another region.
     """
     _check_count("machines", len(machines), MOST_MACHINES)
     _check_names("machine", (machine.name for machine in machines))
@@ -68,7 +70,7 @@
         _check_known(place, "region", machine.region, set(region_of.values()))
         _check_known(place, "zone", machine.zone, region_of)
         if region_of[machine.zone] != machine.region:
-            raise ScaleError(
+            raise InvalidInputError(
                 f"{place}: zone {machine.zone!r} is in region {region_of[machine.zone]!r}, "
                 f"not in {machine.region!r}"
             )
@@ -78,23 +80,25 @@
     """Refuse the name of a machine that the table does not have.
 
     Raises:
-        ScaleError: there is no such machine.
+        InvalidInputError: there is no such machine.
     """
     _check_known("control", "machine", name, {machine.name for machine in machines})
 
 
 def _check_count(what: str, count: int, most: int) -> None:
     if not 1 <= count <= most:
-        raise ScaleError(f"{what}: {count} of them, must be 1 to {most}")
+        raise InvalidInputError(f"{what}: {count} of them, must be 1 to {most}")
 
 
 def _check_names(kind: str, names: Iterable[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if not 0 < len(name) <= MOST_NAME:
-            raise ScaleError(f"{kind} {name[:40]!r}: a name must have 1 to {MOST_NAME} characters")
+            raise InvalidInputError(
+                f"{kind} {name[:40]!r}: a name must have 1 to {MOST_NAME} characters"
+            )
         if name in seen:
-            raise ScaleError(f"{kind} {name!r}: named twice, a name must be unique")
+            raise InvalidInputError(f"{kind} {name!r}: named twice, a name must be unique")
         seen.add(name)
 
 
@@ -103,10 +107,10 @@
     for node in nodes:
         place = f"{kind} {node.name!r}"
         if not node.region or not node.zone:
-            raise ScaleError(f"{place}: region and zone must both be named")
+            raise InvalidInputError(f"{place}: region and zone must both be named")
         region = region_of.setdefault(node.zone, node.region)
         if region != node.region:
-            raise ScaleError(
+            raise InvalidInputError(
                 f"{place}: zone {node.zone!r} is in region {region!r} by another, "
                 f"it can't be in {node.region!r} too"
             )
@@ -114,10 +118,10 @@
 
 def _check_range(place: str, what: str, value: float, least: float, most: float) -> None:
     if not (isfinite(value) and least <= value <= most):
-        raise ScaleError(f"{place}: {what} is {value}, must be {least} to {most:.0f}")
+        raise InvalidInputError(f"{place}: {what} is {value}, must be {least} to {most:.0f}")
 
 
 def _check_known(place: str, what: str, name: str, known: set[str] | Mapping[str, object]) -> None:
     if name not in known:
         some = ", ".join(sorted(known)[:6])
-        raise ScaleError(f"{place}: unknown {what} {name!r}, must be one of {some}")
+        raise InvalidInputError(f"{place}: unknown {what} {name!r}, must be one of {some}")
--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -17,9 +17,9 @@
     START,
     Change,
     Delta,
+    InvalidInputError,
     Position,
     Row,
-    ScaleError,
     Snapshot,
 )
 
@@ -49,7 +49,7 @@
     """The rows of a service after a change; the given ones stay as they are."""
     if change.deleted:
         return {}
-    merged = {} if change.whole else dict(rows)
+    merged = {} if change.complete else dict(rows)
     for uid in change.removed:
         merged.pop(uid, None)
     for row in change.rows:
@@ -86,10 +86,10 @@
     def __init__(self, region: str, most_changes: int, most_bytes: int) -> None:
         """At most `most_changes` changes of `most_bytes` bytes together are kept as a log.
 
-        Raises ScaleError where a bound is not positive.
+        Raises InvalidInputError where a bound is not positive.
         """
         if most_changes < 1 or most_bytes < 1:
-            raise ScaleError(f"change log of {region}: bounds must be at least 1")
+            raise InvalidInputError(f"change log of {region}: bounds must be at least 1")
         self.region = region
         self._most_changes = most_changes
         self._most_bytes = most_bytes
@@ -118,11 +118,11 @@
     def append(self, change: Change) -> None:
         """Take the next accepted change. One with no service moves the position alone.
 
-        Raises ScaleError unless it follows the log's position directly.
+        Raises InvalidInputError unless it follows the log's position directly.
         """
         epoch, revision = change.position
         if revision != self.position.revision + 1 or epoch < max(self.position.epoch, 1):
-            raise ScaleError(
+            raise InvalidInputError(
                 f"change log of {self.region}: {change.position} does not follow {self.position}"
             )
         if not self._epochs or epoch > self._epochs[-1].epoch:
@@ -172,10 +172,10 @@
     def restore(self, image: LogImage) -> None:
         """Take over another machine's image, in place of all that is here.
 
-        Raises ScaleError where the image is older than the log.
+        Raises InvalidInputError where the image is older than the log.
         """
         if image.position < self.position:
-            raise ScaleError(
+            raise InvalidInputError(
                 f"change log of {self.region}: an image of {image.position}"
                 f" is older than {self.position}"
             )
@@ -246,8 +246,8 @@
     def _whole(self, service: str) -> Change:
         rows = self._rows.get(service)
         if rows is None:
-            return Change(self.position, service, deleted=True, whole=True)
-        return Change(self.position, service, tuple(rows.values()), whole=True)
+            return Change(self.position, service, deleted=True, complete=True)
+        return Change(self.position, service, tuple(rows.values()), complete=True)
 
     def snapshot(self, services: Iterable[str]) -> Snapshot:
         """These services whole. One that the region does not know is left out."""
--- a/loadbalancer/core/replicated_log/entries.py
+++ b/loadbalancer/core/replicated_log/entries.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from loadbalancer.core.assignment.model import Change, Position, Row, ScaleError
+from loadbalancer.core.assignment.model import Change, InvalidInputError, Position, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog, LogImage, change_size
 
 
@@ -106,11 +106,13 @@
     def take(self, previous: Position, entries: Sequence[Change]) -> bool:
         """A leader's entries, which follow `previous`; False where that is not in this log.
 
-        Raises ScaleError where they do not follow each other.
+        Raises InvalidInputError where they do not follow each other.
         """
         for revision, entry in enumerate(entries, previous.revision + 1):
             if entry.position.revision != revision or entry.position.epoch < previous.epoch:
-                raise ScaleError(f"entries after {previous}: {entry.position} is out of order")
+                raise InvalidInputError(
+                    f"entries after {previous}: {entry.position} is out of order"
+                )
         if previous.revision >= self._base.revision:
             if self.position_at(previous.revision) != previous:
                 return False
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -175,9 +175,9 @@
             return
         begun = {entry.service for entry in self.entries.proposed}
         for service in sorted(begun - services.keys()):
-            self._append(Change(START, service, deleted=True, whole=True))
+            self._append(Change(START, service, deleted=True, complete=True))
         for service, rows in services.items():
-            self._append(Change(START, service, tuple(rows), whole=True))
+            self._append(Change(START, service, tuple(rows), complete=True))
         self._append(marker(START))
         self._advance()
         self._send_entries(now)
@@ -374,7 +374,12 @@
         position = Position(self.epoch, self.entries.last.revision + 1)
         self.entries.append(
             Change(
-                position, change.service, change.rows, change.removed, change.deleted, change.whole
+                position,
+                change.service,
+                change.rows,
+                change.removed,
+                change.deleted,
+                change.complete,
             )
         )
         return position
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -12,7 +12,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row, ScaleError
+from loadbalancer.core.assignment.model import (
+    START,
+    Change,
+    InvalidInputError,
+    MachineSpec,
+    Position,
+    Row,
+)
 from loadbalancer.core.replicated_log.change_log import ChangeLog, LogImage
 from loadbalancer.core.replicated_log.learner import Learner, Source
 from loadbalancer.core.replicated_log.messages import (
@@ -65,13 +72,13 @@
     ) -> None:
         """`logs` has one log a region, empty and written to here alone.
 
-        `seed` is to differ from one start to the next. Raises ScaleError where the machine is
-        not among `machines` or a region has no log.
+        `seed` is to differ from one start to the next. Raises InvalidInputError where the machine
+        is not among `machines` or a region has no log.
         """
         if machine not in machines:
-            raise ScaleError(f"replica: {machine.name} is not among the machines")
+            raise InvalidInputError(f"replica: {machine.name} is not among the machines")
         if missing := {spec.region for spec in machines} - logs.keys():
-            raise ScaleError(f"replica: no log for {', '.join(sorted(missing))}")
+            raise InvalidInputError(f"replica: no log for {', '.join(sorted(missing))}")
         self._timing = timing or Timing()
         self._region = machine.region
         self._logs = dict(logs)
@@ -139,10 +146,10 @@
 
         A leader's `Proposal` names the position; the change is accepted only when `committed`
         gives it. After a change of leader it may be lost and has to be proposed again. Raises
-        ScaleError where the service has no name.
+        InvalidInputError where the service has no name.
         """
         if not service:
-            raise ScaleError("proposed change: the service has no name")
+            raise InvalidInputError("proposed change: the service has no name")
         if self._home(service, region) != self._region:
             return Proposal(Outcome.WRONG_REGION, rule=ONE_WRITER)
         member = self._member
@@ -224,7 +231,7 @@
             return
         try:
             self._dispatch(now, sender, message)
-        except ScaleError:
+        except InvalidInputError:
             self._counts["unsound messages"] += 1
         self._collect(now)
 
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -8,7 +8,7 @@
 
 A service that moves away is held, followed and served until control has said that it may be
 released and no request of it is out. Where requests of it never pause, it takes no new ones once
-`linger` has gone by.
+`drain_timeout` has gone by.
 
 What clients ask for and nobody assigned costs a bounded table and a bounded rate of questions.
 
@@ -30,9 +30,9 @@
     START,
     Change,
     Delta,
+    InvalidInputError,
     Position,
     Row,
-    ScaleError,
     Snapshot,
     Update,
 )
@@ -49,34 +49,44 @@
     """Bounds of one node.
 
     Raises:
-        ScaleError: a figure is out of its range.
+        InvalidInputError: a figure is out of its range.
     """
 
-    services: int = 64  # held or about to be
-    bytes: int = 48 << 20  # of rows and what goes with them
-    unknown: int = 256  # names that clients asked for and that are remembered
-    asks: float = 4.0  # questions of unknown services a second
-    ask_again: int = 10 * SECOND  # until one name is asked for again
-    linger: int = 30 * SECOND  # from when a service may be released until it takes no new request
+    max_services: int = 64  # held or about to be
+    max_bytes: int = 48 << 20  # of rows and what goes with them
+    max_unknown_names: int = 256  # names that clients asked for and that are remembered
+    queries_per_s: float = 4.0  # questions of unknown services a second
+    query_interval: int = 10 * SECOND  # until one name is asked for again
+    drain_timeout: int = (
+        30 * SECOND
+    )  # from when a service may be released until it takes no new request
 
     def __post_init__(self) -> None:
-        if not 1 <= self.services <= 20_000:
-            raise ScaleError(f"limits: services is {self.services}, must be 1 to 20000")
-        if not 1 << 16 <= self.bytes <= 1 << 34:
-            raise ScaleError(f"limits: bytes is {self.bytes}, must be 65536 to 17179869184")
-        if not 1 <= self.unknown <= 100_000:
-            raise ScaleError(f"limits: unknown is {self.unknown}, must be 1 to 100000")
-        if not 0 < self.asks <= 1000:
-            raise ScaleError(f"limits: asks is {self.asks}, must be over 0, up to 1000")
-        if self.services * SERVICE_BYTES > self.bytes:
-            raise ScaleError(
-                f"limits: bytes is {self.bytes}, must be at least {SERVICE_BYTES} a service"
+        if not 1 <= self.max_services <= 20_000:
+            raise InvalidInputError(
+                f"limits: max_services is {self.max_services}, must be 1 to 20000"
             )
-        if self.ask_again < 0 or self.linger < 0:
-            raise ScaleError("limits: ask_again and linger must not be negative")
+        if not 1 << 16 <= self.max_bytes <= 1 << 34:
+            raise InvalidInputError(
+                f"limits: max_bytes is {self.max_bytes}, must be 65536 to 17179869184"
+            )
+        if not 1 <= self.max_unknown_names <= 100_000:
+            raise InvalidInputError(
+                f"limits: max_unknown_names is {self.max_unknown_names}, must be 1 to 100000"
+            )
+        if not 0 < self.queries_per_s <= 1000:
+            raise InvalidInputError(
+                f"limits: queries_per_s is {self.queries_per_s}, must be over 0, up to 1000"
+            )
+        if self.max_services * SERVICE_BYTES > self.max_bytes:
+            raise InvalidInputError(
+                f"limits: max_bytes is {self.max_bytes}, must be at least {SERVICE_BYTES} a service"
+            )
+        if self.query_interval < 0 or self.drain_timeout < 0:
+            raise InvalidInputError("limits: query_interval and drain_timeout must not be negative")
 
 
-class Kind(Enum):
+class UpdateStatus(Enum):
     """What came of an update."""
 
     APPLIED = "applied"
@@ -87,13 +97,13 @@
     MALFORMED = "its positions or its changes contradict themselves: ignored"
 
 
-class Taken(NamedTuple):
+class UpdateResult(NamedTuple):
     """What came of an update: the services whose rows changed, and those that don't fit.
 
     One may be both: it has lost what left, and takes nothing new.
     """
 
-    kind: Kind
+    status: UpdateStatus
     changed: tuple[str, ...] = ()
     refused: tuple[str, ...] = ()
 
@@ -107,8 +117,8 @@
     current: frozenset[str]  # those of which changes are enough: the others have to come whole
 
 
-class Ask(NamedTuple):
-    """Ask control for this service: a client wants it and it is not held."""
+class ServiceQuery(NamedTuple):
+    """ServiceQuery control for this service: a client wants it and it is not held."""
 
     service: str
 
@@ -140,7 +150,7 @@
     def __init__(self, name: str, regions: Iterable[str], limits: HolderLimits) -> None:
         self.name = name
         self.limits = limits
-        self.bytes_held = 0
+        self.retained_bytes = 0
         self._regions = {region: _Region() for region in regions}
         self._services: dict[str, _Held] = {}
         self._refused: dict[str, int] = {}  # services that don't fit, and what they would take
@@ -159,7 +169,8 @@
         something was released.
 
         Raises:
-            ScaleError: a region is unknown, or another than before; nothing has changed then.
+            InvalidInputError: a region is unknown, or another than before; nothing has changed
+                then.
         """
         self._check_wanted(wanted)
         for service, held in tuple(self._services.items()):
@@ -177,13 +188,13 @@
         self._settle(now)
         over = []
         for service in sorted(wanted.keys() - self._services.keys()):
-            full = self.bytes_held + SERVICE_BYTES > self.limits.bytes
-            if full or len(self._services) >= self.limits.services:
+            full = self.retained_bytes + SERVICE_BYTES > self.limits.max_bytes
+            if full or len(self._services) >= self.limits.max_services:
                 over.append(service)
                 continue
             self._services[service] = _Held(wanted[service])
             self._regions[wanted[service]].held.add(service)
-            self.bytes_held += SERVICE_BYTES
+            self.retained_bytes += SERVICE_BYTES
             self._asked.pop(service, None)
             self._dropped.pop(service, None)
         return tuple(over)
@@ -192,7 +203,7 @@
         """The services of a region that control is to send: all that are wanted or still held.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         return frozenset(self._region(region).held)
 
@@ -200,7 +211,7 @@
         """What to ask control for now.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         return Subscription(
             region, self.position(region), self.subscription(region), self.current(region)
@@ -210,7 +221,7 @@
         """Those of `subscription` of which changes are enough: the others have to come whole.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         return frozenset(
             service
@@ -222,7 +233,7 @@
         """Those of `subscription` that have to come whole.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         return self.subscription(region) - self.current(region)
 
@@ -234,21 +245,23 @@
             if held.rows is not None and not held.closed
         )
 
-    def on_update(self, now: int, update: Update, asked: Subscription | None = None) -> Taken:
-        """Take an update whole, or nothing of it; see `Kind`.
+    def on_update(
+        self, now: int, update: Update, asked: Subscription | None = None
+    ) -> UpdateResult:
+        """Take an update whole, or nothing of it; see `UpdateStatus`.
 
         `asked` is the subscription that it answers; None where nothing was held or dropped since
         that was made, as with one question at a time.
 
         Raises:
-            ScaleError: its region is unknown.
+            InvalidInputError: its region is unknown.
         """
         region = self._region(update.region)
         if isinstance(update, Snapshot):
             taken = self._on_snapshot(region, update)
         else:
             taken = self._on_delta(region, update, asked)
-        if taken.kind in (Kind.APPLIED, Kind.OVER_LIMIT, Kind.NOT_WANTED):
+        if taken.status in (UpdateStatus.APPLIED, UpdateStatus.OVER_LIMIT, UpdateStatus.NOT_WANTED):
             region.position = update.position
             region.heard = now
         self._settle(now)
@@ -258,7 +271,7 @@
         """Control says that its log is at this position: whether that is what is held.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         state = self._region(region)
         if position != state.position:
@@ -270,7 +283,7 @@
         """As of where a region's services are held.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         return self._region(region).position
 
@@ -283,7 +296,7 @@
         """Nanoseconds since control last said what is current, None before the first time.
 
         Raises:
-            ScaleError: the region is unknown.
+            InvalidInputError: the region is unknown.
         """
         heard = self._region(region).heard
         return None if heard is None else now - heard
@@ -309,28 +322,28 @@
         dropped, self._dropped = tuple(self._dropped), {}
         return dropped
 
-    def on_unknown(self, now: int, service: str) -> Ask | None:
+    def on_unknown(self, now: int, service: str) -> ServiceQuery | None:
         """A client asked for a service that is not held: whether to ask control for it."""
         if not 0 < len(service) <= MOST_NAME or service in self._services:
             return None
         if self._asks is None:
-            self._asks = Bucket(self.limits.asks, max(self.limits.asks, 1.0), now)
+            self._asks = Bucket(self.limits.queries_per_s, max(self.limits.queries_per_s, 1.0), now)
         asked = self._asked.get(service)
-        if asked is not None and now - asked < self.limits.ask_again:
+        if asked is not None and now - asked < self.limits.query_interval:
             return None
         if not self._asks.take(now):
             return None
         self._asked[service] = now
         self._asked.move_to_end(service)
-        if len(self._asked) > self.limits.unknown:
+        if len(self._asked) > self.limits.max_unknown_names:
             self._asked.popitem(last=False)
-        return Ask(service)
+        return ServiceQuery(service)
 
     def _region(self, name: str) -> _Region:
         region = self._regions.get(name)
         if region is None:
             known = ", ".join(sorted(self._regions))
-            raise ScaleError(f"update: unknown region {name!r}, must be one of {known}")
+            raise InvalidInputError(f"update: unknown region {name!r}, must be one of {known}")
         return region
 
     def _check_wanted(self, wanted: Mapping[str, str]) -> None:
@@ -338,13 +351,13 @@
             self._region(region)
             held = self._services.get(service)
             if held is not None and held.region != region:
-                raise ScaleError(
+                raise InvalidInputError(
                     f"wanted: service {service!r} is of region {held.region!r}, not {region!r}"
                 )
 
-    def _on_snapshot(self, region: _Region, snapshot: Snapshot) -> Taken:
+    def _on_snapshot(self, region: _Region, snapshot: Snapshot) -> UpdateResult:
         if snapshot.position < region.position:
-            return Taken(Kind.OLDER)
+            return UpdateResult(UpdateStatus.OLDER)
         mine = []
         for service in sorted(region.held):
             rows = snapshot.services.get(service)
@@ -352,18 +365,18 @@
                 self._services[service].current = False
             else:
                 all_rows = tuple(rows.values())
-                mine.append(Change(snapshot.position, service, all_rows, whole=True))
+                mine.append(Change(snapshot.position, service, all_rows, complete=True))
         return self._apply_all(mine, bool(snapshot.services))
 
-    def _on_delta(self, region: _Region, delta: Delta, asked: Subscription | None) -> Taken:
+    def _on_delta(self, region: _Region, delta: Delta, asked: Subscription | None) -> UpdateResult:
         if delta.base != region.position:
             newer = delta.position > region.position
-            return Taken(Kind.GAP if newer else Kind.OLDER)
+            return UpdateResult(UpdateStatus.GAP if newer else UpdateStatus.OLDER)
         if not _sound(delta):
-            return Taken(Kind.MALFORMED)
+            return UpdateResult(UpdateStatus.MALFORMED)
         mine = [change for change in delta.changes if change.service in region.held]
         if not self._complete(mine):
-            return Taken(Kind.GAP)
+            return UpdateResult(UpdateStatus.GAP)
         if asked is not None and delta.position > delta.base:
             for service in region.held - asked.current:
                 self._services[service].current = False
@@ -373,7 +386,7 @@
         """Whether each service's changes go on from what is held of it."""
         whole: set[str] = set()
         for change in changes:
-            if change.whole or change.deleted:
+            if change.complete or change.deleted:
                 whole.add(change.service)
             elif change.service not in whole and change.service not in self._refused:
                 held = self._services[change.service]
@@ -381,7 +394,7 @@
                     return False
         return True
 
-    def _apply_all(self, changes: Iterable[Change], any_named: bool) -> Taken:
+    def _apply_all(self, changes: Iterable[Change], any_named: bool) -> UpdateResult:
         changed: dict[str, None] = {}
         refused: dict[str, None] = {}
         for change in changes:
@@ -393,20 +406,23 @@
             if fits or len(before or ()) != len(self._services[service].rows or ()):
                 changed[service] = None
         if refused:
-            return Taken(Kind.OVER_LIMIT, tuple(changed), tuple(refused))
+            return UpdateResult(UpdateStatus.OVER_LIMIT, tuple(changed), tuple(refused))
         if any_named and not changed:
-            return Taken(Kind.NOT_WANTED)
-        return Taken(Kind.APPLIED, tuple(changed))
+            return UpdateResult(UpdateStatus.NOT_WANTED)
+        return UpdateResult(UpdateStatus.APPLIED, tuple(changed))
 
     def _apply(self, change: Change) -> bool:
         """Take a change of a service that is held; False where it does not fit."""
         service = change.service
         held = self._services[service]
-        fits = change.whole or change.deleted or service not in self._refused
+        fits = change.complete or change.deleted or service not in self._refused
         if fits:
             rows = _changed(held.rows, change)
             size = SERVICE_BYTES + _size(rows)
-            fits = size <= held.bytes or self.bytes_held - held.bytes + size <= self.limits.bytes
+            fits = (
+                size <= held.bytes
+                or self.retained_bytes - held.bytes + size <= self.limits.max_bytes
+            )
             if fits:
                 self._refused.pop(service, None)
                 self._replace(held, rows)
@@ -418,7 +434,7 @@
 
     def _replace(self, held: _Held, rows: dict[str, Row] | None) -> None:
         size = SERVICE_BYTES + _size(rows)
-        self.bytes_held += size - held.bytes
+        self.retained_bytes += size - held.bytes
         held.rows, held.bytes, held.current = rows, size, True
 
     def _settle(self, now: int) -> None:
@@ -426,10 +442,10 @@
         for service, held in tuple(self._services.items()):
             since = held.releasable_since
             if since is not None:
-                held.closed = held.closed or now - since >= self.limits.linger
+                held.closed = held.closed or now - since >= self.limits.drain_timeout
                 self._drop_if_idle(service, held)
         for service, size in tuple(self._refused.items()):
-            if self.bytes_held - self._services[service].bytes + size <= self.limits.bytes:
+            if self.retained_bytes - self._services[service].bytes + size <= self.limits.max_bytes:
                 del self._refused[service]
 
     def _drop_if_idle(self, service: str, held: _Held) -> None:
@@ -440,7 +456,7 @@
         held = self._services.pop(service)
         self._regions[held.region].held.discard(service)
         self._refused.pop(service, None)
-        self.bytes_held -= held.bytes
+        self.retained_bytes -= held.bytes
         self._dropped[service] = None
 
 
@@ -453,7 +469,7 @@
     if not _follows(delta.position, delta.base):
         return False
     return all(
-        change.position <= delta.position and (change.whole or change.position > delta.base)
+        change.position <= delta.position and (change.complete or change.position > delta.base)
         for change in delta.changes
     )
 
@@ -461,7 +477,7 @@
 def _changed(before: Mapping[str, Row] | None, change: Change) -> dict[str, Row] | None:
     if change.deleted:
         return None
-    rows = {} if change.whole or before is None else dict(before)
+    rows = {} if change.complete or before is None else dict(before)
     for uid in change.removed:
         rows.pop(uid, None)
     rows.update((row.uid, row) for row in change.rows)
@@ -473,8 +489,8 @@
     if before is None:
         return None
     named = {row.uid: row for row in change.rows}
-    gone = set(change.removed) | {uid for uid, row in named.items() if row.leaving}
-    if change.whole:
+    gone = set(change.removed) | {uid for uid, row in named.items() if row.draining}
+    if change.complete:
         gone |= before.keys() - named.keys()
     return {uid: row for uid, row in before.items() if uid not in gone}
 
--- a/loadbalancer/core/subscription/pacing.py
+++ b/loadbalancer/core/subscription/pacing.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.assignment.model import ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
 
 KEPT = 30 * SECOND  # a place that is not taken up is kept so long
@@ -19,9 +19,9 @@
     """Places in time for snapshots, `rate` bytes a second after `burst` bytes."""
 
     def __init__(self, rate: int, burst: int) -> None:
-        """Raises ScaleError unless both are positive."""
+        """Raises InvalidInputError unless both are positive."""
         if rate < 1 or burst < 1:
-            raise ScaleError("snapshot pace: rate and burst must be at least 1 byte")
+            raise InvalidInputError("snapshot pace: rate and burst must be at least 1 byte")
         self._rate = rate
         self._burst = burst * SECOND // rate  # nanoseconds
         self._free = 0  # when the bytes given out so far have been paid for
--- a/loadbalancer/core/subscription/placement.py
+++ b/loadbalancer/core/subscription/placement.py
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 from math import ceil
 
-from loadbalancer.core.assignment.model import MachineSpec, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec
 
 LOAD_BOUND = 1.25  # times the average that one machine may have
 _KEPT = 64  # deals for sets of living machines that are kept
@@ -28,9 +28,13 @@
     """The deal of the registered nodes to control machines."""
 
     def __init__(self, nodes: Mapping[str, str], machines: Sequence[MachineSpec]) -> None:
-        """`nodes` gives each registered node's region. Raises ScaleError without a machine."""
+        """`nodes` gives each registered node's region.
+
+        Raises:
+            InvalidInputError: there is no machine.
+        """
         if not machines:
-            raise ScaleError("placement: there is no control machine")
+            raise InvalidInputError("placement: there is no control machine")
         self._machines = {machine.name: machine.region for machine in machines}
         self._ranks = {node: self._ranked(node, region) for node, region in nodes.items()}
         self._order = sorted(self._ranks, key=lambda node: _score(node, ""))
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -35,12 +35,12 @@
 
     UNKNOWN_NODE = "unknown node"
     UNKNOWN_REGION = "unknown region"
-    NONSENSE_POSITION = "nonsense position"
+    INVALID_POSITION = "nonsense position"
     TOO_MANY_SERVICES = "too many services"
 
 
 @dataclass(frozen=True, slots=True)
-class Now:
+class SendUpdate:
     """An update to take now, of about `size` bytes."""
 
     update: Update
@@ -58,17 +58,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class Redirect:
     """Another machine is to be asked."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Later:
-    """To be asked again after `pause` nanoseconds, when the snapshot's turn has come."""
+class RetryAfter:
+    """To be asked again after `delay` nanoseconds, when the snapshot's turn has come."""
 
-    pause: int
+    delay: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,19 +78,19 @@
     reason: Refusal
 
 
-Answer = Now | Wait | Elsewhere | Later | Refused
+Answer = SendUpdate | Wait | Redirect | RetryAfter | Refused
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class PublisherLimits:
     """What one machine's subscribers may cost it."""
 
     snapshot_rate: int = 2_000_000  # bytes a second for whole services and snapshots
     snapshot_burst: int = 2_000_000  # bytes that may go at once after a quiet time
-    small: int = 16 * 1024  # bytes of newly assigned services that go with changes, unpaced
-    most_services: int = 1024  # that one subscription may name
-    most_epochs_ahead: int = 1_000_000  # a position further ahead of the log is nonsense
-    most_revision: int = 1 << 40
+    unpaced_bytes: int = 16 * 1024  # bytes of newly assigned services that go with changes, unpaced
+    max_services: int = 1024  # that one subscription may name
+    max_epochs_ahead: int = 1_000_000  # a position further ahead of the log is nonsense
+    max_revision: int = 1 << 40
 
 
 @dataclass(slots=True)
@@ -114,7 +114,7 @@
         machine: MachineSpec,
         machines: Sequence[MachineSpec],
         logs: Mapping[str, ChangeLog],
-        limits: Limits,
+        limits: PublisherLimits,
     ) -> None:
         """`logs` has one log a region; they are read here and written to by replication."""
         self.counts: Counter[str] = Counter()
@@ -176,13 +176,13 @@
             return Refused(refusal)
         belongs = self._placement.machine_for(node, self._living)
         if belongs is not None and belongs != self._name and not redirected:
-            return Elsewhere(belongs)
+            return Redirect(belongs)
         log = self._logs[region]
         if position > log.position or position.revision > log.position.revision:
             return self._behind(node, redirected)
         if log.position == START:
             self.counts["not ready"] += 1
-            return Later(NOT_READY)
+            return RetryAfter(NOT_READY)
         subscriber = self._subscriber(node, region, services)
         if held is None:
             held = subscriber.sent if subscriber.position == position else frozenset()
@@ -198,16 +198,16 @@
         log = self._logs.get(region)
         if log is None:
             return Refusal.UNKNOWN_REGION
-        if len(services) > self._limits.most_services:
+        if len(services) > self._limits.max_services:
             return Refusal.TOO_MANY_SERVICES
         ahead = position.epoch - log.position.epoch
         if (
             min(position) < 0
             or (position.epoch == 0) != (position.revision == 0)
-            or ahead > self._limits.most_epochs_ahead
-            or position.revision > self._limits.most_revision
+            or ahead > self._limits.max_epochs_ahead
+            or position.revision > self._limits.max_revision
         ):
-            return Refusal.NONSENSE_POSITION
+            return Refusal.INVALID_POSITION
         return None
 
     def _behind(self, node: str, redirected: bool) -> Answer:
@@ -217,14 +217,14 @@
         """
         self.counts["behind a subscriber"] += 1
         others = self._placement.others(node, self._living - {self._name})
-        return Elsewhere(others[0]) if others and not redirected else Later(NOT_READY)
+        return Redirect(others[0]) if others and not redirected else RetryAfter(NOT_READY)
 
     def _snapshot(self, now: int, key: _Key, log: ChangeLog, subscriber: _Subscriber) -> Answer:
         size = log.size(subscriber.services)
         wait = self._pacer.wait(now, key, size)
         if wait:
             self.counts["snapshots put off"] += 1
-            return Later(wait)
+            return RetryAfter(wait)
         self.counts["snapshots"] += 1
         return self._sent(subscriber, log.snapshot(subscriber.services), size, subscriber.services)
 
@@ -262,19 +262,19 @@
 
     def _whole_wait(self, now: int, key: _Key, size: int) -> int:
         """How long until services may go whole: a few go at once, but count."""
-        if size <= self._limits.small:
+        if size <= self._limits.unpaced_bytes:
             self._pacer.spend(now, size)
             return 0
         return self._pacer.wait(now, key, size)
 
     def _sent(
         self, subscriber: _Subscriber, update: Update, size: int, sent: frozenset[str]
-    ) -> Now:
+    ) -> SendUpdate:
         subscriber.waiting = False
         subscriber.position = update.position
         subscriber.sent = sent
         self.counts["bytes"] += size
-        return Now(update, size)
+        return SendUpdate(update, size)
 
     # ---- who waits for what -----------------------------------------------
 
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -22,7 +22,7 @@
 from loadbalancer.core.assignment.model import Change
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.holder import Holder, Kind, Taken
+from loadbalancer.core.subscription.holder import Holder, UpdateResult, UpdateStatus
 from simulation.control_world import REGIONS, World
 from simulation.digest import Digest
 from simulation.seeds import run
@@ -43,24 +43,24 @@
     value: Callable[..., Any]
 
 
-def _older_taken(self: Any, region: Any, snapshot: Any) -> Taken:
+def _older_taken(self: Any, region: Any, snapshot: Any) -> UpdateResult:
     """A snapshot is taken whatever its position."""
     rows = {name: snapshot.services.get(name) for name in sorted(region.held)}
     changes = [
-        Change(snapshot.position, name, tuple(held.values()), whole=True)
+        Change(snapshot.position, name, tuple(held.values()), complete=True)
         for name, held in rows.items()
         if held is not None
     ]
-    taken: Taken = self._apply_all(changes, True)
+    taken: UpdateResult = self._apply_all(changes, True)
     return taken
 
 
-def _gap_ignored(self: Any, region: Any, delta: Any, asked: Any) -> Taken:
+def _gap_ignored(self: Any, region: Any, delta: Any, asked: Any) -> UpdateResult:
     """A delta is taken whatever it follows."""
     if delta.position < region.position:
-        return Taken(Kind.OLDER)
+        return UpdateResult(UpdateStatus.OLDER)
     mine = [change for change in delta.changes if change.service in region.held]
-    taken: Taken = self._apply_all(mine, True)
+    taken: UpdateResult = self._apply_all(mine, True)
     return taken
 
 
--- a/simulation/control_invariants.py
+++ b/simulation/control_invariants.py
@@ -16,7 +16,7 @@
 from loadbalancer.core.assignment.model import START, Change, Delta, Position, Row, Update
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.holder import Holder, Kind
+from loadbalancer.core.subscription.holder import Holder, UpdateStatus
 
 UNKNOWN_DEATH = 8 * SECOND  # until control knows that a node is dead
 GRACE = SECOND  # from when a drain is told until nothing is sent to the backend
@@ -139,7 +139,7 @@
             return
         chain = next((c for c in reversed(book.chains) if c.followed_by(position)), None)
         if chain is None:
-            if not change.whole:
+            if not change.complete:
                 self._breach(f"{machine}: {position} follows nothing that was accepted")
             chain = _Chain()
             book.chains.append(chain)
@@ -161,7 +161,7 @@
             rows = None if change.deleted else {row.uid: row for row in change.rows}
             loaded = any(load.get(change.service) == rows for load in book.loaded)
             kept = len(book.chains) > 1 and rows == self._before(book, change.service)
-            if not (loaded or kept) or not change.whole:
+            if not (loaded or kept) or not change.complete:
                 self._breach(f"{change.position} was neither proposed nor loaded")
         chain.services[change.service].add(change.position.revision, rows)
         if rows is None:
@@ -186,16 +186,16 @@
 
     # ---- what nodes hold ------------------------------------------------------
 
-    def on_update(self, node: NodeLife, holder: Holder, update: Update, kind: Kind) -> None:
+    def on_update(self, node: NodeLife, holder: Holder, update: Update, kind: UpdateStatus) -> None:
         """Note the drains that a node was told."""
-        if kind not in (Kind.APPLIED, Kind.OVER_LIMIT):
+        if kind not in (UpdateStatus.APPLIED, UpdateStatus.OVER_LIMIT):
             return
         if isinstance(update, Delta):
             rows = [(change.service, row) for change in update.changes for row in change.rows]
         else:
             rows = [(name, row) for name, held in update.services.items() for row in held.values()]
         for service, row in rows:
-            if not row.leaving:
+            if not row.draining:
                 self._drains.pop((node, service, row.uid), None)  # it came back, by its own word
             elif holder.rows(service) is not None:
                 drained = Drained(holder, update.position, self._clock())
@@ -243,7 +243,7 @@
             row = (drained.holder.rows(service) or {}).get(uid)
             if row is None:
                 del self._drains[node, service, uid]
-            elif not row.leaving and self._clock() - drained.at >= GRACE:
+            elif not row.draining and self._clock() - drained.at >= GRACE:
                 if not self._came_back(service, uid, drained):
                     self._breach(f"{node.name} uses {uid}, drained at {drained.position}")
                 del self._drains[node, service, uid]
@@ -260,6 +260,6 @@
             drained.position.revision < revision <= held.revision
             and rows is not None
             and uid in rows
-            and not rows[uid].leaving
+            and not rows[uid].draining
             for revision, rows in zip(history.revisions, history.rows, strict=True)
         )
--- a/simulation/control_world.py
+++ b/simulation/control_world.py
@@ -35,12 +35,12 @@
 from loadbalancer.core.subscription.holder import Holder, HolderLimits, Subscription
 from loadbalancer.core.subscription.publisher import (
     Answer,
-    Elsewhere,
-    Later,
-    Limits,
-    Now,
     Publisher,
+    PublisherLimits,
+    Redirect,
     Refused,
+    RetryAfter,
+    SendUpdate,
     Wait,
 )
 from simulation.control_invariants import NodeLife, Referee
@@ -70,8 +70,10 @@
     services_a_region: int = 6
     backends: int = 4
     most_changes: int = 40  # of a log, beside those that a load takes
-    limits: Limits = field(
-        default_factory=lambda: Limits(snapshot_rate=20_000, snapshot_burst=20_000, small=1_000)
+    limits: PublisherLimits = field(
+        default_factory=lambda: PublisherLimits(
+            snapshot_rate=20_000, snapshot_burst=20_000, unpaced_bytes=1_000
+        )
     )
     timing: Timing = field(default_factory=Timing)
     pace: int = 1  # how many times slower machines and nodes speak, in worlds of hours
@@ -143,7 +145,7 @@
         self.publisher = Publisher(self.spec, world.machine_specs, self.logs, size.limits)
         self.publisher.on_nodes({node.name: node.region for node in world.node_specs})
         names = [node.name for node in world.node_specs]
-        rules = LivenessRules(silence=3 * SECOND * size.pace, stay=5 * SECOND * size.pace)
+        rules = LivenessRules(timeout=3 * SECOND * size.pace, recovery_time=5 * SECOND * size.pace)
         self.liveness = Liveness(world.now, names, rules)
         self.handover = Handover(world.node_specs)
         self.handover.on_assignment(world.assigner.with_alive(self.liveness.alive))
@@ -151,7 +153,7 @@
         self.living = frozenset(spec.name for spec in world.machine_specs)
         self.held: dict[tuple[int, str], _Held] = {}
         self.pinged = 0
-        grant_rules = ReleaseRules(grant_for=GRANT_FOR * size.pace, pause=2 * world.tick)
+        grant_rules = ReleaseRules(lease_duration=GRANT_FOR * size.pace, max_pause=2 * world.tick)
         self.releases = ReleaseAuthority(
             world.now, self.spec, world.machine_specs, world.home, grant_rules
         )
@@ -172,7 +174,7 @@
 
     def on_report(self, node: str, serving: frozenset[str], generation: int) -> None:
         """A node lives and says what it serves."""
-        self.liveness.on_word(self.world.now, node)
+        self.liveness.on_heartbeat(self.world.now, node)
         self.handover.on_report(node, serving, generation)
 
     def on_question(self, question: Question) -> None:
@@ -188,7 +190,7 @@
         now = self.world.now
         self.replica.on_tick(now)
         leads = self.replica.role is Role.LEADER
-        self.releases.on_turn(now, self.replica.epoch if leads else None)
+        self.releases.on_tick(now, self.replica.epoch if leads else None)
         self._load()
         self.settle()
         self._turn_liveness()
@@ -222,7 +224,7 @@
             )
 
     def _turn_liveness(self) -> None:
-        turned = self.liveness.turn(self.world.now)
+        turned = self.liveness.advance(self.world.now)
         for node in turned.died:
             self.handover.on_dead(node)
         if turned.died or turned.returned:
@@ -302,7 +304,7 @@
             self.ask(region, False)
 
     def ask(self, region: str, redirected: bool) -> None:
-        """Ask this region's machine, and another if nothing comes."""
+        """ServiceQuery this region's machine, and another if nothing comes."""
         self.serial[region] += 1
         machine = self.machine[region]
         asked, told = self.holder.subscribe(region), self.told.get(machine)
@@ -341,21 +343,21 @@
             wanted = {name: world.home[name] for name in reply.told.wanted}
             self.holder.on_wanted(world.now, wanted, reply.told.releasable)
         answer = reply.answer
-        if isinstance(answer, Now):
+        if isinstance(answer, SendUpdate):
             taken = self.holder.on_update(world.now, answer.update, question.asked)
-            world.counts[taken.kind.name] += 1
+            world.counts[taken.status.name] += 1
             position = self.holder.position(question.region)
-            world.decided(self.name, question.region, position, taken.kind, taken.changed)
-            world.referee.on_update(self.name, self.holder, answer.update, taken.kind)
+            world.decided(self.name, question.region, position, taken.status, taken.changed)
+            world.referee.on_update(self.name, self.holder, answer.update, taken.status)
         world.referee.look_at(self.name, self.holder)
         if not current:
             return
-        if isinstance(answer, Elsewhere):
+        if isinstance(answer, Redirect):
             names = [spec.name for spec in world.machine_specs]
             self.machine[question.region] = names.index(answer.machine)
             self._again(question, SOON, True)
-        elif isinstance(answer, Later):
-            self._again(question, answer.pause)
+        elif isinstance(answer, RetryAfter):
+            self._again(question, answer.delay)
         elif isinstance(answer, Refused):
             world.breach(f"{self.spec.name} was refused: {answer.reason.value}")
             self._again(question, SECOND)
@@ -469,14 +471,14 @@
     Services of a snapshot come in the order of a set, which differs by process: sorted here.
     """
     answer: object = reply.answer
-    if isinstance(answer, Now):
+    if isinstance(answer, SendUpdate):
         update = answer.update
         if isinstance(update, Snapshot):
             rows = [(name, tuple(update.services[name].values())) for name in update.services]
             answer = update.region, update.position, sorted(rows), answer.size
         else:
             changes = [
-                (one.position, one.service, one.rows, one.removed, one.deleted, one.whole)
+                (one.position, one.service, one.rows, one.removed, one.deleted, one.complete)
                 for one in update.changes
             ]
             answer = update.region, update.base, update.position, changes, answer.size
@@ -522,7 +524,7 @@
         self.service_specs = specs
         self.home = {spec.name: spec.region for spec in specs}
         everywhere = frozenset(f"{region}-s0" for region in REGIONS if self.size.everywhere)
-        self.assigner = Assigner(self.node_specs, specs, AssignmentRules(everywhere=everywhere))
+        self.assigner = Assigner(self.node_specs, specs, AssignmentRules(on_every_node=everywhere))
         self.referee = Referee(
             self.home, lambda: self.now, self.breach, self.others_serving, self.asked_for
         )
@@ -709,7 +711,7 @@
         question = Question(
             node.index, node.life, 0, node.holder.subscribe(update.region), None, False
         )
-        self.reply(Reply(machine, question, Now(update, 0), Told(), 0))
+        self.reply(Reply(machine, question, SendUpdate(update, 0), Told(), 0))
 
     def differences(self) -> list[str]:
         """What is not everywhere as the sources say."""
@@ -723,7 +725,7 @@
                     found.append(f"{machine.spec.name} differs in {region}")
         assigned = self.assigner.with_alive([node.spec.name for node in self.nodes.values()])
         for node in self.nodes.values():
-            for service in assigned.held[node.spec.name]:
+            for service in assigned.services_by_node[node.spec.name]:
                 desired = self.sources[self.home[service]].desired.get(service)
                 if node.holder.rows(service) != desired:
                     found.append(f"{node.spec.name} differs in {service}")
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -22,7 +22,7 @@
 from loadbalancer.control.machine.version import MOST_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, Taken
+from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
 from tests.harness import ROOT, config, listen, served_by, started, target, until
 from tests.scalemachines import NAMES, Machines, three, write_file
 
@@ -44,7 +44,7 @@
     def __init__(self, region: Machines, name: str, first: str) -> None:
         self.region = region
         self.holder = Holder(name, ["east"], HolderLimits())
-        self.told: list[tuple[Update, Taken]] = []
+        self.told: list[tuple[Update, UpdateResult]] = []
         order = [first, *(other for other in NAMES if other != first)]
         machines = [region.address(one, "subscribers") for one in order]
         timing = AskTiming(hold=0.5, late=0.3, connect=0.3, retry=0.02, longest_retry=0.1)
@@ -85,7 +85,7 @@
         until(lambda: node.uids("pay") == {"p2", "p3"})
         update, taken = node.told[-1]
         assert isinstance(update, Delta) and taken.changed == ("pay",)
-        assert not update.changes[0].whole
+        assert not update.changes[0].complete
         positions = [update.position for update, _ in node.told]
         assert positions == sorted(positions)
         assert not node.subscriber.counts.events["gap"]
@@ -378,7 +378,7 @@
 
     for name in NAMES:
         releases = region.machines[name].releases
-        monkeypatch.setattr(releases, "rules", replace(releases.rules, lead_for=1))
+        monkeypatch.setattr(releases, "rules", replace(releases.rules, leadership_delay=1))
         view(name, *(("pay",) if name in others else ()))
     for _ in range(2):
         for name in NAMES:
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -18,9 +18,9 @@
 from loadbalancer.core.assignment.model import (
     Change,
     Delta,
+    InvalidInputError,
     Position,
     Row,
-    ScaleError,
     Snapshot,
     Update,
 )
@@ -45,8 +45,8 @@
         LATER,
         (
             Change(Position(3, 8), "cart", (row("a"), row("b", "leaving")), ("c",)),
-            Change(LATER, "pay", deleted=True, whole=True),
-            Change(LATER, "new", (row("d"),), whole=True),
+            Change(LATER, "pay", deleted=True, complete=True),
+            Change(LATER, "new", (row("d"),), complete=True),
         ),
     ),
     Snapshot("east", LATER, {"cart": {"a": row("a")}, "empty": {}}),
@@ -117,20 +117,20 @@
     here, there = Presence(["n1", "n2", "n3"]), Presence(["n1", "n2", "n3"])
     there.on_present("n1")
     there.on_present("nobody")
-    assert here.on_update(0, "b", there.whole()) and here.present() == set()
-    assert here.on_update(0, "b", there.update()) and here.present() == {"n1"}
+    assert here.on_update(0, "b", there.complete_update()) and here.present() == set()
+    assert here.on_update(0, "b", there.next_update()) and here.present() == {"n1"}
     there.on_absent("n1")
     there.on_present("n2")
-    missed = there.update()
+    missed = there.next_update()
     there.on_present("n3")
-    assert not here.on_update(0, "b", there.update()), "one before it is missing"
+    assert not here.on_update(0, "b", there.next_update()), "one before it is missing"
     assert here.present() == {"n1"}
-    assert here.on_update(0, "b", there.whole()) and here.present() == {"n2", "n3"}
-    assert missed.came == ("n2",) and missed.left == ("n1",)
+    assert here.on_update(0, "b", there.complete_update()) and here.present() == {"n2", "n3"}
+    assert missed.joined == ("n2",) and missed.departed == ("n1",)
     assert here.machines(SECOND) == {"b"}
     here.on_time(4 * SECOND)
     assert here.present() == set() and here.machines(4 * SECOND) == set()
-    assert not here.on_update(4 * SECOND, "b", there.update()), "all is forgotten: whole again"
+    assert not here.on_update(4 * SECOND, "b", there.next_update()), "all is forgotten: whole again"
 
 
 def test_losses_that_follow_one_another_move_services_once(tmp_path: Path) -> None:
@@ -144,9 +144,9 @@
             east.on_absent("n1")
         if second == 31:
             east.on_absent("n2")
-        nodes.presence.on_machine(second * SECOND, "east-c")
-        nodes.on_presence(second * SECOND, "east-b", east.update())
-        nodes.on_presence(second * SECOND, "east-b", east.whole())
+        nodes.presence.on_machine_heartbeat(second * SECOND, "east-c")
+        nodes.on_presence(second * SECOND, "east-b", east.next_update())
+        nodes.on_presence(second * SECOND, "east-b", east.complete_update())
         if nodes.on_time(second * SECOND):
             moved.append(second)
     assert moved == [42], "two seconds after the second loss was noticed"
@@ -163,8 +163,8 @@
     def turn(second: int, heard: tuple[str, ...] = ("east-b", "east-c")) -> None:
         for name, other in zip(("east-b", "east-c"), others, strict=True):
             if name in heard:
-                nodes.on_presence(second * SECOND, name, other.update())
-                nodes.on_presence(second * SECOND, name, other.whole())
+                nodes.on_presence(second * SECOND, name, other.next_update())
+                nodes.on_presence(second * SECOND, name, other.complete_update())
         nodes.on_time(second * SECOND)
 
     for second in range(1, 40):
@@ -190,11 +190,11 @@
 
     def turn(second: int) -> None:
         for name in ("east-b", "east-c"):
-            nodes.presence.on_machine(second * SECOND, name)
+            nodes.presence.on_machine_heartbeat(second * SECOND, name)
         nodes.on_time(second * SECOND)
 
     for name in ("east-b", "east-c"):
-        nodes.presence.on_machine(0, name)
+        nodes.presence.on_machine_heartbeat(0, name)
     nodes.on_asked(SECOND, "n1")
     turn(2)
     nodes.on_answered(2 * SECOND, "n1")
@@ -227,10 +227,10 @@
     good = {"service": "cart", "targets": [{"uid": "a", "state": "leaving"}]}
     path.write_text(json.dumps(good) + "\n" + json.dumps({"service": "far", "targets": []}) + "\n")
     found = read_backends(path, ["cart", "pay"])
-    assert [one.uid for one in found["cart"]] == ["a"] and found["cart"][0].leaving
+    assert [one.uid for one in found["cart"]] == ["a"] and found["cart"][0].draining
     assert found["pay"] == () and "far" not in found
     path.write_text(json.dumps(good) + "\n" + '{"service": "pay", "targets": [{}]}\n')
-    with pytest.raises(ScaleError, match=r"^backends.jsonl:2: \[bad-row\]"):
+    with pytest.raises(InvalidInputError, match=r"^backends.jsonl:2: \[bad-row\]"):
         read_backends(path, ["cart", "pay"])
-    with pytest.raises(ScaleError, match=r"\[unreadable\]"):
+    with pytest.raises(InvalidInputError, match=r"\[unreadable\]"):
         read_backends(tmp_path / "none", ["cart"])
--- a/tests/control/machine/test_version.py
+++ b/tests/control/machine/test_version.py
@@ -13,7 +13,7 @@
     position_of,
     version_of,
 )
-from loadbalancer.core.assignment.model import START, Position, ScaleError
+from loadbalancer.core.assignment.model import START, InvalidInputError, Position
 from loadbalancer.sources.http_get import whole_number
 
 POSITIONS = st.builds(
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("version", [-1, MOST_VERSION + 1])
 def test_a_version_out_of_range_is_refused(version: int) -> None:
-    with pytest.raises(ScaleError, match=r"^version: \[range\]"):
+    with pytest.raises(InvalidInputError, match=r"^version: \[range\]"):
         position_of(version)
 
 
@@ -46,5 +46,5 @@
     "position", [Position(MOST_EPOCH + 1, 0), Position(0, MOST_REVISION + 1), Position(-1, 0)]
 )
 def test_a_position_out_of_range_is_refused(position: Position) -> None:
-    with pytest.raises(ScaleError, match=r"^position: \[range\]"):
+    with pytest.raises(InvalidInputError, match=r"^position: \[range\]"):
         version_of(position)
--- a/tests/core/assignment/test_assignment.py
+++ b/tests/core/assignment/test_assignment.py
@@ -22,11 +22,11 @@
     Assigner,
     Assignment,
     AssignmentRules,
-    Rule,
-    Unmet,
+    Constraint,
+    UnmetConstraint,
     assign,
 )
-from loadbalancer.core.assignment.model import MachineSpec, NodeSpec, ScaleError, ServiceSpec
+from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec, NodeSpec, ServiceSpec
 from loadbalancer.core.assignment.substitutes import Substitutes, _OpenNodes
 from loadbalancer.core.assignment.validation import check_machine_known, check_machines
 
@@ -50,7 +50,11 @@
 
 
 def assert_consistent(assignment: Assignment) -> None:
-    held = {(node, service) for node, services in assignment.held.items() for service in services}
+    held = {
+        (node, service)
+        for node, services in assignment.services_by_node.items()
+        for service in services
+    }
     holders = {(node, service) for service, nodes in assignment.holders.items() for node in nodes}
     assert held == holders
     assert sum(map(len, assignment.holders.values())) == len(holders)
@@ -82,15 +86,17 @@
         holders = assignment.holders[spec.name]
         by_zone = Counter(zone_of[node] for node in holders)
         assert set(by_zone) == set(ZONES)
-        assert min(by_zone.values()) >= RULES.least_per_zone
+        assert min(by_zone.values()) >= RULES.min_per_zone
         for node in holders:
             load[node] += spec.rate / 3 / by_zone[zone_of[node]]  # any one of four zones lost
     assert max(load.values()) <= RULES.node_rate * (1 + 1e-9)
     slots = sum(map(len, assignment.holders.values()))
-    most = max(map(len, assignment.held.values()))
+    most = max(map(len, assignment.services_by_node.values()))
     assert most <= ceil(RULES.load_factor * slots / len(FULL_NODES))
     crowded = {name for name, nodes in assignment.holders.items() if len(nodes) > 12}
-    assert assignment.unmet == tuple(Unmet(name, "", Rule.CONNECTIONS) for name in sorted(crowded))
+    assert assignment.unmet == tuple(
+        UnmetConstraint(name, "", Constraint.CONNECTIONS) for name in sorted(crowded)
+    )
     assert 0 < len(crowded) < 100
 
 
@@ -100,10 +106,10 @@
     rack = frozenset(f"east-1-{number:04}" for number in range(40))
     after = full().with_alive(alive - rack)
     assert_consistent(after)
-    held = {service for node in rack for service in before.held[node]}
+    held = {service for node in rack for service in before.services_by_node[node]}
     assert moved(before, after) == held
-    assert moved_slots(before, after) == sum(len(before.held[node]) for node in rack)
-    assert not any(after.held[node] for node in rack)
+    assert moved_slots(before, after) == sum(len(before.services_by_node[node]) for node in rack)
+    assert not any(after.services_by_node[node] for node in rack)
     assert after.unmet == before.unmet  # each has a substitute in its zone
     assert full().with_alive(alive) == before
 
@@ -115,7 +121,7 @@
     assert_consistent(after)
     for name, holders in before.holders.items():
         assert after.holders[name] == tuple(node for node in holders if node not in lost)
-    assert sum(one.rule is Rule.LEAST for one in after.unmet) == len(FULL_SERVICES)
+    assert sum(one.constraint is Constraint.MINIMUM for one in after.unmet) == len(FULL_SERVICES)
     again = full().with_alive(names(FULL_NODES))
     assert again == before
     assert again.digest == before.digest
@@ -166,7 +172,7 @@
     assert after.digest == DIGEST_OF_1650_DEAD
     before = full_assignment()
     load: defaultdict[str, float] = defaultdict(float)
-    short: dict[str, Rule] = {}
+    short: dict[str, Constraint] = {}
     rates: dict[str, float] = {}
     for spec in FULL_SERVICES:
         assert [node for node in after.holders[spec.name] if not node.startswith("east-1")] == [
@@ -175,15 +181,15 @@
         wanted = sum(node.startswith("east-1") for node in before.holders[spec.name])
         living = [node for node in after.holders[spec.name] if node.startswith("east-1")]
         if len(living) < wanted:
-            few = len(living) < RULES.least_per_zone
-            short[spec.name] = Rule.LEAST if few else Rule.ROOM
+            few = len(living) < RULES.min_per_zone
+            short[spec.name] = Constraint.MINIMUM if few else Constraint.CAPACITY
         rates[spec.name] = spec.rate / 3 / wanted  # of a holder, once another zone is lost
         for node in living:
             load[node] += rates[spec.name]
-    stated = {(one.service, one.rule) for one in after.unmet if one.zone == "east-1"}
+    stated = {(one.service, one.constraint) for one in after.unmet if one.zone == "east-1"}
     assert stated == set(short.items())
     assert max(load.values()) <= RULES.node_rate * (1 + 1e-9)
-    assert max(map(len, after.held.values())) <= FULL_NODES[0].capacity
+    assert max(map(len, after.services_by_node.values())) <= FULL_NODES[0].capacity
     for service in short:  # no node that could take it was left out
         others = load.keys() - set(after.holders[service])
         free = RULES.node_rate - min(load[node] for node in others)
@@ -235,7 +241,7 @@
     slots = sum(map(len, before.holders.values()))
     node = NodeSpec("east-1-new", "east", "east-1", 64)
     after = assign([*nodes, node], names([*nodes, node]), services, RULES)
-    assert len(after.held["east-1-new"]) > 0
+    assert len(after.services_by_node["east-1-new"]) > 0
     assert moved_slots(before, after) < slots / 300
     service = replace(services[600], name="service-new")
     after = assign(nodes, names(nodes), [*services, service], RULES)
@@ -247,7 +253,7 @@
     services = make_services(240, 1000)  # 480 places a zone: 6 a node with the factor, exactly
     alive = names(nodes)
     before = assign(nodes, alive, services, RULES)
-    assert max(map(len, before.held.values())) == 6
+    assert max(map(len, before.services_by_node.values())) == 6
     after = assign(nodes, alive, [*services, replace(services[-1], name="new")], RULES)
     assert moved_slots(before, after) < 20  # of 1920
 
@@ -273,8 +279,8 @@
     with_it = small().with_alive(alive | {node})
     without = small().with_alive(alive)
     assert_consistent(without)
-    assert moved(with_it, without) <= set(with_it.held[node])
-    assert moved_slots(with_it, without) == len(with_it.held[node])
+    assert moved(with_it, without) <= set(with_it.services_by_node[node])
+    assert moved_slots(with_it, without) == len(with_it.services_by_node[node])
     again = Assigner(SMALL_NODES, SMALL_SERVICES, RULES).with_alive(alive | {node})
     assert again == with_it
 
@@ -292,7 +298,7 @@
     got = assign(nodes, alive, zones, RULES)
     assert got == expected
     assert list(got.holders) == list(expected.holders)
-    assert list(got.held) == list(expected.held)
+    assert list(got.services_by_node) == list(expected.services_by_node)
 
 
 DIGEST = "f7c424c62355d80d42f41210f56c4229"  # of the program below: other hashing gives another
@@ -319,7 +325,7 @@
 def test_the_digest_tells_assignments_apart() -> None:
     alive = names(SMALL_NODES)
     digests = {small().with_alive(alive - {node}).digest for node in alive}
-    held = {node for node in alive if small().with_alive(alive).held[node]}
+    held = {node for node in alive if small().with_alive(alive).services_by_node[node]}
     assert len(digests) == len(held) + (len(held) < len(alive))
 
 
@@ -331,7 +337,7 @@
         for spec in SMALL_SERVICES:
             for zone in set(ZONES) - {lost}:
                 holders = [node for node in after.holders[spec.name] if node.startswith(zone)]
-                assert len(holders) >= RULES.least_per_zone
+                assert len(holders) >= RULES.min_per_zone
                 for node in holders:
                     load[node] += spec.rate / 3 / len(holders)
         assert max(load.values()) <= RULES.node_rate
@@ -346,22 +352,22 @@
     assert {node[:6] for node in before.holders["only"]} == {"west-2"}
     assert {node[:6] for node in after.holders["only"]} == {"west-1"}
     assert len(after.holders["only"]) == len(before.holders["only"])
-    assert Unmet("only", "", Rule.ZONES) in after.unmet
+    assert UnmetConstraint("only", "", Constraint.ZONES) in after.unmet
     region = frozenset(node for node in alive if node.startswith("west"))
     far = assigner.with_alive(alive - region)
     assert {node[:6] for node in far.holders["only"]} == {"east-1", "east-2"}
     nobody = assigner.with_alive(())
     assert not any(nobody.holders.values())
-    assert sum(one.rule is Rule.NOBODY for one in nobody.unmet) == len(services)
+    assert sum(one.constraint is Constraint.NO_NODE for one in nobody.unmet) == len(services)
 
 
 def test_a_service_that_all_use_is_held_by_all_and_its_loss_moves_nothing_of_it() -> None:
-    rules = AssignmentRules(everywhere=frozenset({"service-0039"}))
+    rules = AssignmentRules(on_every_node=frozenset({"service-0039"}))
     assigner = Assigner(SMALL_NODES, SMALL_SERVICES, rules)
     alive = names(SMALL_NODES)
     before = assigner.with_alive(alive)
     assert set(before.holders["service-0039"]) == alive
-    assert Unmet("service-0039", "", Rule.CONNECTIONS) in before.unmet
+    assert UnmetConstraint("service-0039", "", Constraint.CONNECTIONS) in before.unmet
     after = assigner.with_alive(alive - {"east-2-0005"})
     assert set(after.holders["service-0039"]) == alive - {"east-2-0005"}
     assert after.unmet == before.unmet
@@ -371,13 +377,13 @@
     service = ServiceSpec("s", "east", ZONES, 10.0, 10)
     alive = names(SMALL_NODES)
     assert assign(SMALL_NODES, alive, [service], RULES).unmet == ()
-    strict = AssignmentRules(sharers={"s": 7})
+    strict = AssignmentRules(max_sharers_by_service={"s": 7})
     assert assign(SMALL_NODES, alive, [service], strict).unmet == (
-        Unmet("s", "", Rule.CONNECTIONS),
+        UnmetConstraint("s", "", Constraint.CONNECTIONS),
     )
     busy = replace(service, rate=3 * 4 * 200.0 + 1)  # 5 holders a zone
     assert len(assign(SMALL_NODES, alive, [busy], RULES).holders["s"]) == 20
-    many = AssignmentRules(sharers={"s": 20})
+    many = AssignmentRules(max_sharers_by_service={"s": 20})
     assert assign(SMALL_NODES, alive, [busy], many).unmet == ()
 
 
@@ -395,7 +401,7 @@
 def test_no_node_is_over_its_own_bounds_and_what_finds_no_room_is_stated(dead: set[str]) -> None:
     after = tight().with_alive(names(TIGHT_NODES) - dead)
     assert_consistent(after)
-    assert not any(after.held[node] for node in dead)
+    assert not any(after.services_by_node[node] for node in dead)
     zone_of = {node.name: node.zone for node in TIGHT_NODES}
     load: defaultdict[str, float] = defaultdict(float)
     short = set()
@@ -405,8 +411,10 @@
         for node in after.holders[spec.name]:
             load[node] += spec.rate / 3 / max(by_zone[zone_of[node]], 2)
     assert max(load.values(), default=0) <= RULES.node_rate * (1 + 1e-9)
-    assert max(map(len, after.held.values())) <= 5
-    stated = {(one.service, one.zone) for one in after.unmet if one.rule is Rule.LEAST}
+    assert max(map(len, after.services_by_node.values())) <= 5
+    stated = {
+        (one.service, one.zone) for one in after.unmet if one.constraint is Constraint.MINIMUM
+    }
     assert stated == short
 
 
@@ -415,7 +423,7 @@
     services = [ServiceSpec("big", "east", ZONES, 10_000.0, 100)]
     assignment = assign(nodes, names(nodes), services, RULES)
     assert set(assignment.holders["big"]) == names(nodes)
-    assert {one.rule for one in assignment.unmet} == {Rule.RATE, Rule.CONNECTIONS}
+    assert {one.constraint for one in assignment.unmet} == {Constraint.RATE, Constraint.CONNECTIONS}
 
 
 NODE = NodeSpec("n", "east", "east-1", 4)
@@ -477,13 +485,15 @@
 def test_tables_that_cannot_be_used_get_one_clear_line(
     nodes: list[NodeSpec], services: list[ServiceSpec], message: str
 ) -> None:
-    with pytest.raises(ScaleError) as caught:
+    with pytest.raises(InvalidInputError) as caught:
         Assigner(nodes, services, RULES)
     assert str(caught.value) == message
 
 
 def test_an_unknown_living_node_is_refused() -> None:
-    with pytest.raises(ScaleError, match="alive: unknown node 'x', must be a registered one"):
+    with pytest.raises(
+        InvalidInputError, match="alive: unknown node 'x', must be a registered one"
+    ):
         small().with_alive({"x"})
 
 
@@ -496,7 +506,7 @@
     ],
 )
 def test_machines_that_do_not_fit_are_refused(machine: MachineSpec, message: str) -> None:
-    with pytest.raises(ScaleError) as caught:
+    with pytest.raises(InvalidInputError) as caught:
         check_machines([machine], SMALL_NODES)
     assert str(caught.value).startswith(message)
 
@@ -504,9 +514,9 @@
 def test_machines_of_one_name_or_of_none_are_refused() -> None:
     machine = MachineSpec("m", "east", "east-1")
     check_machines([machine], SMALL_NODES)
-    with pytest.raises(ScaleError, match="machine 'm': named twice, a name must be unique"):
+    with pytest.raises(InvalidInputError, match="machine 'm': named twice, a name must be unique"):
         check_machines([machine, machine], SMALL_NODES)
-    with pytest.raises(ScaleError, match="unknown machine 'x', must be one of m"):
+    with pytest.raises(InvalidInputError, match="unknown machine 'x', must be one of m"):
         check_machine_known("x", [machine])
     check_machine_known("m", [machine])
 
@@ -514,14 +524,14 @@
 @pytest.mark.parametrize(
     ("rules", "message"),
     [
-        ({"least_per_zone": 0}, "least_per_zone is 0"),
-        ({"most_sharers": 0}, "most_sharers is 0"),
+        ({"min_per_zone": 0}, "least_per_zone is 0"),
+        ({"max_sharers": 0}, "most_sharers is 0"),
         ({"node_rate": 0.0}, "node_rate is 0.0"),
         ({"load_factor": 1.0}, "load_factor is 1.0"),
-        ({"largest_share": 0.0}, "largest_share is 0.0"),
-        ({"sharers": {"s": 0}}, "sharers of 's' is 0"),
+        ({"max_share": 0.0}, "largest_share is 0.0"),
+        ({"max_sharers_by_service": {"s": 0}}, "sharers of 's' is 0"),
     ],
 )
 def test_rules_out_of_range_are_refused(rules: dict[str, float], message: str) -> None:
-    with pytest.raises(ScaleError, match=f"rules: {message}, must be"):
+    with pytest.raises(InvalidInputError, match=f"rules: {message}, must be"):
         AssignmentRules(**rules)  # type: ignore[arg-type]
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.core.assignment.assignment import Assigner, Assignment, AssignmentRules
 from loadbalancer.core.assignment.handover import MOST_FORMER, Handover
-from loadbalancer.core.assignment.model import NodeSpec, ScaleError, ServiceSpec
+from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec, ServiceSpec
 
 ZONES = ("z1", "z2")
 NODES = [NodeSpec(f"{zone}-{n}", "r", zone, 64) for zone in ZONES for n in range(4)]
@@ -169,23 +169,23 @@
     without = ASSIGNER.with_alive(set(NAMES) - rack)
     handover = Handover(NODES)
     handover.on_assignment(everywhere)
-    for node, services in everywhere.held.items():
+    for node, services in everywhere.services_by_node.items():
         handover.on_report(node, services)
     for node in rack:
         handover.on_dead(node)
     handover.on_assignment(without)
-    for node, services in without.held.items():
+    for node, services in without.services_by_node.items():
         handover.on_report(node, services)
     handover.on_assignment(everywhere)
     substitutes = {
         (node, service)
-        for node, services in without.held.items()
-        for service in set(services) - set(everywhere.held[node])
+        for node, services in without.services_by_node.items()
+        for service in set(services) - set(everywhere.services_by_node[node])
     }
     assert substitutes
     assert all(service in handover.wanted(node) for node, service in substitutes)
     for node in rack:
-        handover.on_report(node, everywhere.held[node], handover.generation)
+        handover.on_report(node, everywhere.services_by_node[node], handover.generation)
     assert all(service in handover.releasable(node) for node, service in substitutes)
     assert handover.moving() == 0
 
@@ -200,9 +200,11 @@
 
 def test_an_unknown_node_is_refused() -> None:
     handover = Handover(NODES)
-    with pytest.raises(ScaleError, match="handover: unknown node 'x', must be a registered one"):
+    with pytest.raises(
+        InvalidInputError, match="handover: unknown node 'x', must be a registered one"
+    ):
         handover.on_serving("x", "s")
-    with pytest.raises(ScaleError, match="unknown node 'x'"):
+    with pytest.raises(InvalidInputError, match="unknown node 'x'"):
         handover.on_assignment(Assignment({"s": ("x",)}, {"x": ("s",)}, (), ""))
     assert handover.generation == 0
 
@@ -364,5 +366,5 @@
         run_step(world, step)
     world.settle()
     for name in set(NAMES) - world.dead:
-        assert world.nodes[name].loaded == set(world.assignment.held[name])
+        assert world.nodes[name].loaded == set(world.assignment.services_by_node[name])
     assert world.handover.moving() == 0
--- a/tests/core/assignment/test_liveness.py
+++ b/tests/core/assignment/test_liveness.py
@@ -5,11 +5,14 @@
 import pytest
 
 from loadbalancer.core.assignment.liveness import Liveness, LivenessChange, LivenessRules
-from loadbalancer.core.assignment.model import ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import MS, SECOND
 
 RULES = LivenessRules(
-    silence=3 * SECOND, stay=5 * SECOND, longest_stay=60 * SECOND, memory=600 * SECOND
+    timeout=3 * SECOND,
+    recovery_time=5 * SECOND,
+    max_recovery_time=60 * SECOND,
+    flap_memory=600 * SECOND,
 )
 STEP = 500 * MS
 NOTHING = LivenessChange((), ())
@@ -27,10 +30,10 @@
         start = self.now
         while self.now - start <= most:
             self.now += STEP
-            self.liveness.on_word(self.now, "other")
+            self.liveness.on_heartbeat(self.now, "other")
             if speaks:
-                self.liveness.on_word(self.now, "n")
-            change = self.liveness.turn(self.now)
+                self.liveness.on_heartbeat(self.now, "n")
+            change = self.liveness.advance(self.now)
             if change == wanted:
                 return self.now - start
             assert change == NOTHING
@@ -45,29 +48,29 @@
     def live(self, span: int) -> None:
         for _ in range(span // STEP):
             self.now += STEP
-            self.liveness.on_word(self.now, "other")
-            self.liveness.on_word(self.now, "n")
-            assert self.liveness.turn(self.now) == NOTHING
+            self.liveness.on_heartbeat(self.now, "other")
+            self.liveness.on_heartbeat(self.now, "n")
+            assert self.liveness.advance(self.now) == NOTHING
 
 
 def test_all_count_as_alive_at_first_and_die_of_silence() -> None:
     run = Run()
     assert run.liveness.alive == {"n", "other"}
-    assert run.die() == RULES.silence
+    assert run.die() == RULES.timeout
     assert run.liveness.alive == {"other"}
 
 
 def test_a_short_silence_is_no_death() -> None:
     liveness = Liveness(0, ["n"], RULES)
-    for now in range(0, 60 * SECOND, RULES.silence - 1):
-        assert liveness.turn(now) == NOTHING
-        liveness.on_word(now, "n")
+    for now in range(0, 60 * SECOND, RULES.timeout - 1):
+        assert liveness.advance(now) == NOTHING
+        liveness.on_heartbeat(now, "n")
 
 
 def test_one_is_back_only_after_it_has_stayed() -> None:
     run = Run()
     run.die()
-    assert run.come_back() == RULES.stay + STEP  # from its first word on
+    assert run.come_back() == RULES.recovery_time + STEP  # from its first word on
     assert run.liveness.alive == {"n", "other"}
 
 
@@ -75,10 +78,10 @@
     run = Run()
     run.die()
     run.live(4 * SECOND)
-    run.now += RULES.silence
-    run.liveness.on_word(run.now, "other")
-    assert run.liveness.turn(run.now) == NOTHING
-    assert run.come_back() == RULES.stay + STEP
+    run.now += RULES.timeout
+    run.liveness.on_heartbeat(run.now, "other")
+    assert run.liveness.advance(run.now) == NOTHING
+    assert run.come_back() == RULES.recovery_time + STEP
 
 
 def test_each_return_takes_longer_up_to_a_bound() -> None:
@@ -95,9 +98,9 @@
     for _ in range(4):
         run.die()
         run.come_back()
-    run.live(RULES.memory)
+    run.live(RULES.flap_memory)
     run.die()
-    assert run.come_back() == RULES.stay + STEP
+    assert run.come_back() == RULES.recovery_time + STEP
 
 
 def test_a_rack_that_goes_and_comes_at_once_is_one_change_each_way() -> None:
@@ -105,31 +108,34 @@
     liveness = Liveness(0, [*rack, "other"], RULES)
     changes = []
     for now in range(0, 40 * SECOND, STEP):
-        liveness.on_word(now, "other")
+        liveness.on_heartbeat(now, "other")
         if not 5 * SECOND <= now < 12 * SECOND:
             for node in rack:
-                liveness.on_word(now, node)
-        if (change := liveness.turn(now)) != NOTHING:
+                liveness.on_heartbeat(now, node)
+        if (change := liveness.advance(now)) != NOTHING:
             changes.append(change)
     assert changes == [LivenessChange(tuple(rack), ()), LivenessChange((), tuple(rack))]
 
 
 def test_the_words_of_strangers_count_for_nothing() -> None:
     liveness = Liveness(0, ["n"], RULES)
-    assert not liveness.on_word(1, "x")
-    assert liveness.on_word(1, "n")
+    assert not liveness.on_heartbeat(1, "x")
+    assert liveness.on_heartbeat(1, "n")
     assert liveness.alive == {"n"}
 
 
 @pytest.mark.parametrize(
     ("rules", "message"),
     [
-        ({"silence": 0}, "silence is 0, must be over 0"),
-        ({"stay": -1}, "stay must be 0 to longest_stay"),
-        ({"stay": 2, "longest_stay": 1}, "stay must be 0 to longest_stay"),
-        ({"memory": -1}, "memory is -1, must not be negative"),
+        ({"timeout": 0}, "timeout is 0, must be over 0"),
+        ({"recovery_time": -1}, "recovery_time must be 0 to max_recovery_time"),
+        (
+            {"recovery_time": 2, "max_recovery_time": 1},
+            "recovery_time must be 0 to max_recovery_time",
+        ),
+        ({"flap_memory": -1}, "flap_memory is -1, must not be negative"),
     ],
 )
 def test_rules_out_of_range_are_refused(rules: dict[str, int], message: str) -> None:
-    with pytest.raises(ScaleError, match=f"liveness: {message}"):
+    with pytest.raises(InvalidInputError, match=f"liveness: {message}"):
         LivenessRules(**rules)
--- a/tests/core/assignment/test_release.py
+++ b/tests/core/assignment/test_release.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.core.assignment.model import MachineSpec, ScaleError
+from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec
 from loadbalancer.core.assignment.release import (
     NodeRelease,
     ReleaseAuthority,
@@ -15,7 +15,9 @@
 
 MACHINES = [MachineSpec(f"{region}-{i}", region, "z") for region in ("east", "west") for i in "ab"]
 HOMES = {"pay": "east", "cart": "east", "far": "west"}
-RULES = ReleaseRules(lead_for=5 * SECOND, grant_for=2 * SECOND, pause=SECOND, most_pairs=3)
+RULES = ReleaseRules(
+    leadership_delay=5 * SECOND, lease_duration=2 * SECOND, max_pause=SECOND, max_pairs=3
+)
 GRANT = ReleaseGrant("east", 4, (NodeRelease("n1", ("pay",)),))
 
 
@@ -26,7 +28,7 @@
 def leading(since: int, until: int, epoch: int = 4) -> ReleaseAuthority:
     found = authority(since * SECOND)
     for second in range(since, until + 1):
-        found.on_turn(second * SECOND, epoch)
+        found.on_tick(second * SECOND, epoch)
     return found
 
 
@@ -40,25 +42,25 @@
 
 def test_who_does_not_lead_any_more_grants_nothing_and_begins_to_count_anew() -> None:
     machine = leading(0, 5)
-    machine.on_turn(6 * SECOND, None)
+    machine.on_tick(6 * SECOND, None)
     assert machine.grant(6 * SECOND, {"n1": {"pay"}}) is None
     for second in range(7, 12):
-        machine.on_turn(second * SECOND, 6)
+        machine.on_tick(second * SECOND, 6)
         assert machine.grant(second * SECOND, {"n1": {"pay"}}) is None
-    machine.on_turn(12 * SECOND, 6)
+    machine.on_tick(12 * SECOND, 6)
     assert machine.grant(12 * SECOND, {"n1": {"pay"}}) is not None
 
 
 def test_who_follows_grants_nothing_however_long() -> None:
     machine = authority()
     for second in range(60):
-        machine.on_turn(second * SECOND, None)
+        machine.on_tick(second * SECOND, None)
         assert machine.grant(second * SECOND, {"n1": {"pay"}}) is None
 
 
 def test_a_new_epoch_without_a_turn_between_counts_anew() -> None:
     machine = leading(0, 5)
-    machine.on_turn(6 * SECOND, 5)
+    machine.on_tick(6 * SECOND, 5)
     assert machine.grant(6 * SECOND, {"n1": {"pay"}}) is None
 
 
@@ -67,7 +69,7 @@
     assert machine.grant(0, {"n1": {"pay"}}) is None
     assert machine.releasable(0, "n1") == frozenset()
     assert machine.on_grant(0, "east-b", GRANT)
-    machine.on_turn(SECOND, None)
+    machine.on_tick(SECOND, None)
     assert machine.releasable(2 * SECOND - 1, "n1") == {"pay"}
     assert machine.all_releasable(2 * SECOND - 1) == {"n1": {"pay"}}
     assert machine.releasable(SECOND, "n2") == frozenset()
@@ -79,11 +81,11 @@
     machine = authority()
     machine.on_grant(0, "east-b", GRANT)
     assert machine.releasable(SECOND + 1, "n1") == frozenset()  # before its first turn
-    machine.on_turn(SECOND + 1, None)
+    machine.on_tick(SECOND + 1, None)
     assert machine.releasable(SECOND + 1, "n1") == frozenset()  # and after it
     leader = leading(0, 5)
     assert leader.grant(6 * SECOND + 1, {"n1": {"pay"}}) is None
-    leader.on_turn(6 * SECOND + 1, 4)
+    leader.on_tick(6 * SECOND + 1, 4)
     assert leader.grant(6 * SECOND + 1, {"n1": {"pay"}}) is None
 
 
@@ -91,7 +93,7 @@
     machine = authority()
     assert machine.on_grant(0, "east-b", ReleaseGrant("east", 5, ()))
     assert not machine.on_grant(0, "east-a", GRANT)
-    machine.on_turn(60 * SECOND, None)  # a pause, and the newer grant has long ended
+    machine.on_tick(60 * SECOND, None)  # a pause, and the newer grant has long ended
     assert not machine.on_grant(60 * SECOND, "east-a", GRANT)
     assert machine.releasable(60 * SECOND, "n1") == frozenset()
     assert machine.counts == {"older epoch": 2}
@@ -123,5 +125,5 @@
 
 
 def test_rules_that_can_not_be_kept_are_refused() -> None:
-    with pytest.raises(ScaleError, match="must be over 0"):
-        ReleaseRules(grant_for=0)
+    with pytest.raises(InvalidInputError, match="must be over 0"):
+        ReleaseRules(lease_duration=0)
--- a/tests/core/replicated_log/test_change_log.py
+++ b/tests/core/replicated_log/test_change_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.core.assignment.model import START, Change, Position, Row, ScaleError
+from loadbalancer.core.assignment.model import START, Change, InvalidInputError, Position, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog, applied, change_size
 
 
@@ -66,11 +66,11 @@
 def test_a_change_that_does_not_follow_is_refused() -> None:
     log = log_of(change(2, 1))
     for bad in (change(2, 1), change(2, 3), change(1, 2), Change(Position(0, 2), "a")):
-        with pytest.raises(ScaleError, match="does not follow"):
+        with pytest.raises(InvalidInputError, match="does not follow"):
             log.append(bad)
-    with pytest.raises(ScaleError, match="older"):
+    with pytest.raises(InvalidInputError, match="older"):
         log.restore(ChangeLog("east", 1, 1).image())
-    with pytest.raises(ScaleError, match="at least 1"):
+    with pytest.raises(InvalidInputError, match="at least 1"):
         ChangeLog("east", 0, 1)
 
 
--- a/tests/core/replicated_log/test_replication.py
+++ b/tests/core/replicated_log/test_replication.py
@@ -261,7 +261,7 @@
     log.append(Change(Position(1, 1), "old"))
     entries = Entries(log)
     entries.begin(Position(5, 1000))
-    loaded = tuple(Change(Position(5, 1000 + n), f"s{n}", whole=True) for n in (1, 2))
+    loaded = tuple(Change(Position(5, 1000 + n), f"s{n}", complete=True) for n in (1, 2))
     assert entries.take(Position(0, 1000), loaded)
     assert entries.accept(1002) == ([], False)
     assert list(log.services()) == ["old"] and log.position == Position(1, 1)
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -13,9 +13,9 @@
     START,
     Change,
     Delta,
+    InvalidInputError,
     Position,
     Row,
-    ScaleError,
     Snapshot,
     Update,
 )
@@ -23,12 +23,12 @@
 from loadbalancer.core.subscription.holder import (
     ROW_BYTES,
     SERVICE_BYTES,
-    Ask,
     Holder,
     HolderLimits,
-    Kind,
+    ServiceQuery,
     Subscription,
-    Taken,
+    UpdateResult,
+    UpdateStatus,
 )
 
 Rows = dict[str, Row]
@@ -54,7 +54,7 @@
     """A holder that holds these services with two backends each, as of (2, 10)."""
     holder = make(*services, limits=limits)
     snapshot = Snapshot("r", P(2, 10), {service: rows("a", "b") for service in services})
-    assert holder.on_update(0, snapshot) == Taken(Kind.APPLIED, services)
+    assert holder.on_update(0, snapshot) == UpdateResult(UpdateStatus.APPLIED, services)
     return holder
 
 
@@ -66,7 +66,7 @@
     holder = holding("s", "t")
     change = Change(P(2, 11), "s", (row("a", leaving=True), row("c")), ("b",))
     taken = holder.on_update(5, delta(P(2, 10), P(2, 12), change))
-    assert taken == Taken(Kind.APPLIED, ("s",))
+    assert taken == UpdateResult(UpdateStatus.APPLIED, ("s",))
     assert holder.rows("s") == {"a": row("a", leaving=True), "c": row("c")}
     assert holder.rows("t") == rows("a", "b")
     assert holder.position("r") == P(2, 12)
@@ -76,27 +76,27 @@
 @pytest.mark.parametrize(
     ("base", "position", "kind"),
     [
-        (P(2, 10), P(2, 11), Kind.APPLIED),
-        (P(2, 10), P(3, 11), Kind.APPLIED),  # a new leader's first
-        (P(2, 9), P(2, 10), Kind.OLDER),  # twice
-        (P(2, 8), P(2, 9), Kind.OLDER),  # late
-        (P(1, 10), P(1, 11), Kind.OLDER),  # of a leader deposed
-        (P(1, 99), P(1, 100), Kind.OLDER),
-        (P(1, 10), P(2, 11), Kind.GAP),
-        (P(2, 9), P(2, 11), Kind.GAP),  # begins too early
-        (P(2, 11), P(2, 12), Kind.GAP),  # one lost
-        (P(3, 11), P(3, 12), Kind.GAP),
-        (P(2, 10), P(2, 9), Kind.MALFORMED),
-        (P(2, 10), P(3, 9), Kind.MALFORMED),
+        (P(2, 10), P(2, 11), UpdateStatus.APPLIED),
+        (P(2, 10), P(3, 11), UpdateStatus.APPLIED),  # a new leader's first
+        (P(2, 9), P(2, 10), UpdateStatus.OLDER),  # twice
+        (P(2, 8), P(2, 9), UpdateStatus.OLDER),  # late
+        (P(1, 10), P(1, 11), UpdateStatus.OLDER),  # of a leader deposed
+        (P(1, 99), P(1, 100), UpdateStatus.OLDER),
+        (P(1, 10), P(2, 11), UpdateStatus.GAP),
+        (P(2, 9), P(2, 11), UpdateStatus.GAP),  # begins too early
+        (P(2, 11), P(2, 12), UpdateStatus.GAP),  # one lost
+        (P(3, 11), P(3, 12), UpdateStatus.GAP),
+        (P(2, 10), P(2, 9), UpdateStatus.MALFORMED),
+        (P(2, 10), P(3, 9), UpdateStatus.MALFORMED),
     ],
 )
 def test_what_a_delta_does_depends_on_its_positions(
-    base: Position, position: Position, kind: Kind
+    base: Position, position: Position, kind: UpdateStatus
 ) -> None:
     holder = holding("s")
     taken = holder.on_update(7, delta(base, position, Change(position, "s", removed=("a",))))
-    assert taken.kind is kind
-    applied = kind is Kind.APPLIED
+    assert taken.status is kind
+    applied = kind is UpdateStatus.APPLIED
     assert holder.rows("s") == (rows("b") if applied else rows("a", "b"))
     assert holder.position("r") == (position if applied else P(2, 10))
     assert holder.age(10, "r") == (3 if applied else 10)
@@ -105,17 +105,17 @@
 @pytest.mark.parametrize(
     ("position", "kind"),
     [
-        (P(2, 10), Kind.APPLIED),
-        (P(2, 30), Kind.APPLIED),
-        (P(3, 1), Kind.APPLIED),  # a log that was begun anew
-        (P(2, 9), Kind.OLDER),
-        (P(1, 99), Kind.OLDER),
+        (P(2, 10), UpdateStatus.APPLIED),
+        (P(2, 30), UpdateStatus.APPLIED),
+        (P(3, 1), UpdateStatus.APPLIED),  # a log that was begun anew
+        (P(2, 9), UpdateStatus.OLDER),
+        (P(1, 99), UpdateStatus.OLDER),
     ],
 )
-def test_a_snapshot_is_taken_unless_it_is_older(position: Position, kind: Kind) -> None:
+def test_a_snapshot_is_taken_unless_it_is_older(position: Position, kind: UpdateStatus) -> None:
     holder = holding("s")
-    assert holder.on_update(7, Snapshot("r", position, {"s": rows("c")})).kind is kind
-    applied = kind is Kind.APPLIED
+    assert holder.on_update(7, Snapshot("r", position, {"s": rows("c")})).status is kind
+    applied = kind is UpdateStatus.APPLIED
     assert holder.rows("s") == (rows("c") if applied else rows("a", "b"))
     assert holder.position("r") == (position if applied else P(2, 10))
 
@@ -125,14 +125,14 @@
     [
         Change(P(2, 10), "s", removed=("a",)),  # has been taken before the delta's base
         Change(P(2, 13), "s", removed=("a",)),
-        Change(P(2, 13), "s", whole=True),
+        Change(P(2, 13), "s", complete=True),
     ],
 )
 def test_a_delta_that_contradicts_itself_changes_nothing(change: Change) -> None:
     holder = holding("s")
     sound = Change(P(2, 11), "s", (row("c"),))
     taken = holder.on_update(7, delta(P(2, 10), P(2, 12), sound, change))
-    assert taken == Taken(Kind.MALFORMED)
+    assert taken == UpdateResult(UpdateStatus.MALFORMED)
     assert holder.rows("s") == rows("a", "b")
 
 
@@ -146,33 +146,37 @@
     assert holder.missing("r") == {"t"}
     part = Change(P(2, 11), "t", (row("c"),))
     also = Change(P(2, 11), "s", (row("c"),))
-    assert holder.on_update(2, delta(P(2, 10), P(2, 11), also, part)) == Taken(Kind.GAP)
+    assert holder.on_update(2, delta(P(2, 10), P(2, 11), also, part)) == UpdateResult(
+        UpdateStatus.GAP
+    )
     assert holder.rows("s") == rows("a", "b")  # nothing of it was taken
-    whole = Change(P(2, 10), "t", (row("a"),), whole=True)
-    assert holder.on_update(2, delta(P(2, 10), P(2, 10), whole)) == Taken(Kind.APPLIED, ("t",))
+    whole = Change(P(2, 10), "t", (row("a"),), complete=True)
+    assert holder.on_update(2, delta(P(2, 10), P(2, 10), whole)) == UpdateResult(
+        UpdateStatus.APPLIED, ("t",)
+    )
     assert holder.rows("t") == rows("a")
     assert holder.current("r") == {"s", "t"}
-    assert holder.on_update(3, delta(P(2, 10), P(2, 11), also, part)).kind is Kind.APPLIED
+    assert holder.on_update(3, delta(P(2, 10), P(2, 11), also, part)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a", "c")
 
 
 def test_a_change_and_a_move_in_the_same_instant() -> None:
     """The change goes out to those who hold the service just as it is assigned here."""
     change = Change(P(2, 11), "t", (row("a", leaving=True),))
-    whole = Change(P(2, 11), "t", (row("a", leaving=True), row("b")), whole=True)
+    whole = Change(P(2, 11), "t", (row("a", leaving=True), row("b")), complete=True)
     before = delta(P(2, 10), P(2, 11), change)  # as if it had been held all along
     together = delta(P(2, 10), P(2, 11), whole)
     holder = holding("s")  # the change comes first
-    assert holder.on_update(1, before).kind is Kind.NOT_WANTED
+    assert holder.on_update(1, before).status is UpdateStatus.NOT_WANTED
     assert holder.on_wanted(2, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
-    late = Change(P(2, 11), "t", whole.rows, whole=True)
-    assert holder.on_update(3, delta(P(2, 11), P(2, 11), late)).kind is Kind.APPLIED
+    late = Change(P(2, 11), "t", whole.rows, complete=True)
+    assert holder.on_update(3, delta(P(2, 11), P(2, 11), late)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", leaving=True), "b": row("b")}
     holder = holding("s")  # the move comes first
     assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
-    assert holder.on_update(2, before).kind is Kind.GAP
-    assert holder.on_update(3, together).kind is Kind.APPLIED
+    assert holder.on_update(2, before).status is UpdateStatus.GAP
+    assert holder.on_update(3, together).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", leaving=True), "b": row("b")}
 
 
@@ -181,34 +185,41 @@
     early = holder.subscribe("r")
     assert early == Subscription("r", P(2, 10), frozenset("s"), frozenset("s"))
     assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
-    whole = Change(P(2, 10), "t", (row("a"),), whole=True)
+    whole = Change(P(2, 10), "t", (row("a"),), complete=True)
     second = holder.subscribe("r")
     assert second == Subscription("r", P(2, 10), frozenset("st"), frozenset("s"))
-    assert holder.on_update(2, delta(P(2, 10), P(2, 10), whole), second).kind is Kind.APPLIED
+    assert (
+        holder.on_update(2, delta(P(2, 10), P(2, 10), whole), second).status is UpdateStatus.APPLIED
+    )
     # In between t's backend was drained; this answer leaves it out, as t was not asked for.
-    assert holder.on_update(3, delta(P(2, 10), P(2, 11)), early).kind is Kind.APPLIED
+    assert holder.on_update(3, delta(P(2, 10), P(2, 11)), early).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a")
     assert holder.current("r") == {"s"}
 
 
 def test_a_snapshot_from_before_an_assignment_leaves_what_it_does_not_name() -> None:
     holder = holding("s", "t")
-    assert holder.on_update(1, Snapshot("r", P(2, 20), {"s": rows("c")})).kind is Kind.APPLIED
+    assert (
+        holder.on_update(1, Snapshot("r", P(2, 20), {"s": rows("c")})).status
+        is UpdateStatus.APPLIED
+    )
     assert holder.rows("t") == rows("a", "b")  # served on with what is held
     assert holder.current("r") == {"s"}
     stale = Change(P(2, 21), "t", (row("d"),))
-    assert holder.on_update(2, delta(P(2, 20), P(2, 21), stale)).kind is Kind.GAP
+    assert holder.on_update(2, delta(P(2, 20), P(2, 21), stale)).status is UpdateStatus.GAP
 
 
 def test_a_deleted_service_is_held_no_more_and_may_come_anew() -> None:
     holder = holding("s")
     gone = Change(P(2, 11), "s", deleted=True)
-    assert holder.on_update(1, delta(P(2, 10), P(2, 11), gone)) == Taken(Kind.APPLIED, ("s",))
+    assert holder.on_update(1, delta(P(2, 10), P(2, 11), gone)) == UpdateResult(
+        UpdateStatus.APPLIED, ("s",)
+    )
     assert holder.rows("s") is None
     assert not holder.on_request_begins("s")
-    assert holder.bytes_held == SERVICE_BYTES
+    assert holder.retained_bytes == SERVICE_BYTES
     anew = Change(P(2, 12), "s", (row("z"),))
-    assert holder.on_update(2, delta(P(2, 11), P(2, 12), anew)).kind is Kind.APPLIED
+    assert holder.on_update(2, delta(P(2, 11), P(2, 12), anew)).status is UpdateStatus.APPLIED
     assert holder.rows("s") == rows("z")
 
 
@@ -231,7 +242,7 @@
     assert holder.released() == ("s",)
     assert holder.released() == ()
     assert not holder.on_request_begins("s")
-    assert holder.bytes_held == 0
+    assert holder.retained_bytes == 0
     assert holder.subscription("r") == frozenset()
 
 
@@ -239,7 +250,7 @@
     holder = holding("s")
     assert holder.on_wanted(1, {}, ()) == ()
     for now in (1, SECOND, 3600 * SECOND):
-        assert holder.on_update(now, delta(P(2, 10), P(2, 10))).kind is Kind.APPLIED
+        assert holder.on_update(now, delta(P(2, 10), P(2, 10))).status is UpdateStatus.APPLIED
         assert holder.rows("s") == rows("a", "b")
     assert holder.on_wanted(2, {}, ("s",)) == ()
     assert holder.released() == ("s",)
@@ -255,7 +266,7 @@
 
 
 def test_one_that_is_never_idle_takes_no_new_request_once_it_has_lingered() -> None:
-    holder = holding("s", limits=HolderLimits(linger=10))
+    holder = holding("s", limits=HolderLimits(drain_timeout=10))
     assert holder.on_request_begins("s")
     assert holder.on_wanted(100, {}, ("s",)) == ()
     assert holder.on_wanted(109, {}, ("s",)) == ()
@@ -271,7 +282,7 @@
 
 
 def test_one_that_comes_back_is_served_on_and_has_to_come_whole() -> None:
-    holder = holding("s", limits=HolderLimits(linger=10))
+    holder = holding("s", limits=HolderLimits(drain_timeout=10))
     assert holder.on_request_begins("s")
     assert holder.on_wanted(100, {}, ("s",)) == ()
     assert holder.on_wanted(200, {}, ("s",)) == ()  # closed
@@ -295,13 +306,16 @@
     holder = make("s")
     assert holder.on_wanted(1, {}, ()) == ()
     assert holder.subscription("r") == frozenset()
-    assert holder.bytes_held == 0
+    assert holder.retained_bytes == 0
 
 
 def test_without_control_it_serves_on_and_its_age_shows() -> None:
     holder = make("s")
     assert holder.age(5, "r") is None
-    assert holder.on_update(10, Snapshot("r", P(1, 1), {"s": rows("a")})).kind is Kind.APPLIED
+    assert (
+        holder.on_update(10, Snapshot("r", P(1, 1), {"s": rows("a")})).status
+        is UpdateStatus.APPLIED
+    )
     assert holder.age(10, "r") == 0
     day = 86_400 * SECOND
     assert holder.on_request_begins("s")
@@ -314,7 +328,7 @@
 
 
 def test_no_more_services_than_the_bound() -> None:
-    holder = holding("s", limits=HolderLimits(services=3))
+    holder = holding("s", limits=HolderLimits(max_services=3))
     wanted = dict.fromkeys(("s", "t", "u", "v", "w"), "r")
     assert holder.on_wanted(1, wanted, ()) == ("v", "w")
     assert holder.subscription("r") == {"s", "t", "u"}
@@ -323,13 +337,16 @@
 
 
 def test_no_service_is_added_over_the_bound_on_bytes() -> None:
-    limits = HolderLimits(services=2, bytes=bytes_of(400))
+    limits = HolderLimits(max_services=2, max_bytes=bytes_of(400))
     holder = make("s", limits=limits)
-    assert holder.on_update(1, Snapshot("r", P(1, 1), {"s": numbered(400)})).kind is Kind.APPLIED
+    assert (
+        holder.on_update(1, Snapshot("r", P(1, 1), {"s": numbered(400)})).status
+        is UpdateStatus.APPLIED
+    )
     assert holder.on_wanted(2, {"s": "r", "t": "r"}, ()) == ("t",)
-    assert holder.bytes_held == limits.bytes
+    assert holder.retained_bytes == limits.max_bytes
     less = Change(P(1, 2), "s", removed=("0001", "0002", "0003", "0004"))
-    assert holder.on_update(3, delta(P(1, 1), P(1, 2), less)).kind is Kind.APPLIED
+    assert holder.on_update(3, delta(P(1, 1), P(1, 2), less)).status is UpdateStatus.APPLIED
     assert holder.on_wanted(4, {"s": "r", "t": "r"}, ()) == ()
 
 
@@ -343,52 +360,54 @@
 
 
 def test_what_does_not_fit_takes_nothing_new_and_loses_what_leaves() -> None:
-    limits = HolderLimits(services=2, bytes=bytes_of(200) + bytes_of(100))
+    limits = HolderLimits(max_services=2, max_bytes=bytes_of(200) + bytes_of(100))
     holder = make("s", "t", limits=limits)
     both = {"s": numbered(200), "t": numbered(100)}
-    assert holder.on_update(1, Snapshot("r", P(1, 1), both)).kind is Kind.APPLIED
-    assert holder.bytes_held == limits.bytes
+    assert holder.on_update(1, Snapshot("r", P(1, 1), both)).status is UpdateStatus.APPLIED
+    assert holder.retained_bytes == limits.max_bytes
     growing = Change(P(1, 2), "s", (row("0007", leaving=True), row("9999")), ("0003",))
     more = Change(P(1, 2), "s", (row("9998"),))
     other = Change(P(1, 2), "t", (row("0001", leaving=True),), ("0002",))
     taken = holder.on_update(2, delta(P(1, 1), P(1, 2), other, growing, more))
-    assert taken == Taken(Kind.OVER_LIMIT, ("t", "s"), ("s",))
+    assert taken == UpdateResult(UpdateStatus.OVER_LIMIT, ("t", "s"), ("s",))
     held = holder.rows("s")
     assert held is not None
     assert held.keys() == (numbered(200).keys() | {"9999"}) - {"0003"}
-    assert held["0007"].leaving
-    assert holder.bytes_held <= limits.bytes
+    assert held["0007"].draining
+    assert holder.retained_bytes <= limits.max_bytes
     assert holder.position("r") == P(1, 2)
 
 
 def test_a_service_that_does_not_fit_is_followed_by_what_leaves_until_there_is_room() -> None:
-    limits = HolderLimits(services=2, bytes=1 << 16)
+    limits = HolderLimits(max_services=2, max_bytes=1 << 16)
     holder = make("s", "t", limits=limits)
     first = {"s": numbered(50), "t": numbered(50)}
-    assert holder.on_update(1, Snapshot("r", P(1, 1), first)).kind is Kind.APPLIED
-    large = Change(P(1, 2), "s", tuple(numbered(200).values()), whole=True)
-    assert holder.on_update(2, delta(P(1, 1), P(1, 2), large)) == Taken(Kind.OVER_LIMIT, (), ("s",))
+    assert holder.on_update(1, Snapshot("r", P(1, 1), first)).status is UpdateStatus.APPLIED
+    large = Change(P(1, 2), "s", tuple(numbered(200).values()), complete=True)
+    assert holder.on_update(2, delta(P(1, 1), P(1, 2), large)) == UpdateResult(
+        UpdateStatus.OVER_LIMIT, (), ("s",)
+    )
     assert holder.rows("s") == numbered(50)
     assert holder.current("r") == {"s", "t"}  # changes are enough as long as there is no room
     drain = Change(P(1, 3), "s", (row("0007", leaving=True), row("9999")), ("0003",))
     taken = holder.on_update(3, delta(P(1, 2), P(1, 3), drain))
-    assert taken == Taken(Kind.OVER_LIMIT, ("s",), ("s",))
+    assert taken == UpdateResult(UpdateStatus.OVER_LIMIT, ("s",), ("s",))
     left = numbered(50)
     del left["0003"], left["0007"]
     assert holder.rows("s") == left
     assert holder.position("r") == P(1, 3)
     room = Change(P(1, 4), "t", deleted=True)
-    assert holder.on_update(4, delta(P(1, 3), P(1, 4), room)).kind is Kind.APPLIED
+    assert holder.on_update(4, delta(P(1, 3), P(1, 4), room)).status is UpdateStatus.APPLIED
     smaller = Change(P(1, 5), "s", removed=tuple(f"{n:04}" for n in range(100, 200)))
     assert holder.current("r") == {"t"}  # there is room: it is to come whole
-    assert holder.on_update(5, delta(P(1, 4), P(1, 5), smaller)).kind is Kind.GAP
-    anew = Change(P(1, 5), "s", tuple(numbered(100).values()), whole=True)
-    assert holder.on_update(6, delta(P(1, 4), P(1, 5), anew)).kind is Kind.APPLIED
+    assert holder.on_update(5, delta(P(1, 4), P(1, 5), smaller)).status is UpdateStatus.GAP
+    anew = Change(P(1, 5), "s", tuple(numbered(100).values()), complete=True)
+    assert holder.on_update(6, delta(P(1, 4), P(1, 5), anew)).status is UpdateStatus.APPLIED
     assert holder.rows("s") == numbered(100)
 
 
 def test_room_asks_for_what_did_not_fit_anew() -> None:
-    holder = make("s", "t", limits=HolderLimits(services=2, bytes=1 << 16))
+    holder = make("s", "t", limits=HolderLimits(max_services=2, max_bytes=1 << 16))
     first = {"s": numbered(110), "t": numbered(110)}
     assert holder.on_update(1, Snapshot("r", P(1, 1), first)).refused == ("t",)
     assert holder.rows("t") is None
@@ -399,18 +418,18 @@
 
 
 def test_ten_thousand_unknown_names_cost_no_more_than_the_bound() -> None:
-    limits = HolderLimits(unknown=100, asks=5.0)
+    limits = HolderLimits(max_unknown_names=100, queries_per_s=5.0)
     holder = holding("s", limits=limits)
     asked = []
     for number in range(10_000):
         now = number * SECOND // 1000  # in ten seconds
         if (ask := holder.on_unknown(now, f"name-{number}")) is not None:
             asked.append((now, ask))
-        assert len(holder._asked) <= limits.unknown
+        assert len(holder._asked) <= limits.max_unknown_names
     assert 50 <= len(asked) <= 56
-    assert asked[0] == (0, Ask("name-0"))
+    assert asked[0] == (0, ServiceQuery("name-0"))
     assert max(sum(start <= now < start + SECOND for now, _ in asked) for start, _ in asked) <= 10
-    assert holder.bytes_held == bytes_of_service(holder, "s")
+    assert holder.retained_bytes == bytes_of_service(holder, "s")
     assert holder.subscription("r") == {"s"}
 
 
@@ -420,10 +439,10 @@
 
 
 def test_an_unknown_name_is_asked_for_once_in_a_while() -> None:
-    holder = holding("s", limits=HolderLimits(ask_again=10 * SECOND))
-    assert holder.on_unknown(0, "x") == Ask("x")
+    holder = holding("s", limits=HolderLimits(query_interval=10 * SECOND))
+    assert holder.on_unknown(0, "x") == ServiceQuery("x")
     assert holder.on_unknown(SECOND, "x") is None
-    assert holder.on_unknown(10 * SECOND, "x") == Ask("x")
+    assert holder.on_unknown(10 * SECOND, "x") == ServiceQuery("x")
     assert holder.on_unknown(11 * SECOND, "s") is None  # held
     assert holder.on_unknown(11 * SECOND, "") is None
     assert holder.on_unknown(11 * SECOND, "x" * 257) is None
@@ -433,11 +452,11 @@
 
 def test_an_unknown_region_is_refused_and_changes_nothing() -> None:
     holder = holding("s")
-    with pytest.raises(ScaleError, match="unknown region 'x', must be one of q, r"):
+    with pytest.raises(InvalidInputError, match="unknown region 'x', must be one of q, r"):
         holder.on_update(1, Snapshot("x", P(1, 1)))
-    with pytest.raises(ScaleError, match="unknown region 'x'"):
+    with pytest.raises(InvalidInputError, match="unknown region 'x'"):
         holder.on_wanted(1, {"t": "r", "u": "x"}, ("s",))
-    with pytest.raises(ScaleError, match="service 's' is of region 'r', not 'q'"):
+    with pytest.raises(InvalidInputError, match="service 's' is of region 'r', not 'q'"):
         holder.on_wanted(1, {"s": "q"}, ())
     assert holder.subscription("r") == {"s"}
 
@@ -445,16 +464,19 @@
 @pytest.mark.parametrize(
     ("limits", "message"),
     [
-        ({"services": 0}, "services is 0, must be 1 to 20000"),
-        ({"bytes": 1000}, "bytes is 1000, must be 65536"),
-        ({"services": 65, "bytes": 65536}, "bytes is 65536, must be at least 1024 a service"),
-        ({"unknown": 0}, "unknown is 0, must be 1 to 100000"),
-        ({"asks": 0.0}, "asks is 0.0, must be over 0"),
-        ({"linger": -1}, "must not be negative"),
+        ({"max_services": 0}, "max_services is 0, must be 1 to 20000"),
+        ({"max_bytes": 1000}, "max_bytes is 1000, must be 65536"),
+        (
+            {"max_services": 65, "max_bytes": 65536},
+            "max_bytes is 65536, must be at least 1024 a service",
+        ),
+        ({"max_unknown_names": 0}, "max_unknown_names is 0, must be 1 to 100000"),
+        ({"queries_per_s": 0.0}, "queries_per_s is 0.0, must be over 0"),
+        ({"drain_timeout": -1}, "must not be negative"),
     ],
 )
 def test_limits_out_of_range_are_refused(limits: dict[str, int], message: str) -> None:
-    with pytest.raises(ScaleError, match=f"limits: .*{message}"):
+    with pytest.raises(InvalidInputError, match=f"limits: .*{message}"):
         HolderLimits(**limits)
 
 
@@ -559,7 +581,10 @@
             update = history.delta(here, there, following)
             whole = tuple(
                 Change(
-                    update.position, name, tuple(history.states[there][name].values()), whole=True
+                    update.position,
+                    name,
+                    tuple(history.states[there][name].values()),
+                    complete=True,
                 )
                 for name in sorted(new)
             )
@@ -584,7 +609,7 @@
     state = history.states[holder.position("r").revision]
     for service, old in before.items():
         for uid, one in (holder.rows(service) or {}).items():
-            if uid in old and old[uid].leaving and not one.leaving:
+            if uid in old and old[uid].draining and not one.draining:
                 assert state[service][uid] == one
 
 
@@ -614,12 +639,12 @@
         before = {service: dict(holder.rows(service) or {}) for service in SERVICES}
         taken = holder.on_update(0, update, asked)
         assert holder.position("r") >= position
-        if taken.kind not in (Kind.APPLIED, Kind.NOT_WANTED):
+        if taken.status not in (UpdateStatus.APPLIED, UpdateStatus.NOT_WANTED):
             assert holder.position("r") == position
             assert before == {service: holder.rows(service) or {} for service in SERVICES}
         assert_as_of_its_position(holder, history)
         known = holder.subscription("r")
-        assert holder.bytes_held == sum(bytes_of_service(holder, name) for name in known)
+        assert holder.retained_bytes == sum(bytes_of_service(holder, name) for name in known)
         assert_drains_kept(before, holder, history)
     last = len(history.changes)
     holder.on_wanted(0, dict.fromkeys(SERVICES, "r"), ())
--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -19,13 +19,13 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.subscription.placement import LOAD_BOUND, Placement
 from loadbalancer.core.subscription.publisher import (
-    Elsewhere,
-    Later,
-    Limits,
-    Now,
     Publisher,
+    PublisherLimits,
+    Redirect,
     Refusal,
     Refused,
+    RetryAfter,
+    SendUpdate,
     Wait,
 )
 
@@ -41,9 +41,11 @@
 class Rig:
     """One machine's publisher, with a log that has all services."""
 
-    def __init__(self, limits: Limits | None = None, most_changes: int = 20) -> None:
+    def __init__(self, limits: PublisherLimits | None = None, most_changes: int = 20) -> None:
         self.log = ChangeLog("east", most_changes, 1 << 20)
-        self.publisher = Publisher(MACHINES[0], MACHINES, {"east": self.log}, limits or Limits())
+        self.publisher = Publisher(
+            MACHINES[0], MACHINES, {"east": self.log}, limits or PublisherLimits()
+        )
         self.publisher.on_nodes(NODES)
         living = [spec.name for spec in MACHINES]
         self.mine = [node for node in NODES if self.publisher.machine_for(node, living) == "east-0"]
@@ -69,7 +71,7 @@
     assert sorted(woken) == sorted(rig.mine[:3])
     answer = rig.publisher.subscribe(0, woken[0], "east", position, frozenset({"s0"}))
     # It held nothing that this machine knows of, so it has to be given s0 whole.
-    assert isinstance(answer, Now) and answer.update.position == rig.log.position
+    assert isinstance(answer, SendUpdate) and answer.update.position == rig.log.position
 
 
 def test_a_change_and_a_move_in_the_same_instant_leave_no_gap() -> None:
@@ -79,10 +81,10 @@
     rig.change("s1", "u1")
     held = frozenset({"s0"})
     answer = rig.publisher.subscribe(0, rig.node, "east", position, frozenset({"s0", "s1"}), held)
-    assert isinstance(answer, Now) and isinstance(answer.update, Delta)
+    assert isinstance(answer, SendUpdate) and isinstance(answer.update, Delta)
     assert answer.update.base == position and answer.update.position == rig.log.position
     by_name = {change.service: change for change in answer.update.changes}
-    assert by_name["s1"].whole and len(by_name["s1"].rows) == 2 and not by_name["s0"].whole
+    assert by_name["s1"].complete and len(by_name["s1"].rows) == 2 and not by_name["s0"].complete
     # What this machine sent counts as held when the node comes back from there.
     again = rig.publisher.subscribe(1, rig.node, "east", rig.log.position, frozenset({"s0", "s1"}))
     assert isinstance(again, Wait)
@@ -95,8 +97,8 @@
         rig.change("s0")
     rig.change("s1")
     answer = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, SERVICES)
-    assert isinstance(answer, Now) and isinstance(answer.update, Delta)
-    assert [change.service for change in answer.update.changes if change.whole] == ["s0"]
+    assert isinstance(answer, SendUpdate) and isinstance(answer.update, Delta)
+    assert [change.service for change in answer.update.changes if change.complete] == ["s0"]
     assert len(answer.update.changes) == 2
 
 
@@ -104,20 +106,20 @@
 def test_a_machine_that_knows_less_sends_nothing_and_names_another(position: Position) -> None:
     rig = Rig()
     answer = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, SERVICES)
-    assert isinstance(answer, Elsewhere) and answer.machine != "east-0"
+    assert isinstance(answer, Redirect) and answer.machine != "east-0"
     again = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, SERVICES, True)
-    assert isinstance(again, Later)  # and nobody is sent round in circles
+    assert isinstance(again, RetryAfter)  # and nobody is sent round in circles
 
 
 def test_a_machine_without_a_log_answers_no_empty_snapshot() -> None:
     rig = Rig()
     rig.log.reset()
     answer = rig.publisher.subscribe(0, rig.node, "east", START, SERVICES)
-    assert isinstance(answer, Later)
+    assert isinstance(answer, RetryAfter)
 
 
 def test_what_a_peer_feeds_is_refused_counted_and_changes_nothing() -> None:
-    rig = Rig(Limits(most_services=10))
+    rig = Rig(PublisherLimits(max_services=10))
     many = frozenset(str(i) for i in range(11))
     ask = rig.publisher.subscribe
     assert ask(0, "nobody", "east", START, SERVICES) == Refused(Refusal.UNKNOWN_NODE)
@@ -126,14 +128,14 @@
     nonsense = [Position(-1, 3), Position(1, -3), Position(0, 5), Position(10**9, 1)]
     for position in [*nonsense, Position(1, 1 << 41)]:
         refused = ask(0, rig.node, "east", position, SERVICES)
-        assert refused == Refused(Refusal.NONSENSE_POSITION)
+        assert refused == Refused(Refusal.INVALID_POSITION)
     assert rig.publisher.counts["refused: nonsense position"] == 5
     assert not rig.publisher._subscribers and not rig.publisher._index
     assert rig.publisher.counts["refused: unknown node"] == 1
 
 
 def test_a_storm_of_cold_nodes_stays_inside_the_bytes_with_one_retry_each() -> None:
-    rig = Rig(Limits(snapshot_rate=5_000, snapshot_burst=5_000))
+    rig = Rig(PublisherLimits(snapshot_rate=5_000, snapshot_burst=5_000))
     sent: Counter[int] = Counter()
     asked: Counter[str] = Counter()
     due = [(0, node) for node in rig.mine]
@@ -142,10 +144,10 @@
         now, node = due.pop(0)
         asked[node] += 1
         answer = rig.publisher.subscribe(now, node, "east", START, SERVICES)
-        if isinstance(answer, Later):
-            due.append((now + answer.pause, node))
+        if isinstance(answer, RetryAfter):
+            due.append((now + answer.delay, node))
         else:
-            assert isinstance(answer, Now) and isinstance(answer.update, Snapshot)
+            assert isinstance(answer, SendUpdate) and isinstance(answer.update, Snapshot)
             assert set(answer.update.services) == SERVICES
             sent[now // SECOND] += answer.size
     assert max(asked.values()) <= 2 and len(asked) == len(rig.mine)
@@ -153,22 +155,22 @@
 
 
 def test_changes_and_drains_do_not_wait_for_snapshots() -> None:
-    rig = Rig(Limits(snapshot_rate=1_000, snapshot_burst=1_000, small=100))
+    rig = Rig(PublisherLimits(snapshot_rate=1_000, snapshot_burst=1_000, unpaced_bytes=100))
     position = rig.log.position
     for node in rig.mine[1:]:
         rig.publisher.subscribe(0, node, "east", START, SERVICES)
     rig.change("s0")
     held = frozenset({"s0"})
     answer = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, held)
-    assert isinstance(answer, Now) and isinstance(answer.update, Delta)
+    assert isinstance(answer, SendUpdate) and isinstance(answer.update, Delta)
     assert [change.service for change in answer.update.changes] == ["s0"]  # the rest is put off
     position = rig.log.position
     waits = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, held)
     assert isinstance(waits, Wait) and waits.until is not None
     assert rig.node in rig.publisher.on_change("east", rig.change("s0"))  # and wakes all the same
     later = rig.publisher.subscribe(waits.until, rig.node, "east", position, SERVICES, held)
-    assert isinstance(later, Now) and isinstance(later.update, Delta)
-    whole = {change.service for change in later.update.changes if change.whole}
+    assert isinstance(later, SendUpdate) and isinstance(later.update, Delta)
+    whole = {change.service for change in later.update.changes if change.complete}
     assert whole == SERVICES - held
 
 
@@ -196,9 +198,9 @@
     rig = Rig()
     other = next(node for node in NODES if node not in rig.mine)
     answer = rig.publisher.subscribe(0, other, "east", START, SERVICES)
-    assert isinstance(answer, Elsewhere)
+    assert isinstance(answer, Redirect)
     here = rig.publisher.subscribe(0, other, "east", START, SERVICES, None, True)
-    assert isinstance(here, Now)
+    assert isinstance(here, SendUpdate)
 
 
 def test_a_node_that_moves_away_is_forgotten_here() -> None:
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -73,8 +73,8 @@
 # WORD:RECORD* where the value is another record or several.
 RECORDS: dict[str, tuple[Any, str]] = {
     "position": (Position, "epoch revision"),
-    "row": (Row, "uid body leaving"),
-    "change": (Change, "position:position service rows:row* removed deleted whole"),
+    "row": (Row, "uid body leaving=draining"),
+    "change": (Change, "position:position service rows:row* removed deleted whole=complete"),
     "service-image": (ServiceImage, "service changed rows:row*"),
     "node-report": (NodeReport, "node serving"),
     "node-release": (NodeRelease, "node services"),
@@ -88,7 +88,7 @@
 }
 MESSAGES: dict[str, tuple[Any, str]] = {
     "hello": (Hello, "machine fleet"),
-    "presence-update": (PresenceUpdate, "serial whole came left"),
+    "presence-update": (PresenceUpdate, "serial whole=complete came=joined left=departed"),
     "presence-wanted": (PresenceWanted, ""),
     "reports": (Reports, "reports:node-report*"),
     "vote-request": (
@@ -478,8 +478,8 @@
         "limits": _plain("limits", file.limits),
         "seed": file.seed,
         "assignment": {
-            "least_per_zone": file.rules.least_per_zone,
-            "most_sharers": file.rules.most_sharers,
+            "least_per_zone": file.rules.min_per_zone,
+            "most_sharers": file.rules.max_sharers,
             "node_rate": file.rules.node_rate,
         },
         "backends_file": file.backends and file.backends.name,
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -7,7 +7,7 @@
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.replication import Role, Timing
-from loadbalancer.core.subscription.publisher import Limits
+from loadbalancer.core.subscription.publisher import PublisherLimits
 from simulation.control_faults import MUTANTS, play, play_mutant
 from simulation.control_world import REGIONS, Size, World
 
@@ -180,7 +180,7 @@
 
 
 def test_all_nodes_cold_at_once_stay_inside_the_bytes() -> None:
-    limits = Limits(snapshot_rate=4_000, snapshot_burst=4_000, small=500)
+    limits = PublisherLimits(snapshot_rate=4_000, snapshot_burst=4_000, unpaced_bytes=500)
     world = started(size=Size(limits=limits))
     for node in range(len(world.node_specs)):
         world.kill_node(node)
