--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -17,9 +17,9 @@
     START,
     Change,
     Delta,
+    InvalidInputError,
     Position,
     Row,
-    ScaleError,
     Snapshot,
 )
 
@@ -49,7 +49,7 @@
     """The rows of a service after a change; the given ones are not modified."""
     if change.deleted:
         return {}
-    merged = {} if change.whole else dict(rows)
+    merged = {} if change.complete else dict(rows)
     for uid in change.removed:
         merged.pop(uid, None)
     for row in change.rows:
@@ -85,10 +85,10 @@
         """Keep at most `max_changes` changes of `max_bytes` bytes together.
 
         Raises:
-            ScaleError: a bound is not positive.
+            InvalidInputError: a bound is not positive.
         """
         if max_changes < 1 or max_bytes < 1:
-            raise ScaleError(f"change log of {region}: bounds must be at least 1")
+            raise InvalidInputError(f"change log of {region}: bounds must be at least 1")
         self.region = region
         self._max_changes = max_changes
         self._max_bytes = max_bytes
@@ -119,11 +119,11 @@
         """Apply the next committed change. One without a service moves the position alone.
 
         Raises:
-            ScaleError: the change does not follow the log's position directly.
+            InvalidInputError: the change does not follow the log's position directly.
         """
         epoch, revision = change.position
         if revision != self.position.revision + 1 or epoch < max(self.position.epoch, 1):
-            raise ScaleError(
+            raise InvalidInputError(
                 f"change log of {self.region}: {change.position} does not follow {self.position}"
             )
         if not self._epoch_starts or epoch > self._epoch_starts[-1].epoch:
@@ -178,10 +178,10 @@
         """Replace all by another machine's snapshot.
 
         Raises:
-            ScaleError: the snapshot is older than the log.
+            InvalidInputError: the snapshot is older than the log.
         """
         if snapshot.position < self.position:
-            raise ScaleError(
+            raise InvalidInputError(
                 f"change log of {self.region}: a snapshot of {snapshot.position}"
                 f" is older than {self.position}"
             )
@@ -264,8 +264,8 @@
     def _replacement(self, service: str) -> Change:
         rows = self._rows.get(service)
         if rows is None:
-            return Change(self.position, service, deleted=True, whole=True)
-        return Change(self.position, service, tuple(rows.values()), whole=True)
+            return Change(self.position, service, deleted=True, complete=True)
+        return Change(self.position, service, tuple(rows.values()), complete=True)
 
     def snapshot(self, services: Iterable[str]) -> Snapshot:
         """A subscriber's snapshot of these services, without those the region does not know."""
--- a/loadbalancer/core/replicated_log/leader.py
+++ b/loadbalancer/core/replicated_log/leader.py
@@ -88,9 +88,9 @@
         state = self._state
         begun = {entry.service for entry in state.log.uncommitted}
         for service in sorted(begun - services.keys()):
-            state.append(Change(START, service, deleted=True, whole=True))
+            state.append(Change(START, service, deleted=True, complete=True))
         for service, rows in services.items():
-            state.append(Change(START, service, tuple(rows), whole=True))
+            state.append(Change(START, service, tuple(rows), complete=True))
         state.append(no_op(START))
         self._advance_commit_index()
         self._replicate()
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -132,7 +132,7 @@
         """Handle a message of another member.
 
         Raises:
-            ScaleError: entries do not follow each other.
+            InvalidInputError: entries do not follow each other.
         """
         match message:
             case AppendEntries():
--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from loadbalancer.core.assignment.model import Change, Position, Row, ScaleError
+from loadbalancer.core.assignment.model import Change, InvalidInputError, Position, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot, change_size
 
 
@@ -122,11 +122,13 @@
             False where the log has no entry `previous`.
 
         Raises:
-            ScaleError: the entries do not follow each other.
+            InvalidInputError: the entries do not follow each other.
         """
         for index, entry in enumerate(entries, previous.revision + 1):
             if entry.position.revision != index or entry.position.epoch < previous.epoch:
-                raise ScaleError(f"entries after {previous}: {entry.position} is out of order")
+                raise InvalidInputError(
+                    f"entries after {previous}: {entry.position} is out of order"
+                )
         if previous.revision >= self._base.revision:
             if self.position_at(previous.revision) != previous:
                 return False
@@ -174,7 +176,7 @@
         """Install a snapshot that is later than the change log (paper, section 7).
 
         Raises:
-            ScaleError: the snapshot is older than the change log.
+            InvalidInputError: the snapshot is older than the change log.
         """
         self._change_log.restore(snapshot)
         if not self.loading or snapshot.history == self.history:
--- a/loadbalancer/core/replicated_log/state.py
+++ b/loadbalancer/core/replicated_log/state.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from random import Random
 
 from loadbalancer.core.assignment.model import START, Change, Position
@@ -110,11 +110,7 @@
     def append(self, change: Change) -> Position:
         """Append the leader's next entry, at its own position instead of the change's."""
         position = Position(self.current_term, self.log.last.revision + 1)
-        self.log.append(
-            Change(
-                position, change.service, change.rows, change.removed, change.deleted, change.whole
-            )
-        )
+        self.log.append(replace(change, position=position))
         return position
 
     def commit(self, index: int) -> None:
--- a/tests/core/replicated_log/test_election.py
+++ b/tests/core/replicated_log/test_election.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("direction", ["receives nothing", "nobody receives"])
-def test_one_way_links_of_a_leader_cost_an_election_at_most(direction: str) -> None:
+def test_one_way_links_of_a_leader_cost_no_more_than_an_election(direction: str) -> None:
     """A leader receives from nobody, or nobody receives from it, while the other direction works.
 
     Another leader must be elected and go on; afterwards all converge, and the old leader must not
--- a/tests/core/replicated_log/test_raft_log.py
+++ b/tests/core/replicated_log/test_raft_log.py
@@ -16,7 +16,7 @@
     log.append(Change(Position(1, 1), "old"))
     entries = RaftLog(log)
     entries.begin_history(Position(5, 1000))
-    loaded = tuple(Change(Position(5, 1000 + n), f"s{n}", whole=True) for n in (1, 2))
+    loaded = tuple(Change(Position(5, 1000 + n), f"s{n}", complete=True) for n in (1, 2))
     assert entries.append_entries(Position(0, 1000), loaded)
     assert entries.commit(1002) == Committed((), False)
     assert list(log.services()) == ["old"]
