--- a/loadbalancer/cli/scale.py
+++ b/loadbalancer/cli/scale.py
@@ -18,6 +18,6 @@
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
     """Run it; 0 after a stop, 2 where the file, the name or an address can't be used."""
     del out  # the machine prints nothing but its log
-    from loadbalancer.control.machine.machine import main as serve
+    from loadbalancer.control.machine.process import main as serve
 
     return serve(arguments.file, arguments.machine)
--- a/loadbalancer/control/machine/codec.py
+++ b/loadbalancer/control/machine/codec.py
@@ -1,7 +1,8 @@
 """Control machines' messages as MessagePack, built from the messages' own types.
 
-A message is [number, field, ...]; a NamedTuple or dataclass within it is [field, ...]. A reader
-checks each value's type, so that what a peer feeds can't reach the decisions as something else.
+A message is [number, [field, ...]], the number being its type's place in the codec's list; a
+NamedTuple or dataclass within it is [field, ...]. A reader checks each value's type, so that a
+malformed message can't reach the decisions as something else.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import fields, is_dataclass
 from types import NoneType, UnionType
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 
@@ -19,18 +20,20 @@
 Decoder = Callable[[Any], Any]
 Encoder = Callable[[Any], Any]
 
+MALFORMED = "unsound"  # a status counter's name on GET /status
+
 
 class BadMessageError(ProtocolError, ValueError):
-    """Bytes that are no message of ours; the text is what it is counted under."""
+    """Bytes that are no message; the text is the name of the status counter that counts it."""
 
 
 class Codec:
-    """Encodes and decodes these message types; their order is part of the form."""
+    """Encodes and decodes these message types; their order is part of the format."""
 
-    def __init__(self, kinds: Sequence[type]) -> None:
-        self._numbers = {kind: number for number, kind in enumerate(kinds)}
-        self._encoders = [_encoder(kind) for kind in kinds]
-        self._decoders = [_decoder(kind) for kind in kinds]
+    def __init__(self, types: Sequence[type]) -> None:
+        self._numbers = {type_: number for number, type_ in enumerate(types)}
+        self._encoders = [_encoder(type_) for type_ in types]
+        self._decoders = [_decoder(type_) for type_ in types]
 
     def encode(self, message: object) -> bytes:
         """The message's bytes."""
@@ -39,88 +42,97 @@
         return packed
 
     def decode(self, data: bytes) -> Any:
-        """The message; BadMessageError on anything else."""
+        """The message of these bytes.
+
+        Raises:
+            BadMessageError: they are none.
+        """
         try:
-            number, row = msgpack.unpackb(data, use_list=True)
+            number, values = msgpack.unpackb(data, use_list=True)
             if type(number) is not int or not 0 <= number < len(self._decoders):
                 raise BadMessageError("unknown kind")
-            return self._decoders[number](row)
+            return self._decoders[number](values)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
-            raise BadMessageError("unsound") from err
+            raise BadMessageError(MALFORMED) from err
+
+
+class _Field(NamedTuple):
+    name: str
+    type: Any
 
 
-def _parts(kind: type) -> list[tuple[str, Any]] | None:
-    """A record's field names and types, None for a plain value."""
-    hints = typing.get_type_hints(kind) if isinstance(kind, type) else {}
-    if is_dataclass(kind):
-        return [(field.name, hints[field.name]) for field in fields(kind)]
-    names = getattr(kind, "_fields", None)
-    return None if names is None else [(name, hints[name]) for name in names]
+def _record_fields(type_: Any) -> list[_Field] | None:
+    """The fields of a dataclass or NamedTuple, in order; None for a plain value."""
+    hints = typing.get_type_hints(type_) if isinstance(type_, type) else {}
+    if is_dataclass(type_):
+        return [_Field(field.name, hints[field.name]) for field in fields(type_)]
+    names = getattr(type_, "_fields", None)
+    return None if names is None else [_Field(name, hints[name]) for name in names]
 
 
-def _encoder(kind: Any) -> Encoder:
-    kind, optional = _without_none(kind)
+def _encoder(type_: Any) -> Encoder:
+    type_, optional = _without_none(type_)
     if optional:
-        inner = _encoder(kind)
+        inner = _encoder(type_)
         return lambda value: None if value is None else inner(value)
-    if typing.get_origin(kind) is tuple:
-        item = _encoder(typing.get_args(kind)[0])
+    if typing.get_origin(type_) is tuple:
+        item = _encoder(typing.get_args(type_)[0])
         return lambda value: [item(one) for one in value]
-    parts = _parts(kind)
-    if parts is None:
-        return _same
-    encoders = [(name, _encoder(type_)) for name, type_ in parts]
+    record = _record_fields(type_)
+    if record is None:
+        return _unchanged
+    encoders = [(field.name, _encoder(field.type)) for field in record]
     return lambda value: [encode(getattr(value, name)) for name, encode in encoders]
 
 
-def _decoder(kind: Any) -> Decoder:
-    kind, optional = _without_none(kind)
+def _decoder(type_: Any) -> Decoder:
+    type_, optional = _without_none(type_)
     if optional:
-        inner = _decoder(kind)
+        inner = _decoder(type_)
         return lambda value: None if value is None else inner(value)
-    if typing.get_origin(kind) is tuple:
-        return _tuple_decoder(_decoder(typing.get_args(kind)[0]))
-    parts = _parts(kind)
-    if parts is None:
-        return _plain_decoder(kind)
-    return _record_decoder(kind, [_decoder(type_) for _, type_ in parts])
+    if typing.get_origin(type_) is tuple:
+        return _tuple_decoder(_decoder(typing.get_args(type_)[0]))
+    record = _record_fields(type_)
+    if record is None:
+        return _plain_decoder(type_)
+    return _record_decoder(type_, [_decoder(field.type) for field in record])
 
 
 def _tuple_decoder(item: Decoder) -> Decoder:
     def decode(value: Any) -> Any:
         if type(value) is not list:
-            raise BadMessageError("unsound")
+            raise BadMessageError(MALFORMED)
         return tuple([item(one) for one in value])
 
     return decode
 
 
-def _record_decoder(kind: type, decoders: list[Decoder]) -> Decoder:
+def _record_decoder(type_: type, decoders: list[Decoder]) -> Decoder:
     def decode(value: Any) -> Any:
         if type(value) is not list or len(value) != len(decoders):
-            raise BadMessageError("unsound")
-        return kind(*[decode(one) for decode, one in zip(decoders, value, strict=True)])
+            raise BadMessageError(MALFORMED)
+        return type_(*[decode(one) for decode, one in zip(decoders, value, strict=True)])
 
     return decode
 
 
-def _plain_decoder(kind: Any) -> Decoder:
+def _plain_decoder(type_: Any) -> Decoder:
     def decode(value: Any) -> Any:
-        if type(value) is not kind:
-            raise BadMessageError("unsound")
+        if type(value) is not type_:
+            raise BadMessageError(MALFORMED)
         return value
 
     return decode
 
 
-def _without_none(kind: Any) -> tuple[Any, bool]:
-    """The type less None, and whether None was allowed."""
-    if typing.get_origin(kind) in (UnionType, typing.Union):
-        rest = [part for part in typing.get_args(kind) if part is not NoneType]
-        if len(rest) == 1:
-            return rest[0], True
-    return kind, False
+def _without_none(type_: Any) -> tuple[Any, bool]:
+    """The type without None, and whether None was allowed."""
+    if typing.get_origin(type_) in (UnionType, typing.Union):
+        others = [part for part in typing.get_args(type_) if part is not NoneType]
+        if len(others) == 1:
+            return others[0], True
+    return type_, False
 
 
-def _same(value: Any) -> Any:
+def _unchanged(value: Any) -> Any:
     return value
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -1,31 +1,34 @@
-"""One control machine: the decisions of `loadbalancer.core`, and the sockets around them."""
+"""One control machine: the decisions of `loadbalancer.core`, and the sockets around them.
+
+It listens for the other machines, for subscribers (nodes), for nodes of one service each, and for
+operators. Twenty times a second the replicated log's time passes, once a second the nodes'.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import json
+import logging
 import os
-import resource
-import signal
-import sys
 import time
 from collections import Counter
-from collections.abc import Callable
-from typing import Any
-
-import uvloop
+from collections.abc import Callable, Iterator
+from functools import partial
+from http import HTTPStatus
+from typing import Any, NamedTuple
 
-from loadbalancer.control.machine.backends import read_backends
+from loadbalancer.config.node import Address
+from loadbalancer.control.machine import status
 from loadbalancer.control.machine.bound_list import BoundList
-from loadbalancer.control.machine.file import Machine, ScaleFile, ScaleFileError, read_scale
+from loadbalancer.control.machine.file import Machine, ScaleFile
 from loadbalancer.control.machine.fleet_digest import fleet_digest
-from loadbalancer.control.machine.messages import PresenceWanted, Reports, codec
+from loadbalancer.control.machine.log_loader import LogLoader
+from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
 from loadbalancer.control.machine.node_requests import Questions, Subscription
 from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
-from loadbalancer.control.machine.operator_calls import Call, Calls, Reply
-from loadbalancer.control.machine.stream import Hello, Streams
-from loadbalancer.control.machine.submitted_changes import Changes
+from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost, Reply
+from loadbalancer.control.machine.stream import Hello, PeerStreams
+from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.assignment.presence import PresenceUpdate
@@ -36,219 +39,220 @@
 from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
 from loadbalancer.sources.watchers import Watcher
 
-TICK_S = 0.05  # of the replica
-TURN_S = 1.0  # of presence and liveness
-LOG_CHANGES, LOG_BYTES = 100_000, 64 << 20  # of accepted changes that are kept
-LOAD_AGAIN_S = 2.0  # after a source that could not be used
-LOG_ANSWER = 1 << 20  # bytes of changes in one answer to GET /log
-STATUS_MEMORY = "/proc/self/statm"
-# The roles by the words of GET /status, which stay as operators' tools know them.
-ROLE_STATUS = {
-    Role.RECOVERING: "empty",
-    Role.FOLLOWER: "follower",
-    Role.PRE_CANDIDATE: "candidate",
-    Role.CANDIDATE: "candidate",
-    Role.LEADER: "leader",
-}
+REPLICA_TICK_S = 0.05
+NODES_TICK_S = 1.0  # presence, liveness, assignment and releases
+MAX_LOG_CHANGES, MAX_LOG_BYTES = 100_000, 64 << 20  # of committed changes that are retained
+LOG_ANSWER_BYTES = 1 << 20  # of changes in one answer to GET /log
+MAX_BOUND_WATCHERS = 1024  # connections to one bound listener
+ACCEPT_BACKLOG = 4096  # connections that wait to be accepted, on a listener of the machine
+BOUND_ACCEPT_BACKLOG = 100  # the same on a bound listener
+MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
+
+logger = logging.getLogger(__name__)
+
+
+class BoundListener(NamedTuple):
+    """A listener that serves one service to a node that knows of no others."""
+
+    address: Address
+    list: BoundList
+
+
+class _Listener(NamedTuple):
+    protocol: Callable[[], asyncio.Protocol]
+    address: Address
+    backlog: int
 
 
 class ControlMachine:
     """One machine of the file, from its start to its end."""
 
-    def __init__(
-        self,
-        file: ScaleFile,
-        machine: Machine,
-        log: Callable[[str], None],
-        timing: Timing | None = None,
-    ) -> None:
+    def __init__(self, file: ScaleFile, machine: Machine, timing: Timing | None = None) -> None:
         now = time.monotonic_ns()
+        spec = machine.spec
         self.file = file
         self.machine = machine
         self.counts: Counter[str] = Counter()
-        self._log = log
         specs = [one.spec for one in file.machines]
-        self.logs = {name: ChangeLog(name, LOG_CHANGES, LOG_BYTES) for name in file.regions}
+        self.logs = {name: ChangeLog(name, MAX_LOG_CHANGES, MAX_LOG_BYTES) for name in file.regions}
         seed = int.from_bytes(os.urandom(8), "big")
-        self.replica = Replica(machine.spec, specs, self.logs, seed, now, timing)
-        limits = PublisherLimits(
-            snapshot_rate=file.limits.snapshot_rate, snapshot_burst=file.limits.snapshot_rate
-        )
-        self.publisher = Publisher(machine.spec, specs, self.logs, limits)
+        self.replica = Replica(spec, specs, self.logs, seed, now, timing)
+        rate = file.limits.snapshot_rate
+        limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
+        self.publisher = Publisher(spec, specs, self.logs, limits)
         self.publisher.on_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
-        self.releases = ReleaseAuthority(now, machine.spec, specs, homes, RELEASE_RULES)
+        self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
         self.nodes = Nodes(file, now, self.releases)
-        self.questions = Questions(
+        self.node_requests = Questions(
             self.nodes,
             self.publisher,
             self.replica,
             {one.spec.name: one.subscribers for one in file.machines},
             file.limits.subscribers,
         )
-        self.changes = Changes(self.replica, machine.spec.region, self.nodes.regions)
-        self.bound = [
-            BoundList(self.logs[self.nodes.regions[one.service]], one.service, 1024)
-            for one in file.bound
-            if one.machine == machine.spec.name
-        ]
-        others = {one.spec.name: one.peers for one in file.machines if one.spec != machine.spec}
-        self.streams = Streams(
-            Hello(machine.spec.name, fleet_digest(file)),
-            others,
-            codec(),
-            file.limits.backlog,
-            self._told,
-            self._up,
+        self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
+        self.bound = self._bound_listeners()
+        self.streams = self._peer_streams()
+        services = [name for name, home in self.nodes.regions.items() if home == spec.region]
+        self._loader = LogLoader(
+            self.replica, spec.region, services, file.backends, self._carry_out
         )
-        self._living: frozenset[str] = frozenset(one.spec.name for one in file.machines)
-        self._loading: asyncio.Task[None] | None = None
+        self._live_machines = frozenset(one.spec.name for one in file.machines)
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
+    def _bound_listeners(self) -> list[BoundListener]:
+        return [
+            BoundListener(
+                one.listen,
+                BoundList(
+                    self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
+                ),
+            )
+            for one in self.file.bound
+            if one.machine == self.machine.spec.name
+        ]
+
+    def _peer_streams(self) -> PeerStreams:
+        spec = self.machine.spec
+        return PeerStreams(
+            Hello(spec.name, fleet_digest(self.file)),
+            {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
+            codec(),
+            self.file.limits.backlog,
+            self._on_message,
+            self._on_connected,
+        )
+
+    # ---- sockets ---------------------------------------------------------
+
     async def open(self) -> None:
-        """Listen at all addresses and begin; OSError where one can't be had."""
+        """Listen at all addresses and begin.
+
+        Raises:
+            OSError: an address can't be listened on.
+        """
         loop = asyncio.get_running_loop()
-        machine = self.machine
-        calls = Calls(self, self.file.limits.change_bytes)
-        await self.streams.open(machine.peers)
-        for factory, address in (
-            (lambda: Subscription(self.questions), machine.subscribers),
-            (lambda: Call(calls), machine.admin),
-        ):
-            server = await loop.create_server(factory, address.host, address.port, backlog=4096)
-            self._servers.append(server)
-        mine = [one for one in self.file.bound if one.machine == machine.spec.name]
-        for one, host in zip(mine, self.bound, strict=True):
-            at = one.listen
-            server = await loop.create_server(lambda host=host: Watcher(host), at.host, at.port)  # type: ignore[misc]
+        await self.streams.open(self.machine.peers)
+        for one in self._listeners():
+            host, port = one.address.host, one.address.port
+            server = await loop.create_server(one.protocol, host, port, backlog=one.backlog)
             self._servers.append(server)
         self._tasks = [
-            loop.create_task(self._every(TICK_S, self._tick)),
-            loop.create_task(self._every(TURN_S, self._turn)),
+            loop.create_task(_every(REPLICA_TICK_S, self._tick_replica)),
+            loop.create_task(_every(NODES_TICK_S, self._tick_nodes)),
         ]
 
+    def _listeners(self) -> Iterator[_Listener]:
+        operators = OperatorHost(self, self.file.limits.change_bytes)
+        yield _Listener(
+            lambda: Subscription(self.node_requests), self.machine.subscribers, ACCEPT_BACKLOG
+        )
+        yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
+        for one in self.bound:
+            yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
+
     def close(self) -> None:
-        """End everything at once: what is accepted is with the others too."""
+        """End everything at once: the other machines have all that is committed."""
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
             server.close()
         self.streams.close()
 
-    async def _every(self, seconds: float, work: Callable[[], None]) -> None:
-        while True:
-            await asyncio.sleep(seconds)
-            work()
-
     # ---- time ------------------------------------------------------------
 
-    def _tick(self) -> None:
+    def _tick_replica(self) -> None:
         self.replica.on_tick(time.monotonic_ns())
-        if self.replica.needs_load() and self._loading is None:
-            self._loading = asyncio.get_running_loop().create_task(self._load())
-        self._pump()
+        self._loader.start_if_needed()
+        self._carry_out()
 
-    def _turn(self) -> None:
+    def _tick_nodes(self) -> None:
         now = time.monotonic_ns()
         if self.nodes.on_time(now):
             self.counts["assignments"] += 1
         self.nodes.pass_on(self.streams.send_all)
-        living = self.nodes.presence.machines(now) | {self.machine.spec.name}
-        if living != self._living:
-            self._living = living
-            self._log(f"control machines heard: {', '.join(sorted(living))}")
-            self.questions.answer_keys(self.publisher.on_living(living))
+        live = self.live_machines(now)
+        if live != self._live_machines:
+            self._live_machines = live
+            logger.info("control machines alive: %s", ", ".join(sorted(live)))
+            self.node_requests.answer_keys(self.publisher.on_living(live))
         leads = self.replica.role is Role.LEADER
         grant = self.nodes.turn_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
         if self.nodes.changed:
             self.nodes.changed = False
-            self.questions.tell_orders()
+            self.node_requests.tell_orders()
 
-    async def _load(self) -> None:
-        """Load a region that has no log from the services' source."""
-        region = self.machine.spec.region
-        services = [name for name, home in self.nodes.regions.items() if home == region]
-        try:
-            if self.file.backends is None:
-                rows: Any = dict.fromkeys(services, ())
-            else:
-                loop = asyncio.get_running_loop()
-                rows = await loop.run_in_executor(None, read_backends, self.file.backends, services)
-        except InvalidInputError as err:
-            self._log(f"region {region} is not loaded: {err}")
-            await asyncio.sleep(LOAD_AGAIN_S)
-            self._loading = None
-            return
-        if self.replica.needs_load():
-            self.replica.load(rows)
-            self._log(f"region {region} is loaded: {len(services)} services")
-            self._pump()
-        self._loading = None
-
-    # ---- the other machines -------------------------------------------------
-
-    def _up(self, machine: str) -> None:
-        """A stream to another machine is up: all that went before is told whole."""
+    def live_machines(self, now: int) -> frozenset[str]:
+        """The names of the machines that were heard lately, this one included."""
+        return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
+
+    # ---- the other machines ----------------------------------------------
+
+    def _on_connected(self, machine: str) -> None:
+        """A stream to another machine is up: it may have missed everything until now."""
         self.nodes.whole(lambda message: self.streams.send(machine, message))
 
-    def _told(self, sender: str, message: Any) -> None:
+    def _on_message(self, sender: str, message: Any) -> None:
         now = time.monotonic_ns()
         self.nodes.presence.on_machine_heartbeat(now, sender)
         if isinstance(message, PresenceUpdate):
             if not self.nodes.on_presence(now, sender, message):
-                self.streams.send(sender, PresenceWanted())
-        elif isinstance(message, PresenceWanted):
-            self._up(sender)
+                self.streams.send(sender, PresenceRequest())
+        elif isinstance(message, PresenceRequest):
+            self._on_connected(sender)
         elif isinstance(message, Reports):
             self.nodes.on_reports(message.reports)
         elif isinstance(message, ReleaseGrant):
             self.releases.on_grant(now, sender, message)
         else:
-            self._replicate(now, sender, message)
+            self._on_log_message(now, sender, message)
 
-    def _replicate(self, now: int, sender: str, message: Message) -> None:
+    def _on_log_message(self, now: int, sender: str, message: Message) -> None:
         self.replica.on_message(now, sender, message)
-        self._pump()
+        self._carry_out()
 
-    def _pump(self) -> None:
-        """Carry out what the replica wants, until it wants no more."""
+    def _carry_out(self) -> None:
+        """Publish what the replica has committed, and send its messages."""
         for region in self.replica.restored():
-            self.questions.answer_again(region, self.publisher.on_restored(region))
-            self._bound_changed(region, "")
+            self.node_requests.answer_again(region, self.publisher.on_restored(region))
+            self._update_bound(region, "")
         for region, change in self.replica.committed():
-            self.changes.on_committed(region, change)
+            self.submissions.on_committed(region, change)
             if change.service:
-                self.questions.answer_again(region, self.publisher.on_change(region, change))
-                self._bound_changed(region, change.service)
+                self.node_requests.answer_again(region, self.publisher.on_change(region, change))
+                self._update_bound(region, change.service)
         for recipient, message in self.replica.outgoing():
             self.streams.send(recipient, message)
 
-    def _bound_changed(self, region: str, service: str) -> None:
-        for host in self.bound:
-            if host.region == region and service in ("", host.service):
-                host.on_change()
+    def _update_bound(self, region: str, service: str) -> None:
+        """A service of a region has changed; "" for all of its services."""
+        for _, bound in self.bound:
+            if bound.region == region and service in ("", bound.service):
+                bound.on_change()
 
-    # ---- operators' calls ---------------------------------------------------
+    # ---- operators' calls ------------------------------------------------
 
-    def change(self, body: bytes, reply: Reply) -> None:
-        """Changes handed in."""
-        self.changes.hand_in(body, reply)
-        self._pump()
+    def submit(self, body: bytes, reply: Reply) -> None:
+        """Propose the changes in a body; `reply` is called once."""
+        self.submissions.submit(body, reply)
+        self._carry_out()
 
     def log_after(self, region: str, version: int) -> tuple[int, bytes]:
-        """The accepted changes after a version, about LOG_ANSWER bytes of them."""
+        """HTTP status and body: committed changes after a version, about LOG_ANSWER_BYTES."""
         log = self.logs.get(region)
         if log is None:
-            return 400, f"region: [unknown-region] no region {region[:64]!r}".encode()
+            text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
+            return HTTPStatus.BAD_REQUEST, text.encode()
         try:
-            changes = log.after(position_of(version), LOG_ANSWER)
+            changes = log.after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
-            return 400, str(err).encode()
+            return HTTPStatus.BAD_REQUEST, str(err).encode()
         if changes is None:
-            return 410, b"the log does not reach back to it"
+            return HTTPStatus.GONE, b"the log does not reach back to it"
         rows = [
             {
                 "version": version_of(change.position),
@@ -260,88 +264,15 @@
             }
             for change in changes
         ]
-        return 200, json.dumps({"version": version_of(log.position), "changes": rows}).encode()
+        answer = {"version": version_of(log.position), "changes": rows}
+        return HTTPStatus.OK, json.dumps(answer).encode()
 
     def status(self) -> dict[str, Any]:
-        """For whoever is on call; docs/operate/scale.md says what each line means."""
-        now = time.monotonic_ns()
-        nodes = self.nodes
-        return {
-            "machine": self.machine.spec.name,
-            "region": self.machine.spec.region,
-            "role": ROLE_STATUS[self.replica.role],
-            "epoch": self.replica.current_term,
-            "leader": self.replica.leader,
-            "needs_load": self.replica.needs_load(),
-            "logs": {
-                name: {"version": version_of(log.position), "position": list(log.position),
-                       "changes": len(log)}
-                for name, log in self.logs.items()
-            },
-            "machines": sorted(nodes.presence.machines(now) | {self.machine.spec.name}),
-            "nodes": {
-                "registered": len(self.file.nodes),
-                "alive": len(nodes.liveness.alive),
-                "here": nodes.presence.local_count(),
-            },
-            "questions": {
-                "connections": self.questions.connections,
-                "waiting": self.questions.waiting(),
-            },
-            "assignment": {
-                "digest": nodes.assignment.digest,
-                "generation": nodes.handover.generation,
-                "pairs": sum(map(len, nodes.assignment.holders.values())),
-                "moving": nodes.handover.moving(),
-                "unmet": len(nodes.assignment.unmet),
-                "touched": nodes.touched,
-            },
-            "memory_bytes": resident(),
-            "cpu_seconds": sum(resource.getrusage(resource.RUSAGE_SELF)[:2]),
-            "counts": {
-                "questions": dict(self.questions.counts),
-                "publisher": dict(self.publisher.counts),
-                "replica": dict(self.replica.counts),
-                "streams": dict(self.streams.counts),
-                "machine": dict(self.counts),
-                "ignored_grants": dict(self.releases.counts),
-            },
-        }  # fmt: skip
-
-
-def resident() -> int:
-    """Resident bytes of this process."""
-    with open(STATUS_MEMORY) as file:
-        return int(file.read().split()[1]) * resource.getpagesize()
-
-
-async def serve(file: ScaleFile, name: str, log: Callable[[str], None]) -> None:
-    """Run one machine until SIGTERM or SIGINT."""
-    machine = ControlMachine(file, file.machine(name), log)
-    loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    await machine.open()
-    log(f"control machine {name} serves {len(file.nodes)} nodes, {len(file.services)} services")
-    await ended.wait()
-    machine.close()
-
-
-def main(path: str, name: str) -> int:
-    """Start it; 0 after a stop, 2 where the file or an address can't be used."""
-
-    def log(text: str) -> None:
-        with contextlib.suppress(OSError):
-            print(f"loadbalancer scale {name}: {text}", file=sys.stderr, flush=True)
-
-    try:
-        file = read_scale(path)
-        uvloop.run(serve(file, name, log))
-    except (ScaleFileError, InvalidInputError) as err:
-        print(err, file=sys.stderr)
-        return 2
-    except OSError as err:
-        print(f"loadbalancer scale: {name}: {err}", file=sys.stderr)
-        return 2
-    return 0
+        """The machine's state for GET /status."""
+        return status.report(self, time.monotonic_ns())
+
+
+async def _every(seconds: float, work: Callable[[], None]) -> None:
+    while True:
+        await asyncio.sleep(seconds)
+        work()
--- a/loadbalancer/control/machine/messages.py
+++ b/loadbalancer/control/machine/messages.py
@@ -1,4 +1,4 @@
-"""What control machines say beside the log's own messages, and the codec of all of it."""
+"""Messages between control machines beside the replicated log's, and the codec of all of them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PresenceWanted:
-    """A presence update was missed: the whole is needed."""
+class PresenceRequest:
+    """A presence update was missed: asks for one that has all nodes present."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """All the services that a node serves, as it told the machine that it asks."""
+    """All the services that a node serves, as it reported to the machine that it polls."""
 
     node: str
     serving: tuple[str, ...]
@@ -32,11 +32,12 @@
     reports: tuple[NodeReport, ...]
 
 
-KINDS: tuple[type, ...] = (
-    Hello, PresenceUpdate, PresenceWanted, Reports, *typing.get_args(Message), ReleaseGrant,
+# The order is part of the wire format: a message begins with its type's number here.
+MESSAGE_TYPES: tuple[type, ...] = (
+    Hello, PresenceUpdate, PresenceRequest, Reports, *typing.get_args(Message), ReleaseGrant,
 )  # fmt: skip
 
 
 def codec() -> Codec:
     """The codec of a stream between control machines."""
-    return Codec(KINDS)
+    return Codec(MESSAGE_TYPES)
--- a/loadbalancer/control/machine/operator_calls.py
+++ b/loadbalancer/control/machine/operator_calls.py
@@ -1,97 +1,104 @@
-"""Operators' calls to a control machine: its state, its log, and changes handed in.
+"""Operators' HTTP calls to a control machine: its state, its log, and submitted changes.
 
     GET /status                      the machine's state as JSON
-    GET /log?region=R&from=VERSION   accepted changes after a version, some at a time
-    POST /changes                    a JSON array of changes; answered once they are accepted
+    GET /log?region=R&from=VERSION   committed changes after a version, a bounded number of them
+    POST /changes                    a JSON array of changes; answered once they are committed
 
-One call at a time on a connection, bounded in size; the answers are the machine's.
+One call at a time on a connection, bounded in size; the machine gives the answers.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any, Protocol
 
 from loadbalancer.sources.http_get import whole_number
 from loadbalancer.sources.watchers import MAX_HEAD, Caller, Query
 
-MOST_CALLERS = 64
+MAX_CALLERS = 64
 
-Reply = Callable[[int, bytes], None]
+Reply = Callable[[int, bytes], None]  # HTTP status and body
 
 
-class Operated(Protocol):
-    """The machine, as its operators' calls see it."""
+class OperatedMachine(Protocol):
+    """A machine as its operators' calls see it."""
 
     def status(self) -> dict[str, Any]:
         """Its state."""
 
     def log_after(self, region: str, version: int) -> tuple[int, bytes]:
-        """HTTP status and body: the accepted changes after a version."""
+        """HTTP status and body: the committed changes after a version."""
 
-    def change(self, body: bytes, reply: Reply) -> None:
-        """Changes handed in; `reply` is called once."""
+    def submit(self, body: bytes, reply: Reply) -> None:
+        """Propose the changes in a body; `reply` is called once."""
 
 
-class Calls:
-    """The host of all `Call`s at one machine."""
+class OperatorHost:
+    """What all operators' connections to one machine share."""
 
-    most_watchers = MOST_CALLERS
+    most_watchers = MAX_CALLERS
 
-    def __init__(self, machine: Operated, most_bytes: int) -> None:
+    def __init__(self, machine: OperatedMachine, max_change_bytes: int) -> None:
+        """`max_change_bytes` bounds the body of one POST /changes."""
         self.connections = 0
         self.machine = machine
-        self.most_bytes = most_bytes
-        self._waiting: set[Call] = set()
+        self.max_change_bytes = max_change_bytes
+        self._waiting: set[OperatorConnection] = set()
 
-    def waits(self, caller: Call) -> bool:
+    def waits(self, caller: OperatorConnection) -> bool:
+        """Whether the connection's last call has no answer yet."""
         return caller in self._waiting
 
-    def forget(self, caller: Call) -> None:
+    def forget(self, caller: OperatorConnection) -> None:
+        """The connection's call needs no answer any more."""
         self._waiting.discard(caller)
 
-    def change(self, call: Call, body: bytes) -> None:
-        """Pass on a change, and its answer when there is one."""
-        self._waiting.add(call)
+    def submit(self, connection: OperatorConnection, body: bytes) -> None:
+        """Pass changes on to the machine, and its answer back while it is waited for."""
+        self._waiting.add(connection)
 
         def reply(status: int, text: bytes) -> None:
-            if call in self._waiting:
-                self._waiting.discard(call)
-                call.reply(status, text)
+            if connection in self._waiting:
+                self._waiting.discard(connection)
+                connection.reply(status, text)
 
-        self.machine.change(body, reply)
+        self.machine.submit(body, reply)
 
 
-class Call(Caller):
+class OperatorConnection(Caller):
     """One operator's connection."""
 
-    host: Calls
+    host: OperatorHost
 
-    def __init__(self, host: Calls) -> None:
+    def __init__(self, host: OperatorHost) -> None:
         super().__init__(host)
-        self.most_bytes = MAX_HEAD + host.most_bytes
+        self.most_bytes = MAX_HEAD + host.max_change_bytes
         self._body = b""
 
     def on_body(self, body: bytes) -> None:
+        """Collect a part of the call's body; its size is bounded with the head's."""
         self._body += body
 
     def question(self, method: bytes, path: str, query: Query) -> None:
+        """Answer a complete call."""
         body, self._body = self._body, b""
         if (method, path) == (b"POST", "/changes"):
-            self.host.change(self, body)
+            self.host.submit(self, body)
         elif method != b"GET":
-            self.give_up(405, b"GET /status, GET /log and POST /changes are there")
+            text = b"GET /status, GET /log and POST /changes are there"
+            self.give_up(HTTPStatus.METHOD_NOT_ALLOWED, text)
         elif path == "/status":
-            self.reply(200, json.dumps(self.host.machine.status()).encode())
+            self.reply(HTTPStatus.OK, json.dumps(self.host.machine.status()).encode())
         elif path == "/log":
             self._log(query)
         else:
-            self.reply(404, b"there are /status, /log and /changes")
+            self.reply(HTTPStatus.NOT_FOUND, b"there are /status, /log and /changes")
 
     def _log(self, query: Query) -> None:
         version = whole_number(query.get("from", ["0"])[0])
         if version is None:
-            self.reply(400, b"from is a whole number")
+            self.reply(HTTPStatus.BAD_REQUEST, b"from is a whole number")
             return
         self.reply(*self.host.machine.log_after(query.get("region", [""])[0], version))
--- /dev/null
+++ b/loadbalancer/control/machine/process.py
@@ -0,0 +1,49 @@
+"""The process of one control machine: from the file's name to the end by a signal."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+import sys
+
+import uvloop
+
+from loadbalancer import logs
+from loadbalancer.control.machine.file import ScaleFile, ScaleFileError, read_scale
+from loadbalancer.control.machine.machine import ControlMachine
+from loadbalancer.core.assignment.model import InvalidInputError
+
+EXIT_UNUSABLE = 2  # the file, the machine's name or an address can't be used
+
+logger = logging.getLogger(__name__)
+
+
+async def serve(file: ScaleFile, name: str) -> None:
+    """Run one machine until SIGTERM or SIGINT."""
+    machine = ControlMachine(file, file.machine(name))
+    loop = asyncio.get_running_loop()
+    ended = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, ended.set)
+    await machine.open()
+    logger.info(
+        "control machine %s serves %d nodes, %d services",
+        name, len(file.nodes), len(file.services),
+    )  # fmt: skip
+    await ended.wait()
+    machine.close()
+
+
+def main(path: str, name: str) -> int:
+    """Run the machine; 0 after a stop, 2 where the file or an address can't be used."""
+    logs.configure(f"loadbalancer scale {name}")
+    try:
+        uvloop.run(serve(read_scale(path), name))
+    except (ScaleFileError, InvalidInputError) as err:
+        print(err, file=sys.stderr)
+        return EXIT_UNUSABLE
+    except OSError as err:
+        print(f"loadbalancer scale: {name}: {err}", file=sys.stderr)
+        return EXIT_UNUSABLE
+    return 0
--- /dev/null
+++ b/loadbalancer/control/machine/status.py
@@ -0,0 +1,98 @@
+"""A control machine's state as GET /status gives it; docs/operate/scale.md explains each line.
+
+The keys, and the names of the counters below `counts`, are part of the operators' interface.
+"""
+
+from __future__ import annotations
+
+import resource
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from loadbalancer.control.machine.version import version_of
+from loadbalancer.core.replicated_log.replication import Role
+
+if TYPE_CHECKING:
+    from loadbalancer.control.machine.machine import ControlMachine
+
+STATM = Path("/proc/self/statm")  # its second figure is the resident size in pages
+
+# The roles in the words of GET /status, which name the state before an election once.
+ROLE_WORDS = {
+    Role.RECOVERING: "empty",
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "candidate",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
+
+
+def report(machine: ControlMachine, now: int) -> dict[str, Any]:
+    """The machine's state at this time in nanoseconds."""
+    replica = machine.replica
+    return {
+        "machine": machine.machine.spec.name,
+        "region": machine.machine.spec.region,
+        "role": ROLE_WORDS[replica.role],
+        "epoch": replica.current_term,
+        "leader": replica.leader,
+        "needs_load": replica.needs_load(),
+        "logs": _logs(machine),
+        "machines": sorted(machine.live_machines(now)),
+        "nodes": _nodes(machine),
+        "questions": {
+            "connections": machine.node_requests.connections,
+            "waiting": machine.node_requests.waiting(),
+        },
+        "assignment": _assignment(machine),
+        "memory_bytes": resident_bytes(),
+        "cpu_seconds": sum(resource.getrusage(resource.RUSAGE_SELF)[:2]),
+        "counts": _counts(machine),
+    }
+
+
+def _logs(machine: ControlMachine) -> dict[str, Any]:
+    return {
+        name: {
+            "version": version_of(log.position),
+            "position": list(log.position),
+            "changes": len(log),
+        }
+        for name, log in machine.logs.items()
+    }
+
+
+def _nodes(machine: ControlMachine) -> dict[str, int]:
+    return {
+        "registered": len(machine.file.nodes),
+        "alive": len(machine.nodes.liveness.alive),
+        "here": machine.nodes.presence.local_count(),
+    }
+
+
+def _assignment(machine: ControlMachine) -> dict[str, Any]:
+    nodes = machine.nodes
+    return {
+        "digest": nodes.assignment.digest,
+        "generation": nodes.handover.generation,
+        "pairs": sum(map(len, nodes.assignment.holders.values())),
+        "moving": nodes.handover.moving(),
+        "unmet": len(nodes.assignment.unmet),
+        "touched": nodes.touched,
+    }
+
+
+def _counts(machine: ControlMachine) -> dict[str, dict[str, int]]:
+    return {
+        "questions": dict(machine.node_requests.counts),
+        "publisher": dict(machine.publisher.counts),
+        "replica": dict(machine.replica.counts),
+        "streams": dict(machine.streams.counts),
+        "machine": dict(machine.counts),
+        "ignored_grants": dict(machine.releases.counts),
+    }
+
+
+def resident_bytes() -> int:
+    """Resident bytes of this process."""
+    return int(STATM.read_text().split()[1]) * resource.getpagesize()
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -1,8 +1,9 @@
-"""Streams between control machines: each dials every other, and speaks on the stream it dialled.
+"""Streams between control machines: each dials every other, and only sends on what it dialled.
 
-A frame is its length in four bytes and a message by `codec`. The first names the sender and the
-fleet's file, and a stream of another fleet, or of nobody in the file, is cut. What waits for a
-machine that does not read is bounded: then its stream is cut, and begins anew with a whole word.
+A frame is its length in four bytes and a message by `codec`. The first frame is a `Hello` with the
+sender's name and the digest of its file; a stream of another fleet, or of a machine that the file
+does not name, is closed. Bytes that wait for a machine that does not read are bounded: past the
+bound its stream is closed and dialled again, and it is sent the full state anew.
 """
 
 from __future__ import annotations
@@ -17,50 +18,51 @@
 from loadbalancer.config.node import Address
 from loadbalancer.control.machine.codec import BadMessageError, Codec
 
-MAX_FRAME = 32 << 20  # bytes
+MAX_FRAME_BYTES = 32 << 20
 REDIAL_S = 0.5
-HELLO_S = 5.0  # for the first frame to come
+HELLO_TIMEOUT_S = 5.0  # for the first frame to come
 _LENGTH = struct.Struct(">I")
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first frame: who speaks, and the digest of what both must have in common."""
+    """A stream's first frame."""
 
-    machine: str
-    fleet: str
+    machine: str  # the sender
+    fleet: str  # the digest of what both ends must have in common
 
 
-class Streams:
-    """One machine's streams to and from the others.
-
-    `told` gets each message and its sender, `up` the name of a machine that has just been
-    reached. `counts` tells what was cut or dropped, by reason.
-    """
+class PeerStreams:
+    """One machine's streams to and from the others; `counts` has what was sent and dropped."""
 
     def __init__(
         self,
         hello: Hello,
         others: Mapping[str, Address],
         codec: Codec,
-        backlog: int,
-        told: Callable[[str, Any], None],
-        up: Callable[[str], None],
+        backlog_bytes: int,
+        on_message: Callable[[str, Any], None],
+        on_connected: Callable[[str], None],
     ) -> None:
+        """`on_message` gets sender and message, `on_connected` a machine that can be sent to."""
         self.hello = hello
         self.codec = codec
-        self.told = told
+        self.on_message = on_message
         self.counts: Counter[str] = Counter()
-        self._others = dict(others)
-        self._backlog = backlog
-        self._up = up
-        self._out: dict[str, asyncio.Transport] = {}
         self.incoming: set[asyncio.Transport] = set()
+        self._others = dict(others)
+        self._backlog_bytes = backlog_bytes
+        self._on_connected = on_connected
+        self._outgoing: dict[str, asyncio.Transport] = {}
         self._dials: list[asyncio.Task[None]] = []
         self._server: asyncio.Server | None = None
 
     async def open(self, listen: Address) -> int:
-        """Listen, and dial the others for good; returns the port."""
+        """Listen, and keep dialling the others; returns the port.
+
+        Raises:
+            OSError: the address can't be listened on.
+        """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Incoming(self), listen.host, listen.port)
         self._dials = [loop.create_task(self._dial(*other)) for other in self._others.items()]
@@ -70,23 +72,23 @@
         """End all streams."""
         for dial in self._dials:
             dial.cancel()
-        for transport in [*self._out.values(), *self.incoming]:
+        for transport in [*self._outgoing.values(), *self.incoming]:
             transport.abort()
         if self._server is not None:
             self._server.close()
 
-    def knows(self, hello: Hello) -> bool:
+    def accepts(self, hello: Hello) -> bool:
         """Whether such a first frame is one of the other machines'."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
     def send(self, machine: str, message: Any) -> None:
-        """Send it if there is a stream; lost otherwise, as on a network."""
-        transport = self._out.get(machine)
+        """Send a message; it is lost where there is no stream, or too much waits for it."""
+        transport = self._outgoing.get(machine)
         if transport is None or transport.is_closing():
             self.counts["no stream"] += 1
             return
         data = self.codec.encode(message)
-        if transport.get_write_buffer_size() + len(data) > self._backlog:
+        if transport.get_write_buffer_size() + len(data) > self._backlog_bytes:
             self.counts["backlog"] += 1
             transport.abort()
             return
@@ -95,8 +97,8 @@
         transport.write(_LENGTH.pack(len(data)) + data)
 
     def send_all(self, message: Any) -> None:
-        """Send it on each stream that is up."""
-        for machine in [*self._out]:
+        """Send a message on each stream that is up."""
+        for machine in [*self._outgoing]:
             self.send(machine, message)
 
     async def _dial(self, machine: str, address: Address) -> None:
@@ -113,82 +115,88 @@
             except OSError:
                 await asyncio.sleep(REDIAL_S)
                 continue
-            self._out[machine] = transport
+            self._outgoing[machine] = transport
             self.send(machine, self.hello)
-            self._up(machine)
+            self._on_connected(machine)
             await ended
-            self._out.pop(machine, None)
+            self._outgoing.pop(machine, None)
             await asyncio.sleep(REDIAL_S)
 
 
 class _Outgoing(asyncio.Protocol):
-    """A stream that this machine has dialled: it only writes."""
+    """A stream that this machine has dialled: it only sends."""
 
     def __init__(self, ended: asyncio.Future[None]) -> None:
         self._ended = ended
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The stream ended: let the machine be dialled again."""
+        del exc
         if not self._ended.done():
             self._ended.set_result(None)
 
 
 class _Incoming(asyncio.Protocol):
-    """A stream that another machine has dialled: it is only read."""
+    """A stream that another machine has dialled: it is only received from."""
 
-    def __init__(self, streams: Streams) -> None:
+    def __init__(self, streams: PeerStreams) -> None:
         self._streams = streams
-        self._data = bytearray()
-        self._sender = ""
+        self._buffer = bytearray()
+        self._sender = ""  # until its Hello
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for the Hello."""
         self._transport = cast(asyncio.Transport, transport)
         self._streams.incoming.add(self._transport)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(HELLO_S, self._cut, "no hello")
+        self._timer = loop.call_later(HELLO_TIMEOUT_S, self._abort, "no hello")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the stream."""
+        del exc
         if self._transport is not None:
             self._streams.incoming.discard(self._transport)
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        self._data += data
-        start, size = 0, len(self._data)
+        """Handle each complete frame."""
+        self._buffer += data
+        start, size = 0, len(self._buffer)
         while size - start >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(self._data, start)
-            if length > MAX_FRAME:
-                self._cut("frame too long")
+            (length,) = _LENGTH.unpack_from(self._buffer, start)
+            if length > MAX_FRAME_BYTES:
+                self._abort("frame too long")
                 return
             end = start + _LENGTH.size + length
             if end > size:
                 break
-            if not self._frame(bytes(memoryview(self._data)[start + _LENGTH.size : end])):
+            if not self._on_frame(bytes(memoryview(self._buffer)[start + _LENGTH.size : end])):
                 return
             start = end
-        del self._data[:start]
+        del self._buffer[:start]
 
-    def _frame(self, frame: bytes) -> bool:
-        """Take one frame; False where it ended the stream."""
+    def _on_frame(self, frame: bytes) -> bool:
+        """Handle one frame; False where it ended the stream."""
         try:
             message = self._streams.codec.decode(frame)
         except BadMessageError as err:
-            self._cut(str(err))
+            self._abort(str(err))
             return False
         if self._sender:
-            self._streams.told(self._sender, message)
+            self._streams.on_message(self._sender, message)
             return True
-        if not isinstance(message, Hello) or not self._streams.knows(message):
-            self._cut("stranger")
+        if not isinstance(message, Hello) or not self._streams.accepts(message):
+            self._abort("stranger")
             return False
         self._sender = message.machine
         if self._timer is not None:
             self._timer.cancel()
         return True
 
-    def _cut(self, why: str) -> None:
-        self._streams.counts[why] += 1
+    def _abort(self, counter: str) -> None:
+        self._streams.counts[counter] += 1
         if self._transport is not None:
             self._transport.abort()
--- a/tests/control/machine/test_fleet_digest.py
+++ b/tests/control/machine/test_fleet_digest.py
@@ -12,7 +12,7 @@
 from loadbalancer.control.machine.fleet_digest import RULES_FIELDS, fleet_digest
 from loadbalancer.core.assignment.assignment import AssignmentRules
 from loadbalancer.core.assignment.model import NodeSpec
-from tests.scalemachines import write_file
+from tests.control_machines import write_file
 
 FIRST_RELEASE = "21c043480c54713e88a472eae9b0c715"  # of `write_file`'s file
 
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -16,15 +16,15 @@
 
 from benchmarks.scale.fleet import call
 from loadbalancer.config.node import Address
-from loadbalancer.control.machine import machine
-from loadbalancer.control.machine.file import MOST_NAME, read_scale
+from loadbalancer.control.machine import log_loader
+from loadbalancer.control.machine.file import MAX_NAME_LENGTH, read_scale
 from loadbalancer.control.machine.subscriber import AskTiming, Subscriber
 from loadbalancer.control.machine.version import MOST_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
+from tests.control_machines import NAMES, Machines, three, write_file
 from tests.harness import ROOT, config, listen, served_by, started, target, until
-from tests.scalemachines import NAMES, Machines, three, write_file
 
 
 @pytest.fixture(scope="module")
@@ -58,7 +58,7 @@
 
     def asks(self, name: str) -> bool:
         return self.holder.name in self.region.do(
-            lambda: {q.node for q in self.region.machines[name].questions._waiting.values()}
+            lambda: {q.node for q in self.region.machines[name].node_requests._waiting.values()}
         )
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         ("node=n1&region=east&from=abc", "from and hold_ms are whole numbers"),
         ("node=n1&region=east&from=0&serving=pay&generation=x", "generation: [range]"),
         (f"node=n1&region=east&from=0&held={'a,' * 1025}", "names: [too-many] 1025"),
-        (f"node={'x' * (MOST_NAME + 1)}&region=east&from=0", "node: [unknown node]"),
+        (f"node={'x' * (MAX_NAME_LENGTH + 1)}&region=east&from=0", "node: [unknown node]"),
     ],
 )
 def test_nonsense_is_refused_in_one_line_and_counted(
@@ -177,7 +177,7 @@
 ) -> None:
     name = belongs(region, "n1")
     before = region.status(name)
-    status, body = region.ask(name, query)
+    status, body = region.poll(name, query)
     assert status == 400 and body.startswith(said) and "\n" not in body
     after = region.status(name)
     assert after["logs"] == before["logs"] and after["questions"]["waiting"] == 0
@@ -190,7 +190,7 @@
     name = belongs(region, "n1")
     epoch, revision = region.status(name)["logs"]["east"]["position"]
     ahead = version_of(Position(epoch, revision + 1))
-    status, body = region.ask(name, f"node=n1&region=east&from={ahead}&hold_ms=1")
+    status, body = region.poll(name, f"node=n1&region=east&from={ahead}&hold_ms=1")
     answer = json.loads(body)
     assert status == 200 and answer["rev"] == ahead and answer["targets"] == []
     assert answer["elsewhere"] in set(NAMES) - {name}
@@ -307,14 +307,18 @@
 def test_a_source_that_can_not_be_used_is_told_and_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(machine, "LOAD_AGAIN_S", 0.05)
+    monkeypatch.setattr(log_loader, "RETRY_S", 0.05)
     source = tmp_path / "backends.jsonl"
     source.write_text("{}\n")
     machines = Machines(read_scale(str(write_file(tmp_path, f'backends_file = "{source}"\n'))))
     try:
         for name in NAMES:
             machines.start(name)
-        until(lambda: any("not loaded: backends.jsonl:1: [bad-row]" in s for s in machines.said))
+        until(
+            lambda: any(
+                "not loaded: backends.jsonl:1: [bad-row]" in line for line in machines.log.lines
+            )
+        )
         source.write_text(json.dumps({"service": "pay", "targets": rows("p1")}) + "\n")
         leader = machines.leader()
         log = machines.machines[leader].logs["east"]
@@ -370,10 +374,10 @@
         monkeypatch.setattr(handover, "releasable", lambda node: views.get(node, frozenset()))
 
     def turn(name: str) -> None:
-        region.do(region.machines[name]._turn)
+        region.do(region.machines[name]._tick_nodes)
 
     def told() -> list[list[str]]:
-        answers = [region.ask(name, "node=n1&region=east&from=0&redirected=1") for name in NAMES]
+        answers = [region.poll(name, "node=n1&region=east&from=0&redirected=1") for name in NAMES]
         return [json.loads(body)["releasable"] for _, body in answers]
 
     for name in NAMES:
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -28,7 +28,7 @@
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.replicated_log.messages import AppendEntries, Fetch
-from tests.scalemachines import write_file
+from tests.control_machines import write_file
 
 AT, LATER = Position(3, 7), Position(3, 9)
 
--- a/tests/scalemachines.py
+++ b/tests/control_machines.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import json
+import logging
 import socket
 import threading
 from collections.abc import Callable, Iterator
@@ -63,6 +64,25 @@
     return path
 
 
+class LogLines(logging.Handler):
+    """Collects the lines that control machines log, until it is closed."""
+
+    def __init__(self) -> None:
+        super().__init__(logging.INFO)
+        self.lines: list[str] = []
+        self._logger = logging.getLogger("loadbalancer.control.machine")
+        self._logger.setLevel(logging.INFO)
+        self._logger.addHandler(self)
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.lines.append(record.getMessage())
+
+    def close(self) -> None:
+        self._logger.removeHandler(self)
+        self._logger.setLevel(logging.NOTSET)
+        super().close()
+
+
 class Machines:
     """The machines of a file, each able to be ended by itself."""
 
@@ -70,7 +90,7 @@
         self.file = file
         self.loop = asyncio.new_event_loop()
         self.machines: dict[str, ControlMachine] = {}
-        self.said: list[str] = []  # their logs' lines
+        self.log = LogLines()
         self._thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self._thread.start()
 
@@ -91,7 +111,7 @@
         """Begin it, with nothing in memory."""
 
         async def begin() -> ControlMachine:
-            machine = ControlMachine(self.file, self.file.machine(name), self.said.append, TIMING)
+            machine = ControlMachine(self.file, self.file.machine(name), TIMING)
             await machine.open()
             return machine
 
@@ -103,7 +123,7 @@
 
         def kill() -> None:
             machine.close()
-            for watcher in [*machine.questions._waiting]:
+            for watcher in [*machine.node_requests._waiting]:
                 watcher.abort()
 
         self.do(kill)
@@ -113,6 +133,7 @@
             self.end(name)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(LIMIT)
+        self.log.close()
 
     def address(self, name: str, key: str = "admin") -> Address:
         found = getattr(self.file.machine(name), key)
@@ -143,15 +164,15 @@
         return leaders[0]
 
     def change(self, *changes: dict[str, Any]) -> list[dict[str, Any]]:
-        """Hand changes in at the leader; what it answers."""
+        """Submit changes at the leader; returns its answer."""
         body = json.dumps(list(changes)).encode()
         status, answer = call(self.address(self.leader()), "POST", "/changes", body)
         assert status == 200, answer
         found: list[dict[str, Any]] = json.loads(answer)
         return found
 
-    def ask(self, name: str, query: str) -> tuple[int, str]:
-        """A subscriber's question to one machine."""
+    def poll(self, name: str, query: str) -> tuple[int, str]:
+        """A subscriber's poll of one machine."""
         address = self.address(name, "subscribers")
         status, body = call(address, "GET", f"/registry/instances?{query}")
         return status, body.decode()
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -26,10 +26,10 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
-from loadbalancer.control.machine.messages import NodeReport, PresenceWanted, Reports, codec
+from loadbalancer.control.machine.messages import NodeReport, PresenceRequest, Reports, codec
 from loadbalancer.control.machine.node_requests import Questions, Subscription
-from loadbalancer.control.machine.operator_calls import Call, Calls
-from loadbalancer.control.machine.stream import Hello, Streams, _Incoming
+from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
 from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, _Region
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encode import Encoder, stub_cluster
@@ -79,7 +79,7 @@
     "node-report": (NodeReport, "node serving"),
     "node-release": (NodeRelease, "node services"),
     "delta": (Delta, "region base:position position:position changes:change*"),
-    "wanted": (handed_in.Wanted, "service rows:row* removed deleted"),
+    "wanted": (handed_in.SubmittedChange, "service rows:row* removed deleted"),
     "machine-spec": (MachineSpec, "name region zone"),
     "node-spec": (NodeSpec, "name region zone capacity rate"),
     "service-spec": (ServiceSpec, "name region zones rate backends"),
@@ -89,7 +89,7 @@
 MESSAGES: dict[str, tuple[Any, str]] = {
     "hello": (Hello, "machine fleet"),
     "presence-update": (PresenceUpdate, "serial whole=complete came=joined left=departed"),
-    "presence-wanted": (PresenceWanted, ""),
+    "presence-wanted": (PresenceRequest, ""),
     "reports": (Reports, "reports:node-report*"),
     "vote-request": (
         RequestVote,
@@ -217,8 +217,8 @@
         is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=sent.append
     )
     hello = _built("hello", plain["hello"])
-    streams = Streams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
-    streams._out["other"] = transport  # type: ignore[assignment]
+    streams = PeerStreams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
+    streams._outgoing["other"] = transport  # type: ignore[assignment]
     streams.send("other", hello)
     for message in plain["messages"]:
         streams.send("other", _built(message["kind"], message["fields"]))
@@ -234,18 +234,18 @@
         kind = kinds[type(message)]
         found["messages"].append({"kind": kind, "fields": _plain(kind, message)})
 
-    def knows(hello: Hello) -> bool:
+    def accepts(hello: Hello) -> bool:
         found["hello"] = _plain("hello", hello)
         return True
 
     async def read() -> None:
-        streams = Streams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
-        with mock.patch.object(streams, "knows", knows):
+        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
+        with mock.patch.object(streams, "accepts", accepts):
             incoming = _Incoming(streams)
             incoming.connection_made(mock.Mock())
             for at in range(0, len(data), 7):  # frames come in pieces
                 incoming.data_received(data[at : at + 7])
-        assert not streams.counts and not incoming._data
+        assert not streams.counts and not incoming._buffer
 
     asyncio.run(read())
     return found
@@ -398,8 +398,8 @@
 # ---- operators' calls ---------------------------------------------------------
 
 
-def _handed_in() -> handed_in.Changes:
-    return handed_in.Changes(mock.Mock(), "east", SERVICES)
+def _handed_in() -> handed_in.ChangeSubmissions:
+    return handed_in.ChangeSubmissions(mock.Mock(), "east", SERVICES)
 
 
 def _read_operator_call(data: bytes) -> Any:
@@ -413,13 +413,13 @@
         found.update(call="log", region=region, position=_plain("position", position_of(version)))
         return 200, b""
 
-    def change(body: bytes, reply: Any) -> None:
+    def submit(body: bytes, reply: Any) -> None:
         found.update(call="changes", changes=body)
 
-    machine: Any = SimpleNamespace(status=status, log_after=log_after, change=change)
-    Call(Calls(machine, 1 << 20)).data_received(data)
+    machine: Any = SimpleNamespace(status=status, log_after=log_after, submit=submit)
+    OperatorConnection(OperatorHost(machine, 1 << 20)).data_received(data)
     if "changes" in found:
-        rows = _handed_in()._decode(found["changes"])
+        rows = handed_in.decode_changes(found["changes"], SERVICES)
         found["changes"] = [_plain("wanted", one) for one in rows]
     return found
 
@@ -427,13 +427,13 @@
 def _write_changes_answer(plain: Any) -> bytes:
     """The answer to changes handed in: HTTP status, a space, the body."""
     answers: list[bytes] = []
-    call = handed_in._Call(lambda status, body: answers.append(f"{status} ".encode() + body))
+    call = handed_in._Submission(lambda status, body: answers.append(f"{status} ".encode() + body))
     hosts = _handed_in()
     if "outcome" in plain:
         hosts._refuse(call, Proposal(Outcome(plain["outcome"]), leader=plain["leader"]))
     for one in plain.get("accepted", ()):
-        call.accepted[_built("position", one["position"])] = None
-    hosts._open = dict.fromkeys(call.accepted, call)
+        call.committed_ns[_built("position", one["position"])] = None
+    hosts._pending = dict.fromkeys(call.committed_ns, call)
     for one in plain.get("accepted", ()):
         change = Change(_built("position", one["position"]), "cart")
         with mock.patch("time.monotonic_ns", lambda at=one["at_ns"]: at):
