--- a/benchmarks/scale/balancers.py
+++ b/benchmarks/scale/balancers.py
@@ -23,7 +23,7 @@
 
 CLASSES = (
     RequestClass("balance", 800 * MS, 2 * SECOND),
-    RequestClass("credit", 750 * MS, 3 * SECOND, Effect.SIDE_EFFECT, worth=5.0),
+    RequestClass("credit", 750 * MS, 3 * SECOND, Effect.SIDE_EFFECT, priority_weight=5.0),
     RequestClass("report", 2 * SECOND, 5 * SECOND),
 )
 ALL_NODES = 7_800
@@ -51,7 +51,7 @@
 
 def loaded(backends: int, nodes: int, tenants: tuple[Tenant, ...] = ()) -> Balancer:
     """A Balancer of one of `nodes` nodes that holds so many ready backends of its zone."""
-    settings = Settings(CLASSES, tenants, balancers=nodes)
+    settings = Settings(CLASSES, tenants, nodes=nodes)
     balancer = Balancer(settings, 1, NoHost())
     balancer.start(1)
     balancer.on_members(1, Update.FULL, [listing(i) for i in range(backends)])
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -301,7 +301,7 @@
             self._settings[key] = Settings(
                 classes=CLASSES,
                 tenants=self.plan.tenants.get(service, ()),
-                balancers=8,
+                nodes=8,
                 zones=len(ZONES),
                 zone=ZONES.index(zone),
             )
--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -209,10 +209,10 @@
         if names.count(name) > 1:
             raise ValueError(f"class {name!r} stands twice")
     for c in settings.classes:
-        if c.window < 0:
+        if c.repeat_window < 0:
             raise ValueError(f"class {c.name!r}: repeat_window must not be under 0")
     for key in ("ask_within", "drain_grace", "cold", "fall", "answer_slack", "connect_timeout"):
-        if getattr(settings, key) < 0:
+        if getattr(settings, "poll_within" if key == "ask_within" else key) < 0:
             raise ValueError(f"{key} must not be under 0")
 
 
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -23,7 +23,7 @@
 
 def asking(config: Config) -> Config:
     """Whatever the node's way, nobody pushes a list to the control service: it asks."""
-    return replace(config, settings=replace(config.settings, ask=True))
+    return replace(config, settings=replace(config.settings, poll=True))
 
 
 class Pool:
@@ -162,7 +162,7 @@
         now = time.monotonic_ns()
         self.ledger.forget(now, self._addresses)
         for v in self.ledger.verdicts() if self.ledger.news() else ():
-            self.balancer.on_reported(now, v.backend, v.ratio, v.failing)
+            self.balancer.on_load_report(now, v.backend, v.ratio, v.failing)
 
     # ---- Actions ------------------------------------------------------
 
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -24,7 +24,7 @@
     FULL = 1
     CACHED = 2
     FAILED = 3
-    TOLD = 4  # what other nodes know of the list: its rows alone, and no answer to a call
+    REPORTED = 4  # what other nodes know of the list: its rows alone, and no answer to a call
 
 
 class Effect(IntEnum):
@@ -50,7 +50,7 @@
     MOOT = 8
 
 
-class Told(IntEnum):
+class ReportedState(IntEnum):
     """What other nodes' words come to for one backend; the later, the stricter."""
 
     SLOW = 1
@@ -79,22 +79,22 @@
     state: State
     cap: int  # requests in flight that this node allows
     warmth: float  # part of its capacity, 1.0 once warm
-    latency: float  # against the fleet's
-    down: bool  # left alone as silent or unreachable
+    latency_ratio: float  # against the fleet's
+    ejected: bool  # left alone as silent or unreachable
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: int
+    latency_objective: int
     deadline: int
     effect: Effect = Effect.PURE
     scope: Scope = Scope.ALL
-    window: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    repeat_window: int = 0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     stream: bool = False
-    aim_stretch: float = 0.0
+    objective_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,12 +111,12 @@
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     node: int = 0
-    balancers: int = 1
+    nodes: int = 1
     zone: int = 0
     zones: int = 1
     load_columns: tuple[str, ...] = ()
-    ask: bool = False
-    ask_within: int = 10 * SECOND
+    poll: bool = False
+    poll_within: int = 10 * SECOND
     drain_grace: int = SECOND
     cold_from: float = 0.1
     cold: int = 10 * SECOND
@@ -124,7 +124,7 @@
     fall: int = 2 * SECOND
     answer_slack: int = 0
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     can_cancel: bool = False
     can_probe: bool = False
     max_retry_after: int = 0
@@ -138,10 +138,10 @@
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("settings need at least one request class")
-        if self.balancers < 1:
+        if self.nodes < 1:
             raise ValueError("balancers must be at least 1")
         for c in self.classes:
-            if c.aim <= 0 or c.deadline <= 0:
+            if c.latency_objective <= 0 or c.deadline <= 0:
                 raise ValueError(f"class {c.name!r} needs an aim and a deadline above 0")
 
 
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -5,19 +5,19 @@
 from typing import TYPE_CHECKING, Protocol, TypeVar
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.request_policy_state import Ticket
+    from loadbalancer.core.balancing.request_policy_state import RequestPolicyState
     from loadbalancer.core.routes.table import Policy
 
 R = TypeVar("R", contravariant=True)  # the Balancer's record of a request
 
 
-class Part(Protocol):
+class LimitShare(Protocol):
     """Each backend's cap, where two processes are this node."""
 
     def of(self, backend: int, cap: int) -> int: ...
 
 
-class Depths(Protocol):
+class SlotRanks(Protocol):
     """How many of a backend's slots are this node's among the living (see fleet/slots.py)."""
 
     def cap(self, backend: int, deal: int, depth: int, servers: int) -> int: ...
@@ -27,11 +27,15 @@
     """The routes' policies, for requests that have one (see attempts.py)."""
 
     def adopt(self, now: int, r: R, policy: Policy) -> None: ...
-    def sending(self, now: int, r: R, ticket: Ticket, limit: int) -> tuple[int, bool]: ...
+    def sending(
+        self, now: int, r: R, ticket: RequestPolicyState, limit: int
+    ) -> tuple[int, bool]: ...
     def attempt_ended(
-        self, now: int, r: R, ticket: Ticket, number: int, outcome: int, taken: int
+        self, now: int, r: R, ticket: RequestPolicyState, number: int, outcome: int, taken: int
     ) -> None: ...
-    def again(self, now: int, r: R, ticket: Ticket, outcome: int, connected: bool) -> None: ...
-    def come_due(self, now: int, r: R, ticket: Ticket) -> None: ...
+    def again(
+        self, now: int, r: R, ticket: RequestPolicyState, outcome: int, connected: bool
+    ) -> None: ...
+    def come_due(self, now: int, r: R, ticket: RequestPolicyState) -> None: ...
     def cancel(self, r: R, first: int) -> None: ...
-    def ended(self, ticket: Ticket) -> None: ...
+    def ended(self, ticket: RequestPolicyState) -> None: ...
--- a/loadbalancer/core/balancing/request_policy_state.py
+++ b/loadbalancer/core/balancing/request_policy_state.py
@@ -122,7 +122,7 @@
         self.budgets = (self.node,) if self.budget is None else (self.node, self.budget)
 
 
-class Ticket:
+class RequestPolicyState:
     """One request's hold on its policy and on the budgets it counts in."""
 
     __slots__ = ("budgets", "due", "policy", "state")
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -14,16 +14,21 @@
 
 from loadbalancer.core.balancing.balancer import FULL_REST_MAX
 from loadbalancer.core.balancing.model import Effect, Outcome
-from loadbalancer.core.balancing.request_policy_state import COPY_BURST, Budget, RouteState, Ticket
+from loadbalancer.core.balancing.request_policy_state import (
+    COPY_BURST,
+    Budget,
+    RequestPolicyState,
+    RouteState,
+)
 from loadbalancer.core.routes.table import BudgetSpec, Policy, condition
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.balancer import Backend, Balancer, Request
+    from loadbalancer.core.balancing.balancer import Balancer, Endpoint, Request
 
 OK, CANCELLED = int(Outcome.OK), int(Outcome.CANCELLED)  # members of an enum cost a look-up
 
 
-class Attempts:
+class RoutePolicies:
     """The policies' part in one Balancer, which calls it for requests that have one."""
 
     __slots__ = ("_balancer", "_random", "_states", "copies", "further", "node", "unpaid")
@@ -61,18 +66,22 @@
         for budget in state.budgets:
             budget.active += 1
             budget.arrivals += 1
-        r.ticket = Ticket(policy, state, state.budgets)
+        r.policy_state = RequestPolicyState(policy, state, state.budgets)
         if policy.effect > r.effect:
             r.effect = policy.effect
         if policy.effect == Effect.TOKEN:
             r.scope = max(r.scope, policy.scope)
-            r.window = min(r.window, policy.window) if r.window else policy.window
+            r.repeat_window = (
+                min(r.repeat_window, policy.window) if r.repeat_window else policy.window
+            )
         if policy.timeout:
-            r.give_up = min(r.give_up, now + policy.timeout)
+            r.deadline = min(r.deadline, now + policy.timeout)
         if policy.wanted:
-            r.aim_at = now + policy.wanted
+            r.objective_at = now + policy.wanted
 
-    def sending(self, now: int, r: Request, ticket: Ticket, limit: int) -> tuple[int, bool]:
+    def sending(
+        self, now: int, r: Request, ticket: RequestPolicyState, limit: int
+    ) -> tuple[int, bool]:
         """An attempt goes out: its time, and whether the usual patience holds for it.
 
         Patience does not where the route says how long an attempt may take, nor
@@ -89,7 +98,13 @@
         return limit, ticket.state.patient
 
     def attempt_ended(
-        self, now: int, r: Request, ticket: Ticket, number: int, outcome: int, taken: int
+        self,
+        now: int,
+        r: Request,
+        ticket: RequestPolicyState,
+        number: int,
+        outcome: int,
+        taken: int,
     ) -> None:
         """Learn from an attempt's end; what is still out for an answered request is cancelled.
 
@@ -98,19 +113,21 @@
         if number == 0 and ticket.policy.copy and outcome in (OK, CANCELLED):
             ticket.state.latencies.add(taken)
         if outcome == CANCELLED:
-            self._outlived(now, r, r.attempts[number].backend, taken)
-        elif r.ended and r.live:
+            self._outlived(now, r, r.attempts[number].endpoint, taken)
+        elif r.ended and r.in_flight:
             self.cancel(r, 0)
 
-    def again(self, now: int, r: Request, ticket: Ticket, outcome: int, connected: bool) -> None:
+    def again(
+        self, now: int, r: Request, ticket: RequestPolicyState, outcome: int, connected: bool
+    ) -> None:
         """A further attempt where the route grants it, after its back-off, or the answer."""
         balancer = self._balancer
         policy = ticket.policy
         ticket.due = 0
         delay = self._delay(policy, len(r.attempts))
-        r.wait_by = min(r.aim_at, r.give_up) - int(r.cls.lat)
+        r.wait_until = min(r.objective_at, r.deadline) - int(r.request_class.latency)
         granted = policy.retry_on is None or condition(outcome, connected) in policy.retry_on
-        fits = now + delay < r.wait_by and balancer.may_resend(now, r)
+        fits = now + delay < r.wait_until and balancer.may_resend(now, r)
         if not (granted and fits and self._pay(now, ticket)):
             balancer.finish(r)
             return
@@ -121,14 +138,14 @@
         else:
             balancer.again(now, r, 0.0)
 
-    def come_due(self, now: int, r: Request, ticket: Ticket) -> None:
+    def come_due(self, now: int, r: Request, ticket: RequestPolicyState) -> None:
         """A back-off is over, or a second copy due: sent now or, with no room, not at all."""
         ticket.due = 0
         if r.ended:
             return
-        if not r.live:
+        if not r.in_flight:
             self._balancer.again(now, r, 0.0)
-        elif r.live == 1 and self._may_copy(r):
+        elif r.in_flight == 1 and self._may_copy(r):
             self._copy(now, r, ticket)
 
     def cancel(self, r: Request, first: int) -> None:
@@ -137,7 +154,7 @@
             if attempt.open and number >= first:
                 self._balancer.actions.cancel(r.id, number)
 
-    def ended(self, ticket: Ticket) -> None:
+    def ended(self, ticket: RequestPolicyState) -> None:
         """Its final answer is given, or its client gone; once a request."""
         for budget in ticket.budgets:
             budget.active -= 1
@@ -147,22 +164,22 @@
     def _may_copy(self, r: Request) -> bool:
         balancer = self._balancer
         s = balancer.settings
-        granted = s.second_copies and s.can_cancel and r.effect == Effect.PURE
-        return granted and not r.streaming and len(r.attempts) < balancer.most(r)
+        granted = s.hedging and s.can_cancel and r.effect == Effect.PURE
+        return granted and not r.response_started and len(r.attempts) < balancer.most(r)
 
-    def _copy(self, now: int, r: Request, ticket: Ticket) -> None:
+    def _copy(self, now: int, r: Request, ticket: RequestPolicyState) -> None:
         """To another backend with a free slot, within the route's part.
 
         Whoever waits has been offered every free slot before: a copy takes none from them.
         """
         balancer = self._balancer
         state = ticket.state
-        if state.copies < 1.0 or balancer.running >= balancer.total:
+        if state.copies < 1.0 or balancer.in_flight >= balancer.total:
             return
         backend = balancer.pick(now)
         if backend is not None:
             backend = balancer.best_for(now, r, backend)
-        if backend is None or any(a.backend is backend for a in r.attempts):
+        if backend is None or any(a.endpoint is backend for a in r.attempts):
             return
         if self._pay(now, ticket):
             state.copies -= 1.0
@@ -176,7 +193,7 @@
         most = min(policy.backoff_base << min(tries - 1, 30), policy.backoff_most)
         return self._random.randrange(most + 1)
 
-    def _pay(self, now: int, ticket: Ticket) -> bool:
+    def _pay(self, now: int, ticket: RequestPolicyState) -> bool:
         """Charge a further attempt to the node's budget and the route's, or to neither."""
         paid: list[Budget] = []
         for budget in ticket.budgets:
@@ -188,7 +205,7 @@
             paid.append(budget)
         return True
 
-    def _outlived(self, now: int, r: Request, b: Backend, taken: int) -> None:
+    def _outlived(self, now: int, r: Request, b: Endpoint, taken: int) -> None:
         """A second copy was faster: the loser's time so far is the least it would have had.
 
         Unlearned, a slow backend that always loses would look as it did at first. Nor
@@ -198,11 +215,11 @@
         chance a rest of some mean latencies.
         """
         rest = min(taken, FULL_REST_MAX)
-        b.rest_until = max(b.rest_until, now + rest)
+        b.backoff_until = max(b.backoff_until, now + rest)
         self._balancer.settle(b)
-        self._balancer.remind(b.rest_until, b)
-        ratio = min(taken / r.cls.lat, 10.0)
-        if ratio > b.lat:
-            b.lat += 0.2 * (ratio - b.lat)
-            b.cost = max(b.cost, ratio)
-            b.seen = now
+        self._balancer.remind(b.backoff_until, b)
+        ratio = min(taken / r.request_class.latency, 10.0)
+        if ratio > b.latency_ratio:
+            b.latency_ratio += 0.2 * (ratio - b.latency_ratio)
+            b.load_cost = max(b.load_cost, ratio)
+            b.last_seen = now
--- a/loadbalancer/core/endpoints/attempt_evidence.py
+++ b/loadbalancer/core/endpoints/attempt_evidence.py
@@ -19,11 +19,11 @@
     Times in nanoseconds. Could do harm if one lost connection made a server dead: it
     takes STRIKES failures in a row with no answer between.
     """
-    b = balancer.backends.get(backend)
+    b = balancer.endpoints.get(backend)
     if b is None:
         return None
-    if b.strikes >= STRIKES or b.down_until:
+    if b.consecutive_failures >= STRIKES or b.ejected_until:
         return False
-    if b.seen and now - b.seen <= ANSWERED and not b.strikes:
+    if b.last_seen and now - b.last_seen <= ANSWERED and not b.consecutive_failures:
         return True
     return None
--- a/loadbalancer/core/endpoints/poll_backoff.py
+++ b/loadbalancer/core/endpoints/poll_backoff.py
@@ -87,8 +87,8 @@
     def go_by(self, settings: Settings) -> None:
         """Other settings from here on."""
         self._terms = terms(settings)
-        self._callers = settings.balancers
-        self.paced = settings.ask  # an agent on the node's own machine answers at no cost
+        self._callers = settings.nodes
+        self.paced = settings.poll  # an agent on the node's own machine answers at no cost
 
     def share(self) -> None:
         """A few nodes read for all: the fleet paces its calls itself (`fleet/readers.py`)."""
--- a/loadbalancer/core/endpoints/poll_timing.py
+++ b/loadbalancer/core/endpoints/poll_timing.py
@@ -62,7 +62,7 @@
 
 def terms(settings: Settings) -> Terms:
     """The spans for these settings."""
-    if settings.ask:
+    if settings.poll:
         return ASKED
     grace = settings.drain_grace
 
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from loadbalancer.core.balancing.balancer import Balancer
-from loadbalancer.core.balancing.model import SECOND, Listing, State, Told, Update
+from loadbalancer.core.balancing.model import SECOND, Listing, ReportedState, State, Update
 from loadbalancer.core.gossip.gossip_node import Change, Fleet
 from loadbalancer.core.gossip.slots import Slots
 
@@ -42,7 +42,7 @@
         self._peaks = [0, 0]  # most in flight in this span and the one before
         self._span = 0
         self._zone, self._zones = s.node % s.zones, s.zones
-        balancer.seats = self.slots
+        balancer.slot_ranks = self.slots
 
     def _living_at(self, place: int) -> bool:
         """A node beyond what our list of the nodes names is never taken for dead."""
@@ -53,24 +53,41 @@
         """Say what this node's own attempts have come to, where there is something to say."""
         self.need(now)
         own = self.fleet.own
-        for b in self.balancer.backends.values():
-            if b.strikes or b.fulls > 1 or b.lat > 1.5 or b.id in own:
-                self.fleet.observe(now, b.id, b.strikes, b.gone, b.fulls, b.lat, b.seen)
+        for b in self.balancer.endpoints.values():
+            if (
+                b.consecutive_failures
+                or b.consecutive_rejections > 1
+                or b.latency_ratio > 1.5
+                or b.id in own
+            ):
+                self.fleet.observe(
+                    now,
+                    b.id,
+                    b.consecutive_failures,
+                    b.connect_failed,
+                    b.consecutive_rejections,
+                    b.latency_ratio,
+                    b.last_seen,
+                )
 
     def need(self, now: int) -> None:
         """Say how many classes this node can lend, and whether it needs to borrow."""
         b, fleet = self.balancer, self.fleet
-        self._peaks[0] = max(self._peaks[0], b.running)
-        self._pressed = self._pressed or b.pressed
+        self._peaks[0] = max(self._peaks[0], b.in_flight)
+        self._pressed = self._pressed or b.saturated
         if now < self._span:
             return
         self._span = now + PEAK
         peak = max(self._peaks)
-        self._peaks = [b.running, self._peaks[0]]
-        ready = [x for x in b.backends.values() if x.local and x.state == State.READY]
-        rows = [(x.deal, int(b.level + x.offset)) for x in ready if x.cold_until <= b.now]
+        self._peaks = [b.in_flight, self._peaks[0]]
+        ready = [x for x in b.endpoints.values() if x.local and x.state == State.READY]
+        rows = [
+            (x.node_rank, int(b.concurrency_limit + x.rounding))
+            for x in ready
+            if x.cold_until <= b.now
+        ]
         own = sum(self.slots.own(deal, depth, len(ready), False) for deal, depth in rows)
-        deep = b.level >= self.slots.most(len(ready))
+        deep = b.concurrency_limit >= self.slots.most(len(ready))
         fleet.wants = self._pressed and deep
         need = peak * HEADROOM + KEPT
         fleet.keeps = deep and need > own
@@ -110,25 +127,25 @@
         """Tell the Balancer, in the host's own event."""
         b = self.balancer
         for c in update.changes:
-            b.on_told(now, c.server, c.told, c.ratio, c.cold)
+            b.on_peer_report(now, c.server, c.told, c.ratio, c.cold)
         if update.draining:
-            b.on_members(now, Update.TOLD, update.draining)
+            b.on_members(now, Update.REPORTED, update.draining)
         elif update.deal:
             b.recap()
         b.dispatch(now)
 
     def _known_better(self, change: Change) -> bool:
         """Whether this node has had an answer of its own since that observation."""
-        b = self.balancer.backends.get(change.server)
-        silent = change.told in (Told.SILENT, Told.DOUBTED)
-        return b is not None and silent and not b.strikes and b.seen > change.born
+        b = self.balancer.endpoints.get(change.server)
+        silent = change.told in (ReportedState.SILENT, ReportedState.DOUBTED)
+        return b is not None and silent and not b.consecutive_failures and b.last_seen > change.born
 
     def _draining(self) -> list[Listing]:
         """Servers that the Balancer still uses and another node's list says not to."""
         rows = []
         orders, self.fleet.orders = self.fleet.orders, set()
         for server in orders:
-            b = self.balancer.backends.get(server)
+            b = self.balancer.endpoints.get(server)
             if b is not None and b.state == State.READY:
                 boot = self.fleet.boots.get(server, 0)
                 state = self.fleet.over(server, boot, State.READY)
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 from zlib import crc32
 
-from loadbalancer.core.balancing.model import MS, SECOND, State, Told
+from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, State
 from loadbalancer.core.gossip.dissemination import DisseminationQueue
 from loadbalancer.core.gossip.membership import STALLED, Members
 from loadbalancer.core.gossip.messages import (
@@ -77,7 +77,7 @@
     """What the Balancer is to be told of one server: None takes what was told back."""
 
     server: int
-    told: Told | None
+    told: ReportedState | None
     ratio: float
     born: int
     cold: bool
@@ -114,7 +114,7 @@
         self._bulk = Bucket(CATCH_UP_RATE, CATCH_UP_RATE / 4, now)
         self._number = 0
         self.own: dict[int, tuple[tuple[int, int, int, int], int, int]] = {}  # said, when, of when
-        self._said: dict[int, Told] = {}  # to the Balancer
+        self._said: dict[int, ReportedState] = {}  # to the Balancer
         self._last = now
         self._judged = now
         self._digest_at = now + DIGEST_INTERVAL
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -14,7 +14,7 @@
 from typing import Generic, NamedTuple, TypeVar, cast
 from zlib import crc32
 
-from loadbalancer.core.balancing.model import SECOND, State, Told
+from loadbalancer.core.balancing.model import SECOND, ReportedState, State
 from loadbalancer.core.gossip.messages import Listed, Observation, Reading, mark
 
 PARTS = 8  # of a digest
@@ -224,7 +224,7 @@
 
     def judge(
         self, server: int, boot: int, node: int, believed: set[int]
-    ) -> tuple[Told, int, int, bool] | None:
+    ) -> tuple[ReportedState, int, int, bool] | None:
         """What others' observations of a server come to for `node`: (what, ratio, birth, cold).
 
         `born` is when the youngest of them was, so that the node's own later answers go
@@ -249,12 +249,12 @@
         if failed:
             enough = sum(r.failures for r in failed) >= FAILURES_SUM
             if enough and len(failed) >= self._few:
-                return Told.SILENT, 0, born, cold
+                return ReportedState.SILENT, 0, born, cold
             if enough:
-                return Told.DOUBTED, 0, born, cold
+                return ReportedState.DOUBTED, 0, born, cold
         if sum(r.full for r, _ in rows) >= FULL_ROW:
-            return Told.FULL, 0, born, False
+            return ReportedState.FULL, 0, born, False
         ratios = sorted(r.ratio for r, _ in rows if r.ratio)
         if ratios and ratios[len(ratios) // 2] >= SLOW_RATIO:
-            return Told.SLOW, ratios[len(ratios) // 2], born, False
+            return ReportedState.SLOW, ratios[len(ratios) // 2], born, False
         return None
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -17,7 +17,7 @@
 from loadbalancer.core.balancing.model import SECOND
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.balancer import Backend, Balancer, ClassState
+    from loadbalancer.core.balancing.balancer import Balancer, ClassState, Endpoint
 
 LONGEST = 3600 * SECOND  # no span that was learned is longer
 
@@ -50,22 +50,32 @@
 def write(balancer: Balancer, now: int) -> dict[str, Any]:
     """What this Balancer has learned; JSON can carry it."""
     return {
-        "level": balancer.level,
+        "level": balancer.concurrency_limit,
         "send_rate": balancer.send_rate,
         "retry_credit": balancer.retry_credit,
         "classes": {
-            c.spec.name: [c.lat, c.lat_n, c.base, c.share, c.lefts]
+            c.spec.name: [
+                c.latency,
+                c.latency_samples,
+                c.base_latency,
+                c.share,
+                c.remaining_histogram,
+            ]
             for c in balancer.classes
-            if not c.until  # one that was dropped may have the name of one that counts
+            if not c.retires_at  # one that was dropped may have the name of one that counts
         },
         "backends": {
             str(b.id): [
-                b.lat, b.cost, max(b.cold_until - now, 0), max(b.down_until - now, 0), b.backoff,
-                b.strikes,
+                b.latency_ratio,
+                b.load_cost,
+                max(b.cold_until - now, 0),
+                max(b.ejected_until - now, 0),
+                b.backoff,
+                b.consecutive_failures,
             ]
-            for b in balancer.backends.values()
+            for b in balancer.endpoints.values()
         },
-    }  # fmt: skip
+    }
 
 
 def read(raw: Any) -> Learned:
@@ -99,14 +109,14 @@
 def take_over(balancer: Balancer, now: int, learned: Learned) -> None:
     """Go on from there, for the classes and backends that are still known."""
     balancer.now = now
-    balancer.level = learned.level
+    balancer.concurrency_limit = learned.level
     balancer.send_rate = learned.send_rate
     balancer.retry_credit = min(learned.retry_credit, balancer.retry_credit)
     for c in balancer.classes:
         known = learned.classes.get(c.spec.name)
         if known is not None:
             _class(c, known)
-    for b in balancer.backends.values():
+    for b in balancer.endpoints.values():
         held = learned.backends.get(b.id)
         if held is not None:
             _backend(balancer, now, b, held)
@@ -114,22 +124,24 @@
 
 
 def _class(c: ClassState, known: LearnedClass) -> None:
-    c.lat, c.lat_n, c.base = known.lat, known.lat_n, known.base
+    c.latency, c.latency_samples, c.base_latency = known.lat, known.lat_n, known.base
     c.share = known.share
-    c.lefts = list(known.lefts)
-    c.asked = sum(c.lefts)
-    c.usual = max(range(len(c.lefts)), key=c.lefts.__getitem__)
+    c.remaining_histogram = list(known.lefts)
+    c.remaining_seen = sum(c.remaining_histogram)
+    c.usual_remaining = max(
+        range(len(c.remaining_histogram)), key=c.remaining_histogram.__getitem__
+    )
 
 
-def _backend(balancer: Balancer, now: int, b: Backend, held: LearnedBackend) -> None:
-    b.lat, b.cost, b.seen = held.lat, held.cost, now
-    b.backoff, b.strikes = held.backoff, held.strikes
+def _backend(balancer: Balancer, now: int, b: Endpoint, held: LearnedBackend) -> None:
+    b.latency_ratio, b.load_cost, b.last_seen = held.lat, held.cost, now
+    b.backoff, b.consecutive_failures = held.backoff, held.strikes
     if held.cold:
         b.cold_until = max(b.cold_until, now + held.cold)
     if held.down:
-        b.down_until = now + held.down
-        balancer.down += 1
-        balancer.remind(b.down_until, b)
+        b.ejected_until = now + held.down
+        balancer.ejected += 1
+        balancer.remind(b.ejected_until, b)
 
 
 def _figure(value: Any) -> float:
--- a/loadbalancer/core/process_pair.py
+++ b/loadbalancer/core/process_pair.py
@@ -29,7 +29,10 @@
 
 def standing(balancer: Balancer, now: int) -> list[Standing]:
     """Every backend as this Balancer sees it."""
-    return [Standing(b.id, b.whole, b.held, b.cold_until > now) for b in balancer.backends.values()]
+    return [
+        Standing(b.id, b.node_cap, b.in_flight, b.cold_until > now)
+        for b in balancer.endpoints.values()
+    ]
 
 
 class Kept:
--- a/loadbalancer/core/routes/classes.py
+++ b/loadbalancer/core/routes/classes.py
@@ -65,7 +65,7 @@
         spec = ClassSpec(known.name, number, line, known.effect, dict(self._defaults))
         spec.give_up = known.deadline
         spec.scope = known.scope
-        spec.window = known.window
+        spec.window = known.repeat_window
         self._check(spec)
         return spec
 
@@ -143,8 +143,8 @@
             right = f"write {known.scope.name.lower()!r} or narrower"
             wrong = f"keys of class {spec.name} are known to fewer servers than scope says"
             table.fault("scope", "keyed-scope", wrong, right)
-        if spec.window > known.window:
-            right = f"write {known.window // 1_000_000}ms or less"
+        if spec.window > known.repeat_window:
+            right = f"write {known.repeat_window // 1_000_000}ms or less"
             wrong = f"servers forget keys of class {spec.name} before its window ends"
             table.fault("window", "keyed-window", wrong, right)
     if spec.give_up > known.deadline:
--- a/loadbalancer/core/routes/rules.py
+++ b/loadbalancer/core/routes/rules.py
@@ -75,7 +75,7 @@
             wrong = "gets a second copy and one attempt; a copy is an attempt"
             checked.broken("second_copy", "copy-attempts", wrong, "write attempts = 2 or more")
         settings = self._settings
-        if settings is not None and not (settings.second_copies and settings.can_cancel):
+        if settings is not None and not (settings.hedging and settings.can_cancel):
             wrong = f"{policy.name}: the settings allow no second copies"
             line = self._lines.of(("defaults",))
             self._faults.warn(line, "copy-not-allowed", wrong, "none will be sent")
--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -162,7 +162,7 @@
     no step of the level is worth.
     """
     usable = [v for v in view if v.backend in addresses]
-    total = sum(v.cap for v in usable if v.state == State.READY and not v.down)
+    total = sum(v.cap for v in usable if v.state == State.READY and not v.ejected)
     shift = (max(to.proxies, 1) - 1).bit_length()
     envoy = to.kind is ProxyKind.ENVOY
     return Plan(
@@ -248,7 +248,7 @@
         rows = [v for v in view if v.zone == z]
         name = to.zones[z] if z < len(to.zones) else str(z)
         if to.kind.proxyless:
-            live = [v for v in rows if v.state == State.READY and not v.down and v.cap]
+            live = [v for v in rows if v.state == State.READY and not v.ejected and v.cap]
             out += [
                 Locality(name, str(v.backend), priority, weight(v), (_server(v, addresses, 1),))
                 for v in live
@@ -263,7 +263,7 @@
 
 def _server(v: ServerView, addresses: Mapping[int, tuple[str, int]], weight: int) -> Server:
     host, port = addresses[v.backend]
-    usable = not v.down and v.cap > 0
+    usable = not v.ejected and v.cap > 0
     return Server(host, port, weight, v.state == State.DRAINING, usable)
 
 
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -78,7 +78,7 @@
                 self._speakers[address] = Speaker(node, Bucket(FROM_ONE, FROM_ONE, now))
         self._all = Bucket(ALL, ALL, now)
         # Where lists are pushed asking costs nothing, and Consul has readers of its own.
-        readers = file.readers if s.ask and not config.consul else 0
+        readers = file.readers if s.poll and not config.consul else 0
         if readers != file.readers:
             host.log("readers: of no use where lists are pushed, or come from Consul")
         terms = Terms(
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -28,8 +28,8 @@
 from loadbalancer.sources.discovery import Discovery
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.ports import Part
-    from loadbalancer.core.balancing.route_policies import Attempts
+    from loadbalancer.core.balancing.ports import LimitShare
+    from loadbalancer.core.balancing.route_policies import RoutePolicies
     from loadbalancer.gossip_transport.transport import Peers
     from loadbalancer.proxy.exchange import Client, Taken
     from loadbalancer.proxy.routing import Routing
@@ -80,7 +80,7 @@
         self.balancer = Balancer(config.settings, config.seed, self)
         self.routing: Routing | None = None
         self.peers: Peers | None = None  # gossip between nodes, where the settings allow them
-        self.policies: Attempts | None = None  # with the first routes file
+        self.policies: RoutePolicies | None = None  # with the first routes file
 
     def _members(self) -> Discovery | ConsulMembers:
         config = self.config
@@ -119,7 +119,7 @@
         self.leave()
         if self.peers is not None:
             self.peers.open()
-        if self.config.consul or left is not None or not self.config.settings.ask:
+        if self.config.consul or left is not None or not self.config.settings.poll:
             # Where discovery is asked the Balancer says when, for the starts of all nodes
             # are spread. An agent that has the list pushed is asked at once: what it has
             # counts from the first moment on.
@@ -142,10 +142,10 @@
 
     # ---- two processes as one node --------------------------------------
 
-    def divide(self, part: Part) -> None:
+    def divide(self, part: LimitShare) -> None:
         """Use this part of the caps from now on."""
         self.enter()
-        self.balancer.part = part
+        self.balancer.limit_share = part
         self.balancer.recap()
         self.balancer.dispatch(self.now)
         self.leave()
@@ -167,9 +167,9 @@
         """The other process has gone."""
         self.others = set()
         self.lend_descriptors(0)
-        if self.balancer.part is not None:
+        if self.balancer.limit_share is not None:
             self.enter()
-            self.balancer.part = None
+            self.balancer.limit_share = None
             self.balancer.recap()
             self.balancer.dispatch(self.now)
             self.leave()
@@ -181,7 +181,7 @@
             self.routing = None
             return
         # Here and not above: without a file the node is as small as ever.
-        from loadbalancer.core.balancing.route_policies import Attempts
+        from loadbalancer.core.balancing.route_policies import RoutePolicies
         from loadbalancer.proxy.routing import Routing
 
         if self.routing is None:
@@ -192,7 +192,7 @@
         if self.policies is None:
             now = time.monotonic_ns()
             seed = self.config.seed
-            self.policies = Attempts(self.balancer, seed, table.node_budget, now)
+            self.policies = RoutePolicies(self.balancer, seed, table.node_budget, now)
             self.balancer.policies = self.policies
         else:
             self.policies.replace(table.node_budget, table.names())
@@ -291,7 +291,7 @@
         moving = r.started or r.coming
         self.end(r)
         try:
-            self.balancer.on_gone(now, r.id)
+            self.balancer.on_client_disconnected(now, r.id)
         except Exception:
             self.broken()
         for a in list(r.attempts):
@@ -312,7 +312,7 @@
         now = self.enter()
         r.last = True
         try:
-            self.balancer.on_last(now, r.id)
+            self.balancer.on_client_half_closed(now, r.id)
         except Exception:
             self.broken()
         for a in list(r.attempts):
@@ -347,7 +347,7 @@
     def uploading(self, a: Attempt) -> None:
         """Bytes of a long body leave for the first time: they can't be sent again."""
         assert a.request is not None
-        self.moves(self.balancer.on_spent, a.request.id, a.number)
+        self.moves(self.balancer.on_body_started, a.request.id, a.number)
 
     def uploaded(self, r: Request, a: Attempt | None) -> None:
         """A long body has been read to its end, or written: its time runs from here."""
@@ -363,7 +363,7 @@
         a.limit = max(r.deadline - now, 0)
         a.sent = now
         self.later(r.deadline, a)
-        self.moves(self.balancer.on_written, r.id, a.number)
+        self.moves(self.balancer.on_body_sent, r.id, a.number)
 
     def stalled(self, r: Request) -> None:
         """A server takes no more of a long body: the attempt never runs."""
@@ -378,7 +378,7 @@
         assert r is not None
         r.started = True
         self.labels.discard(r.label)
-        self.moves(self.balancer.on_started, r.id, a.number, time.monotonic_ns() - a.sent)
+        self.moves(self.balancer.on_response_started, r.id, a.number, time.monotonic_ns() - a.sent)
 
     def moves(self, event: Callable[..., None], *args: Any) -> None:
         """Tell the Balancer how a long message gets on, or what other nodes say."""
@@ -429,7 +429,7 @@
                 return
             r.live -= 1
             if r.last:
-                self.balancer.on_last(self.now, r.id)
+                self.balancer.on_client_half_closed(self.now, r.id)
             self.balancer.on_outcome(
                 self.now, r.id, a.number, outcome, taken, r.ended, load, a.connected
             )
@@ -607,7 +607,7 @@
         self.log(f"request {r.id} was overdue")
         self.finish(r, 504)
         try:
-            self.balancer.on_gone(self.now, r.id)
+            self.balancer.on_client_disconnected(self.now, r.id)
         except Exception:
             self.broken()
 
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -95,15 +95,15 @@
     classes = tuple(
         RequestClass(
             name=str(c.get("name", i)),
-            aim=int(c["target"]),
+            latency_objective=int(c["target"]),
             deadline=int(c["deadline"]),
             effect=EFFECTS[c["effect"]],
             scope=SCOPES[c.get("dedup_scope", "all")],
-            window=int(c.get("repeat_window", 0)),
-            worth=float(c.get("credit", 1.0)),
-            late_worth=float(c.get("late_worth", 0.0)),
+            repeat_window=int(c.get("repeat_window", 0)),
+            priority_weight=float(c.get("credit", 1.0)),
+            late_weight=float(c.get("late_worth", 0.0)),
             stream=bool(c.get("stream", False)),
-            aim_stretch=float(c.get("aim_stretch", 0.0)),
+            objective_stretch=float(c.get("aim_stretch", 0.0)),
         )
         for i, c in enumerate(raw["classes"])
     )
@@ -118,14 +118,14 @@
     info = raw.get("load_info", {})
     return Settings(
         node=int(raw.get("me", 0)),
-        balancers=int(raw["balancers"]),
+        nodes=int(raw["balancers"]),
         zone=int(raw.get("my_zone", 0)),
         zones=max(1, len(raw.get("areas", []))),
         classes=classes,
         tenants=tenants,
         load_columns=tuple(info.get("columns", ())) if info.get("how") != "off" else (),
-        ask=raw.get("registry_mode") == "ask",
-        ask_within=int(rules.get("ask_within", 10_000_000_000)),
+        poll=raw.get("registry_mode") == "ask",
+        poll_within=int(rules.get("ask_within", 10_000_000_000)),
         drain_grace=int(rules.get("drain_grace", 0)),
         cold_from=float(rules.get("cold_from", 0.1)),
         cold=int(rules.get("cold", 0)),
@@ -133,7 +133,7 @@
         fall=int(rules.get("fall", 1_000_000_000)),
         answer_slack=int(rules.get("grace_to_answer", 0)),
         max_attempts=int(limits.get("max_attempts", 1)),
-        second_copies=bool(limits.get("second_copies", False)),
+        hedging=bool(limits.get("second_copies", False)),
         can_cancel=bool(limits.get("cancelling", False)),
         can_probe=bool(limits.get("probes", False)),
         marks_retry=bool(raw.get("clients", {}).get("marks_retry", False)),
@@ -263,12 +263,12 @@
 
     def left(self, now: int, body: bytes, at: int) -> int:
         _, inst, request = EV_LEFT.unpack_from(body, at)
-        self.call(inst, "on_gone", now, request)
+        self.call(inst, "on_client_disconnected", now, request)
         return at + 9
 
     def started(self, now: int, body: bytes, at: int) -> int:
         _, inst, request, attempt, _backend, taken = EV_STARTED.unpack_from(body, at)
-        self.call(inst, "on_started", now, request, attempt, taken)
+        self.call(inst, "on_response_started", now, request, attempt, taken)
         return at + 23
 
     def resolved(self, now: int, body: bytes, at: int) -> int:
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -34,7 +34,7 @@
     now = time.monotonic_ns()
     roster = node.discovery.roster
     rows = []
-    for b in node.balancer.backends.values():
+    for b in node.balancer.endpoints.values():
         address = roster.endpoints.get(b.id)
         if address is not None and b.state != State.GONE:
             age = max(now - b.boot, 0) if b.boot else -1
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -108,7 +108,7 @@
         self.slots()
         for node, host in world.hosts.items():
             fleet = world.nodes[node]
-            for server, backend in host.balancer.backends.items():
+            for server, backend in host.balancer.endpoints.items():
                 key = (node, server)
                 self.observations(node, server)
                 known = any(
@@ -133,10 +133,10 @@
         world = self.world
         most = world.terms[0].slots
         whole = all(world.nodes[n].members.count() == len(world.terms) for n in world.hosts)
-        if not whole and any(h.balancer.level > most - 1 for h in world.hosts.values()):
+        if not whole and any(h.balancer.concurrency_limit > most - 1 for h in world.hosts.values()):
             return
         lists = {
-            tuple(s for s, b in sorted(h.balancer.backends.items()) if b.state == State.READY)
+            tuple(s for s, b in sorted(h.balancer.endpoints.items()) if b.state == State.READY)
             for h in world.hosts.values()
         }
         if len(lists) > 1:
@@ -145,7 +145,7 @@
         for server in range(len(world.pool)):
             # One that is stopped sends nothing, and sees to its caps before it does again.
             going = [h for n, h in world.hosts.items() if n not in world.stopped]
-            caps = [h.balancer.backends[server] for h in going]
+            caps = [h.balancer.endpoints[server] for h in going]
             if any(b.cold_until for b in caps):
                 continue  # dealt by warmth, as without gossip
             total = sum(b.cap for b in caps if b.state == State.READY)
@@ -157,18 +157,21 @@
         world = self.world
         living = len(world.hosts)
         if living * 2 > len(world.terms) or any(
-            h.balancer.level > 6 or h.balancer.level < 2 for h in world.hosts.values()
+            h.balancer.concurrency_limit > 6 or h.balancer.concurrency_limit < 2
+            for h in world.hosts.values()
         ):
             return
         for node in world.hosts:
             if world.nodes[node].members.count() != living:
                 return
         held = level = 0.0
-        asked = sum(h.balancer.level for h in world.hosts.values()) / living
+        asked = sum(h.balancer.concurrency_limit for h in world.hosts.values()) / living
         for server in range(len(world.pool)):
-            rows = [h.balancer.backends[server] for h in world.hosts.values()]
+            rows = [h.balancer.endpoints[server] for h in world.hosts.values()]
             # One that is slow, cold or draining has fewer slots whoever lives.
-            if all(b.lat < 1.5 and not b.cold_until and b.state == State.READY for b in rows):
+            if all(
+                b.latency_ratio < 1.5 and not b.cold_until and b.state == State.READY for b in rows
+            ):
                 held += sum(b.cap for b in rows)
                 level += min(asked, world.terms[0].slots * living / len(world.terms))
         if held < 0.7 * level:
--- a/simulation/list_callers.py
+++ b/simulation/list_callers.py
@@ -54,7 +54,7 @@
         self.digest = digest  # takes all that is called, answered and decided
         self.plan, self.rows, self.lines = plan, rows, lines
         self.random = Random(seed)
-        settings = Settings((CLASS,), balancers=nodes, ask=True)
+        settings = Settings((CLASS,), nodes=nodes, poll=True)
         self.callers = [Caller(settings, Random(seed * 1_000_003 + n)) for n in range(nodes)]
         self.done_at: dict[int, int] = {}
         self.calls: Counter[int] = Counter()  # by second
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -271,7 +271,7 @@
         self.world, self.node = world, node
         self.ready = -1  # when it first could serve
         terms = world.terms[node]
-        settings = Settings((CLASS,), node=node, balancers=terms.nodes, ask=True)
+        settings = Settings((CLASS,), node=node, nodes=terms.nodes, poll=True)
         self.balancer = Balancer(settings, world.random.getrandbits(32), self)
         known = world.known(node)
         self.list = ListClient(world, node, world.service, known, self._told, settings)
--- a/simulation/service_world.py
+++ b/simulation/service_world.py
@@ -29,7 +29,7 @@
 from simulation.list_world import ListClient, ListService, listing, row
 
 BALANCE = RequestClass("balance", 800 * MS, 2 * SECOND)
-CREDIT = RequestClass("credit", 750 * MS, 3 * SECOND, Effect.SIDE_EFFECT, worth=5.0)
+CREDIT = RequestClass("credit", 750 * MS, 3 * SECOND, Effect.SIDE_EFFECT, priority_weight=5.0)
 WORK = 10 * MS
 WORKERS = 2
 TAKES = 17  # requests that a server holds at once
@@ -117,8 +117,8 @@
         self.node = node
         self.life = world.lives(node)
         settings = Settings(
-            (BALANCE, CREDIT), node=node, balancers=len(world.terms), drain_grace=GRACE,
-            max_attempts=4, max_retry_after=2 * SECOND, ask=world.lists is not None,
+            (BALANCE, CREDIT), node=node, nodes=len(world.terms), drain_grace=GRACE,
+            max_attempts=4, max_retry_after=2 * SECOND, poll=world.lists is not None,
         )  # fmt: skip
         self.balancer = Balancer(settings, world.random.getrandbits(32), self)
         self.listed = dict(enumerate(world.states))
@@ -477,7 +477,7 @@
             return
         if server.silent:
             self.count("sent to a silent server")
-            if not host.balancer.backends[backend].strikes:
+            if not host.balancer.endpoints[backend].consecutive_failures:
                 self.count("sent to a silent server unmet")
             return
         if server.held > server.takes:
--- a/tests/core/balancing/test_four_rules.py
+++ b/tests/core/balancing/test_four_rules.py
@@ -25,7 +25,9 @@
 
 CLASSES = (
     RequestClass("pure", 200 * MS, 900 * MS, Effect.PURE),
-    RequestClass("unsafe", 200 * MS, 900 * MS, Effect.SIDE_EFFECT, window=SECOND, late_worth=0.3),
+    RequestClass(
+        "unsafe", 200 * MS, 900 * MS, Effect.SIDE_EFFECT, repeat_window=SECOND, late_weight=0.3
+    ),
     RequestClass("all", 200 * MS, 900 * MS, Effect.TOKEN, Scope.ALL, 60 * MS),
     RequestClass("zone", 200 * MS, 900 * MS, Effect.TOKEN, Scope.ZONE, 60 * MS),
     RequestClass("cell", 200 * MS, 900 * MS, Effect.TOKEN, Scope.CELL, 60 * MS),
@@ -64,7 +66,7 @@
             raise AssertionError("effect twice")
         if ran and spec.effect == Effect.TOKEN:
             first, row = self.rows[ran[0]["backend"]], self.rows[backend]
-            assert self.now <= ran[0]["sent"] + spec.window, "window"
+            assert self.now <= ran[0]["sent"] + spec.repeat_window, "window"
             if spec.scope == Scope.ZONE:
                 assert first.zone == row.zone, "group"
             if spec.scope == Scope.CELL:
@@ -144,11 +146,11 @@
             rid = value % len(world.requests)
             if rid not in world.ended:
                 world.ended[rid] = world.now
-                balancer.on_gone(world.now, rid)
+                balancer.on_client_disconnected(world.now, rid)
         elif kind == "last" and world.requests:
             rid = value % len(world.requests)
             world.silent.add(rid)
-            balancer.on_last(world.now, rid)
+            balancer.on_client_half_closed(world.now, rid)
             waits = any(t["code"] == 0 for t in world.tries[rid])
             assert rid in world.ended or waits, "it waits on for nothing"
         elif kind == "up" and world.requests:
@@ -175,7 +177,7 @@
     rid, i, t = out[value % len(out)]
     spec = CLASSES[int(str(world.requests[rid]["cls"]))]
     ran = [old for old in world.tries[rid] if old["code"] in RAN]
-    late = ran and spec.effect == Effect.TOKEN and world.now >= ran[0]["sent"] + spec.window
+    late = ran and spec.effect == Effect.TOKEN and world.now >= ran[0]["sent"] + spec.repeat_window
     gone = rid in world.ended or rid in world.silent
     leaves = world.rows[t["backend"]].state != State.READY
     may = balancer.may_begin(world.now, rid, i)
--- a/tests/core/balancing/test_ordinary_path.py
+++ b/tests/core/balancing/test_ordinary_path.py
@@ -75,7 +75,7 @@
     balancer.on_request(1, 9, 0, SECOND)
     assert len(host.named("send")) == 1
     balancer.on_outcome(2, 9, 0, 1, 1, True)
-    assert balancer.running == 0 and not balancer.requests
+    assert balancer.in_flight == 0 and not balancer.requests
 
 
 def test_unsafe_that_never_ran_is_sent_again() -> None:
@@ -114,33 +114,33 @@
 def test_time_outs_cut_the_level() -> None:
     """Answers alone would make a jam look like light load."""
     balancer, host = build()
-    before = balancer.level
+    before = balancer.concurrency_limit
     for i in range(8):
         balancer.on_request(MS, i, 0, SECOND)
     for i in range(8):
         balancer.on_outcome(SECOND, i, 0, 4, 195 * MS, True)
     balancer.on_timer(SECOND, 2)
-    assert balancer.level < before
+    assert balancer.concurrency_limit < before
 
 
 def test_hung_backends_do_not_cut_the_level() -> None:
     """One long time-out among answers is a matter of that backend's health."""
-    slow = RequestClass("slow", 200 * MS, 6 * SECOND, Effect.SIDE_EFFECT, late_worth=0.3)
+    slow = RequestClass("slow", 200 * MS, 6 * SECOND, Effect.SIDE_EFFECT, late_weight=0.3)
     balancer, host = build(Settings(classes=(slow,)))
-    before = balancer.level
+    before = balancer.concurrency_limit
     for i in range(10):
         balancer.on_request(MS, i, 0, 6 * SECOND)
     for i in range(9):
         balancer.on_outcome(40 * MS, i, 0, 1, 39 * MS, True)
     balancer.on_outcome(6 * SECOND, 9, 0, 4, 6 * SECOND, True)
     balancer.on_timer(6 * SECOND, 2)
-    assert balancer.level >= before
+    assert balancer.concurrency_limit >= before
 
 
 def test_a_class_near_its_aim_on_idle_backends_does_not_pin_the_level() -> None:
     """Only what crowding adds counts: some classes take half their aim anyway."""
     balancer, host = build()
-    before = balancer.level
+    before = balancer.concurrency_limit
     for k in range(8):
         now = k * SECOND // 2
         for i in range(30):
@@ -149,7 +149,7 @@
             balancer.on_outcome(now + 120 * MS, int(str(c[1])), 0, 1, 120 * MS, True)
         host.calls.clear()
         balancer.on_timer(now + 400 * MS, 2)
-    assert balancer.level > before
+    assert balancer.concurrency_limit > before
 
 
 def test_state_changes_are_logged_once_a_second() -> None:
@@ -158,14 +158,14 @@
         balancer.on_request(MS, i, 1, SECOND)
     for i in range(24):
         balancer.on_outcome(2 * MS, i, 0, 6, MS, True)
-    assert balancer.down > 1
+    assert balancer.ejected > 1
     assert len(host.named("log")) == 1
 
 
 def test_a_single_time_out_leaves_a_backend_in() -> None:
     """Under load attempts time out at healthy backends; three in a row are silence."""
     balancer, host = build(Settings(classes=(UNSAFE,)), count=4)
-    backend = balancer.backends[100]
+    backend = balancer.endpoints[100]
     for i in range(40):
         at = i * SECOND
         balancer.on_request(at, i, 0, SECOND)
@@ -173,16 +173,16 @@
             if c[1] == i:
                 code = 4 if c[2] == 100 else 1
                 balancer.on_outcome(at + 195 * MS, i, 0, code, 195 * MS, True)
-        if backend.strikes in (1, 2):
-            assert not backend.down_until
-        if backend.strikes == 3:
+        if backend.consecutive_failures in (1, 2):
+            assert not backend.ejected_until
+        if backend.consecutive_failures == 3:
             break
-    assert backend.down_until
+    assert backend.ejected_until
 
 
 def test_worth_moves_shares_when_requests_are_refused() -> None:
-    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, worth=10.0)
-    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, worth=1.0)
+    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=10.0)
+    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
     balancer, host = build(Settings(classes=(rich, poor)), count=6)
     for k in range(12):
         now = (k + 1) * SECOND // 2
@@ -204,11 +204,11 @@
     for i in range(9 * total):
         balancer.on_request(1, i, i // 3 % 3 if i > total else 0, SECOND)
     for step in range(3 * total):
-        out = [r for r in balancer.requests.values() if r.live]
+        out = [r for r in balancer.requests.values() if r.in_flight]
         r = out[step % len(out)]
         balancer.on_outcome(2, r.id, 0, 1, 1, True)
-    assert all(c.waiting for c in balancer.classes)
-    assert [c.running for c in balancer.classes] == [total - 4, 3, 1]
+    assert all(c.queued for c in balancer.classes)
+    assert [c.in_flight for c in balancer.classes] == [total - 4, 3, 1]
 
 
 def test_beyond_quota_waits_behind_and_tenants_take_turns() -> None:
@@ -223,7 +223,7 @@
         balancer.on_request(1, 200 + i, 0, SECOND, 1)
     host.calls.clear()
     for _ in range(9):
-        out = next(r for r in balancer.requests.values() if r.live)
+        out = next(r for r in balancer.requests.values() if r.in_flight)
         balancer.on_outcome(2, out.id, 0, 1, 1, True)
     sent = [int(str(c[1])) // 100 for c in host.named("send")]
     assert sent.count(1) == 5 and sent.count(2) == 3 and sent.count(3) == 1
@@ -233,8 +233,8 @@
     """With more nodes than slots each backend's slots fall to different nodes."""
     given: dict[int, int] = {}
     for node in range(24):
-        balancer, _ = build(Settings(classes=(PURE,), node=node, balancers=24), count=48)
-        for b in balancer.backends.values():
+        balancer, _ = build(Settings(classes=(PURE,), node=node, nodes=24), count=48)
+        for b in balancer.endpoints.values():
             given[b.id] = given.get(b.id, 0) + b.cap
     assert set(given.values()) == {4}
 
@@ -251,11 +251,11 @@
     start = Listing(100, State.READY, boot=20 * SECOND)
     settings = Settings(classes=(PURE,), cold=10 * SECOND, cold_from=0.2)
     balancer, _ = build(settings, count=1)
-    balancer.level = 20.0
+    balancer.concurrency_limit = 20.0
     caps = []
     for after in (1, 5 * SECOND, 9 * SECOND):
         balancer.on_members(20 * SECOND + after, Update.DELTA, [start])
-        caps.append(balancer.backends[100].cap)
+        caps.append(balancer.endpoints[100].cap)
     assert caps == [4, 12, 18]
 
 
@@ -274,7 +274,7 @@
 
 def test_ask_mode_asks_again_after_a_failed_call() -> None:
     host = Host()
-    balancer = Balancer(Settings(classes=(PURE,), ask=True), 1, host)
+    balancer = Balancer(Settings(classes=(PURE,), poll=True), 1, host)
     balancer.start(0)
     balancer.on_members(0, Update.CACHED, [])
     balancer.on_timer(SECOND, 3)
@@ -289,7 +289,7 @@
     with pytest.raises(ValueError, match="class"):
         Settings(classes=())
     with pytest.raises(ValueError, match="balancers"):
-        Settings(classes=(PURE, UNSAFE), balancers=0)
+        Settings(classes=(PURE, UNSAFE), nodes=0)
     balancer = Balancer(Settings(classes=(PURE,)), 1, Host())
     with pytest.raises(ValueError, match="class"):
         balancer.on_request(0, 1, 5, SECOND)
@@ -302,8 +302,8 @@
     for cycle in range(12):
         start = cycle * 500 * MS
         if cycle == 3:  # enough seen for the jam's mean to have become the base
-            assert balancer.classes[1].base > 100 * MS
-            before = balancer.level
+            assert balancer.classes[1].base_latency > 100 * MS
+            before = balancer.concurrency_limit
         for i in range(20):
             balancer.on_request(start, cycle * 100 + i, 1, SECOND)
         for c in host.named("send"):
@@ -314,7 +314,7 @@
             balancer.on_outcome(start + taken, rid, 0, 4 if late else 1, taken, False)
         host.calls.clear()
         balancer.on_timer(start + 400 * MS, 2)
-    assert balancer.level < before
+    assert balancer.concurrency_limit < before
 
 
 def test_a_marked_client_retry_waits_behind_first_tries() -> None:
@@ -365,14 +365,14 @@
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(30):
         balancer.on_request(MS, i, 0, 980 * MS if i % 3 == 2 else 400 * MS)
-    assert balancer.waiting_over == 0 and balancer.waiting > 0
+    assert balancer.deferred == 0 and balancer.queued > 0
 
 
 def test_times_left_that_vary_tell_nothing() -> None:
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(40):
         balancer.on_request(MS, i, 0, (1000 - 25 * (i * 7 % 40)) * MS)
-    assert balancer.waiting_over <= 2  # only while few have been seen
+    assert balancer.deferred <= 2  # only while few have been seen
 
 
 def test_errors_that_come_at_once_leave_the_retry_budget_alone() -> None:
@@ -406,50 +406,50 @@
 def test_a_class_seen_too_little_does_not_sink_the_level() -> None:
     """Its uncrowded latency is not known yet: most of the aim may be usual."""
     balancer, host = build(count=20)
-    before = balancer.level
+    before = balancer.concurrency_limit
     for k in range(4):
         answers(balancer, host, k * SECOND // 2, 4, 150 * MS)
-    assert balancer.level >= before
+    assert balancer.concurrency_limit >= before
 
 
 def test_a_thin_class_is_judged_over_several_cycles() -> None:
     balancer, host = build(count=20)
     for k in range(8):
         answers(balancer, host, k * SECOND // 2, 5, 100 * MS)
-    before = balancer.level
+    before = balancer.concurrency_limit
     answers(balancer, host, 4 * SECOND, 3, 180 * MS)  # three answers are chance
-    assert balancer.level >= before
+    assert balancer.concurrency_limit >= before
     for k in range(9, 13):
         answers(balancer, host, k * SECOND // 2, 5, 180 * MS)
-    assert balancer.level < before
+    assert balancer.concurrency_limit < before
 
 
 def test_few_answers_of_one_jam_cut_the_level_once() -> None:
     balancer, host = build(count=20)
     for k in range(8):
         answers(balancer, host, k * SECOND // 2, 10, 60 * MS)
-    before = balancer.level
+    before = balancer.concurrency_limit
     answers(balancer, host, 4 * SECOND, 5, 190 * MS)
-    cut = balancer.level
+    cut = balancer.concurrency_limit
     assert cut < before
     for k in range(9, 13):  # one quick answer a cycle tells nothing of a jam
         answers(balancer, host, k * SECOND // 2, 1, 60 * MS)
-    assert balancer.level == cut
+    assert balancer.concurrency_limit == cut
 
 
 def test_a_class_turned_away_at_a_small_share_gets_out_of_it() -> None:
     """Eq. 8 with a refused class's mean predicts that one more slot cures it."""
-    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, worth=1.0)
-    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, worth=5.0)
+    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
+    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=5.0)
     balancer, host = build(Settings(classes=(poor, rich)), count=40)
     for c, share in zip(balancer.classes, (157, 2), strict=True):
         c.share, c.share_sum, c.cycles = share, share * 6.0, 6.0
     for _ in range(3):
         for c, came, served in zip(balancer.classes, (195, 120), (120, 4), strict=True):
             c.arrivals += came
-            c.total += served
-            c.responses += served * 400.0 * MS
-            c.refused += came - served
+            c.served += served
+            c.response_time += served * 400.0 * MS
+            c.rejected += came - served
         balancer.solve_shares()
     assert balancer.classes[1].share > 20
 
@@ -458,7 +458,7 @@
     """A level just over 2 must not put a third request on every backend."""
     balancer, host = build(count=20)
     for level, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
-        balancer.level = level
+        balancer.concurrency_limit = level
         balancer.recap()
         assert abs(balancer.total - slots) <= 1
 
@@ -467,7 +467,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_failed_list_calls_are_repeated_within_the_stated_time(within: int, seed: int) -> None:
     """A node that does not ask counts as told of drains it never heard of."""
-    settings = Settings(classes=(PURE,), ask=True, ask_within=within, balancers=50)
+    settings = Settings(classes=(PURE,), poll=True, poll_within=within, nodes=50)
     balancer, host = build(settings, seed=seed)
     asked = [0]
     while len(asked) < 12:
@@ -486,7 +486,7 @@
     for i in range(200):
         rows = [Listing(1000 + i, State.READY), Listing(999 + i, State.GONE)]
         balancer.on_members(i * SECOND, Update.DELTA, rows)
-    assert set(balancer.backends) == {100, 101, 102, 1199}
+    assert set(balancer.endpoints) == {100, 101, 102, 1199}
 
 
 def test_a_line_that_is_never_served_does_not_grow() -> None:
@@ -496,11 +496,11 @@
         now = k * SECOND
         for i in range(20):
             balancer.on_request(now, 100 * k + i, 0, SECOND, client_retry=i >= balancer.total)
-        assert balancer.waiting_over == 20 - balancer.total
+        assert balancer.deferred == 20 - balancer.total
         balancer.on_timer(now + 190 * MS, 1)
         for i in range(balancer.total):
             balancer.on_outcome(now + 191 * MS, 100 * k + i, 0, 1, 191 * MS, True)
-    assert len(balancer.classes[0].over) == 0
+    assert len(balancer.classes[0].deferred_queue) == 0
 
 
 def test_a_backend_passed_over_comes_back_once_nothing_is_out() -> None:
@@ -508,7 +508,7 @@
     balancer, host = build(Settings(classes=(UNSAFE,)), count=1)
     balancer.on_request(MS, 0, 0, SECOND)
     balancer.on_request(SECOND, 1, 0, SECOND)
-    assert balancer.backends[100].stalled and len(host.named("send")) == 1
+    assert balancer.endpoints[100].unresponsive and len(host.named("send")) == 1
     balancer.on_outcome(SECOND + MS, 0, 0, 4, SECOND, True)
     assert [c[1] for c in host.named("send")] == [0, 1]
 
@@ -524,5 +524,5 @@
             balancer.on_outcome(now + 9 * MS, i, 1, 1, 9 * MS, True)
         else:
             balancer.on_outcome(now + 9 * MS, i, 0, 1, 9 * MS, True)
-    assert balancer.down == 0 and not balancer.requests
+    assert balancer.ejected == 0 and not balancer.requests
     assert len(host.named("send")) == 120 and not host.named("refuse")
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -21,13 +21,13 @@
 from loadbalancer.core.balancing.balancer import TIMER_WAKE
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.balancing.request_policy_state import Budget, Latencies
-from loadbalancer.core.balancing.route_policies import Attempts
+from loadbalancer.core.balancing.route_policies import RoutePolicies
 from loadbalancer.core.routes.table import NEVER_RAN, BudgetSpec, Condition, CopySpec, Policy
 from tests.recording_host import Host, rows
 
 BALANCE = RequestClass("balance", 800 * MS, 2000 * MS)
 CREDIT = RequestClass("credit", 800 * MS, 3000 * MS, Effect.SIDE_EFFECT)
-SETTINGS = Settings(classes=(BALANCE, CREDIT), max_attempts=4, second_copies=True, can_cancel=True)
+SETTINGS = Settings(classes=(BALANCE, CREDIT), max_attempts=4, hedging=True, can_cancel=True)
 WIDE = BudgetSpec(1.0, 1000.0)
 SAFE = Policy("s/balance", "balance", 0, Effect.PURE)
 NEVER = Policy("s/credit", "credit", 1, Effect.SIDE_EFFECT, retry_on=NEVER_RAN)
@@ -42,7 +42,7 @@
     ) -> None:
         self.host = Host()
         self.balancer = Balancer(settings, 1, self.host)
-        self.policies = self.balancer.policies = Attempts(self.balancer, 1, node, 0)
+        self.policies = self.balancer.policies = RoutePolicies(self.balancer, 1, node, 0)
         self.balancer.start(0)
         self.balancer.on_members(0, Update.CACHED, rows(count))
         self.told = 0
@@ -139,7 +139,7 @@
 def test_patience_is_kept_only_where_time_outs_are_tried_again() -> None:
     """Ended early with no further attempt to come, a request would only be lost."""
     fleet = Fleet()
-    fleet.balancer.classes[0].lat = 10.0 * MS  # a wait of five such, but for the aim's part
+    fleet.balancer.classes[0].latency = 10.0 * MS  # a wait of five such, but for the aim's part
     patient, impatient = SAFE, replace(SAFE, retry_on=frozenset([Condition.REFUSED]), wanted=SECOND)
     fleet.ask(0, 1, replace(patient, wanted=SECOND))
     fleet.ask(0, 2, impatient)
@@ -197,7 +197,7 @@
     fleet = Fleet()
     fleet.ask(0, 1, replace(SAFE, backoff_base=40 * MS, backoff_most=40 * MS))
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
-    fleet.balancer.on_gone(6 * MS, 1)
+    fleet.balancer.on_client_disconnected(6 * MS, 1)
     fleet.wake(100 * MS)
     assert len(fleet.sends(1)) == 1
     assert not fleet.balancer.requests
@@ -213,9 +213,9 @@
         fleet.ask(0, rid, policy)
         if fleet.sends(rid):
             fleet.end(0, rid, 0, Outcome.ERROR)
-            dues.append(fleet.balancer.requests[rid].ticket.due)  # type: ignore[union-attr]
-        for b in fleet.balancer.backends.values():
-            b.rest_until = 0
+            dues.append(fleet.balancer.requests[rid].policy_state.due)  # type: ignore[union-attr]
+        for b in fleet.balancer.endpoints.values():
+            b.backoff_until = 0
             fleet.balancer.settle(b)
     assert len(dues) > 40
     assert min(dues) < 8 * MS and max(dues) > 32 * MS
@@ -242,9 +242,9 @@
         for _ in range(random.randrange(4)):
             rid += 1
             fleet.ask(now, rid, policy)
-        for b in fleet.balancer.backends.values():
-            b.rest_until = b.down_until = 0
-            fleet.balancer.down = 0
+        for b in fleet.balancer.endpoints.values():
+            b.backoff_until = b.ejected_until = 0
+            fleet.balancer.ejected = 0
             fleet.balancer.settle(b)
         out = [
             (r.id, i)
@@ -299,10 +299,10 @@
     assert first[2] != second[2]
     fleet.end(60 * MS, 1, 1, Outcome.OK)
     assert fleet.host.named("cancel") == [("cancel", 1, 0)]
-    assert fleet.balancer.backends[first[2]].held == 1
-    assert fleet.balancer.running == 1
+    assert fleet.balancer.endpoints[first[2]].in_flight == 1
+    assert fleet.balancer.in_flight == 1
     fleet.end(60 * MS, 1, 0, Outcome.CANCELLED, 60 * MS)
-    assert fleet.balancer.running == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
     assert fleet.answers(1) == 0
 
 
@@ -313,7 +313,7 @@
     fleet.wake(50 * MS)
     fleet.end(60 * MS, 1, 0, Outcome.OK)
     fleet.end(60 * MS, 1, 1, Outcome.OK)
-    assert fleet.balancer.running == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
     assert fleet.policies.node.active == 0
 
 
@@ -332,7 +332,7 @@
 def test_no_copy_goes_to_a_full_fleet_nor_ahead_of_those_that_wait() -> None:
     fleet = Fleet(2)
     asked = 0
-    while not fleet.balancer.waiting:
+    while not fleet.balancer.queued:
         asked += 1
         fleet.ask(0, asked, COPY)
     sent = len(fleet.host.named("send"))
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.parametrize(
-    "change", [replace(SETTINGS, second_copies=False), replace(SETTINGS, can_cancel=False)]
+    "change", [replace(SETTINGS, hedging=False), replace(SETTINGS, can_cancel=False)]
 )
 def test_no_copy_where_the_settings_allow_none(change: Settings) -> None:
     fleet = Fleet(settings=change)
@@ -375,12 +375,12 @@
     fleet = Fleet()
     fleet.ask(0, 1, COPY)
     fleet.wake(50 * MS)
-    fleet.balancer.on_gone(55 * MS, 1)
+    fleet.balancer.on_client_disconnected(55 * MS, 1)
     assert fleet.host.named("cancel") == [("cancel", 1, 1)]
     fleet.end(55 * MS, 1, 1, Outcome.CANCELLED)
-    assert fleet.balancer.running == 1
+    assert fleet.balancer.in_flight == 1
     fleet.end(90 * MS, 1, 0, Outcome.OK)
-    assert fleet.balancer.running == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
 
 
 def test_a_learned_delay_waits_until_enough_is_known() -> None:
@@ -392,7 +392,7 @@
         fleet.end(rid * SECOND + 10 * MS, rid, 0, Outcome.OK, 10 * MS)
     assert len(fleet.host.named("send")) == 100  # none while unknown, none before its time
     fleet.ask(200 * SECOND, 200, policy)
-    due = fleet.balancer.requests[200].ticket.due  # type: ignore[union-attr]
+    due = fleet.balancer.requests[200].policy_state.due  # type: ignore[union-attr]
     assert 10 * MS <= due - 200 * SECOND <= 12 * MS
 
 
@@ -448,4 +448,4 @@
             if rid % 3 == 0:
                 balancer.on_outcome(rid * MS, rid, 0, FAILS[rid % 5], MS, False)
     assert fleet.host.calls == plain.calls
-    assert State.READY in {b.state for b in other.backends.values()}
+    assert State.READY in {b.state for b in other.endpoints.values()}
--- a/tests/core/balancing/test_settings.py
+++ b/tests/core/balancing/test_settings.py
@@ -24,7 +24,7 @@
 
 
 def names(balancer: Any) -> list[str]:
-    return [c.spec.name for c in balancer.classes if not c.until]
+    return [c.spec.name for c in balancer.classes if not c.retires_at]
 
 
 def test_a_class_that_is_the_same_goes_on_as_it_is_wherever_it_stands() -> None:
@@ -58,7 +58,7 @@
     cap = balancer.total
     for rid in range(1, cap + 3):
         balancer.on_request(0, rid, 1, 900 * MS)
-    assert unsafe.waiting == 2
+    assert unsafe.queued == 2
     balancer.on_settings(1, replace(TWO, classes=(PURE,)))
     for rid in range(1, cap + 3):
         balancer.on_outcome(2 * MS, rid, 0, Outcome.OK, MS, True)
@@ -80,7 +80,7 @@
 
 
 def test_clients_that_do_not_know_yet_are_told_by_method_and_key() -> None:
-    keyed = replace(UNSAFE, effect=Effect.TOKEN, window=SECOND)
+    keyed = replace(UNSAFE, effect=Effect.TOKEN, repeat_window=SECOND)
     balancer, _ = build(TWO)
     balancer.on_settings(0, replace(TWO, classes=(PURE, keyed)))
 
@@ -107,7 +107,13 @@
 
 def test_whatever_comes_in_whatever_order_each_request_ends_once() -> None:
     """Random settings, several within a moment, among requests, ends and time."""
-    specs = [PURE, UNSAFE, NEW, replace(UNSAFE, effect=Effect.PURE), replace(PURE, aim=90 * MS)]
+    specs = [
+        PURE,
+        UNSAFE,
+        NEW,
+        replace(UNSAFE, effect=Effect.PURE),
+        replace(PURE, latency_objective=90 * MS),
+    ]
     for seed in range(25):
         random = Random(seed)
         balancer, host = build(TWO, count=2, seed=seed)
@@ -142,10 +148,14 @@
                 balancer.on_outcome(now, r, attempt, outcome, 5 * MS, done)
                 if outcome == Outcome.RESET and r in once:
                     assert r not in balancer.requests and tries == attempt + 1
-            running = sum(c.running for c in balancer.classes)
-            assert running == balancer.running == sum(b.held for b in balancer.backends.values())
-            waiting = sum(c.waiting for c in balancer.classes)
-            assert waiting == balancer.waiting
+            running = sum(c.in_flight for c in balancer.classes)
+            assert (
+                running
+                == balancer.in_flight
+                == sum(b.in_flight for b in balancer.endpoints.values())
+            )
+            waiting = sum(c.queued for c in balancer.classes)
+            assert waiting == balancer.queued
             out = _open(balancer)
         ended = [c[1] for c in host.calls if c[0] in ("refuse", "fail", "ok")]
         assert len(ended) == len(set(ended))
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -294,11 +294,11 @@
 def test_a_server_is_alive_or_dead_by_a_balancers_own_attempts() -> None:
     balancer, _ = build(count=2)
     assert alive(balancer, SECOND, 100) is None and alive(balancer, SECOND, 9) is None
-    b = balancer.backends[100]
+    b = balancer.endpoints[100]
     balancer.heard(SECOND, b)
     assert alive(balancer, 2 * SECOND, 100) is True
     assert alive(balancer, 7 * SECOND, 100) is None  # too long ago
-    b.strikes = STRIKES
+    b.consecutive_failures = STRIKES
     assert alive(balancer, 2 * SECOND, 100) is False
 
 
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -32,7 +32,7 @@
 
 
 def caller(nodes: int = 40, ask: bool = True) -> Caller:
-    return Caller(Settings((PURE,), balancers=nodes, ask=ask), Random(1))
+    return Caller(Settings((PURE,), nodes=nodes, poll=ask), Random(1))
 
 
 def loaded(nodes: int, failure: Failure = Failure.TURNED_AWAY) -> Caller:
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -37,17 +37,17 @@
 
 
 def test_a_change_is_in_hand_six_seconds_after_discovery_had_it() -> None:
-    t = terms(Settings((PURE,), ask=True))
+    t = terms(Settings((PURE,), poll=True))
     assert t.hold + t.late + asking.ANSWER_AIM <= asking.TOLD
     assert max(t.answer, t.connect) + t.pause_most + asking.ANSWER_AIM <= asking.TOLD
 
 
 @pytest.mark.parametrize("grace", [500 * MS, SECOND, 2 * SECOND, 60 * SECOND])
 def test_what_an_agent_has_is_in_hand_within_the_grace(grace: int) -> None:
-    t = terms(Settings((PURE,), ask=False, drain_grace=grace))
+    t = terms(Settings((PURE,), poll=False, drain_grace=grace))
     for silent in (t.hold + t.late, t.answer + t.pause_most, t.connect + t.pause_most):
         assert silent + t.connect < grace
-    assert terms(Settings((PURE,), ask=False, drain_grace=0)).pause_least > 0  # no busy loop
+    assert terms(Settings((PURE,), poll=False, drain_grace=0)).pause_least > 0  # no busy loop
 
 
 class Asked:
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.core.balancing.model import MS, SECOND, State, Told
+from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, State
 from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation, Standing
 from simulation.gossip_world import World
 
@@ -210,13 +210,13 @@
         world.nodes[witness].observe(
             world.clock(witness), 6, 2, False, 0, 1.0, world.clock(witness)
         )
-    told: dict[int, Told | None] = {}
+    told: dict[int, ReportedState | None] = {}
 
     def ask() -> bool:
         for n, fleet in world.nodes.items():
             for change in fleet.changes(world.clock(n)):
                 told[n] = change.told
-        return len(told) >= 19 and set(told.values()) == {Told.SILENT}
+        return len(told) >= 19 and set(told.values()) == {ReportedState.SILENT}
 
     assert world.run(world.now + SECOND, ask)
     for witness in (2, 3):
--- a/tests/core/gossip/test_gossip.py
+++ b/tests/core/gossip/test_gossip.py
@@ -14,10 +14,10 @@
     MS,
     SECOND,
     Listing,
+    ReportedState,
     RequestClass,
     Settings,
     State,
-    Told,
     Update,
 )
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
@@ -133,14 +133,14 @@
 @pytest.mark.parametrize(
     ("observations", "zones", "verdict"),
     [
-        ([observation(9, 1, failures=3)], 1, Told.DOUBTED),  # one alone may be cut off itself
-        ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, Told.SILENT),
+        ([observation(9, 1, failures=3)], 1, ReportedState.DOUBTED),  # it may be cut off itself
+        ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, ReportedState.SILENT),
         ([observation(9, 1, failures=1), observation(9, 2, failures=1)], 1, None),
         # of the other zone
         ([observation(9, 1, failures=3), observation(9, 3, failures=3)], 2, None),
-        ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, Told.SILENT),
-        ([observation(9, 1, full=2), observation(9, 2, full=2)], 1, Told.FULL),
-        ([observation(9, 1, ratio=54)], 1, Told.SLOW),
+        ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, ReportedState.SILENT),
+        ([observation(9, 1, full=2), observation(9, 2, full=2)], 1, ReportedState.FULL),
+        ([observation(9, 1, ratio=54)], 1, ReportedState.SLOW),
         # taken back
         ([observation(9, 1, failures=3), observation(9, 1, 2), observation(9, 2, failures=1)], 1,
          None),
@@ -150,7 +150,7 @@
     ],
 )  # fmt: skip
 def test_what_observations_come_to(
-    observations: list[Observation], zones: int, verdict: Told | None
+    observations: list[Observation], zones: int, verdict: ReportedState | None
 ) -> None:
     fleet = Fleet(Terms(8, 0, zones), 1, 1, 0)
     fleet.listed(0, 1, [(s, 7, State.READY) for s in range(9, 18)], True)
@@ -184,7 +184,11 @@
                 Kind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
             )
             fleet.receive(SECOND // 2, message)
-    silent = [c for c in fleet.changes(SECOND // 2) if c.told in (Told.SILENT, Told.DOUBTED)]
+    silent = [
+        c
+        for c in fleet.changes(SECOND // 2)
+        if c.told in (ReportedState.SILENT, ReportedState.DOUBTED)
+    ]
     assert len(silent) <= 10
 
 
@@ -212,17 +216,17 @@
 
 
 def test_a_process_that_speaks_no_more_ends_its_leases_and_one_that_hears_nobody_is_free() -> None:
-    balancer = Balancer(Settings((AIM,), balancers=4), 1, Idle())  # type: ignore[arg-type]
+    balancer = Balancer(Settings((AIM,), nodes=4), 1, Idle())  # type: ignore[arg-type]
     balancer.start(0)
     fleet = Fleet(Terms(4, 0), 1, 1, 0)
     bridge = BalancerBridge(fleet, balancer)
-    balancer.level = 20.0
+    balancer.concurrency_limit = 20.0
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(16)])
 
     def caps(update: BalancerUpdate | None) -> int:
         assert update is not None
         bridge.apply(balancer.now, update)
-        return sum(b.cap for b in balancer.backends.values())
+        return sum(b.cap for b in balancer.endpoints.values())
 
     own = caps(bridge.collect(1))
     ((lender, serial),) = fleet.leases.asks(1, [2], True)
@@ -235,7 +239,7 @@
 
 def test_words_take_out_a_third_of_the_servers_at_most_and_our_own_list_the_others() -> None:
     fleet = Fleet(Terms(4, 0), 1, 1, 0)
-    balancer = Balancer(Settings((AIM,), balancers=4), 1, Idle())  # type: ignore[arg-type]
+    balancer = Balancer(Settings((AIM,), nodes=4), 1, Idle())  # type: ignore[arg-type]
     balancer.start(0)
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(9)])
     bridge = BalancerBridge(fleet, balancer)
@@ -246,7 +250,7 @@
     update = bridge.collect(20)
     assert update is not None and len(update.draining) == 3
     bridge.apply(20, update)
-    assert sum(b.state == State.READY for b in balancer.backends.values()) == 6
+    assert sum(b.state == State.READY for b in balancer.endpoints.values()) == 6
     # Our own list, still older than the messages, takes none back and no other in its place.
     whole = [(b, 7, State.READY) for b in reversed(range(9))]
     fleet.listed(25, 2, whole, True)
@@ -263,22 +267,22 @@
     balancer = Balancer(Settings((AIM,), max_attempts=1), 1, Idle())  # type: ignore[arg-type]
     balancer.start(0)
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(4)])
-    caps = {b.id: b.cap for b in balancer.backends.values()}
-    balancer.on_told(1, 0, Told.SLOW, 4.0, False)
+    caps = {b.id: b.cap for b in balancer.endpoints.values()}
+    balancer.on_peer_report(1, 0, ReportedState.SLOW, 4.0, False)
     balancer.recap()
-    assert balancer.backends[0].cap < caps[0] and balancer.backends[0].lat == 1.0
-    balancer.on_told(2, 0, None, 1.0, False)
+    assert balancer.endpoints[0].cap < caps[0] and balancer.endpoints[0].latency_ratio == 1.0
+    balancer.on_peer_report(2, 0, None, 1.0, False)
     balancer.recap()
-    assert balancer.backends[0].cap == caps[0]
-    balancer.on_told(3, 1, Told.SILENT, 1.0, True)
-    assert balancer.backends[1].down_until and balancer.backends[1].cold_until
-    balancer.on_told(4, 1, None, 1.0, False)
-    assert not balancer.backends[1].down_until and balancer.backends[1].trial
+    assert balancer.endpoints[0].cap == caps[0]
+    balancer.on_peer_report(3, 1, ReportedState.SILENT, 1.0, True)
+    assert balancer.endpoints[1].ejected_until and balancer.endpoints[1].cold_until
+    balancer.on_peer_report(4, 1, None, 1.0, False)
+    assert not balancer.endpoints[1].ejected_until and balancer.endpoints[1].probing
     # What its own attempts have met, no message takes back.
-    balancer.backends[2].strikes = 4
-    balancer.suspend(5, balancer.backends[2], True, False)
-    balancer.on_told(50, 2, None, 1.0, False)
-    assert balancer.backends[2].down_until
+    balancer.endpoints[2].consecutive_failures = 4
+    balancer.suspend(5, balancer.endpoints[2], True, False)
+    balancer.on_peer_report(50, 2, None, 1.0, False)
+    assert balancer.endpoints[2].ejected_until
 
 
 # ---- who lives ---------------------------------------------------------
--- a/tests/core/gossip/test_slots.py
+++ b/tests/core/gossip/test_slots.py
@@ -17,7 +17,7 @@
     REACH,
     SPILL,
     TIMER_CYCLE,
-    Backend,
+    Endpoint,
 )
 from loadbalancer.core.balancing.model import MS, SECOND
 from tests.many_nodes import World
@@ -30,9 +30,9 @@
 SEEDS = (0, 2, 48)  # of which each had a node that served nobody before
 
 
-def slots(world: World) -> list[list[Backend]]:
+def slots(world: World) -> list[list[Endpoint]]:
     """Each node's backends, in the order of the nodes."""
-    return [list(host.balancer.backends.values()) for host in world.hosts]
+    return [list(host.balancer.endpoints.values()) for host in world.hosts]
 
 
 @pytest.mark.parametrize(("nodes", "servers", "zones"), SIZES)
@@ -91,7 +91,7 @@
     levels = [0.0]
     for _ in range(24):
         world.run(SECOND // 2)
-        levels.append(max(host.balancer.level for host in world.hosts))
+        levels.append(max(host.balancer.concurrency_limit for host in world.hosts))
         for host in world.hosts:
             takes_others_in_place_of_its_own(host.balancer)
     assert [host.balancer.settings.node for host in world.hosts if host.idle] == []
@@ -105,25 +105,25 @@
 def takes_others_in_place_of_its_own(balancer: Balancer) -> None:
     """Slots beyond the deal are no more than those of its own deal, of which some are bad."""
     balancer.recap()
-    backends = balancer.backends.values()
+    backends = balancer.endpoints.values()
     local = sum(b.local and b.state == State.READY for b in backends)
-    level = max(balancer.level, MIN_SLOTS * balancer.peers / max(local, 1))
+    level = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
     beyond = dealt = 0
     for b in backends:
-        within = b.deal < int((level if b.local else level * SPILL) + b.offset)
+        within = b.node_rank < int((level if b.local else level * SPILL) + b.rounding)
         dealt += within
         beyond += b.cap > 0 and not within
     assert beyond <= max(min(dealt, MIN_SLOTS), 1)
 
 
 def test_a_server_that_seemed_slow_gets_its_slots_back_though_nothing_measures_it() -> None:
-    settings = Settings((PURE,), node=3, balancers=4, max_attempts=1)
+    settings = Settings((PURE,), node=3, nodes=4, max_attempts=1)
     balancer, host = build(settings, count=4)
-    thin = [b for b in balancer.backends.values() if b.deal == 3]
+    thin = [b for b in balancer.endpoints.values() if b.node_rank == 3]
     b = thin[0]
     full = b.cap
     assert full
-    b.lat = 10.0  # as after heavy requests that all fell on it
+    b.latency_ratio = 10.0  # as after heavy requests that all fell on it
     now = CYCLE
     balancer.on_timer(now, TIMER_CYCLE)
     assert not b.cap
@@ -136,10 +136,10 @@
 
 def test_a_node_whose_own_servers_are_all_silent_sends_elsewhere_within_a_cycle() -> None:
     rows = [Listing(100 + i, State.READY) for i in range(40)]
-    settings = Settings((PURE,), node=5, balancers=40, max_attempts=1)
+    settings = Settings((PURE,), node=5, nodes=40, max_attempts=1)
     balancer, host = build(settings, count=0)
     balancer.on_members(0, Update.FULL, rows)
-    own = {b.id for b in balancer.backends.values() if b.cap}
+    own = {b.id for b in balancer.endpoints.values() if b.cap}
     now, rid = 0, 0
     for _ in range(12):  # its own servers answer nothing, until each has been left alone
         for _ in own:
@@ -149,9 +149,9 @@
         sent = [c for c in host.named("send") if c[2] in own]
         for _, request, _, _ in sent:
             balancer.on_outcome(now, int(str(request)), 0, Outcome.TIMEOUT, 200 * MS, False)
-        if all(balancer.backends[i].down_until for i in own):
+        if all(balancer.endpoints[i].ejected_until for i in own):
             break
-    assert all(balancer.backends[i].down_until for i in own)
+    assert all(balancer.endpoints[i].ejected_until for i in own)
     balancer.on_timer(now, TIMER_CYCLE)
     host.calls.clear()
     balancer.on_request(now, rid + 1, 0, SECOND)
--- a/tests/core/routes/test_route_file.py
+++ b/tests/core/routes/test_route_file.py
@@ -23,7 +23,7 @@
         RequestClass("topup", 750 * MS, 3000 * MS, Effect.TOKEN, Scope.ZONE, 5000 * MS),
     ),
     max_attempts=4,
-    second_copies=True,
+    hedging=True,
     can_cancel=True,
 )
 
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -63,16 +63,16 @@
 def test_a_balancer_sends_within_its_part_and_takes_the_rest_back() -> None:
     balancer, host = build(count=4)
     left = Left()
-    left.hear({b.id: b.cap for b in balancer.backends.values() if b.id != 100})
-    balancer.part = left
+    left.hear({b.id: b.cap for b in balancer.endpoints.values() if b.id != 100})
+    balancer.limit_share = left
     balancer.recap()
     for rid in range(1, 20):
         balancer.on_request(1, rid, 0, 900 * MS)
     assert {call[2] for call in host.named("send")} == {100}
     assert [row.cap for row in halves.standing(balancer, 1)] == [
-        b.whole for b in balancer.backends.values()
+        b.node_cap for b in balancer.endpoints.values()
     ]
-    balancer.part = None
+    balancer.limit_share = None
     balancer.recap()
     balancer.dispatch(1)
     assert {call[2] for call in host.named("send")} == {100, 101, 102, 103}
@@ -84,7 +84,7 @@
     for rid in range(1, 30):
         balancer.on_request(rid * MS, rid, rid % 3, 900 * MS)
         balancer.on_outcome(rid * MS + 5 * MS, rid, 0, Outcome.OK, 5 * MS, True)
-    balancer.suspend(SECOND, balancer.backends[101], True, False)
+    balancer.suspend(SECOND, balancer.endpoints[101], True, False)
     return legacy.write(balancer, SECOND)
 
 
@@ -94,19 +94,19 @@
     heir.on_members(0, Update.DELTA, [Listing(9, State.READY)])
     now = 500 * SECOND  # of another clock
     legacy.take_over(heir, now, legacy.read(raw))
-    assert heir.classes[0].lat == raw["classes"]["pure"][0] != build()[0].classes[0].lat
-    assert heir.backends[101].down_until > now and heir.down == 1
-    assert now < heir.backends[9].cold_until <= now + heir.settings.cold  # cold as it was
+    assert heir.classes[0].latency == raw["classes"]["pure"][0] != build()[0].classes[0].latency
+    assert heir.endpoints[101].ejected_until > now and heir.ejected == 1
+    assert now < heir.endpoints[9].cold_until <= now + heir.settings.cold  # cold as it was
     for step in range(1, 200):
         heir.on_timer(now + step * SECOND, 1)
-    assert heir.down == 0 and not heir.backends[101].down_until
+    assert heir.ejected == 0 and not heir.endpoints[101].ejected_until
 
 
 def test_of_two_classes_of_one_name_the_one_that_counts_is_left() -> None:
     balancer, _ = build(Settings(classes=(KEYED, PURE)))
-    balancer.classes[1].lat = 77.0 * MS
-    balancer.on_settings(1, Settings(classes=(replace(PURE, aim=150 * MS),)))
-    balancer.classes[0].lat = 33.0 * MS
+    balancer.classes[1].latency = 77.0 * MS
+    balancer.on_settings(1, Settings(classes=(replace(PURE, latency_objective=150 * MS),)))
+    balancer.classes[0].latency = 33.0 * MS
     assert legacy.write(balancer, 2)["classes"] == {
         "pure": [33.0 * MS, 0.0, 0.0, balancer.classes[0].share, [0] * 65]
     }
@@ -116,7 +116,7 @@
     heir, _ = build(count=1)
     heir.on_members(0, Update.FULL, rows(1, first=500))
     legacy.take_over(heir, SECOND, legacy.read(json.loads(json.dumps(learned()))))
-    assert set(heir.backends) == {500} and heir.down == 0
+    assert set(heir.endpoints) == {500} and heir.ejected == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/core/xds/test_load_reports.py
+++ b/tests/core/xds/test_load_reports.py
@@ -201,7 +201,7 @@
     b = balancer()
     before = {v.backend: v.cap for v in b.view(0)}
     for i in range(20):
-        b.on_reported(i * SECOND, 2, 3.0, False)
+        b.on_load_report(i * SECOND, 2, 3.0, False)
     b.on_timer(20 * SECOND, 2)  # the half-second cycle
     after = {v.backend: v.cap for v in b.view(20 * SECOND)}
     assert after[2] < before[2] and after[1] == before[1]
@@ -210,12 +210,12 @@
 def test_reports_never_take_out_more_than_half() -> None:
     b = balancer()
     for i in range(1, 5):
-        b.on_reported(SECOND, i, 1.0, True)
-    assert sum(v.down for v in b.view(SECOND)) == 2
+        b.on_load_report(SECOND, i, 1.0, True)
+    assert sum(v.ejected for v in b.view(SECOND)) == 2
 
 
 def test_a_report_of_an_unknown_server_is_nothing() -> None:
     b = balancer()
     before = b.view(0)
-    b.on_reported(0, 99, 10.0, True)
+    b.on_load_report(0, 99, 10.0, True)
     assert b.view(0) == before
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -59,9 +59,9 @@
 RECORDS = {"life": Life, "listed": Listed, "observation": Observation, "reading": Reading}
 CLASSES = (
     RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
-    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND),
+    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, repeat_window=SECOND),
 )
-SETTINGS = Settings(CLASSES, ask=True, balancers=4, max_attempts=4)
+SETTINGS = Settings(CLASSES, poll=True, nodes=4, max_attempts=4)
 
 
 def encode(kind: str, plain: Plain) -> bytes:
--- a/tests/many_nodes.py
+++ b/tests/many_nodes.py
@@ -119,7 +119,7 @@
         self.hosts = []
         for node in range(nodes):
             settings = Settings(
-                (CLASS,), node=node, balancers=nodes, zone=node % zones, zones=zones,
+                (CLASS,), node=node, nodes=nodes, zone=node % zones, zones=zones,
                 max_attempts=4, cold_from=0.3, cold=8 * SECOND, fall=1500 * MS, **(rules or {}),
             )  # fmt: skip
             self.hosts.append(Host(self, node, settings))
--- a/tests/proxy/test_long_messages.py
+++ b/tests/proxy/test_long_messages.py
@@ -431,13 +431,13 @@
 def test_attempts_that_only_move_bytes_leave_slots_to_others_within_a_bound() -> None:
     balancer, host = build(count=1)
     balancer.on_request(0, 1, 0, 900 * MS)
-    cap = balancer.backends[100].cap
+    cap = balancer.endpoints[100].cap
     for rid in range(2, 60):
-        balancer.on_started(rid, rid - 1, 0, 5 * MS)
+        balancer.on_response_started(rid, rid - 1, 0, 5 * MS)
         balancer.on_request(rid, rid, 0, 900 * MS)
     assert len(host.named("send")) == cap + MOST_MOVING
     balancer.on_outcome(100, 1, 0, Outcome.OK, SECOND, True)
-    assert balancer.backends[100].moving == balancer.moving == MOST_MOVING + cap - 1
+    assert balancer.endpoints[100].transferring == balancer.transferring == MOST_MOVING + cap - 1
 
 
 def test_a_long_answer_teaches_the_time_of_its_first_bytes() -> None:
@@ -446,26 +446,26 @@
     for balancer, taken in ((one, 9 * SECOND), (two, 5 * MS)):
         balancer.on_request(0, 1, 0, 900 * MS)
         if balancer is one:
-            balancer.on_started(5 * MS, 1, 0, 5 * MS)
+            balancer.on_response_started(5 * MS, 1, 0, 5 * MS)
         balancer.on_outcome(taken, 1, 0, Outcome.OK, taken, True)
-    assert one.classes[0].lat == two.classes[0].lat
+    assert one.classes[0].latency == two.classes[0].latency
 
 
 def test_what_was_spent_is_never_sent_again_and_refused_only_if_it_never_ran() -> None:
     for outcome, said in ((Outcome.CONNECT_FAILED, "refuse"), (Outcome.RESET, "fail")):
         balancer, host = build()
         balancer.on_request(0, 1, 1, 900 * MS)
-        balancer.on_spent(1, 1, 0)
+        balancer.on_body_started(1, 1, 0)
         balancer.on_outcome(2, 1, 0, outcome, 1, False)
         assert len(host.named("send")) == 1 and host.named(said) == [(said, 1)]
-        assert balancer.moving == 0
+        assert balancer.transferring == 0
 
 
 def test_an_upload_is_no_silence_of_its_server() -> None:
     balancer, host = build(count=1)
     balancer.on_request(0, 1, 1, 900 * MS)
-    balancer.on_spent(1, 1, 0)
+    balancer.on_body_started(1, 1, 0)
     balancer.on_request(20 * SECOND, 2, 0, 900 * MS)
     assert len(host.named("send")) == 2
-    balancer.on_written(20 * SECOND, 1, 0)
-    assert balancer.moving == 0 and balancer.backends[100].since == 20 * SECOND
+    balancer.on_body_sent(20 * SECOND, 1, 0)
+    assert balancer.transferring == 0 and balancer.endpoints[100].silent_since == 20 * SECOND
--- a/tests/recording_host.py
+++ b/tests/recording_host.py
@@ -43,8 +43,8 @@
 
 
 PURE = RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE)
-UNSAFE = RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND)
-KEYED = RequestClass("keyed", 200 * MS, 1000 * MS, Effect.TOKEN, window=60 * MS)
+UNSAFE = RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, repeat_window=SECOND)
+KEYED = RequestClass("keyed", 200 * MS, 1000 * MS, Effect.TOKEN, repeat_window=60 * MS)
 
 
 def rows(count: int, zone: int = 0, first: int = 100) -> list[Listing]:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -162,7 +162,7 @@
     drill.batch(1, 4, body)
     assert drill.nodes[3].balancer is not drill.nodes[4].balancer
     four = drill.nodes[4].balancer
-    assert four is not None and not four.backends
+    assert four is not None and not four.endpoints
 
 
 def test_settings_lack_is_named() -> None:
