--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -32,7 +32,7 @@
 
 from benchmarks.stats import spread
 from fakes.fleet import Process, started
-from loadbalancer.config.node import parse_address
+from loadbalancer.config.address import parse_address
 from loadbalancer.core.endpoints.merged_list import Health, Members, Word
 from loadbalancer.sources.consul.file import MARGIN, ConsulFile
 from loadbalancer.sources.consul.merge import sources
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from benchmarks.scale.budget import Budget
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine.file import Machine, ScaleFile
 
 CALL_S = 10.0
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -31,7 +31,8 @@
 import uvloop
 
 from benchmarks.scale.world import REGIONS
-from loadbalancer.config.node import Address, Config
+from loadbalancer.config.address import Address
+from loadbalancer.config.node import Config
 from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, ordered_machines
 from loadbalancer.core import Settings
 from loadbalancer.core.assignment.model import Change, Row, Snapshot
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -35,7 +35,8 @@
 
 import uvloop  # noqa: E402
 
-from loadbalancer.config.node import Address, Config, ConfigError, load, reload  # noqa: E402
+from loadbalancer.config.address import Address  # noqa: E402
+from loadbalancer.config.node import Config, ConfigError, load, reload  # noqa: E402
 from loadbalancer.core.balancing.model import SECOND  # noqa: E402
 from loadbalancer.errors import RoutesError, SourceError  # noqa: E402
 from loadbalancer.proxy.admin import Admin, Reply, Route  # noqa: E402
--- a/loadbalancer/cli/check.py
+++ b/loadbalancer/cli/check.py
@@ -12,6 +12,7 @@
 from typing import TextIO
 
 from loadbalancer.config.routes_file import check_file
+from loadbalancer.config.settings import SettingsError, settings_from_json
 from loadbalancer.config.toml_file import FileError, read
 from loadbalancer.core import Settings
 from loadbalancer.core.errors import ConfigurationError
@@ -19,7 +20,6 @@
 from loadbalancer.core.routes.services import Explained
 from loadbalancer.core.routes.specs import REPEAT_NAMES
 from loadbalancer.core.routes.table import Policy
-from loadbalancer.simulator.adapter import WireError, settings_from_json
 
 NOTHING_SET = "as without a file"
 NS_PER_MS = 1_000_000
@@ -64,7 +64,7 @@
         with open(path, "rb") as file:
             raw = json.load(file)
         return settings_from_json(json.dumps(raw["settings"]).encode())
-    except (OSError, ValueError, TypeError, KeyError, WireError) as err:
+    except (OSError, ValueError, TypeError, KeyError, SettingsError) as err:
         raise SettingsFileError(f"{path} holds no settings: {err}") from None
 
 
--- a/loadbalancer/cli/members.py
+++ b/loadbalancer/cli/members.py
@@ -17,7 +17,7 @@
 from typing import Any, TextIO
 from urllib.parse import quote
 
-from loadbalancer.config.node import parse_address
+from loadbalancer.config.address import parse_address
 from loadbalancer.control.consul_relay import serve
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints.merged_list import Member, Members
--- a/loadbalancer/cli/peers.py
+++ b/loadbalancer/cli/peers.py
@@ -13,7 +13,7 @@
 from http.client import HTTPConnection, HTTPException
 from typing import Any, TextIO
 
-from loadbalancer.config.node import parse_address
+from loadbalancer.config.address import parse_address
 from loadbalancer.core.errors import PeerError
 
 CALL_TIMEOUT_S = 5.0
--- a/loadbalancer/config/toml_file.py
+++ b/loadbalancer/config/toml_file.py
@@ -17,7 +17,7 @@
 
 from loadbalancer.core.errors import ConfigurationError
 
-MAX_FILE = 16 << 20
+MAX_FILE_BYTES = 16 << 20
 _TOML = Language(tree_sitter_toml.language())
 _AT_LINE = re.compile(r" \(at line (\d+), column \d+\)$")
 
@@ -25,7 +25,10 @@
 
 
 class FileError(ConfigurationError):
-    """A file that can't be read, or is not TOML: `line` from 1, `rule` and what is wrong."""
+    """A file that can't be read, or is not TOML.
+
+    `line` counts from 1; `rule` is the rule's name, `wrong` what breaks it, `right` the remedy.
+    """
 
     def __init__(self, line: int, rule: str, wrong: str, right: str) -> None:
         super().__init__(wrong)
@@ -36,19 +39,23 @@
 
 
 def read(path: str | Path) -> tuple[dict[str, Any], dict[Key, int]]:
-    """The values and, by key path (arrays by index), the lines from 1 on."""
+    """The values and, by key path (arrays by index), the lines from 1 on.
+
+    Raises:
+        FileError: where the file can't be read, is too large, or is not TOML.
+    """
     try:
         with open(path, "rb") as file:
-            data = file.read(MAX_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as err:
         raise FileError(1, "unreadable", f"can't be read: {err.strerror}", "see its path") from None
-    if len(data) > MAX_FILE:
-        raise FileError(1, "too-large", f"has over {MAX_FILE} bytes", "divide it")
+    if len(data) > MAX_FILE_BYTES:
+        raise FileError(1, "too-large", f"has over {MAX_FILE_BYTES} bytes", "divide it")
     return parse(data)
 
 
 def parse(data: bytes) -> tuple[dict[str, Any], dict[Key, int]]:
-    """As read, of a file's bytes."""
+    """As `read`, of a file's bytes."""
     try:
         values = tomllib.loads(data.decode())
     except UnicodeDecodeError as err:
@@ -64,11 +71,11 @@
         raise FileError(1, "syntax", "nests too deeply", "write it flat") from None
     lines: dict[Key, int] = {}
     if values:
-        _Walk(lines).document(Parser(_TOML).parse(data).root_node)
+        _LineCollector(lines).document(Parser(_TOML).parse(data).root_node)
     return values, lines
 
 
-class _Walk:
+class _LineCollector:
     """Notes the line of each key; the text is known to be valid by now."""
 
     def __init__(self, lines: dict[Key, int]) -> None:
@@ -76,6 +83,7 @@
         self.counts: dict[Key, int] = {}  # tables of an array so far
 
     def document(self, root: Node) -> None:
+        """Note the lines of a whole file's keys."""
         for node in root.named_children:
             if node.type == "pair":
                 self.pair(node, ())
@@ -83,6 +91,7 @@
                 self.section(node)
 
     def section(self, node: Node) -> None:
+        """Note a table's header and its keys."""
         names = _names(node.named_children[0])
         path = self.latest(names[:-1])
         if node.type == "table_array_element":
@@ -108,6 +117,7 @@
         return path
 
     def pair(self, node: Node, path: Key) -> None:
+        """Note a key, which may be dotted, and the keys within its value."""
         key, value = node.named_children[0], node.named_children[-1]
         for name in _names(key):
             path = (*path, name)
@@ -115,6 +125,7 @@
         self.value(value, path)
 
     def value(self, node: Node, path: Key) -> None:
+        """Note the keys within a value: an array's items and an inline table's pairs."""
         if node.type == "array":
             items = [c for c in node.named_children if c.type != "comment"]
             for i, item in enumerate(items):
@@ -126,6 +137,7 @@
                     self.pair(child, path)
 
     def note(self, path: Key, node: Node) -> None:
+        """Remember a key's line; a table's first line stays its line."""
         self.lines.setdefault(path, node.start_point.row + 1)
 
 
--- a/loadbalancer/config/toml_section.py
+++ b/loadbalancer/config/toml_section.py
@@ -1,4 +1,4 @@
-"""One table of a TOML file, read key by key; every fault is kept with its line and rule."""
+"""One table of a TOML file, read key by key; every fault is collected with its line and rule."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from loadbalancer.config.node import Address, parse_address
+from loadbalancer.config.address import Address, parse_address
 from loadbalancer.config.toml_file import FileError, Key, read
 from loadbalancer.core.routes.faults import Fault
 
@@ -18,7 +18,7 @@
 
 
 def read_file(path: str, decode: Decode[T], error: type[Exception]) -> T:
-    """A file decoded whole; `error` with every fault and its line, one a line."""
+    """A file decoded as a whole; raises `error` with every fault and its line, one a line."""
     try:
         raw, lines = read(path)
     except FileError as err:
@@ -51,21 +51,25 @@
     faults: list[Fault] = field(default_factory=list)
 
     def sub(self, raw: dict[str, Any], *at: str | int) -> Section:
+        """A table within this one, at a key or at an array's index."""
         return replace(self, raw=raw, at=(*self.at, *at))
 
     def fault(self, key: str, rule: str, wrong: str, right: str) -> None:
+        """Note a fault at a key's line, or at the table's where the key is absent."""
         line = self.lines.get((*self.at, key), self.lines.get(self.at, 1))
         self.faults.append(Fault(line, rule, wrong, right))
 
     def known(self, keys: tuple[str, ...]) -> None:
+        """Note each key of the table that is not among these."""
         for key in self.raw:
             if key not in keys:
-                near = get_close_matches(key, keys, 1)
-                ask = f"did you mean {near[0]!r}? " if near else ""
-                right = f"{ask}known are {', '.join(keys)}"
+                similar = get_close_matches(key, keys, 1)
+                hint = f"did you mean {similar[0]!r}? " if similar else ""
+                right = f"{hint}known are {', '.join(keys)}"
                 self.fault(key, "unknown-key", f"no key {key!r}", right)
 
     def text(self, key: str, default: str | None = None) -> str:
+        """A string that is not empty; a fault and "" otherwise."""
         value = self.raw.get(key, default)
         if isinstance(value, str) and value:
             return value
@@ -73,9 +77,11 @@
         return ""
 
     def path(self, key: str) -> Path:
+        """A path, relative to the file's folder."""
         return self.folder / self.text(key)
 
     def address(self, key: str, default: str | None = None) -> Address | None:
+        """A numeric address with its port; a fault and None otherwise."""
         value = self.text(key, default)
         if not value:
             return None
--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.endpoints.merged_list import Member
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from loadbalancer.config import toml_section as section
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.config.toml_file import Key
 from loadbalancer.config.toml_section import Section
 from loadbalancer.core.assignment.assignment import AssignmentRules
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.nodes import Nodes
 from loadbalancer.control.machine.version import position_of
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine.codec import BadMessageError, Codec
 
 MAX_FRAME = 32 << 20  # bytes
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -14,7 +14,7 @@
 from random import Random
 from urllib.parse import quote
 
-from loadbalancer.config.node import Address, parse_address
+from loadbalancer.config.address import Address, parse_address
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.list_form import ListFormError, Orders
 from loadbalancer.control.machine.version import version_of
--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.proxy.sockets import listening
 
 MOST_CALLERS = 8
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -12,7 +12,7 @@
 from loadbalancer.proxy.sockets import disown, listening
 
 if TYPE_CHECKING:
-    from loadbalancer.config.node import Address
+    from loadbalancer.config.address import Address
     from loadbalancer.proxy.lifecycle import Service
     from loadbalancer.proxy.ports import ClientHost
 
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -10,7 +10,8 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from loadbalancer.config.node import Address, Config
+    from loadbalancer.config.address import Address
+    from loadbalancer.config.node import Config
     from loadbalancer.core import Balancer, Outcome
     from loadbalancer.proxy.exchange import Attempt, Client, Request, Taken
     from loadbalancer.proxy.flow_control import Budget
--- a/loadbalancer/proxy/sockets.py
+++ b/loadbalancer/proxy/sockets.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 
 
 def listening(address: Address, backlog: int, shared: bool = False) -> socket.socket:
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.core import Outcome
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.proxy.flow_control import MOST, WHOLE, WINDOW, Flow
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -7,23 +7,14 @@
 
 from __future__ import annotations
 
-import json
 import struct
 import sys
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
+from loadbalancer.config.settings import SettingsError, settings_from_json
 from loadbalancer.core.balancing.balancer import Balancer
-from loadbalancer.core.balancing.model import (
-    Effect,
-    Listing,
-    RequestClass,
-    Scope,
-    Settings,
-    State,
-    Tenant,
-    Update,
-)
+from loadbalancer.core.balancing.model import Listing, State, Update
 from loadbalancer.core.errors import ProtocolError
 
 HEAD = struct.Struct(">IIIQ")
@@ -54,98 +45,11 @@
 HINT_VALID = 1
 CLIENT_RETRY = 2
 
-EFFECTS = {"pure": Effect.PURE, "token": Effect.TOKEN, "side_effect": Effect.SIDE_EFFECT}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-
 
 class WireError(ProtocolError):
     """The input is not what the wire describes; the text says where."""
 
 
-def settings_from_json(text: bytes) -> Settings:
-    """Turn the wire's settings object into Settings; unknown keys are skipped."""
-    try:
-        raw = json.loads(text)
-    except ValueError as err:
-        raise WireError(f"settings are not JSON: {err}") from None
-    if not isinstance(raw, dict):
-        raise WireError("settings are not a JSON object")
-    try:
-        return _settings(without_nulls(raw))
-    except KeyError as err:
-        raise WireError(f"settings lack {err.args[0]!r}") from None
-    except (TypeError, ValueError, AttributeError) as err:
-        raise WireError(f"settings hold an unusable value: {err}") from None
-
-
-def without_nulls(raw: dict[str, Any]) -> dict[str, Any]:
-    """The same without keys whose value is null: absent, as the wire's page has it."""
-
-    def clean(value: Any) -> Any:
-        if isinstance(value, dict):
-            return {key: clean(inner) for key, inner in value.items() if inner is not None}
-        return [clean(inner) for inner in value] if isinstance(value, list) else value
-
-    return {key: clean(value) for key, value in raw.items() if value is not None}
-
-
-def _settings(raw: dict[str, Any]) -> Settings:
-    rules, limits = raw["rules"], raw.get("limits", {})
-    goal, prices = raw.get("goal", {}), raw.get("prices", {})
-    classes = tuple(
-        RequestClass(
-            name=str(c.get("name", i)),
-            latency_objective=int(c["target"]),
-            deadline=int(c["deadline"]),
-            effect=EFFECTS[c["effect"]],
-            scope=SCOPES[c.get("dedup_scope", "all")],
-            repeat_window=int(c.get("repeat_window", 0)),
-            priority_weight=float(c.get("credit", 1.0)),
-            late_weight=float(c.get("late_worth", 0.0)),
-            stream=bool(c.get("stream", False)),
-            objective_stretch=float(c.get("aim_stretch", 0.0)),
-        )
-        for i, c in enumerate(raw["classes"])
-    )
-    tenants = tuple(
-        Tenant(
-            name=str(t.get("name", i)),
-            portion=float(t.get("portion", 1.0)),
-            quota_per_s=float(t.get("quota_per_s", 0.0)),
-        )
-        for i, t in enumerate(raw.get("realms", []))
-    )
-    info = raw.get("load_info", {})
-    return Settings(
-        node=int(raw.get("me", 0)),
-        nodes=int(raw["balancers"]),
-        zone=int(raw.get("my_zone", 0)),
-        zones=max(1, len(raw.get("areas", []))),
-        classes=classes,
-        tenants=tenants,
-        load_columns=tuple(info.get("columns", ())) if info.get("how") != "off" else (),
-        poll=raw.get("registry_mode") == "ask",
-        poll_within=int(rules.get("ask_within", 10_000_000_000)),
-        drain_grace=int(rules.get("drain_grace", 0)),
-        cold_from=float(rules.get("cold_from", 0.1)),
-        cold=int(rules.get("cold", 0)),
-        fall_multiple=float(rules.get("fall_multiple", 1.0)),
-        fall=int(rules.get("fall", 1_000_000_000)),
-        answer_slack=int(rules.get("grace_to_answer", 0)),
-        max_attempts=int(limits.get("max_attempts", 1)),
-        hedging=bool(limits.get("second_copies", False)),
-        can_cancel=bool(limits.get("cancelling", False)),
-        can_probe=bool(limits.get("probes", False)),
-        marks_retry=bool(raw.get("clients", {}).get("marks_retry", False)),
-        max_retry_after=(int(limits.get("max_retry_after", 0)) if limits.get("retry_after") else 0),
-        connect_timeout=int(limits.get("dial_timeout", 250_000_000)),
-        tick=int(raw.get("tick", 1_000_000)),
-        worst_class=float(goal.get("worst_class", 0.0)),
-        cross_zone_price=float(prices.get("cross_zone", 0.0)),
-        rated=raw.get("weights", "off") in ("nominal", "rough"),
-    )
-
-
 class Node:
     """Actions of one instance: packs each call into the reply being built."""
 
@@ -234,7 +138,10 @@
         end: int = at + 17 + size
         if end > len(body):
             raise WireError("the settings are cut short")
-        settings = settings_from_json(body[at + 17 : end])
+        try:
+            settings = settings_from_json(body[at + 17 : end])
+        except SettingsError as err:
+            raise WireError(str(err)) from None
         node = Node(inst, self.out)
         self.nodes[inst] = node
         try:
@@ -384,7 +291,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
-        print(f"loadbalancer.core: {err}", file=sys.stderr)
+        print(f"loadbalancer: {err}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer.config.node import Address, Config
+from loadbalancer.config.address import Address
+from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, State, Update
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints.merged_list import Health, Member, Word
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -10,7 +10,8 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from loadbalancer.config.node import Address, Config, parse_address
+from loadbalancer.config.address import Address, parse_address
+from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.poll_backoff import Caller, Failure, failure_of
--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 
 MAX_ANSWER = 16 << 20  # bytes of head and body
 
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.core import Listing, State
 from loadbalancer.core import learned_state as legacy
 
--- a/loadbalancer/upgrade/socket_path.py
+++ b/loadbalancer/upgrade/socket_path.py
@@ -14,7 +14,7 @@
 import struct
 from hashlib import blake2b
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 
 BACKLOG = 4
 PEER = struct.Struct("3i")  # pid, uid, gid
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -15,7 +15,7 @@
 import pytest
 
 from benchmarks.scale.fleet import call
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine import machine
 from loadbalancer.control.machine.file import MOST_NAME, read_scale
 from loadbalancer.control.machine.subscriber import AskTiming, Subscriber
--- a/tests/core/endpoints/test_list_versions.py
+++ b/tests/core/endpoints/test_list_versions.py
@@ -17,7 +17,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.config.node import Address, Config, load
+from loadbalancer.config.address import Address
+from loadbalancer.config.node import Config, load
 from loadbalancer.core import Listing, Update
 from loadbalancer.sources import discovery
 from loadbalancer.sources.discovery import Discovery, backend_id
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -19,7 +19,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2, json_format
 
-from loadbalancer.config.node import parse_address
+from loadbalancer.config.address import parse_address
 from loadbalancer.config.toml_file import parse
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -18,7 +18,7 @@
 from unittest import mock
 from zlib import crc32
 
-from loadbalancer.config.node import Address, parse_address
+from loadbalancer.config.address import Address, parse_address
 from loadbalancer.control.consul_relay import Relay
 from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core import learned_state as legacy
--- a/tests/scalemachines.py
+++ b/tests/scalemachines.py
@@ -13,7 +13,7 @@
 from typing import Any, TypeVar
 
 from benchmarks.scale.fleet import call
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine.file import ScaleFile, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.balancing.model import MS
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from loadbalancer.simulator.adapter import Drill, WireError, serve, settings_from_json
+from loadbalancer.simulator.adapter import Drill, WireError, serve
 from tests.harness import ROOT
 
 SETTINGS = {
@@ -137,7 +137,7 @@
     done = run(frame(b"\x63"))
     assert done.returncode == 2
     assert done.stdout == b""
-    assert done.stderr.decode().splitlines() == ["loadbalancer.core: unknown event code 99"]
+    assert done.stderr.decode().splitlines() == ["loadbalancer: unknown event code 99"]
 
 
 def test_clean_end_and_no_word_from_the_hash_seed() -> None:
@@ -163,8 +163,3 @@
     assert drill.nodes[3].balancer is not drill.nodes[4].balancer
     four = drill.nodes[4].balancer
     assert four is not None and not four.endpoints
-
-
-def test_settings_lack_is_named() -> None:
-    with pytest.raises(WireError, match="balancers"):
-        settings_from_json(json.dumps({"classes": [], "rules": {}}).encode())
--- a/tests/sources/consul/test_consul_hard.py
+++ b/tests/sources/consul/test_consul_hard.py
@@ -15,7 +15,7 @@
 import trustme
 
 from fakes.fleet import Process, started
-from loadbalancer.config.node import Address, parse_address
+from loadbalancer.config.address import Address, parse_address
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints.merged_list import Health, Members, Source, Word
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.upgrade import socket_path as place
 from tests.harness import (
     LIMIT,
