--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -29,8 +29,10 @@
 from loadbalancer.control.xds.wire import Answers
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import ServerView
-from loadbalancer.core.xds.plan import Audience, ProxyKind, plan
-from loadbalancer.core.xds.snapshot import Kind, Reply, resource
+from loadbalancer.core.xds.messages import DiscoveryResponse
+from loadbalancer.core.xds.plan import make_plan
+from loadbalancer.core.xds.snapshot import ResourceType, make_resource
+from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies
 
 CASES = ((21, 270), (200, 270), (1000, 270), (21, 5000))
 QUICK = ((5, 20), (21, 270))
@@ -185,11 +187,13 @@
             rows = range(i, i + servers)
             view = [ServerView(n, 0, State.READY, 4, 1.0, 1.0, False) for n in rows]
             where = {n: (address(n), 9000) for n in rows}
-            audience = Audience(ProxyKind.ENVOY, 0, ("east",), count)
-            made = plan(table.services[0], settings, table.node_budget, view, where, audience)
+            audience = TargetProxies(ProxyKind.ENVOY, 0, ("east",), count)
+            made = make_plan(table.services[0], settings, table.node_budget, view, where, audience)
             picture = Encoder(ProxyKind.ENVOY, ("127.0.0.1", 1)).build([made])
-            (body,) = picture.of(Kind.ENDPOINTS).values()
-            reply = Reply(Kind.ENDPOINTS, body.version, "", (resource("topup", body.body),))
+            (body,) = picture.of_type(ResourceType.ENDPOINTS).values()
+            reply = DiscoveryResponse(
+                ResourceType.ENDPOINTS, body.version, "", (make_resource("topup", body.body),)
+            )
             path = folder / "answer"
             path.write_bytes(Answers(False).encode(reply))
             told = time.monotonic()
--- a/loadbalancer/control/xds/encode.py
+++ b/loadbalancer/control/xds/encode.py
@@ -20,15 +20,24 @@
 
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.routes.table import Condition, Pattern, Policy
-from loadbalancer.core.xds.plan import Locality, Outliers, Plan, ProxyKind, RoutePlan, Server
-from loadbalancer.core.xds.snapshot import Kind, Picture, Resource, picture, resource
+from loadbalancer.core.xds.endpoint_plan import Endpoint, Locality
+from loadbalancer.core.xds.plan import OutlierDetection, Plan
+from loadbalancer.core.xds.route_plan import RoutePlan
+from loadbalancer.core.xds.snapshot import (
+    Resource,
+    ResourceType,
+    Snapshot,
+    make_resource,
+    make_snapshot,
+)
+from loadbalancer.core.xds.target_proxies import ProxyKind
 
 PREFIX = "type.googleapis.com/"
 TYPES = {
-    Kind.CLUSTER: PREFIX + "envoy.config.cluster.v3.Cluster",
-    Kind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
-    Kind.LISTENER: PREFIX + "envoy.config.listener.v3.Listener",
-    Kind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
+    ResourceType.CLUSTER: PREFIX + "envoy.config.cluster.v3.Cluster",
+    ResourceType.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
+    ResourceType.LISTENER: PREFIX + "envoy.config.listener.v3.Listener",
+    ResourceType.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
 }
 KINDS = {url: kind for kind, url in TYPES.items()}
 ROUTES = "wharfspread"
@@ -60,7 +69,7 @@
             eds_config=_ads(), service_name=name
         ),
     )  # fmt: skip
-    return resource(name, packed(body), [name])
+    return make_resource(name, packed(body), [name])
 
 
 class Encoder:
@@ -77,10 +86,10 @@
         self._listen = listen
         self._endpoints: dict[str, tuple[tuple[Locality, ...], Resource]] = {}
         self._others: tuple[Plan, ...] = ()
-        self._picture: Picture | None = None
+        self._picture: Snapshot | None = None
         self.serialised = 0
 
-    def build(self, plans: Sequence[Plan]) -> Picture:
+    def build(self, plans: Sequence[Plan]) -> Snapshot:
         """The picture of these plans; the same object where nothing has changed."""
         endpoints = [self._of(p) for p in plans]
         self._endpoints = {p.service: self._endpoints[p.service] for p in plans}
@@ -88,15 +97,15 @@
         others = tuple(replace(p, localities=()) for p in plans)
         old = self._picture
         if old is not None and others == self._others:
-            if all(old.of(Kind.ENDPOINTS).get(r.name) is r for r in endpoints):
+            if all(old.of_type(ResourceType.ENDPOINTS).get(r.name) is r for r in endpoints):
                 return old
-            rows: dict[Kind, Sequence[Resource]] = {
-                kind: tuple(old.of(kind).values()) for kind in Kind
+            rows: dict[ResourceType, Sequence[Resource]] = {
+                kind: tuple(old.of_type(kind).values()) for kind in ResourceType
             }
         else:
             rows = self._rest(plans)
         self._others = others
-        self._picture = picture(rows | {Kind.ENDPOINTS: endpoints})
+        self._picture = make_snapshot(rows | {ResourceType.ENDPOINTS: endpoints})
         return self._picture
 
     def _of(self, p: Plan) -> Resource:
@@ -110,11 +119,11 @@
         return made
 
     def _made(self, name: str, body: message.Message, names: Sequence[str] = ()) -> Resource:
-        out = resource(name, packed(body), names)
+        out = make_resource(name, packed(body), names)
         self.serialised += len(out.body)
         return out
 
-    def _rest(self, plans: Sequence[Plan]) -> dict[Kind, Sequence[Resource]]:
+    def _rest(self, plans: Sequence[Plan]) -> dict[ResourceType, Sequence[Resource]]:
         clusters = [
             self._made(p.service, _cluster(p, self._kind.proxyless), [p.service]) for p in plans
         ]
@@ -125,7 +134,11 @@
             config = configuration_pb2.RouteConfiguration(name=ROUTES, virtual_hosts=hosts)
             routes = [self._made(ROUTES, config, [p.service for p in plans])]
             listeners = [self._made("main", _listener(self._listen), [ROUTES])]
-        return {Kind.CLUSTER: clusters, Kind.ROUTES: routes, Kind.LISTENER: listeners}
+        return {
+            ResourceType.CLUSTER: clusters,
+            ResourceType.ROUTES: routes,
+            ResourceType.LISTENER: listeners,
+        }
 
     def _by_host(self, plans: Sequence[Plan]) -> tuple[list[Resource], list[Resource]]:
         """An API listener for every host by its name, as `xds:///HOST` asks for it."""
@@ -155,12 +168,12 @@
 
 def _cluster(p: Plan, proxyless: bool) -> cluster_pb2.Cluster:
     thresholds = circuit_breaker_pb2.CircuitBreakers.Thresholds()
-    thresholds.max_requests.value = p.most_requests
-    if p.budget is not None:
+    thresholds.max_requests.value = p.max_requests
+    if p.retry_budget is not None:
         # A part of what is active, and a count: of a rate it knows nothing. One is the
         # least that lets a thin service's request be tried again at all.
-        thresholds.retry_budget.budget_percent.value = 100.0 * p.budget.part
-        thresholds.retry_budget.min_retry_concurrency.value = max(int(p.budget.floor), 1)
+        thresholds.retry_budget.budget_percent.value = 100.0 * p.retry_budget.part
+        thresholds.retry_budget.min_retry_concurrency.value = max(int(p.retry_budget.floor), 1)
     out = cluster_pb2.Cluster(
         name=p.service,
         type="EDS",
@@ -174,21 +187,21 @@
         # Without it gRPC's client reports no load; an Envoy's own file says where to.
         out.lrs_server.self.SetInParent()
         return out
-    if p.outliers is not None:
-        _outliers(out.outlier_detection, p.outliers)
+    if p.outlier_detection is not None:
+        _outliers(out.outlier_detection, p.outlier_detection)
     if p.slow_start is not None:
         ramp = out.round_robin_lb_config.slow_start_config
         ramp.slow_start_window.CopyFrom(_duration(p.slow_start.window))
-        ramp.min_weight_percent.value = p.slow_start.least
+        ramp.min_weight_percent.value = p.slow_start.min_weight_percent
     return out
 
 
-def _outliers(out: outlier_detection_pb2.OutlierDetection, o: Outliers) -> None:
+def _outliers(out: outlier_detection_pb2.OutlierDetection, o: OutlierDetection) -> None:
     """Errors in a row alone: success rates of a proxy's own are not the module's rule."""
-    out.consecutive_5xx.value = o.errors
-    out.base_ejection_time.CopyFrom(_duration(o.rest))
-    out.max_ejection_time.CopyFrom(_duration(o.longest))
-    out.max_ejection_percent.value = o.most
+    out.consecutive_5xx.value = o.consecutive_errors
+    out.base_ejection_time.CopyFrom(_duration(o.base_ejection_time))
+    out.max_ejection_time.CopyFrom(_duration(o.max_ejection_time))
+    out.max_ejection_percent.value = o.max_ejection_percent
     out.enforcing_success_rate.value = 0
     out.enforcing_failure_percentage.value = 0
 
@@ -198,9 +211,9 @@
     for locality in p.localities:
         row = out.endpoints.add(priority=locality.priority)
         row.locality.zone = locality.zone
-        row.locality.sub_zone = locality.part
+        row.locality.sub_zone = locality.sub_zone
         row.load_balancing_weight.value = locality.weight
-        for server in locality.servers:
+        for server in locality.endpoints:
             one = row.lb_endpoints.add(health_status=_health(server))
             one.endpoint.address.socket_address.address = server.host
             one.endpoint.address.socket_address.port_value = server.port
@@ -208,7 +221,7 @@
     return out
 
 
-def _health(server: Server) -> str:
+def _health(server: Endpoint) -> str:
     if server.draining:
         return "DRAINING"
     return "HEALTHY" if server.healthy else "UNHEALTHY"
@@ -258,7 +271,7 @@
     if r.policy.timeout:
         out.route.timeout.CopyFrom(_duration(r.policy.timeout))
         out.route.max_stream_duration.max_stream_duration.CopyFrom(_duration(r.policy.timeout))
-    if r.retry_on or r.copy_after:
+    if r.retry_on or r.hedge_after:
         _retry(out.route, r, r.policy, kind)
     return out
 
@@ -267,12 +280,12 @@
     retry = out.retry_policy
     words = [ENVOY_RETRY[c] for c in r.retry_on]
     retry.retry_on = "unavailable" if kind.proxyless else ",".join(words)
-    retry.num_retries.value = r.retries
+    retry.num_retries.value = r.max_retries
     if policy.attempt_timeout and not kind.proxyless:
         retry.per_try_timeout.CopyFrom(_duration(policy.attempt_timeout))
-    if r.copy_after:
+    if r.hedge_after:
         # Hedging: at its time-out a try goes on beside the next, the first answer wins.
-        retry.per_try_timeout.CopyFrom(_duration(r.copy_after))
+        retry.per_try_timeout.CopyFrom(_duration(r.hedge_after))
         out.hedge_policy.hedge_on_per_try_timeout = True
     if policy.backoff_base:
         retry.retry_back_off.base_interval.CopyFrom(_duration(policy.backoff_base))
--- a/loadbalancer/control/xds/load_reports.py
+++ b/loadbalancer/control/xds/load_reports.py
@@ -18,7 +18,7 @@
     identify,
 )
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.xds.load_reports import Ledger, Row
+from loadbalancer.core.xds.load_reports import EndpointLoad, LoadReportAggregator
 
 SERVICE = "envoy.service.load_stats.v3.LoadReportingService"
 ROWS_PER_S = 5_000  # of all reports together; with more proxies each reports more rarely
@@ -28,7 +28,7 @@
 class Reported(Protocol):
     """A pool of servers, as load reports name them."""
 
-    ledger: Ledger
+    ledger: LoadReportAggregator
 
     def services(self) -> frozenset[str]: ...
     def size(self) -> int: ...
@@ -90,8 +90,8 @@
         now = time.monotonic_ns()
         streams = {}
         for name, pool in pools.items():
-            pool.ledger.every = seconds * SECOND
-            streams[name] = pool.ledger.opened(now, peer.node)
+            pool.ledger.report_interval = seconds * SECOND
+            streams[name] = pool.ledger.open_stream(now, peer.node)
         await context.write(answer)
         rate = Rate()
         message: Any = first
@@ -114,7 +114,7 @@
     def _count(self, pool: Reported, node: str, stream: int, message: Any) -> str:
         own = pool.services()
         interval = 0
-        rows: list[Row] = []
+        rows: list[EndpointLoad] = []
         for cluster in message.cluster_stats:
             if (cluster.cluster_service_name or cluster.cluster_name) in own:
                 told = cluster.load_report_interval
@@ -123,10 +123,10 @@
                     rows += _rows(pool, locality)
         if not rows:
             return ""
-        return pool.ledger.take(time.monotonic_ns(), node, stream, interval, rows)
+        return pool.ledger.add_report(time.monotonic_ns(), node, stream, interval, rows)
 
 
-def _rows(pool: Reported, locality: Any) -> list[Row]:
+def _rows(pool: Reported, locality: Any) -> list[EndpointLoad]:
     """A locality's servers: by address, or the one that the locality stands for."""
     out = []
     for one in locality.upstream_endpoint_stats:
@@ -140,8 +140,8 @@
     return out
 
 
-def _row(backend: int, stats: Any) -> Row:
-    return Row(
+def _row(backend: int, stats: Any) -> EndpointLoad:
+    return EndpointLoad(
         backend,
         stats.total_successful_requests,
         stats.total_error_requests,
--- a/loadbalancer/control/xds/peers.py
+++ b/loadbalancer/control/xds/peers.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.control.xds.file import TlsFile
 from loadbalancer.core.errors import PeerError
-from loadbalancer.core.xds.plan import ProxyKind, kind_of
+from loadbalancer.core.xds.target_proxies import ProxyKind, proxy_kind_of
 
 MAX_ID = 256  # bytes of a node's id
 FIRST_S = 10.0  # for a stream's first request
@@ -78,7 +78,7 @@
     if node.HasField("user_agent_build_version"):
         number = node.user_agent_build_version.version
         version = f"{number.major_number}.{number.minor_number}"
-    kind = kind_of(node.user_agent_name, version)
+    kind = proxy_kind_of(node.user_agent_name, version)
     if kind is None:
         raise RejectedProxyError("the node's user_agent_name is neither envoy nor gRPC's")
     return Peer(node.id, Group(kind, node.locality.zone[:MAX_ID]))
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -14,9 +14,10 @@
 from loadbalancer.core.balancing.model import SECOND, ServerView
 from loadbalancer.core.endpoints.attempt_evidence import alive
 from loadbalancer.core.routes.table import Table
-from loadbalancer.core.xds.drains import Drains, Holding
-from loadbalancer.core.xds.load_reports import Ledger
-from loadbalancer.core.xds.plan import Audience, Plan, plan
+from loadbalancer.core.xds.drains import AssignmentInUse, DrainTracker
+from loadbalancer.core.xds.load_reports import LoadReportAggregator
+from loadbalancer.core.xds.plan import Plan, make_plan
+from loadbalancer.core.xds.target_proxies import TargetProxies
 from loadbalancer.sources.consul.source import ConsulMembers
 from loadbalancer.sources.discovery import Discovery
 
@@ -42,8 +43,8 @@
         self.name = file.name
         self.config = config
         self.table = table
-        self.ledger = Ledger(max(every, 1) * SECOND)
-        self.drains: dict[str, Drains] = {s.name: Drains() for s in table.services}
+        self.ledger = LoadReportAggregator(max(every, 1) * SECOND)
+        self.drains: dict[str, DrainTracker] = {s.name: DrainTracker() for s in table.services}
         self._changed = changed
         self._urgent = urgent
         self._log = log
@@ -78,7 +79,7 @@
     def follow(self, table: Table) -> None:
         """Hand out other routes from now on."""
         self.table = table
-        self.drains = {s.name: self.drains.get(s.name, Drains()) for s in table.services}
+        self.drains = {s.name: self.drains.get(s.name, DrainTracker()) for s in table.services}
 
     def _told(self, update: Update, rows: list[Listing], _stale: list[int]) -> None:
         now = time.monotonic_ns()
@@ -88,7 +89,7 @@
         self.refresh()
         leaving = [v.backend for v in self._known if v.state == State.DRAINING]
         grace = self.config.settings.drain_grace
-        begun = [self.drains[s].listed(now, leaving, grace) for s in self.drains]
+        begun = [self.drains[s].update_draining(now, leaving, grace) for s in self.drains]
         if any(begun):
             self._urgent(self)
         else:
@@ -120,10 +121,12 @@
             return f"{self.name}: not heard of for {age // SECOND} s"
         return ""
 
-    def plans(self, to: Audience) -> list[Plan]:
+    def plans(self, to: TargetProxies) -> list[Plan]:
         """Every service's plan for one group of proxies."""
         return [
-            plan(s, self.config.settings, self.table.node_budget, self._known, self._addresses, to)
+            make_plan(
+                s, self.config.settings, self.table.node_budget, self._known, self._addresses, to
+            )
             for s in self.table.services
         ]
 
@@ -131,12 +134,12 @@
         """Servers that a set of endpoints handed out now lets take new work."""
         return frozenset(v.backend for v in self._known if v.state == State.READY)
 
-    def late(self, service: str, holdings: Iterable[Holding]) -> set[str]:
+    def late(self, service: str, holdings: Iterable[AssignmentInUse]) -> set[str]:
         """Proxies that may still send to a server that drains."""
         drains = self.drains[service]
         rows = list(holdings)
         leaving = [v.backend for v in self._known if v.state == State.DRAINING]
-        return {name for b in leaving for name in drains.late(b, rows)}
+        return {name for b in leaving for name in drains.not_notified(b, rows)}
 
     # ---- load reports -------------------------------------------------
 
@@ -160,9 +163,9 @@
     def learn(self) -> None:
         """Tell the Balancer what all proxies' reports say together."""
         now = time.monotonic_ns()
-        self.ledger.forget(now, self._addresses)
-        for v in self.ledger.verdicts() if self.ledger.news() else ():
-            self.balancer.on_reported(now, v.backend, v.ratio, v.failing)
+        self.ledger.prune(now, self._addresses)
+        for v in self.ledger.assess() if self.ledger.take_new() else ():
+            self.balancer.on_reported(now, v.backend, v.latency_ratio, v.failing)
 
     # ---- Actions ------------------------------------------------------
 
--- a/loadbalancer/control/xds/server.py
+++ b/loadbalancer/control/xds/server.py
@@ -24,24 +24,23 @@
 )
 from loadbalancer.control.xds.status import MAX_WORDS
 from loadbalancer.control.xds.wire import Answers
-from loadbalancer.core.xds.drains import Holding
-from loadbalancer.core.xds.pacing import Pacing
-from loadbalancer.core.xds.snapshot import (
-    History,
-    Kind,
-    Picture,
-    Reply,
-    Request,
-    Session,
+from loadbalancer.core.xds.drains import AssignmentInUse
+from loadbalancer.core.xds.history import History
+from loadbalancer.core.xds.messages import (
+    DiscoveryRequest,
+    DiscoveryResponse,
     SubscriptionError,
 )
+from loadbalancer.core.xds.pacing import StreamPacer
+from loadbalancer.core.xds.session import Session
+from loadbalancer.core.xds.snapshot import ResourceType, Snapshot
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 SEPARATE = {
-    Kind.CLUSTER: ("cluster.v3.ClusterDiscoveryService", "Clusters"),
-    Kind.ENDPOINTS: ("endpoint.v3.EndpointDiscoveryService", "Endpoints"),
-    Kind.LISTENER: ("listener.v3.ListenerDiscoveryService", "Listeners"),
-    Kind.ROUTES: ("route.v3.RouteDiscoveryService", "Routes"),
+    ResourceType.CLUSTER: ("cluster.v3.ClusterDiscoveryService", "Clusters"),
+    ResourceType.ENDPOINTS: ("endpoint.v3.EndpointDiscoveryService", "Endpoints"),
+    ResourceType.LISTENER: ("listener.v3.ListenerDiscoveryService", "Listeners"),
+    ResourceType.ROUTES: ("route.v3.RouteDiscoveryService", "Routes"),
 }
 MAX_STREAMS = 2000
 MAX_GROUPS = 64  # kinds times zones; each holds a picture of its own
@@ -56,21 +55,23 @@
 class Stream:
     """One proxy's stream: its session and what is still to be written."""
 
-    def __init__(self, peer: Peer, session: Session, only: Kind | None = None) -> None:
+    def __init__(self, peer: Peer, session: Session, only: ResourceType | None = None) -> None:
         self.peer = peer
         self.session = session
         self.only = only
         # At most one message of a kind: a newer one waits for the older's answer.
-        self.unsent: list[Reply] = []
+        self.unsent: list[DiscoveryResponse] = []
         self.ready = asyncio.Event()
         self.closing = False
 
-    def put(self, replies: list[Reply]) -> None:
+    def put(self, replies: list[DiscoveryResponse]) -> None:
         if replies:
             # A proxy that acknowledges by guessed nonces and reads nothing gets more
             # than it reads: only the newest of a kind is kept for it.
-            newer = {reply.kind for reply in replies}
-            self.unsent = [reply for reply in self.unsent if reply.kind not in newer] + replies
+            newer = {reply.resource_type for reply in replies}
+            self.unsent = [
+                reply for reply in self.unsent if reply.resource_type not in newer
+            ] + replies
             self.ready.set()
 
     def close(self) -> None:
@@ -84,7 +85,7 @@
         What still waits here to be written the proxy has never seen: it is dropped,
         so that a slow reader gets the newest behind what is in its buffers already.
         """
-        self.put(self.session.press())
+        self.put(self.session.push_endpoints())
 
 
 class Streams:
@@ -94,21 +95,21 @@
         self,
         log: Callable[[str], None],
         changed: Callable[[], None],
-        build: Callable[[Group], Picture | None],
+        build: Callable[[Group], Snapshot | None],
         tls: TlsFile | None = None,
     ) -> None:
         self.streams: set[Stream] = set()
         self._build = build  # for a group that has no picture yet; None while nothing is known
-        self.pictures: dict[Group, Picture] = {}
+        self.pictures: dict[Group, Snapshot] = {}
         self._histories: dict[Group, History] = {}
         self._log = log
         self._changed = changed  # a proxy has come or gone
         self._tls = tls
         self._answers = (Answers(False), Answers(True))
-        self._pacing = Pacing(COMERS, AT_ONCE, LONGEST_WAIT)
+        self._pacing = StreamPacer(COMERS, AT_ONCE, LONGEST_WAIT)
         self._open = 0  # streams that have begun, also those that said nothing yet
 
-    def publish(self, pictures: Mapping[Group, Picture]) -> None:
+    def publish(self, pictures: Mapping[Group, Snapshot]) -> None:
         """Hand out new pictures; a proxy whose resources are the same is sent nothing."""
         changed = {g for g, p in pictures.items() if self.pictures.get(g) is not p}
         self.pictures = dict(pictures)
@@ -127,7 +128,7 @@
         are two proxies, or one that has come back before its old connection ended:
         counted twice each gets a smaller part of what all may have in flight.
         """
-        counts: dict[str, Counter[Kind | None]] = {}
+        counts: dict[str, Counter[ResourceType | None]] = {}
         for stream in self.streams:
             counts.setdefault(stream.peer.node, Counter())[stream.only] += 1
         return sum(
@@ -135,13 +136,15 @@
             for count in counts.values()
         )
 
-    def holdings(self, service: str) -> list[Holding]:
+    def holdings(self, service: str) -> list[AssignmentInUse]:
         """Every set of a service's endpoints that some proxy may be acting on."""
         out = []
         for stream in self.streams:
             group = (stream.peer.group.kind.value, stream.peer.group.zone)
-            for version in stream.session.may_hold(Kind.ENDPOINTS).get(service, ()):
-                out.append(Holding(stream.peer.node, group, version))
+            for version in stream.session.possible_versions(ResourceType.ENDPOINTS).get(
+                service, ()
+            ):
+                out.append(AssignmentInUse(stream.peer.node, group, version))
         return out
 
     def press(self, nodes: set[str]) -> None:
@@ -158,7 +161,7 @@
         )
         return (self._discovery(SERVICE, "AggregatedResources", None), *by_type)
 
-    def _discovery(self, service: str, plural: str, only: Kind | None) -> Any:
+    def _discovery(self, service: str, plural: str, only: ResourceType | None) -> Any:
         """Both variants of a discovery service, for one type of resource or for all."""
 
         async def whole(requests: AsyncIterator[Any], context: Any) -> None:
@@ -179,7 +182,7 @@
         return grpc.method_handlers_generic_handler(service, methods)
 
     async def _serve(
-        self, requests: AsyncIterator[Any], context: Any, delta: bool, only: Kind | None
+        self, requests: AsyncIterator[Any], context: Any, delta: bool, only: ResourceType | None
     ) -> None:
         if self._open >= MAX_STREAMS:
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many streams")
@@ -203,7 +206,7 @@
         if peer.group not in self._histories and len(self._histories) >= MAX_GROUPS:
             text = f"over {MAX_GROUPS} kinds and zones"
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, text)
-        wait = self._pacing.wait(time.monotonic_ns())
+        wait = self._pacing.reserve(time.monotonic_ns())
         if wait is None:
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many come at once")
         if wait:
@@ -217,7 +220,7 @@
         requests: AsyncIterator[Any],
         context: Any,
         delta: bool,
-        only: Kind | None,
+        only: ResourceType | None,
     ) -> None:
         history = self._histories.setdefault(peer.group, History())
         picture = self.pictures.get(peer.group)
@@ -233,7 +236,7 @@
         self._changed()
         writer = asyncio.create_task(self._write(stream, context, delta))
         loop = asyncio.get_running_loop()
-        past = loop.call_later(PAST_S, lambda: stream.put(session.forget_past()))
+        past = loop.call_later(PAST_S, lambda: stream.put(session.end_resumption()))
         try:
             wrong = await self._read(stream, first, requests, delta)
             if wrong is not None:
@@ -269,8 +272,8 @@
                 stream.put(stream.session.request(request))
             except SubscriptionError as err:
                 return grpc.StatusCode.INVALID_ARGUMENT, str(err)
-            if request.error:
-                words = request.error[:MAX_WORDS]
+            if request.error_detail:
+                words = request.error_detail[:MAX_WORDS]
                 self._log(f"proxy {stream.peer.node}: refused {kind.name.lower()}: {words}")
             message = await anext(aiter(requests), None)
         return None
@@ -284,14 +287,16 @@
                 await context.write(answers.encode(stream.unsent.pop(0)))
 
 
-def _read_whole(kind: Any, m: Any) -> Request:
+def _read_whole(kind: Any, m: Any) -> DiscoveryRequest:
     error = m.error_detail.message or "refused" if m.HasField("error_detail") else ""
-    return Request(kind, tuple(m.resource_names), (), m.response_nonce, error, m.version_info)
+    return DiscoveryRequest(
+        kind, tuple(m.resource_names), (), m.response_nonce, error, m.version_info
+    )
 
 
-def _read_delta(kind: Any, m: Any) -> Request:
+def _read_delta(kind: Any, m: Any) -> DiscoveryRequest:
     error = m.error_detail.message or "refused" if m.HasField("error_detail") else ""
-    return Request(
+    return DiscoveryRequest(
         kind, tuple(m.resource_names_subscribe), tuple(m.resource_names_unsubscribe),
-        m.response_nonce, error, held=dict(m.initial_resource_versions),
+        m.response_nonce, error, initial_resource_versions=dict(m.initial_resource_versions),
     )  # fmt: skip
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -29,9 +29,10 @@
 from loadbalancer.control.xds.server import MAX_REQUEST, MAX_STREAMS, Streams
 from loadbalancer.control.xds.status import ClientStatus
 from loadbalancer.core.routes.table import Table
-from loadbalancer.core.xds.drains import MARGIN_PART
-from loadbalancer.core.xds.plan import Audience, Plan
-from loadbalancer.core.xds.snapshot import Kind, Picture
+from loadbalancer.core.xds.drains import MARGIN_FRACTION
+from loadbalancer.core.xds.plan import Plan
+from loadbalancer.core.xds.snapshot import ResourceType, Snapshot
+from loadbalancer.core.xds.target_proxies import TargetProxies
 from loadbalancer.sources.consul.file import ConsulError
 from loadbalancer.sources.discovery import Discovery, ListError
 
@@ -98,7 +99,7 @@
         now = loop.time()
         self._rest_until = now + max(GATHER_S, GATHER_PART * (now - began))
 
-    def picture(self, group: Group) -> Picture | None:
+    def picture(self, group: Group) -> Snapshot | None:
         """What a group of proxies is to hold; None while some pool knows no server.
 
         Without that pool's services the picture would take them from proxies that
@@ -116,8 +117,8 @@
         withheld: dict[str, str] = {}
         for pool in self.pools:
             for p in pool.plans(self._audience(pool, group, present)):
-                if p.refused:
-                    withheld[p.service] = "; ".join(p.refused)
+                if p.unsupported:
+                    withheld[p.service] = "; ".join(p.unsupported)
                 else:
                     whole.append(p)
                 self._say(group, p)
@@ -129,25 +130,25 @@
         self._remember(group, picture)
         return picture
 
-    def _audience(self, pool: Pool, group: Group, present: int) -> Audience:
+    def _audience(self, pool: Pool, group: Group, present: int) -> TargetProxies:
         zones = pool.config.zones
         zone = zones.index(group.zone) if group.zone in zones else pool.config.settings.zone
-        return Audience(group.kind, zone, zones, present, self.file.own_ramp)
+        return TargetProxies(group.kind, zone, zones, present, self.file.own_ramp)
 
-    def _remember(self, group: Group, picture: Picture) -> None:
+    def _remember(self, group: Group, picture: Snapshot) -> None:
         """Who takes new work in each set of endpoints that is handed out."""
-        endpoints = picture.of(Kind.ENDPOINTS)
+        endpoints = picture.of_type(ResourceType.ENDPOINTS)
         for pool in self.pools:
             usable = pool.usable()
             for service, drains in pool.drains.items():
                 if service in endpoints:
                     key = (group.kind.value, group.zone)
-                    drains.published(key, endpoints[service].version, usable)
+                    drains.record_assignment(key, endpoints[service].version, usable)
 
     def _say(self, group: Group, p: Plan) -> None:
         """What is not carried out, once for each kind of proxy."""
-        rows = [(f"{p.service} is not served", text) for text in p.refused]
-        rows += [("not carried out", text) for text in p.notes]
+        rows = [(f"{p.service} is not served", text) for text in p.unsupported]
+        rows += [("not carried out", text) for text in p.omitted]
         for what, text in rows:
             line = f"{group.kind}: {what}: {text}"
             if line not in self._told:
@@ -173,7 +174,7 @@
         grace = pool.config.settings.drain_grace / 1e9
         loop.call_later(grace * PRESS_PART, self._press, pool)
         # A little after: a timer may come some nanoseconds before its time.
-        loop.call_later(grace * (1.0 - MARGIN_PART) + 0.002, self._report, pool)
+        loop.call_later(grace * (1.0 - MARGIN_FRACTION) + 0.002, self._report, pool)
 
     def _press(self, pool: Pool) -> None:
         for service in pool.drains:
@@ -182,13 +183,17 @@
     def _report(self, pool: Pool) -> None:
         now = time.monotonic_ns()
         for service, drains in pool.drains.items():
-            for r in drains.over(now, self.streams.holdings(service)):
+            for r in drains.due_reports(now, self.streams.holdings(service)):
                 server = pool.address(r.backend)
-                text = f"{service}: drain of {server} told in time to {r.told} proxies"
-                if r.late:
-                    names = ", ".join(r.late[:SPOKEN_FOR])
-                    more = f" and {len(r.late) - SPOKEN_FOR} more" if r.late[SPOKEN_FOR:] else ""
-                    text += f", NOT to {len(r.late)}: {names}{more}"
+                text = f"{service}: drain of {server} told in time to {r.notified} proxies"
+                if r.not_notified:
+                    names = ", ".join(r.not_notified[:SPOKEN_FOR])
+                    more = (
+                        f" and {len(r.not_notified) - SPOKEN_FOR} more"
+                        if r.not_notified[SPOKEN_FOR:]
+                        else ""
+                    )
+                    text += f", NOT to {len(r.not_notified)}: {names}{more}"
                 self.log(text)
 
     # ---- time, reload -------------------------------------------------
--- a/loadbalancer/control/xds/status.py
+++ b/loadbalancer/control/xds/status.py
@@ -10,14 +10,16 @@
 
 from loadbalancer.control.xds.encode import TYPES
 from loadbalancer.control.xds.peers import Group, Peer
-from loadbalancer.core.xds.snapshot import Kind, Session, Standing
+from loadbalancer.core.xds.messages import ClientResourceStatus
+from loadbalancer.core.xds.session import Session
+from loadbalancer.core.xds.snapshot import ResourceType
 
 SERVICE = "envoy.service.status.v3.ClientStatusDiscoveryService"
 STANDINGS = {
-    Standing.ABSENT: "DOES_NOT_EXIST",
-    Standing.SENT: "REQUESTED",
-    Standing.ACCEPTED: "ACKED",
-    Standing.REFUSED: "NACKED",
+    ClientResourceStatus.DOES_NOT_EXIST: "DOES_NOT_EXIST",
+    ClientResourceStatus.REQUESTED: "REQUESTED",
+    ClientResourceStatus.ACKED: "ACKED",
+    ClientResourceStatus.NACKED: "NACKED",
 }
 MAX_WORDS = 500  # of a refusal, kept for the operator
 
@@ -82,16 +84,16 @@
             config.node.metadata["load_reports"] = f"{counted} counted, {refused} not"
         for s in session.status():
             row = config.generic_xds_configs.add(
-                type_url=TYPES[s.kind],
+                type_url=TYPES[s.resource_type],
                 name=s.name,
                 version_info=s.version,
-                client_status=STANDINGS[s.standing],
+                client_status=STANDINGS[s.client_status],
             )
-            if s.words:
-                row.error_state.details = s.words[:MAX_WORDS]
+            if s.error_detail:
+                row.error_state.details = s.error_detail[:MAX_WORDS]
                 row.error_state.version_info = s.version
         for service, why in sorted(self._withheld(peer.group).items()):
             row = config.generic_xds_configs.add(
-                type_url=TYPES[Kind.CLUSTER], name=service, client_status="DOES_NOT_EXIST"
+                type_url=TYPES[ResourceType.CLUSTER], name=service, client_status="DOES_NOT_EXIST"
             )
             row.error_state.details = f"not served: {why}"[:MAX_WORDS]
--- a/loadbalancer/control/xds/wire.py
+++ b/loadbalancer/control/xds/wire.py
@@ -16,13 +16,14 @@
 from collections import OrderedDict
 
 from loadbalancer.control.xds.encode import TYPES
-from loadbalancer.core.xds.snapshot import Kind, Reply, Resource
+from loadbalancer.core.xds.messages import DiscoveryResponse
+from loadbalancer.core.xds.snapshot import Resource, ResourceType
 
 MAX_SHARED = 256  # joined answers kept for the next proxy
 VERSION, RESOURCES, TYPE, NONCE, REMOVED = 1, 2, 4, 5, 6
 ROW_VERSION, ROW_BODY, ROW_NAME = 1, 2, 3
 
-_Key = tuple[Kind, str, tuple[tuple[str, str], ...]]
+_Key = tuple[ResourceType, str, tuple[tuple[str, str], ...]]
 
 
 def varint(number: int) -> bytes:
@@ -50,9 +51,13 @@
         self._shared: OrderedDict[_Key, bytes] = OrderedDict()
         self.joined = 0  # answers that were not yet in hand
 
-    def encode(self, reply: Reply) -> bytes:
+    def encode(self, reply: DiscoveryResponse) -> bytes:
         """One DiscoveryResponse or DeltaDiscoveryResponse."""
-        key = (reply.kind, reply.version, tuple((r.name, r.version) for r in reply.resources))
+        key = (
+            reply.resource_type,
+            reply.version_info,
+            tuple((r.name, r.version) for r in reply.resources),
+        )
         body = self._shared.get(key)
         if body is None:
             self.joined += 1
@@ -61,11 +66,14 @@
                 self._shared.popitem(last=False)
         else:
             self._shared.move_to_end(key)
-        gone = b"".join(field(REMOVED, name.encode()) for name in reply.removed)
+        gone = b"".join(field(REMOVED, name.encode()) for name in reply.removed_resources)
         return body + field(NONCE, reply.nonce.encode()) + gone
 
-    def _join(self, reply: Reply) -> bytes:
-        parts = [field(VERSION, reply.version.encode()), field(TYPE, TYPES[reply.kind].encode())]
+    def _join(self, reply: DiscoveryResponse) -> bytes:
+        parts = [
+            field(VERSION, reply.version_info.encode()),
+            field(TYPE, TYPES[reply.resource_type].encode()),
+        ]
         row = _row if self._incremental else _any
         parts += [field(RESOURCES, row(r)) for r in reply.resources]
         return b"".join(parts)
--- a/loadbalancer/core/xds/__init__.py
+++ b/loadbalancer/core/xds/__init__.py
@@ -1,1 +1,1 @@
-"""What is handed to other proxies: plans, pictures, drains, load reports, pacing."""
+"""The xDS control service's decisions: plans, snapshots, sessions, drains, load reports, pacing."""
--- a/loadbalancer/core/xds/drains.py
+++ b/loadbalancer/core/xds/drains.py
@@ -1,9 +1,9 @@
-"""Whether every proxy was told of a drain in time; pure, no clock, no I/O.
+"""Whether every proxy learned of a drain in time; pure, no clock, no I/O.
 
-Content decides, not order of sending: a proxy is told once the set of endpoints that
-it acknowledged is one in which the draining server takes nothing new. Sets are known
-by their versions, which follow from content, so that also a proxy that reconnects,
-or comes back with what it had, is judged by what it holds.
+Content decides, not the order of sending. A proxy has learned of a drain once the cluster load
+assignment that it acknowledged is one in which the draining server takes no new work.
+Assignments are known by their versions, which follow from content. So a proxy that reconnects,
+or returns to an assignment that it had before, is judged by what it has.
 """
 
 from __future__ import annotations
@@ -11,73 +11,75 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MARGIN_PART = 0.2  # of the grace, kept for the proxy to act on it
-MAX_VERSIONS = 512  # sets remembered of one service and group
+MARGIN_FRACTION = 0.2  # of the grace, reserved for the proxy to act on the assignment
+MAX_VERSIONS = 512  # assignments remembered of one service, over all groups
 
-Group = tuple[str, ...]
+GroupKey = tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
-    """One set of a service's endpoints that a proxy may hold, "" for one that is not known."""
+class AssignmentInUse:
+    """A cluster load assignment that a proxy may be using; version "" for an unknown one."""
 
     proxy: str
-    group: Group
+    group: GroupKey
     version: str
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A drain after its time: who was told, and who was not, by name."""
+class DrainReport:
+    """A drain whose time has elapsed: how many proxies learned of it, and which did not."""
 
     backend: int
-    told: int
-    late: tuple[str, ...]
+    notified: int
+    not_notified: tuple[str, ...]
 
 
-class Drains:
-    """The drains under way of one service."""
+class DrainTracker:
+    """The drains under way of one service. Times in nanoseconds."""
 
-    __slots__ = ("_due", "_open", "_usable")
+    __slots__ = ("_accepting", "_draining", "_due")
 
     def __init__(self) -> None:
-        self._usable: dict[tuple[Group, str], frozenset[int]] = {}
-        self._open: frozenset[int] = frozenset()
+        # Servers that take new work in each assignment.
+        self._accepting: dict[tuple[GroupKey, str], frozenset[int]] = {}
+        self._draining: frozenset[int] = frozenset()
         self._due: dict[int, int] = {}
 
-    def listed(self, now: int, draining: Iterable[int], grace: int) -> list[int]:
-        """The servers that drain now; returns those that began to, due after `grace` ns."""
+    def update_draining(self, now: int, draining: Iterable[int], grace: int) -> list[int]:
+        """Follow the list of servers that drain; returns those that begin to, in order."""
         current = frozenset(draining)
-        begun = sorted(current - self._open)
+        begun = sorted(current - self._draining)
         for backend in begun:
-            self._due[backend] = now + int(grace * (1.0 - MARGIN_PART))
-        for backend in self._open - current:
-            # It is back, or gone for good: then the list takes it out as ever.
+            self._due[backend] = now + int(grace * (1.0 - MARGIN_FRACTION))
+        for backend in self._draining - current:
+            # It takes work again, or is no longer listed: the assignment shows that.
             self._due.pop(backend, None)
-        self._open = current
+        self._draining = current
         return begun
 
-    def published(self, group: Group, version: str, usable: frozenset[int]) -> None:
-        """A set of endpoints that proxies of this group may hold, and who takes work in it."""
-        self._usable.pop((group, version), None)
-        self._usable[group, version] = usable
-        if len(self._usable) > MAX_VERSIONS:
-            del self._usable[next(iter(self._usable))]
-
-    def late(self, backend: int, holdings: Iterable[Holding]) -> list[str]:
-        """The proxies that may still send new work to it."""
-        return sorted({h.proxy for h in holdings if self._may_send(backend, h)})
-
-    def over(self, now: int, holdings: Iterable[Holding]) -> list[Report]:
-        """Reports of the drains whose time is over."""
-        rows = list(holdings)
+    def record_assignment(self, group: GroupKey, version: str, accepting: frozenset[int]) -> None:
+        """Record an assignment sent to a group, and the servers that take new work in it."""
+        self._accepting.pop((group, version), None)
+        self._accepting[group, version] = accepting
+        if len(self._accepting) > MAX_VERSIONS:
+            del self._accepting[next(iter(self._accepting))]
+
+    def not_notified(self, backend: int, in_use: Iterable[AssignmentInUse]) -> list[str]:
+        """The proxies that may still send new work to a server."""
+        return sorted({use.proxy for use in in_use if self._may_send(backend, use)})
+
+    def due_reports(self, now: int, in_use: Iterable[AssignmentInUse]) -> list[DrainReport]:
+        """Reports of the drains whose time has elapsed; each is returned once."""
+        assignments = list(in_use)
+        proxies = len({use.proxy for use in assignments})
         out = []
-        for backend in sorted(b for b, due in self._due.items() if due <= now):
+        for backend in sorted(backend for backend, due in self._due.items() if due <= now):
             del self._due[backend]
-            late = self.late(backend, rows)
-            out.append(Report(backend, len({h.proxy for h in rows}) - len(late), tuple(late)))
+            missed = self.not_notified(backend, assignments)
+            out.append(DrainReport(backend, proxies - len(missed), tuple(missed)))
         return out
 
-    def _may_send(self, backend: int, h: Holding) -> bool:
-        usable = self._usable.get((h.group, h.version))
-        return usable is None or backend in usable
+    def _may_send(self, backend: int, use: AssignmentInUse) -> bool:
+        accepting = self._accepting.get((use.group, use.version))
+        return accepting is None or backend in accepting
--- a/loadbalancer/core/xds/load_reports.py
+++ b/loadbalancer/core/xds/load_reports.py
@@ -1,17 +1,17 @@
-"""What other proxies' load reports tell of a server; pure, no clock, no I/O.
+"""What other proxies' load reports (LRS) say of a server; pure, no clock, no I/O.
 
-A report is a sum over some seconds, not single outcomes: no latency is in it and no
-order of errors. What it keeps is told to the Balancer by `on_reported`:
+A report is a sum over some seconds, not single outcomes: it has no latency and no order of
+errors. What follows from it is passed to the Balancer's `on_reported`:
 
-- how slow a server is against the others, by Little's law (L = lambda W): what is in
-  flight at the time of a report over what was finished in it. Few are in flight at any
-  one time, so all proxies' figures are added up and drawn towards 1 while they are few;
-- whether it fails most of what it gets while the others do not.
+- how slow a server is against the others, by Little's law (L = lambda W): requests in flight at
+  the time of a report over those finished in it. Few are in flight at any one time, so all
+  proxies' figures are added up, and the ratio is drawn towards 1 while they are few;
+- whether it fails at least half of its requests while the others do not.
 
-No one proxy's word is enough where there are others: of all sums that leave one
-proxy out the mildest counts. So a proxy that reports nonsense, or whose own network
-is broken, moves nothing. Could do harm where only one proxy can reach a server that
-fails: the others' silence then keeps it in; that proxy's own outlier rule is left.
+One proxy alone decides nothing where there are others: of all sums that leave one proxy out,
+the mildest counts. A proxy that reports nonsense, or whose own network is broken, has no
+effect. The cost: where only one proxy can reach a server that fails, the silence of the others
+keeps the server in. That proxy's own outlier detection still ejects it.
 """
 
 from __future__ import annotations
@@ -20,198 +20,289 @@
 from dataclasses import dataclass
 from functools import reduce
 from statistics import median_low
+from typing import NamedTuple
 
 from loadbalancer.core.balancing.model import SECOND
 
-FADE = 0.5  # of earlier reports, with each new one of the same proxy
-KEPT = 5  # report times after which a silent proxy's figures are dropped
-LATE = 2  # report times unaccounted for that make the next report one of unknown age
-SLACK = 0.1  # part by which a proxy's clock may run fast
-PRIOR = 5.0  # requests in flight, as if seen at usual speed
-ALONE = (0.5, 2.0)  # the bounds of a ratio that one proxy alone tells
-LEAST = 20.0  # finished requests that judge whether a server fails
-FAILING = 0.5  # part of a server's answers
-BROKEN = 0.25  # part of all answers; above it the fault is not one server's
-MAX_RATE = 1_000_000  # requests a second of one server at one proxy
+DECAY_PER_REPORT = 0.5  # of earlier reports, with each new one of the same proxy
+MAX_SILENT_INTERVALS = 5  # after which a silent proxy's figures are dropped
+MAX_UNACCOUNTED_INTERVALS = 2  # beyond, the age of the next report is unknown
+CLOCK_TOLERANCE = 0.1  # fraction by which a proxy's clock may run fast
+PRIOR_IN_FLIGHT = 5.0  # requests in flight that are added as if seen at usual speed
+SINGLE_PROXY_RATIO_BOUNDS = (0.5, 2.0)  # of a ratio that rests on one proxy
+MIN_FINISHED = 20.0  # finished requests below which no server counts as failing
+FAILING_FRACTION = 0.5  # of a server's answers
+FLEET_FAILING_FRACTION = 0.25  # of all answers; above it the fault is not one server's
+NEGLIGIBLE_REQUESTS = 0.01  # decayed sums below it are dropped
+MAX_REQUESTS_PER_S = 1_000_000  # of one server at one proxy
 MAX_IN_FLIGHT = 100_000
-MAX_ROWS = 10_000
+MAX_ENDPOINTS = 10_000  # in one report
 MAX_PROXIES = 4_000
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """One server in one report: requests finished well and badly, and in flight at its end."""
+class EndpointLoad:
+    """One server in one report: requests by outcome, and in flight at its end."""
 
     backend: int
-    ok: int
+    successes: int
     errors: int
     in_flight: int
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """`ratio`: time taken against all servers' mean, 1.0 for usual."""
+class Assessment:
+    """What all reports together say of a server.
+
+    Attributes:
+        backend: the server.
+        latency_ratio: its latency over the mean of all servers, 1.0 for usual.
+        failing: it fails its requests while the others do not.
+    """
 
     backend: int
-    ratio: float
+    latency_ratio: float
     failing: bool
 
 
-Sums = tuple[float, float, float]  # finished, errors, in flight
+class ReportCounts(NamedTuple):
+    """How many reports of a proxy were counted, and how many were rejected."""
+
+    counted: int
+    rejected: int
+
+
+class LoadSums(NamedTuple):
+    """Decayed sums of one server's or one proxy's requests."""
+
+    finished: float
+    errors: float
+    in_flight: float
+
+    def plus(self, other: LoadSums) -> LoadSums:
+        """Both sums together."""
+        return LoadSums(
+            self.finished + other.finished,
+            self.errors + other.errors,
+            self.in_flight + other.in_flight,
+        )
+
+    def minus(self, part: LoadSums) -> LoadSums:
+        """The sums without one part of them."""
+        return LoadSums(
+            self.finished - part.finished,
+            self.errors - part.errors,
+            self.in_flight - part.in_flight,
+        )
+
+    def decayed(self) -> LoadSums:
+        """The sums as they count beside a newer report."""
+        return LoadSums(
+            self.finished * DECAY_PER_REPORT,
+            self.errors * DECAY_PER_REPORT,
+            self.in_flight * DECAY_PER_REPORT,
+        )
+
 
+NO_LOAD = LoadSums(0.0, 0.0, 0.0)
 
-class _Proxy:
-    __slots__ = ("claimed", "counted", "heard", "opened", "refused", "rows", "stream")
+
+class _Reporter:
+    """One proxy's reports. `covered` is the time that its reports cover since `opened`."""
+
+    __slots__ = ("counted", "covered", "loads", "opened", "received", "rejected", "stream")
 
     def __init__(self, now: int, stream: int) -> None:
         self.stream = stream
         self.opened = now
-        self.claimed = 0  # time that its reports since then say they cover
-        self.heard = now
-        self.rows: dict[int, Sums] = {}
+        self.covered = 0
+        self.received = now
+        self.loads: dict[int, LoadSums] = {}
         self.counted = 0
-        self.refused = 0
+        self.rejected = 0
+
+    def add(self, now: int, interval: int, loads: Sequence[EndpointLoad]) -> None:
+        """Count a report that was checked."""
+        self.counted += 1
+        self.covered += interval
+        self.received = now
+        sums = {backend: found.decayed() for backend, found in self.loads.items()}
+        for load in loads:
+            found = sums.get(load.backend, NO_LOAD)
+            sums[load.backend] = LoadSums(
+                found.finished + load.successes + load.errors,
+                found.errors + load.errors,
+                found.in_flight + load.in_flight,
+            )
+        self.loads = {
+            backend: found
+            for backend, found in sums.items()
+            if found.finished + found.in_flight > NEGLIGIBLE_REQUESTS
+        }
+
+    def restart_clock(self, now: int) -> None:
+        """Measure what the reports cover from now on: the next one is of known age."""
+        self.received = now
+        self.covered = 0
+        self.opened = now
 
 
-class Ledger:
-    """Reports of all proxies of one pool. Times in nanoseconds."""
+class LoadReportAggregator:
+    """Reports of all proxies of one pool. Times in nanoseconds.
 
-    __slots__ = ("_news", "_proxies", "_streams", "every")
+    `report_interval` is how often a proxy is to report.
+    """
 
-    def __init__(self, every: int) -> None:
-        self.every = every  # how often a proxy is to report
-        self._proxies: dict[str, _Proxy] = {}
+    __slots__ = ("_has_new", "_reporters", "_streams", "report_interval")
+
+    def __init__(self, report_interval: int) -> None:
+        self.report_interval = report_interval
+        self._reporters: dict[str, _Reporter] = {}
         self._streams = 0
-        self._news = False
+        self._has_new = False
 
-    def opened(self, now: int, proxy: str) -> int:
-        """A stream of this proxy; the newest of an id is the one that counts.
+    def open_stream(self, now: int, proxy: str) -> int:
+        """Begin a stream of a proxy; returns its number, 0 where there are too many proxies.
 
-        A second stream of the same id, be it a twin or an old connection that has not
-        ended yet, would count the same requests twice.
+        Only the newest stream of a proxy counts. A second one of the same id, a twin's or an
+        old connection's that has not ended yet, would count the same requests twice.
         """
         self._streams += 1
-        known = self._proxies.get(proxy)
-        fresh = _Proxy(now, self._streams)
+        known = self._reporters.get(proxy)
+        reporter = _Reporter(now, self._streams)
         if known is not None:
-            fresh.rows, fresh.counted, fresh.refused = known.rows, known.counted, known.refused
-        elif len(self._proxies) >= MAX_PROXIES:
+            reporter.loads = known.loads
+            reporter.counted = known.counted
+            reporter.rejected = known.rejected
+        elif len(self._reporters) >= MAX_PROXIES:
             return 0
-        self._proxies[proxy] = fresh
+        self._reporters[proxy] = reporter
         return self._streams
 
-    def take(self, now: int, proxy: str, stream: int, interval: int, rows: Sequence[Row]) -> str:
-        """Count a report; else why not, with nothing changed."""
-        known = self._proxies.get(proxy)
-        why = "another stream of this id reports"
-        if known is not None and known.stream == stream:
-            why = self._wrong(now, known, interval, rows)
-        if known is None:
-            return why
-        if why:
-            known.refused += 1
-            return why
-        self._news = True
-        known.counted += 1
-        known.claimed += interval
-        known.heard = now
-        faded = {b: (f * FADE, e * FADE, q * FADE) for b, (f, e, q) in known.rows.items()}
-        for r in rows:
-            f, e, q = faded.get(r.backend, (0.0, 0.0, 0.0))
-            faded[r.backend] = (f + r.ok + r.errors, e + r.errors, q + r.in_flight)
-        known.rows = {b: s for b, s in faded.items() if s[0] + s[2] > 0.01}
+    def add_report(
+        self, now: int, proxy: str, stream: int, interval: int, loads: Sequence[EndpointLoad]
+    ) -> str:
+        """Count a report over `interval`, or return why it is rejected; "" where it counts."""
+        reporter = self._reporters.get(proxy)
+        if reporter is None:
+            return "another stream of this id reports"
+        if reporter.stream == stream:
+            reason = self._fault(now, reporter, interval, loads)
+        else:
+            reason = "another stream of this id reports"
+        if reason:
+            reporter.rejected += 1
+            return reason
+        self._has_new = True
+        reporter.add(now, interval, loads)
         return ""
 
-    def _wrong(self, now: int, known: _Proxy, interval: int, rows: Sequence[Row]) -> str:
+    def _fault(
+        self, now: int, reporter: _Reporter, interval: int, loads: Sequence[EndpointLoad]
+    ) -> str:
+        """Why a report can't be right, "" where it may be."""
         if interval <= 0:
             return "covers no time"
-        since = now - known.opened
-        if known.claimed + interval > since * (1.0 + SLACK) + self.every * SLACK:
-            return "covers more time than has passed: told twice, or by a wrong clock"
-        unaccounted = now - known.heard - interval
-        if unaccounted > LATE * self.every:
-            known.heard = now  # the next one is of known age again
-            known.claimed = 0
-            known.opened = now
+        elapsed = now - reporter.opened
+        tolerance = self.report_interval * CLOCK_TOLERANCE
+        if reporter.covered + interval > elapsed * (1.0 + CLOCK_TOLERANCE) + tolerance:
+            return "covers more time than has passed: reported twice, or by a wrong clock"
+        unaccounted = now - reporter.received - interval
+        if unaccounted > MAX_UNACCOUNTED_INTERVALS * self.report_interval:
+            reporter.restart_clock(now)
             return "late: of unknown age"
-        if len(rows) > MAX_ROWS:
-            return f"has over {MAX_ROWS} servers"
-        most = MAX_RATE * interval / SECOND
-        for r in rows:
-            if min(r.ok, r.errors, r.in_flight) < 0:
-                return "a count below 0"
-            if r.ok + r.errors > most or r.in_flight > MAX_IN_FLIGHT:
-                return f"more than {MAX_RATE} a second or {MAX_IN_FLIGHT} in flight at one server"
-        return ""
+        if len(loads) > MAX_ENDPOINTS:
+            return f"has over {MAX_ENDPOINTS} servers"
+        return _count_fault(interval, loads)
 
-    def news(self) -> bool:
-        """Whether a report was counted since this was asked last.
+    def take_new(self) -> bool:
+        """Whether a report was counted since the last call.
 
-        Learned again from the same reports, a server that failed once would be left
-        alone again and again for as long as its figures are kept.
+        Assessed again from the same reports, a server that failed once would be ejected again
+        and again for as long as its figures are retained.
         """
-        news, self._news = self._news, False
-        return news
-
-    def counts(self, proxy: str) -> tuple[int, int]:
-        """How many of a proxy's reports were counted, and how many not."""
-        known = self._proxies.get(proxy)
-        return (0, 0) if known is None else (known.counted, known.refused)
-
-    def forget(self, now: int, backends: Iterable[int]) -> None:
-        """Drop silent proxies and servers that are not listed any more."""
+        has_new, self._has_new = self._has_new, False
+        return has_new
+
+    def counts(self, proxy: str) -> ReportCounts:
+        """How many of a proxy's reports were counted and rejected."""
+        reporter = self._reporters.get(proxy)
+        if reporter is None:
+            return ReportCounts(0, 0)
+        return ReportCounts(reporter.counted, reporter.rejected)
+
+    def prune(self, now: int, backends: Iterable[int]) -> None:
+        """Drop silent proxies, and servers that are not among these."""
         listed = frozenset(backends)
-        oldest = now - KEPT * self.every
-        self._proxies = {p: s for p, s in self._proxies.items() if s.heard >= oldest}
-        for s in self._proxies.values():
-            if not s.rows.keys() <= listed:
-                s.rows = {b: sums for b, sums in s.rows.items() if b in listed}
-
-    def verdicts(self) -> list[Verdict]:
-        """What all reports together say, for each server that any of them names."""
-        told = [s.rows for s in self._proxies.values() if s.rows]
-        all_of: dict[int, Sums] = {}
-        for rows in told:
-            for backend, sums in rows.items():
-                all_of[backend] = _plus(all_of.get(backend, (0.0, 0.0, 0.0)), sums)
-        totals = [reduce(_plus, rows.values()) for rows in told]
-        finished = [t for t in totals if t[0] > 0]
-        if not finished:
+        oldest = now - MAX_SILENT_INTERVALS * self.report_interval
+        self._reporters = {
+            proxy: reporter
+            for proxy, reporter in self._reporters.items()
+            if reporter.received >= oldest
+        }
+        for reporter in self._reporters.values():
+            if not reporter.loads.keys() <= listed:
+                reporter.loads = {
+                    backend: found for backend, found in reporter.loads.items() if backend in listed
+                }
+
+    def assess(self) -> list[Assessment]:
+        """Assess each server that any report names."""
+        reports = [reporter.loads for reporter in self._reporters.values() if reporter.loads]
+        by_proxy = [reduce(LoadSums.plus, loads.values()) for loads in reports]
+        with_answers = [sums for sums in by_proxy if sums.finished > 0]
+        if not with_answers:
             return []
-        # What is usual: the middle proxy's word, the lower of two. One that exaggerates
-        # would otherwise set the measure for all servers.
-        mean = median_low(t[2] / t[0] for t in finished)
-        broken = median_low(t[1] / t[0] for t in finished) > BROKEN
-        by_backend: dict[int, list[Sums]] = {}
-        for rows in told:
-            for backend, sums in rows.items():
+        # The lower median of the proxies is what is usual. With a mean, one proxy that
+        # exaggerates would set the measure for all servers.
+        usual = median_low(sums.in_flight / sums.finished for sums in with_answers)
+        error_rate = median_low(sums.errors / sums.finished for sums in with_answers)
+        by_backend: dict[int, list[LoadSums]] = {}
+        for loads in reports:
+            for backend, sums in loads.items():
                 by_backend.setdefault(backend, []).append(sums)
+        fleet_fails = error_rate > FLEET_FAILING_FRACTION
         return [
-            _verdict(backend, all_of[backend], by_backend[backend], len(told), mean, broken)
-            for backend in sorted(all_of)
+            _assess(backend, by_backend[backend], len(reports), usual, fleet_fails)
+            for backend in sorted(by_backend)
         ]
 
 
-def _plus(a: Sums, b: Sums) -> Sums:
-    return (a[0] + b[0], a[1] + b[1], a[2] + b[2])
-
-
-def _verdict(
-    backend: int, total: Sums, parts: Sequence[Sums], proxies: int, mean: float, broken: bool
-) -> Verdict:
-    """The mildest of what is left when any one proxy is left out."""
+def _count_fault(interval: int, loads: Sequence[EndpointLoad]) -> str:
+    """Why a report's counts can't be right, "" where they may be."""
+    max_finished = MAX_REQUESTS_PER_S * interval / SECOND
+    for load in loads:
+        if min(load.successes, load.errors, load.in_flight) < 0:
+            return "a count below 0"
+        if load.successes + load.errors > max_finished or load.in_flight > MAX_IN_FLIGHT:
+            return (
+                f"more than {MAX_REQUESTS_PER_S} a second "
+                f"or {MAX_IN_FLIGHT} in flight at one server"
+            )
+    return ""
+
+
+def _assess(
+    backend: int, parts: Sequence[LoadSums], proxies: int, usual: float, fleet_fails: bool
+) -> Assessment:
+    """The mildest assessment of those that leave one proxy out."""
+    total = reduce(LoadSums.plus, parts, NO_LOAD)
     if proxies == 1:
-        low, high = ALONE
-        ratio = min(max(_ratio(total, mean), low), high)
-        return Verdict(backend, ratio, _fails(total) and not broken)
-    rest = [(total[0] - p[0], total[1] - p[1], total[2] - p[2]) for p in parts]
-    ratio = min((_ratio(r, mean) for r in rest), key=lambda x: max(x, 1.0 / max(x, 1e-9)))
-    return Verdict(backend, ratio, all(_fails(r) for r in rest) and not broken)
+        low, high = SINGLE_PROXY_RATIO_BOUNDS
+        ratio = min(max(_latency_ratio(total, usual), low), high)
+        return Assessment(backend, ratio, _fails(total) and not fleet_fails)
+    without_one = [total.minus(part) for part in parts]
+    ratio = min(
+        (_latency_ratio(sums, usual) for sums in without_one),
+        key=lambda ratio: max(ratio, 1.0 / max(ratio, 1e-9)),
+    )
+    return Assessment(backend, ratio, all(map(_fails, without_one)) and not fleet_fails)
 
 
-def _ratio(s: Sums, mean: float) -> float:
-    return (max(s[2], 0.0) + PRIOR) / (max(s[0], 0.0) * mean + PRIOR)
+def _latency_ratio(sums: LoadSums, usual: float) -> float:
+    in_flight = max(sums.in_flight, 0.0) + PRIOR_IN_FLIGHT
+    return in_flight / (max(sums.finished, 0.0) * usual + PRIOR_IN_FLIGHT)
 
 
-def _fails(s: Sums) -> bool:
-    return s[0] >= LEAST and s[1] >= FAILING * s[0]
+def _fails(sums: LoadSums) -> bool:
+    return sums.finished >= MIN_FINISHED and sums.errors >= FAILING_FRACTION * sums.finished
--- a/tests/control/xds/test_pools.py
+++ b/tests/control/xds/test_pools.py
@@ -32,7 +32,7 @@
 from loadbalancer.control.xds.server import SERVICE
 from loadbalancer.control.xds.service import read_inputs
 from loadbalancer.control.xds.status import SERVICE as STATUS
-from loadbalancer.core.xds.snapshot import Kind
+from loadbalancer.core.xds.snapshot import ResourceType
 from loadbalancer.sources.discovery import Discovery
 from tests.control.xds.test_hostile import until_said
 from tests.control.xds.test_service import Raw, calls, client, control, raw, rows, servers, status
@@ -89,7 +89,7 @@
         self.routes: Any = None
         self.names: dict[str, list[str]] = {}
 
-    def subscribe(self, kind: Kind, *names: str) -> None:
+    def subscribe(self, kind: ResourceType, *names: str) -> None:
         self.names[TYPES[kind]] = list(names)
         self.stream.ask(TYPES[kind], resource_names=names)
 
@@ -120,9 +120,9 @@
     services = ("topup", "billing")
     with raw(process, False) as stream:
         out = Envoy(stream)
-        out.subscribe(Kind.CLUSTER)
-        out.subscribe(Kind.ENDPOINTS, *services)
-        out.subscribe(Kind.ROUTES, "wharfspread")
+        out.subscribe(ResourceType.CLUSTER)
+        out.subscribe(ResourceType.ENDPOINTS, *services)
+        out.subscribe(ResourceType.ROUTES, "wharfspread")
         while out.loads.keys() != set(services) or out.routes is None:
             out.take()
         yield out
@@ -163,7 +163,7 @@
         started(("-m", "loadbalancer", "control", str(path))) as process,
         raw(process, False) as stream,
     ):
-        stream.ask(TYPES[Kind.CLUSTER])
+        stream.ask(TYPES[ResourceType.CLUSTER])
         until_said(process, "no server is known of billing")
         replace(members, json.dumps(roster(target("b-1", 9101))))
         assert len(stream.next().resources) == 2
@@ -241,10 +241,10 @@
         control(tmp_path, roster(target("s-1", 9001))) as process,
         raw(process, True, "gRPC Go") as stream,  # tells no version
     ):
-        stream.ask(TYPES[Kind.LISTENER], resource_names_subscribe=["app.svc"])
+        stream.ask(TYPES[ResourceType.LISTENER], resource_names_subscribe=["app.svc"])
         answer = stream.next()
         assert list(answer.removed_resources) == ["app.svc"]
-        row = status(process)["p1", TYPES[Kind.CLUSTER]]
+        row = status(process)["p1", TYPES[ResourceType.CLUSTER]]
         assert row.name == "topup"
         assert row.client_status == ClientResourceStatus.DOES_NOT_EXIST
         assert "not served: bounds nothing in flight" in row.error_state.details
@@ -323,7 +323,7 @@
         r.report({9001: (1, 0)}, ms=999)
         until_said(process, "covers more time than has passed")
         with raw(process, False) as stream:
-            stream.ask(TYPES[Kind.CLUSTER])
+            stream.ask(TYPES[ResourceType.CLUSTER])
             assert len(stream.next().resources) == 1
         r.close()
     assert process.log.count("load report not counted: more than 1000000 a second") == 1
@@ -339,7 +339,7 @@
         assert caught.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
         good.report({9001: (1, 0)})
         with raw(process, False) as stream:
-            stream.ask(TYPES[Kind.CLUSTER])
+            stream.ask(TYPES[ResourceType.CLUSTER])
             assert len(stream.next().resources) == 1
         good.close()
         flood.close()
@@ -442,7 +442,7 @@
             discovery_pb2.DiscoveryRequest.SerializeToString,
             discovery_pb2.DiscoveryResponse.FromString,
         )
-        first = discovery_pb2.DiscoveryRequest(type_url=TYPES[Kind.CLUSTER])
+        first = discovery_pb2.DiscoveryRequest(type_url=TYPES[ResourceType.CLUSTER])
         first.node.id, first.node.user_agent_name = node, "envoy"
         answers = stream(iter([first]), timeout=LIMIT)
         return next(answers)
--- a/tests/control/xds/test_service.py
+++ b/tests/control/xds/test_service.py
@@ -27,8 +27,10 @@
 from loadbalancer.control.xds.server import SEPARATE, SERVICE, Stream
 from loadbalancer.control.xds.status import SERVICE as STATUS_SERVICE
 from loadbalancer.control.xds.wire import Answers
-from loadbalancer.core.xds.plan import ProxyKind
-from loadbalancer.core.xds.snapshot import Kind, Reply, Session, resource
+from loadbalancer.core.xds.messages import DiscoveryResponse
+from loadbalancer.core.xds.session import Session
+from loadbalancer.core.xds.snapshot import ResourceType, make_resource
+from loadbalancer.core.xds.target_proxies import ProxyKind
 from tests.harness import LIMIT, ROOT, SETTINGS, roster, target, until
 
 COLD = SETTINGS["rules"] | {"cold": 100_000 * 1_000_000_000, "cold_from": 0.3}
@@ -204,12 +206,12 @@
 ) -> None:
     known = roster(target("s-1", 9001), target("s-2", 9002))
     with control(tmp_path, known) as service, raw(service, incremental) as stream:
-        stream.ask(TYPES[Kind.CLUSTER])
+        stream.ask(TYPES[ResourceType.CLUSTER])
         (cluster,) = stream.next().resources
         names = {"resource_names_subscribe" if incremental else "resource_names": ["topup"]}
-        stream.ask(TYPES[Kind.ENDPOINTS], **names)
+        stream.ask(TYPES[ResourceType.ENDPOINTS], **names)
         answer = stream.next()
-        assert answer.type_url == TYPES[Kind.ENDPOINTS] and len(answer.resources) == 1
+        assert answer.type_url == TYPES[ResourceType.ENDPOINTS] and len(answer.resources) == 1
         body = answer.resources[0].resource if incremental else answer.resources[0]
         from envoy.config.endpoint.v3 import endpoint_pb2
 
@@ -218,33 +220,36 @@
         (locality,) = load.endpoints
         ports = {e.endpoint.address.socket_address.port_value for e in locality.lb_endpoints}
         assert ports == {9001, 9002}
-        assert (cluster.name if incremental else cluster.type_url) in ("topup", TYPES[Kind.CLUSTER])
+        assert (cluster.name if incremental else cluster.type_url) in (
+            "topup",
+            TYPES[ResourceType.CLUSTER],
+        )
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_bad_stream_costs_only_itself(tmp_path: Path, incremental: bool) -> None:
     known = roster(target("s-1", 9001))
     with control(tmp_path, known) as service, raw(service, incremental) as good:
-        good.ask(TYPES[Kind.CLUSTER])
+        good.ask(TYPES[ResourceType.CLUSTER])
         first = good.next()
         with raw(service, incremental) as wrong:
             wrong.ask("type.googleapis.com/some.Other")
             assert wrong.ends() is grpc.StatusCode.INVALID_ARGUMENT
         with raw(service, incremental, "squid") as unknown:
-            unknown.ask(TYPES[Kind.CLUSTER])
+            unknown.ask(TYPES[ResourceType.CLUSTER])
             assert unknown.ends() is grpc.StatusCode.INVALID_ARGUMENT
         with raw(service, incremental) as flood:
             for _ in range(1000):
-                flood.ask(TYPES[Kind.CLUSTER])
+                flood.ask(TYPES[ResourceType.CLUSTER])
             assert flood.ends() is grpc.StatusCode.RESOURCE_EXHAUSTED
         with raw(service, incremental) as greedy:
             key = "resource_names_subscribe" if incremental else "resource_names"
-            greedy.ask(TYPES[Kind.ENDPOINTS], **{key: [f"e-{i}" for i in range(10_001)]})
+            greedy.ask(TYPES[ResourceType.ENDPOINTS], **{key: [f"e-{i}" for i in range(10_001)]})
             assert greedy.ends() is grpc.StatusCode.INVALID_ARGUMENT
-        good.ask(TYPES[Kind.CLUSTER], response_nonce=first.nonce)
-        good.ask(TYPES[Kind.LISTENER])
+        good.ask(TYPES[ResourceType.CLUSTER], response_nonce=first.nonce)
+        good.ask(TYPES[ResourceType.LISTENER])
         # Before it may come clusters with other bounds: proxies came and went.
-        while (answer := good.next()).type_url != TYPES[Kind.LISTENER]:
+        while (answer := good.next()).type_url != TYPES[ResourceType.LISTENER]:
             good.ask(answer.type_url, response_nonce=answer.nonce)
 
 
@@ -256,20 +261,22 @@
             control(tmp_path, roster(), discovery.address) as service,
             raw(service, False) as stream,
         ):
-            stream.ask(TYPES[Kind.CLUSTER])
+            stream.ask(TYPES[ResourceType.CLUSTER])
             discovery.call("POST", "/standin/targets", [target("s-1", 9001)])
             discovery.call("POST", "/standin/faults", {})
             first = stream.next()  # what comes first is what is known at last
             assert len(first.resources) == 1
-            stream.ask(TYPES[Kind.CLUSTER], response_nonce=first.nonce)
+            stream.ask(TYPES[ResourceType.CLUSTER], response_nonce=first.nonce)
             names = ["topup"]
-            stream.ask(TYPES[Kind.ENDPOINTS], resource_names=names)
+            stream.ask(TYPES[ResourceType.ENDPOINTS], resource_names=names)
             load = stream.next()
-            stream.ask(TYPES[Kind.ENDPOINTS], resource_names=names, response_nonce=load.nonce)
+            stream.ask(
+                TYPES[ResourceType.ENDPOINTS], resource_names=names, response_nonce=load.nonce
+            )
             discovery.call("POST", "/standin/targets", [])
             discovery.call("POST", "/standin/targets", [target("s-2", 9002)])
             answer = stream.next()
-            assert answer.type_url == TYPES[Kind.ENDPOINTS]
+            assert answer.type_url == TYPES[ResourceType.ENDPOINTS]
             assert answer.resources[0].value.count(b"127.0.0.1") == 1
 
 
@@ -295,34 +302,34 @@
 ) -> None:
     known = roster(target("s-1", 9001))
     with control(tmp_path, known) as service, raw(service, incremental) as stream:
-        stream.ask(TYPES[Kind.CLUSTER])
+        stream.ask(TYPES[ResourceType.CLUSTER])
         cluster = stream.next()
-        row = status(service)["p1", TYPES[Kind.CLUSTER]]
+        row = status(service)["p1", TYPES[ResourceType.CLUSTER]]
         assert (row.name, row.client_status) == ("topup", ClientResourceStatus.REQUESTED)
-        stream.ask(TYPES[Kind.CLUSTER], response_nonce=cluster.nonce)
-        stream.ask(TYPES[Kind.LISTENER])
+        stream.ask(TYPES[ResourceType.CLUSTER], response_nonce=cluster.nonce)
+        stream.ask(TYPES[ResourceType.LISTENER])
         listener = stream.next()
         stream.ask(
-            TYPES[Kind.LISTENER], response_nonce=listener.nonce,
+            TYPES[ResourceType.LISTENER], response_nonce=listener.nonce,
             error_detail={"code": 3, "message": "port taken"},
         )  # fmt: skip
 
         def refused() -> bool:
-            row = status(service)["p1", TYPES[Kind.LISTENER]]
+            row = status(service)["p1", TYPES[ResourceType.LISTENER]]
             return bool(row.client_status == ClientResourceStatus.NACKED)
 
         until(refused)
         rows = status(service)
-        assert rows["p1", TYPES[Kind.LISTENER]].error_state.details == "port taken"
-        assert rows["p1", TYPES[Kind.CLUSTER]].client_status == ClientResourceStatus.ACKED
+        assert rows["p1", TYPES[ResourceType.LISTENER]].error_state.details == "port taken"
+        assert rows["p1", TYPES[ResourceType.CLUSTER]].client_status == ClientResourceStatus.ACKED
 
 
-@pytest.mark.parametrize("kind", list(Kind))
+@pytest.mark.parametrize("kind", list(ResourceType))
 @pytest.mark.parametrize("incremental", [False, True])
 def test_a_type_has_a_stream_of_its_own_where_a_proxy_asks_so(
-    tmp_path: Path, kind: Kind, incremental: bool
+    tmp_path: Path, kind: ResourceType, incremental: bool
 ) -> None:
-    names = {Kind.ENDPOINTS: ["topup"], Kind.ROUTES: ["wharfspread"]}.get(kind, [])
+    names = {ResourceType.ENDPOINTS: ["topup"], ResourceType.ROUTES: ["wharfspread"]}.get(kind, [])
     key = "resource_names_subscribe" if incremental else "resource_names"
     service_name, plural = SEPARATE[kind]
     with control(tmp_path, roster(target("s-1", 9001))) as service:
@@ -332,7 +339,7 @@
             stream.ask("", **{key: names})
             answer = stream.next()
             assert answer.type_url == TYPES[kind] and len(answer.resources) == 1
-            stream.ask(TYPES[Kind((kind + 1) % 4)])
+            stream.ask(TYPES[ResourceType((kind + 1) % 4)])
             assert stream.ends() is grpc.StatusCode.INVALID_ARGUMENT
         finally:
             stream.close()
@@ -341,23 +348,25 @@
 def test_a_proxy_that_guesses_nonces_and_reads_nothing_fills_no_queue() -> None:
     stream = Stream(Peer("p1", Group(ProxyKind.ENVOY, "")), Session(False))
     for i in range(100):
-        stream.put([Reply(kind, str(i), str(i), ()) for kind in Kind])
-    assert [(r.kind, r.nonce) for r in stream.unsent] == [(kind, "99") for kind in Kind]
+        stream.put([DiscoveryResponse(kind, str(i), str(i), ()) for kind in ResourceType])
+    assert [(r.resource_type, r.nonce) for r in stream.unsent] == [
+        (kind, "99") for kind in ResourceType
+    ]
 
 
 @pytest.mark.parametrize("incremental", [False, True])
 def test_an_answer_is_joined_once_and_reads_as_the_published_message(incremental: bool) -> None:
     answers = Answers(incremental)
-    body = any_pb2.Any(type_url=TYPES[Kind.ENDPOINTS], value=b"x" * 300).SerializeToString()
-    row = resource("topup", body)
+    body = any_pb2.Any(type_url=TYPES[ResourceType.ENDPOINTS], value=b"x" * 300).SerializeToString()
+    row = make_resource("topup", body)
     message = (
         discovery_pb2.DeltaDiscoveryResponse if incremental else discovery_pb2.DiscoveryResponse
     )
     for nonce in ("1", "2", "3"):
         gone = ("a", "b") if incremental else ()
-        reply = Reply(Kind.ENDPOINTS, "v", nonce, (row,), gone)
+        reply = DiscoveryResponse(ResourceType.ENDPOINTS, "v", nonce, (row,), gone)
         read = message.FromString(answers.encode(reply))
-        assert (read.nonce, read.type_url) == (nonce, TYPES[Kind.ENDPOINTS])
+        assert (read.nonce, read.type_url) == (nonce, TYPES[ResourceType.ENDPOINTS])
         (found,) = read.resources
         if incremental:
             assert list(read.removed_resources) == ["a", "b"]
--- a/tests/core/xds/test_plan.py
+++ b/tests/core/xds/test_plan.py
@@ -18,8 +18,10 @@
 from loadbalancer.core.balancing.model import SECOND, ServerView
 from loadbalancer.core.routes.file import decode
 from loadbalancer.core.routes.table import Condition, Table
-from loadbalancer.core.xds.plan import Audience, Plan, ProxyKind, kind_of, plan, weight
-from loadbalancer.core.xds.snapshot import Kind, Picture
+from loadbalancer.core.xds.endpoint_plan import endpoint_weight
+from loadbalancer.core.xds.plan import Plan, make_plan
+from loadbalancer.core.xds.snapshot import ResourceType, Snapshot
+from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies, proxy_kind_of
 from tests.routefiles import GOOD, spoilt
 
 SETTINGS = Settings(
@@ -30,7 +32,7 @@
     ),
     cold_from=0.3,
 )
-ENVOY = Audience(ProxyKind.ENVOY, 0, ("east", "west"), 1)
+ENVOY = TargetProxies(ProxyKind.ENVOY, 0, ("east", "west"), 1)
 GRPC = replace(ENVOY, kind=ProxyKind.GRPC)
 LISTEN = ("127.0.0.1", 10000)
 
@@ -41,71 +43,79 @@
     return found
 
 
-def server(backend: int, **more: Any) -> ServerView:
+def server(backend: int, **fields: Any) -> ServerView:
     base = ServerView(backend, 0, State.READY, 4, 1.0, 1.0, False)
-    return base._replace(**more)
+    return base._replace(**fields)
 
 
-def planned(*view: ServerView, to: Audience = ENVOY, text: str = GOOD) -> Plan:
+def planned(*view: ServerView, target: TargetProxies = ENVOY, text: str = GOOD) -> Plan:
     addresses = {v.backend: ("127.0.0.1", 9000 + v.backend) for v in view}
     found = table(text)
-    return plan(found.services[0], SETTINGS, found.node_budget, view, addresses, to)
+    return make_plan(found.services[0], SETTINGS, found.node_budget, view, addresses, target)
 
 
-def unpacked(picture: Picture, kind: Kind, name: str, into: Any) -> Any:
-    wrapped = any_pb2.Any.FromString(picture.of(kind)[name].body)
+def unpacked(snapshot: Snapshot, kind: ResourceType, name: str, into: Any) -> Any:
+    wrapped = any_pb2.Any.FromString(snapshot.of_type(kind)[name].body)
     assert wrapped.Unpack(into)
     return into
 
 
 def cluster(p: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> Any:
-    picture = Encoder(kind, LISTEN).build([p])
-    return unpacked(picture, Kind.CLUSTER, "topup", cluster_pb2.Cluster())
+    snapshot = Encoder(kind, LISTEN).build([p])
+    return unpacked(snapshot, ResourceType.CLUSTER, "topup", cluster_pb2.Cluster())
 
 
 def routes(p: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> dict[str, Any]:
     name = "topup" if kind.proxyless else "wharfspread"
-    picture = Encoder(kind, LISTEN).build([p])
-    found = unpacked(picture, Kind.ROUTES, name, route_pb2.RouteConfiguration())
+    snapshot = Encoder(kind, LISTEN).build([p])
+    found = unpacked(snapshot, ResourceType.ROUTES, name, route_pb2.RouteConfiguration())
     return {r.name.removeprefix("topup/"): r for r in found.virtual_hosts[0].routes}
 
 
 def test_the_bound_in_flight_is_divided_among_the_proxies_present() -> None:
     view = [server(i) for i in range(1, 101)]
-    bounds = {n: planned(*view, to=replace(ENVOY, proxies=n)).most_requests for n in (1, 21, 200)}
+    bounds = {
+        n: planned(*view, target=replace(ENVOY, connected=n)).max_requests for n in (1, 21, 200)
+    }
     assert bounds == {1: 384, 21: 384 // 32, 200: 384 // 256}
     assert all(n * bound <= 400 for n, bound in bounds.items())
 
 
-def test_more_proxies_than_slots_hold_one_each() -> None:
-    assert planned(server(1), to=replace(ENVOY, proxies=1000)).most_requests == 1
+def test_more_proxies_than_slots_get_one_each() -> None:
+    assert planned(server(1), target=replace(ENVOY, connected=1000)).max_requests == 1
 
 
 def test_a_cold_servers_weight_goes_up_in_steps_and_never_to_nothing() -> None:
-    seen = [weight(server(1, warmth=i / 1000)) for i in range(1001)]
-    assert seen == sorted(seen) and seen[0] == 1 and seen[-1] == 400
-    assert len(set(seen)) < 50
-    assert all(w <= max(400 * i / 1000, 1) for i, w in enumerate(seen))
+    weights = [endpoint_weight(server(1, warmth=i / 1000)) for i in range(1001)]
+    assert weights == sorted(weights)
+    assert weights[0] == 1
+    assert weights[-1] == 400
+    assert len(set(weights)) < 50
+    assert all(w <= max(400 * i / 1000, 1) for i, w in enumerate(weights))
 
 
-def test_where_proxies_ramp_themselves_the_weight_does_not_ramp_as_well() -> None:
+def test_where_proxies_have_slow_start_the_weight_holds_no_warmth() -> None:
     cold = server(1, warmth=0.3)
-    own = replace(ENVOY, own_ramp=True)
-    ramped = planned(cold, to=own)
-    assert ramped.localities[0].servers[0].weight == 400
-    out = cluster(ramped).round_robin_lb_config.slow_start_config
-    assert out.slow_start_window.seconds == 10 and out.min_weight_percent.value == 30
-    assert planned(cold).localities[0].servers[0].weight == 120
+    slow_start = replace(ENVOY, proxy_slow_start=True)
+    with_slow_start = planned(cold, target=slow_start)
+    assert with_slow_start.localities[0].endpoints[0].weight == 400
+    out = cluster(with_slow_start).round_robin_lb_config.slow_start_config
+    assert out.slow_start_window.seconds == 10
+    assert out.min_weight_percent.value == 30
+    assert planned(cold).localities[0].endpoints[0].weight == 120
     assert not cluster(planned(cold)).HasField("round_robin_lb_config")
     # gRPC's client has no ramp of its own: the weight carries it whatever is set.
-    assert planned(cold, to=replace(own, kind=ProxyKind.GRPC)).localities[0].weight == 120
+    assert (
+        planned(cold, target=replace(slow_start, kind=ProxyKind.GRPC)).localities[0].weight == 120
+    )
 
 
-def test_envoy_is_told_the_modules_own_rule_for_errors_in_a_row() -> None:
+def test_envoy_gets_the_balancers_own_rule_for_consecutive_errors() -> None:
     out = cluster(planned(server(1))).outlier_detection
     assert (out.consecutive_5xx.value, out.max_ejection_percent.value) == (3, 50)
     assert (out.base_ejection_time.seconds, out.max_ejection_time.seconds) == (1, 8)
-    assert out.enforcing_success_rate.value == 0 and out.HasField("enforcing_success_rate")
+    assert out.enforcing_success_rate.value == 0
+    assert out.HasField("enforcing_success_rate")
 
 
 def test_a_retry_budget_is_the_narrowest_of_the_services() -> None:
@@ -124,14 +134,14 @@
     assert balance.retry_policy.per_try_timeout.nanos == 80_000_000
     assert balance.retry_policy.num_retries.value == 1
     assert not found["credit"].route.HasField("hedge_policy")
-    told = planned(server(1), to=GRPC)
-    assert not routes(told, ProxyKind.GRPC)["balance"].route.HasField("hedge_policy")
-    assert told.notes == ("topup/balance: gRPC's client sends no second copies",)
+    planned_for = planned(server(1), target=GRPC)
+    assert not routes(planned_for, ProxyKind.GRPC)["balance"].route.HasField("hedge_policy")
+    assert planned_for.omitted == ("topup/balance: gRPC's client sends no second copies",)
 
 
 @pytest.mark.parametrize("kind", [ProxyKind.ENVOY, ProxyKind.GRPC])
 def test_credits_routes_hold_no_retry_condition_that_may_have_run(kind: ProxyKind) -> None:
-    p = planned(server(1), to=replace(ENVOY, kind=kind))
+    p = planned(server(1), target=replace(ENVOY, kind=kind))
     (credit,) = (r for r in p.routes if r.policy is not None and r.policy.cls == "credit")
     never_ran = {Condition.CONNECT_FAILURE, Condition.REFUSED, Condition.RESET_BEFORE_SENT}
     assert set(credit.retry_on) <= never_ran
@@ -144,7 +154,7 @@
 def test_a_route_that_takes_its_class_from_the_path_is_a_path_for_each_class() -> None:
     text = spoilt(('prefix = "/"\ndeny = true', 'prefix = "/"'))
     p = planned(server(1), text=text)
-    assert not p.refused
+    assert not p.unsupported
     rest = {str(r.pattern): r.policy.cls for r in p.routes if r.name == "topup/rest" and r.policy}
     assert rest == {f"/{c} and below": c for c in ("balance", "credit", "topup")}
 
@@ -154,8 +164,9 @@
         ('prefix = "/balance"', 'prefix = "/balance"\nmethods = ["GET"]'),
         ('prefix = "/credit"', 'prefix = "/credit"\nmethods = ["POST", "GET"]'),
     )
-    p = planned(server(1), to=GRPC, text=text)
-    assert [r.name for r in p.routes] == ["topup/credit", "topup/rest"] and not p.refused
+    p = planned(server(1), target=GRPC, text=text)
+    assert [r.name for r in p.routes] == ["topup/credit", "topup/rest"]
+    assert not p.unsupported
     envoy = routes(planned(server(1), text=text))["credit"]
     (header,) = envoy.match.headers
     assert (header.name, header.string_match.safe_regex.regex) == (":method", "GET|POST")
@@ -178,30 +189,33 @@
 def test_a_proxys_kind_is_what_its_node_message_says_it_honours(
     agent: str, version: str, kind: ProxyKind | None
 ) -> None:
-    assert kind_of(agent, version) is kind
+    assert proxy_kind_of(agent, version) is kind
 
 
 def test_grpcs_client_for_node_is_never_sent_a_route_that_ends_its_process() -> None:
     """Its denied catch is left out, which forwards as little; one in between is refused."""
     node = replace(GRPC, kind=ProxyKind.GRPC_NODE)
-    plain, told = planned(server(1), to=GRPC), planned(server(1), to=node)
+    plain, planned_for = planned(server(1), target=GRPC), planned(server(1), target=node)
     assert [r.name for r in plain.routes if r.policy is None]
-    assert told.routes and all(r.policy is not None for r in told.routes)
-    assert not told.refused
-    assert [r.name for r in told.routes] == [r.name for r in plain.routes if r.policy is not None]
-    for route in routes(told, ProxyKind.GRPC_NODE).values():
+    assert planned_for.routes
+    assert all(r.policy is not None for r in planned_for.routes)
+    assert not planned_for.unsupported
+    assert [r.name for r in planned_for.routes] == [
+        r.name for r in plain.routes if r.policy is not None
+    ]
+    for route in routes(planned_for, ProxyKind.GRPC_NODE).values():
         assert route.HasField("route")
     inner = GOOD + '[[service.route]]\nname = "inner"\nprefix = "/balance/in"\ndeny = true\n'
-    assert "topup/inner" in planned(server(1), to=node, text=inner).refused[0]
-    assert not planned(server(1), to=GRPC, text=inner).refused
+    assert "topup/inner" in planned(server(1), target=node, text=inner).unsupported[0]
+    assert not planned(server(1), target=GRPC, text=inner).unsupported
 
 
-def test_a_proxy_that_bounds_nothing_is_not_served_and_told_why() -> None:
-    p = planned(server(1), to=replace(ENVOY, kind=ProxyKind.GRPC_UNBOUNDED))
-    assert p.refused == ("bounds nothing in flight, or tells no version",)
+def test_a_proxy_without_circuit_breaking_is_not_served_and_the_reason_is_named() -> None:
+    p = planned(server(1), target=replace(ENVOY, kind=ProxyKind.GRPC_UNBOUNDED))
+    assert p.unsupported == ("bounds nothing in flight, or tells no version",)
     wild = spoilt(('hosts = ["topup.example.org", "*.example.org"]', 'hosts = ["*.example.org"]'))
-    assert "exact host" in planned(server(1), to=GRPC, text=wild).refused[0]
-    assert not planned(server(1), text=wild).refused
+    assert "exact host" in planned(server(1), target=GRPC, text=wild).unsupported[0]
+    assert not planned(server(1), text=wild).unsupported
 
 
 def test_what_has_not_changed_is_not_serialised_again() -> None:
@@ -211,7 +225,7 @@
     assert encoder.build([planned(*view)]) is first
     before = encoder.serialised
     second = encoder.build([planned(*view[:-1], server(270, state=State.DRAINING))])
-    (endpoints,) = second.of(Kind.ENDPOINTS).values()
+    (endpoints,) = second.of_type(ResourceType.ENDPOINTS).values()
     assert encoder.serialised - before == len(endpoints.body)
 
 
@@ -250,25 +264,25 @@
     """
     random = Random(7)
     proxies = [Wheel(random) for _ in range(21)]
-    to = replace(GRPC if proxyless else ENVOY, proxies=21)
+    target = replace(GRPC if proxyless else ENVOY, connected=21)
     per_second = 60 * servers  # all proxies together
     worst = 0.0
-    told: dict[int, int] = {}
+    loaded: dict[int, int] = {}
     for second in range(1, 11):
         warmth = 0.3 + 0.07 * (second - 1)
         view = [server(1, warmth=warmth, cap=2), *(server(i) for i in range(2, servers + 1))]
-        rows = planned(*view, to=to).localities
+        rows = planned(*view, target=target).localities
         weights = (
-            {int(x.part): x.weight for x in rows} if proxyless
-            else {s.port - 9000: s.weight for x in rows for s in x.servers}
+            {int(x.sub_zone): x.weight for x in rows} if proxyless
+            else {s.port - 9000: s.weight for x in rows for s in x.endpoints}
         )  # fmt: skip
-        if weights != told:
+        if weights != loaded:
             for wheel in proxies:
                 wheel.load(weights)
-            told = weights
+            loaded = weights
         got = [0] * (servers + 1)
         for i in range(per_second):
             got[proxies[i % 21].pick()] += 1
         warm = (per_second - got[1]) / (servers - 1)
         worst = max(worst, got[1] / (warm * warmth))
-    assert 0 < worst <= SETTINGS.fall_multiple / 2, worst  # half of it is kept for heavy ones
+    assert 0 < worst <= SETTINGS.fall_multiple / 2, worst  # half of it is for heavy requests
--- a/tests/core/xds/test_session.py
+++ b/tests/core/xds/test_session.py
@@ -1,4 +1,4 @@
-"""Every proxy's picture is consistent after every message, and at rest equal to the records."""
+"""A proxy is consistent after every response, and at rest has what the session records."""
 
 from __future__ import annotations
 
@@ -6,314 +6,324 @@
 
 import pytest
 
+from loadbalancer.core.xds.history import History
+from loadbalancer.core.xds.messages import (
+    ClientResourceStatus,
+    DiscoveryRequest,
+    SubscriptionError,
+)
+from loadbalancer.core.xds.session import Session
 from loadbalancer.core.xds.snapshot import (
     EMPTY,
-    MAX_NAMES,
-    History,
-    Kind,
-    Picture,
-    PictureError,
-    Reply,
-    Request,
-    Resource,
-    Session,
-    Standing,
-    SubscriptionError,
-    picture,
-    resource,
+    ResourceType,
+    Snapshot,
+    make_resource,
+    make_snapshot,
+)
+from loadbalancer.core.xds.subscription import MAX_NAMES
+from tests.core.xds.protocol_proxy import (
+    CLUSTER,
+    ENDPOINTS,
+    NACK_REASON,
+    ROUTES,
+    ProtocolProxy,
+    snapshot_of,
 )
 
-
-def stub(name: str) -> Resource:
-    """A cluster of which only the name is known."""
-    return resource(name, f"stub {name}".encode(), [name.replace("c-", "e-")])
-
-
-def shape(services: dict[str, int], revision: int = 0) -> Picture:
-    """A picture with a listener and routes, and a cluster a service in so many revisions."""
-    clusters = [resource(f"c-{n}", f"{n}{v}".encode(), [f"e-{n}"]) for n, v in services.items()]
-    endpoints = [resource(f"e-{n}", f"{n}{v}{revision}".encode()) for n, v in services.items()]
-    names = [f"c-{n}" for n in services]
-    routes = [resource("r", f"{sorted(services)}".encode(), names)]
-    listeners = [resource("l", b"listener", ["r"])]
-    return picture(
-        {Kind.CLUSTER: clusters, Kind.ENDPOINTS: endpoints, Kind.ROUTES: routes,
-         Kind.LISTENER: listeners}
-    )  # fmt: skip
-
-
-class Proxy:
-    """A proxy of its own making: it knows the protocol, and nothing of the session's insides.
-
-    `wide`: gets every cluster and listener, as Envoy; else by name, as gRPC's client.
-    """
-
-    def __init__(self, incremental: bool, wide: bool, now: Picture) -> None:
-        self.incremental = incremental
-        self.wide = wide
-        self.has: dict[Kind, dict[str, str]] = {kind: {} for kind in Kind}
-        self.refers: dict[str, frozenset[str]] = {}  # by body's version
-        self.queue: list[Reply] = []
-        self.asked: dict[Kind, set[str]] = {}
-        self.messages = 0
-        self.versions: dict[Kind, str] = {}
-        self.history = History()
-        self.connect(now)
-
-    def connect(self, now: Picture) -> None:
-        """A new stream; what was held is held still."""
-        self.session = Session(self.incremental, now, self.history, stub)
-        self.queue = []
-        before, self.asked = self.asked, {}
-        if self.wide:
-            for kind in (Kind.CLUSTER, Kind.LISTENER):
-                self.ask(kind, set())
-        else:
-            self.ask(Kind.LISTENER, {"l"})
-        for kind in (Kind.ENDPOINTS, Kind.ROUTES, Kind.CLUSTER):
-            if kind not in self.asked and before.get(kind):
-                self.ask(kind, before[kind])
-
-    def ask(self, kind: Kind, names: set[str], error: str = "", nonce: str = "") -> None:
-        first = kind not in self.asked
-        old = self.asked.get(kind, set())
-        self.asked[kind] = set(names)
-        if self.incremental:
-            request = Request(
-                kind, tuple(names - old), tuple(old - names), nonce, error,
-                held=dict(self.has[kind]) if first else {},
-            )  # fmt: skip
+BOTH_VARIANTS = pytest.mark.parametrize("incremental", [False, True])
+BOTH_SUBSCRIPTIONS = pytest.mark.parametrize("wildcard", [False, True])
+
+
+def changed_in_all(snapshot: Snapshot) -> Snapshot:
+    """The same references with another content of every resource."""
+    return make_snapshot(
+        {
+            kind: [
+                make_resource(resource.name, resource.body + b"!", resource.references)
+                for resource in snapshot.of_type(kind).values()
+            ]
+            for kind in ResourceType
+        }
+    )
+
+
+class Course:
+    """A random course of changes, broken streams, restarts, ACKs and NACKs of one proxy."""
+
+    def __init__(self, seed: int, incremental: bool, wildcard: bool) -> None:
+        self.random = Random(seed)
+        self.services = {"a": 1, "b": 1}
+        self.snapshot = snapshot_of(self.services)
+        self.proxy = ProtocolProxy(incremental, wildcard, self.snapshot)
+
+    def step(self, number: int) -> None:
+        """One event; the figures are the chances of each."""
+        chance = self.random.random()
+        if chance < 0.15:
+            self.change(number)
+        elif chance < 0.18:
+            self.proxy.connect(self.snapshot)  # broken anywhere, with responses unread
+        elif chance < 0.20:
+            self.restart(number)
+        elif self.proxy.inbox:
+            self.proxy.receive(nack=self.random.random() < 0.1)
+
+    def change(self, number: int) -> None:
+        name = self.random.choice("abcdef")
+        services = self.services
+        if name in services and len(services) > 1 and self.random.random() < 0.5:
+            del services[name]
         else:
-            request = Request(kind, tuple(names), (), nonce, error, self.versions.get(kind, ""))
-        self.queue += self.session.request(request)
-
-    def take(self, refuse: bool = False) -> None:
-        """Read one message, apply or refuse it, and say so."""
-        reply = self.queue.pop(0)
-        self.messages += 1
-        kind = reply.kind
-        if refuse:
-            self.ask(kind, self.asked[kind], "not to my taste", reply.nonce)
-            return
-        has = self.has[kind]
-        if not self.incremental and kind in (Kind.CLUSTER, Kind.LISTENER):
-            has.clear()
-        for r in reply.resources:
-            if not (self.wide and kind in (Kind.CLUSTER, Kind.LISTENER)) and (
-                r.name not in self.asked[kind]
-            ):
-                continue  # asked for no more by the time it came
-            has[r.name] = r.version
-            self.refers[r.version] = r.names
-        for name in reply.removed:
-            has.pop(name, None)
-        self.versions[kind] = reply.version
-        self.follow()
-        self.ask(kind, self.asked[kind], "", reply.nonce)
-
-    def follow(self) -> None:
-        """Ask for what is newly named, and no more for what is named no longer."""
-        chain = (Kind.LISTENER, Kind.ROUTES), (Kind.ROUTES, Kind.CLUSTER), (
-            Kind.CLUSTER, Kind.ENDPOINTS,
-        )  # fmt: skip
-        for naming, kind in chain:
-            names = self.named(naming)
-            if kind is Kind.CLUSTER and self.wide:
-                continue
-            for gone in self.has[kind].keys() - names:
-                del self.has[kind][gone]
-            if names != self.asked.get(kind, set()):
-                self.ask(kind, names)
-
-    def named(self, kind: Kind) -> set[str]:
-        return {name for v in self.has[kind].values() for name in self.refers.get(v, ())}
-
-    def is_consistent(self) -> bool:
-        """No routes name a cluster that is not held; of a wide one, with its endpoints."""
-        if not self.wide:
-            return True  # it keeps old routes until it has what new ones name
-        for name in self.named(Kind.ROUTES):
-            if name not in self.has[Kind.CLUSTER]:
-                return False
-            for served in self.refers[self.has[Kind.CLUSTER][name]]:
-                if served not in self.has[Kind.ENDPOINTS]:
-                    return False
-        return True
+            services[name] = services.get(name, 0) + 1
+        self.snapshot = snapshot_of(services, number)
+        self.proxy.update(self.snapshot)
+
+    def restart(self, number: int) -> None:
+        """The service is started again with other services, and knows nothing of before."""
+        name = self.random.choice("abcdef")
+        self.services = {n: v for n, v in self.services.items() if n != name} or {"z": 1}
+        self.services[self.random.choice("ghi")] = number
+        self.snapshot = snapshot_of(self.services, number)
+        self.proxy.history = History()
+        self.proxy.connect(self.snapshot)
 
 
 @pytest.mark.parametrize("seed", range(60))
-@pytest.mark.parametrize("incremental", [False, True])
-@pytest.mark.parametrize("wide", [False, True])
-def test_any_course_of_changes_cuts_and_refusals_stays_consistent(
-    seed: int, incremental: bool, wide: bool
+@BOTH_VARIANTS
+@BOTH_SUBSCRIPTIONS
+def test_any_course_of_changes_broken_streams_and_nacks_stays_consistent(
+    seed: int, incremental: bool, wildcard: bool
 ) -> None:
-    random = Random(seed)
-    services = {"a": 1, "b": 1}
-    now = shape(services)
-    proxy = Proxy(incremental, wide, now)
-    for step in range(120):
-        act = random.random()
-        if act < 0.15:
-            name = random.choice("abcdef")
-            if name in services and len(services) > 1 and random.random() < 0.5:
-                del services[name]
-            else:
-                services[name] = services.get(name, 0) + 1
-            now = shape(services, step)
-            proxy.queue += proxy.session.update(now)
-        elif act < 0.18:
-            proxy.connect(now)  # cut anywhere, with messages unread
-        elif act < 0.20:
-            # The service is started anew with other services, and knows nothing of before.
-            name = random.choice("abcdef")
-            services = {n: v for n, v in services.items() if n != name} or {"z": 1}
-            services[random.choice("ghi")] = step
-            now = shape(services, step)
-            proxy.history = History()
-            proxy.connect(now)
-        elif proxy.queue:
-            proxy.take(refuse=random.random() < 0.1)
+    """After any course, a change that mends whatever was rejected brings the proxy up to date."""
+    course = Course(seed, incremental, wildcard)
+    proxy = course.proxy
+    for number in range(120):
+        course.step(number)
         assert proxy.is_consistent()
-    # At rest, and with a mend of whatever was refused.
-    services_mended = {name: v + 100 for name, v in services.items()}
-    last = shape(services_mended, 1000)
-    now = picture(
-        {kind: [resource(r.name, r.body + b"!", r.names) for r in last.of(kind).values()]
-         for kind in Kind}
-    )  # fmt: skip
-    proxy.queue += proxy.session.update(now)
+    mended = {name: version + 100 for name, version in course.services.items()}
+    last = changed_in_all(snapshot_of(mended, 1000))
+    proxy.update(last)
     for _ in range(200):
-        if not proxy.queue:
+        if not proxy.inbox:
             break
-        proxy.take()
+        proxy.receive()
         assert proxy.is_consistent()
-    assert not proxy.queue and proxy.session.settled()
-    for kind in Kind:
-        assert proxy.has[kind] == {n: r.version for n, r in now.of(kind).items()}
-        assert proxy.session.holds(kind) == proxy.has[kind]
-
-
-@pytest.mark.parametrize("incremental", [False, True])
-@pytest.mark.parametrize("wide", [False, True])
-def test_a_proxy_that_is_up_to_date_is_sent_nothing(incremental: bool, wide: bool) -> None:
-    """Also by a control service that has been started anew: versions follow from content."""
-    proxy = Proxy(incremental, wide, shape({"a": 1, "b": 2}))
-    while proxy.queue:
-        proxy.take()
-    read = proxy.messages
-    proxy.queue += proxy.session.update(shape({"a": 1, "b": 2}))
-    assert not proxy.queue
-    proxy.connect(shape({"b": 2, "a": 1}))
-    while proxy.queue:
-        proxy.take()
-    sent = proxy.messages - read
-    # Of clusters and listeners nothing. In the state of the world one version can't say
-    # which endpoints and routes were dropped and asked for again: each is sent once more.
+    assert not proxy.inbox
+    assert proxy.session.settled()
+    for kind in ResourceType:
+        versions = {name: found.version for name, found in last.of_type(kind).items()}
+        assert proxy.versions[kind] == versions
+        assert proxy.session.acked_versions(kind) == versions
+
+
+@BOTH_VARIANTS
+@BOTH_SUBSCRIPTIONS
+def test_a_proxy_that_is_up_to_date_is_sent_nothing(incremental: bool, wildcard: bool) -> None:
+    """Also by a control service that was started again: versions follow from content."""
+    proxy = ProtocolProxy(incremental, wildcard, snapshot_of({"a": 1, "b": 2}))
+    proxy.receive_all()
+    before = proxy.received
+    proxy.update(snapshot_of({"a": 1, "b": 2}))
+    assert not proxy.inbox
+    proxy.connect(snapshot_of({"b": 2, "a": 1}))
+    proxy.receive_all()
+    sent = proxy.received - before
+    # Of clusters and listeners nothing. In the state of the world one version can't say which
+    # endpoints and routes were unsubscribed and subscribed to again: each is sent once more.
     assert sent <= (0 if incremental else 2)
 
 
-@pytest.mark.parametrize("incremental", [False, True])
-def test_what_is_refused_is_not_sent_again_until_it_changes(incremental: bool) -> None:
-    proxy = Proxy(incremental, True, shape({"a": 1}))
-    while proxy.queue:
-        proxy.take(refuse=proxy.queue[0].kind is Kind.ROUTES)
-    assert "r" not in proxy.has[Kind.ROUTES]
-    refusal = proxy.session.refusals[Kind.ROUTES]
-    assert refusal.words == "not to my taste" and set(refusal.versions) == {"r"}
-    assert not proxy.session.update(shape({"a": 1}))
-    proxy.queue += proxy.session.update(shape({"a": 1, "b": 1}))
-    while proxy.queue:
-        proxy.take()
-    assert "r" in proxy.has[Kind.ROUTES] and not proxy.session.refusals
-
-
-def test_each_resource_stands_as_the_proxy_last_said() -> None:
-    proxy = Proxy(True, True, shape({"a": 1, "b": 1}))
-    assert {s.standing for s in proxy.session.status()} == {Standing.SENT}
-    while proxy.queue:
-        proxy.take()
-    assert {s.standing for s in proxy.session.status()} == {Standing.ACCEPTED}
-    now = shape({"a": 1, "b": 2})
-    proxy.queue += proxy.session.update(now)
-    while proxy.queue:
-        proxy.take(refuse=proxy.queue[0].kind is Kind.CLUSTER)
-    rows = {(s.kind, s.name): s for s in proxy.session.status()}
-    bad = rows.pop((Kind.CLUSTER, "c-b"))
-    assert (bad.standing, bad.words) == (Standing.REFUSED, "not to my taste")
-    assert bad.version == now.of(Kind.CLUSTER)["c-b"].version
-    assert {s.standing for s in rows.values()} == {Standing.ACCEPTED}
-    proxy.ask(Kind.ENDPOINTS, {*proxy.asked[Kind.ENDPOINTS], "e-x"})
-    assert proxy.queue[0].removed == ("e-x",)
-    row = next(s for s in proxy.session.status() if s.name == "e-x")
-    assert row.standing is Standing.ABSENT
-
-
-def test_of_three_changed_resources_only_the_bad_one_is_left_out() -> None:
-    proxy = Proxy(True, True, shape({"a": 1, "b": 1, "c": 1}))
-    while proxy.queue:
-        proxy.take()
-    now = shape({"a": 2, "b": 2, "c": 2})
-    bad = now.of(Kind.CLUSTER)["c-b"].version
-    proxy.queue += proxy.session.update(now)
+@BOTH_VARIANTS
+def test_a_nacked_resource_is_not_sent_again_until_it_changes(incremental: bool) -> None:
+    proxy = ProtocolProxy(incremental, True, snapshot_of({"a": 1}))
+    while proxy.inbox:
+        proxy.receive(nack=proxy.inbox[0].resource_type is ROUTES)
+    assert "r" not in proxy.versions[ROUTES]
+    nack = proxy.session.nacks[ROUTES]
+    assert nack.error_detail == NACK_REASON
+    assert set(nack.versions) == {"r"}
+    assert not proxy.session.update(snapshot_of({"a": 1}))
+    proxy.update(snapshot_of({"a": 1, "b": 1}))
+    proxy.receive_all()
+    assert "r" in proxy.versions[ROUTES]
+    assert not proxy.session.nacks
+
+
+def test_each_resource_has_the_status_of_the_proxys_last_answer() -> None:
+    proxy = ProtocolProxy(True, True, snapshot_of({"a": 1, "b": 1}))
+
+    def statuses() -> set[ClientResourceStatus]:
+        return {row.client_status for row in proxy.session.status()}
+
+    assert statuses() == {ClientResourceStatus.REQUESTED}
+    proxy.receive_all()
+    assert statuses() == {ClientResourceStatus.ACKED}
+    snapshot = snapshot_of({"a": 1, "b": 2})
+    proxy.update(snapshot)
+    while proxy.inbox:
+        proxy.receive(nack=proxy.inbox[0].resource_type is CLUSTER)
+    rows = {(row.resource_type, row.name): row for row in proxy.session.status()}
+    nacked = rows.pop((CLUSTER, "c-b"))
+    assert nacked.client_status is ClientResourceStatus.NACKED
+    assert nacked.error_detail == NACK_REASON
+    assert nacked.version == snapshot.of_type(CLUSTER)["c-b"].version
+    assert {row.client_status for row in rows.values()} == {ClientResourceStatus.ACKED}
+    proxy.subscribe(ENDPOINTS, {*proxy.names[ENDPOINTS], "e-x"})
+    assert proxy.inbox[0].removed_resources == ("e-x",)
+    absent = next(row for row in proxy.session.status() if row.name == "e-x")
+    assert absent.client_status is ClientResourceStatus.DOES_NOT_EXIST
+
+
+def test_of_three_changed_resources_only_the_nacked_one_is_left_out() -> None:
+    proxy = ProtocolProxy(True, True, snapshot_of({"a": 1, "b": 1, "c": 1}))
+    proxy.receive_all()
+    snapshot = snapshot_of({"a": 2, "b": 2, "c": 2})
+    clusters = snapshot.of_type(CLUSTER)
+    bad = clusters["c-b"].version
+    proxy.update(snapshot)
     for _ in range(50):
-        if not proxy.queue:
+        if not proxy.inbox:
             break
-        proxy.take(refuse=any(r.version == bad for r in proxy.queue[0].resources))
-    assert not proxy.queue
-    held = proxy.has[Kind.CLUSTER]
-    good = {n for n, r in now.of(Kind.CLUSTER).items() if held[n] == r.version}
-    assert good == {"c-a", "c-c"}
-    assert proxy.session.refusals[Kind.CLUSTER].versions == {"c-b": bad}
-
-
-def test_a_slow_proxy_has_one_message_of_a_kind_under_way_and_then_the_newest() -> None:
-    proxy = Proxy(True, True, shape({"a": 1}))
-    while proxy.queue:
-        proxy.take()
+        proxy.receive(nack=any(found.version == bad for found in proxy.inbox[0].resources))
+    assert not proxy.inbox
+    has = proxy.versions[CLUSTER]
+    assert {n for n, found in clusters.items() if has[n] == found.version} == {"c-a", "c-c"}
+    assert proxy.session.nacks[CLUSTER].versions == {"c-b": bad}
+
+
+def test_a_slow_proxy_has_one_pending_response_of_a_type_and_then_the_newest() -> None:
+    proxy = ProtocolProxy(True, True, snapshot_of({"a": 1}))
+    proxy.receive_all()
     for revision in range(1, 50):
-        proxy.queue += proxy.session.update(shape({"a": 1}, revision))
-    assert len(proxy.queue) == 1
-    proxy.take()
-    assert len(proxy.queue) == 1
-    proxy.take()
-    assert not proxy.queue
-    want = shape({"a": 1}, 49).of(Kind.ENDPOINTS)["e-a"].version
-    assert proxy.has[Kind.ENDPOINTS]["e-a"] == want
-
-
-@pytest.mark.parametrize("incremental", [False, True])
-def test_stale_and_invented_nonces_settle_nothing(incremental: bool) -> None:
-    session = Session(incremental, shape({"a": 1}))
-    (reply,) = session.request(Request(Kind.CLUSTER))
+        proxy.update(snapshot_of({"a": 1}, revision))
+    assert len(proxy.inbox) == 1
+    proxy.receive()
+    assert len(proxy.inbox) == 1
+    proxy.receive()
+    assert not proxy.inbox
+    newest = snapshot_of({"a": 1}, 49).of_type(ENDPOINTS)["e-a"].version
+    assert proxy.versions[ENDPOINTS]["e-a"] == newest
+
+
+@BOTH_VARIANTS
+def test_stale_and_invented_nonces_answer_nothing(incremental: bool) -> None:
+    session = Session(incremental, snapshot_of({"a": 1}))
+    (response,) = session.request(DiscoveryRequest(CLUSTER))
     for nonce in ("0", "999", "x"):
-        assert not session.request(Request(Kind.CLUSTER, nonce=nonce, error="no"))
-    assert not session.refusals and not session.holds(Kind.CLUSTER)
-    session.request(Request(Kind.CLUSTER, nonce=reply.nonce))
-    assert session.holds(Kind.CLUSTER).keys() == {"c-a"}
-    session.request(Request(Kind.CLUSTER, nonce=reply.nonce, error="changed my mind"))
-    assert not session.refusals  # answered already
+        answer = DiscoveryRequest(CLUSTER, response_nonce=nonce, error_detail="no")
+        assert not session.request(answer)
+    assert not session.nacks
+    assert not session.acked_versions(CLUSTER)
+    session.request(DiscoveryRequest(CLUSTER, response_nonce=response.nonce))
+    assert session.acked_versions(CLUSTER).keys() == {"c-a"}
+    late = DiscoveryRequest(CLUSTER, response_nonce=response.nonce, error_detail="no")
+    session.request(late)
+    assert not session.nacks  # answered already
+
+
+def test_a_name_that_does_not_exist_is_reported_as_removed() -> None:
+    (response,) = Session(True, EMPTY).request(DiscoveryRequest(ENDPOINTS, ("e-x",)))
+    assert response.removed_resources == ("e-x",)
+    assert not response.resources
+    (response,) = Session(False, EMPTY).request(DiscoveryRequest(CLUSTER, ("c-x",)))
+    assert not response.resources  # the full state: it lacks the name
+    assert not Session(False, EMPTY).request(DiscoveryRequest(ENDPOINTS, ("e-x",)))
+
+
+NAMES_BEYOND_BOUND = tuple(f"e-{i}" for i in range(MAX_NAMES + 1))
+
+
+@pytest.mark.parametrize(
+    ("incremental", "request_"),
+    [
+        (True, DiscoveryRequest(ENDPOINTS, NAMES_BEYOND_BOUND)),
+        (False, DiscoveryRequest(ENDPOINTS, ("x" * 600,))),
+        (
+            True,
+            DiscoveryRequest(
+                CLUSTER, initial_resource_versions=dict.fromkeys(NAMES_BEYOND_BOUND, "1")
+            ),
+        ),
+    ],
+    ids=["names", "a name's length", "initial versions"],
+)
+def test_subscriptions_are_bounded(incremental: bool, request_: DiscoveryRequest) -> None:
+    session = Session(incremental)
+    with pytest.raises(SubscriptionError):
+        session.request(request_)
 
 
-def test_what_does_not_exist_is_told_so() -> None:
-    (reply,) = Session(True, EMPTY).request(Request(Kind.ENDPOINTS, ("e-x",)))
-    assert reply.removed == ("e-x",) and not reply.resources
-    (reply,) = Session(False, EMPTY).request(Request(Kind.CLUSTER, ("c-x",)))
-    assert not reply.resources  # the whole set: it lacks the name
-    assert not Session(False, EMPTY).request(Request(Kind.ENDPOINTS, ("e-x",)))
+# ---- a proxy that does not answer ----------------------------------------
 
 
-def test_subscriptions_are_bounded() -> None:
-    names = tuple(f"e-{i}" for i in range(MAX_NAMES + 1))
-    with pytest.raises(SubscriptionError):
-        Session(True).request(Request(Kind.ENDPOINTS, names))
-    with pytest.raises(SubscriptionError):
-        Session(False).request(Request(Kind.ENDPOINTS, ("x" * 600,)))
-    with pytest.raises(SubscriptionError):
-        Session(True).request(Request(Kind.CLUSTER, held=dict.fromkeys(names, "1")))
+def endpoints_snapshot(body: bytes) -> Snapshot:
+    """One cluster whose endpoints have this content."""
+    clusters = [make_resource("c", b"c", ["e"])]
+    return make_snapshot({CLUSTER: clusters, ENDPOINTS: [make_resource("e", body)]})
 
 
-def test_a_picture_that_names_what_it_lacks_is_refused() -> None:
-    with pytest.raises(PictureError, match="routes 'r' names cluster 'c'"):
-        picture({Kind.ROUTES: [resource("r", b"", ["c"])]})
-    with pytest.raises(PictureError, match="endpoints 'e'"):
-        picture({Kind.CLUSTER: [resource("c", b"", ["e"])]})
+def versions_of(*bodies: bytes) -> set[str]:
+    return {make_resource("e", body).version for body in bodies}
+
+
+def unresponsive_session(incremental: bool) -> Session:
+    """The proxy has acknowledged a first set of endpoints, and does not answer the second."""
+    session = Session(incremental, endpoints_snapshot(b"first"))
+    (response,) = session.request(DiscoveryRequest(ENDPOINTS, ("e",)))
+    session.request(
+        DiscoveryRequest(
+            ENDPOINTS,
+            ("e",),
+            response_nonce=response.nonce,
+            version_info=response.version_info,
+        )
+    )
+    assert session.update(endpoints_snapshot(b"second"))
+    return session
+
+
+@BOTH_VARIANTS
+def test_a_drain_does_not_wait_for_an_answer(incremental: bool) -> None:
+    """A proxy owes the answer to a first change when a drain comes, and must learn of it.
+
+    Until it acknowledges the drain, every version that it was sent may be in use.
+    """
+    session = unresponsive_session(incremental)
+
+    def possible() -> set[str]:
+        return session.possible_versions(ENDPOINTS)["e"]
+
+    assert session.update(endpoints_snapshot(b"drain")) == []
+    assert possible() == versions_of(b"first", b"second")
+    (response,) = session.push_endpoints()
+    assert [resource.body for resource in response.resources] == [b"drain"]
+    assert possible() >= versions_of(b"first", b"second", b"drain")
+    names = () if incremental else ("e",)
+    # The answer to the superseded response says nothing of the newest one.
+    session.request(DiscoveryRequest(ENDPOINTS, names, response_nonce="2"))
+    assert len(possible()) > 1
+    session.request(DiscoveryRequest(ENDPOINTS, names, response_nonce=response.nonce))
+    assert possible() == versions_of(b"drain")
+    assert session.settled()
+
+
+def test_a_push_to_a_proxy_that_owes_no_answer_sends_nothing() -> None:
+    assert Session(True, EMPTY).push_endpoints() == []
+
+
+def test_a_proxy_that_nacks_a_drain_may_still_use_every_earlier_version() -> None:
+    session = unresponsive_session(True)
+    session.update(endpoints_snapshot(b"drain"))
+    (response,) = session.push_endpoints()
+    session.request(DiscoveryRequest(ENDPOINTS, response_nonce=response.nonce, error_detail="no"))
+    assert session.possible_versions(ENDPOINTS)["e"] >= versions_of(b"first", b"second")
+
+
+def test_superseded_versions_are_bounded() -> None:
+    session = unresponsive_session(True)
+    for i in range(200):
+        session.update(endpoints_snapshot(b"%d" % i))
+        assert session.push_endpoints()
+    possible = session.possible_versions(ENDPOINTS)["e"]
+    assert "" in possible
+    assert len(possible) < 20
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -63,8 +63,11 @@
 )
 from loadbalancer.core.replicated_log.replication import Outcome, Proposal
 from loadbalancer.core.routes.file import decode as decode_routes
-from loadbalancer.core.xds.plan import Audience, ProxyKind, plan
-from loadbalancer.core.xds.snapshot import Kind, Reply, Resource, type_version
+from loadbalancer.core.xds.history import make_version_info
+from loadbalancer.core.xds.messages import DiscoveryResponse
+from loadbalancer.core.xds.plan import make_plan
+from loadbalancer.core.xds.snapshot import Resource, ResourceType
+from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies
 from loadbalancer.sources.http_get import Call as OutgoingCall
 
 REFUSED = (ValueError, ScaleFileError)
@@ -117,7 +120,8 @@
 }
 RECORDS |= MESSAGES
 RESOURCE_TYPES = {
-    "CDS": Kind.CLUSTER, "EDS": Kind.ENDPOINTS, "LDS": Kind.LISTENER, "RDS": Kind.ROUTES,
+    "CDS": ResourceType.CLUSTER, "EDS": ResourceType.ENDPOINTS,
+    "LDS": ResourceType.LISTENER, "RDS": ResourceType.ROUTES,
 }  # fmt: skip
 ASKED = "127.0.0.1:7001"
 SERVICES = {"cart": "east", "pay": "east", "empty": "east"}  # and their home regions
@@ -509,18 +513,20 @@
     ]  # fmt: skip
     addresses = {one["backend"]: (one["host"], one["port"]) for one in plain["servers"]}
     proxy = ProxyKind(plain["proxy"])
-    to = Audience(proxy, plain["zone"], tuple(plain["zones"]), plain["proxies"], plain["own_ramp"])
+    to = TargetProxies(
+        proxy, plain["zone"], tuple(plain["zones"]), plain["proxies"], plain["own_ramp"]
+    )
     plans = [
-        plan(service, settings, table.node_budget, view, addresses, to)
+        make_plan(service, settings, table.node_budget, view, addresses, to)
         for service in table.services
     ]
     host, port = plain["listen"]
     picture = Encoder(proxy, (host, port)).build(plans)
     return [
-        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.names),
+        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.references),
          "hex": one.body.hex()}
         for word, kind in RESOURCE_TYPES.items()
-        for one in picture.of(kind).values()
+        for one in picture.of_type(kind).values()
     ]  # fmt: skip
 
 
@@ -540,7 +546,7 @@
         for one in plain["resources"]
     )
     kind = RESOURCE_TYPES[plain["type"]]
-    reply = Reply(kind, plain["version"], plain["nonce"], rows, tuple(plain["removed"]))
+    reply = DiscoveryResponse(kind, plain["version"], plain["nonce"], rows, tuple(plain["removed"]))
     return Answers(plain["incremental"]).encode(reply)
 
 
@@ -582,20 +588,22 @@
     found = message.FromString(data)
     request = read(RESOURCE_TYPES[_type_word(found.type_url)], found)
     return {
-        "type": next(word for word, kind in RESOURCE_TYPES.items() if kind is request.kind),
-        "names": list(request.names),
-        "gone": list(request.gone),
-        "nonce": request.nonce,
-        "error": request.error,
-        "version": request.version,
-        "held": dict(request.held),
+        "type": next(
+            word for word, kind in RESOURCE_TYPES.items() if kind is request.resource_type
+        ),
+        "names": list(request.resource_names),
+        "gone": list(request.unsubscribe),
+        "nonce": request.response_nonce,
+        "error": request.error_detail,
+        "version": request.version_info,
+        "held": dict(request.initial_resource_versions),
     }
 
 
 def _write_set_version(plain: Any) -> bytes:
     """One version for a set of resources, which proxies tell again after a restart."""
     held = {name: Resource(name, version, b"") for name, version in plain["held"].items()}
-    return type_version(RESOURCE_TYPES[plain["type"]], held).encode()
+    return make_version_info(RESOURCE_TYPES[plain["type"]], held).encode()
 
 
 WRITERS: dict[str, Callable[[Any], bytes]] = {
--- a/tests/sources/consul/test_consul.py
+++ b/tests/sources/consul/test_consul.py
@@ -17,7 +17,7 @@
 from fakes.fleet import Process, started
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints.merged_list import Health
-from loadbalancer.core.xds.snapshot import Kind
+from loadbalancer.core.xds.snapshot import ResourceType
 from loadbalancer.sources.consul.file import ConsulError, read_consul, read_token
 from loadbalancer.sources.consul.merge import open_reader
 from loadbalancer.sources.consul.reader import ROUND_S
@@ -70,8 +70,8 @@
 def proxy(process: Process) -> Iterator[Envoy]:
     with raw(process, False) as stream:
         out = Envoy(stream)
-        out.subscribe(Kind.CLUSTER)
-        out.subscribe(Kind.ENDPOINTS, "topup")
+        out.subscribe(ResourceType.CLUSTER)
+        out.subscribe(ResourceType.ENDPOINTS, "topup")
         while "topup" not in out.loads:
             out.take()
         yield out
