--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -24,7 +24,7 @@
 
 def asking(config: Config) -> Config:
     """Whatever the node's way, nobody pushes a list to the control service: it asks."""
-    return replace(config, settings=replace(config.settings, ask=True))
+    return replace(config, settings=replace(config.settings, poll=True))
 
 
 class Pool:
@@ -165,7 +165,7 @@
         now = time.monotonic_ns()
         self.ledger.prune(now, self._addresses)
         for v in self.ledger.assess() if self.ledger.take_new() else ():
-            self.balancer.on_reported(now, v.backend, v.latency_ratio, v.failing)
+            self.balancer.on_load_report(now, v.backend, v.latency_ratio, v.failing)
 
     # ---- Actions ------------------------------------------------------
 
--- a/loadbalancer/core/xds/endpoint_plan.py
+++ b/loadbalancer/core/xds/endpoint_plan.py
@@ -87,7 +87,7 @@
             (_endpoint(view, addresses, 1),),
         )
         for view in views
-        if view.state == State.READY and not view.down and view.cap
+        if view.state == State.READY and not view.ejected and view.cap
     ]
 
 
@@ -109,5 +109,5 @@
 
 def _endpoint(view: ServerView, addresses: Mapping[int, tuple[str, int]], weight: int) -> Endpoint:
     host, port = addresses[view.backend]
-    healthy = not view.down and view.cap > 0
+    healthy = not view.ejected and view.cap > 0
     return Endpoint(host, port, weight, view.state == State.DRAINING, healthy)
--- a/loadbalancer/core/xds/load_reports.py
+++ b/loadbalancer/core/xds/load_reports.py
@@ -1,7 +1,7 @@
 """What other proxies' load reports (LRS) say of a server; pure, no clock, no I/O.
 
 A report is a sum over some seconds, not single outcomes: it has no latency and no order of
-errors. What follows from it is passed to the Balancer's `on_reported`:
+errors. What follows from it is passed to the Balancer's `on_load_report`:
 
 - how slow a server is against the others, by Little's law (L = lambda W): requests in flight at
   the time of a report over those finished in it. Few are in flight at any one time, so all
--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -86,7 +86,7 @@
     drain or a small step of a limit must not change it.
     """
     usable = [view for view in views if view.backend in addresses]
-    limits = (view.cap for view in usable if view.state == State.READY and not view.down)
+    limits = (view.cap for view in usable if view.state == State.READY and not view.ejected)
     share_shift = (max(target.connected, 1) - 1).bit_length()
     is_envoy = target.kind is ProxyKind.ENVOY
     return Plan(
