--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -17,7 +17,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine import status
 from loadbalancer.control.machine.bound_list import BoundList
 from loadbalancer.control.machine.file import Machine, ScaleFile
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine.codec import BadMessageError, Codec
 
 MAX_FRAME_BYTES = 32 << 20
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.core import Listing, State
 from loadbalancer.core import learned_state as legacy
 
@@ -34,7 +34,7 @@
     now = time.monotonic_ns()
     roster = node.discovery.roster
     rows = []
-    for b in node.balancer.backends.values():
+    for b in node.balancer.endpoints.values():
         address = roster.endpoints.get(b.id)
         if address is not None and b.state != State.GONE:
             age = max(now - b.boot, 0) if b.boot else -1
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -15,7 +15,7 @@
 import pytest
 
 from benchmarks.scale.fleet import call
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine import log_loader
 from loadbalancer.control.machine.file import MAX_NAME_LENGTH, read_scale
 from loadbalancer.control.machine.subscriber import AskTiming, Subscriber
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -18,7 +18,7 @@
 from unittest import mock
 from zlib import crc32
 
-from loadbalancer.config.node import Address, parse_address
+from loadbalancer.config.address import Address, parse_address
 from loadbalancer.control.consul_relay import Relay
 from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core import learned_state as legacy
@@ -59,9 +59,9 @@
 RECORDS = {"life": Life, "listed": Listed, "observation": Observation, "reading": Reading}
 CLASSES = (
     RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
-    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND),
+    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, repeat_window=SECOND),
 )
-SETTINGS = Settings(CLASSES, ask=True, balancers=4, max_attempts=4)
+SETTINGS = Settings(CLASSES, poll=True, nodes=4, max_attempts=4)
 
 
 def encode(kind: str, plain: Plain) -> bytes:
