--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -32,7 +32,7 @@
 
 from benchmarks.scale.world import REGIONS
 from loadbalancer.config.node import Address, Config
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, ordered_machines
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, ordered_machines
 from loadbalancer.core import Settings
 from loadbalancer.core.assignment.model import Change, Row, Snapshot
 from loadbalancer.core.assignment.model import Update as ScaleUpdate
@@ -205,7 +205,7 @@
         self._random = Random(self.seed)
         self._probe: asyncio.TimerHandle | None = None
         self._requests = 0
-        timing = AskTiming(hold=process.plan.hold, late=process.plan.late)
+        timing = PollTiming(hold_s=process.plan.hold, margin_s=process.plan.late)
         machines = ordered_machines(process.plan.machines, region, self.seed)
         self.subscriber = Subscriber(
             self.holder, REGION_NAMES, machines, self._told, self.seed, timing, self._released
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from loadbalancer.control.machine.list_form import plain_list
+from loadbalancer.control.machine.list_form import encode_plain_list
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog
@@ -69,10 +69,10 @@
         version = version_of(self._log.position)
         if delta is None or any(change.complete or change.deleted for change in delta.changes):
             rows = self._log.rows(self.service) or {}
-            return plain_list(version, True, rows.values(), ())
+            return encode_plain_list(version, True, rows.values(), ())
         latest: dict[str, Row | None] = {}
         for change in delta.changes:
             latest |= dict.fromkeys(change.removed)
             latest |= {row.uid: row for row in change.rows}
         gone = [uid for uid, row in latest.items() if row is None]
-        return plain_list(version, False, [row for row in latest.values() if row], gone)
+        return encode_plain_list(version, False, [row for row in latest.values() if row], gone)
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class NodeAssignment:
     """What a control machine wants of a node, beside an update."""
 
     wanted: Mapping[str, str] = field(default_factory=dict)  # services and their regions
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class PollResponse:
     """One whole answer of a control machine."""
 
     position: Position
     update: Update | None = None
-    orders: Orders | None = None
-    elsewhere: str = ""  # the machine to ask instead
-    address: str = ""  # of that machine
+    assignment: NodeAssignment | None = None
+    redirect_machine: str = ""  # the machine to ask instead
+    redirect_address: str = ""  # of that machine
     pause_ms: int = 0  # before the next question
 
 
@@ -65,7 +65,7 @@
     return body_of({"uid": uid, "state": GONE})
 
 
-def plain_list(version: int, whole: bool, rows: Iterable[Row], gone: Iterable[str]) -> bytes:
+def encode_plain_list(version: int, whole: bool, rows: Iterable[Row], gone: Iterable[str]) -> bytes:
     """The platform's own answer, for a node that knows of no services."""
     targets = [row.body for row in rows]
     targets += [body_of(gone_row(uid)) for uid in gone]
@@ -77,7 +77,7 @@
     return f'{{"rev":{version},"all":{all_},"targets":[{",".join(targets)}]'
 
 
-def encode(update: Update, orders: Orders | None) -> bytes:
+def encode(update: Update, orders: NodeAssignment | None) -> bytes:
     """An update and what is wanted beside it."""
     whole = isinstance(update, Snapshot)
     targets: list[str] = []
@@ -109,18 +109,18 @@
     ]
 
 
-def nothing(position: Position, **more: Any) -> bytes:
+def encode_empty(position: Position, **more: Any) -> bytes:
     """An answer without an update: the caller's own version, and what it is to do."""
     rows: dict[str, Any] = {"rev": version_of(position), "all": False, "targets": []}
     return json.dumps(rows | more, separators=(",", ":")).encode()
 
 
-def orders_only(position: Position, orders: Orders) -> bytes:
+def encode_assignment(position: Position, orders: NodeAssignment) -> bytes:
     """An answer without an update, for a node whose services have changed."""
-    return nothing(position, **_orders(orders))
+    return encode_empty(position, **_orders(orders))
 
 
-def _orders(orders: Orders) -> dict[str, Any]:
+def _orders(orders: NodeAssignment) -> dict[str, Any]:
     by_region: dict[str, list[str]] = {}
     for service, region in sorted(orders.wanted.items()):
         by_region.setdefault(region, []).append(service)
@@ -131,14 +131,14 @@
     }
 
 
-def decode(body: bytes, most_services: int) -> Answer:
+def decode(body: bytes, most_services: int) -> PollResponse:
     """An answer; ListFormError where it is none or names more services than may be held."""
     try:
         raw = json.loads(body)
         if not isinstance(raw, dict):
             raise ListFormError("no object")
         pause = raw.get("pause_ms", 0)
-        return Answer(
+        return PollResponse(
             position_of(_whole(raw["rev"])),
             _update(raw) if "changes" in raw else None,
             _orders_of(raw, most_services) if "wanted" in raw else None,
@@ -179,7 +179,7 @@
     return Snapshot(region, position, held)
 
 
-def _orders_of(raw: Mapping[str, Any], most_services: int) -> Orders:
+def _orders_of(raw: Mapping[str, Any], most_services: int) -> NodeAssignment:
     wanted = {
         _text(service): _text(region)
         for region, services in raw["wanted"].items()
@@ -188,7 +188,7 @@
     releasable = frozenset(_text(service) for service in raw["releasable"])
     if len(wanted) + len(releasable) > most_services:
         raise ListFormError(f"names over {most_services} services")
-    return Orders(wanted, releasable, _whole(raw["generation"]))
+    return NodeAssignment(wanted, releasable, _whole(raw["generation"]))
 
 
 def _whole(value: Any) -> int:
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -21,8 +21,8 @@
 from loadbalancer.control.machine.file import Machine, ScaleFile, ScaleFileError, read_scale
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.messages import PresenceWanted, Reports, codec
-from loadbalancer.control.machine.node_requests import Questions, Subscription
-from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
+from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
+from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import Call, Calls, Reply
 from loadbalancer.control.machine.stream import Hello, Streams
 from loadbalancer.control.machine.submitted_changes import Changes
@@ -70,8 +70,8 @@
         self.publisher.on_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, machine.spec, specs, homes, RELEASE_RULES)
-        self.nodes = Nodes(file, now, self.releases)
-        self.questions = Questions(
+        self.nodes = NodeRegistry(file, now, self.releases)
+        self.questions = NodeRequests(
             self.nodes,
             self.publisher,
             self.replica,
@@ -105,7 +105,7 @@
         calls = Calls(self, self.file.limits.change_bytes)
         await self.streams.open(machine.peers)
         for factory, address in (
-            (lambda: Subscription(self.questions), machine.subscribers),
+            (lambda: SubscriberConnection(self.questions), machine.subscribers),
             (lambda: Call(calls), machine.admin),
         ):
             server = await loop.create_server(factory, address.host, address.port, backlog=4096)
@@ -145,19 +145,19 @@
         now = time.monotonic_ns()
         if self.nodes.on_time(now):
             self.counts["assignments"] += 1
-        self.nodes.pass_on(self.streams.send_all)
+        self.nodes.send_changes(self.streams.send_all)
         living = self.nodes.presence.machines(now) | {self.machine.spec.name}
         if living != self._living:
             self._living = living
             self._log(f"control machines heard: {', '.join(sorted(living))}")
-            self.questions.answer_keys(self.publisher.on_living(living))
+            self.questions.wake_keys(self.publisher.on_living(living))
         leads = self.replica.role is Role.LEADER
-        grant = self.nodes.turn_releases(now, self.replica.epoch if leads else None)
+        grant = self.nodes.advance_releases(now, self.replica.epoch if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
         if self.nodes.changed:
             self.nodes.changed = False
-            self.questions.tell_orders()
+            self.questions.push_assignments()
 
     async def _load(self) -> None:
         """Load a region that has no log from the services' source."""
@@ -184,7 +184,7 @@
 
     def _up(self, machine: str) -> None:
         """A stream to another machine is up: all that went before is told whole."""
-        self.nodes.whole(lambda message: self.streams.send(machine, message))
+        self.nodes.send_full_state(lambda message: self.streams.send(machine, message))
 
     def _told(self, sender: str, message: Any) -> None:
         now = time.monotonic_ns()
@@ -208,12 +208,12 @@
     def _pump(self) -> None:
         """Carry out what the replica wants, until it wants no more."""
         for region in self.replica.restored():
-            self.questions.answer_again(region, self.publisher.on_restored(region))
+            self.questions.wake(region, self.publisher.on_restored(region))
             self._bound_changed(region, "")
         for region, change in self.replica.committed():
             self.changes.on_committed(region, change)
             if change.service:
-                self.questions.answer_again(region, self.publisher.on_change(region, change))
+                self.questions.wake(region, self.publisher.on_change(region, change))
                 self._bound_changed(region, change.service)
         for recipient, message in self.replica.outgoing():
             self.streams.send(recipient, message)
@@ -278,7 +278,7 @@
             },
             "questions": {
                 "connections": self.questions.connections,
-                "waiting": self.questions.waiting(),
+                "waiting": self.questions.waiting_count(),
             },
             "assignment": {
                 "digest": nodes.assignment.digest,
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.config.node import Address
 from loadbalancer.control.machine import list_form as listform
-from loadbalancer.control.machine.nodes import Nodes
+from loadbalancer.control.machine.nodes import NodeRegistry
 from loadbalancer.control.machine.version import position_of
 from loadbalancer.core.assignment.model import InvalidInputError, Position
 from loadbalancer.core.balancing.model import MS, SECOND
@@ -28,14 +28,14 @@
 Key = tuple[str, str]  # node and region
 
 
-class Subscription(Watcher):
+class SubscriberConnection(Watcher):
     """One connection of a node that knows of services."""
 
     most_bytes = MOST_HEAD
 
 
 @dataclass(slots=True)
-class Question:
+class PollRequest:
     """What a node asked, and waits for."""
 
     node: str
@@ -47,12 +47,12 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class Questions:
-    """The host of all `Subscription`s at one machine."""
+class NodeRequests:
+    """The host of all `SubscriberConnection`s at one machine."""
 
     def __init__(
         self,
-        nodes: Nodes,
+        nodes: NodeRegistry,
         answers: Publisher,
         replica: Replica,
         addresses: Mapping[str, Address],
@@ -65,7 +65,7 @@
         self._publisher = answers
         self._replica = replica
         self._addresses = addresses  # of the machines, for subscribers
-        self._waiting: dict[Watcher, Question] = {}
+        self._waiting: dict[Watcher, PollRequest] = {}
         self._by_key: dict[Key, Watcher] = {}
 
     # ---- what a connection asks its host ----------------------------------
@@ -81,7 +81,7 @@
         question = self._leave(caller)
         if question is not None:
             self._publisher.cancel(question.node, question.region)
-            self._nodes.on_answered(time.monotonic_ns(), question.node)
+            self._nodes.on_response(time.monotonic_ns(), question.node)
 
     def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
         now = time.monotonic_ns()
@@ -96,7 +96,7 @@
 
     # ---- what the machine tells it ----------------------------------------
 
-    def answer_again(self, region: str, nodes: Iterable[str]) -> None:
+    def wake(self, region: str, nodes: Iterable[str]) -> None:
         """There may be news for these."""
         now = time.monotonic_ns()
         for node in nodes:
@@ -104,38 +104,38 @@
             if watcher is not None:
                 self._again(now, watcher)
 
-    def answer_keys(self, keys: Iterable[Key]) -> None:
+    def wake_keys(self, keys: Iterable[Key]) -> None:
         """There may be news for these nodes in these regions."""
         for node, region in keys:
-            self.answer_again(region, (node,))
+            self.wake(region, (node,))
 
-    def tell_orders(self) -> None:
+    def push_assignments(self) -> None:
         """Answer the waiting nodes whose orders have changed."""
         now = time.monotonic_ns()
         for watcher, question in [*self._waiting.items()]:
-            if self._nodes.fresh_orders(now, question.node, question.region) is not None:
+            if self._nodes.changed_assignment(now, question.node, question.region) is not None:
                 self._again(now, watcher)
 
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many questions wait for an answer."""
         return len(self._waiting)
 
     # ---- one question ------------------------------------------------------
 
-    def _question(self, now: int, since: int, hold: float, query: Query) -> Question:
+    def _question(self, now: int, since: int, hold: float, query: Query) -> PollRequest:
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
-        if not self._nodes.knows(node):
+        if not self._nodes.is_registered(node):
             raise InvalidInputError(f"node: [{Refusal.UNKNOWN_NODE.value}] no node {node[:64]!r}")
         held = None
         if "held" in query:
             held = frozenset(_names(query["held"][0]))
         redirected = query.get("redirected") == ["1"]
         until = now + int(hold * SECOND)
-        return Question(node, region, position_of(since), held, redirected, until)
+        return PollRequest(node, region, position_of(since), held, redirected, until)
 
-    def _heard(self, now: int, question: Question, query: Query) -> None:
+    def _heard(self, now: int, question: PollRequest, query: Query) -> None:
         """Take what the question says of the node itself."""
-        self._nodes.on_asked(now, question.node)
+        self._nodes.on_poll(now, question.node)
         if "serving" in query:
             generation = whole_number(query.get("generation", ["0"])[0])
             if generation is None:
@@ -151,23 +151,23 @@
         if question is not None:
             self._answer(now, watcher, question, False)
 
-    def _answer(self, now: int, watcher: Watcher, question: Question, anew: bool) -> None:
+    def _answer(self, now: int, watcher: Watcher, question: PollRequest, anew: bool) -> None:
         """Answer now, or keep the question until there is something to say."""
         node, region = question.node, question.region
-        services = self._nodes.services(node, region)
+        services = self._nodes.services_in_region(node, region)
         found = self._publisher.subscribe(
             now, node, region, question.position, services, question.held, question.redirected
         )
         if isinstance(found, publisher.Refused):
             place = "region" if found.reason is Refusal.UNKNOWN_REGION else "version"
             self._refuse(watcher, f"{place}: [{found.reason.value}] {region[:64]!r}")
-            self._nodes.on_answered(now, node)
+            self._nodes.on_response(now, node)
             return
         self._replica.on_reported(now, region, question.position)
         if isinstance(found, publisher.Redirect):
             self._send_on(now, watcher, question, found.machine)
         elif isinstance(found, publisher.SendUpdate):
-            orders = self._nodes.fresh_orders(now, node, region, anew)
+            orders = self._nodes.changed_assignment(now, node, region, anew)
             self._reply(now, watcher, question, listform.encode(found.update, orders), orders)
         else:
             self._put_off(now, watcher, question, found, anew)
@@ -176,25 +176,25 @@
         self,
         now: int,
         watcher: Watcher,
-        question: Question,
+        question: PollRequest,
         found: publisher.RetryAfter | publisher.Wait,
         anew: bool,
     ) -> None:
         """There is nothing to send yet: orders alone, or a pause, or a wait."""
-        orders = self._nodes.fresh_orders(now, question.node, question.region, anew)
+        orders = self._nodes.changed_assignment(now, question.node, question.region, anew)
         if isinstance(found, publisher.RetryAfter):
             pause = max(found.delay // MS, 1)
-            body = listform.nothing(question.position, pause_ms=pause)
+            body = listform.encode_empty(question.position, pause_ms=pause)
             self._reply(now, watcher, question, body, None, found.delay)
         elif orders is not None:
-            body = listform.orders_only(question.position, orders)
+            body = listform.encode_assignment(question.position, orders)
             self._reply(now, watcher, question, body, orders)
         elif question.until <= now:
-            self._reply(now, watcher, question, listform.nothing(question.position), None)
+            self._reply(now, watcher, question, listform.encode_empty(question.position), None)
         else:
             self._keep(now, watcher, question, found.until)
 
-    def _keep(self, now: int, watcher: Watcher, question: Question, until: int | None) -> None:
+    def _keep(self, now: int, watcher: Watcher, question: PollRequest, until: int | None) -> None:
         due = question.until if until is None else min(question.until, until)
         loop = asyncio.get_running_loop()
         question.timer = loop.call_later(max(due - now, 0) / SECOND, self._expired, watcher)
@@ -204,7 +204,7 @@
     def _expired(self, watcher: Watcher) -> None:
         self._again(time.monotonic_ns(), watcher)
 
-    def _leave(self, watcher: Watcher) -> Question | None:
+    def _leave(self, watcher: Watcher) -> PollRequest | None:
         """The question no longer waits."""
         question = self._waiting.pop(watcher, None)
         if question is None:
@@ -216,24 +216,24 @@
             del self._by_key[key]
         return question
 
-    def _send_on(self, now: int, watcher: Watcher, question: Question, machine: str) -> None:
+    def _send_on(self, now: int, watcher: Watcher, question: PollRequest, machine: str) -> None:
         self.counts["sent elsewhere"] += 1
         more: dict[str, Any] = {"elsewhere": machine, "address": str(self._addresses[machine])}
-        body = listform.nothing(question.position, **more)
+        body = listform.encode_empty(question.position, **more)
         self._reply(now, watcher, question, body, None, ELSEWHERE_PAUSE)
 
     def _reply(
         self,
         now: int,
         watcher: Watcher,
-        question: Question,
+        question: PollRequest,
         body: bytes,
-        orders: listform.Orders | None,
+        orders: listform.NodeAssignment | None,
         pause: int = 0,
     ) -> None:
-        self._nodes.on_answered(now, question.node, pause)
+        self._nodes.on_response(now, question.node, pause)
         if orders is not None:
-            self._nodes.on_told(question.node, question.region, orders)
+            self._nodes.on_assignment_sent(question.node, question.region, orders)
         self.counts["answers"] += 1
         self.counts["bytes"] += len(body)
         watcher.reply(200, body)
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from loadbalancer.control.machine.file import ScaleFile
-from loadbalancer.control.machine.list_form import Orders
+from loadbalancer.control.machine.list_form import NodeAssignment
 from loadbalancer.control.machine.messages import NodeReport, Reports
 from loadbalancer.core.assignment.assignment import Assigner
 from loadbalancer.core.assignment.handover import Handover
@@ -29,7 +29,7 @@
 RELEASE_RULES = ReleaseRules(lease_duration=2500 * MS, max_pause=2500 * MS)
 
 
-class Nodes:
+class NodeRegistry:
     """All registered nodes, as one control machine sees them."""
 
     def __init__(self, file: ScaleFile, now: int, releases: ReleaseAuthority | None = None) -> None:
@@ -53,46 +53,48 @@
         self._due: dict[str, int] = {}  # nodes that ask here, and until when they have to again
         self._reports: dict[str, tuple[str, ...]] = {}  # of the nodes that ask here
         self._news: dict[str, tuple[str, ...]] = {}  # of them, to be passed on
-        self._told: dict[tuple[str, str], Orders] = {}  # by node and region
+        self._told: dict[tuple[str, str], NodeAssignment] = {}  # by node and region
 
     # ---- orders ---------------------------------------------------------
 
-    def knows(self, node: str) -> bool:
+    def is_registered(self, node: str) -> bool:
         """Whether it is registered."""
         return node in self.assigner.nodes
 
-    def services(self, node: str, region: str) -> frozenset[str]:
+    def services_in_region(self, node: str, region: str) -> frozenset[str]:
         """What it is to hold of this region."""
         wanted = self.handover.wanted(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
-    def orders(self, now: int, node: str) -> Orders:
+    def assignment_for(self, now: int, node: str) -> NodeAssignment:
         """What it is to hold and may release."""
         wanted = {name: self.regions[name] for name in self.handover.wanted(node)}
         releasable = self.releases.releasable(now, node) if self.releases else frozenset[str]()
-        return Orders(wanted, releasable, self.handover.generation)
+        return NodeAssignment(wanted, releasable, self.handover.generation)
 
-    def fresh_orders(self, now: int, node: str, region: str, anew: bool = False) -> Orders | None:
+    def changed_assignment(
+        self, now: int, node: str, region: str, anew: bool = False
+    ) -> NodeAssignment | None:
         """Its orders where they differ from what it was told; `anew`: whatever it was told."""
-        orders = self.orders(now, node)
+        orders = self.assignment_for(now, node)
         told = self._told.get((node, region))
         if not anew and told is not None and _same(told, orders):
             return None
         return orders
 
-    def on_told(self, node: str, region: str, orders: Orders) -> None:
+    def on_assignment_sent(self, node: str, region: str, orders: NodeAssignment) -> None:
         """These orders have gone out."""
         self._told[node, region] = orders
 
     # ---- what nodes say --------------------------------------------------
 
-    def on_asked(self, now: int, node: str) -> None:
+    def on_poll(self, now: int, node: str) -> None:
         """It asks here."""
-        self._due[node] = now + 3600 * SECOND  # it waits for an answer: `on_answered` says more
+        self._due[node] = now + 3600 * SECOND  # it waits for an answer: `on_response` says more
         self.presence.on_present(node)
         self.liveness.on_heartbeat(now, node)
 
-    def on_answered(self, now: int, node: str, pause: int = 0) -> None:
+    def on_response(self, now: int, node: str, pause: int = 0) -> None:
         """Its question has been answered, or its connection is gone: it has to ask again."""
         self._due[node] = now + pause + ABSENT
 
@@ -109,17 +111,17 @@
     def on_reports(self, reports: Iterable[NodeReport]) -> None:
         """What nodes have told another machine."""
         for report in reports:
-            if self.knows(report.node):
+            if self.is_registered(report.node):
                 named = [name for name in report.serving if name in self.regions]
                 self.handover.on_report(report.node, named)
                 self.changed = True
 
-    def whole(self, send: Callable[[object], None]) -> None:
+    def send_full_state(self, send: Callable[[object], None]) -> None:
         """Tell a machine that has just come up all that others have been told."""
         send(self.presence.complete_update())
         _send_reports(send, self._reports)
 
-    def pass_on(self, send: Callable[[object], None]) -> None:
+    def send_changes(self, send: Callable[[object], None]) -> None:
         """Tell the machines that are up what is new."""
         send(self.presence.next_update())
         _send_reports(send, self._news)
@@ -131,7 +133,7 @@
 
     # ---- releases ----------------------------------------------------------
 
-    def turn_releases(self, now: int, epoch: int | None) -> ReleaseGrant | None:
+    def advance_releases(self, now: int, epoch: int | None) -> ReleaseGrant | None:
         """Once a second: the grant to send where this machine leads its region, in `epoch`."""
         if self.releases is None:
             return None
@@ -204,7 +206,7 @@
         self.changed = True
 
 
-def _same(told: Orders, orders: Orders) -> bool:
+def _same(told: NodeAssignment, orders: NodeAssignment) -> bool:
     return told.wanted == orders.wanted and told.releasable == orders.releasable
 
 
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -16,7 +16,7 @@
 
 from loadbalancer.config.node import Address, parse_address
 from loadbalancer.control.machine import list_form as listform
-from loadbalancer.control.machine.list_form import ListFormError, Orders
+from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Update
 from loadbalancer.core.subscription.holder import Holder, UpdateResult, UpdateStatus
@@ -34,14 +34,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskTiming:
+class PollTiming:
     """Seconds."""
 
-    hold: float = 4.0  # how long a machine may keep a question
-    late: float = 0.5  # beyond that it counts as silent
-    connect: float = 1.0
-    retry: float = 0.2  # before another machine is asked, and doubled while all fail
-    longest_retry: float = 2.0
+    hold_s: float = 4.0  # how long a machine may keep a question
+    margin_s: float = 0.5  # beyond that it counts as silent
+    connect_s: float = 1.0
+    retry_s: float = 0.2  # before another machine is asked, and doubled while all fail
+    max_retry_s: float = 2.0
 
 
 @dataclass(slots=True)
@@ -52,9 +52,9 @@
     call: Call | None = None
     timer: asyncio.TimerHandle | None = None
     failures: int = 0  # in a row
-    elsewhere: Address | None = None  # where the last answer sent it
+    redirect: Address | None = None  # where the last answer sent it
     stray_until: float = 0.0  # so long it is answered where it asks, wherever it belongs
-    anew: bool = True  # the machine has sent nothing yet: it can't know what is held
+    first_poll: bool = True  # the machine has sent nothing yet: it can't know what is held
     snapshot: bool = False  # what is held does not follow: ask for the whole
     reported: tuple[int, str] | None = None  # generation and services last told
 
@@ -81,7 +81,7 @@
         machines: Sequence[Address],
         told: Told,
         seed: int,
-        timing: AskTiming | None = None,
+        timing: PollTiming | None = None,
         released: Released | None = None,
     ) -> None:
         self.holder = holder
@@ -91,7 +91,7 @@
         self._told = told
         self._released = released
         self._random = Random(seed)
-        self._timing = timing or AskTiming()
+        self._timing = timing or PollTiming()
         self._regions = {region: _Region(0) for region in regions}
 
     def start(self) -> None:
@@ -115,7 +115,7 @@
         state = self._regions[region]
         state.timer = None
         target = self._target(region, state)
-        address = state.elsewhere or self._machines[state.machine]
+        address = state.redirect or self._machines[state.machine]
         timing = self._timing
         self.counts.sent += HEAD_BYTES + len(target) + len(str(address))
         self.counts.events["questions"] += 1
@@ -124,20 +124,20 @@
             self._answered(region, answer)
 
         state.call = Call(
-            address, target, timing.hold + timing.late, answered, connect=timing.connect
+            address, target, timing.hold_s + timing.margin_s, answered, connect=timing.connect_s
         )
 
     def _target(self, region: str, state: _Region) -> str:
         position = START if state.snapshot else self.holder.position(region)
         parts = [
             f"{LIST}?from={version_of(position)}",
-            f"hold_ms={int(self._timing.hold * 1000)}",
+            f"hold_ms={int(self._timing.hold_s * 1000)}",
             f"node={quote(self.holder.name)}",
             f"region={quote(region)}",
         ]
         current = self.holder.current(region)
         behind = current != self.holder.subscription(region)
-        if (state.anew or behind) and position != START:
+        if (state.first_poll or behind) and position != START:
             parts.append(f"held={_names(current) or ','}")
         report = (self.generation, _names(self.holder.serving()))
         if state.reported != report:
@@ -173,21 +173,21 @@
         self.counts.events[why] += 1
         timing = self._timing
         state.machine = (state.machine + 1) % len(self._machines)
-        state.elsewhere = None
+        state.redirect = None
         # The next may not know yet that this one is lost, and would send it back.
         state.stray_until = time.monotonic() + STRAY_S
-        state.anew, state.reported = True, None
-        pause = min(timing.retry * 2 ** min(state.failures, 8), timing.longest_retry)
+        state.first_poll, state.reported = True, None
+        pause = min(timing.retry_s * 2 ** min(state.failures, 8), timing.max_retry_s)
         state.failures += 1
         self._later(region, pause * self._random.uniform(0.5, 1.0))
 
-    def _take(self, region: str, state: _Region, found: listform.Answer) -> None:
+    def _take(self, region: str, state: _Region, found: listform.PollResponse) -> None:
         state.failures = 0
-        if found.address:
-            self._move(region, state, parse_address(found.address))
+        if found.redirect_address:
+            self._move(region, state, parse_address(found.redirect_address))
             return
-        if found.orders is not None:
-            self._take_orders(found.orders)
+        if found.assignment is not None:
+            self._take_orders(found.assignment)
         if found.update is not None:
             self._take_update(region, state, found.update)
         else:
@@ -203,15 +203,15 @@
     def _move(self, region: str, state: _Region, address: Address) -> None:
         """To the machine that it was told; two that send it to and fro cost a pause."""
         self.counts.events["moved"] += 1
-        again = state.elsewhere is not None
-        state.elsewhere = address
+        again = state.redirect is not None
+        state.redirect = address
         state.stray_until = time.monotonic() + STRAY_S
         if address in self._machines:
             state.machine = self._machines.index(address)
-        state.anew, state.reported = True, None
-        self._later(region, self._timing.retry if again else 0.0)
+        state.first_poll, state.reported = True, None
+        self._later(region, self._timing.retry_s if again else 0.0)
 
-    def _take_orders(self, orders: Orders) -> None:
+    def _take_orders(self, orders: NodeAssignment) -> None:
         self.generation = orders.generation
         over = self.holder.on_wanted(time.monotonic_ns(), orders.wanted, orders.releasable)
         if over:
@@ -224,7 +224,7 @@
             )
         taken = self.holder.on_update(time.monotonic_ns(), update)
         self.counts.events[taken.status.name.lower()] += 1
-        state.anew = False
+        state.first_poll = False
         state.snapshot = taken.status in (UpdateStatus.GAP, UpdateStatus.MALFORMED)
         self._told(update, taken)
 
--- a/loadbalancer/control/machine/version.py
+++ b/loadbalancer/control/machine/version.py
@@ -10,24 +10,24 @@
 from loadbalancer.core.assignment.model import InvalidInputError, Position
 
 REVISION_BITS = 40  # a thousand changes a second for 34 years
-MOST_REVISION = (1 << REVISION_BITS) - 1
-MOST_EPOCH = (1 << 19) - 1  # packed they stay under 10**18: 18 digits
-MOST_VERSION = MOST_EPOCH << REVISION_BITS | MOST_REVISION
+MAX_REVISION = (1 << REVISION_BITS) - 1
+MAX_EPOCH = (1 << 19) - 1  # packed they stay under 10**18: 18 digits
+MAX_VERSION = MAX_EPOCH << REVISION_BITS | MAX_REVISION
 
 
 def version_of(position: Position) -> int:
     """The position as one integer; InvalidInputError where a part is out of range."""
     epoch, revision = position
-    if not 0 <= epoch <= MOST_EPOCH or not 0 <= revision <= MOST_REVISION:
+    if not 0 <= epoch <= MAX_EPOCH or not 0 <= revision <= MAX_REVISION:
         raise InvalidInputError(
             f"position: [range] epoch {epoch}, revision {revision}; "
-            f"write 0 to {MOST_EPOCH} and 0 to {MOST_REVISION}"
+            f"write 0 to {MAX_EPOCH} and 0 to {MAX_REVISION}"
         )
     return epoch << REVISION_BITS | revision
 
 
 def position_of(version: int) -> Position:
     """The position that a version means; InvalidInputError where none has it."""
-    if not 0 <= version <= MOST_VERSION:
-        raise InvalidInputError(f"version: [range] {version}; write 0 to {MOST_VERSION}")
-    return Position(version >> REVISION_BITS, version & MOST_REVISION)
+    if not 0 <= version <= MAX_VERSION:
+        raise InvalidInputError(f"version: [range] {version}; write 0 to {MAX_VERSION}")
+    return Position(version >> REVISION_BITS, version & MAX_REVISION)
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -18,8 +18,8 @@
 from loadbalancer.config.node import Address
 from loadbalancer.control.machine import machine
 from loadbalancer.control.machine.file import MOST_NAME, read_scale
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber
-from loadbalancer.control.machine.version import MOST_VERSION, version_of
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber
+from loadbalancer.control.machine.version import MAX_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
@@ -47,7 +47,7 @@
         self.told: list[tuple[Update, UpdateResult]] = []
         order = [first, *(other for other in NAMES if other != first)]
         machines = [region.address(one, "subscribers") for one in order]
-        timing = AskTiming(hold=0.5, late=0.3, connect=0.3, retry=0.02, longest_retry=0.1)
+        timing = PollTiming(hold_s=0.5, margin_s=0.3, connect_s=0.3, retry_s=0.02, max_retry_s=0.1)
         self.subscriber = Subscriber(
             self.holder, ["east"], machines, lambda *one: self.told.append(one), 1, timing
         )
@@ -162,7 +162,7 @@
         ("node=nobody&region=east&from=0", "node: [unknown node] no node 'nobody'"),
         ("region=east&from=0", "node: [unknown node] no node ''"),
         ("node=n1&region=moon&from=0", "region: [unknown region] 'moon'"),
-        (f"node=n1&region=east&from={MOST_VERSION + 1}", "version: [range]"),
+        (f"node=n1&region=east&from={MAX_VERSION + 1}", "version: [range]"),
         (f"node=n1&region=east&from={version_of(Position(5, 0))}", "version: [nonsense position]"),
         (f"node=n1&region=east&from={version_of(Position(0, 5))}", "version: [nonsense position]"),
         ("node=n1&region=east&from=-1", "from and hold_ms are whole numbers"),
@@ -230,7 +230,7 @@
     assert status == 200 and found["all"] is False and found["rev"] > since
     assert {row["uid"]: row["state"] for row in found["targets"]} == {"c5": "left", "c6": "active"}
     assert call(address, "GET", f"/registry/instances?from={found['rev'] + 1}")[0] == 503
-    assert call(address, "GET", f"/registry/instances?from={MOST_VERSION + 1}")[0] == 400
+    assert call(address, "GET", f"/registry/instances?from={MAX_VERSION + 1}")[0] == 400
 
 
 @pytest.mark.parametrize(
@@ -346,10 +346,10 @@
     holder = Holder("n2", ["east"], HolderLimits())
     told: list[Update] = []
     machines = [silent, region.address(belongs(region, "n2"), "subscribers")]
-    timing = AskTiming(hold=0.1, late=0.1, connect=0.3, retry=0.02)
+    timing = PollTiming(hold_s=0.1, margin_s=0.1, connect_s=0.3, retry_s=0.02)
     subscriber = Subscriber(holder, ["east"], machines, lambda u, _: told.append(u), 1, timing)
     if sent_there:  # as another machine has told it
-        subscriber._regions["east"].elsewhere = silent
+        subscriber._regions["east"].redirect = silent
     region.do(subscriber.start)
     until(lambda: bool(told))
     assert region.do(lambda: subscriber.counts.events["silent"]) == 1
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -11,9 +11,9 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.codec import BadMessageError
 from loadbalancer.control.machine.file import read_scale
-from loadbalancer.control.machine.list_form import ListFormError, Orders, decode, encode
+from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment, decode, encode
 from loadbalancer.control.machine.messages import NodeReport, Reports, codec
-from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
+from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import (
     Change,
@@ -55,14 +55,14 @@
 
 @pytest.mark.parametrize("update", UPDATES)
 def test_an_update_comes_back_from_the_lists_form(update: Update) -> None:
-    orders = Orders({"cart": "east", "far": "west"}, frozenset({"old"}), 4)
+    orders = NodeAssignment({"cart": "east", "far": "west"}, frozenset({"old"}), 4)
     body = encode(update, orders)
     raw = json.loads(body)
     assert raw["rev"] == version_of(LATER) and raw["all"] is isinstance(update, Snapshot)
     assert {one["uid"] for one in raw["targets"]} <= {"a", "b", "c", "d"}
     found = decode(body, 10)
-    assert (found.update, found.orders, found.position) == (update, orders, LATER)
-    assert decode(encode(update, None), 10).orders is None
+    assert (found.update, found.assignment, found.position) == (update, orders, LATER)
+    assert decode(encode(update, None), 10).assignment is None
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
 
 
 def test_losses_that_follow_one_another_move_services_once(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
     east = Presence(("n1", "n2"))
     east.on_present("n1")
     east.on_present("n2")
@@ -154,7 +154,7 @@
 
 
 def test_a_machine_that_stood_still_or_is_cut_off_holds_no_node_for_dead(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
     both = ("n1", "n2")
     others = [Presence(both), Presence(both)]
     others[0].on_present("n1")
@@ -186,7 +186,7 @@
 
 
 def test_nodes_have_time_to_ask_for_the_first_time_and_none_after(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
 
     def turn(second: int) -> None:
         for name in ("east-b", "east-c"):
@@ -195,9 +195,9 @@
 
     for name in ("east-b", "east-c"):
         nodes.presence.on_machine_heartbeat(0, name)
-    nodes.on_asked(SECOND, "n1")
+    nodes.on_poll(SECOND, "n1")
     turn(2)
-    nodes.on_answered(2 * SECOND, "n1")
+    nodes.on_response(2 * SECOND, "n1")
     for second in range(3, 15):
         turn(second)
     assert nodes.liveness.alive == {"n2"}, "one that was heard and is no more"
@@ -210,13 +210,13 @@
     file = read_scale(str(write_file(tmp_path)))
     specs = [one.spec for one in file.machines]
     releases = ReleaseAuthority(0, specs[0], specs, {"cart": "east"}, RELEASE_RULES)
-    nodes = Nodes(file, 0, releases)
+    nodes = NodeRegistry(file, 0, releases)
     nodes.changed = False
     grant = ReleaseGrant("east", 1, (NodeRelease("n1", ("cart",)),))
     assert releases.on_grant(0, "east-b", grant)
     changed = []
     for second in range(1, 5):
-        assert nodes.turn_releases(second * SECOND, None) is None
+        assert nodes.advance_releases(second * SECOND, None) is None
         changed.append(nodes.changed)
         nodes.changed = False
     assert changed == [True, False, True, False]
--- a/tests/control/machine/test_version.py
+++ b/tests/control/machine/test_version.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from loadbalancer.control.machine.version import (
-    MOST_EPOCH,
-    MOST_REVISION,
-    MOST_VERSION,
+    MAX_EPOCH,
+    MAX_REVISION,
+    MAX_VERSION,
     position_of,
     version_of,
 )
@@ -18,8 +18,8 @@
 
 POSITIONS = st.builds(
     Position,
-    st.integers(0, MOST_EPOCH),
-    st.integers(0, MOST_REVISION),
+    st.integers(0, MAX_EPOCH),
+    st.integers(0, MAX_REVISION),
 )
 
 
@@ -31,19 +31,19 @@
 
 def test_every_version_passes_as_a_list_version() -> None:
     assert version_of(START) == 0
-    most = version_of(Position(MOST_EPOCH, MOST_REVISION))
-    assert most == MOST_VERSION
+    most = version_of(Position(MAX_EPOCH, MAX_REVISION))
+    assert most == MAX_VERSION
     assert whole_number(str(most)) == most
 
 
-@pytest.mark.parametrize("version", [-1, MOST_VERSION + 1])
+@pytest.mark.parametrize("version", [-1, MAX_VERSION + 1])
 def test_a_version_out_of_range_is_refused(version: int) -> None:
     with pytest.raises(InvalidInputError, match=r"^version: \[range\]"):
         position_of(version)
 
 
 @pytest.mark.parametrize(
-    "position", [Position(MOST_EPOCH + 1, 0), Position(0, MOST_REVISION + 1), Position(-1, 0)]
+    "position", [Position(MAX_EPOCH + 1, 0), Position(0, MAX_REVISION + 1), Position(-1, 0)]
 )
 def test_a_position_out_of_range_is_refused(position: Position) -> None:
     with pytest.raises(InvalidInputError, match=r"^position: \[range\]"):
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -27,10 +27,10 @@
 from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.messages import NodeReport, PresenceWanted, Reports, codec
-from loadbalancer.control.machine.node_requests import Questions, Subscription
+from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import Call, Calls
 from loadbalancer.control.machine.stream import Hello, Streams, _Incoming
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, _Region
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encode import Encoder, stub_cluster
 from loadbalancer.control.xds.server import _read_delta, _read_whole
@@ -272,10 +272,10 @@
     return {"form": "whole", "region": update.region, "position": position, "services": held}
 
 
-def _orders(plain: Any) -> listform.Orders | None:
+def _orders(plain: Any) -> listform.NodeAssignment | None:
     if plain is None:
         return None
-    return listform.Orders(
+    return listform.NodeAssignment(
         wanted=plain["wanted"],
         releasable=frozenset(plain["releasable"]),
         generation=plain["generation"],
@@ -287,14 +287,14 @@
     if plain["update"] is not None:
         return listform.encode(_update(plain["update"]), orders)
     if orders is not None:
-        return listform.orders_only(position, orders)
+        return listform.encode_assignment(position, orders)
     more = {key: plain[key] for key in ("elsewhere", "address", "pause_ms") if plain[key]}
-    return listform.nothing(position, **more)
+    return listform.encode_empty(position, **more)
 
 
 def _read_answer(data: bytes) -> Any:
     answer = listform.decode(data, 100)
-    orders = answer.orders
+    orders = answer.assignment
     return {
         "position": _plain("position", answer.position),
         "update": _plain_update(answer.update),
@@ -304,8 +304,8 @@
             "releasable": sorted(orders.releasable),
             "generation": orders.generation,
         },
-        "elsewhere": answer.elsewhere,
-        "address": answer.address,
+        "elsewhere": answer.redirect_machine,
+        "address": answer.redirect_address,
         "pause_ms": answer.pause_ms,
     }
 
@@ -313,7 +313,7 @@
 def _write_plain_list(plain: Any) -> bytes:
     rows = [_built("row", row) for row in plain["rows"]]
     version = version_of(_built("position", plain["position"]))
-    return listform.plain_list(version, plain["whole"], rows, plain["gone"])
+    return listform.encode_plain_list(version, plain["whole"], rows, plain["gone"])
 
 
 # ---- questions of nodes ------------------------------------------------------
@@ -328,10 +328,10 @@
         subscription=lambda _: held,
         serving=lambda: serving,
     )
-    timing = AskTiming(hold=plain["hold_ms"] / 1000)
+    timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
     asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
     asker.generation = plain["generation"]
-    state = _Region(0, anew=plain["held"] is not None)
+    state = _Region(0, first_poll=plain["held"] is not None)
     state.stray_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
         state.reported = (asker.generation, "")
@@ -350,12 +350,12 @@
     host: Any = mock.Mock(most_watchers=1, connections=0)
     host.waits.return_value = False
     host.asked = lambda _, *rest: asked.append(rest)
-    connection = Subscription(host)
+    connection = SubscriberConnection(host)
     connection.data_received(data)
     ((since, hold, query),) = asked
     nodes: Any = mock.Mock()
     nodes.on_report.return_value = None
-    questions = Questions(nodes, mock.Mock(), mock.Mock(), {}, 1)
+    questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
     question = questions._question(0, since, hold, query)
     questions._heard(0, question, query)
     report = nodes.on_report.call_args
@@ -373,7 +373,7 @@
 
 def _write_http_answer(plain: Any) -> bytes:
     sent: list[bytes] = []
-    connection = Subscription(mock.Mock(most_watchers=1, connections=0))
+    connection = SubscriberConnection(mock.Mock(most_watchers=1, connections=0))
     transport: Any = mock.Mock(write=sent.append)
     transport.is_closing.return_value = False
     transport.get_write_buffer_size.return_value = 0
