--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -18,8 +18,8 @@
 from loadbalancer.config.toml_file import Key
 from loadbalancer.config.toml_section import Section
 from loadbalancer.control.machine import file_tables as tables
-from loadbalancer.core.assignment.assignment import AssignmentRules
 from loadbalancer.core.assignment.model import MachineSpec, NodeSpec, ServiceSpec
+from loadbalancer.core.assignment.rules import AssignmentRules
 from loadbalancer.core.errors import ConfigurationError
 from loadbalancer.core.routes.faults import Fault
 
@@ -117,7 +117,7 @@
     """The decoded file, or its faults in the file's order."""
     top = section.top_of(raw, lines, folder, KEYS[""])
     regions = _regions(top)
-    seed = tables.whole_number(top, "seed", 0, 0, MAX_SEED)
+    seed = tables.integer(top, "seed", 0, 0, MAX_SEED)
     plain_network = top.raw.get("plain_network", False)
     if not isinstance(plain_network, bool):
         top.fault("plain_network", "bad-value", "plain_network is no boolean", "write true")
@@ -176,10 +176,10 @@
     table = tables.sub_table(top, "limits", KEYS["limits"])
     default = Limits()
     return Limits(
-        tables.whole_number(table, "subscribers", default.subscribers, 1, 100_000),
-        tables.whole_number(table, "change_bytes", default.change_bytes, 1024, 16 << 20),
-        tables.whole_number(table, "backlog", default.backlog, 1 << 20, 1 << 30),
-        tables.whole_number(table, "snapshot_rate", default.snapshot_rate, 1024, 1 << 30),
+        tables.integer(table, "subscribers", default.subscribers, 1, 100_000),
+        tables.integer(table, "change_bytes", default.change_bytes, 1024, 16 << 20),
+        tables.integer(table, "backlog", default.backlog, 1 << 20, 1 << 30),
+        tables.integer(table, "snapshot_rate", default.snapshot_rate, 1024, 1 << 30),
     )
 
 
@@ -193,8 +193,8 @@
         table.fault("node_rate", "bad-value", "node_rate is 0", "write over 0 a second")
         node_rate = default.node_rate
     return AssignmentRules(
-        tables.whole_number(table, "least_per_zone", default.min_per_zone, 1, MAX_PER_ZONE),
-        tables.whole_number(table, "most_sharers", default.max_sharers, 1, MAX_SHARERS),
+        tables.integer(table, "least_per_zone", default.min_per_zone, 1, MAX_PER_ZONE),
+        tables.integer(table, "most_sharers", default.max_sharers, 1, MAX_SHARERS),
         node_rate,
     )
 
@@ -220,7 +220,7 @@
         """One [[node]], or a line of `nodes_file`."""
         name = self._name(table, "node")
         region, zone = self._place(table)
-        capacity = tables.whole_number(table, "capacity", DEFAULT_CAPACITY, 1, MAX_CAPACITY)
+        capacity = tables.integer(table, "capacity", DEFAULT_CAPACITY, 1, MAX_CAPACITY)
         return NodeSpec(name, region, zone, capacity, tables.rate(table, "rate"))
 
     def service(self, table: Section) -> ServiceSpec:
@@ -237,7 +237,7 @@
             if zone not in all_zones:
                 right = tables.nearest(zone, all_zones)
                 table.fault("zones", "unknown-zone", f"no zone {zone!r}", right)
-        backends = tables.whole_number(table, "backends", 0, 0, MAX_BACKENDS)
+        backends = tables.integer(table, "backends", 0, 0, MAX_BACKENDS)
         return ServiceSpec(name, region, tuple(zones), tables.rate(table, "rate"), backends)
 
     def bound(self, table: Section) -> Bound:
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -29,7 +29,7 @@
     return isinstance(value, list) and all(isinstance(name, str) and name for name in value)
 
 
-def whole_number(table: Section, key: str, default: int, minimum: int, maximum: int) -> int:
+def integer(table: Section, key: str, default: int, minimum: int, maximum: int) -> int:
     """An integer within these bounds."""
     value = table.raw.get(key, default)
     if type(value) is int and minimum <= value <= maximum:
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -24,8 +24,8 @@
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.log_loader import LogLoader
 from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
-from loadbalancer.control.machine.node_requests import Questions, Subscription
-from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
+from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
+from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost, Reply
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
@@ -83,8 +83,8 @@
         self.publisher.on_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
-        self.nodes = Nodes(file, now, self.releases)
-        self.node_requests = Questions(
+        self.nodes = NodeRegistry(file, now, self.releases)
+        self.node_requests = NodeRequests(
             self.nodes,
             self.publisher,
             self.replica,
@@ -147,7 +147,9 @@
     def _listeners(self) -> Iterator[_Listener]:
         operators = OperatorHost(self, self.file.limits.change_bytes)
         yield _Listener(
-            lambda: Subscription(self.node_requests), self.machine.subscribers, ACCEPT_BACKLOG
+            lambda: SubscriberConnection(self.node_requests),
+            self.machine.subscribers,
+            ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
         for one in self.bound:
@@ -172,19 +174,19 @@
         now = time.monotonic_ns()
         if self.nodes.on_time(now):
             self.counts["assignments"] += 1
-        self.nodes.pass_on(self.streams.send_all)
+        self.nodes.send_changes(self.streams.send_all)
         live = self.live_machines(now)
         if live != self._live_machines:
             self._live_machines = live
             logger.info("control machines alive: %s", ", ".join(sorted(live)))
-            self.node_requests.answer_keys(self.publisher.on_living(live))
+            self.node_requests.wake_keys(self.publisher.on_living(live))
         leads = self.replica.role is Role.LEADER
-        grant = self.nodes.turn_releases(now, self.replica.current_term if leads else None)
+        grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
         if self.nodes.changed:
             self.nodes.changed = False
-            self.node_requests.tell_orders()
+            self.node_requests.push_assignments()
 
     def live_machines(self, now: int) -> frozenset[str]:
         """The names of the machines that were heard lately, this one included."""
@@ -194,7 +196,7 @@
 
     def _on_connected(self, machine: str) -> None:
         """A stream to another machine is up: it may have missed everything until now."""
-        self.nodes.whole(lambda message: self.streams.send(machine, message))
+        self.nodes.send_full_state(lambda message: self.streams.send(machine, message))
 
     def _on_message(self, sender: str, message: Any) -> None:
         now = time.monotonic_ns()
@@ -218,12 +220,12 @@
     def _carry_out(self) -> None:
         """Publish what the replica has committed, and send its messages."""
         for region in self.replica.restored():
-            self.node_requests.answer_again(region, self.publisher.on_restored(region))
+            self.node_requests.wake(region, self.publisher.on_restored(region))
             self._update_bound(region, "")
         for region, change in self.replica.committed():
             self.submissions.on_committed(region, change)
             if change.service:
-                self.node_requests.answer_again(region, self.publisher.on_change(region, change))
+                self.node_requests.wake(region, self.publisher.on_change(region, change))
                 self._update_bound(region, change.service)
         for recipient, message in self.replica.outgoing():
             self.streams.send(recipient, message)
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -17,8 +17,8 @@
 
 STATM = Path("/proc/self/statm")  # its second figure is the resident size in pages
 
-# The roles in the words of GET /status, which name the state before an election once.
-ROLE_WORDS = {
+# The roles by their names on GET /status, which has one name for both kinds of candidate.
+ROLE_NAMES = {
     Role.RECOVERING: "empty",
     Role.FOLLOWER: "follower",
     Role.PRE_CANDIDATE: "candidate",
@@ -33,7 +33,7 @@
     return {
         "machine": machine.machine.spec.name,
         "region": machine.machine.spec.region,
-        "role": ROLE_WORDS[replica.role],
+        "role": ROLE_NAMES[replica.role],
         "epoch": replica.current_term,
         "leader": replica.leader,
         "needs_load": replica.needs_load(),
@@ -42,7 +42,7 @@
         "nodes": _nodes(machine),
         "questions": {
             "connections": machine.node_requests.connections,
-            "waiting": machine.node_requests.waiting(),
+            "waiting": machine.node_requests.waiting_count(),
         },
         "assignment": _assignment(machine),
         "memory_bytes": resident_bytes(),
