--- a/loadbalancer/core/assignment/reassignment.py
+++ b/loadbalancer/core/assignment/reassignment.py
@@ -74,8 +74,8 @@
         """The holders in one of the service's own zones, which had those of `before`."""
         holders = [name for name in before if name in self._living]
         missing = len(before) - len(holders)
-        all_held_it = len(before) == len(self._base.zones[zone].nodes)
-        if not missing or all_held_it or zone in self._lost_zones:
+        on_all_nodes = len(before) == len(self._base.zones[zone].nodes)
+        if not missing or on_all_nodes or zone in self._lost_zones:
             return tuple(holders)
         rate = self._base.demands[service].rate[zone]
         holders += self._substitutes[zone].choose(service, missing, rate, frozenset(before))
--- a/tests/scalemachines.py
+++ b/tests/scalemachines.py
@@ -13,7 +13,7 @@
 from typing import Any, TypeVar
 
 from benchmarks.scale.fleet import call
-from loadbalancer.config.node import Address
+from loadbalancer.config.address import Address
 from loadbalancer.control.machine.file import ScaleFile, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.balancing.model import MS
@@ -23,12 +23,12 @@
 T = TypeVar("T")
 # As in service, but so short that a test need not wait for it.
 TIMING = Timing(
-    heartbeat=20 * MS,
-    election=150 * MS,
-    patience=200 * MS,
-    hold=50 * MS,
-    reload_wait=100 * MS,
-    missing_wait=200 * MS,
+    heartbeat_interval_ns=20 * MS,
+    election_timeout_ns=150 * MS,
+    fetch_timeout_ns=200 * MS,
+    fetch_hold_ns=50 * MS,
+    reload_wait_ns=100 * MS,
+    unreachable_wait_ns=200 * MS,
 )
 NAMES = ("east-a", "east-b", "east-c")
 
