--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -237,12 +237,12 @@
     times: list[float] = []
     for i in range(drains_of):
         began = w.now
-        w.nodes[0].listed(w.clock(0), 2 + i, [(i, 0, State.DRAINING)], False)
+        w.nodes[0].on_local_list(w.clock(0), 2 + i, [(i, 0, State.DRAINING)], False)
         w._arm(0, w.now + 1)
         left = set(range(1, nodes))
         while left and w.now < began + 20 * SECOND:
             w.run(w.now + SECOND // 200)
-            knew = {n for n in left if w.nodes[n].over(i, 0, State.READY) != State.READY}
+            knew = {n for n in left if w.nodes[n].effective_state(i, 0, State.READY) != State.READY}
             times += [(w.now - began) / SECOND] * len(knew)
             left -= knew
     began = w.now
@@ -251,14 +251,14 @@
     left = set(w.nodes)
     while left and w.now < began + 60 * SECOND:
         w.run(w.now + SECOND // 50)
-        knew = {n for n in left if not w.nodes[n].members.living(nodes // 2)}
+        knew = {n for n in left if not w.nodes[n].members.is_alive(nodes // 2)}
         deaths += [(w.now - began) / SECOND] * len(knew)
         left -= knew
     return {
         "nodes": nodes, "servers": servers, "loss": loss, "drain_s": quantiles(times),
         "death_s": quantiles(deaths), "words_s": spread(words, 1),
         "held_for_dead_in_error": sum(
-            not f.members.living(n) for f in w.nodes.values() for n in w.nodes
+            not f.members.is_alive(n) for f in w.nodes.values() for n in w.nodes
         ),
     }  # fmt: skip
 
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -13,8 +13,8 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.list_versions import NOTHING, Version, version_of
-from loadbalancer.core.gossip.messages import How, Reading, mark
-from loadbalancer.core.gossip.records import RULES, Held, joined
+from loadbalancer.core.gossip.messages import ReaderRecord, ReaderState, record_checksum
+from loadbalancer.core.gossip.records import MERGE_RULES, StoredRecord, join
 
 FAILED_FOR = 5 * SECOND  # who was turned away stands behind the others
 PAUSE = 250 * MS  # after a failure, for the fleet; doubled with each node that has failed
@@ -38,7 +38,7 @@
         self.count = count
         order = sorted(range(nodes), key=rank)
         self._order, self._ahead = order, order[: order.index(me)]
-        self.held: dict[int, Held[Reading]] = {}  # each born when the service said so
+        self.held: dict[int, StoredRecord[ReaderRecord]] = {}  # each born when the service said so
         self._began = now
         self._number = 0
         self._distrusted: dict[int, int] = {}
@@ -46,39 +46,39 @@
 
     # ---- words ---------------------------------------------------------------
 
-    def say(self, now: int, incarnation: int, how: How, version: Version) -> None:
+    def say(self, now: int, incarnation: int, how: ReaderState, version: Version) -> None:
         """This node's own word on how its reading stands."""
         self._number += 1
-        word = Reading(self.me, incarnation, self._number, how, *version, 0)
-        self.held[self.me] = Held(word, now)
+        word = ReaderRecord(self.me, incarnation, self._number, how, *version, 0)
+        self.held[self.me] = StoredRecord(word, now)
 
-    def merge(self, now: int, reading: Reading) -> bool:
+    def merge(self, now: int, reading: ReaderRecord) -> bool:
         """Take in another's word: its writer's later one wins, and only its writer's."""
-        if reading.node == self.me or reading.age >= RULES[Reading].counts:
+        if reading.node == self.me or reading.age >= MERGE_RULES[ReaderRecord].ttl_ns:
             return False
-        self.held[reading.node], news = joined(self.held.get(reading.node), now, reading)
+        self.held[reading.node], news = join(self.held.get(reading.node), now, reading)
         if news:
             self._absent.pop(reading.node, None)
         return news
 
-    def get(self, now: int, node: int) -> Reading | None:
+    def get(self, now: int, node: int) -> ReaderRecord | None:
         """A word with its age as of now."""
         held = self.held.get(node)
-        return None if held is None else held.aged(now)
+        return None if held is None else held.with_age(now)
 
-    def all(self, now: int) -> list[Reading]:
-        return [held.aged(now) for held in self.held.values()]
+    def all(self, now: int) -> list[ReaderRecord]:
+        return [held.with_age(now) for held in self.held.values()]
 
     def digest(self) -> int:
         total = 0
         for reading, _ in self.held.values():
-            total ^= mark(reading)
+            total ^= record_checksum(reading)
         return total
 
     def expire(self, now: int) -> None:
         """Forget what is too old to tell anything."""
-        counts = RULES[Reading].counts
-        self.held = {n: h for n, h in self.held.items() if now - h.born < counts}
+        counts = MERGE_RULES[ReaderRecord].ttl_ns
+        self.held = {n: h for n, h in self.held.items() if now - h.written_at < counts}
         self._distrusted = {n: u for n, u in self._distrusted.items() if now < u}
         self._absent = {n: u for n, u in self._absent.items() if now < u}
 
@@ -92,7 +92,7 @@
         failed = {
             n: born
             for n, (word, born) in self.held.items()
-            if word.how == How.FAILED and now - born < FAILED_FOR
+            if word.state == ReaderState.FAILED and now - born < FAILED_FOR
         }
         if failed and not reads:
             pause = min(PAUSE << min(len(failed) - 1, 8), PAUSE_MOST)
@@ -124,19 +124,21 @@
     def _silence(self, now: int) -> int:
         """Since another gave a sign that it reads."""
         signs = [
-            born for n, (word, born) in self.held.items() if n != self.me and word.how != How.FAILED
+            born
+            for n, (word, born) in self.held.items()
+            if n != self.me and word.state != ReaderState.FAILED
         ]
         return now - max(signs, default=self._began)
 
     def _step(self) -> int:
-        read = any(word.how == How.READ for word, _ in self.held.values())
+        read = any(word.state == ReaderState.READ for word, _ in self.held.values())
         return STALE if read else FIRST_STEP
 
     def ahead(self, now: int) -> int:
         """How many readers that gave a sign of late go before this one, where two have news."""
         own = rank(self.me)
         return sum(
-            rank(n) < own and word.how == How.READ and now - born < STALE
+            rank(n) < own and word.state == ReaderState.READ and now - born < STALE
             for n, (word, born) in self.held.items()
         )
 
@@ -157,5 +159,5 @@
         return [
             (version_of(word), n)
             for n, (word, _) in self.held.items()
-            if word.how == How.READ and n not in self._distrusted
+            if word.state == ReaderState.READ and n not in self._distrusted
         ]
--- a/loadbalancer/core/endpoints/list_versions.py
+++ b/loadbalancer/core/endpoints/list_versions.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from loadbalancer.core.endpoints.revisions import Revisions
-from loadbalancer.core.gossip.messages import MOST_NUMBER, Reading
+from loadbalancer.core.gossip.messages import MAX_INTEGER, ReaderRecord
 
 WHOLE = -1  # as a step's base: all rows, whatever there was
 LEAST_WHOLE = 2  # one in so many rows changed: a step is then hardly shorter than the list
@@ -73,8 +73,8 @@
         return Version(self.epoch, self.rev, self.mark)
 
 
-def version_of(reading: Reading) -> Version:
-    return Version(reading.epoch, reading.rev, reading.mark)
+def version_of(reading: ReaderRecord) -> Version:
+    return Version(reading.epoch, reading.rev, reading.checksum)
 
 
 def mark_of(uid: str, row: str) -> int:
@@ -243,7 +243,7 @@
 
     def take(self, now: int, piece: Piece, body: bytes) -> Packed | None | bool:
         """A piece has come: False where it is not new or can't be, the whole once it is there."""
-        if not self.sound(piece, body):
+        if not self.is_valid(piece, body):
             return False
         key = (piece.to, piece.base, piece.check)
         held = self.open.get(key)
@@ -276,7 +276,7 @@
         """What is gathered of versions up to this one is of no more use."""
         self.open = {k: g for k, g in self.open.items() if g.first.to > version}
 
-    def sound(self, piece: Piece, body: bytes) -> bool:
+    def is_valid(self, piece: Piece, body: bytes) -> bool:
         """Whether its figures can be."""
         return (
             0 < len(body) <= self._room
@@ -284,5 +284,5 @@
             and piece.base >= WHOLE
             and piece.epoch > 0
             and min(piece[:3]) >= 0
-            and max(piece) < MOST_NUMBER
+            and max(piece) < MAX_INTEGER
         )
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -26,9 +26,9 @@
     cut,
     unpack,
 )
-from loadbalancer.core.gossip.membership import Members
-from loadbalancer.core.gossip.messages import How, Kind, Message, Outgoing
-from loadbalancer.core.gossip.token_bucket import Bucket
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, ReaderState
+from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEAD = 88  # bytes of a PIECE message beside its body, at the most (checked by a test)
 FAN = 4  # children of a node in the tree
@@ -49,6 +49,11 @@
 WAITING = 8  # steps that are whole and do not fit yet
 DOUBTED = 2  # a step that takes away more than one row in so many ...
 WITNESSES = 2  # ... counts once so many readers name its version, or by our own reading
+REPORTED_STATES = {  # the words of `/peers`
+    ReaderState.POLLING: "asking",
+    ReaderState.READ: "read",
+    ReaderState.FAILED: "failed",
+}
 DOUBT_STEP = FIRST_STEP  # one node after another reads for itself where they do not
 
 
@@ -64,7 +69,7 @@
     """See the module's docstring."""
 
     def __init__(
-        self, members: Members, nodes: int, count: int, datagram: int, seed: int, now: int
+        self, members: Membership, nodes: int, count: int, datagram: int, seed: int, now: int
     ) -> None:
         self.copy = Copy()
         self.readers = Readers(members.me, nodes, count, now)
@@ -83,8 +88,8 @@
         self._pieces = Pieces(self._room)
         self._waiting: list[Packed] = []
         self._queue: deque[Outgoing] = deque()
-        self._pace = Bucket(RATE, BURST, now)
-        self._packings = Bucket(PACKINGS, PACKINGS, now)
+        self._pace = TokenBucket(RATE, BURST, now)
+        self._packings = TokenBucket(PACKINGS, PACKINGS, now)
         self._push: tuple[int, Packed] | None = None  # own news, and when they go out
         self._progress = now
         self._behind = -1  # since when a later version is known of
@@ -102,15 +107,15 @@
             self._settle(now)
         own = self.readers.held.get(self._members.me)
         self._unsaid = True  # with the next turn, or where it was said just now a little later
-        if own is None or own.record.how != How.READ:
-            self._say(now, How.READ)
+        if own is None or own.record.state != ReaderState.READ:
+            self._say(now, ReaderState.READ)
 
     def failed(self, now: int, older: bool) -> None:
         """A call of ours has failed, or said less than is known: that alone is no failure."""
         if self.reads:
-            self._say(now, How.ASKING if older else How.FAILED)
+            self._say(now, ReaderState.POLLING if older else ReaderState.FAILED)
 
-    def _say(self, now: int, how: How) -> None:
+    def _say(self, now: int, how: ReaderState) -> None:
         self._unsaid = False
         self.readers.say(now, self._members.incarnation, how, self.copy.version)
         self.said = True
@@ -224,7 +229,7 @@
             place = ahead.pop()
             for p in range(FAN * place + 1, min(FAN * place + FAN + 1, self._nodes)):
                 node = (root + p) % self._nodes
-                if self._members.living(node):
+                if self._members.is_alive(node):
                     found.append(node)
                 else:
                     ahead.append(p)
@@ -273,20 +278,20 @@
         """Whether this node reads from here on, and its own record of that."""
         m, readers = self._members, self.readers
         own = readers.held.get(m.me)
-        said = now if own is None else now - own.born  # so long ago
-        asking = own is not None and own.record.how == How.ASKING
-        chosen = readers.chosen(now, m.living, self.reads)
+        said = now if own is None else now - own.written_at  # so long ago
+        asking = own is not None and own.record.state == ReaderState.POLLING
+        chosen = readers.chosen(now, m.is_alive, self.reads)
         # A call that has begun is worth its answer: its lines are spent already.
         begun = self.reads and asking and now - self._asked < KEEP_ASKING
         told = not self.reads and self._may_be_told(now)
-        reads = (chosen and not told) or begun or m.unheard(now) or self._in_doubt(now)
+        reads = (chosen and not told) or begun or m.hears_nobody(now) or self._in_doubt(now)
         if reads and not self.reads:
             self._asked = now
-            self._say(now, How.ASKING)
+            self._say(now, ReaderState.POLLING)
         elif reads and asking and said >= SIGN_EVERY:
-            self._say(now, How.ASKING)
+            self._say(now, ReaderState.POLLING)
         elif self._unsaid and said >= SAY_EVERY:
-            self._say(now, How.READ)
+            self._say(now, ReaderState.READ)
         self.reads = reads
 
     def _may_be_told(self, now: int) -> bool:
@@ -299,7 +304,7 @@
         """Whether it is this node's turn to ask the service itself, as one reader is not enough."""
         if self._doubt < 0:
             return False
-        wait = GIVE_UP + len(self.readers.before(self._members.living)) * DOUBT_STEP
+        wait = GIVE_UP + len(self.readers.before(self._members.is_alive)) * DOUBT_STEP
         return now - self._doubt > wait
 
     def _repair(self, now: int) -> list[Outgoing]:
@@ -326,7 +331,7 @@
             few = self._random.sample(missing, min(len(missing), ASK_AT_ONCE))
             have = (*version, held.first.check, *few)
         # Mostly of anyone: readers are few, and all who lack something would ask them.
-        candidates = [*m.some(OTHERS), self._random.choice(self.readers.named(best))]
+        candidates = [*m.sample(OTHERS), self._random.choice(self.readers.named(best))]
         self.counts["asked for what is missing"] += 1
         message = Message(Kind.WANT, m.me, m.incarnation, digest=have)
         return [Outgoing(self._random.choice(candidates), message)]
@@ -334,7 +339,7 @@
     def report(self, now: int) -> dict[str, object]:
         """For people: the version in hand, and each reader's record with its age in ms."""
         rows = [
-            [r.node, How(r.how).name.lower(), r.epoch, r.rev, r.age // MS]
+            [r.node, REPORTED_STATES[ReaderState(r.state)], r.epoch, r.rev, r.age // MS]
             for r in sorted(self.readers.all(now))
         ]
         return {
@@ -344,4 +349,4 @@
 
     def alone(self, now: int) -> None:
         """No messages go out or come in: this node reads once nobody can be expected to."""
-        self.reads = self._members.unheard(now)
+        self.reads = self._members.hears_nobody(now)
--- a/loadbalancer/core/gossip/__init__.py
+++ b/loadbalancer/core/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""How the nodes of one tier share what matters: who lives, what is replicated, who uses what."""
+"""Gossip between the nodes of one fleet: membership, replicated records and slot leases."""
--- /dev/null
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -0,0 +1,160 @@
+"""Anti-entropy: nodes compare digests of their records and exchange those that differ.
+
+Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987), section 1.3. It
+repairs what dissemination has missed, and brings a node up to date that starts or was paused:
+until then that node passes nothing on. Times are in nanoseconds.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from random import Random
+from typing import TYPE_CHECKING
+from zlib import crc32
+
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, Record
+from loadbalancer.core.gossip.records import DIGEST_PARTS, RecordStore
+from loadbalancer.core.gossip.token_bucket import TokenBucket
+from loadbalancer.core.gossip.update_sender import UpdateSender
+
+if TYPE_CHECKING:
+    from loadbalancer.core.endpoints.shared_list import SharedList
+
+DIGEST_INTERVAL_NS = SECOND  # in the mean, with one random member
+MAX_DIFFERING_PARTS = 3  # more are fetched even while updates that may explain them are under way
+CATCH_UP_PEERS = 2  # asked at once
+CATCH_UP_RETRY_NS = 300 * MS  # for a peer to send everything, before the next two are asked
+CATCH_UP_TIMEOUT_NS = 2 * SECOND  # after which there is nobody to catch up from
+CATCH_UP_MESSAGES = 200  # a second to nodes that catch up, beside the message rate
+FIRST, REPLY = 0, 1  # serials of a DIGEST; a reply is not replied to
+
+
+class AntiEntropy:
+    """One node's exchange of digests and records with the others."""
+
+    def __init__(
+        self,
+        members: Membership,
+        records: RecordStore,
+        updates: UpdateSender,
+        shared_list: SharedList | None,
+        random: Random,
+        counters: Counter[str],
+        now: int,
+    ) -> None:
+        self._members = members
+        self._records = records
+        self._updates = updates
+        self._shared_list = shared_list
+        self._random = random
+        self._counters = counters
+        self._rate = TokenBucket(CATCH_UP_MESSAGES, CATCH_UP_MESSAGES / 4, now)
+        self._next_digest_at = now + DIGEST_INTERVAL_NS
+        self.caught_up = False
+        self._catch_up_began = now
+        self._catch_up_peers: list[int] = []  # in the order in which they were asked
+        self._catch_up_asked_at = 0
+
+    def digest(self) -> tuple[int, ...]:
+        """Of all records: those of servers in parts, then those of nodes."""
+        nodes = self._members.digest()
+        if self._shared_list is not None:
+            nodes ^= self._shared_list.readers.digest()
+        return (*self._records.digest, nodes)
+
+    # ---- answers ---------------------------------------------------------------
+
+    def on_message(self, now: int, message: Message) -> list[Outgoing]:
+        """Answer a DIGEST with the records that differ, or take a DONE."""
+        if message.kind == Kind.DONE:
+            if message.origin in self._catch_up_peers:
+                self._end_catch_up(now, "caught up")
+            return []
+        if message.kind != Kind.DIGEST or len(message.digest) != DIGEST_PARTS + 1:
+            return []
+        digest = self.digest()
+        differing = {i for i in range(DIGEST_PARTS + 1) if digest[i] != message.digest[i]}
+        catching_up = message.subject == self._members.me
+        out: list[Outgoing] = []
+        # A small difference may be an update that is under way at this node.
+        settled = len(differing) > MAX_DIFFERING_PARTS or not self._updates.has_unsent()
+        if catching_up or settled:
+            out = self._send_records(now, message.origin, differing, catching_up)
+        if differing and message.serial == FIRST:
+            # A reply, so that both sides end with the same records.
+            reply = self._members.message(Kind.DIGEST, serial=REPLY, digest=digest)
+            out.append(Outgoing(message.origin, reply))
+        return out
+
+    def _send_records(
+        self, now: int, to: int, parts: set[int], catching_up: bool
+    ) -> list[Outgoing]:
+        """The records of these parts as the rate allows, and a DONE for a node that catches up."""
+        members = self._members
+        records = [record for part in parts for record in self._in_part(now, part)]
+        messages = []
+        sent = 0
+        while sent < len(records) and self._rate.take(now):
+            packed = self._updates.pack(records, sent)
+            sent += len(packed)
+            messages.append(members.message(Kind.GOSSIP, records=tuple(packed)))
+        if sent == len(records) and catching_up:
+            messages.append(members.message(Kind.DONE))
+        return [Outgoing(to, message) for message in messages]
+
+    def _in_part(self, now: int, part: int) -> list[Record]:
+        if part < DIGEST_PARTS:
+            return list(self._records.in_part(now, part))
+        records: list[Record] = list(self._members.not_alive())
+        if self._shared_list is not None:
+            records += self._shared_list.readers.all(now)
+        return records
+
+    # ---- time ----------------------------------------------------------------
+
+    def tick(self, now: int) -> list[Outgoing]:
+        """The digests to send now."""
+        members = self._members
+        out = [] if self.caught_up else self._catch_up(now)
+        if now >= self._next_digest_at:
+            jitter = self._random.randrange(DIGEST_INTERVAL_NS)
+            self._next_digest_at = now + DIGEST_INTERVAL_NS // 2 + jitter
+            message = members.message(Kind.DIGEST, serial=FIRST, digest=self.digest())
+            out += [Outgoing(peer, message) for peer in members.sample(1)]
+        return out
+
+    def _catch_up(self, now: int) -> list[Outgoing]:
+        """Ask two peers at a time; ranked by both numbers, so that returning nodes spread."""
+        if now - self._catch_up_began > CATCH_UP_TIMEOUT_NS:
+            self._end_catch_up(now, "nobody to catch up from")
+            return []
+        if self._catch_up_peers and now - self._catch_up_asked_at < CATCH_UP_RETRY_NS:
+            return []
+        members = self._members
+        candidates = sorted(
+            (peer for peer in members.alive_peers() if peer not in self._catch_up_peers),
+            key=lambda peer: crc32(b"%d %d %d" % (members.me, members.incarnation, peer)),
+        )
+        peers = candidates[:CATCH_UP_PEERS]
+        self._catch_up_asked_at = now
+        self._catch_up_peers += peers
+        digest = self.digest()
+        return [
+            Outgoing(peer, members.message(Kind.DIGEST, FIRST, subject=peer, digest=digest))
+            for peer in peers
+        ]
+
+    def _end_catch_up(self, now: int, result: str) -> None:
+        if not self.caught_up:
+            self.caught_up = True
+            self._counters[result] += 1
+            self._counters["catch_up_ms"] = (now - self._catch_up_began) // MS
+
+    def restart_catch_up(self, now: int) -> None:
+        """Pass nothing on until the records have been compared anew."""
+        self._updates.clear()
+        self.caught_up = False
+        self._catch_up_began = now
+        self._catch_up_peers = []
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -1,8 +1,8 @@
-"""Between one node's Balancer and its part in the fleet: what each is told of the other.
+"""Between one node's Balancer and its gossip: what each is told of the other.
 
-The Balancer's own attempts become observations; what others' records come to becomes its
-narrow events.
-The only way for hearsay into the ordinary path, the same in the real node and in the world.
+Results of the Balancer's own attempts become observations; verdicts on other nodes' observations
+and drains of other nodes' lists become events of the Balancer. This is the only way from gossip
+into the request path, the same in the real node and in the simulation. Times in nanoseconds.
 """
 
 from __future__ import annotations
@@ -11,130 +11,161 @@
 
 from loadbalancer.core.balancing.balancer import Balancer
 from loadbalancer.core.balancing.model import SECOND, Listing, State, Told, Update
-from loadbalancer.core.gossip.gossip_node import Change, Fleet
-from loadbalancer.core.gossip.slots import Slots
+from loadbalancer.core.gossip.gossip_node import GossipNode
+from loadbalancer.core.gossip.slot_allocation import HeldLease, SlotAllocation
+from loadbalancer.core.gossip.verdicts import VerdictChange
 
-PEAK = SECOND // 2  # the most in flight counts for one to two of these
-HEADROOM = 1.25  # of it, that a lender keeps, and ...
-KEPT = 1  # ... so many slots beside
+PEAK_WINDOW_NS = SECOND // 2  # a peak of requests in flight counts for one to two windows
+HEADROOM = 1.25  # of the peak, that a grantor reserves, and ...
+RESERVED_SLOTS = 1  # ... so many slots beside
+MIN_REPORTED_REJECTIONS = 2  # consecutive
+MIN_REPORTED_LATENCY_RATIO = 1.5
 
 
 class BalancerUpdate(NamedTuple):
-    """What the Balancer is to hear."""
+    """What the Balancer is to be told."""
 
-    changes: list[Change]
+    verdicts: list[VerdictChange]
     draining: list[Listing]
-    deal: bool  # others live now than did, or leases are others
+    reallocate: bool  # the alive members or the leases have changed
 
 
 class BalancerBridge:
-    """See the module's docstring."""
-
-    def __init__(self, fleet: Fleet, balancer: Balancer) -> None:
-        s = balancer.settings
-        self.fleet = fleet
-        self.balancer = balancer
-        self.slots = Slots(s.node // s.zones, balancer.peers, fleet.terms.slots, self._living_at)
-        self.living = 0  # as of the last deal
-        self._flips = -1
-        self.slots.out = fleet.leases.out()
-        self._pressed = False
-        self._peaks = [0, 0]  # most in flight in this span and the one before
-        self._span = 0
-        self._zone, self._zones = s.node % s.zones, s.zones
+    """Connects one Balancer and one GossipNode."""
+
+    def __init__(self, gossip: GossipNode, balancer: Balancer) -> None:
+        settings = balancer.settings
+        self._gossip = gossip
+        self._balancer = balancer
+        self._zone, self._zones = settings.node % settings.zones, settings.zones
+        place = settings.node // settings.zones
+        self.slots = SlotAllocation(place, balancer.peers, gossip.settings.slots, self._is_alive_at)
+        self.slots.granted_classes = gossip.leases.granted_classes()
+        self.alive = 0  # members, as of the last allocation
+        self._liveness_changes = -1
+        self._saturated = False
+        self._peaks = [0, 0]  # requests in flight at most, in this window and the one before
+        self._window_ends_at = 0
         balancer.seats = self.slots
 
-    def _living_at(self, place: int) -> bool:
-        """A node beyond what our list of the nodes names is never taken for dead."""
+    def _is_alive_at(self, place: int) -> bool:
+        """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
         node = place * self._zones + self._zone
-        return node >= self.fleet.terms.nodes or self.fleet.members.living(node)
+        return node >= self._gossip.settings.nodes or self._gossip.members.is_alive(node)
+
+    # ---- from the Balancer -------------------------------------------------------
 
     def report(self, now: int) -> None:
-        """Say what this node's own attempts have come to, where there is something to say."""
-        self.need(now)
-        own = self.fleet.own
-        for b in self.balancer.backends.values():
-            if b.strikes or b.fulls > 1 or b.lat > 1.5 or b.id in own:
-                self.fleet.observe(now, b.id, b.strikes, b.gone, b.fulls, b.lat, b.seen)
-
-    def need(self, now: int) -> None:
-        """Say how many classes this node can lend, and whether it needs to borrow."""
-        b, fleet = self.balancer, self.fleet
-        self._peaks[0] = max(self._peaks[0], b.running)
-        self._pressed = self._pressed or b.pressed
-        if now < self._span:
+        """Publish the results of this node's own attempts, and its need of slots."""
+        self._update_need(now)
+        gossip = self._gossip
+        for b in self._balancer.backends.values():
+            if (
+                b.strikes
+                or b.fulls >= MIN_REPORTED_REJECTIONS
+                or b.lat > MIN_REPORTED_LATENCY_RATIO
+                or b.id in gossip.observations
+            ):
+                gossip.observe(now, b.id, b.strikes, b.gone, b.fulls, b.lat, b.seen)
+
+    def _update_need(self, now: int) -> None:
+        """Note, each window, how many classes this node can lease out, and whether it needs any."""
+        balancer = self._balancer
+        self._peaks[0] = max(self._peaks[0], balancer.running)
+        self._saturated = self._saturated or balancer.pressed
+        if now < self._window_ends_at:
             return
-        self._span = now + PEAK
-        peak = max(self._peaks)
-        self._peaks = [b.running, self._peaks[0]]
-        ready = [x for x in b.backends.values() if x.local and x.state == State.READY]
-        rows = [(x.deal, int(b.level + x.offset)) for x in ready if x.cold_until <= b.now]
-        own = sum(self.slots.own(deal, depth, len(ready), False) for deal, depth in rows)
-        deep = b.level >= self.slots.most(len(ready))
-        fleet.wants = self._pressed and deep
-        need = peak * HEADROOM + KEPT
-        fleet.keeps = deep and need > own
-        needy = self._pressed or fleet.keeps
-        fleet.spare = 0 if needy else self.slots.spare(rows, len(ready), need, own)
-        self._pressed = False
+        self._window_ends_at = now + PEAK_WINDOW_NS
+        needed = max(self._peaks) * HEADROOM + RESERVED_SLOTS
+        self._peaks = [balancer.running, self._peaks[0]]
+        ready = [b for b in balancer.backends.values() if b.local and b.state == State.READY]
+        deals = [
+            (b.deal, int(balancer.level + b.offset)) for b in ready if b.cold_until <= balancer.now
+        ]
+        owned = sum(self.slots.own(deal, depth, len(ready), False) for deal, depth in deals)
+        uses_all = balancer.level >= self.slots.max_slots(len(ready))
+        exchange = self._gossip.lease_exchange
+        exchange.wants_more = self._saturated and uses_all
+        exchange.keeps_leases = uses_all and needed > owned
+        exchange.grantable = 0
+        if not (self._saturated or exchange.keeps_leases):
+            exchange.grantable = self.slots.grantable_classes(deals, len(ready), needed, owned)
+        self._saturated = False
+
+    # ---- to the Balancer -----------------------------------------------------------
 
     def collect(self, now: int) -> BalancerUpdate | None:
-        """What is new for the Balancer by now."""
-        changes = [c for c in self.fleet.changes(now) if not self._known_better(c)]
+        """What the Balancer is to be told by now; None for nothing."""
+        changes = self._gossip.verdict_changes(now)
+        verdicts = [change for change in changes if not self._is_superseded(change)]
         draining = self._draining()
-        members, leases = self.fleet.members, self.fleet.leases
-        free = members.unheard(now)
-        deal = members.flips != self._flips or leases.changed or free != self.slots.free
-        if deal:
-            self._flips, leases.changed = members.flips, False
-            self.living = members.count()
-            self.slots.free = free
-            self.slots.refresh()
-            self.slots.out = leases.out()
-            self.slots.borrowed = [(n // self._zones, c) for n, c in self.fleet.borrowed(now)]
-        return BalancerUpdate(changes, draining, deal) if changes or draining or deal else None
-
-    def quit(self, now: int) -> BalancerUpdate | None:
-        """This process speaks no more, and can't say when a lease has ended: it ends here.
-
-        What it has lent stays lent: whoever speaks for the node next has not heard of it.
+        reallocate = self._update_slots(now)
+        if not (verdicts or draining or reallocate):
+            return None
+        return BalancerUpdate(verdicts, draining, reallocate)
+
+    def _update_slots(self, now: int) -> bool:
+        """Bring the allocation up to date; whether it has changed."""
+        gossip, slots = self._gossip, self.slots
+        members, leases = gossip.members, gossip.leases
+        isolated = members.hears_nobody(now)
+        same_members = members.liveness_changes == self._liveness_changes
+        if same_members and not leases.changed and isolated == slots.isolated:
+            return False
+        self._liveness_changes = members.liveness_changes
+        leases.changed = False
+        self.alive = members.alive_count()
+        slots.isolated = isolated
+        slots.refresh()
+        slots.granted_classes = leases.granted_classes()
+        slots.leases = [
+            HeldLease(grantor // self._zones, classes)
+            for grantor, classes in gossip.lease_exchange.usable(now)
+        ]
+        return True
+
+    def _is_superseded(self, change: VerdictChange) -> bool:
+        """Whether this node has had an answer of its own since the observation."""
+        b = self._balancer.backends.get(change.server)
+        failing = change.verdict in (Told.SILENT, Told.DOUBTED)
+        return b is not None and failing and not b.strikes and b.seen > change.observed_at
+
+    def _draining(self) -> list[Listing]:
+        """Servers that the Balancer still uses and another node's list drains."""
+        local_list = self._gossip.local_list
+        rows = []
+        pending, local_list.pending = local_list.pending, set()
+        for server in pending:
+            b = self._balancer.backends.get(server)
+            if b is None or b.state != State.READY:
+                continue
+            boot = local_list.boots.get(server, 0)
+            state = local_list.effective_state(server, boot, State.READY)
+            if state != State.READY:
+                rows.append(Listing(server, state, b.zone, b.cell, b.kind, 0, b.rating))
+            elif local_list.is_pending(server, boot):
+                local_list.pending.add(server)  # too many are drained already
+        return rows
+
+    def close(self, now: int) -> BalancerUpdate | None:
+        """End the leases of this node: this process receives no messages any more.
+
+        What it has granted stays granted: the next process of the node does not know of it.
         """
-        leases = self.fleet.leases
-        if not leases.held:
+        leases = self._gossip.leases
+        if not leases.active:
             return None
-        leases.held.clear()
+        leases.active.clear()
         leases.changed = True
         return self.collect(now)
 
     def apply(self, now: int, update: BalancerUpdate) -> None:
-        """Tell the Balancer, in the host's own event."""
-        b = self.balancer
-        for c in update.changes:
-            b.on_told(now, c.server, c.told, c.ratio, c.cold)
+        """Tell the Balancer, within an event of the host."""
+        balancer = self._balancer
+        for change in update.verdicts:
+            balancer.on_told(now, change.server, change.verdict, change.latency_ratio, change.cold)
         if update.draining:
-            b.on_members(now, Update.TOLD, update.draining)
-        elif update.deal:
-            b.recap()
-        b.dispatch(now)
-
-    def _known_better(self, change: Change) -> bool:
-        """Whether this node has had an answer of its own since that observation."""
-        b = self.balancer.backends.get(change.server)
-        silent = change.told in (Told.SILENT, Told.DOUBTED)
-        return b is not None and silent and not b.strikes and b.seen > change.born
-
-    def _draining(self) -> list[Listing]:
-        """Servers that the Balancer still uses and another node's list says not to."""
-        rows = []
-        orders, self.fleet.orders = self.fleet.orders, set()
-        for server in orders:
-            b = self.balancer.backends.get(server)
-            if b is not None and b.state == State.READY:
-                boot = self.fleet.boots.get(server, 0)
-                state = self.fleet.over(server, boot, State.READY)
-                if state == State.READY:
-                    if self.fleet.waits(server, boot):
-                        self.fleet.orders.add(server)  # no room for it yet
-                else:
-                    rows.append(Listing(server, state, b.zone, b.cell, b.kind, 0, b.rating))
-        return rows
+            balancer.on_members(now, Update.TOLD, update.draining)
+        elif update.reallocate:
+            balancer.recap()
+        balancer.dispatch(now)
--- a/loadbalancer/core/gossip/dissemination.py
+++ b/loadbalancer/core/gossip/dissemination.py
@@ -1,8 +1,8 @@
-"""Which records still have to be gossiped, least sent first, each a number of times.
+"""The updates still to be disseminated, least transmitted first.
 
 Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987), section 1.4:
-an update is sent until it has been sent often enough, and hearing it from others counts as
-well. Records are named by keys here; what they say is looked up as they are sent.
+an update is sent a limited number of times, and receiving it from another node counts as well.
+Updates are named by keys; the record behind a key is looked up when it is sent.
 """
 
 from __future__ import annotations
@@ -11,69 +11,77 @@
 from math import ceil, log2
 from typing import Generic, TypeVar
 
-MOST = 2048  # updates at once; past it the most sent ones go: a digest repairs what is missed
+MAX_UPDATES = 2048  # past it the most transmitted are dropped; anti-entropy repairs the rest
+EXTRA_TRANSMISSIONS = 4  # beside the logarithm of the fleet's size
 K = TypeVar("K", bound=Hashable)
 
 
 class DisseminationQueue(Generic[K]):
-    """Keys by how often they were sent: one dict a number, so that taking the least is a walk
-    over few entries and counting one up is two dict operations."""
+    """Keys grouped by how often they were transmitted.
 
-    __slots__ = ("_at", "_rows", "limit")
+    One dict for each number of transmissions: selecting the least transmitted is a walk over few
+    entries, and counting a transmission is two dict operations.
+    """
+
+    __slots__ = ("_by_count", "_count_of", "limit")
 
     def __init__(self, nodes: int) -> None:
-        self.limit = ceil(log2(nodes + 1)) + 4
-        self._rows: list[dict[K, None]] = [{} for _ in range(self.limit)]
-        self._at: dict[K, int] = {}
+        self.limit = ceil(log2(nodes + 1)) + EXTRA_TRANSMISSIONS
+        self._by_count: list[dict[K, None]] = [{} for _ in range(self.limit)]
+        self._count_of: dict[K, int] = {}
 
     def __len__(self) -> int:
-        return len(self._at)
+        return len(self._count_of)
 
     def __contains__(self, key: K) -> bool:
-        return key in self._at
+        return key in self._count_of
 
-    def fresh(self) -> bool:
-        """Whether any has not been sent yet."""
-        return bool(self._rows[0])
+    def has_unsent(self) -> bool:
+        """Whether any update has not been transmitted at all."""
+        return bool(self._by_count[0])
 
     def add(self, key: K) -> None:
-        """Send from the beginning, also where an older record of that key was under way."""
-        self.drop(key)
-        if len(self._at) >= MOST:
-            for row in reversed(self._rows):
-                if row:
-                    del self._at[row.popitem()[0]]
+        """Begin to disseminate an update; an earlier one under the same key is replaced."""
+        self.discard(key)
+        if len(self._count_of) >= MAX_UPDATES:
+            for keys in reversed(self._by_count):
+                if keys:
+                    del self._count_of[keys.popitem()[0]]
                     break
-        self._at[key] = 0
-        self._rows[0][key] = None
+        self._count_of[key] = 0
+        self._by_count[0][key] = None
 
     def transmitted(self, key: K) -> None:
-        """It was sent, or heard from another: one transmission less to go."""
-        at = self._at.get(key)
-        if at is None:
+        """Count one transmission of an update, sent or received; the last one ends it."""
+        count = self._count_of.get(key)
+        if count is None:
             return
-        del self._rows[at][key]
-        if at + 1 >= self.limit:
-            del self._at[key]
+        del self._by_count[count][key]
+        if count + 1 >= self.limit:
+            del self._count_of[key]
         else:
-            self._at[key] = at + 1
-            self._rows[at + 1][key] = None
-
-    def drop(self, key: K) -> None:
-        at = self._at.pop(key, None)
-        if at is not None:
-            del self._rows[at][key]
-
-    def take(self, wanted: Callable[[K], bool]) -> None:
-        """Offer keys, least sent first, each once, until `wanted` says no; taken ones count."""
-        taken = []
-        for row in self._rows:
-            for key in row:
-                if not wanted(key):
+            self._count_of[key] = count + 1
+            self._by_count[count + 1][key] = None
+
+    def discard(self, key: K) -> None:
+        """Stop disseminating an update, where it is queued."""
+        count = self._count_of.pop(key, None)
+        if count is not None:
+            del self._by_count[count][key]
+
+    def select(self, accept: Callable[[K], bool]) -> None:
+        """Offer each key once, least transmitted first, until `accept` returns False.
+
+        Each accepted key counts as transmitted.
+        """
+        accepted = []
+        for keys in self._by_count:
+            for key in keys:
+                if not accept(key):
                     break
-                taken.append(key)
+                accepted.append(key)
             else:
                 continue
             break
-        for key in taken:
+        for key in accepted:
             self.transmitted(key)
--- /dev/null
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -0,0 +1,190 @@
+"""SWIM's failure detector: each protocol period, one node's probe of another member.
+
+Das, Gupta, Motivala, "SWIM" (2002), sections 3 and 4.3: the members are probed in rounds over a
+shuffled ring, directly by a ping and, without an ack, through others by ping-req; a member that
+does not answer is suspected. Dadgar, Phillips, Currey, "Lifeguard" (2017), section IV-A: a node
+whose own probes fail probes more slowly. Times are in nanoseconds.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.gossip.membership import PROTOCOL_PERIOD_NS, Membership
+from loadbalancer.core.gossip.messages import Kind, MemberStatus, Message, Outgoing
+
+ACK_TIMEOUT_NS = 200 * MS  # of a period, for direct pings; the remainder is for ping-req
+PING_INTERVAL_NS = 100 * MS  # between the pings of one probe
+INDIRECT_PROBES = 3  # members that are sent a ping-req at once
+MAX_INDIRECT_ROUNDS = 2  # of ping-req in one protocol period
+# Protocol periods without an ack before a suspicion. With 30% loss one period in 20 fails: a
+# suspicion after each would fill the messages with suspicions and their refutations.
+MAX_PROBE_PERIODS = 2
+MAX_PARALLEL_PROBES = 8  # started in one period
+DEAD_PROBE_INTERVAL = 5  # every so many periods a dead member is probed: its link may have healed
+RELAY_TTL_NS = 4 * SECOND  # for the ack to a ping that was sent for another member
+
+
+class Probe:
+    """The probe of one member, over up to MAX_PROBE_PERIODS protocol periods."""
+
+    __slots__ = ("indirect_rounds", "node", "periods", "pinged_at", "serial", "started_at")
+
+    def __init__(self, node: int, serial: int, now: int) -> None:
+        self.node = node
+        self.serial = serial
+        self.started_at = now  # in this period
+        self.pinged_at = now
+        self.indirect_rounds = 0
+        self.periods = 1
+
+
+class Relay(NamedTuple):
+    """A ping that was sent for another member."""
+
+    requester: int
+    serial: int  # the requester's
+    target: int
+    sent_at: int
+
+
+class FailureDetector:
+    """Probes the members of a table and suspects those that do not answer."""
+
+    def __init__(self, members: Membership) -> None:
+        self._members = members
+        self._random = members.random
+        self._ring: list[int] = []
+        self._periods = 0
+        # Not from 0: an ack to this node's previous start must not be taken for one to this.
+        self._serial = self._random.getrandbits(30)
+        self._probes: dict[int, Probe] = {}  # by serial
+        self._relays: dict[int, Relay] = {}  # by our own serial
+        self._parallel = 1  # probes started a period: doubled while they fail, as after mass kills
+        self._next_period_at = 0
+
+    def on_message(self, now: int, message: Message) -> list[Outgoing]:
+        """Answer a ping, relay a ping-req, or take an ack."""
+        members = self._members
+        if message.kind == Kind.PING:
+            ack = members.message(Kind.ACK, serial=message.serial, subject=members.me)
+            return [Outgoing(message.origin, ack)]
+        if message.kind == Kind.PING_REQUEST and message.subject in members.peers:
+            serial = self._next_serial()
+            self._relays[serial] = Relay(message.origin, message.serial, message.subject, now)
+            return [Outgoing(message.subject, members.message(Kind.PING, serial=serial))]
+        if message.kind == Kind.ACK:
+            return self._on_ack(message)
+        return []
+
+    def _on_ack(self, message: Message) -> list[Outgoing]:
+        relay = self._relays.get(message.serial)
+        if relay is not None and relay.target == message.origin:
+            del self._relays[message.serial]
+            ack = self._members.message(Kind.ACK, serial=relay.serial, subject=message.origin)
+            return [Outgoing(relay.requester, ack)]
+        probe = self._probes.get(message.serial)
+        if probe is not None and message.subject == probe.node:
+            del self._probes[message.serial]
+            self._members.improve_local_health()
+        return []
+
+    def on_resumed(self, now: int) -> None:
+        """Forget all probes: this process was paused, so acks may have come and been discarded."""
+        self._probes.clear()
+        self._relays.clear()
+        self._next_period_at = now + PROTOCOL_PERIOD_NS
+
+    def tick(self, now: int) -> list[Outgoing]:
+        """What the protocol sends now; to be called several times a protocol period."""
+        self._members.end_suspicions(now)
+        slowdown = 1 + self._members.local_health
+        out = [
+            outgoing
+            for probe in self._probes.values()
+            for outgoing in self._ping_again(now, probe, slowdown)
+        ]
+        if now >= self._next_period_at:
+            self._next_period_at = now + PROTOCOL_PERIOD_NS * slowdown
+            out += self._begin_period(now)
+        return out
+
+    def _begin_period(self, now: int) -> list[Outgoing]:
+        """End the last period's probes and start new ones."""
+        self._relays = {
+            serial: relay
+            for serial, relay in self._relays.items()
+            if now - relay.sent_at < RELAY_TTL_NS
+        }
+        out, failed = self._end_probes(now)
+        self._parallel = min(2 * self._parallel, MAX_PARALLEL_PROBES) if failed else 1
+        for _ in range(self._parallel):
+            target = self._next_target()
+            if target is not None and all(p.node != target for p in self._probes.values()):
+                serial = self._next_serial()
+                probe = self._probes[serial] = Probe(target, serial, now)
+                out.append(self._ping(probe))
+        return out
+
+    def _end_probes(self, now: int) -> tuple[list[Outgoing], bool]:
+        """Repeat the unanswered probes, or suspect their members; whether one alive failed."""
+        out = []
+        failed = False
+        for probe in list(self._probes.values()):
+            alive = self._members.is_alive(probe.node)
+            if probe.periods < MAX_PROBE_PERIODS and alive:
+                probe.periods += 1
+                probe.started_at = probe.pinged_at = now
+                probe.indirect_rounds = 0
+                out.append(self._ping(probe))
+            else:
+                del self._probes[probe.serial]
+                failed = failed or alive
+                self._members.suspect(now, probe.node)
+        return out, failed
+
+    def _ping(self, probe: Probe) -> Outgoing:
+        """A ping; one to a member that is not ALIVE has its record, to refute (Lifeguard)."""
+        record = self._members.record(probe.node)
+        records = (record,) if record.status != MemberStatus.ALIVE else ()
+        message = self._members.message(Kind.PING, serial=probe.serial, records=records)
+        return Outgoing(probe.node, message)
+
+    def _ping_again(self, now: int, probe: Probe, slowdown: int) -> list[Outgoing]:
+        """While there is no ack: ping once more, then send ping-req to others."""
+        if now - probe.pinged_at < PING_INTERVAL_NS * slowdown:
+            return []
+        probe.pinged_at = now
+        if now - probe.started_at < ACK_TIMEOUT_NS * slowdown:
+            return [self._ping(probe)]
+        if probe.indirect_rounds >= MAX_INDIRECT_ROUNDS or not self._members.is_alive(probe.node):
+            return []
+        probe.indirect_rounds += 1
+        message = self._members.message(Kind.PING_REQUEST, serial=probe.serial, subject=probe.node)
+        helpers = self._members.sample(INDIRECT_PROBES, exclude=probe.node)
+        return [Outgoing(helper, message) for helper in helpers]
+
+    def _next_target(self) -> int | None:
+        """Each alive member once a round, in random order; now and then a dead one."""
+        members = self._members
+        self._periods += 1
+        if self._periods % DEAD_PROBE_INTERVAL == 0:
+            dead = [node for node in members.peers if not members.is_alive(node)]
+            if dead:
+                return self._random.choice(dead)
+        for _ in range(len(members.peers) + 1):
+            if not self._ring:
+                self._ring = members.alive_peers()
+                self._random.shuffle(self._ring)
+                if not self._ring:
+                    peers = list(members.peers)
+                    return self._random.choice(peers) if peers else None
+            node = self._ring.pop()
+            if members.is_alive(node):
+                return node
+        return None
+
+    def _next_serial(self) -> int:
+        self._serial += 1
+        return self._serial
--- /dev/null
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -0,0 +1,63 @@
+"""The messages by which nodes of one zone lease concurrency slots from each other."""
+
+from __future__ import annotations
+
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
+from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.core.gossip.slot_leases import SlotLeases
+
+
+class LeaseExchange:
+    """Requests and grants leases, for the needs that `BalancerBridge` sets."""
+
+    def __init__(self, settings: GossipSettings, members: Membership, leases: SlotLeases) -> None:
+        self._settings = settings
+        self._members = members
+        self._leases = leases
+        self.grantable = 0  # classes that this node can lease out
+        self.keeps_leases = False  # it needs the slots that it has leased
+        self.wants_more = False  # it needs further slots
+
+    def on_message(self, now: int, message: Message) -> list[Outgoing]:
+        """Answer a request, or take a grant."""
+        if not self._settings.same_zone(message.origin):
+            return []
+        if message.kind == Kind.LEASE_REQUEST:
+            return [Outgoing(message.origin, self._grant(now, message))]
+        if message.kind == Kind.LEASE_GRANT:
+            self._leases.on_grant(now, message.origin, message.serial, message.subject)
+        return []
+
+    def _grant(self, now: int, request: Message) -> Message:
+        # None to a member that is dead: the others already go past its slots. Nor to a name that
+        # two processes use, each of which would use the slots granted to the other.
+        members, holder = self._members, request.origin
+        eligible = members.is_alive(holder) and holder in members.trusted(now)
+        classes = self._leases.grant(now, holder, self.grantable if eligible else 0)
+        return members.message(Kind.LEASE_GRANT, serial=request.serial, subject=classes)
+
+    def requests(self, now: int) -> list[Outgoing]:
+        """The requests to send now; the caller checks the message rate."""
+        members = self._members
+        grantors = [
+            node
+            for node in members.trusted(now)
+            if members.is_alive(node) and self._settings.same_zone(node)
+        ]
+        return [
+            Outgoing(grantor, members.message(Kind.LEASE_REQUEST, serial=serial))
+            for grantor, serial in self._leases.requests(now, grantors, self.wants_more)
+        ]
+
+    @property
+    def needs_leases(self) -> bool:
+        """Whether this node has any use for other nodes' slots."""
+        return self.keeps_leases or self.wants_more
+
+    def usable(self, now: int) -> list[tuple[int, int]]:
+        """(grantor, classes) of the leases that may be used.
+
+        Those of a dead grantor end at once, since the other nodes go past its slots.
+        """
+        return [(n, c) for n, c in self._leases.usable(now) if self._members.is_alive(n)]
--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -1,7 +1,7 @@
-"""The gossip messages between nodes, as plain data.
+"""Gossip messages between nodes, as plain data.
 
-Four kinds of record, each a statement that any node may pass on and nobody but its
-writer may change. Times are spans in nanoseconds: no node's clock is read at another.
+There are four kinds of record. Any node may pass a record on, and only its writer may change
+it. Times are durations in nanoseconds, so no node depends on another node's clock.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from loadbalancer.core.balancing.model import State
 
-MOST_INCARNATION = 1 << 48  # milliseconds since 1970 stay under it for some thousands of years
-MOST_SERIAL = 1 << 32  # an answer repeats it, and has room for five bytes of it
+MAX_INCARNATION = 1 << 48  # milliseconds since 1970 stay below it for thousands of years
+MAX_SERIAL = 1 << 32  # an answer repeats the serial and has space for five bytes of it
 MAX_FAILURES = 15
-MOST_RATIO = 160  # sixteenths
-MOST_NUMBER = 1 << 63  # of versions and the like: what MessagePack has room for
+MAX_RATIO = 160  # sixteenths
+MAX_INTEGER = 1 << 63  # the largest number that MessagePack can carry
 
 
-class Standing(IntEnum):
-    """In this order the later wins within one incarnation."""
+class MemberStatus(IntEnum):
+    """SWIM's states of a member; within one incarnation the later in this order wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,82 +28,85 @@
     LEFT = 3
 
 
-class How(IntEnum):
-    """A reader's state: it asks, it was answered, it was turned away."""
+class ReaderState(IntEnum):
+    """How a reader's polling of the list service stands."""
 
-    ASKING = 0
+    POLLING = 0
     READ = 1
     FAILED = 2
 
 
-class Life(NamedTuple):
-    """Who lives: an incarnation is the node's own, accusers may only raise its standing in it."""
+class MemberRecord(NamedTuple):
+    """A member's status in one of its incarnations.
+
+    Only the member itself raises its incarnation; others may only raise the status within it.
+    """
 
     node: int
     incarnation: int
-    standing: int
+    status: int
 
 
-class Listed(NamedTuple):
-    """The list service's statement on a server that is to get nothing new, by its version."""
+class DrainRecord(NamedTuple):
+    """The list service's statement that a server gets no new requests, by its version."""
 
     server: int
     boot: int  # the server's start as the list gives it, Unix milliseconds, 0 for long ago
-    rev: int
+    rev: int  # the list service's version
     state: int  # DRAINING or GONE: READY is never passed on
-    age: int
+    age: int  # ns
 
 
 class Observation(NamedTuple):
-    """What one node's own attempts at a server have come to; all 0 takes it back."""
+    """The results of one node's own attempts at a server; all zeros retract the last one."""
 
     server: int
     boot: int
     origin: int
     incarnation: int
     number: int
-    failures: int  # failures in a row, no answer between
-    cold: int  # 1 where its process seems to have gone: cold once it is back
-    full: int  # attempts turned away in a row
-    ratio: int  # time taken against the fleet's, in sixteenths
-    age: int
+    failures: int  # consecutive failures without an answer between
+    cold: int  # 1 where its process seems to have ended: it is cold once it returns
+    rejections: int  # consecutive attempts rejected as over capacity
+    ratio: int  # latency relative to the fleet's, in sixteenths
+    age: int  # ns
 
 
-class Reading(NamedTuple):
-    """One node as a reader of the list for all: how that stands, and the version it has by it."""
+class ReaderRecord(NamedTuple):
+    """One node as a reader of the list for the fleet, and the version it has read."""
 
     node: int
     incarnation: int
     number: int
-    how: int  # ASKING, READ or FAILED
-    epoch: int  # raised by whoever reads that the service counts from anew
+    state: int  # a ReaderState
+    epoch: int  # raised by a reader when the list service restarts its version numbers
     rev: int
-    mark: int  # of the rows, in any order
-    age: int  # since the service said so
+    checksum: int  # of the rows, independent of their order
+    age: int  # ns since the list service answered
 
 
-Record = Life | Listed | Observation | Reading
+Record = MemberRecord | DrainRecord | Observation | ReaderRecord
 
 
 class Kind(IntEnum):
-    """Of a message. The first three are SWIM's: ping, ack, ping-req."""
+    """The kind of a message. The first three are SWIM's ping, ack and ping-req."""
 
     PING = 0
     ACK = 1
     PING_REQUEST = 2
     GOSSIP = 3
-    DIGEST = 4  # here is what I hold, by parts: send what differs
-    DONE = 5  # that was all of it
-    LEASE_REQUEST = 6  # lend me slots, for as long as leases last
-    LEASE_GRANT = 7  # these classes, a bit each, as the subject
-    PIECE = 8  # of a step from one version of the list to another (`copies.py`)
-    WANT = 9  # here is the version I have: send what I lack, or these pieces
+    DIGEST = 4  # the sender's digest: answered with the records that differ
+    DONE = 5  # all records that differ have been sent
+    LEASE_REQUEST = 6  # asks for slots under a lease
+    LEASE_GRANT = 7  # the classes of servers granted, one bit each, as `subject`
+    PIECE = 8  # a piece of a step between two versions of the list (`endpoints/list_versions.py`)
+    WANT = 9  # the version the sender has, and the pieces it lacks
 
 
 class Message(NamedTuple):
-    """One datagram. `subject` is whom a PING_REQUEST, or the answer to one, is about.
+    """One datagram. `subject` is the member that a PING_REQUEST or an ACK is about.
 
-    A PIECE or WANT has its figures in `digest`, in the order that `copies.py` gives.
+    A PIECE or WANT has its numbers in `digest`, in the order of `endpoints/list_versions.py`.
     """
 
     kind: Kind
@@ -117,46 +120,49 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and the node it goes to."""
+    """A message and the node that it goes to."""
 
     to: int
     message: Message
 
 
-def mark(record: Record) -> int:
-    """A record's identity in a digest, the same at every node: all of it but its age."""
-    figures = record if isinstance(record, Life) else record[:-1]
-    return crc32(b" ".join(b"%d" % figure for figure in figures))
+def record_checksum(record: Record) -> int:
+    """A record's identity in a digest, equal at every node: everything except its age."""
+    fields = record if isinstance(record, MemberRecord) else record[:-1]
+    return crc32(b" ".join(b"%d" % field for field in fields))
 
 
-def sound(record: Record, nodes: int) -> bool:
-    """Whether a record's figures can be: anything else is dropped, the rest of its message kept."""
-    if isinstance(record, Life):
-        n, incarnation, standing = record
-        return (
-            0 <= n < nodes
-            and 0 <= incarnation < MOST_INCARNATION
-            and 0 <= standing <= Standing.LEFT
+def is_valid(record: Record, nodes: int) -> bool:
+    """Whether every field is within its range, in a fleet of `nodes`."""
+    if isinstance(record, MemberRecord):
+        return _is_member(record.node, record.incarnation, nodes) and (
+            0 <= record.status <= MemberStatus.LEFT
         )
     if record.age < 0:
         return False
-    if isinstance(record, Reading):
+    if isinstance(record, ReaderRecord):
         return (
-            0 <= record.node < nodes
-            and 0 <= record.incarnation < MOST_INCARNATION
-            and How.ASKING <= record.how <= How.FAILED
-            and all(0 <= f < MOST_NUMBER for f in (record.number, *record[4:7]))
+            _is_member(record.node, record.incarnation, nodes)
+            and ReaderState.POLLING <= record.state <= ReaderState.FAILED
+            and all(0 <= field < MAX_INTEGER for field in (record.number, *record[4:7]))
         )
     if record.boot < 0 or record.server < 0:
         return False
-    if isinstance(record, Listed):
+    if isinstance(record, DrainRecord):
         return record.rev >= 0 and record.state in (State.GONE, State.DRAINING)
+    return _is_valid_observation(record, nodes)
+
+
+def _is_member(node: int, incarnation: int, nodes: int) -> bool:
+    return 0 <= node < nodes and 0 <= incarnation < MAX_INCARNATION
+
+
+def _is_valid_observation(record: Observation, nodes: int) -> bool:
     return (
-        0 <= record.origin < nodes
-        and 0 <= record.incarnation < MOST_INCARNATION
+        _is_member(record.origin, record.incarnation, nodes)
         and record.number >= 0
         and 0 <= record.failures <= MAX_FAILURES
         and record.cold in (0, 1)
-        and 0 <= record.full <= MAX_FAILURES
-        and 0 <= record.ratio <= MOST_RATIO
+        and 0 <= record.rejections <= MAX_FAILURES
+        and 0 <= record.ratio <= MAX_RATIO
     )
--- /dev/null
+++ b/loadbalancer/core/gossip/own_observations.py
@@ -0,0 +1,121 @@
+"""The observations that this node publishes: the results of its own attempts at servers."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.gossip.local_list import LocalList
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import Observation
+from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS, RecordStore
+from loadbalancer.core.gossip.update_sender import UpdateSender
+
+REPEAT_INTERVAL_NS = 5 * SECOND  # one that still holds is repeated well before it expires
+MAX_PUBLISHED = 3  # consecutive failures or rejections: more make no difference
+RATIO_UNIT = 16  # latency ratios travel in sixteenths
+FIRST_RATIO_STEP = 24.0  # sixteenths; smaller ratios are not published
+MAX_RATIO_STEP = 110
+
+
+class Results(NamedTuple):
+    """The published results of the attempts at one server, as in an `Observation`."""
+
+    failures: int
+    cold: int
+    rejections: int
+    ratio: int
+
+
+class Published(NamedTuple):
+    """The last results that were published of a server, when, and of an attempt made when."""
+
+    results: Results
+    published_at: int
+    attempted_at: int
+
+
+class OwnObservations:
+    """Publishes an observation when its results change, and repeats it while they hold."""
+
+    def __init__(
+        self,
+        members: Membership,
+        records: RecordStore,
+        updates: UpdateSender,
+        local_list: LocalList,
+    ) -> None:
+        self._members = members
+        self._records = records
+        self._updates = updates
+        self._local_list = local_list
+        self._published: dict[int, Published] = {}  # by server
+        self._number = 0
+
+    def __contains__(self, server: int) -> bool:
+        return server in self._published
+
+    def clear(self) -> None:
+        """Forget what was published: this process was paused, and its results are old."""
+        self._published.clear()
+
+    def observe(self, now: int, server: int, results: Results, attempted_at: int) -> None:
+        """Publish the results of this node's attempts at a server, the last at `attempted_at`.
+
+        They are repeated only for attempts made since: results that nobody has checked again
+        expire.
+        """
+        last = self._published.get(server)
+        if last is None:
+            if not any(results):
+                return
+        elif last.results == results and not self._is_due(now, last, attempted_at):
+            if now - attempted_at >= OBSERVATION_TTL_NS:
+                del self._published[server]
+            return
+        age = max(now - attempted_at, 0)
+        if any(results):
+            accepted = self._records.accepts_witness(server, self._members.me)
+            if age >= OBSERVATION_TTL_NS or not accepted:
+                return
+            self._published[server] = Published(results, now, attempted_at)
+        else:
+            del self._published[server]
+            age = 0
+        self._publish(now, server, results, age)
+
+    @staticmethod
+    def _is_due(now: int, last: Published, attempted_at: int) -> bool:
+        """Whether unchanged results are to be repeated."""
+        repeat = now - last.published_at >= REPEAT_INTERVAL_NS
+        return repeat and attempted_at != last.attempted_at
+
+    def _publish(self, now: int, server: int, results: Results, age: int) -> None:
+        self._number += 1
+        members = self._members
+        boot = self._local_list.boots.get(server, 0)
+        record = Observation(
+            server, boot, members.me, members.incarnation, self._number, *results, age=age
+        )
+        self._updates.publish(now, record)
+
+
+def results_of(failures: int, cold: bool, rejections: int, latency_ratio: float) -> Results:
+    """The results to publish, in coarse steps, so that small changes are no updates."""
+    return Results(
+        min(failures, MAX_PUBLISHED),
+        int(cold and failures > 0),
+        min(rejections, MAX_PUBLISHED),
+        _coarse_ratio(latency_ratio),
+    )
+
+
+def _coarse_ratio(ratio: float) -> int:
+    """A latency ratio in sixteenths, in steps of half as much again; 0 below the first."""
+    sixteenths = ratio * RATIO_UNIT
+    step = FIRST_RATIO_STEP
+    if sixteenths < step:
+        return 0
+    while step * 1.5 <= sixteenths and step < MAX_RATIO_STEP:
+        step *= 1.5
+    return int(step)
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -1,11 +1,11 @@
-"""What a node holds of servers from all nodes' messages, and what it makes of it.
+"""The replicated records of servers that a node has.
 
 Merging is a join of semilattices (commutative, associative, idempotent; Shapiro et al.,
-"Conflict-free Replicated Data Types", 2011, section 2), so messages may come twice, late and
-in any order. RULES is the one table of which record wins where copies differ. State is
-bounded by servers, not by servers times nodes: of a server's witnesses the WITNESSES that
-rank first by rendezvous hashing are kept (Thaler and Ravishankar, 1998), and the least of
-a union is the least of the leasts.
+"Conflict-free Replicated Data Types", 2011, section 2), so messages may be duplicated, late and
+in any order. MERGE_RULES is the one table of which record wins where replicas differ. State is
+bounded by servers, not by servers times nodes: of a server's witnesses the MAX_WITNESSES that
+rank first by rendezvous hashing are stored (Thaler and Ravishankar, 1998), and the minimum of
+a union is the minimum of the minima.
 """
 
 from __future__ import annotations
@@ -14,247 +14,230 @@
 from typing import Generic, NamedTuple, TypeVar, cast
 from zlib import crc32
 
-from loadbalancer.core.balancing.model import SECOND, State, Told
-from loadbalancer.core.gossip.messages import Listed, Observation, Reading, mark
+from loadbalancer.core.balancing.model import SECOND, State
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Observation,
+    ReaderRecord,
+    record_checksum,
+)
 
-PARTS = 8  # of a digest
-WITNESSES = 3  # kept of one server in one zone: more would be told of more than messages allow
-FAILURES_SUM = 3  # failures that all witnesses together have seen, for a server to be silent
-FAILURE_WITNESSES = 2  # witnesses, where there are so many nodes: one may itself be cut off
-CUT_OFF = 3  # a witness against more than one in so many servers is itself in doubt ...
-CUT_OFF_LEAST = 3  # ... from so many on
-SLOW_RATIO = 24  # sixteenths: half as slow again as the fleet
-FULL_ROW = 3  # turned away so often in a row, others need not try
-KEEP_LISTED = 600 * SECOND
-KEEP_OBSERVATION = 15 * SECOND
-KEEP_READING = 60 * SECOND
-TOO_OLD = SECOND // 2  # left of a record's time: less is not worth passing on
+DIGEST_PARTS = 8
+MAX_WITNESSES = 3  # of one server in one zone, so that its records fit in few messages
+DRAIN_TTL_NS = 600 * SECOND
+OBSERVATION_TTL_NS = 15 * SECOND
+READER_TTL_NS = 60 * SECOND
+MIN_REMAINING_NS = SECOND // 2  # a record with less of its lifetime remaining is not passed on
+LIST_SERVICE = -1  # as the writer of a server's drain record
 
 
-class Rule(NamedTuple):
-    """One line of the table: what a kind's copies are ordered by, and for how long they count."""
+class MergeRule(NamedTuple):
+    """How replicas of one kind of record are ordered, and for how long a record is valid."""
 
     writer: str
-    wins: str
-    counts: int
-    why: str
+    precedence: str
+    ttl_ns: int
+    reason: str
 
 
-RULES = {
-    Listed: Rule(
+MERGE_RULES = {
+    DrainRecord: MergeRule(
         "the list service",
         "the higher version; at one version GONE over DRAINING",
-        KEEP_LISTED,
-        "a drain is never undone by a node that has not heard of it yet",
+        DRAIN_TTL_NS,
+        "a drain is never undone by a node that has not received it yet",
     ),
-    Observation: Rule(
+    Observation: MergeRule(
         "the node whose attempts they were",
         "the later incarnation of it, then its higher number",
-        KEEP_OBSERVATION,
-        "only its writer takes an observation back; others' stand beside it",
+        OBSERVATION_TTL_NS,
+        "only its writer retracts an observation; those of others are stored beside it",
     ),
-    Reading: Rule(
+    ReaderRecord: MergeRule(
         "the node that reads the list",
         "the later incarnation of it, then its higher number",
-        KEEP_READING,
-        "only the reader knows how its calls went; the versions it names are ordered by themselves",
+        READER_TTL_NS,
+        "only the reader knows the results of its calls; list versions are ordered by themselves",
     ),
 }
-R = TypeVar("R", bound=Listed | Observation | Reading)
+ServerRecord = DrainRecord | Observation
+R = TypeVar("R", bound=DrainRecord | Observation | ReaderRecord)
 
 
-class Held(NamedTuple, Generic[R]):
+class StoredRecord(NamedTuple, Generic[R]):
+    """A record, and when it was written by this node's own clock (ns)."""
+
     record: R
-    born: int  # by this node's own clock
+    written_at: int
 
-    def aged(self, now: int) -> R:
+    def with_age(self, now: int) -> R:
         """The record with its age as of now, as it is passed on."""
-        return cast(R, self.record._replace(age=max(now - self.born, 0)))
+        return cast(R, self.record._replace(age=max(now - self.written_at, 0)))
+
+
+class RecordKey(NamedTuple):
+    """What names an update: a server, and the witness or LIST_SERVICE."""
+
+    server: int
+    writer: int
 
 
-Rows = dict[int, Held[Listed | Observation]]  # of one server, by writer
-Key = tuple[int, int]  # a server, and the witness or -1 for the list's record
+ServerRecords = dict[int, StoredRecord[ServerRecord]]  # of one server, by writer
 
 
-def rank(server: int, node: int) -> int:
-    """Rendezvous: the lower, the sooner a node is a witness of this server."""
+def key_of(record: ServerRecord) -> RecordKey:
+    """The key under which a record is stored."""
+    writer = record.origin if isinstance(record, Observation) else LIST_SERVICE
+    return RecordKey(record.server, writer)
+
+
+def witness_rank(server: int, node: int) -> int:
+    """Rendezvous hash: the nodes with the lowest ranks are the witnesses of a server."""
     return crc32(b"%d %d" % (server, node))
 
 
-def version(record: Listed | Observation | Reading) -> tuple[int, ...]:
-    """What copies of one key are ordered by; of two that are alike in it the contents decide."""
-    if isinstance(record, Listed):
+def precedence(record: DrainRecord | Observation | ReaderRecord) -> tuple[int, ...]:
+    """What replicas under one key are ordered by; the contents break ties."""
+    if isinstance(record, DrainRecord):
         return (record.rev, record.boot, State.DRAINING - record.state)
-    if isinstance(record, Reading):
+    if isinstance(record, ReaderRecord):
         return record[1:7]
     return (record.incarnation, record.number, *record[1:2], *record[5:9])
 
 
-def joined(old: Held[R] | None, now: int, record: R) -> tuple[Held[R], bool]:
-    """What is held of one key once a record has come, a join by `version`; whether it was news."""
-    fresh = Held(cast(R, record._replace(age=0)), now - record.age)
-    if old is None or version(record) > version(old.record):
-        return fresh, True
-    if version(record) == version(old.record) and fresh.born < old.born:
-        # The earlier birth: passed round and round a record must grow no younger.
-        return old._replace(born=fresh.born), False
+def join(old: StoredRecord[R] | None, now: int, record: R) -> tuple[StoredRecord[R], bool]:
+    """Join a record that has been received with the stored one; whether it wins."""
+    received = StoredRecord(cast(R, record._replace(age=0)), now - record.age)
+    if old is None or precedence(record) > precedence(old.record):
+        return received, True
+    if precedence(record) == precedence(old.record) and received.written_at < old.written_at:
+        # The earlier time of writing: a record that is passed on in circles must still expire.
+        return old._replace(written_at=received.written_at), False
     return old, False
 
 
-class Beliefs:
-    """Records of servers by server and writer; `counts` is what each is held at most."""
+class RecordStore:
+    """Records by server and writer, with the digest that anti-entropy compares."""
 
-    def __init__(self, nodes: int, zones: int) -> None:
+    def __init__(self, zones: int) -> None:
         self._zones = max(zones, 1)
-        self._few = min(FAILURE_WITNESSES, max(nodes // self._zones - 1, 1))
-        self._held: dict[int, Rows] = {}
-        self.digest = [0] * PARTS
-        self.changed: set[int] = set()  # servers whose records have, since last looked at
+        self._records: dict[int, ServerRecords] = {}
+        self.digest = [0] * DIGEST_PARTS
+        self.changed: set[int] = set()  # servers whose records have changed since last assessed
 
     # ---- merging --------------------------------------------------------
 
-    def merge(self, now: int, record: Listed | Observation) -> bool:
-        """Take a record in; whether it was news."""
-        if record.age >= RULES[type(record)].counts:
+    def merge(self, now: int, record: ServerRecord) -> bool:
+        """Merge a record; whether it changed what is stored."""
+        if record.age >= MERGE_RULES[type(record)].ttl_ns:
             return False
-        rows = self._held.setdefault(record.server, {})
-        writer = record.origin if isinstance(record, Observation) else -1
-        old = rows.get(writer)
-        if old is None and writer >= 0 and not self._room(rows, record.server, writer):
+        records = self._records.setdefault(record.server, {})
+        writer = key_of(record).writer
+        old = records.get(writer)
+        if old is None and writer != LIST_SERVICE and not self._admit(record.server, writer):
             return False
-        rows[writer], news = joined(old, now, record)
-        if not news:
+        records[writer], wins = join(old, now, record)
+        if not wins:
             return False
         if old is not None:
-            self._flip(old.record)
-        self._flip(record)
+            self._toggle(old.record)
+        self._toggle(record)
         self.changed.add(record.server)
         return True
 
-    def _room(self, rows: Rows, server: int, writer: int) -> bool:
-        """Whether a new witness ranks among the first; the last of them goes for it."""
-        last = self._last(rows, server, writer)
+    def _admit(self, server: int, writer: int) -> bool:
+        """Whether a new witness ranks among the first; the last of them makes way for it."""
+        last = self._last_witness(server, writer)
         if last is None:
             return True
-        if last < (rank(server, writer), writer):
+        if last < (witness_rank(server, writer), writer):
             return False
-        self._drop(server, last[1])
+        self._remove(server, last[1])
         return True
 
-    def _last(self, rows: Rows, server: int, writer: int) -> tuple[int, int] | None:
-        """Who would go for a new witness of its zone; None while there is room."""
-        zone = writer % self._zones
-        ranks = [(rank(server, w), w) for w in rows if w >= 0 and w % self._zones == zone]
-        return max(ranks) if len(ranks) >= WITNESSES else None
+    def _last_witness(self, server: int, node: int) -> tuple[int, int] | None:
+        """The lowest ranked witness of a node's zone; None while there are few enough."""
+        zone = node % self._zones
+        ranks = [
+            (witness_rank(server, writer), writer)
+            for writer in self._records.get(server, {})
+            if writer >= 0 and writer % self._zones == zone
+        ]
+        return max(ranks) if len(ranks) >= MAX_WITNESSES else None
 
-    def _flip(self, record: Listed | Observation) -> None:
-        self.digest[record.server % PARTS] ^= mark(record)
+    def _toggle(self, record: ServerRecord) -> None:
+        """Add a record to the digest or, the second time, remove it."""
+        self.digest[record.server % DIGEST_PARTS] ^= record_checksum(record)
 
-    def _drop(self, server: int, writer: int) -> None:
-        rows = self._held[server]
-        self._flip(rows.pop(writer).record)
+    def _remove(self, server: int, writer: int) -> None:
+        records = self._records[server]
+        self._toggle(records.pop(writer).record)
         self.changed.add(server)
-        if not rows:
-            del self._held[server]
+        if not records:
+            del self._records[server]
 
     def expire(self, now: int) -> None:
-        """Forget what no longer counts."""
-        for server, rows in list(self._held.items()):
-            for writer, held in list(rows.items()):
-                if now - held.born >= RULES[type(held.record)].counts:
-                    self._drop(server, writer)
-
-    def outdate(self, rev: int) -> None:
-        """The list service counts from anew: its records above this version are of no use."""
-        for server, rows in list(self._held.items()):
-            held = rows.get(-1)
-            if held is not None and isinstance(held.record, Listed) and held.record.rev > rev:
-                self._drop(server, -1)
-
-    # ---- what is held ----------------------------------------------------
-
-    def get(self, now: int, key: Key) -> Listed | Observation | None:
-        """A record with its age as of now; None where too little of its time is left."""
-        held = self._held.get(key[0], {}).get(key[1])
-        if held is None:
+        """Remove the records whose lifetime has ended."""
+        for server, records in list(self._records.items()):
+            for writer, stored in list(records.items()):
+                if now - stored.written_at >= MERGE_RULES[type(stored.record)].ttl_ns:
+                    self._remove(server, writer)
+
+    def remove_drains_after(self, rev: int) -> None:
+        """Remove the drain records above a version: the list service has restarted its numbers."""
+        for server in list(self._records):
+            record = self._drain(server)
+            if record is not None and record.rev > rev:
+                self._remove(server, LIST_SERVICE)
+
+    # ---- reading ---------------------------------------------------------
+
+    def get(self, now: int, key: RecordKey) -> ServerRecord | None:
+        """A record with its age as of now; None where too little of its lifetime remains."""
+        stored = self._records.get(key.server, {}).get(key.writer)
+        if stored is None:
             return None
-        record = held.aged(now)
-        return None if RULES[type(record)].counts - record.age < TOO_OLD else record
-
-    def part(self, now: int, number: int) -> Iterator[Listed | Observation]:
-        """All that is worth passing on of one part of the digest."""
-        for server, rows in self._held.items():
-            if server % PARTS == number:
-                for writer in rows:
-                    record = self.get(now, (server, writer))
+        record = stored.with_age(now)
+        remaining = MERGE_RULES[type(record)].ttl_ns - record.age
+        return None if remaining < MIN_REMAINING_NS else record
+
+    def in_part(self, now: int, part: int) -> Iterator[ServerRecord]:
+        """The records of one part of the digest that may be passed on."""
+        for server, records in self._records.items():
+            if server % DIGEST_PARTS == part:
+                for writer in records:
+                    record = self.get(now, RecordKey(server, writer))
                     if record is not None:
                         yield record
 
     def servers(self) -> list[int]:
-        return list(self._held)
-
-    def rows(self, server: int) -> list[Held[Listed | Observation]]:
-        return list(self._held.get(server, {}).values())
-
-    def room_for(self, server: int, node: int) -> bool:
-        """Whether this node's observation of a server is one that is kept."""
-        rows = self._held.get(server, {})
-        last = self._last(rows, server, node)
-        return node in rows or last is None or (rank(server, node), node) < last
+        """The servers that have records."""
+        return list(self._records)
+
+    def of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
+        """All records of one server."""
+        return list(self._records.get(server, {}).values())
+
+    def observations(self, server: int) -> Iterator[StoredRecord[Observation]]:
+        """The observations of one server."""
+        for stored in self._records.get(server, {}).values():
+            if isinstance(stored.record, Observation):
+                yield cast("StoredRecord[Observation]", stored)
+
+    def accepts_witness(self, server: int, node: int) -> bool:
+        """Whether this node's observation of a server would be stored."""
+        if node in self._records.get(server, {}):
+            return True
+        last = self._last_witness(server, node)
+        return last is None or (witness_rank(server, node), node) < last
 
-    def listed(self, server: int, boot: int, rev: int) -> State | None:
-        """The list's stricter state of this server's start, from a version we have not had."""
-        held = self._held.get(server, {}).get(-1)
-        if held is None or not isinstance(held.record, Listed):
+    def drain_state(self, server: int, boot: int, rev: int) -> State | None:
+        """DRAINING or GONE, where a version above `rev` says so of this start of a server."""
+        record = self._drain(server)
+        if record is None or record.rev <= rev or record.boot != boot:
             return None
-        record = held.record
-        return State(record.state) if record.rev > rev and record.boot == boot else None
-
-    # ---- what it comes to ---------------------------------------------------
-
-    def cut_off(self, servers: int) -> set[int]:
-        """Witnesses that see so much silence that the fault may be at their end."""
-        against: dict[int, int] = {}
-        for rows in self._held.values():
-            for writer, held in rows.items():
-                if isinstance(held.record, Observation) and held.record.failures:
-                    against[writer] = against.get(writer, 0) + 1
-        most = max(CUT_OFF_LEAST, servers // CUT_OFF)
-        return {writer for writer, n in against.items() if n > most}
-
-    def judge(
-        self, server: int, boot: int, node: int, believed: set[int]
-    ) -> tuple[Told, int, int, bool] | None:
-        """What others' observations of a server come to for `node`: (what, ratio, birth, cold).
-
-        `born` is when the youngest of them was, so that the node's own later answers go
-        before it. Evidence from one zone binds that zone alone: unreachable from there is
-        not dead. None where nothing is told.
-        """
-        mine = node % self._zones
-        rows = [
-            (held.record, held.born)
-            for writer, held in self._held.get(server, {}).items()
-            if isinstance(held.record, Observation)
-            and writer != node
-            and writer in believed
-            and writer % self._zones == mine
-            and held.record.boot == boot
-        ]
-        if not rows:
-            return None
-        born = max(b for _, b in rows)
-        failed = [r for r, _ in rows if r.failures]
-        cold = any(r.cold for r in failed)
-        if failed:
-            enough = sum(r.failures for r in failed) >= FAILURES_SUM
-            if enough and len(failed) >= self._few:
-                return Told.SILENT, 0, born, cold
-            if enough:
-                return Told.DOUBTED, 0, born, cold
-        if sum(r.full for r, _ in rows) >= FULL_ROW:
-            return Told.FULL, 0, born, False
-        ratios = sorted(r.ratio for r, _ in rows if r.ratio)
-        if ratios and ratios[len(ratios) // 2] >= SLOW_RATIO:
-            return Told.SLOW, ratios[len(ratios) // 2], born, False
-        return None
+        return State(record.state)
+
+    def _drain(self, server: int) -> DrainRecord | None:
+        stored = self._records.get(server, {}).get(LIST_SERVICE)
+        return stored.record if stored and isinstance(stored.record, DrainRecord) else None
--- /dev/null
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -0,0 +1,135 @@
+"""Which of a server's concurrency slots are this node's, among the alive members and by leases.
+
+The slots of a server are in one order, each of them owned by one node (`Balancer.redeal`).
+Gossip changes how deep into that order the alive nodes go: past slots whose nodes are dead, for
+as many slots of alive nodes as the concurrency limit asks, and never beyond `max_slots`. Nodes
+with the same list never own the same slot, so whatever messages come, are lost or are false, and
+whatever each node believes of the others, all together stay within `max_slots` at every server.
+(Lists that differ shift the order, with gossip or without, until they agree.) A limit that
+pressure has raised beyond `max_slots` is cut where the alive nodes alone would pass it: what a
+node needs beyond its own slots it leases from others (`slot_leases.py`), which do not use them
+meanwhile. Only slots of the upper half are leased, so that every node keeps the lower half.
+
+A node that receives no messages (`Membership.hears_nobody`, after ISOLATED_AFTER_NS, which is
+longer than any lease) can lease nothing, and goes as deep as it would without gossip.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from loadbalancer.core.gossip.slot_leases import CLASSES
+
+MIN_SLOTS_PER_NODE = 3  # that a node needs to serve at all: with fewer none are cut
+
+
+class HeldLease(NamedTuple):
+    """Classes leased from the node at one place of the zone, a bit each."""
+
+    place: int
+    classes: int
+
+
+class SlotAllocation:
+    """For servers of this node's own zone; those of other zones are divided as without gossip."""
+
+    __slots__ = (
+        "_all_alive",
+        "_depths",
+        "_is_alive",
+        "_nodes",
+        "_place",
+        "_slots",
+        "granted_classes",
+        "isolated",
+        "leases",
+    )
+
+    def __init__(self, place: int, nodes: int, slots: int, is_alive: Callable[[int], bool]) -> None:
+        """The node at `place` of the `nodes` of its zone; `is_alive` answers for a place.
+
+        `slots` is the number of slots of one server.
+        """
+        self._place = place
+        self._nodes = max(nodes, 1)
+        self._slots = slots
+        self._is_alive = is_alive
+        self._all_alive = True
+        # Results of `_depth_past_dead` by (first slot, depth, max_slots), until liveness changes:
+        # the walk over the slots of hundreds of servers would block the loop for milliseconds.
+        self._depths: dict[tuple[int, int, int], int] = {}
+        self.isolated = False  # receives no messages: at least the slots without gossip
+        self.granted_classes = 0  # whose upper slots are leased to others, a bit each
+        self.leases: list[HeldLease] = []
+
+    def refresh(self) -> None:
+        """Update which nodes are alive; to be called before caps are computed anew."""
+        self._all_alive = all(self._is_alive(place) for place in range(self._nodes))
+        self._depths.clear()
+
+    def max_slots(self, servers: int) -> int:
+        """Slots of one server in all; with few servers, MIN_SLOTS_PER_NODE for each node."""
+        return max(self._slots, -(-MIN_SLOTS_PER_NODE * self._nodes // max(servers, 1)))
+
+    def depth(self, deal: int, depth: int, servers: int) -> int:
+        """How many slots of a server the alive nodes use, where the limit asks for `depth`.
+
+        `deal` is this node's first slot there.
+        """
+        max_slots = self.max_slots(servers)
+        if self._all_alive or depth <= 0:
+            return min(depth, max_slots)
+        key = (deal, depth, max_slots)
+        cached = self._depths.get(key)
+        if cached is None:
+            cached = self._depths[key] = self._depth_past_dead(deal, depth, max_slots)
+        return cached
+
+    def _depth_past_dead(self, deal: int, depth: int, max_slots: int) -> int:
+        first = self._place - deal
+        wanted = min(depth, max_slots)
+        slot = alive = 0
+        # Past the dead for as many alive as are wanted, within the server's slots; and under
+        # pressure as deep as without gossip, while the alive there are within them.
+        while (slot < max_slots and alive < wanted) or (slot < depth and alive < max_slots):
+            alive += self._is_alive((first + slot) % self._nodes)
+            slot += 1
+        return slot
+
+    def cap(self, server: int, deal: int, depth: int, servers: int) -> int:
+        """How many requests this node may have at a server, by its own slots and by leases."""
+        max_slots = self.max_slots(servers)
+        class_bit = 1 << server % CLASSES
+        cap = self.own(deal, depth, servers, bool(self.granted_classes & class_bit))
+        # Where a slow server or congestion asks for less than its own slots, none are leased.
+        if depth >= max_slots:
+            for place, classes in self.leases:
+                if classes & class_bit:
+                    first = (place - self._place + deal) % self._nodes
+                    cap += self._count(first, max_slots) - self._count(first, max_slots // 2)
+        return cap
+
+    def own(self, deal: int, depth: int, servers: int, leased_out: bool) -> int:
+        """How many of a server's slots are this node's own, without the upper if leased out."""
+        slots = self.depth(deal, depth, servers)
+        if self.isolated:
+            return self._count(deal, max(slots, depth))
+        return self._count(deal, min(slots, self.max_slots(servers) // 2) if leased_out else slots)
+
+    def _count(self, first: int, depth: int) -> int:
+        """Slots before `depth` of a node whose first one is `first`."""
+        return -(-(depth - first) // self._nodes) if depth > first else 0
+
+    def grantable_classes(
+        self, deals: list[tuple[int, int]], servers: int, needed: float, owned: int
+    ) -> int:
+        """How many classes this node can lease out and still have `needed` of its `owned` slots.
+
+        `deals`: (first slot, depth) of each server.
+        """
+        if owned < needed:
+            return 0
+        lower = sum(self.own(deal, depth, servers, True) for deal, depth in deals)
+        per_class = (owned - lower) / CLASSES
+        return min(int((owned - needed) / per_class), CLASSES) if per_class else CLASSES
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -1,11 +1,12 @@
-"""Slots lent by need: who may use whose, and until when, with nobody's clock read at another.
-
-Of each node's slots those in the upper half of what a server takes may be lent (`Slots`), by
-classes of servers. In a lease (Gray and Cheriton, 1989, section 2) the borrower counts from
-when it asked and the lender from when it lent, SLACK longer: the message that lends lies
-between the two, so however long messages take, come twice or are lost, the borrower has stopped
-before the lender goes on. What a node's earlier start has lent is not known to its next one,
-which leaves all that may be lent alone until every such lease has ended.
+"""Leases on concurrency slots: who may use whose slots, and until when.
+
+Of each node's slots, those in the upper half of a server's slots may be leased to another node
+(`slot_allocation.py`), in classes of servers. As in a lease of Gray and Cheriton (1989, section
+2), the holder counts its term from when it sent the request, and the grantor from when it
+granted, SAFETY_MARGIN_NS longer. The message that grants lies between the two, so however late
+messages are, or duplicated, or lost, the holder has stopped before the grantor uses its slots
+again. What an earlier start of a node has granted is not known to its next one, which uses none
+of the slots that may be leased until every such lease has ended. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -15,129 +16,155 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 
-SPAN = 2 * SECOND
-SLACK = 500 * MS  # for a borrower's late turn, what it has out by then, and clocks that drift
-CLASSES = 8  # of servers, by their number: what one lease is dealt out in
-ALL = (1 << CLASSES) - 1
-LENDERS = 12  # at once: a message each second and lender, within the pace
-ASK_EVERY = 250 * MS
-ASK_AT_ONCE = 4
-DECLINED = 2 * SECOND  # until one that had nothing to lend is asked again
+LEASE_TTL_NS = 2 * SECOND
+SAFETY_MARGIN_NS = 500 * MS  # for the holder's late turn, its open requests, and clock drift
+CLASSES = 8  # of servers, by their number: the unit in which slots are leased
+ALL_CLASSES = (1 << CLASSES) - 1
+MAX_GRANTORS = 12  # at once: each costs a message a second, within the message rate
+REQUEST_INTERVAL_NS = 250 * MS
+MAX_NEW_REQUESTS = 4  # to further grantors at once
+DECLINED_NS = 2 * SECOND  # until a node that had nothing to lease is asked again
 
 
-class Lent(NamedTuple):
-    to: int
-    until: int
+class Grant(NamedTuple):
+    """A class that this node has leased to another."""
 
+    holder: int
+    expires_at: int
 
-class Held(NamedTuple):
-    classes: int  # a bit each
-    asked: int
-    until: int
+
+class Lease(NamedTuple):
+    """The classes that this node has leased from another, a bit each."""
+
+    classes: int
+    requested_at: int
+    expires_at: int
+
+
+class LeaseRequest(NamedTuple):
+    """A request that has not been answered yet."""
+
+    grantor: int
+    sent_at: int
 
 
 class SlotLeases:
-    """One node's leases, both ways. Bounded by CLASSES and LENDERS, whoever asks how often."""
+    """One node's leases, as grantor and as holder: at most CLASSES and MAX_GRANTORS."""
 
     def __init__(self, seed: int) -> None:
-        self.lent: dict[int, Lent] = {}  # by class
-        self.held: dict[int, Held] = {}  # by lender
+        self.grants: dict[int, Grant] = {}  # by class
+        self.active: dict[int, Lease] = {}  # by grantor
         self.changed = True
-        self._free_from = -1  # when this start may use and lend all of its own; -1: unknown yet
+        self._unrestrained_at = -1  # when this start may use and lease its slots; -1: not known
         self._restrained = True
         self._random = Random(seed)
         self._serial = self._random.getrandbits(30)
-        self._asked: dict[int, tuple[int, int]] = {}  # serial -> lender, when
-        self._declined: dict[int, int] = {}  # lender -> until when
-        self._next = 0
+        self._requests: dict[int, LeaseRequest] = {}  # by serial
+        self._declined_until: dict[int, int] = {}  # by grantor
+        self._next_request_at = 0
 
-    # ---- lending -----------------------------------------------------------
+    # ---- grantor -----------------------------------------------------------
 
-    def out(self) -> int:
-        """Classes whose upper slots this node leaves alone."""
-        return ALL if self._restrained else sum(1 << c for c in self.lent)
+    def granted_classes(self) -> int:
+        """The classes whose upper slots this node must not use, a bit each."""
+        return ALL_CLASSES if self._restrained else sum(1 << c for c in self.grants)
 
-    def lend(self, now: int, to: int, spare: int) -> int:
-        """Lend or lend on up to `spare` classes in all; those that the asker now has."""
+    def grant(self, now: int, holder: int, grantable: int) -> int:
+        """Grant or renew up to `grantable` classes over all holders; those of this holder."""
         self.expire(now)
         if self._restrained:
             return 0
-        theirs = [c for c, lent in self.lent.items() if lent.to == to]
-        free = [c for c in range(CLASSES) if c not in self.lent]
+        renewed = [c for c, grant in self.grants.items() if grant.holder == holder]
+        free = [c for c in range(CLASSES) if c not in self.grants]
         self._random.shuffle(free)
-        room = max(spare - (len(self.lent) - len(theirs)), 0)
-        mask = 0
-        for c in (theirs + free)[:room]:
-            self.changed = self.changed or c not in self.lent
-            self.lent[c] = Lent(to, now + SPAN + SLACK)
-            mask |= 1 << c
-        return mask
-
-    # ---- borrowing ---------------------------------------------------------
-
-    def borrowed(self, now: int) -> list[tuple[int, int]]:
-        """(lender, classes) that this node may use at this moment."""
-        return [(n, h.classes) for n, h in self.held.items() if now < h.until]
-
-    def asks(self, now: int, others: list[int], more: bool) -> list[tuple[int, int]]:
-        """(lender, serial) to ask now: those whose lease is half over, and `more` beside them."""
-        if now < self._next:
+        remaining = max(grantable - (len(self.grants) - len(renewed)), 0)
+        classes = 0
+        for c in (renewed + free)[:remaining]:
+            self.changed = self.changed or c not in self.grants
+            self.grants[c] = Grant(holder, now + LEASE_TTL_NS + SAFETY_MARGIN_NS)
+            classes |= 1 << c
+        return classes
+
+    # ---- holder ------------------------------------------------------------
+
+    def usable(self, now: int) -> list[tuple[int, int]]:
+        """(grantor, classes) of the leases that are valid at this moment."""
+        return [(n, lease.classes) for n, lease in self.active.items() if now < lease.expires_at]
+
+    def requests(self, now: int, grantors: list[int], more: bool) -> list[tuple[int, int]]:
+        """(grantor, serial) of the requests to send now.
+
+        Leases whose term is half over are renewed; with `more`, further grantors are asked too.
+        """
+        if now < self._next_request_at:
             return []
-        self._next = now + ASK_EVERY
-        wanted = [n for n, h in self.held.items() if now - h.asked >= SPAN // 2 and n in others]
-        if more and len(self.held) < LENDERS:
-            fresh = [n for n in others if n not in self.held and n not in self._declined]
-            count = min(ASK_AT_ONCE, LENDERS - len(self.held), len(fresh))
-            wanted += self._random.sample(fresh, count)
-        rows = []
-        for lender in wanted:
+        self._next_request_at = now + REQUEST_INTERVAL_NS
+        asked = [
+            n
+            for n, lease in self.active.items()
+            if now - lease.requested_at >= LEASE_TTL_NS // 2 and n in grantors
+        ]
+        if more and len(self.active) < MAX_GRANTORS:
+            fresh = [n for n in grantors if n not in self.active and n not in self._declined_until]
+            count = min(MAX_NEW_REQUESTS, MAX_GRANTORS - len(self.active), len(fresh))
+            asked += self._random.sample(fresh, count)
+        requests = []
+        for grantor in asked:
             self._serial += 1
-            self._asked[self._serial] = (lender, now)
-            rows.append((lender, self._serial))
-        return rows
-
-    def granted(self, now: int, lender: int, serial: int, classes: int) -> None:
-        """An answer has come. Of no use where nobody asked for it, or asked too long ago."""
-        asked = self._asked.get(serial)
-        if asked is None or asked[0] != lender:
+            self._requests[self._serial] = LeaseRequest(grantor, now)
+            requests.append((grantor, self._serial))
+        return requests
+
+    def on_grant(self, now: int, grantor: int, serial: int, classes: int) -> None:
+        """Take a grant; ignored where it answers no request, or one sent too long ago."""
+        request = self._requests.get(serial)
+        if request is None or request.grantor != grantor:
             return
-        del self._asked[serial]
-        classes &= ALL
-        old = self.held.get(lender)
-        if old is not None and old.asked > asked[1]:
+        del self._requests[serial]
+        classes &= ALL_CLASSES
+        old = self.active.get(grantor)
+        if old is not None and old.requested_at > request.sent_at:
             return
-        if classes == 0 or now >= asked[1] + SPAN:
-            self._declined[lender] = now + DECLINED
-            self.changed = self.held.pop(lender, None) is not None or self.changed
+        expires_at = request.sent_at + LEASE_TTL_NS
+        if classes == 0 or now >= expires_at:
+            self._declined_until[grantor] = now + DECLINED_NS
+            self.changed = self.active.pop(grantor, None) is not None or self.changed
             return
         self.changed = self.changed or old is None or old.classes != classes
-        self.held[lender] = Held(classes, asked[1], asked[1] + SPAN)
+        self.active[grantor] = Lease(classes, request.sent_at, expires_at)
 
     def report(self, now: int) -> dict[str, list[list[int]]]:
-        """For people: node, classes in eighths, milliseconds left, both ways."""
-        lent: dict[int, list[int]] = {}
-        for to, until in self.lent.values():
-            row = lent.setdefault(to, [to, 0, 0])
-            row[1:] = row[1] + 1, max(row[2], (until - now) // MS)
-        held = [[n, h.classes.bit_count(), (h.until - now) // MS] for n, h in self.held.items()]
-        return {"lent": list(lent.values()), "borrowed": held}
+        """For operators, both ways: node, number of classes, milliseconds remaining."""
+        granted: dict[int, list[int]] = {}
+        for holder, expires_at in self.grants.values():
+            row = granted.setdefault(holder, [holder, 0, 0])
+            row[1:] = row[1] + 1, max(row[2], (expires_at - now) // MS)
+        held = [
+            [n, lease.classes.bit_count(), (lease.expires_at - now) // MS]
+            for n, lease in self.active.items()
+        ]
+        return {"lent": list(granted.values()), "borrowed": held}
 
     # ---- time ----------------------------------------------------------------
 
-    def begin(self, now: int) -> None:
-        """This start speaks from now on, and no earlier one of this node does any more."""
-        if self._free_from < 0:
-            self._free_from = now + SPAN + SLACK
+    def activate(self, now: int) -> None:
+        """This start takes part from now on, and no earlier one of this node does any more."""
+        if self._unrestrained_at < 0:
+            self._unrestrained_at = now + LEASE_TTL_NS + SAFETY_MARGIN_NS
 
     def expire(self, now: int) -> None:
-        """End what has ended; to be called several times within SLACK."""
-        if self._restrained and 0 <= self._free_from <= now:
+        """End what has expired; to be called several times within SAFETY_MARGIN_NS."""
+        if self._restrained and 0 <= self._unrestrained_at <= now:
             self._restrained, self.changed = False, True
-        for c in [c for c, lent in self.lent.items() if lent.until <= now]:
-            del self.lent[c]
+        for c in [c for c, grant in self.grants.items() if grant.expires_at <= now]:
+            del self.grants[c]
             self.changed = True
-        for n in [n for n, held in self.held.items() if held.until <= now]:
-            del self.held[n]
+        for n in [n for n, lease in self.active.items() if lease.expires_at <= now]:
+            del self.active[n]
             self.changed = True
-        self._asked = {s: a for s, a in self._asked.items() if now < a[1] + SPAN}
-        self._declined = {n: until for n, until in self._declined.items() if now < until}
+        self._requests = {
+            serial: request
+            for serial, request in self._requests.items()
+            if now < request.sent_at + LEASE_TTL_NS
+        }
+        self._declined_until = {n: t for n, t in self._declined_until.items() if now < t}
--- a/loadbalancer/core/gossip/token_bucket.py
+++ b/loadbalancer/core/gossip/token_bucket.py
@@ -1,26 +1,31 @@
-"""Tokens by time: how fast something may go on."""
+"""A token bucket: bounds a rate and its bursts."""
 
 from __future__ import annotations
 
 from loadbalancer.core.balancing.model import SECOND
 
 
-class Bucket:
-    """Tokens, `rate` a second and `most` at once."""
+class TokenBucket:
+    """Holds up to `capacity` tokens and gains `rate` of them a second."""
 
-    __slots__ = ("_at", "_most", "_rate", "tokens")
+    __slots__ = ("_capacity", "_rate", "_refilled_at", "tokens")
 
-    def __init__(self, rate: float, most: float, now: int) -> None:
-        self._rate, self._most, self._at = rate, most, now
-        self.tokens = most
+    def __init__(self, rate: float, capacity: float, now: int) -> None:
+        self._rate = rate
+        self._capacity = capacity
+        self._refilled_at = now
+        self.tokens = capacity
 
-    def fill(self, now: int) -> float:
-        self.tokens = min(self._most, self.tokens + (now - self._at) * self._rate / SECOND)
-        self._at = now
+    def refill(self, now: int) -> float:
+        """Add what has accrued by `now` (ns) and return the tokens available."""
+        accrued = (now - self._refilled_at) * self._rate / SECOND
+        self.tokens = min(self._capacity, self.tokens + accrued)
+        self._refilled_at = now
         return self.tokens
 
     def take(self, now: int, count: float = 1.0) -> bool:
-        if self.fill(now) < count:
+        """Take `count` tokens; False, taking none, where there are fewer."""
+        if self.refill(now) < count:
             return False
         self.tokens -= count
         return True
--- /dev/null
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -0,0 +1,182 @@
+"""Dissemination: which updates go out in which messages, within the message rate.
+
+Updates are piggybacked on the messages of the failure detector and of anti-entropy (SWIM,
+section 4.1). New ones are sent at once as well, in gossip messages to a few random members, so
+that an update crosses a fleet in a few hops of milliseconds. Times are in nanoseconds.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from loadbalancer.core.balancing.model import MS
+from loadbalancer.core.gossip.dissemination import DisseminationQueue
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Kind,
+    MemberRecord,
+    Observation,
+    Outgoing,
+    ReaderRecord,
+    Record,
+)
+from loadbalancer.core.gossip.records import DIGEST_PARTS, RecordKey, RecordStore, key_of
+from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.core.gossip.token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    from loadbalancer.core.endpoints.shared_list import SharedList
+
+GOSSIP_DELAY_NS = 5 * MS  # after an update, so that those that come with it share its messages
+GOSSIP_FANOUT = 3  # members that a new update is sent to at once
+# Sizes on the wire, in bytes at most (checked by a test).
+MESSAGE_HEAD_BYTES = 32
+RECORD_BYTES: dict[type[Record], int] = {
+    MemberRecord: 16,
+    DrainRecord: 40,
+    Observation: 52,
+    ReaderRecord: 64,
+}
+DIGEST_BYTES = 5 * (DIGEST_PARTS + 1) + 3
+# In the place of a server, the keys of updates that are about a node.
+MEMBER, READER = -1, -2
+
+
+class UpdateSender:
+    """The updates under way, the message rate, and when the next turn is due."""
+
+    def __init__(
+        self,
+        settings: GossipSettings,
+        members: Membership,
+        records: RecordStore,
+        shared_list: SharedList | None,
+        now: int,
+    ) -> None:
+        self._settings = settings
+        self._members = members
+        self._records = records
+        self._shared_list = shared_list
+        self._queue: DisseminationQueue[RecordKey] = DisseminationQueue(settings.nodes)
+        burst = max(settings.messages / 2, GOSSIP_FANOUT + 1)
+        self._rate = TokenBucket(settings.messages, burst, now)
+        self._body_bytes = settings.datagram - MESSAGE_HEAD_BYTES
+        self.gossip_pending = False  # updates that were not sent yet wait for the next turn
+        self.next_turn_at = now
+
+    # ---- updates -----------------------------------------------------------
+
+    def publish(self, now: int, record: DrainRecord | Observation) -> None:
+        """Store a record of this node's own, and disseminate it."""
+        if self._records.merge(now, record):
+            self._queue.add(key_of(record))
+            self.send_soon(now)
+
+    def add(self, key: RecordKey) -> None:
+        """Disseminate an update."""
+        self._queue.add(key)
+
+    def received(self, key: RecordKey, changed: bool) -> None:
+        """A record came from another node: pass a change on, count a repetition as sent."""
+        if changed:
+            self._queue.add(key)
+        else:
+            self._queue.transmitted(key)
+
+    def clear(self) -> None:
+        """Disseminate none of the present updates any more."""
+        self._members.updates.clear()
+        self._queue = DisseminationQueue(self._settings.nodes)
+
+    def has_unsent(self) -> bool:
+        """Whether any update has not been sent at all."""
+        return self._queue.has_unsent()
+
+    def _lookup(self, now: int, key: RecordKey) -> Record | None:
+        """The record that an update is about, as it is now; None where there is none any more."""
+        if key.server == MEMBER:
+            return self._members.record(key.writer)
+        if key.server == READER:
+            readers = None if self._shared_list is None else self._shared_list.readers
+            return None if readers is None else readers.get(now, key.writer)
+        return self._records.get(now, key)
+
+    # ---- rate and time --------------------------------------------------------
+
+    def send_soon(self, now: int) -> None:
+        """Bring the next turn forward, for updates to go out."""
+        self.gossip_pending = True
+        self.next_turn_at = min(self.next_turn_at, now + GOSSIP_DELAY_NS)
+
+    def may_send(self, now: int) -> bool:
+        """Whether the message rate allows a message now."""
+        return self._rate.refill(now) >= 1
+
+    def take(self, now: int) -> bool:
+        """Take one message from the message rate, where it allows one."""
+        return self._rate.take(now)
+
+    def charge(self, now: int, count: int) -> None:
+        """Charge messages that are sent in any case: gossip messages wait for them.
+
+        The debt is at most half a second's messages. Without a debt the total would exceed the
+        rate under loss; with a larger one updates would wait without fewer messages being sent.
+        """
+        self._rate.refill(now)
+        self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages / 2)
+
+    # ---- messages ---------------------------------------------------------------
+
+    def gossip(self, now: int) -> list[Outgoing]:
+        """Gossip messages with the present updates, to a few random members."""
+        if not (self.gossip_pending or self._queue):
+            return []
+        while self._members.updates:
+            self._queue.add(RecordKey(MEMBER, self._members.updates.pop(0).node))
+        out = []
+        # Updates that were all sent once go on at the tick's rate, mostly piggybacked.
+        fanout = GOSSIP_FANOUT if self._queue.has_unsent() else 1
+        for to in self._members.sample(max(min(fanout, int(self._rate.refill(now))), 0)):
+            outgoing = self.piggyback(now, Outgoing(to, self._members.message(Kind.GOSSIP)))
+            if not outgoing.message.records:
+                break
+            self.charge(now, 1)
+            out.append(outgoing)
+        self.gossip_pending = self._queue.has_unsent()
+        return out
+
+    def piggyback(self, now: int, outgoing: Outgoing) -> Outgoing:
+        """A message with as many updates as fit, unless it has records of its own."""
+        message = outgoing.message
+        if message.kind == Kind.DONE or message.records:
+            return outgoing
+        remaining = self._body_bytes - (DIGEST_BYTES if message.digest else 0)
+        records: list[Record] = []
+        obsolete: list[RecordKey] = []
+
+        def accept(key: RecordKey) -> bool:
+            nonlocal remaining
+            record = self._lookup(now, key)
+            if record is None:
+                obsolete.append(key)
+                return True
+            size = RECORD_BYTES[type(record)]
+            if size > remaining:
+                return False
+            remaining -= size
+            records.append(record)
+            return True
+
+        self._queue.select(accept)
+        for key in obsolete:
+            self._queue.discard(key)
+        return Outgoing(outgoing.to, message._replace(records=tuple(records)))
+
+    def pack(self, records: list[Record], start: int) -> list[Record]:
+        """The records from `start` on that fit into one message."""
+        remaining, end = self._body_bytes, start
+        while end < len(records) and RECORD_BYTES[type(records[end])] <= remaining:
+            remaining -= RECORD_BYTES[type(records[end])]
+            end += 1
+        return records[start:end]
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -37,7 +37,7 @@
     Update,
 )
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.gossip.token_bucket import Bucket
+from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 SERVICE_BYTES = 1024  # of a service beside its rows: its record, its entries in tables
 ROW_BYTES = 272  # of a row beside its characters: a tuple, two strings, an entry of a table
@@ -146,7 +146,7 @@
         self._refused: dict[str, int] = {}  # services that don't fit, and what they would take
         self._dropped: dict[str, None] = {}
         self._asked: OrderedDict[str, int] = OrderedDict()  # names, and when they were asked for
-        self._asks: Bucket | None = None
+        self._asks: TokenBucket | None = None
 
     def on_wanted(
         self, now: int, wanted: Mapping[str, str], releasable: Collection[str]
@@ -314,7 +314,7 @@
         if not 0 < len(service) <= MOST_NAME or service in self._services:
             return None
         if self._asks is None:
-            self._asks = Bucket(self.limits.asks, max(self.limits.asks, 1.0), now)
+            self._asks = TokenBucket(self.limits.asks, max(self.limits.asks, 1.0), now)
         asked = self._asked.get(service)
         if asked is not None and now - asked < self.limits.ask_again:
             return None
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -20,18 +20,23 @@
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.errors import ProtocolError
 from loadbalancer.core.gossip.messages import (
+    DrainRecord,
     Kind,
-    Life,
-    Listed,
+    MemberRecord,
     Message,
     Observation,
-    Reading,
+    ReaderRecord,
     Record,
 )
 
 VERSION = 1
 _HEAD = struct.Struct(">IBH")
-_KINDS: dict[int, type[Record]] = {0: Life, 1: Listed, 2: Observation, 3: Reading}
+_KINDS: dict[int, type[Record]] = {
+    0: MemberRecord,
+    1: DrainRecord,
+    2: Observation,
+    3: ReaderRecord,
+}
 _NUMBERS: dict[type[Record], int] = {made: number for number, made in _KINDS.items()}
 _KNOWN = {int(kind) for kind in Kind}
 
@@ -57,7 +62,7 @@
 
 def _row(record: Record) -> list[int]:
     row = [_NUMBERS[type(record)], *map(int, record)]
-    if not isinstance(record, Life):
+    if not isinstance(record, MemberRecord):
         row[-1] //= MS
     return row
 
@@ -101,6 +106,6 @@
     if len(row) <= count:
         raise BadMessageError("unsound")
     figures = row[1 : count + 1]
-    if made is not Life:
+    if made is not MemberRecord:
         figures[-1] *= MS
     return made(*figures)
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from loadbalancer.core.endpoints.shared_list import Taken
-from loadbalancer.core.gossip.gossip_node import Fleet
+from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.sources.discovery import Discovery, ListError
 
 if TYPE_CHECKING:
@@ -46,11 +46,11 @@
 class Lists:
     """Implements ports.ListReaders."""
 
-    def __init__(self, host: Host, fleet: Fleet, known: dict[str, Any]) -> None:
-        assert fleet.shared is not None and isinstance(host.discovery, Discovery)
+    def __init__(self, host: Host, fleet: GossipNode, known: dict[str, Any]) -> None:
+        assert fleet.shared_list is not None and isinstance(host.discovery, Discovery)
         self._host = host
         self._fleet = fleet
-        self._shared = fleet.shared
+        self._shared = fleet.shared_list
         self._discovery = host.discovery
         self._discovery.readers = self
         self._reads = False  # as last told
@@ -91,7 +91,7 @@
         return not self._shared.copy.version.epoch
 
     def read(self, raw: dict[str, Any]) -> None:
-        self._fleet.read(time.monotonic_ns(), raw["rev"], rows_of(raw), raw["all"])
+        self._fleet.on_list_read(time.monotonic_ns(), raw["rev"], rows_of(raw), raw["all"])
 
     def failed(self, older: bool) -> None:
         self._shared.failed(time.monotonic_ns(), older)
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -19,9 +19,10 @@
 from loadbalancer.core import Balancer, Listing, Update
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge
-from loadbalancer.core.gossip.gossip_node import Fleet, Terms
-from loadbalancer.core.gossip.messages import Outgoing, Standing
-from loadbalancer.core.gossip.token_bucket import Bucket
+from loadbalancer.core.gossip.gossip_node import GossipNode
+from loadbalancer.core.gossip.messages import MemberStatus, Outgoing
+from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.gossip_transport.codec import BadMessageError, decode, encode, tier
 from loadbalancer.gossip_transport.settings import FleetFile
 
@@ -52,7 +53,7 @@
     """A node's number, and how fast it may speak."""
 
     node: int
-    pace: Bucket
+    pace: TokenBucket
 
 
 class Peers:
@@ -75,21 +76,21 @@
         self._speakers: dict[tuple[str, int], Speaker] = {}
         for node, address in enumerate(config.peers):
             if node != s.node:
-                self._speakers[address] = Speaker(node, Bucket(FROM_ONE, FROM_ONE, now))
-        self._all = Bucket(ALL, ALL, now)
+                self._speakers[address] = Speaker(node, TokenBucket(FROM_ONE, FROM_ONE, now))
+        self._all = TokenBucket(ALL, ALL, now)
         # Where lists are pushed asking costs nothing, and Consul has readers of its own.
         readers = file.readers if s.ask and not config.consul else 0
         if readers != file.readers:
             host.log("readers: of no use where lists are pushed, or come from Consul")
-        terms = Terms(
+        terms = GossipSettings(
             len(config.peers), s.node, s.zones, file.messages, file.datagram, file.slots, readers
         )
         # The wall clock is read here alone, for a number that this node's last start lies
         # under; where it has jumped back, others tell us and we go on from theirs.
-        self.fleet = Fleet(terms, config.seed, time.time_ns() // MS, now)
+        self.fleet = GossipNode(terms, config.seed, time.time_ns() // MS, now)
         self.bridge = BalancerBridge(self.fleet, host.balancer)
         self.shared = None
-        if self.fleet.shared is not None:
+        if self.fleet.shared_list is not None:
             # Here and not above: where each node reads for itself it costs nothing.
             from loadbalancer.gossip_transport.shared_list import Lists
 
@@ -137,7 +138,7 @@
             self._host.loop.remove_reader(self._sock)
             self._sock.close()
             self._sock = None
-            update = self.bridge.quit(time.monotonic_ns())
+            update = self.bridge.close(time.monotonic_ns())
             if update is not None:
                 self._host.moves(self.bridge.apply, update)
 
@@ -151,7 +152,7 @@
 
     def _read(self) -> None:
         now = time.monotonic_ns()
-        if self.fleet.stood_still(now):
+        if self.fleet.resume_after_pause(now):
             self._discard()
         for _ in range(READ_ONCE):
             if self._sock is None:
@@ -203,10 +204,10 @@
     def _turn(self) -> None:
         self._timer = None
         now = time.monotonic_ns()
-        if self.fleet.stood_still(now):
+        if self.fleet.resume_after_pause(now):
             self._discard()
         self.bridge.report(now)
-        self._send(self.fleet.turn(now))
+        self._send(self.fleet.tick(now))
         self._after(now)
 
     def _after(self, now: int) -> None:
@@ -215,20 +216,20 @@
         update = self.bridge.collect(now)
         if update is not None:
             self._host.moves(self.bridge.apply, update)
-        if self.bridge.living != self._living:
-            self._living = self.bridge.living
+        if self.bridge.alive != self._living:
+            self._living = self.bridge.alive
             self._host.log(f"{self._living} of {len(self._addresses)} nodes live")
         if self.shared is not None:
             self.shared.after(now, self._sock is not None)
         if fleet.caught_up != self._caught_up:
             self._caught_up = fleet.caught_up
             if fleet.caught_up:
-                self._host.log(f"caught up in {fleet.counts['catch_up_ms']} ms")
+                self._host.log(f"caught up in {fleet.counters['catch_up_ms']} ms")
         self._arm(now)
 
     def _arm(self, now: int) -> None:
         """Turn when the fleet wants to, also where that is sooner than it was."""
-        due = self.fleet.due
+        due = self.fleet.next_turn_at
         if self._sock is None or (self._timer is not None and due >= self._armed):
             return
         if self._timer is not None:
@@ -245,10 +246,10 @@
             return rows
         roster = self._host.discovery.roster
         told = [(r.backend, roster.boot_ms(r.backend), r.state) for r in rows]
-        self.fleet.listed(now, roster.rev, told, update in (Update.FULL, Update.CACHED))
+        self.fleet.on_local_list(now, roster.rev, told, update in (Update.FULL, Update.CACHED))
         self._arm(now)
         return [
-            r._replace(state=self.fleet.over(r.backend, boot, r.state))
+            r._replace(state=self.fleet.effective_state(r.backend, boot, r.state))
             for r, (_, boot, _state) in zip(rows, told, strict=True)
         ]
 
@@ -260,18 +261,18 @@
         fleet, m = self.fleet, self.fleet.members
         nodes = []
         for n, p in sorted(m.peers.items()):
-            heard = (now - p.heard) // MS if p.heard else None
-            doubted = p.doubted_until > now
-            standing = Standing(p.standing).name.lower()
+            heard = (now - p.last_message_at) // MS if p.last_message_at else None
+            doubted = p.untrusted_until > now
+            standing = MemberStatus(p.status).name.lower()
             nodes.append([n, standing, p.incarnation, heard, doubted])
         servers = fleet.report(now)
         found: dict[str, Any] = {
             "me": m.me, "incarnation": m.incarnation, "caught_up": fleet.caught_up,
-            "living": m.count(), "nodes": nodes, "servers": servers,
-            "counts": dict(sorted((self.counts + fleet.counts).items())),
-            "health": m.health, "refuted": m.refuted,
+            "living": m.alive_count(), "nodes": nodes, "servers": servers,
+            "counts": dict(sorted((self.counts + fleet.counters).items())),
+            "health": m.local_health, "refuted": m.refutations,
         }  # fmt: skip
         found |= fleet.leases.report(now)
-        if fleet.shared is not None:
-            found["list"] = fleet.shared.report(now)
+        if fleet.shared_list is not None:
+            found["list"] = fleet.shared_list.report(now)
         return json.dumps(found)
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -18,9 +18,9 @@
 from typing import Any
 
 from loadbalancer.core.balancing.model import MS, SECOND, State
-from loadbalancer.core.gossip.messages import Listed, Observation, Standing
-from loadbalancer.core.gossip.records import KEEP_OBSERVATION
-from loadbalancer.core.gossip.slot_leases import Held, SlotLeases
+from loadbalancer.core.gossip.messages import DrainRecord, MemberStatus, Observation
+from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS
+from loadbalancer.core.gossip.slot_leases import SlotLeases
 from simulation.digest import Digest
 from simulation.seeds import run
 from simulation.service_world import Service
@@ -41,13 +41,13 @@
     if life.node == self.me:
         return False
     self.peers[life.node].incarnation = life.incarnation
-    self._set(now, life.node, Standing(life.standing))
+    self._set_status(now, life.node, MemberStatus(life.status))
     return True
 
 
 def _ageless(self: Any, now: int, key: tuple[int, int]) -> Any:
     """What is passed on is as if just seen."""
-    held = self._held.get(key[0], {}).get(key[1])
+    held = self._records.get(key[0], {}).get(key[1])
     return held and held.record
 
 
@@ -61,24 +61,24 @@
 
 def _endless(self: Any, now: int, lender: int, serial: int, classes: int) -> None:
     """A borrower that counts from when the message came, and far."""
-    _granted(self, now, lender, serial, classes)
-    held = self.held.get(lender)
-    if held is not None:
-        self.held[lender] = Held(held.classes, held.asked, now + 20 * SECOND)
+    _on_grant(self, now, lender, serial, classes)
+    lease = self.active.get(lender)
+    if lease is not None:
+        self.active[lender] = lease._replace(expires_at=now + 20 * SECOND)
 
 
-_granted = SlotLeases.granted
+_on_grant = SlotLeases.on_grant
 
 
 MUTANTS: dict[str, tuple[str, str, Callable[..., Any]]] = {
-    "old-incarnation-believed": ("Members", "merge", _old_merge),
-    "drain-forgotten": ("Beliefs", "listed", _forget),
-    "ages-begin-anew": ("Beliefs", "get", _ageless),
-    "observation-without-an-end": ("Beliefs", "expire", lambda self, now: None),
-    "slots-without-a-bound": ("Slots", "depth", _bottomless),
-    "dead-node-s-slots-kept": ("Slots", "depth", lambda self, deal, depth, servers: depth),
-    "lease-without-an-end": ("SlotLeases", "granted", _endless),
-    "lent-and-used": ("SlotLeases", "out", lambda self: 0),
+    "old-incarnation-believed": ("Membership", "merge", _old_merge),
+    "drain-forgotten": ("RecordStore", "drain_state", _forget),
+    "ages-begin-anew": ("RecordStore", "get", _ageless),
+    "observation-without-an-end": ("RecordStore", "expire", lambda self, now: None),
+    "slots-without-a-bound": ("SlotAllocation", "depth", _bottomless),
+    "dead-node-s-slots-kept": ("SlotAllocation", "depth", lambda self, deal, depth, servers: depth),
+    "lease-without-an-end": ("SlotLeases", "on_grant", _endless),
+    "lent-and-used": ("SlotLeases", "granted_classes", lambda self: 0),
 }
 
 
@@ -95,12 +95,12 @@
     def observations(self, node: int, server: int) -> None:
         """An observation counts for its time from when it was first seen anywhere."""
         world = self.world
-        for held in world.nodes[node].beliefs.rows(server):
+        for held in world.nodes[node].records.of_server(server):
             r = held.record
             if isinstance(r, Observation):
                 name = (r.server, r.origin, r.incarnation, r.number)
                 age = world.now - self.first.setdefault(name, world.now)
-                if age > KEEP_OBSERVATION + LATE and node not in world.stopped:
+                if age > OBSERVATION_TTL_NS + LATE and node not in world.stopped:
                     world.breach(f"node {node} believes a sight of {age / 1e9:.0f} s")
 
     def look(self) -> None:
@@ -112,8 +112,8 @@
                 key = (node, server)
                 self.observations(node, server)
                 known = any(
-                    isinstance(h.record, Listed) and h.record.rev > fleet.rev
-                    for h in fleet.beliefs.rows(server)
+                    isinstance(h.record, DrainRecord) and h.record.rev > fleet.local_list.rev
+                    for h in fleet.records.of_server(server)
                 )
                 if backend.state != State.READY:
                     self.drained[key] = host.life
@@ -121,7 +121,7 @@
                     # No server here is ever listed as ready again.
                     world.breach(f"server {server} came back at node {node}")
                 used = known and backend.state == State.READY and node not in world.stopped
-                if not used or len(fleet.out) >= fleet.most_out():
+                if not used or len(fleet.local_list.drained) >= fleet.local_list.max_drained():
                     self.used.pop(key, None)
                 # Room that our own list has made is taken up with the next turn.
                 elif world.now - self.used.setdefault(key, world.now) > 3 * LOOK:
@@ -132,7 +132,7 @@
         """All nodes' caps at a server: what it takes, but where pressure goes past the dead."""
         world = self.world
         most = world.terms[0].slots
-        whole = all(world.nodes[n].members.count() == len(world.terms) for n in world.hosts)
+        whole = all(world.nodes[n].members.alive_count() == len(world.terms) for n in world.hosts)
         if not whole and any(h.balancer.level > most - 1 for h in world.hosts.values()):
             return
         lists = {
@@ -161,7 +161,7 @@
         ):
             return
         for node in world.hosts:
-            if world.nodes[node].members.count() != living:
+            if world.nodes[node].members.alive_count() != living:
                 return
         held = level = 0.0
         asked = sum(h.balancer.level for h in world.hosts.values()) / living
@@ -175,13 +175,13 @@
             world.breach(f"{living} living nodes hold {held} slots of {level:.0f}")
 
     def pictures(self) -> set[tuple[int, ...]]:
-        return {tuple(f.beliefs.digest) for f in self.world.nodes.values()}
+        return {tuple(f.records.digest) for f in self.world.nodes.values()}
 
     def end(self) -> None:
         """All has healed, and time has passed."""
         world = self.world
         for node, fleet in world.nodes.items():
-            dead = [life.node for life in fleet.members.lives()]
+            dead = [life.node for life in fleet.members.not_alive()]
             if dead:
                 world.breach(f"node {node} still holds {dead} for dead")
         if not world.run(world.now + 3 * SECOND, lambda: len(self.pictures()) == 1):
@@ -214,7 +214,7 @@
         _mass_kill(world, referee, draw)
     _heal(world)
     world.run(world.now + SETTLE)
-    world.run(world.now + KEEP_OBSERVATION)  # what was seen in the faults has had its time
+    world.run(world.now + OBSERVATION_TTL_NS)  # what was seen in the faults has had its time
     referee.end()
     return world.breaches
 
--- a/simulation/gossip_world.py
+++ b/simulation/gossip_world.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from loadbalancer.core.balancing.model import SECOND, State
-from loadbalancer.core.gossip.gossip_node import Fleet, Terms
+from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
+from loadbalancer.core.gossip.settings import GossipSettings
 from simulation.digest import Digest, gossip_bytes
 from simulation.links import Links
 
@@ -33,9 +34,11 @@
         self.digest: Digest | None = None  # takes all that is sent and decided
         self.random = Random(seed)
         self.links = Links(Random(seed + 1))
-        self.terms = [Terms(nodes, me, zones, slots=slots, readers=readers) for me in range(nodes)]
+        self.terms = [
+            GossipSettings(nodes, me, zones, slots=slots, readers=readers) for me in range(nodes)
+        ]
         self.servers = servers
-        self.nodes: dict[int, Fleet] = {}
+        self.nodes: dict[int, GossipNode] = {}
         self.stopped: dict[int, list[tuple[int, Message]]] = {}
         self.skew = [self.random.randrange(10 * SECOND) for _ in range(nodes)]
         self.sent: Counter[int] = Counter()
@@ -53,13 +56,15 @@
         """A node's own: no two agree."""
         return self.now + self.skew[node]
 
-    def start(self, node: int) -> Fleet:
+    def start(self, node: int) -> GossipNode:
         """Start, or start again, from nothing but the list."""
         self._lives[node] += 1
         incarnation = START + self.now // 1_000_000 + self._lives[node]
-        fleet = Fleet(self.terms[node], self.random.getrandbits(32), incarnation, self.clock(node))
+        fleet = GossipNode(
+            self.terms[node], self.random.getrandbits(32), incarnation, self.clock(node)
+        )
         rows = [(s, 0, State.READY) for s in range(self.servers)]
-        fleet.listed(self.clock(node), 1, rows, True)
+        fleet.on_local_list(self.clock(node), 1, rows, True)
         self.nodes[node] = fleet
         self._arm(node, self.now + self.random.randrange(SECOND // 10))
         return fleet
@@ -78,7 +83,7 @@
 
     def go_on(self, node: int) -> None:
         waiting = self.stopped.pop(node)
-        if self.nodes[node].stood_still(self.clock(node)):
+        if self.nodes[node].resume_after_pause(self.clock(node)):
             waiting = []
         for source, message in waiting:
             self._deliver(source, node, message)
@@ -86,7 +91,7 @@
 
     def poke(self, node: int) -> None:
         """It has news of its own: its next turn is soon."""
-        self._arm(node, max(self.nodes[node].due - self.skew[node], self.now + 1))
+        self._arm(node, max(self.nodes[node].next_turn_at - self.skew[node], self.now + 1))
 
     def _arm(self, node: int, due: int) -> None:
         if due < self._due.get(node, 1 << 62) or self._due.get(node, 0) < self.now:
@@ -100,9 +105,9 @@
         fleet = self.nodes.get(node)
         if fleet is None or node in self.stopped:
             return
-        fleet.stood_still(self.clock(node))
-        self.send(node, fleet.turn(self.clock(node)))
-        self._arm(node, max(fleet.due - self.skew[node], self.now + 1))
+        fleet.resume_after_pause(self.clock(node))
+        self.send(node, fleet.tick(self.clock(node)))
+        self._arm(node, max(fleet.next_turn_at - self.skew[node], self.now + 1))
 
     def send(self, node: int, out: list[Outgoing]) -> None:
         for to, message in out:
@@ -121,11 +126,11 @@
             if len(self.stopped[target]) < 500:
                 self.stopped[target].append((source, message))
             return
-        if fleet.stood_still(self.clock(target)):
+        if fleet.resume_after_pause(self.clock(target)):
             return  # its host throws away what has waited
         self.got[target] += 1
         self.send(target, fleet.receive(self.clock(target), message))
-        self._arm(target, max(fleet.due - self.skew[target], self.now + 1))
+        self._arm(target, max(fleet.next_turn_at - self.skew[target], self.now + 1))
 
     def run(self, until: int, done: Callable[[], bool] | None = None) -> bool:
         """On to a time, or to where `done` holds (looked at after each event); whether it did."""
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -22,7 +22,7 @@
 from loadbalancer.core.endpoints.poll_timing import HOLD, LATE
 from loadbalancer.core.endpoints.revisions import Lag, Revisions
 from loadbalancer.core.endpoints.shared_list import Taken
-from loadbalancer.core.gossip.gossip_node import Fleet
+from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
 from simulation.gossip_world import World
 
@@ -170,7 +170,7 @@
         self._reads = False
         self._fleet = world.nodes[node]
         self._caller = Caller(settings, Random(world.random.getrandbits(32)))
-        if self._fleet.shared is not None:
+        if self._fleet.shared_list is not None:
             self._caller.share()
         self._asked_at = self._limit = 0  # of the call that is out
         self._not_before = 0  # the next call after a failure
@@ -179,13 +179,13 @@
         return self.world.nodes.get(self.node) is self._fleet
 
     def begin(self) -> None:
-        shared = self._fleet.shared
+        shared = self._fleet.shared_list
         if shared is not None and self.rows:
             shared.copy.begin(self.rev, self.rows)
         self._told(Update.CACHED, self.rows)
 
     def watch(self) -> None:
-        shared = self._fleet.shared
+        shared = self._fleet.shared_list
         if self._watching or not self._alive() or (shared is not None and not shared.reads):
             return
         if self.world.now < self._not_before:
@@ -215,7 +215,7 @@
             self.world.later(self.world.now + 100 * MS, self.answered, number, answer)
             return
         now = self.world.clock(self.node)
-        shared = self._fleet.shared
+        shared = self._fleet.shared_list
         if answer is None and self._waits:
             self._next(self.rev, 0)
             return
@@ -234,7 +234,7 @@
             self._caller.answered(took)
         taken = Taken(*answer)
         if shared is not None:
-            self._fleet.read(now, *taken)
+            self._fleet.on_list_read(now, *taken)
             self.world.poke(self.node)
         self._take(taken)
         self._next(self.rev, HOLD)
@@ -248,7 +248,7 @@
 
     def after(self) -> None:
         """What `loadbalancer/gossip_transport/shared_list.py` does after each turn and word."""
-        shared = self._fleet.shared
+        shared = self._fleet.shared_list
         if shared is None or not self._alive():
             return
         if shared.reads != self._reads:
@@ -314,7 +314,7 @@
         self.starters: dict[int, Starter] = {}
         self.known: Callable[[int], tuple[int, dict[str, str]]] = lambda _node: (0, {})
 
-    def start(self, node: int) -> Fleet:
+    def start(self, node: int) -> GossipNode:
         fleet = super().start(node)
         starter = self.starters[node] = Starter(self, node)
         starter.begin()
--- a/simulation/service_world.py
+++ b/simulation/service_world.py
@@ -192,12 +192,12 @@
             whole = update in (Update.FULL, Update.CACHED)
             assert self.client is not None
             boots = [(r.backend, max(r.boot - skew, 0) // MS, r.state) for r in found]
-            fleet.listed(now, self.client.rev, boots, whole)
+            fleet.on_local_list(now, self.client.rev, boots, whole)
             for r in found:
                 world.tell(self.node, r.backend, r.state)
             if world.gossip:
                 found = [
-                    r._replace(state=fleet.over(r.backend, boot, r.state))
+                    r._replace(state=fleet.effective_state(r.backend, boot, r.state))
                     for r, (_, boot, _s) in zip(found, boots, strict=True)
                 ]
         self.balancer.on_members(now, update, found)
@@ -292,7 +292,7 @@
             host.client.begin()
             return fleet
         listed = [(s, 0, state) for s, state in enumerate(self.states)]
-        fleet.listed(now, self.rev, listed, True)
+        fleet.on_local_list(now, self.rev, listed, True)
         host.balancer.on_members(now, Update.CACHED, self.rows())
         for server, state in enumerate(self.states):
             self.tell(node, server, state)
@@ -354,9 +354,9 @@
         update = bridge.collect(self.clock(node))
         if update is not None:
             if self.digest is not None:
-                told = [(c.server, c.told, c.ratio, c.cold) for c in update.changes]
+                told = [(c.server, c.verdict, c.latency_ratio, c.cold) for c in update.verdicts]
                 drains = [(row.backend, row.state) for row in update.draining]
-                host.decided(told, drains, update.deal)
+                host.decided(told, drains, update.reallocate)
             bridge.apply(self.clock(node), update)
 
     # ---- the list --------------------------------------------------------------
@@ -414,7 +414,7 @@
     def _told(self, node: int, rev: int, states: tuple[State, ...]) -> None:
         """A version comes whole: what of it the node had not heard is news."""
         host = self.hosts.get(node)
-        if host is None or self.nodes[node].rev >= rev:
+        if host is None or self.nodes[node].local_list.rev >= rev:
             return
         if node in self.stopped:
             self.later(self.now + 100 * MS, self._told, node, rev, states)
@@ -424,10 +424,13 @@
         known = host.listed
         news = [(s, state) for s, state in enumerate(states) if known.get(s) != state]
         known.update(news)
-        fleet.listed(now, rev, [(s, 0, state) for s, state in news], False)
+        fleet.on_local_list(now, rev, [(s, 0, state) for s, state in news], False)
         for server, state in news:
             self.tell(node, server, state)
-        rows = [Listing(s, fleet.over(s, 0, state) if self.gossip else state) for s, state in news]
+        rows = [
+            Listing(s, fleet.effective_state(s, 0, state) if self.gossip else state)
+            for s, state in news
+        ]
         host.decided(rev, [(row.backend, row.state) for row in rows])
         host.balancer.on_members(now, Update.DELTA, rows)
 
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -32,16 +32,16 @@
     unpack,
 )
 from loadbalancer.core.endpoints.shared_list import PIECE_HEAD, SharedList
-from loadbalancer.core.gossip.membership import Members
+from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import (
-    How,
     Kind,
-    Life,
+    MemberRecord,
+    MemberStatus,
     Message,
     Outgoing,
-    Reading,
-    Standing,
-    sound,
+    ReaderRecord,
+    ReaderState,
+    is_valid,
 )
 from loadbalancer.gossip_transport.codec import decode, encode
 from simulation.list_world import LINES, ListWorld, row
@@ -144,9 +144,9 @@
     wrong += [sane._replace(base=1 << 63)]
     assert all(pieces.take(0, p, b"x") is False for p in wrong)
     assert pieces.take(0, sane, b"x" * 41) is False and pieces.take(0, sane, b"") is False
-    big = Reading(1, 5, 1, 1, 1 << 63, 0, 0, 0)
-    assert not sound(big, 5) and not sound(big._replace(epoch=0, how=3), 5)
-    assert sound(big._replace(epoch=0), 5) and not sound(big._replace(epoch=0, node=5), 5)
+    big = ReaderRecord(1, 5, 1, 1, 1 << 63, 0, 0, 0)
+    assert not is_valid(big, 5) and not is_valid(big._replace(epoch=0, state=3), 5)
+    assert is_valid(big._replace(epoch=0), 5) and not is_valid(big._replace(epoch=0, node=5), 5)
 
 
 def test_a_service_that_counts_from_anew_begins_an_epoch_and_says_nothing_twice() -> None:
@@ -190,12 +190,12 @@
             assert len(reading) == min(count, len(living)) or nodes == 1
 
 
-def readers(me: int, *words: tuple[int, How, int]) -> Readers:
+def readers(me: int, *words: tuple[int, ReaderState, int]) -> Readers:
     """Of 6 nodes by rank, at 100 s; words of (place by rank, how, s ago)."""
     held = Readers(me, 6, 2, 0)
     order = sorted(range(6), key=rank)
     for place, how, ago in words:
-        word = Reading(order[place], 1, 1, how, 0, 41, 7, ago * SECOND)
+        word = ReaderRecord(order[place], 1, 1, how, 0, 41, 7, ago * SECOND)
         assert held.merge(100 * SECOND, word)
         assert not held.merge(100 * SECOND, word)
     return held
@@ -205,7 +205,7 @@
     order = sorted(range(6), key=rank)
     now = 100 * SECOND
 
-    def reading(*words: tuple[int, How, int]) -> list[int]:
+    def reading(*words: tuple[int, ReaderState, int]) -> list[int]:
         found = []
         for place, node in enumerate(order):
             mine = [w for w in words if w[0] == place]
@@ -216,22 +216,24 @@
                 found.append(place)
         return found
 
-    assert reading((0, How.READ, 1), (1, How.READ, 1)) == [0, 1]
-    assert reading((0, How.FAILED, 1), (1, How.READ, 1)) == [1, 2]
-    others = ((2, How.READ, 1), (4, How.READ, 1))
-    assert reading((0, How.FAILED, 1), (1, How.FAILED, 2), (3, How.FAILED, 1), *others) == [2, 4]
+    assert reading((0, ReaderState.READ, 1), (1, ReaderState.READ, 1)) == [0, 1]
+    assert reading((0, ReaderState.FAILED, 1), (1, ReaderState.READ, 1)) == [1, 2]
+    others = ((2, ReaderState.READ, 1), (4, ReaderState.READ, 1))
+    assert reading(
+        (0, ReaderState.FAILED, 1), (1, ReaderState.FAILED, 2), (3, ReaderState.FAILED, 1), *others
+    ) == [2, 4]
     # Just now: for a moment nobody begins, the longer the more have failed.
-    assert reading((0, How.FAILED, 0)) == []
-    assert reading(*((p, How.FAILED, 1) for p in range(4))) == []
+    assert reading((0, ReaderState.FAILED, 0)) == []
+    assert reading(*((p, ReaderState.FAILED, 1) for p in range(4))) == []
     # All have: those whose failure is longest ago.
-    assert reading(*((p, How.FAILED, 4 if p > 2 else 3) for p in range(6))) == []
-    last = readers(order[5], *((p, How.FAILED, 4) for p in range(5)))
-    last.say(now - 5 * SECOND + 1, 1, How.FAILED, Version(0, 41, 7))
+    assert reading(*((p, ReaderState.FAILED, 4 if p > 2 else 3) for p in range(6))) == []
+    last = readers(order[5], *((p, ReaderState.FAILED, 4) for p in range(5)))
+    last.say(now - 5 * SECOND + 1, 1, ReaderState.FAILED, Version(0, 41, 7))
     assert last.chosen(now, lambda _: True, True)  # who reads already goes on
     # Silent ones: group after group steps in, soon while nobody has read at all.
-    late = readers(order[2], (0, How.READ, 20))
+    late = readers(order[2], (0, ReaderState.READ, 20))
     assert late.chosen(now, lambda _: True, False) and STALE < 20 * SECOND
-    later = readers(order[4], (0, How.READ, 20))
+    later = readers(order[4], (0, ReaderState.READ, 20))
     assert not later.chosen(now, lambda _: True, False)
     first = Readers(order[2], 6, 2, now - FIRST_STEP - 1)
     assert first.chosen(now, lambda _: True, False)
@@ -252,7 +254,7 @@
 
 
 def test_a_step_without_its_mark_or_its_base_changes_nothing() -> None:
-    shared = SharedList(Members(0, 5, 1, 1), 5, 2, 256, 1, 0)
+    shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     rows = {f"s{i}": row(i) for i in range(8)}
     shared.copy.begin(41, rows)
     had = shared.copy.version
@@ -285,7 +287,7 @@
     send_step(shared, over, 1, 1)
     assert shared.copy.version == last.to and shared.counts["steps that disagree"] == 2
     shared.caught_up = True
-    shared.readers.merge(MS, Reading(1, 9, 1, How.READ, *over.to, 0))
+    shared.readers.merge(MS, ReaderRecord(1, 9, 1, ReaderState.READ, *over.to, 0))
     shared.turn(2 * MS)
     (asked,) = (o.message for o in shared.turn(SECOND) if o.message.kind == Kind.WANT)
     assert asked.digest[:3] == NOTHING
@@ -297,7 +299,7 @@
         ahead = [7 % nodes]
         while ahead:
             node = ahead.pop()
-            part = SharedList(Members(node, nodes, 1, 1), nodes, 2, 256, 1, 0)
+            part = SharedList(Membership(node, nodes, 1, 1), nodes, 2, 256, 1, 0)
             for child in part._children(7 % nodes):
                 assert child not in reached
                 reached[child] = reached[node] + 1
@@ -309,9 +311,9 @@
     dead = {0, 3, 4, 17}
     parts = []
     for node in range(40):
-        members = Members(node, 40, 1, 1)
+        members = Membership(node, 40, 1, 1)
         for gone in dead - {node}:
-            members.merge(0, 1, Life(gone, 1, Standing.DEAD))
+            members.merge(0, 1, MemberRecord(gone, 1, MemberStatus.DEAD))
         parts.append(SharedList(members, 40, 2, 256, 1, 0))
     reached, ahead = {7}, [7]
     while ahead:
@@ -324,15 +326,15 @@
 
 def test_a_reader_that_has_asked_waits_for_its_answer_though_another_s_turn_has_come() -> None:
     order = sorted(range(5), key=rank)
-    shared = SharedList(Members(order[2], 5, 1, 1), 5, 2, 256, 1, 0)
+    shared = SharedList(Membership(order[2], 5, 1, 1), 5, 2, 256, 1, 0)
     shared.caught_up = True
-    shared._members.receive(0, order[0], 9)
+    shared._members.on_message(0, order[0], 9)
     now = FIRST_STEP + MS
-    shared._members.receive(now, order[0], 9)
+    shared._members.on_message(now, order[0], 9)
     shared.turn(now)
     assert shared.reads  # nobody gave a sign
     for node in order[:2]:
-        shared.readers.merge(now + MS, Reading(node, 9, 1, How.ASKING, 0, 0, 0, 0))
+        shared.readers.merge(now + MS, ReaderRecord(node, 9, 1, ReaderState.POLLING, 0, 0, 0, 0))
     shared.turn(now + 2 * MS)
     assert shared.reads
     shared.read(now + 3 * MS, 41, {"s1": row(1)}, True)
@@ -342,7 +344,7 @@
 
 def test_one_reader_s_word_alone_takes_no_half_of_the_list_away() -> None:
     nodes = 5
-    members = Members(0, nodes, 1, 1)
+    members = Membership(0, nodes, 1, 1)
     order = [n for n in sorted(range(nodes), key=rank) if n != 0]
     shared = SharedList(members, nodes, 2, 256, 1, 0)
     rows = {f"s{i}": row(i) for i in range(8)}
@@ -354,7 +356,7 @@
     send_step(shared, step, order[0], order[0])
     assert shared.copy.version.rev == 41 and not shared.news
     for witnesses, writer_node in enumerate(order[:2], 1):
-        shared.readers.merge(2 * MS, Reading(writer_node, 9, 1, How.READ, *step.to, 0))
+        shared.readers.merge(2 * MS, ReaderRecord(writer_node, 9, 1, ReaderState.READ, *step.to, 0))
         shared.turn(3 * MS)
         assert bool(shared.news) == (witnesses == 2)
     assert shared.copy.version.rev == 42 and len(shared.copy.rows) == 2
@@ -397,19 +399,19 @@
     killed = []
 
     def partly() -> bool:
-        held = [f.shared for f in world.nodes.values() if f.shared]
+        held = [f.shared_list for f in world.nodes.values() if f.shared_list]
         return any(s._pieces.open for s in held) and any(s.reads for s in held)
 
     for _ in range(3):
         assert world.run(world.now + 20 * SECOND, partly)
-        for node in [n for n, f in world.nodes.items() if f.shared and f.shared.reads]:
+        for node in [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.reads]:
             world.kill(node)
             killed.append(node)
         for node, fleet in world.nodes.items():  # and what they had passed on is lost as well
             world.starters[node].list.rows = {}
-            assert fleet.shared is not None
-            fleet.shared._pieces.open.clear()
-            fleet.shared.copy = Copy()
+            assert fleet.shared_list is not None
+            fleet.shared_list._pieces.open.clear()
+            fleet.shared_list.copy = Copy()
     assert world.run(world.now + 25 * SECOND, world.current)
     assert len(killed) >= 4 and world.service.counts["turned away"] == 0
     for node in killed:
@@ -449,7 +451,7 @@
     # It has lost its count: after some answers all go by the new one, and stay there.
     service.change({"s4": None}, rev=7)
     assert world.run(world.now + 60 * SECOND, world.current)
-    epochs = {f.shared.copy.version[:2] for f in world.nodes.values() if f.shared}
+    epochs = {f.shared_list.copy.version[:2] for f in world.nodes.values() if f.shared_list}
     assert len(epochs) == 1 and min(epochs)[0] >= 2
     service.change({"s91": row(91)})
     assert world.run(world.now + 3 * SECOND, world.current)
@@ -460,7 +462,7 @@
     world = ListWorld(30, 60, 6, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.current)
-    reads = {n for n, f in world.nodes.items() if f.shared and f.shared.reads}
+    reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.reads}
     world.run(world.now + 4 * SECOND)
     far = {n for n in range(30) if n not in reads and n % 2}
     world.links.part(far, set(range(30)) - far)
@@ -470,7 +472,7 @@
     world.service.change({"s0": None, "s77": row(77)})
     assert world.run(world.now + 20 * SECOND, world.current)
     world.run(world.now + 10 * SECOND)
-    assert {n for n, f in world.nodes.items() if f.shared and f.shared.reads} == reads
+    assert {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.reads} == reads
     # Every word lost: each comes to read for itself, as without words.
     world.links.loss = 1.0
     world.service.change({"s78": row(78)})
@@ -519,7 +521,7 @@
     assert world.run(20 * SECOND, world.current)
     world.service.change({"s3": None, "s90": row(90)})
     assert world.run(world.now + 12 * SECOND, world.current)
-    reading = [n for n, f in world.nodes.items() if f.shared and f.shared.reads]
+    reading = [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.reads]
     assert 1 <= len(reading) <= 2
     # The old ones read for themselves; of the others a reader or two, and who stepped in for
     # those among the first that never said that they read.
@@ -530,16 +532,16 @@
     world = ListWorld(12, 30, 9, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.current)
-    liar = next(n for n, f in world.nodes.items() if f.shared and not f.shared.reads)
+    liar = next(n for n, f in world.nodes.items() if f.shared_list and not f.shared_list.reads)
     fleet = world.nodes[liar]
-    assert fleet.shared is not None
-    lie = Reading(liar, fleet.members.incarnation, 99, How.READ, 5, 10**6, 1, 0)
+    assert fleet.shared_list is not None
+    lie = ReaderRecord(liar, fleet.members.incarnation, 99, ReaderState.READ, 5, 10**6, 1, 0)
     for node in range(12):
         if node != liar:
             said = Message(Kind.GOSSIP, liar, fleet.members.incarnation, records=(lie,))
             world.send(node, world.nodes[node].receive(world.clock(node), said))
     world.run(world.now + 8 * SECOND)
-    held = [f.shared for f in world.nodes.values() if f.shared]
+    held = [f.shared_list for f in world.nodes.values() if f.shared_list]
     asked = sum(s.counts["asked for what is missing"] for s in held)
     assert asked > 10
     world.run(world.now + 3 * SECOND)
--- /dev/null
+++ b/tests/core/gossip/builders.py
@@ -0,0 +1,22 @@
+"""Records, a request class and a host for tests of gossip."""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import MS, SECOND, RequestClass, State
+from loadbalancer.core.gossip.messages import Observation
+
+DRAINING, GONE = State.DRAINING, State.GONE
+CLASS = RequestClass("balance", 200 * MS, SECOND)
+
+
+def observation(server: int, origin: int, number: int = 1, **results: int) -> Observation:
+    """An observation of start 7 of a server, from incarnation 1 of its writer."""
+    fields = {"failures": 0, "cold": 0, "rejections": 0, "ratio": 0, "age": 0} | results
+    return Observation(server, 7, origin, 1, number, **fields)
+
+
+class IdleHost:
+    """A Balancer's host that carries out no action."""
+
+    def __getattr__(self, action: str) -> object:
+        return lambda *_args: None
--- /dev/null
+++ b/tests/core/gossip/test_balancer_bridge.py
@@ -0,0 +1,96 @@
+"""Between a Balancer and its gossip: leases, drains and verdicts."""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.balancer import Balancer
+from loadbalancer.core.balancing.model import SECOND, Listing, Settings, State, Told, Update
+from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
+from loadbalancer.core.gossip.gossip_node import GossipNode
+from loadbalancer.core.gossip.messages import DrainRecord, Kind, Message
+from loadbalancer.core.gossip.settings import GossipSettings
+from tests.core.gossip.builders import CLASS, DRAINING, IdleHost
+
+
+def test_leases_end_on_close_and_an_isolated_node_uses_slots_as_without_gossip() -> None:
+    balancer = Balancer(Settings((CLASS,), balancers=4), 1, IdleHost())  # type: ignore[arg-type]
+    balancer.start(0)
+    node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
+    bridge = BalancerBridge(node, balancer)
+    balancer.level = 20.0
+    balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(16)])
+
+    def caps(update: BalancerUpdate | None) -> int:
+        assert update is not None
+        bridge.apply(balancer.now, update)
+        return sum(b.cap for b in balancer.backends.values())
+
+    own = caps(bridge.collect(1))
+    ((lender, serial),) = node.leases.requests(1, [2], True)
+    node.leases.on_grant(1, lender, serial, 255)
+    assert caps(bridge.collect(2)) == own + 16 * 2  # two of its slots are in the upper half
+    assert caps(bridge.close(3)) == own
+    assert bridge.close(3) is None
+    without = caps(bridge.collect(4 * SECOND))
+    assert without == 16 * 5 > own  # a limit of 20 among four, as without gossip
+
+
+def test_gossip_drains_at_most_a_third_of_the_servers_and_the_own_list_the_others() -> None:
+    """A peer publishes drains of all servers, which our own list has as ready.
+
+    Taken at its word it would leave this node without a server; a third of them may be drained.
+    """
+    node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
+    balancer = Balancer(Settings((CLASS,), balancers=4), 1, IdleHost())  # type: ignore[arg-type]
+    balancer.start(0)
+    balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(9)])
+    bridge = BalancerBridge(node, balancer)
+    node.on_local_list(0, 1, [(b, 7, State.READY) for b in range(9)], True)
+    for b in range(9):
+        message = Message(Kind.GOSSIP, 1, 1, records=(DrainRecord(b, 7, 5, DRAINING, 0),))
+        node.receive(1 + b, message)
+    update = bridge.collect(20)
+    assert update is not None
+    assert len(update.draining) == 3
+    bridge.apply(20, update)
+    assert sum(b.state == State.READY for b in balancer.backends.values()) == 6
+    # Our own list, still older than the drains, ends none and drains no other in its place.
+    complete = [(b, 7, State.READY) for b in reversed(range(9))]
+    node.on_local_list(25, 2, complete, True)
+    drained = {
+        server
+        for server, boot, state in complete
+        if node.effective_state(server, boot, state) != state
+    }
+    assert drained == {row.backend for row in update.draining}
+    # It drains one of the three itself: another may be drained by gossip.
+    first = update.draining[0].backend
+    node.on_local_list(30, 3, [(first, 7, DRAINING)], False)
+    later = bridge.collect(30)
+    assert later is not None
+    assert len(later.draining) == 1
+    assert len(node.local_list.drained) == 3
+
+
+def test_verdicts_only_reduce_caps_and_never_override_own_results() -> None:
+    balancer = Balancer(Settings((CLASS,), max_attempts=1), 1, IdleHost())  # type: ignore[arg-type]
+    balancer.start(0)
+    balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(4)])
+    caps = {b.id: b.cap for b in balancer.backends.values()}
+    balancer.on_told(1, 0, Told.SLOW, 4.0, False)
+    balancer.recap()
+    assert balancer.backends[0].cap < caps[0]
+    assert balancer.backends[0].lat == 1.0
+    balancer.on_told(2, 0, None, 1.0, False)
+    balancer.recap()
+    assert balancer.backends[0].cap == caps[0]
+    balancer.on_told(3, 1, Told.SILENT, 1.0, True)
+    assert balancer.backends[1].down_until
+    assert balancer.backends[1].cold_until
+    balancer.on_told(4, 1, None, 1.0, False)
+    assert not balancer.backends[1].down_until
+    assert balancer.backends[1].trial
+    # No verdict ends an ejection for this node's own results.
+    balancer.backends[2].strikes = 4
+    balancer.suspend(5, balancer.backends[2], True, False)
+    balancer.on_told(50, 2, None, 1.0, False)
+    assert balancer.backends[2].down_until
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -1,11 +1,18 @@
-"""Many fleet modules in one world: loss, cuts, kills and stops, the same for a seed ever."""
+"""Many gossip nodes in one simulation: loss, partitions, kills and pauses, drawn by seed."""
 
 from __future__ import annotations
 
 import pytest
 
 from loadbalancer.core.balancing.model import MS, SECOND, State, Told
-from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation, Standing
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Kind,
+    MemberRecord,
+    MemberStatus,
+    Message,
+    Observation,
+)
 from simulation.gossip_world import World
 
 
@@ -18,22 +25,22 @@
 
 
 def drain(world: World, node: int, rev: int, server: int, state: State = State.DRAINING) -> None:
-    """This node alone hears of it from the list service."""
-    world.nodes[node].listed(world.clock(node), rev, [(server, 0, state)], False)
+    """This node alone reads it from the list service."""
+    world.nodes[node].on_local_list(world.clock(node), rev, [(server, 0, state)], False)
 
 
 def drained(world: World, server: int) -> int:
     """How many know."""
-    states = (f.over(server, 0, State.READY) for f in world.nodes.values())
+    states = (f.effective_state(server, 0, State.READY) for f in world.nodes.values())
     return sum(state != State.READY for state in states)
 
 
 def dead_views(world: World) -> set[int]:
-    return {life.node for f in world.nodes.values() for life in f.members.lives()}
+    return {life.node for f in world.nodes.values() for life in f.members.not_alive()}
 
 
-def one_picture(world: World) -> bool:
-    return len({(*f.beliefs.digest, f.members.digest()) for f in world.nodes.values()}) == 1
+def converged(world: World) -> bool:
+    return len({(*f.records.digest, f.members.digest()) for f in world.nodes.values()}) == 1
 
 
 @pytest.mark.parametrize(("nodes", "loss", "within"), [(21, 0.0, 0.5), (60, 0.3, 5.0)])
@@ -45,7 +52,7 @@
     assert world.run(began + int(within * SECOND), lambda: drained(world, 7) >= nodes - 1)
 
 
-def test_under_loss_nobody_is_taken_for_dead_for_long_and_words_stay_few() -> None:
+def test_under_loss_no_member_stays_dead_and_messages_stay_within_the_rate() -> None:
     world = settled(40)
     world.links.loss = 0.3
     world.run(world.now + 2 * SECOND)
@@ -56,12 +63,12 @@
     assert world.run(world.now + 10 * SECOND, lambda: not dead_views(world))
 
 
-def test_a_death_is_found_and_its_return_too() -> None:
+def test_a_dead_member_and_its_return_are_detected() -> None:
     world = settled(21)
     world.kill(3)
     assert world.run(
         world.now + 8 * SECOND,
-        lambda: all(not f.members.living(3) for f in world.nodes.values()),
+        lambda: all(not f.members.is_alive(3) for f in world.nodes.values()),
     )
     assert dead_views(world) == {3}
     world.start(3)
@@ -70,21 +77,21 @@
 
 def test_one_way_links_and_a_leave_are_no_deaths() -> None:
     world = settled(9)
-    world.links.cut = {(0, n) for n in range(2, 9)}  # all hear 1 alone of node 0's messages
+    world.links.cut = {(0, n) for n in range(2, 9)}  # only node 1 receives node 0's messages
     world.run(world.now + 10 * SECOND)
-    assert all(f.members.living(0) for f in world.nodes.values())
+    assert all(f.members.is_alive(0) for f in world.nodes.values())
     world.links.cut = set()
     world.send(4, world.nodes[4].leave())
     world.kill(4)
-    told = [f for n, f in world.nodes.items()]
+    others = list(world.nodes.values())
     assert world.run(
         world.now + SECOND,
-        lambda: all(f.members.life(4).standing == Standing.LEFT for f in told),
+        lambda: all(f.members.record(4).status == MemberStatus.LEFT for f in others),
     )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_two_sides_that_went_apart_come_to_one_picture(seed: int) -> None:
+def test_two_sides_that_went_apart_come_to_converged(seed: int) -> None:
     """2 and 3: a server drains on one side, another is replaced on the other; both heal."""
     world = settled(5, seed=seed)
     world.links.part({0, 1}, {2, 3, 4})
@@ -92,18 +99,20 @@
     drain(world, 0, 2, 7)
     drain(world, 3, 3, 8, State.GONE)
     world.run(world.now + 6 * SECOND)
-    assert world.nodes[1].members.count() == 2 and world.nodes[2].members.count() == 3
+    assert world.nodes[1].members.alive_count() == 2
+    assert world.nodes[2].members.alive_count() == 3
     world.links.cut = set()
     world.links.loss = 0.1
     world.run(world.now + 12 * SECOND)
     world.links.loss = 0.0
-    assert world.run(world.now + 10 * SECOND, lambda: one_picture(world))
+    assert world.run(world.now + 10 * SECOND, lambda: converged(world))
     assert not dead_views(world)
     # Node 3's own list is of version 3 and goes before version 2's message at the others.
-    assert drained(world, 8) >= 4 and drained(world, 7) >= 3
+    assert drained(world, 8) >= 4
+    assert drained(world, 7) >= 3
 
 
-def test_one_stopped_for_a_minute_brings_nothing_back() -> None:
+def test_a_node_paused_for_a_minute_restores_no_old_records() -> None:
     world = settled(9)
     world.nodes[4].observe(world.clock(4), 5, 3, True, 0, 1.0, world.clock(4))
     world.stop(4)
@@ -112,16 +121,16 @@
     drain(world, 0, 2, 7)
     world.run(world.now + 40 * SECOND)
     for fleet in world.nodes.values():
-        fleet.beliefs.changed.clear()
+        fleet.records.changed.clear()
     world.go_on(4)
     assert world.run(world.now + 5 * SECOND, lambda: world.nodes[4].caught_up)
     world.run(world.now + 3 * SECOND)
     assert not dead_views(world)
-    assert drained(world, 7) == 8  # all but node 0, whose own list says it
-    assert all(not [r for r in f.beliefs.rows(5)] for f in world.nodes.values())
+    assert drained(world, 7) == 8  # all but node 0, which has it on its own list
+    assert all(not [r for r in f.records.of_server(5)] for f in world.nodes.values())
 
 
-def test_clocks_that_jump_while_nodes_run_bring_nothing_back_and_kill_nobody() -> None:
+def test_clocks_that_jump_restore_no_old_records_and_no_member_is_declared_dead() -> None:
     """A machine that was paused: its clock goes on by a minute between two of its turns."""
     world = settled(9)
     drain(world, 0, 2, 7)
@@ -133,20 +142,21 @@
         world._arm(node, world.now)
     assert world.run(world.now + 5 * SECOND, lambda: all(f.caught_up for f in world.nodes.values()))
     world.run(world.now + 3 * SECOND)
-    assert not dead_views(world) and drained(world, 7) == 8
-    assert sum(f.counts["stalls"] for f in world.nodes.values()) == 3
-    world.run(world.now + 16 * SECOND)  # the observation has had its time, by every clock
-    assert all(not f.beliefs.rows(5) for f in world.nodes.values())
+    assert not dead_views(world)
+    assert drained(world, 7) == 8
+    assert sum(f.counters["stalls"] for f in world.nodes.values()) == 3
+    world.run(world.now + 16 * SECOND)  # the observation has expired by every clock
+    assert all(not f.records.of_server(5) for f in world.nodes.values())
 
 
-def test_one_that_starts_under_a_clock_that_went_back_is_heard_again() -> None:
+def test_a_node_that_restarts_with_an_earlier_clock_is_accepted_again() -> None:
     world = settled(9)
     world.kill(4)
     world._lives[4] = -10_000_000  # some hours before its last start
     world.start(4)
     assert world.run(
         world.now + 12 * SECOND,
-        lambda: world.nodes[4].members.refuted > 0 and not dead_views(world),
+        lambda: world.nodes[4].members.refutations > 0 and not dead_views(world),
     )
     drain(world, 4, 2, 7)
     assert world.run(world.now + 2 * SECOND, lambda: drained(world, 7) >= 8)
@@ -172,9 +182,9 @@
     for victim in range(7):
         world.kill(victim)
     alone = world.nodes[8].members
-    assert world.run(world.now + 10 * SECOND, lambda: alone.count() == 2)
+    assert world.run(world.now + 10 * SECOND, lambda: alone.alive_count() == 2)
     world.kill(7)
-    assert world.run(world.now + 10 * SECOND, lambda: alone.count() == 1)
+    assert world.run(world.now + 10 * SECOND, lambda: alone.alive_count() == 1)
     world.kill(8)
     world.start_all()
     assert world.run(world.now + 3 * SECOND, lambda: all(f.caught_up for f in world.nodes.values()))
@@ -182,18 +192,18 @@
     assert not dead_views(world)
 
 
-def test_many_that_return_at_once_do_not_ask_the_same_few() -> None:
+def test_many_nodes_that_return_at_once_catch_up_from_different_peers() -> None:
     world = settled(100)
     for victim in range(70):
         world.kill(victim)
     world.run(world.now + 12 * SECOND)
-    asked: dict[int, int] = {}
+    requests: dict[int, int] = {}
     send = world.send
 
     def counted(node: int, out: list) -> None:  # type: ignore[type-arg]
         for to, message in out:
             if message.kind == Kind.DIGEST and message.subject == to:
-                asked[to] = asked.get(to, 0) + 1
+                requests[to] = requests.get(to, 0) + 1
         send(node, out)
 
     world.send = counted  # type: ignore[method-assign]
@@ -201,53 +211,55 @@
         world.start(victim)
     began = world.now
     assert world.run(began + SECOND, lambda: all(f.caught_up for f in world.nodes.values()))
-    assert max(asked.values()) <= 12
+    assert max(requests.values()) <= 12
 
 
-def test_a_silent_server_is_told_once_two_have_met_it_and_taken_back() -> None:
+def test_a_server_that_two_witnesses_see_fail_gets_a_verdict_and_a_retraction() -> None:
     world = settled(21)
     for witness in (2, 3):
         world.nodes[witness].observe(
             world.clock(witness), 6, 2, False, 0, 1.0, world.clock(witness)
         )
-    told: dict[int, Told | None] = {}
+    verdicts: dict[int, Told | None] = {}
 
-    def ask() -> bool:
+    def collect() -> bool:
         for n, fleet in world.nodes.items():
-            for change in fleet.changes(world.clock(n)):
-                told[n] = change.told
-        return len(told) >= 19 and set(told.values()) == {Told.SILENT}
+            for change in fleet.verdict_changes(world.clock(n)):
+                verdicts[n] = change.verdict
+        return len(verdicts) >= 19 and set(verdicts.values()) == {Told.SILENT}
 
-    assert world.run(world.now + SECOND, ask)
+    assert world.run(world.now + SECOND, collect)
     for witness in (2, 3):
         world.nodes[witness].observe(
             world.clock(witness), 6, 0, False, 0, 1.0, world.clock(witness)
         )
 
-    def back() -> bool:
-        ask()
-        return sum(v is None for v in told.values()) >= 19
+    def retracted() -> bool:
+        collect()
+        return sum(v is None for v in verdicts.values()) >= 19
 
-    assert world.run(world.now + SECOND, back)
+    assert world.run(world.now + SECOND, retracted)
 
 
-def test_a_liar_resurrects_nobody_and_a_flood_stays_within_the_pace() -> None:
+def test_false_records_change_nothing_and_a_flood_stays_within_the_message_rate() -> None:
     world = settled(9)
     drain(world, 0, 5, 7)
     world.run(world.now + SECOND)
-    liar = world.nodes[8].members.incarnation
+    incarnation = world.nodes[8].members.incarnation
     world.kill(8)
     before = sum(world.sent.values())
     began = world.now
     for i in range(2000):
         records = (
-            Listed(7, 0, 4, State.DRAINING, 0), Life(3, 1, Standing.DEAD),
+            DrainRecord(7, 0, 4, State.DRAINING, 0), MemberRecord(3, 1, MemberStatus.DEAD),
             Observation(9, 0, 8, 1, i, 3, 0, 0, 0, 0),
         )  # fmt: skip
-        message = Message(Kind.GOSSIP, 8, liar, records=records)
+        message = Message(Kind.GOSSIP, 8, incarnation, records=records)
         for to in range(8):
             world.later(began + i * MS, world._deliver, 8, to, message)
     world.run(began + 3 * SECOND)
-    assert all(f.members.living(3) for f in world.nodes.values())
+    assert all(f.members.is_alive(3) for f in world.nodes.values())
     assert drained(world, 7) >= 7
-    assert (sum(world.sent.values()) - before) / 3 / 8 <= 30  # the pace and SWIM's own
+    assert (
+        sum(world.sent.values()) - before
+    ) / 3 / 8 <= 30  # the message rate and SWIM's own messages
--- /dev/null
+++ b/tests/core/gossip/test_gossip_node.py
@@ -0,0 +1,84 @@
+"""One node of the fleet: what it accepts, whom it trusts, and how it resumes."""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import SECOND, State
+from loadbalancer.core.gossip.gossip_node import GossipNode
+from loadbalancer.core.gossip.membership import NAME_CONFLICT_NS
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Kind,
+    MemberRecord,
+    MemberStatus,
+    Message,
+    Record,
+    is_valid,
+)
+from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS
+from tests.core.gossip.builders import DRAINING, observation
+
+
+def test_an_invalid_record_is_skipped_and_the_others_of_its_message_are_merged() -> None:
+    """A peer sends numbers that can't be; taken in, they would overflow ages and rankings."""
+    good = observation(9, 1, failures=1)
+    bad: list[Record] = [
+        good._replace(failures=99), good._replace(origin=8), good._replace(age=-1),
+        good._replace(ratio=1 << 40), good._replace(number=-1), MemberRecord(8, 1, 0),
+        MemberRecord(2, 1 << 60, 2), MemberRecord(2, 1, 9),
+        DrainRecord(9, 7, -1, DRAINING, 0), DrainRecord(9, 7, 1, State.READY, 0),
+    ]  # fmt: skip
+    assert not any(is_valid(record, 8) for record in bad)
+    node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
+    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(*bad, good)))
+    assert node.counters["unsound"] == len(bad)
+    assert node.records.servers() == [9]
+
+
+def test_two_processes_under_one_name_are_detected_and_not_trusted() -> None:
+    """Two processes run with one node number, and both send, each in its incarnation.
+
+    Both observe servers and both ask for leases: what is leased to one would be used by both.
+    """
+    node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
+    node.on_local_list(0, 1, [(9, 7, State.READY)], True)
+    for i in range(4):
+        node.receive(
+            i, Message(Kind.GOSSIP, 1, 20, records=(observation(9, 1, 10 + i, failures=3),))
+        )
+        node.receive(i, Message(Kind.GOSSIP, 1, 10, records=()))
+    assert 1 not in node.members.trusted(10)
+    node.lease_exchange.grantable = 8
+    node.leases.activate(0)
+    node.leases.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
+    assert node.receive(11, Message(Kind.LEASE_REQUEST, 1, 20, 5))[0].message.subject == 0
+    assert node.receive(11, Message(Kind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
+    too_long = Message(Kind.LEASE_REQUEST, 2, 20, 1 << 40)  # an answer can't repeat its serial
+    assert node.receive(11, too_long) == []
+    assert not node.verdict_changes(10)
+    assert 1 in node.members.trusted(10 + NAME_CONFLICT_NS)
+    assert node.counters["old"] == 4
+
+
+def test_a_paused_node_compares_its_records_before_it_passes_any_on() -> None:
+    """A process is stopped for a minute and goes on.
+
+    It would pass on records of servers as they were, and suspect every member of silence.
+    """
+    node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
+    node.on_local_list(0, 1, [(9, 7, State.READY)], True)
+    node.receive(1, Message(Kind.DONE, 1, 1))
+    node.anti_entropy._catch_up_peers = [1]
+    node.receive(1, Message(Kind.DONE, 1, 1))
+    assert node.caught_up
+    node.observe(2, 9, 3, True, 0, 1.0, 2)
+    node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
+    assert node.resume_after_pause(60 * SECOND)
+    assert not node.resume_after_pause(60 * SECOND)
+    out = node.tick(60 * SECOND)
+    assert not node.caught_up
+    assert node.counters["stalls"] == 1
+    assert Kind.DIGEST in {o.message.kind for o in out}
+    assert not node.members.hears_nobody(60 * SECOND)  # it was this node that was silent
+    assert not any(o.message.records for o in out)  # none of its old records
+    assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
--- /dev/null
+++ b/tests/core/gossip/test_membership.py
@@ -0,0 +1,29 @@
+"""The table of members: merging, and refutation."""
+
+from __future__ import annotations
+
+from itertools import permutations, product
+
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import MemberRecord, MemberStatus
+
+
+def test_member_records_merge_in_any_order_and_an_accused_member_refutes() -> None:
+    """Members accuse one that is alive: it must raise its incarnation, or it would stay dead."""
+    records = [MemberRecord(1, i, s) for i, s in product((1, 2), (0, 1, 2))]
+    ends = set()
+    for order in permutations(records):
+        members = Membership(0, 3, 1, 1)
+        for record in order:
+            members.merge(0, 2, record)
+        ends.add(members.record(1))
+    assert ends == {MemberRecord(1, 2, MemberStatus.DEAD)}
+    members = Membership(0, 3, 5, 1)
+    members.merge(0, 1, MemberRecord(0, 5, MemberStatus.DEAD))
+    assert members.incarnation == 6
+    assert members.updates == [MemberRecord(0, 6, MemberStatus.ALIVE)]
+    # An earlier start of this node had a later incarnation: its clock has jumped back since.
+    members.merge(0, 1, MemberRecord(0, 9, MemberStatus.ALIVE))
+    assert members.incarnation == 10
+    members.merge(0, 1, MemberRecord(0, 4, MemberStatus.DEAD))
+    assert members.incarnation == 10
--- /dev/null
+++ b/tests/core/gossip/test_slot_allocation.py
@@ -0,0 +1,64 @@
+"""Which slots of a server are a node's, with members dead or alive."""
+
+from __future__ import annotations
+
+from itertools import product
+
+import pytest
+
+from loadbalancer.core.gossip.membership import ISOLATED_AFTER_NS
+from loadbalancer.core.gossip.slot_allocation import SlotAllocation
+from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS
+
+
+@pytest.mark.parametrize(("nodes", "server_slots"), [(2, 3), (4, 5), (5, 15), (6, 4)])
+def test_nodes_with_any_views_of_each_other_stay_within_a_servers_slots(
+    nodes: int, server_slots: int
+) -> None:
+    """Each node may take any of the others for dead, whatever the others believe.
+
+    Were the slots past the dead not bounded, nodes with different views would together send a
+    server more requests than it has slots.
+    """
+    deepened = False
+    for rank, limit in product(range(nodes), range(1, 12)):
+        total = 0
+        for place in range(nodes):
+            deal = (place - rank) % nodes
+            caps = []
+            for view in product((False, True), repeat=nodes):
+                slots = SlotAllocation(place, nodes, server_slots, view.__getitem__)
+                slots.refresh()
+                depth = slots.depth(deal, limit, 100)
+                deepened = deepened or depth > limit
+                caps.append(max(-(-(depth - deal) // nodes), 0))
+            total += max(caps)
+        assert total <= max(server_slots, limit)  # beyond it no more than without gossip
+    assert deepened
+
+
+def test_alive_nodes_use_the_slots_of_dead_ones() -> None:
+    for rank in range(10):
+        owned = 0
+        for place in (2, 5, 7):
+            slots = SlotAllocation(place, 10, 15, lambda p: p in (2, 5, 7))
+            slots.refresh()
+            deal = (place - rank) % 10
+            depth = slots.depth(deal, 4, 24)
+            owned += max(-(-(depth - deal) // 10), 0)
+        assert owned == 4  # as many as the limit asks for
+    few = SlotAllocation(2, 10, 15, lambda p: p in (2, 5, 7))
+    few.refresh()
+    assert few.depth(0, 40, 24) == 40  # twelve alive slots: as deep as without gossip
+    assert few.depth(0, 64, 24) == 46  # the fifteenth alive slot is the last
+    all_alive = SlotAllocation(0, 10, 15, lambda _p: True)
+    all_alive.refresh()
+    assert all_alive.depth(0, 4, 24) == 4
+    assert all_alive.depth(0, 60, 24) == 15  # a limit beyond the server's slots
+    assert all_alive.depth(0, 60, 1) == 30  # one server for ten: each needs its minimum
+    assert all_alive.cap(7, 0, 60, 24) == 2
+    # Whatever was granted has expired by the time a node counts as isolated.
+    assert ISOLATED_AFTER_NS > LEASE_TTL_NS + SAFETY_MARGIN_NS
+    all_alive.isolated = True  # no messages: at least the slots without gossip
+    assert all_alive.cap(7, 0, 60, 24) == 6
+    assert all_alive.cap(7, 0, 4, 24) == 1
--- /dev/null
+++ b/tests/core/gossip/test_slot_leases.py
@@ -0,0 +1,114 @@
+"""Leases on slots: no slot is used by two nodes, and a lease ends at both sides."""
+
+from __future__ import annotations
+
+from random import Random
+
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.gossip.slot_allocation import HeldLease, SlotAllocation
+from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS, SlotLeases
+
+
+class LeasingNode:
+    """A node with leases and slots; its caps are as of its last turn, up to the margin ago."""
+
+    def __init__(self, place: int, skew: int, seed: int) -> None:
+        self.place, self.skew, self.starts, self.seed = place, skew, 0, seed
+        self.start(0)
+
+    def start(self, now: int) -> None:
+        self.starts += 1
+        self.leases = SlotLeases(self.seed + 7 * self.starts)
+        self.leases.activate(now + self.skew)
+        self.slots = SlotAllocation(self.place, 4, 5, lambda _p: True)
+        self.turn(now)
+
+    def turn(self, now: int) -> None:
+        self.turned = now
+        self.leases.expire(now + self.skew)
+        self.slots.granted_classes = self.leases.granted_classes()
+        usable = self.leases.usable(now + self.skew)
+        self.slots.leases = [HeldLease(place, classes) for place, classes in usable]
+
+    def cap(self, server: int) -> int:
+        return self.slots.cap(server, (self.place - server) % 4, 20, 9)
+
+
+def test_no_slot_is_used_by_two_nodes_whatever_happens_to_messages() -> None:
+    """Messages are lost, late, duplicated, or of an earlier start; nodes restart and turn late.
+
+    Were a slot used by its owner and its holder at once, a server would get more requests than it
+    has slots. The leases are in use: one node gets more than the two slots that are its own.
+    """
+    assert max(most_used_by_one_node(seed) for seed in range(60)) > 3
+
+
+def most_used_by_one_node(seed: int) -> int:
+    """Run four nodes with random faults; the most slots that one of them had at a server."""
+    draw = Random(seed)
+    nodes = [LeasingNode(place, draw.randrange(10 * SECOND), place) for place in range(4)]
+    requests: list[tuple[int, int, int]] = []
+    grants: list[tuple[int, int, int, int]] = []
+    now = max_cap = 0
+    for _ in range(250):
+        now += draw.choice((0, 20 * MS, 250 * MS))
+        node = draw.choice(nodes)
+        event = draw.random()
+        if event < 0.35:
+            others = [n.place for n in nodes if n is not node]
+            for grantor, serial in node.leases.requests(now + node.skew, others, True):
+                requests.append((node.place, grantor, serial))
+        elif event < 0.65 and requests:
+            holder, grantor, serial = draw.choice(requests[-draw.choice((2, 30)) :])
+            classes = nodes[grantor].leases.grant(
+                now + nodes[grantor].skew, holder, draw.randrange(9)
+            )
+            nodes[grantor].turn(now)
+            grants.append((holder, grantor, serial, classes))
+        elif event < 0.97 and grants:
+            holder, grantor, serial, classes = draw.choice(grants[-draw.choice((2, 30)) :])
+            nodes[holder].leases.on_grant(now + nodes[holder].skew, grantor, serial, classes)
+            nodes[holder].turn(now)
+        elif event > 0.995:
+            node.start(now)
+        for n in nodes:
+            if now - n.turned > SAFETY_MARGIN_NS - 250 * MS:
+                n.turn(now)
+        for server in range(9):
+            caps = [n.cap(server) for n in nodes]
+            assert sum(caps) <= 5
+            max_cap = max(max_cap, *caps)
+    return max_cap
+
+
+def test_a_grantor_keeps_what_it_needs_and_a_holder_counts_from_its_request() -> None:
+    slots = SlotAllocation(0, 4, 8, lambda _p: True)
+    deals = [(server % 4, 8) for server in range(16)]  # two slots at each, one may be leased
+    needs = (0, 16, 20, 31.9, 32.5)
+    grantable = [slots.grantable_classes(deals, 16, need, 32) for need in needs]
+    assert grantable == [8, 8, 6, 0, 0]
+    grantor, holder = SlotLeases(1), SlotLeases(2)
+    grantor.activate(0)
+    assert grantor.grant(LEASE_TTL_NS, 1, 8) == 0  # an earlier start may have granted its slots
+    assert grantor.granted_classes() == 255
+    grantor.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
+    ((_, serial),) = holder.requests(0, [5], True)
+    assert grantor.grant(3 * SECOND, 1, 3).bit_count() == grantor.granted_classes().bit_count() == 3
+    assert grantor.grant(3 * SECOND, 2, 4).bit_count() == 1  # the others are granted already
+    holder.on_grant(LEASE_TTL_NS - 1, 5, serial + 1, 7)
+    holder.on_grant(LEASE_TTL_NS - 1, 4, serial, 7)  # neither answers a request
+    assert holder.active == {}
+    holder.on_grant(LEASE_TTL_NS - 1, 5, serial, 7)
+    assert holder.usable(LEASE_TTL_NS - 1) == [(5, 7)]
+    assert holder.usable(LEASE_TTL_NS) == []
+    (first,) = holder.requests(LEASE_TTL_NS, [5], True)
+    (second,) = holder.requests(LEASE_TTL_NS + SECOND, [5], True)
+    holder.on_grant(2 * LEASE_TTL_NS, 5, second[1], 7)
+    holder.on_grant(2 * LEASE_TTL_NS, 5, first[1], 255)  # overtaken by the one after it
+    assert holder.usable(3 * LEASE_TTL_NS - SECOND - 1) == [(5, 7)]
+    ((_, late),) = SlotLeases(3).requests(0, [5], True)
+    stale = SlotLeases(3)
+    stale.requests(0, [5], True)
+    stale.on_grant(LEASE_TTL_NS, 5, late, 7)  # longer under way than the lease's term
+    assert stale.active == {}
+    assert stale.requests(LEASE_TTL_NS + SECOND, [5], True) == []
--- /dev/null
+++ b/tests/core/gossip/test_verdicts.py
@@ -0,0 +1,60 @@
+"""What other nodes' observations of a server come to."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core.balancing.model import SECOND, State, Told
+from loadbalancer.core.gossip.gossip_node import GossipNode
+from loadbalancer.core.gossip.messages import Kind, Message, Observation
+from loadbalancer.core.gossip.settings import GossipSettings
+from tests.core.gossip.builders import observation
+
+
+@pytest.mark.parametrize(
+    ("observations", "zones", "verdict"),
+    [
+        ([observation(9, 1, failures=3)], 1, Told.DOUBTED),  # one alone may be isolated itself
+        ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, Told.SILENT),
+        ([observation(9, 1, failures=1), observation(9, 2, failures=1)], 1, None),
+        # of the other zone
+        ([observation(9, 1, failures=3), observation(9, 3, failures=3)], 2, None),
+        ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, Told.SILENT),
+        ([observation(9, 1, rejections=2), observation(9, 2, rejections=2)], 1, Told.FULL),
+        ([observation(9, 1, ratio=54)], 1, Told.SLOW),
+        # retracted
+        ([observation(9, 1, failures=3), observation(9, 1, 2), observation(9, 2, failures=1)], 1,
+         None),
+        ([observation(9, 1, failures=3)._replace(boot=6)], 1, None),  # of an earlier start
+        # against half of all servers: it is isolated
+        ([observation(s, 1, failures=3) for s in range(9, 14)], 1, None),
+    ],
+)  # fmt: skip
+def test_verdict_of_observations(
+    observations: list[Observation], zones: int, verdict: Told | None
+) -> None:
+    node = GossipNode(GossipSettings(8, 0, zones), 1, 1, 0)
+    node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(9, 18)], True)
+    for record in observations:
+        node.receive(SECOND // 2, Message(Kind.GOSSIP, 5, 1, records=(record,)))
+    verdicts = {c.server: c.verdict for c in node.verdict_changes(SECOND // 2)}
+    assert verdicts.get(9) == verdict
+
+
+def test_false_observations_fail_no_more_than_one_server_in_three() -> None:
+    """Two peers report every server as failing: with both believed none would be used.
+
+    Witnesses against so many servers count as isolated themselves.
+    """
+    node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
+    node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(30)], True)
+    for server in range(30):
+        for origin in (1, 2):
+            message = Message(
+                Kind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
+            )
+            node.receive(SECOND // 2, message)
+    failing = [
+        c for c in node.verdict_changes(SECOND // 2) if c.verdict in (Told.SILENT, Told.DOUBTED)
+    ]
+    assert len(failing) <= 10
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -33,8 +33,15 @@
     unpack,
 )
 from loadbalancer.core.endpoints.shared_list import Taken
-from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation, Reading
-from loadbalancer.core.gossip.slot_leases import Held, Lent
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Kind,
+    MemberRecord,
+    Message,
+    Observation,
+    ReaderRecord,
+)
+from loadbalancer.core.gossip.slot_leases import Grant, Lease
 from loadbalancer.core.process_pair import Left
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
@@ -56,7 +63,16 @@
 
 NOW = 5_000 * SECOND  # of the monotonic clock
 WALL_MS = 1_760_000_000_000  # Unix time
-RECORDS = {"life": Life, "listed": Listed, "observation": Observation, "reading": Reading}
+RECORDS = {
+    "life": MemberRecord, "listed": DrainRecord, "observation": Observation,
+    "reading": ReaderRecord,
+}  # fmt: skip
+FIELDS = {  # the wire's word for a field -> its name
+    "life": {"standing": "status"},
+    "listed": {},
+    "observation": {"full": "rejections"},
+    "reading": {"how": "state", "mark": "checksum"},
+}
 CLASSES = (
     RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
     RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND),
@@ -116,7 +132,8 @@
 def _message(plain: Plain) -> Message:
     records = []
     for row in plain["records"]:
-        figures = {name: value for name, value in row.items() if name != "is"}
+        fields = FIELDS[row["is"]]
+        figures = {fields.get(name, name): value for name, value in row.items() if name != "is"}
         if "age_ms" in figures:
             figures["age"] = figures.pop("age_ms") * MS
         records.append(RECORDS[row["is"]](**figures))
@@ -141,7 +158,9 @@
     records = []
     for record in message.records:
         name = next(name for name, made in RECORDS.items() if isinstance(record, made))
-        figures: dict[str, Any] = {"is": name} | record._asdict()
+        words = {field: word for word, field in FIELDS[name].items()}
+        figures: dict[str, Any] = {"is": name}
+        figures |= {words.get(field, field): v for field, v in record._asdict().items()}
         if "age" in figures:
             figures["age_ms"] = figures.pop("age") // MS
         records.append(figures)
@@ -451,19 +470,19 @@
             Message(
                 Kind.GOSSIP, 2, 1_759_999_000_000,
                 records=(
-                    Life(1, 1_759_999_000_001, 1),
-                    Life(3, 1_759_999_000_003, 3),
-                    Listed(0x1F2E3D4C5B6A7988, 1_759_000_000_000, 41, 2, 700 * MS),
+                    MemberRecord(1, 1_759_999_000_001, 1),
+                    MemberRecord(3, 1_759_999_000_003, 3),
+                    DrainRecord(0x1F2E3D4C5B6A7988, 1_759_000_000_000, 41, 2, 700 * MS),
                     Observation(
                         0x0A0B0C0D0E0F1011, 1_759_000_000_001, 2, 1_759_999_000_000, 7, 3, 1, 2, 36,
                         900 * MS,
                     ),
-                    Reading(2, 1_759_999_000_000, 4, 1, 2, 41, 77, 1200 * MS),
+                    ReaderRecord(2, 1_759_999_000_000, 4, 1, 2, 41, 77, 1200 * MS),
                 ),
             ),
         )  # fmt: skip
-        fleet.leases.lent |= {c: Lent(2, NOW + (300 + c) * MS) for c in (1, 4)}
-        fleet.leases.held[1] = Held(0b101, NOW, NOW + 700 * MS)
+        fleet.leases.grants |= {c: Grant(2, NOW + (300 + c) * MS) for c in (1, 4)}
+        fleet.leases.active[1] = Lease(0b101, NOW, NOW + 700 * MS)
         peers.counts["broken"] += 2
         return peers
 
--- /dev/null
+++ b/tests/gossip_transport/test_codec.py
@@ -0,0 +1,48 @@
+"""Messages as datagrams: their sizes, and what is refused."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    Kind,
+    MemberRecord,
+    Message,
+    Observation,
+    Record,
+)
+from loadbalancer.core.gossip.update_sender import DIGEST_BYTES, MESSAGE_HEAD_BYTES, RECORD_BYTES
+from loadbalancer.gossip_transport.codec import BadMessageError, decode, encode
+from tests.core.gossip.builders import observation
+
+
+def test_the_longest_records_fit_the_sizes_that_packing_assumes() -> None:
+    big = (1 << 64) - 1
+    longest: list[Record] = [
+        MemberRecord(999, (1 << 48) - 1, 3),
+        DrainRecord(big, 1 << 47, 1 << 40, 2, 600 * SECOND),
+        Observation(big, 1 << 47, 999, (1 << 48) - 1, 1 << 30, 15, 1, 15, 160, 15 * SECOND),
+    ]
+    bare = len(encode(Message(Kind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
+    assert bare <= MESSAGE_HEAD_BYTES
+    for record in longest:
+        message = Message(Kind.GOSSIP, 999, (1 << 48) - 1, 1 << 30, 999, (), (record,))
+        data = encode(message, 65535)
+        assert len(data) - bare <= RECORD_BYTES[type(record)]
+        assert decode(data, 65535) == message
+    digest = encode(Message(Kind.DIGEST, 999, (1 << 48) - 1, 1, 999, (0xFFFFFFFF,) * 9), 65535)
+    assert len(digest) <= MESSAGE_HEAD_BYTES + DIGEST_BYTES
+
+
+def test_each_kind_of_malformed_datagram_has_its_own_cause() -> None:
+    message = Message(Kind.GOSSIP, 1, 2, records=(observation(9, 1, failures=1, age=5 * MS),))
+    data = encode(message, 7)
+    assert decode(data, 7) == message
+    for malformed, cause in (
+        (data[:4], "short"), (data[:-1], "broken"), (data[:9] + b"\0" + data[10:], "broken"),
+        (encode(message, 8), "another tier"),
+    ):  # fmt: skip
+        with pytest.raises(BadMessageError, match=cause):
+            decode(malformed, 7)
