--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -23,7 +23,7 @@
 from loadbalancer.cli.check import main as check
 from loadbalancer.cli.peers import main as show
 from loadbalancer.core.balancing.model import State
-from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation
+from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
 from loadbalancer.gossip_transport.codec import decode, encode
 from loadbalancer.gossip_transport.codec import tier as tier_number
 from loadbalancer.sources.discovery import backend_id
@@ -307,7 +307,7 @@
     number = tier_number("nodes")
     with by_hand(tmp_path) as (n, peers, to, server):
         first = json.loads(n.call("GET /peers")[2])["incarnation"]
-        lies = (Life(0, first + 5, 2), Listed(backend_id("s-1"), 3, 9, State.GONE, 0))
+        lies = (MemberRecord(0, first + 5, 2), DrainRecord(backend_id("s-1"), 3, 9, State.GONE, 0))
         peers[1].sendto(encode(Message(Kind.GOSSIP, 1, 50, records=lies), number), to)
         wait_until(lambda: json.loads(n.call("GET /peers")[2])["incarnation"] == first + 6)
         assert served(n, server) == "HTTP/1.1 200 OK"  # gone was another start of that server
