--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -55,7 +55,7 @@
         self.caught_up = False
         self._catch_up_began = now
         self._catch_up_peers: list[int] = []  # in the order in which they were asked
-        self._catch_up_asked_at = 0
+        self._catch_up_requested_at = 0
 
     def digest(self) -> tuple[int, ...]:
         """Of all records: those of servers in parts, then those of nodes."""
@@ -130,7 +130,7 @@
         if now - self._catch_up_began > CATCH_UP_TIMEOUT_NS:
             self._end_catch_up(now, "nobody to catch up from")
             return []
-        if self._catch_up_peers and now - self._catch_up_asked_at < CATCH_UP_RETRY_NS:
+        if self._catch_up_peers and now - self._catch_up_requested_at < CATCH_UP_RETRY_NS:
             return []
         members = self._members
         candidates = sorted(
@@ -138,7 +138,7 @@
             key=lambda peer: crc32(b"%d %d %d" % (members.me, members.incarnation, peer)),
         )
         peers = candidates[:CATCH_UP_PEERS]
-        self._catch_up_asked_at = now
+        self._catch_up_requested_at = now
         self._catch_up_peers += peers
         digest = self.digest()
         return [
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -10,9 +10,10 @@
 from typing import NamedTuple
 
 from loadbalancer.core.balancing.balancer import Balancer
-from loadbalancer.core.balancing.model import SECOND, Listing, State, Told, Update
+from loadbalancer.core.balancing.model import SECOND, Listing, ReportedState, State, Update
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.slot_allocation import HeldLease, SlotAllocation
+from loadbalancer.core.gossip.own_observations import results_of
+from loadbalancer.core.gossip.slot_allocation import LeasedSlots, SlotAllocation
 from loadbalancer.core.gossip.verdicts import VerdictChange
 
 PEAK_WINDOW_NS = SECOND // 2  # a peak of requests in flight counts for one to two windows
@@ -46,7 +47,7 @@
         self._saturated = False
         self._peaks = [0, 0]  # requests in flight at most, in this window and the one before
         self._window_ends_at = 0
-        balancer.seats = self.slots
+        balancer.slot_ranks = self.slots
 
     def _is_alive_at(self, place: int) -> bool:
         """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
@@ -59,37 +60,45 @@
         """Publish the results of this node's own attempts, and its need of slots."""
         self._update_need(now)
         gossip = self._gossip
-        for b in self._balancer.backends.values():
+        for endpoint in self._balancer.endpoints.values():
             if (
-                b.strikes
-                or b.fulls >= MIN_REPORTED_REJECTIONS
-                or b.lat > MIN_REPORTED_LATENCY_RATIO
-                or b.id in gossip.observations
+                endpoint.consecutive_failures
+                or endpoint.consecutive_rejections >= MIN_REPORTED_REJECTIONS
+                or endpoint.latency_ratio > MIN_REPORTED_LATENCY_RATIO
+                or endpoint.id in gossip.observations
             ):
-                gossip.observe(now, b.id, b.strikes, b.gone, b.fulls, b.lat, b.seen)
+                results = results_of(
+                    endpoint.consecutive_failures,
+                    endpoint.connect_failed,
+                    endpoint.consecutive_rejections,
+                    endpoint.latency_ratio,
+                )
+                gossip.observe(now, endpoint.id, results, endpoint.last_seen)
 
     def _update_need(self, now: int) -> None:
         """Note, each window, how many classes this node can lease out, and whether it needs any."""
         balancer = self._balancer
-        self._peaks[0] = max(self._peaks[0], balancer.running)
-        self._saturated = self._saturated or balancer.pressed
+        self._peaks[0] = max(self._peaks[0], balancer.in_flight)
+        self._saturated = self._saturated or balancer.saturated
         if now < self._window_ends_at:
             return
         self._window_ends_at = now + PEAK_WINDOW_NS
         needed = max(self._peaks) * HEADROOM + RESERVED_SLOTS
-        self._peaks = [balancer.running, self._peaks[0]]
-        ready = [b for b in balancer.backends.values() if b.local and b.state == State.READY]
-        deals = [
-            (b.deal, int(balancer.level + b.offset)) for b in ready if b.cold_until <= balancer.now
+        self._peaks = [balancer.in_flight, self._peaks[0]]
+        ready = [e for e in balancer.endpoints.values() if e.local and e.state == State.READY]
+        depths = [
+            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding))
+            for endpoint in ready
+            if endpoint.cold_until <= balancer.now
         ]
-        owned = sum(self.slots.own(deal, depth, len(ready), False) for deal, depth in deals)
-        uses_all = balancer.level >= self.slots.max_slots(len(ready))
+        owned = sum(self.slots.own(first, depth, len(ready), False) for first, depth in depths)
+        uses_all = balancer.concurrency_limit >= self.slots.max_slots(len(ready))
         exchange = self._gossip.lease_exchange
         exchange.wants_more = self._saturated and uses_all
         exchange.keeps_leases = uses_all and needed > owned
         exchange.grantable = 0
         if not (self._saturated or exchange.keeps_leases):
-            exchange.grantable = self.slots.grantable_classes(deals, len(ready), needed, owned)
+            exchange.grantable = self.slots.grantable_classes(depths, len(ready), needed, owned)
         self._saturated = False
 
     # ---- to the Balancer -----------------------------------------------------------
@@ -119,16 +128,18 @@
         slots.refresh()
         slots.granted_classes = leases.granted_classes()
         slots.leases = [
-            HeldLease(grantor // self._zones, classes)
+            LeasedSlots(grantor // self._zones, classes)
             for grantor, classes in gossip.lease_exchange.usable(now)
         ]
         return True
 
     def _is_superseded(self, change: VerdictChange) -> bool:
         """Whether this node has had an answer of its own since the observation."""
-        b = self._balancer.backends.get(change.server)
-        failing = change.verdict in (Told.SILENT, Told.DOUBTED)
-        return b is not None and failing and not b.strikes and b.seen > change.observed_at
+        endpoint = self._balancer.endpoints.get(change.server)
+        if endpoint is None or endpoint.consecutive_failures:
+            return False
+        failing = change.verdict in (ReportedState.SILENT, ReportedState.DOUBTED)
+        return failing and endpoint.last_seen > change.observed_at
 
     def _draining(self) -> list[Listing]:
         """Servers that the Balancer still uses and another node's list drains."""
@@ -136,13 +147,18 @@
         rows = []
         pending, local_list.pending = local_list.pending, set()
         for server in pending:
-            b = self._balancer.backends.get(server)
-            if b is None or b.state != State.READY:
+            endpoint = self._balancer.endpoints.get(server)
+            if endpoint is None or endpoint.state != State.READY:
                 continue
             boot = local_list.boots.get(server, 0)
             state = local_list.effective_state(server, boot, State.READY)
             if state != State.READY:
-                rows.append(Listing(server, state, b.zone, b.cell, b.kind, 0, b.rating))
+                rows.append(
+                    Listing(
+                        server, state, endpoint.zone, endpoint.cell, endpoint.kind, 0,
+                        endpoint.rating,
+                    )
+                )  # fmt: skip
             elif local_list.is_pending(server, boot):
                 local_list.pending.add(server)  # too many are drained already
         return rows
@@ -163,9 +179,11 @@
         """Tell the Balancer, within an event of the host."""
         balancer = self._balancer
         for change in update.verdicts:
-            balancer.on_told(now, change.server, change.verdict, change.latency_ratio, change.cold)
+            balancer.on_peer_report(
+                now, change.server, change.verdict, change.latency_ratio, change.cold
+            )
         if update.draining:
-            balancer.on_members(now, Update.TOLD, update.draining)
+            balancer.on_members(now, Update.REPORTED, update.draining)
         elif update.reallocate:
             balancer.recap()
         balancer.dispatch(now)
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -32,7 +32,7 @@
     Record,
     is_valid,
 )
-from loadbalancer.core.gossip.own_observations import OwnObservations, results_of
+from loadbalancer.core.gossip.own_observations import OwnObservations, Results
 from loadbalancer.core.gossip.records import RecordKey, RecordStore, key_of
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import SlotLeases
@@ -82,18 +82,8 @@
 
     # ---- this node's own knowledge ----------------------------------------------------
 
-    def observe(
-        self,
-        now: int,
-        server: int,
-        failures: int,
-        cold: bool,
-        rejections: int,
-        latency_ratio: float,
-        attempted_at: int,
-    ) -> None:
+    def observe(self, now: int, server: int, results: Results, attempted_at: int) -> None:
         """Publish the results of this node's own attempts at a server, the last at that time."""
-        results = results_of(failures, cold, rejections, latency_ratio)
         self.observations.observe(now, server, results, attempted_at)
 
     def on_local_list(
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -24,8 +24,8 @@
 MIN_SLOTS_PER_NODE = 3  # that a node needs to serve at all: with fewer none are cut
 
 
-class HeldLease(NamedTuple):
-    """Classes leased from the node at one place of the zone, a bit each."""
+class LeasedSlots(NamedTuple):
+    """The classes whose slots are leased from the node at one place of the zone, a bit each."""
 
     place: int
     classes: int
@@ -61,7 +61,7 @@
         self._depths: dict[tuple[int, int, int], int] = {}
         self.isolated = False  # receives no messages: at least the slots without gossip
         self.granted_classes = 0  # whose upper slots are leased to others, a bit each
-        self.leases: list[HeldLease] = []
+        self.leases: list[LeasedSlots] = []
 
     def refresh(self) -> None:
         """Update which nodes are alive; to be called before caps are computed anew."""
@@ -72,22 +72,22 @@
         """Slots of one server in all; with few servers, MIN_SLOTS_PER_NODE for each node."""
         return max(self._slots, -(-MIN_SLOTS_PER_NODE * self._nodes // max(servers, 1)))
 
-    def depth(self, deal: int, depth: int, servers: int) -> int:
+    def depth(self, first_slot: int, depth: int, servers: int) -> int:
         """How many slots of a server the alive nodes use, where the limit asks for `depth`.
 
-        `deal` is this node's first slot there.
+        `first_slot` is this node's first slot there.
         """
         max_slots = self.max_slots(servers)
         if self._all_alive or depth <= 0:
             return min(depth, max_slots)
-        key = (deal, depth, max_slots)
+        key = (first_slot, depth, max_slots)
         cached = self._depths.get(key)
         if cached is None:
-            cached = self._depths[key] = self._depth_past_dead(deal, depth, max_slots)
+            cached = self._depths[key] = self._depth_past_dead(first_slot, depth, max_slots)
         return cached
 
-    def _depth_past_dead(self, deal: int, depth: int, max_slots: int) -> int:
-        first = self._place - deal
+    def _depth_past_dead(self, first_slot: int, depth: int, max_slots: int) -> int:
+        first = self._place - first_slot
         wanted = min(depth, max_slots)
         slot = alive = 0
         # Past the dead for as many alive as are wanted, within the server's slots; and under
@@ -97,39 +97,41 @@
             slot += 1
         return slot
 
-    def cap(self, server: int, deal: int, depth: int, servers: int) -> int:
+    def cap(self, server: int, first_slot: int, depth: int, servers: int) -> int:
         """How many requests this node may have at a server, by its own slots and by leases."""
         max_slots = self.max_slots(servers)
         class_bit = 1 << server % CLASSES
-        cap = self.own(deal, depth, servers, bool(self.granted_classes & class_bit))
+        cap = self.own(first_slot, depth, servers, bool(self.granted_classes & class_bit))
         # Where a slow server or congestion asks for less than its own slots, none are leased.
         if depth >= max_slots:
             for place, classes in self.leases:
                 if classes & class_bit:
-                    first = (place - self._place + deal) % self._nodes
+                    first = (place - self._place + first_slot) % self._nodes
                     cap += self._count(first, max_slots) - self._count(first, max_slots // 2)
         return cap
 
-    def own(self, deal: int, depth: int, servers: int, leased_out: bool) -> int:
+    def own(self, first_slot: int, depth: int, servers: int, leased_out: bool) -> int:
         """How many of a server's slots are this node's own, without the upper if leased out."""
-        slots = self.depth(deal, depth, servers)
+        slots = self.depth(first_slot, depth, servers)
         if self.isolated:
-            return self._count(deal, max(slots, depth))
-        return self._count(deal, min(slots, self.max_slots(servers) // 2) if leased_out else slots)
+            return self._count(first_slot, max(slots, depth))
+        return self._count(
+            first_slot, min(slots, self.max_slots(servers) // 2) if leased_out else slots
+        )
 
     def _count(self, first: int, depth: int) -> int:
         """Slots before `depth` of a node whose first one is `first`."""
         return -(-(depth - first) // self._nodes) if depth > first else 0
 
     def grantable_classes(
-        self, deals: list[tuple[int, int]], servers: int, needed: float, owned: int
+        self, depths: list[tuple[int, int]], servers: int, needed: float, owned: int
     ) -> int:
         """How many classes this node can lease out and still have `needed` of its `owned` slots.
 
-        `deals`: (first slot, depth) of each server.
+        `depths`: (first slot, depth) of each server.
         """
         if owned < needed:
             return 0
-        lower = sum(self.own(deal, depth, servers, True) for deal, depth in deals)
+        lower = sum(self.own(first, depth, servers, True) for first, depth in depths)
         per_class = (owned - lower) / CLASSES
         return min(int((owned - needed) / per_class), CLASSES) if per_class else CLASSES
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -99,7 +99,7 @@
         if now < self._next_request_at:
             return []
         self._next_request_at = now + REQUEST_INTERVAL_NS
-        asked = [
+        recipients = [
             n
             for n, lease in self.active.items()
             if now - lease.requested_at >= LEASE_TTL_NS // 2 and n in grantors
@@ -107,9 +107,9 @@
         if more and len(self.active) < MAX_GRANTORS:
             fresh = [n for n in grantors if n not in self.active and n not in self._declined_until]
             count = min(MAX_NEW_REQUESTS, MAX_GRANTORS - len(self.active), len(fresh))
-            asked += self._random.sample(fresh, count)
+            recipients += self._random.sample(fresh, count)
         requests = []
-        for grantor in asked:
+        for grantor in recipients:
             self._serial += 1
             self._requests[self._serial] = LeaseRequest(grantor, now)
             requests.append((grantor, self._serial))
@@ -139,11 +139,11 @@
         for holder, expires_at in self.grants.values():
             row = granted.setdefault(holder, [holder, 0, 0])
             row[1:] = row[1] + 1, max(row[2], (expires_at - now) // MS)
-        held = [
+        leased = [
             [n, lease.classes.bit_count(), (lease.expires_at - now) // MS]
             for n, lease in self.active.items()
         ]
-        return {"lent": list(granted.values()), "borrowed": held}
+        return {"lent": list(granted.values()), "borrowed": leased}
 
     # ---- time ----------------------------------------------------------------
 
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from loadbalancer.core.balancing.model import MS, State, Told
+from loadbalancer.core.balancing.model import MS, ReportedState, State
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import DrainRecord, Observation
 from loadbalancer.core.gossip.records import RecordStore
@@ -28,7 +28,7 @@
     answers take precedence.
     """
 
-    kind: Told
+    kind: ReportedState
     ratio: int  # latency relative to the fleet's, in sixteenths
     observed_at: int
     cold: bool
@@ -38,7 +38,7 @@
     """A verdict to report to the Balancer; `verdict` None retracts the last one."""
 
     server: int
-    verdict: Told | None
+    verdict: ReportedState | None
     latency_ratio: float
     observed_at: int
     cold: bool
@@ -54,7 +54,7 @@
         self._members = members
         self._zones = max(zones, 1)
         self._min_witnesses = min(MIN_FAILURE_WITNESSES, max(nodes // self._zones - 1, 1))
-        self._reported: dict[int, Told] = {}  # by server
+        self._reported: dict[int, ReportedState] = {}  # by server
         self._repeated_at = now
 
     def changes(self, now: int, boots: Mapping[int, int]) -> list[VerdictChange]:
@@ -114,13 +114,13 @@
         failing = [record for record in records if record.failures]
         if sum(record.failures for record in failing) >= MIN_FAILURES:
             confirmed = len(failing) >= self._min_witnesses
-            kind = Told.SILENT if confirmed else Told.DOUBTED
+            kind = ReportedState.SILENT if confirmed else ReportedState.DOUBTED
             return Verdict(kind, 0, observed_at, any(record.cold for record in failing))
         if sum(record.rejections for record in records) >= MIN_REJECTIONS:
-            return Verdict(Told.FULL, 0, observed_at, False)
+            return Verdict(ReportedState.FULL, 0, observed_at, False)
         ratios = sorted(record.ratio for record in records if record.ratio)
         if ratios and ratios[len(ratios) // 2] >= MIN_SLOW_RATIO:
-            return Verdict(Told.SLOW, ratios[len(ratios) // 2], observed_at, False)
+            return Verdict(ReportedState.SLOW, ratios[len(ratios) // 2], observed_at, False)
         return None
 
     def _counts(self, witness: int, trusted: set[int]) -> bool:
--- a/tests/core/gossip/builders.py
+++ b/tests/core/gossip/builders.py
@@ -5,7 +5,7 @@
 from loadbalancer.core.balancing.model import MS, SECOND, RequestClass, State
 from loadbalancer.core.gossip.messages import Observation
 
-DRAINING, GONE = State.DRAINING, State.GONE
+DRAINING = State.DRAINING
 CLASS = RequestClass("balance", 200 * MS, SECOND)
 
 
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.core.balancing.model import MS, SECOND, State, Told
+from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, State
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
     Kind,
@@ -13,6 +13,7 @@
     Message,
     Observation,
 )
+from loadbalancer.core.gossip.own_observations import results_of
 from simulation.gossip_world import World
 
 
@@ -36,7 +37,7 @@
 
 
 def dead_views(world: World) -> set[int]:
-    return {life.node for f in world.nodes.values() for life in f.members.not_alive()}
+    return {record.node for f in world.nodes.values() for record in f.members.not_alive()}
 
 
 def converged(world: World) -> bool:
@@ -114,7 +115,7 @@
 
 def test_a_node_paused_for_a_minute_restores_no_old_records() -> None:
     world = settled(9)
-    world.nodes[4].observe(world.clock(4), 5, 3, True, 0, 1.0, world.clock(4))
+    world.nodes[4].observe(world.clock(4), 5, results_of(3, True, 0, 1.0), world.clock(4))
     world.stop(4)
     world.run(world.now + 20 * SECOND)
     assert dead_views(world) == {4}
@@ -135,7 +136,7 @@
     world = settled(9)
     drain(world, 0, 2, 7)
     world.run(world.now + SECOND)
-    world.nodes[3].observe(world.clock(3), 5, 3, True, 0, 1.0, world.clock(3))
+    world.nodes[3].observe(world.clock(3), 5, results_of(3, True, 0, 1.0), world.clock(3))
     world.run(world.now + SECOND)
     for node in (2, 3, 6):
         world.skew[node] += 60 * SECOND
@@ -218,20 +219,20 @@
     world = settled(21)
     for witness in (2, 3):
         world.nodes[witness].observe(
-            world.clock(witness), 6, 2, False, 0, 1.0, world.clock(witness)
+            world.clock(witness), 6, results_of(2, False, 0, 1.0), world.clock(witness)
         )
-    verdicts: dict[int, Told | None] = {}
+    verdicts: dict[int, ReportedState | None] = {}
 
     def collect() -> bool:
         for n, fleet in world.nodes.items():
             for change in fleet.verdict_changes(world.clock(n)):
                 verdicts[n] = change.verdict
-        return len(verdicts) >= 19 and set(verdicts.values()) == {Told.SILENT}
+        return len(verdicts) >= 19 and set(verdicts.values()) == {ReportedState.SILENT}
 
     assert world.run(world.now + SECOND, collect)
     for witness in (2, 3):
         world.nodes[witness].observe(
-            world.clock(witness), 6, 0, False, 0, 1.0, world.clock(witness)
+            world.clock(witness), 6, results_of(0, False, 0, 1.0), world.clock(witness)
         )
 
     def retracted() -> bool:
@@ -260,6 +261,4 @@
     world.run(began + 3 * SECOND)
     assert all(f.members.is_alive(3) for f in world.nodes.values())
     assert drained(world, 7) >= 7
-    assert (
-        sum(world.sent.values()) - before
-    ) / 3 / 8 <= 30  # the message rate and SWIM's own messages
+    assert (sum(world.sent.values()) - before) / 3 / 8 <= 30  # with SWIM's own
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -14,6 +14,7 @@
     Record,
     is_valid,
 )
+from loadbalancer.core.gossip.own_observations import results_of
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS
 from tests.core.gossip.builders import DRAINING, observation
@@ -71,7 +72,7 @@
     node.anti_entropy._catch_up_peers = [1]
     node.receive(1, Message(Kind.DONE, 1, 1))
     assert node.caught_up
-    node.observe(2, 9, 3, True, 0, 1.0, 2)
+    node.observe(2, 9, results_of(3, True, 0, 1.0), 2)
     node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
     assert node.resume_after_pause(60 * SECOND)
     assert not node.resume_after_pause(60 * SECOND)
--- a/tests/core/gossip/test_local_list.py
+++ b/tests/core/gossip/test_local_list.py
@@ -9,7 +9,7 @@
 from tests.core.gossip.builders import DRAINING
 
 
-def test_a_drain_holds_until_a_newer_list_says_otherwise() -> None:
+def test_a_drain_holds_until_a_newer_list_ends_it() -> None:
     """Another node has read a later list, which drains a server that ours still has as ready.
 
     Were the drain dropped with each older version, requests would go to a server that ends.
--- a/tests/core/gossip/test_records.py
+++ b/tests/core/gossip/test_records.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.core.gossip.messages import DrainRecord, Observation, Record
 from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS, RecordKey, RecordStore
-from tests.core.gossip.builders import DRAINING, GONE, observation
+from tests.core.gossip.builders import DRAINING, observation
 
 DRAIN_RECORDS = st.builds(
     DrainRecord, st.integers(0, 1), st.sampled_from([0, 7]), st.integers(1, 3),
-    st.sampled_from([int(DRAINING), int(GONE)]), st.integers(0, 3).map(lambda s: s * SECOND),
+    st.sampled_from([int(DRAINING), int(State.GONE)]), st.integers(0, 3).map(lambda s: s * SECOND),
 )  # fmt: skip
 OBSERVATIONS = st.builds(
     Observation, st.integers(0, 1), st.sampled_from([0, 7]), st.integers(0, 9), st.integers(1, 2),
@@ -49,7 +49,7 @@
 def test_every_order_of_a_drain_a_return_and_observations_ends_alike() -> None:
     """3 nodes, 2 servers: all orders of six records, and of any five and four of them."""
     written: list[DrainRecord | Observation] = [
-        DrainRecord(0, 7, 4, DRAINING, 0), DrainRecord(0, 7, 5, GONE, 0),
+        DrainRecord(0, 7, 4, DRAINING, 0), DrainRecord(0, 7, 5, State.GONE, 0),
         DrainRecord(1, 7, 4, DRAINING, 0),
         observation(0, 1, 1, failures=3), observation(0, 1, 2),
         observation(1, 2, 1, failures=2, cold=1),
--- a/tests/core/gossip/test_slot_leases.py
+++ b/tests/core/gossip/test_slot_leases.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.gossip.slot_allocation import HeldLease, SlotAllocation
+from loadbalancer.core.gossip.slot_allocation import LeasedSlots, SlotAllocation
 from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS, SlotLeases
 
 
@@ -28,7 +28,7 @@
         self.leases.expire(now + self.skew)
         self.slots.granted_classes = self.leases.granted_classes()
         usable = self.leases.usable(now + self.skew)
-        self.slots.leases = [HeldLease(place, classes) for place, classes in usable]
+        self.slots.leases = [LeasedSlots(place, classes) for place, classes in usable]
 
     def cap(self, server: int) -> int:
         return self.slots.cap(server, (self.place - server) % 4, 20, 9)
@@ -40,10 +40,10 @@
     Were a slot used by its owner and its holder at once, a server would get more requests than it
     has slots. The leases are in use: one node gets more than the two slots that are its own.
     """
-    assert max(most_used_by_one_node(seed) for seed in range(60)) > 3
+    assert max(max_used_by_one_node(seed) for seed in range(60)) > 3
 
 
-def most_used_by_one_node(seed: int) -> int:
+def max_used_by_one_node(seed: int) -> int:
     """Run four nodes with random faults; the most slots that one of them had at a server."""
     draw = Random(seed)
     nodes = [LeasingNode(place, draw.randrange(10 * SECOND), place) for place in range(4)]
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from loadbalancer.core.balancing.model import SECOND, State, Told
+from loadbalancer.core.balancing.model import SECOND, ReportedState, State
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Kind, Message, Observation
 from loadbalancer.core.gossip.settings import GossipSettings
@@ -14,14 +14,14 @@
 @pytest.mark.parametrize(
     ("observations", "zones", "verdict"),
     [
-        ([observation(9, 1, failures=3)], 1, Told.DOUBTED),  # one alone may be isolated itself
-        ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, Told.SILENT),
+        ([observation(9, 1, failures=3)], 1, ReportedState.DOUBTED),  # it may be isolated
+        ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, ReportedState.SILENT),
         ([observation(9, 1, failures=1), observation(9, 2, failures=1)], 1, None),
         # of the other zone
         ([observation(9, 1, failures=3), observation(9, 3, failures=3)], 2, None),
-        ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, Told.SILENT),
-        ([observation(9, 1, rejections=2), observation(9, 2, rejections=2)], 1, Told.FULL),
-        ([observation(9, 1, ratio=54)], 1, Told.SLOW),
+        ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, ReportedState.SILENT),
+        ([observation(9, 1, rejections=2), observation(9, 2, rejections=2)], 1, ReportedState.FULL),
+        ([observation(9, 1, ratio=54)], 1, ReportedState.SLOW),
         # retracted
         ([observation(9, 1, failures=3), observation(9, 1, 2), observation(9, 2, failures=1)], 1,
          None),
@@ -31,7 +31,7 @@
     ],
 )  # fmt: skip
 def test_verdict_of_observations(
-    observations: list[Observation], zones: int, verdict: Told | None
+    observations: list[Observation], zones: int, verdict: ReportedState | None
 ) -> None:
     node = GossipNode(GossipSettings(8, 0, zones), 1, 1, 0)
     node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(9, 18)], True)
@@ -54,7 +54,6 @@
                 Kind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
             )
             node.receive(SECOND // 2, message)
-    failing = [
-        c for c in node.verdict_changes(SECOND // 2) if c.verdict in (Told.SILENT, Told.DOUBTED)
-    ]
-    assert len(failing) <= 10
+    failing = (ReportedState.SILENT, ReportedState.DOUBTED)
+    changes = node.verdict_changes(SECOND // 2)
+    assert sum(change.verdict in failing for change in changes) <= 10
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -75,9 +75,9 @@
 }
 CLASSES = (
     RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
-    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, window=SECOND),
+    RequestClass("unsafe", 200 * MS, 1000 * MS, Effect.SIDE_EFFECT, repeat_window=SECOND),
 )
-SETTINGS = Settings(CLASSES, ask=True, balancers=4, max_attempts=4)
+SETTINGS = Settings(CLASSES, poll=True, nodes=4, max_attempts=4)
 
 
 def encode(kind: str, plain: Plain) -> bytes:
