--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -19,7 +19,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2, json_format
 
-from loadbalancer.config.node import parse_address
+from loadbalancer.config.address import parse_address
 from loadbalancer.config.toml_file import parse
 from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
@@ -27,10 +27,10 @@
 from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.messages import NodeReport, PresenceWanted, Reports, codec
-from loadbalancer.control.machine.node_requests import Questions, Subscription
+from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import Call, Calls
 from loadbalancer.control.machine.stream import Hello, Streams, _Incoming
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, _Region
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encode import Encoder, stub_cluster
 from loadbalancer.control.xds.server import _read_delta, _read_whole
@@ -50,21 +50,24 @@
 from loadbalancer.core.balancing.model import Effect, RequestClass, ServerView, Settings, State
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import (
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Fetch,
-    Fetched,
-    ImagePart,
-    ServiceImage,
-    Status,
-    StatusRequest,
-    Vote,
-    VoteRequest,
+    FetchResponse,
+    InstallSnapshot,
+    RecoveryRequest,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
+    ServiceRows,
 )
 from loadbalancer.core.replicated_log.replication import Outcome, Proposal
 from loadbalancer.core.routes.file import decode as decode_routes
-from loadbalancer.core.xds.plan import Audience, ProxyKind, plan
-from loadbalancer.core.xds.snapshot import Kind, Reply, Resource, type_version
+from loadbalancer.core.xds.history import make_version_info
+from loadbalancer.core.xds.messages import DiscoveryResponse
+from loadbalancer.core.xds.plan import make_plan
+from loadbalancer.core.xds.snapshot import Resource, ResourceType
+from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies
 from loadbalancer.sources.http_get import Call as OutgoingCall
 
 REFUSED = (ValueError, ScaleFileError)
@@ -75,7 +78,7 @@
     "position": (Position, "epoch revision"),
     "row": (Row, "uid body leaving=draining"),
     "change": (Change, "position:position service rows:row* removed deleted whole=complete"),
-    "service-image": (ServiceImage, "service changed rows:row*"),
+    "service-image": (ServiceRows, "service changed=last_changed rows:row*"),
     "node-report": (NodeReport, "node serving"),
     "node-release": (NodeRelease, "node services"),
     "delta": (Delta, "region base:position position:position changes:change*"),
@@ -92,32 +95,46 @@
     "presence-wanted": (PresenceWanted, ""),
     "reports": (Reports, "reports:node-report*"),
     "vote-request": (
-        VoteRequest,
-        "region epoch history:position last:position trial reload transfer",
+        RequestVote,
+        "region epoch=term history:position last=last_log:position trial=pre_vote reload transfer",
+    ),
+    "vote": (
+        RequestVoteResponse,
+        "region epoch=term current=current_term granted=vote_granted trial=pre_vote",
     ),
-    "vote": (Vote, "region epoch current granted trial"),
     "append": (
-        Append,
-        "region epoch history:position previous:position entries:change* accepted far",
+        AppendEntries,
+        "region epoch=term history:position previous=prev_log:position entries:change*"
+        " accepted=leader_commit far=needs_snapshot",
+    ),
+    "appended": (
+        AppendEntriesResponse,
+        "region epoch=term ok=success revision=match_index counts=voting",
     ),
-    "appended": (Appended, "region epoch ok revision counts"),
     "fetch": (
         Fetch,
-        "region position:position serial reported:position image:position part",
+        "region position:position serial=request_id reported=highest_reported:position"
+        " image=snapshot:position part=chunk",
     ),
-    "fetched": (Fetched, "region serial position:position changes:change*"),
+    "fetched": (FetchResponse, "region serial=request_id position:position changes:change*"),
     "image-part": (
-        ImagePart,
-        "region serial position:position part parts services:service-image* gone"
-        " epochs:position* history:position",
+        InstallSnapshot,
+        "region serial=request_id position:position part=chunk parts=chunks"
+        " services:service-image* gone=last_deletion epochs=epoch_starts:position*"
+        " history:position",
+    ),
+    "status-request": (RecoveryRequest, "region nonce"),
+    "status": (
+        RecoveryResponse,
+        "region nonce empty=recovering epoch=term last=last_log:position"
+        " reported=highest_reported:position",
     ),
-    "status-request": (StatusRequest, "region nonce"),
-    "status": (Status, "region nonce empty epoch last:position reported:position"),
     "release-grant": (ReleaseGrant, "region epoch releases:node-release*"),
 }
 RECORDS |= MESSAGES
 RESOURCE_TYPES = {
-    "CDS": Kind.CLUSTER, "EDS": Kind.ENDPOINTS, "LDS": Kind.LISTENER, "RDS": Kind.ROUTES,
+    "CDS": ResourceType.CLUSTER, "EDS": ResourceType.ENDPOINTS,
+    "LDS": ResourceType.LISTENER, "RDS": ResourceType.ROUTES,
 }  # fmt: skip
 ASKED = "127.0.0.1:7001"
 SERVICES = {"cart": "east", "pay": "east", "empty": "east"}  # and their home regions
@@ -272,10 +289,10 @@
     return {"form": "whole", "region": update.region, "position": position, "services": held}
 
 
-def _orders(plain: Any) -> listform.Orders | None:
+def _orders(plain: Any) -> listform.NodeAssignment | None:
     if plain is None:
         return None
-    return listform.Orders(
+    return listform.NodeAssignment(
         wanted=plain["wanted"],
         releasable=frozenset(plain["releasable"]),
         generation=plain["generation"],
@@ -287,14 +304,14 @@
     if plain["update"] is not None:
         return listform.encode(_update(plain["update"]), orders)
     if orders is not None:
-        return listform.orders_only(position, orders)
+        return listform.encode_assignment(position, orders)
     more = {key: plain[key] for key in ("elsewhere", "address", "pause_ms") if plain[key]}
-    return listform.nothing(position, **more)
+    return listform.encode_empty(position, **more)
 
 
 def _read_answer(data: bytes) -> Any:
     answer = listform.decode(data, 100)
-    orders = answer.orders
+    orders = answer.assignment
     return {
         "position": _plain("position", answer.position),
         "update": _plain_update(answer.update),
@@ -304,8 +321,8 @@
             "releasable": sorted(orders.releasable),
             "generation": orders.generation,
         },
-        "elsewhere": answer.elsewhere,
-        "address": answer.address,
+        "elsewhere": answer.redirect_machine,
+        "address": answer.redirect_address,
         "pause_ms": answer.pause_ms,
     }
 
@@ -313,7 +330,7 @@
 def _write_plain_list(plain: Any) -> bytes:
     rows = [_built("row", row) for row in plain["rows"]]
     version = version_of(_built("position", plain["position"]))
-    return listform.plain_list(version, plain["whole"], rows, plain["gone"])
+    return listform.encode_plain_list(version, plain["whole"], rows, plain["gone"])
 
 
 # ---- questions of nodes ------------------------------------------------------
@@ -328,10 +345,10 @@
         subscription=lambda _: held,
         serving=lambda: serving,
     )
-    timing = AskTiming(hold=plain["hold_ms"] / 1000)
+    timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
     asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
     asker.generation = plain["generation"]
-    state = _Region(0, anew=plain["held"] is not None)
+    state = _Region(0, first_poll=plain["held"] is not None)
     state.stray_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
         state.reported = (asker.generation, "")
@@ -350,12 +367,12 @@
     host: Any = mock.Mock(most_watchers=1, connections=0)
     host.waits.return_value = False
     host.asked = lambda _, *rest: asked.append(rest)
-    connection = Subscription(host)
+    connection = SubscriberConnection(host)
     connection.data_received(data)
     ((since, hold, query),) = asked
     nodes: Any = mock.Mock()
     nodes.on_report.return_value = None
-    questions = Questions(nodes, mock.Mock(), mock.Mock(), {}, 1)
+    questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
     question = questions._question(0, since, hold, query)
     questions._heard(0, question, query)
     report = nodes.on_report.call_args
@@ -373,7 +390,7 @@
 
 def _write_http_answer(plain: Any) -> bytes:
     sent: list[bytes] = []
-    connection = Subscription(mock.Mock(most_watchers=1, connections=0))
+    connection = SubscriberConnection(mock.Mock(most_watchers=1, connections=0))
     transport: Any = mock.Mock(write=sent.append)
     transport.is_closing.return_value = False
     transport.get_write_buffer_size.return_value = 0
@@ -509,18 +526,20 @@
     ]  # fmt: skip
     addresses = {one["backend"]: (one["host"], one["port"]) for one in plain["servers"]}
     proxy = ProxyKind(plain["proxy"])
-    to = Audience(proxy, plain["zone"], tuple(plain["zones"]), plain["proxies"], plain["own_ramp"])
+    to = TargetProxies(
+        proxy, plain["zone"], tuple(plain["zones"]), plain["proxies"], plain["own_ramp"]
+    )
     plans = [
-        plan(service, settings, table.node_budget, view, addresses, to)
+        make_plan(service, settings, table.node_budget, view, addresses, to)
         for service in table.services
     ]
     host, port = plain["listen"]
     picture = Encoder(proxy, (host, port)).build(plans)
     return [
-        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.names),
+        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.references),
          "hex": one.body.hex()}
         for word, kind in RESOURCE_TYPES.items()
-        for one in picture.of(kind).values()
+        for one in picture.of_type(kind).values()
     ]  # fmt: skip
 
 
@@ -540,7 +559,7 @@
         for one in plain["resources"]
     )
     kind = RESOURCE_TYPES[plain["type"]]
-    reply = Reply(kind, plain["version"], plain["nonce"], rows, tuple(plain["removed"]))
+    reply = DiscoveryResponse(kind, plain["version"], plain["nonce"], rows, tuple(plain["removed"]))
     return Answers(plain["incremental"]).encode(reply)
 
 
@@ -582,20 +601,22 @@
     found = message.FromString(data)
     request = read(RESOURCE_TYPES[_type_word(found.type_url)], found)
     return {
-        "type": next(word for word, kind in RESOURCE_TYPES.items() if kind is request.kind),
-        "names": list(request.names),
-        "gone": list(request.gone),
-        "nonce": request.nonce,
-        "error": request.error,
-        "version": request.version,
-        "held": dict(request.held),
+        "type": next(
+            word for word, kind in RESOURCE_TYPES.items() if kind is request.resource_type
+        ),
+        "names": list(request.resource_names),
+        "gone": list(request.unsubscribe),
+        "nonce": request.response_nonce,
+        "error": request.error_detail,
+        "version": request.version_info,
+        "held": dict(request.initial_resource_versions),
     }
 
 
 def _write_set_version(plain: Any) -> bytes:
     """One version for a set of resources, which proxies tell again after a restart."""
     held = {name: Resource(name, version, b"") for name, version in plain["held"].items()}
-    return type_version(RESOURCE_TYPES[plain["type"]], held).encode()
+    return make_version_info(RESOURCE_TYPES[plain["type"]], held).encode()
 
 
 WRITERS: dict[str, Callable[[Any], bytes]] = {
