--- a/tests/core/gossip/test_slots.py
+++ b/tests/core/balancing/test_slot_ranks.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "servers", "zones"), SIZES)
-def test_all_nodes_together_hold_a_servers_level_and_no_more(
+def test_all_nodes_together_have_a_servers_limit_and_no_more(
     nodes: int, servers: int, zones: int
 ) -> None:
     world = World(nodes, servers, 0.5, 1, zones=zones)
@@ -61,9 +61,9 @@
     for server in range(servers):
         peers = len(range(server % zones, nodes, zones))
         local = len(range(server % zones, servers, zones))
-        level = max(4.0, MIN_SLOTS * peers / local)
-        assert int(level) <= own[server + 1] <= int(level) + 1
-        # A node reckons the level by its own zone, which may be smaller by one.
+        limit = max(4.0, MIN_SLOTS * peers / local)
+        assert int(limit) <= own[server + 1] <= int(limit) + 1
+        # A node reckons the limit by its own zone, which may be smaller by one.
         spilled = SPILL * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
         assert others[server + 1] <= int(spilled) + 1
 
@@ -86,31 +86,31 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_node_serves_nobody_while_servers_have_room(seed: int) -> None:
+def test_every_node_serves_while_servers_have_capacity(seed: int) -> None:
     world = bad_world(seed)
-    levels = [0.0]
+    limits = [0.0]
     for _ in range(24):
         world.run(SECOND // 2)
-        levels.append(max(host.balancer.concurrency_limit for host in world.hosts))
+        limits.append(max(host.balancer.concurrency_limit for host in world.hosts))
         for host in world.hosts:
-            takes_others_in_place_of_its_own(host.balancer)
+            check_slots_beyond_its_own(host.balancer)
     assert [host.balancer.settings.node for host in world.hosts if host.idle] == []
     floor = MIN_SLOTS * (len(world.hosts) / world.zones + 1) / (len(world.servers) // world.zones)
-    most = REACH * (int(max(*levels, floor)) + 1)
+    max_in_flight = REACH * (int(max(*limits, floor)) + 1)
     if world.zones > 1:
-        most += REACH * (int(SPILL * max(*levels, floor)) + 1)
-    assert max(server.most_out for server in world.servers) <= most
+        max_in_flight += REACH * (int(SPILL * max(*limits, floor)) + 1)
+    assert max(server.most_out for server in world.servers) <= max_in_flight
 
 
-def takes_others_in_place_of_its_own(balancer: Balancer) -> None:
+def check_slots_beyond_its_own(balancer: Balancer) -> None:
     """Slots beyond the deal are no more than those of its own deal, of which some are bad."""
     balancer.recap()
     backends = balancer.endpoints.values()
     local = sum(b.local and b.state == State.READY for b in backends)
-    level = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
+    limit = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
     beyond = dealt = 0
     for b in backends:
-        within = b.node_rank < int((level if b.local else level * SPILL) + b.rounding)
+        within = b.node_rank < int((limit if b.local else limit * SPILL) + b.rounding)
         dealt += within
         beyond += b.cap > 0 and not within
     assert beyond <= max(min(dealt, MIN_SLOTS), 1)
@@ -134,7 +134,7 @@
     assert not host.named("send")
 
 
-def test_a_node_whose_own_servers_are_all_silent_sends_elsewhere_within_a_cycle() -> None:
+def test_a_node_whose_own_servers_are_all_silent_uses_other_servers_within_a_cycle() -> None:
     rows = [Listing(100 + i, State.READY) for i in range(40)]
     settings = Settings((PURE,), node=5, nodes=40, max_attempts=1)
     balancer, host = build(settings, count=0)
