--- a/tests/control/machine/conftest.py
+++ b/tests/control/machine/conftest.py
@@ -1,4 +1,4 @@
-"""Control machines that the tests of a module share."""
+"""Control machines that the tests of this folder share."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.control_machines import Machines, three
 
 
-@pytest.fixture(scope="module")
+@pytest.fixture(scope="session")
 def region(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Machines]:
-    """Three machines that all tests of a module share; a test that ends one starts it again."""
+    """Three machines for all tests here; a test that ends one starts it again."""
     with three(tmp_path_factory.mktemp("scale")) as machines:
         yield machines
--- a/tests/control/machine/test_log_loader.py
+++ b/tests/control/machine/test_log_loader.py
@@ -8,8 +8,7 @@
 import pytest
 
 from loadbalancer.control.machine import log_loader
-from loadbalancer.control.machine.file import read_scale
-from tests.control_machines import NAMES, Machines, rows, write_file
+from tests.control_machines import rows, started
 from tests.harness import until
 
 
@@ -23,10 +22,8 @@
     monkeypatch.setattr(log_loader, "RETRY_S", 0.05)
     source = tmp_path / "backends.jsonl"
     source.write_text("{}\n")
-    machines = Machines(read_scale(str(write_file(tmp_path, f'backends_file = "{source}"\n'))))
+    machines = started(tmp_path, f'backends_file = "{source}"\n')
     try:
-        for name in NAMES:
-            machines.start(name)
         until(
             lambda: any(
                 "not loaded: backends.jsonl:1: [bad-row]" in line for line in machines.log.lines
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import errno
 import json
 import logging
 import socket
@@ -34,6 +35,7 @@
     unreachable_wait_ns=200 * MS,
 )
 NAMES = ("east-a", "east-b", "east-c")
+START_ATTEMPTS = 5
 
 
 def free_ports(count: int) -> list[int]:
@@ -124,7 +126,11 @@
 
         async def begin() -> ControlMachine:
             machine = ControlMachine(self.file, self.file.machine(name), TIMING)
-            await machine.open()
+            try:
+                await machine.open()
+            except OSError:
+                machine.close()
+                raise
             return machine
 
         self.machines[name] = asyncio.run_coroutine_threadsafe(begin(), self.loop).result(LIMIT)
@@ -190,13 +196,31 @@
         return status, body.decode()
 
 
+def started(folder: Path, top: str = "") -> Machines:
+    """Three machines at ports that were free; `top` as in `write_file`.
+
+    Between the choice of a free port and its use, another process may have taken it: then all
+    begin again at other ports.
+    """
+    for _ in range(START_ATTEMPTS):
+        machines = Machines(read_scale(str(write_file(folder, top))))
+        try:
+            for name in NAMES:
+                machines.start(name)
+        except OSError as err:
+            machines.close()
+            if err.errno != errno.EADDRINUSE:
+                raise
+        else:
+            return machines
+    raise OSError(errno.EADDRINUSE, f"no free ports in {START_ATTEMPTS} attempts")
+
+
 @contextlib.contextmanager
 def three(folder: Path) -> Iterator[Machines]:
     """Three machines, a leader among them."""
-    machines = Machines(read_scale(str(write_file(folder))))
+    machines = started(folder)
     try:
-        for name in NAMES:
-            machines.start(name)
         machines.leader()
         yield machines
     finally:
