--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -6,14 +6,38 @@
 from __future__ import annotations
 
 import resource
+from collections import Counter
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
+from loadbalancer.control.machine.file import Machine, ScaleFile
+from loadbalancer.control.machine.node_requests import NodeRequests
+from loadbalancer.control.machine.nodes import NodeRegistry
+from loadbalancer.control.machine.stream import PeerStreams
 from loadbalancer.control.machine.version import version_of
-from loadbalancer.core.replicated_log.replication import Role
+from loadbalancer.core.assignment.release import ReleaseAuthority
+from loadbalancer.core.replicated_log.change_log import ChangeLog
+from loadbalancer.core.replicated_log.replication import Replica, Role
+from loadbalancer.core.subscription.publisher import Publisher
+
+
+class Reported(Protocol):
+    """The parts of a control machine that its state is read from."""
+
+    file: ScaleFile
+    machine: Machine
+    replica: Replica
+    logs: dict[str, ChangeLog]
+    nodes: NodeRegistry
+    node_requests: NodeRequests
+    publisher: Publisher
+    streams: PeerStreams
+    releases: ReleaseAuthority
+    counts: Counter[str]
+
+    def live_machines(self, now: int) -> frozenset[str]:
+        """The control machines that count as alive."""
 
-if TYPE_CHECKING:
-    from loadbalancer.control.machine.machine import ControlMachine
 
 STATM = Path("/proc/self/statm")  # its second figure is the resident size in pages
 
@@ -27,7 +51,7 @@
 }
 
 
-def report(machine: ControlMachine, now: int) -> dict[str, Any]:
+def report(machine: Reported, now: int) -> dict[str, Any]:
     """The machine's state at this time in nanoseconds."""
     replica = machine.replica
     return {
@@ -51,7 +75,7 @@
     }
 
 
-def _logs(machine: ControlMachine) -> dict[str, Any]:
+def _logs(machine: Reported) -> dict[str, Any]:
     return {
         name: {
             "version": version_of(log.position),
@@ -62,7 +86,7 @@
     }
 
 
-def _nodes(machine: ControlMachine) -> dict[str, int]:
+def _nodes(machine: Reported) -> dict[str, int]:
     return {
         "registered": len(machine.file.nodes),
         "alive": len(machine.nodes.liveness.alive),
@@ -70,7 +94,7 @@
     }
 
 
-def _assignment(machine: ControlMachine) -> dict[str, Any]:
+def _assignment(machine: Reported) -> dict[str, Any]:
     nodes = machine.nodes
     return {
         "digest": nodes.assignment.digest,
@@ -82,7 +106,7 @@
     }
 
 
-def _counts(machine: ControlMachine) -> dict[str, dict[str, int]]:
+def _counts(machine: Reported) -> dict[str, dict[str, int]]:
     return {
         "questions": dict(machine.node_requests.counts),
         "publisher": dict(machine.publisher.counts),
