--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -4,38 +4,21 @@
 
 import json
 import socket
-import struct
-import subprocess
-import sys
-from collections.abc import Iterator
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from benchmarks.scale.fleet import call
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine import machine
-from loadbalancer.control.machine.file import MOST_NAME, read_scale
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber
-from loadbalancer.control.machine.version import MOST_VERSION, version_of
+from loadbalancer.control.machine.file import MAX_NAME_LENGTH
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber
+from loadbalancer.control.machine.version import MAX_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
-from tests.harness import ROOT, config, listen, served_by, started, target, until
-from tests.scalemachines import NAMES, Machines, three, write_file
-
-
-@pytest.fixture(scope="module")
-def region(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Machines]:
-    """Three machines that all tests here share; a test that ends one starts it again."""
-    with three(tmp_path_factory.mktemp("scale")) as machines:
-        yield machines
-
-
-def rows(*uids: str, state: str = "active") -> list[dict[str, Any]]:
-    return [{"uid": uid, "endpoint": "127.0.0.1:9", "az": "east-1", "state": state} for uid in uids]
+from tests.control_machines import NAMES, Machines, rows
+from tests.harness import config, listen, served_by, started, target, until
 
 
 class Node:
@@ -47,7 +30,7 @@
         self.told: list[tuple[Update, UpdateResult]] = []
         order = [first, *(other for other in NAMES if other != first)]
         machines = [region.address(one, "subscribers") for one in order]
-        timing = AskTiming(hold=0.5, late=0.3, connect=0.3, retry=0.02, longest_retry=0.1)
+        timing = PollTiming(hold_s=0.5, margin_s=0.3, connect_s=0.3, retry_s=0.02, max_retry_s=0.1)
         self.subscriber = Subscriber(
             self.holder, ["east"], machines, lambda *one: self.told.append(one), 1, timing
         )
@@ -58,7 +41,7 @@
 
     def asks(self, name: str) -> bool:
         return self.holder.name in self.region.do(
-            lambda: {q.node for q in self.region.machines[name].questions._waiting.values()}
+            lambda: {q.node for q in self.region.machines[name].node_requests._waiting.values()}
         )
 
     def close(self) -> None:
@@ -162,14 +145,14 @@
         ("node=nobody&region=east&from=0", "node: [unknown node] no node 'nobody'"),
         ("region=east&from=0", "node: [unknown node] no node ''"),
         ("node=n1&region=moon&from=0", "region: [unknown region] 'moon'"),
-        (f"node=n1&region=east&from={MOST_VERSION + 1}", "version: [range]"),
+        (f"node=n1&region=east&from={MAX_VERSION + 1}", "version: [range]"),
         (f"node=n1&region=east&from={version_of(Position(5, 0))}", "version: [nonsense position]"),
         (f"node=n1&region=east&from={version_of(Position(0, 5))}", "version: [nonsense position]"),
         ("node=n1&region=east&from=-1", "from and hold_ms are whole numbers"),
         ("node=n1&region=east&from=abc", "from and hold_ms are whole numbers"),
         ("node=n1&region=east&from=0&serving=pay&generation=x", "generation: [range]"),
         (f"node=n1&region=east&from=0&held={'a,' * 1025}", "names: [too-many] 1025"),
-        (f"node={'x' * (MOST_NAME + 1)}&region=east&from=0", "node: [unknown node]"),
+        (f"node={'x' * (MAX_NAME_LENGTH + 1)}&region=east&from=0", "node: [unknown node]"),
     ],
 )
 def test_nonsense_is_refused_in_one_line_and_counted(
@@ -177,7 +160,7 @@
 ) -> None:
     name = belongs(region, "n1")
     before = region.status(name)
-    status, body = region.ask(name, query)
+    status, body = region.poll(name, query)
     assert status == 400 and body.startswith(said) and "\n" not in body
     after = region.status(name)
     assert after["logs"] == before["logs"] and after["questions"]["waiting"] == 0
@@ -190,7 +173,7 @@
     name = belongs(region, "n1")
     epoch, revision = region.status(name)["logs"]["east"]["position"]
     ahead = version_of(Position(epoch, revision + 1))
-    status, body = region.ask(name, f"node=n1&region=east&from={ahead}&hold_ms=1")
+    status, body = region.poll(name, f"node=n1&region=east&from={ahead}&hold_ms=1")
     answer = json.loads(body)
     assert status == 200 and answer["rev"] == ahead and answer["targets"] == []
     assert answer["elsewhere"] in set(NAMES) - {name}
@@ -230,112 +213,7 @@
     assert status == 200 and found["all"] is False and found["rev"] > since
     assert {row["uid"]: row["state"] for row in found["targets"]} == {"c5": "left", "c6": "active"}
     assert call(address, "GET", f"/registry/instances?from={found['rev'] + 1}")[0] == 503
-    assert call(address, "GET", f"/registry/instances?from={MOST_VERSION + 1}")[0] == 400
-
-
-@pytest.mark.parametrize(
-    ("body", "said"),
-    [
-        (b"{", "body: [syntax]"),
-        (b"[]", "body: [size]"),
-        (b"[1]", "change 0: [syntax]"),
-        (b'[{"service": "cat"}]', "change 0: [unknown-service] no service 'cat'"),
-        (b'[{"service": "cart", "row": []}]', "change 0: [unknown-key] no key 'row'"),
-        (b'[{"service": "cart", "rows": [{}]}]', "change 0: [bad-value] None is no uid"),
-        (b'[{"service": "cart", "removed": [1]}]', "change 0: [bad-value] removed holds no uids"),
-    ],
-)
-def test_a_bad_change_is_refused_and_nothing_is_changed(
-    region: Machines, body: bytes, said: str
-) -> None:
-    leader = region.leader()
-    before = region.status(leader)["logs"]
-    status, text = call(region.address(leader), "POST", "/changes", body)
-    assert status == 400 and text.decode().startswith(said)
-    assert region.status(leader)["logs"] == before
-
-
-def test_a_machine_that_does_not_lead_names_the_leader(region: Machines) -> None:
-    leader = region.leader()
-    other = next(name for name in NAMES if name != leader)
-    body = json.dumps([{"service": "pay", "rows": rows("p1")}]).encode()
-    status, text = call(region.address(other), "POST", "/changes", body)
-    assert status == 409 and json.loads(text) == {"rule": "not leader", "leader": leader}
-
-
-def test_the_log_is_told_from_a_version_on(region: Machines) -> None:
-    (first,) = region.change({"service": "pay", "rows": rows("l1")})
-    (second,) = region.change({"service": "pay", "removed": ["l1"]})
-    path = f"/log?region=east&from={first['version']}"
-    status, body = call(region.address(region.leader()), "GET", path)
-    (told,) = json.loads(body)["changes"]
-    assert status == 200 and told["version"] == second["version"] and told["removed"] == ["l1"]
-    status, body = call(region.address(region.leader()), "GET", "/log?region=moon&from=0")
-    assert status == 400 and b"[unknown-region]" in body
-
-
-@pytest.mark.parametrize(
-    ("data", "why"),
-    [
-        (struct.pack(">I", 1 << 30), "frame too long"),
-        (struct.pack(">I", 3) + b"abc", "unsound"),
-        (struct.pack(">I", 4) + b"\x92\x00\x92\xa1", "unsound"),
-        (struct.pack(">I", 9) + b"\x92\x00\x92\xa1x\xa3abc", "stranger"),
-    ],
-)
-def test_a_stream_of_nobody_in_the_file_is_cut(region: Machines, data: bytes, why: str) -> None:
-    before = region.status("east-a")["counts"]["streams"].get(why, 0)
-    with socket.create_connection(region.address("east-a", "peers"), 5.0) as sock:
-        sock.sendall(data)
-        assert sock.recv(1) == b"" or why
-    until(lambda: region.status("east-a")["counts"]["streams"].get(why, 0) == before + 1)
-
-
-def test_a_file_or_a_name_that_can_not_be_used_ends_with_status_2(tmp_path: Path) -> None:
-    path = write_file(tmp_path)
-    cases = {
-        ("scale", str(path), "--machine", "east-x"): "--machine: [unknown-machine] no 'east-x'",
-        ("scale", str(tmp_path / "no.toml"), "--machine", "east-a"): "[unreadable]",
-    }
-    for words, said in cases.items():
-        command = [sys.executable, "-B", "-m", "loadbalancer", *words]
-        done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=20)
-        assert done.returncode == 2 and said in done.stderr
-        assert done.stderr.count("\n") == 1
-
-
-def test_a_source_that_can_not_be_used_is_told_and_read_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(machine, "LOAD_AGAIN_S", 0.05)
-    source = tmp_path / "backends.jsonl"
-    source.write_text("{}\n")
-    machines = Machines(read_scale(str(write_file(tmp_path, f'backends_file = "{source}"\n'))))
-    try:
-        for name in NAMES:
-            machines.start(name)
-        until(lambda: any("not loaded: backends.jsonl:1: [bad-row]" in s for s in machines.said))
-        source.write_text(json.dumps({"service": "pay", "targets": rows("p1")}) + "\n")
-        leader = machines.leader()
-        log = machines.machines[leader].logs["east"]
-        assert machines.do(lambda: set(log.rows("pay") or ())) == {"p1"}
-    finally:
-        machines.close()
-
-
-def test_the_plain_node_imports_nothing_of_it() -> None:
-    code = "import sys, loadbalancer.proxy.host, loadbalancer.__main__; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True)
-    names = done.stdout.decode().split()
-    assert "loadbalancer.proxy.host" in names
-    absent = (
-        "loadbalancer.control",
-        "loadbalancer.core.assignment",
-        "loadbalancer.core.replicated_log",
-        "loadbalancer.core.subscription",
-        "loadbalancer.sources.watchers",
-    )
-    assert not [name for name in names if name.startswith(absent)]
+    assert call(address, "GET", f"/registry/instances?from={MAX_VERSION + 1}")[0] == 400
 
 
 @pytest.mark.parametrize("sent_there", [False, True])
@@ -346,10 +224,10 @@
     holder = Holder("n2", ["east"], HolderLimits())
     told: list[Update] = []
     machines = [silent, region.address(belongs(region, "n2"), "subscribers")]
-    timing = AskTiming(hold=0.1, late=0.1, connect=0.3, retry=0.02)
+    timing = PollTiming(hold_s=0.1, margin_s=0.1, connect_s=0.3, retry_s=0.02)
     subscriber = Subscriber(holder, ["east"], machines, lambda u, _: told.append(u), 1, timing)
     if sent_there:  # as another machine has told it
-        subscriber._regions["east"].elsewhere = silent
+        subscriber._regions["east"].redirect = silent
     region.do(subscriber.start)
     until(lambda: bool(told))
     assert region.do(lambda: subscriber.counts.events["silent"]) == 1
@@ -370,10 +248,10 @@
         monkeypatch.setattr(handover, "releasable", lambda node: views.get(node, frozenset()))
 
     def turn(name: str) -> None:
-        region.do(region.machines[name]._turn)
+        region.do(region.machines[name]._tick_nodes)
 
     def told() -> list[list[str]]:
-        answers = [region.ask(name, "node=n1&region=east&from=0&redirected=1") for name in NAMES]
+        answers = [region.poll(name, "node=n1&region=east&from=0&redirected=1") for name in NAMES]
         return [json.loads(body)["releasable"] for _, body in answers]
 
     for name in NAMES:
--- a/tests/control/machine/test_parts.py
+++ b/tests/control/machine/test_parts.py
@@ -7,36 +7,27 @@
 
 import pytest
 
-from loadbalancer.control.machine import list_form as listform
 from loadbalancer.control.machine.backends import read_backends
-from loadbalancer.control.machine.codec import BadMessageError
 from loadbalancer.control.machine.file import read_scale
-from loadbalancer.control.machine.list_form import ListFormError, Orders, decode, encode
-from loadbalancer.control.machine.messages import NodeReport, Reports, codec
-from loadbalancer.control.machine.nodes import RELEASE_RULES, Nodes
+from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment, decode, encode
+from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import (
     Change,
     Delta,
     InvalidInputError,
     Position,
-    Row,
     Snapshot,
     Update,
 )
-from loadbalancer.core.assignment.presence import Presence, PresenceUpdate
+from loadbalancer.core.assignment.presence import Presence
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.replicated_log.messages import AppendEntries, Fetch
-from tests.scalemachines import write_file
+from tests.control_machines import row, write_file
 
 AT, LATER = Position(3, 7), Position(3, 9)
 
 
-def row(uid: str, state: str = "active") -> Row:
-    return listform.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
-
-
 UPDATES: list[Update] = [
     Delta("east", AT, LATER, ()),
     Delta(
@@ -55,14 +46,14 @@
 
 @pytest.mark.parametrize("update", UPDATES)
 def test_an_update_comes_back_from_the_lists_form(update: Update) -> None:
-    orders = Orders({"cart": "east", "far": "west"}, frozenset({"old"}), 4)
+    orders = NodeAssignment({"cart": "east", "far": "west"}, frozenset({"old"}), 4)
     body = encode(update, orders)
     raw = json.loads(body)
     assert raw["rev"] == version_of(LATER) and raw["all"] is isinstance(update, Snapshot)
     assert {one["uid"] for one in raw["targets"]} <= {"a", "b", "c", "d"}
     found = decode(body, 10)
-    assert (found.update, found.orders, found.position) == (update, orders, LATER)
-    assert decode(encode(update, None), 10).orders is None
+    assert (found.update, found.assignment, found.position) == (update, orders, LATER)
+    assert decode(encode(update, None), 10).assignment is None
 
 
 @pytest.mark.parametrize(
@@ -82,59 +73,8 @@
         decode(raw, 2)
 
 
-def test_messages_come_back_as_they_were() -> None:
-    form = codec()
-    change = Change(AT, "cart", (row("a"),), ("b",))
-    for message in (
-        AppendEntries("east", 3, AT, AT, (change,), 7),
-        Fetch("west", AT, 1),
-        Fetch("west", AT, 1, snapshot=LATER),
-        PresenceUpdate(1, False, ("n1",), ("n2",)),
-        Reports((NodeReport("n1", ("cart", "pay")),)),
-        ReleaseGrant("east", 3, (NodeRelease("n1", ("cart", "pay")),)),
-    ):
-        assert form.decode(form.encode(message)) == message
-
-
-@pytest.mark.parametrize(
-    "data",
-    [b"", b"\xc1", b"\x90", b"\x91\x01", b"\x92\xff\x90", b"\x92\xcc\xc8\x90", b"\x92\x01\x90"],
-)
-def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
-    with pytest.raises(BadMessageError):
-        codec().decode(data)
-
-
-def test_a_field_of_another_type_is_refused() -> None:
-    form = codec()
-    good = form.encode(PresenceUpdate(1, False, ("n1",)))
-    for old, new in ((b"\xc2", b"\x01"), (b"\xa2n1", b"\x01"), (b"\x01\xc2", b"\xa1x\xc2")):
-        with pytest.raises(BadMessageError):
-            form.decode(good.replace(old, new, 1))
-
-
-def test_presence_follows_the_other_machines_words() -> None:
-    here, there = Presence(["n1", "n2", "n3"]), Presence(["n1", "n2", "n3"])
-    there.on_present("n1")
-    there.on_present("nobody")
-    assert here.on_update(0, "b", there.complete_update()) and here.present() == set()
-    assert here.on_update(0, "b", there.next_update()) and here.present() == {"n1"}
-    there.on_absent("n1")
-    there.on_present("n2")
-    missed = there.next_update()
-    there.on_present("n3")
-    assert not here.on_update(0, "b", there.next_update()), "one before it is missing"
-    assert here.present() == {"n1"}
-    assert here.on_update(0, "b", there.complete_update()) and here.present() == {"n2", "n3"}
-    assert missed.joined == ("n2",) and missed.departed == ("n1",)
-    assert here.machines(SECOND) == {"b"}
-    here.on_time(4 * SECOND)
-    assert here.present() == set() and here.machines(4 * SECOND) == set()
-    assert not here.on_update(4 * SECOND, "b", there.next_update()), "all is forgotten: whole again"
-
-
 def test_losses_that_follow_one_another_move_services_once(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
     east = Presence(("n1", "n2"))
     east.on_present("n1")
     east.on_present("n2")
@@ -154,7 +94,7 @@
 
 
 def test_a_machine_that_stood_still_or_is_cut_off_holds_no_node_for_dead(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
     both = ("n1", "n2")
     others = [Presence(both), Presence(both)]
     others[0].on_present("n1")
@@ -186,7 +126,7 @@
 
 
 def test_nodes_have_time_to_ask_for_the_first_time_and_none_after(tmp_path: Path) -> None:
-    nodes = Nodes(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
 
     def turn(second: int) -> None:
         for name in ("east-b", "east-c"):
@@ -195,9 +135,9 @@
 
     for name in ("east-b", "east-c"):
         nodes.presence.on_machine_heartbeat(0, name)
-    nodes.on_asked(SECOND, "n1")
+    nodes.on_poll(SECOND, "n1")
     turn(2)
-    nodes.on_answered(2 * SECOND, "n1")
+    nodes.on_response(2 * SECOND, "n1")
     for second in range(3, 15):
         turn(second)
     assert nodes.liveness.alive == {"n2"}, "one that was heard and is no more"
@@ -210,13 +150,13 @@
     file = read_scale(str(write_file(tmp_path)))
     specs = [one.spec for one in file.machines]
     releases = ReleaseAuthority(0, specs[0], specs, {"cart": "east"}, RELEASE_RULES)
-    nodes = Nodes(file, 0, releases)
+    nodes = NodeRegistry(file, 0, releases)
     nodes.changed = False
     grant = ReleaseGrant("east", 1, (NodeRelease("n1", ("cart",)),))
     assert releases.on_grant(0, "east-b", grant)
     changed = []
     for second in range(1, 5):
-        assert nodes.turn_releases(second * SECOND, None) is None
+        assert nodes.advance_releases(second * SECOND, None) is None
         changed.append(nodes.changed)
         nodes.changed = False
     assert changed == [True, False, True, False]
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -26,11 +26,11 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
-from loadbalancer.control.machine.messages import NodeReport, PresenceWanted, Reports, codec
-from loadbalancer.control.machine.node_requests import Questions, Subscription
-from loadbalancer.control.machine.operator_calls import Call, Calls
-from loadbalancer.control.machine.stream import Hello, Streams, _Incoming
-from loadbalancer.control.machine.subscriber import AskTiming, Subscriber, _Region
+from loadbalancer.control.machine.messages import NodeReport, PresenceRequest, Reports, codec
+from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
+from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encoder import Encoder, stub_cluster
 from loadbalancer.control.xds.wire import ResponseEncoder, decode_delta_request, decode_request
@@ -81,7 +81,7 @@
     "node-report": (NodeReport, "node serving"),
     "node-release": (NodeRelease, "node services"),
     "delta": (Delta, "region base:position position:position changes:change*"),
-    "wanted": (handed_in.Wanted, "service rows:row* removed deleted"),
+    "wanted": (handed_in.SubmittedChange, "service rows:row* removed deleted"),
     "machine-spec": (MachineSpec, "name region zone"),
     "node-spec": (NodeSpec, "name region zone capacity rate"),
     "service-spec": (ServiceSpec, "name region zones rate backends"),
@@ -91,7 +91,7 @@
 MESSAGES: dict[str, tuple[Any, str]] = {
     "hello": (Hello, "machine fleet"),
     "presence-update": (PresenceUpdate, "serial whole=complete came=joined left=departed"),
-    "presence-wanted": (PresenceWanted, ""),
+    "presence-wanted": (PresenceRequest, ""),
     "reports": (Reports, "reports:node-report*"),
     "vote-request": (
         RequestVote,
@@ -220,8 +220,8 @@
         is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=sent.append
     )
     hello = _built("hello", plain["hello"])
-    streams = Streams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
-    streams._out["other"] = transport  # type: ignore[assignment]
+    streams = PeerStreams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
+    streams._outgoing["other"] = transport  # type: ignore[assignment]
     streams.send("other", hello)
     for message in plain["messages"]:
         streams.send("other", _built(message["kind"], message["fields"]))
@@ -237,18 +237,18 @@
         kind = kinds[type(message)]
         found["messages"].append({"kind": kind, "fields": _plain(kind, message)})
 
-    def knows(hello: Hello) -> bool:
+    def accepts(hello: Hello) -> bool:
         found["hello"] = _plain("hello", hello)
         return True
 
     async def read() -> None:
-        streams = Streams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
-        with mock.patch.object(streams, "knows", knows):
+        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
+        with mock.patch.object(streams, "accepts", accepts):
             incoming = _Incoming(streams)
             incoming.connection_made(mock.Mock())
             for at in range(0, len(data), 7):  # frames come in pieces
                 incoming.data_received(data[at : at + 7])
-        assert not streams.counts and not incoming._data
+        assert not streams.counts and not incoming._buffer
 
     asyncio.run(read())
     return found
@@ -288,10 +288,10 @@
     return {"form": "whole", "region": update.region, "position": position, "services": held}
 
 
-def _orders(plain: Any) -> listform.Orders | None:
+def _orders(plain: Any) -> listform.NodeAssignment | None:
     if plain is None:
         return None
-    return listform.Orders(
+    return listform.NodeAssignment(
         wanted=plain["wanted"],
         releasable=frozenset(plain["releasable"]),
         generation=plain["generation"],
@@ -303,14 +303,14 @@
     if plain["update"] is not None:
         return listform.encode(_update(plain["update"]), orders)
     if orders is not None:
-        return listform.orders_only(position, orders)
+        return listform.encode_assignment(position, orders)
     more = {key: plain[key] for key in ("elsewhere", "address", "pause_ms") if plain[key]}
-    return listform.nothing(position, **more)
+    return listform.encode_empty(position, **more)
 
 
 def _read_answer(data: bytes) -> Any:
     answer = listform.decode(data, 100)
-    orders = answer.orders
+    orders = answer.assignment
     return {
         "position": _plain("position", answer.position),
         "update": _plain_update(answer.update),
@@ -320,8 +320,8 @@
             "releasable": sorted(orders.releasable),
             "generation": orders.generation,
         },
-        "elsewhere": answer.elsewhere,
-        "address": answer.address,
+        "elsewhere": answer.redirect_machine,
+        "address": answer.redirect_address,
         "pause_ms": answer.pause_ms,
     }
 
@@ -329,7 +329,7 @@
 def _write_plain_list(plain: Any) -> bytes:
     rows = [_built("row", row) for row in plain["rows"]]
     version = version_of(_built("position", plain["position"]))
-    return listform.plain_list(version, plain["whole"], rows, plain["gone"])
+    return listform.encode_plain_list(version, plain["whole"], rows, plain["gone"])
 
 
 # ---- questions of nodes ------------------------------------------------------
@@ -344,10 +344,10 @@
         subscription=lambda _: held,
         serving=lambda: serving,
     )
-    timing = AskTiming(hold=plain["hold_ms"] / 1000)
+    timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
     asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
     asker.generation = plain["generation"]
-    state = _Region(0, anew=plain["held"] is not None)
+    state = _Region(0, first_poll=plain["held"] is not None)
     state.stray_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
         state.reported = (asker.generation, "")
@@ -366,12 +366,12 @@
     host: Any = mock.Mock(most_watchers=1, connections=0)
     host.waits.return_value = False
     host.asked = lambda _, *rest: asked.append(rest)
-    connection = Subscription(host)
+    connection = SubscriberConnection(host)
     connection.data_received(data)
     ((since, hold, query),) = asked
     nodes: Any = mock.Mock()
     nodes.on_report.return_value = None
-    questions = Questions(nodes, mock.Mock(), mock.Mock(), {}, 1)
+    questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
     question = questions._question(0, since, hold, query)
     questions._heard(0, question, query)
     report = nodes.on_report.call_args
@@ -389,7 +389,7 @@
 
 def _write_http_answer(plain: Any) -> bytes:
     sent: list[bytes] = []
-    connection = Subscription(mock.Mock(most_watchers=1, connections=0))
+    connection = SubscriberConnection(mock.Mock(most_watchers=1, connections=0))
     transport: Any = mock.Mock(write=sent.append)
     transport.is_closing.return_value = False
     transport.get_write_buffer_size.return_value = 0
@@ -401,8 +401,8 @@
 # ---- operators' calls ---------------------------------------------------------
 
 
-def _handed_in() -> handed_in.Changes:
-    return handed_in.Changes(mock.Mock(), "east", SERVICES)
+def _handed_in() -> handed_in.ChangeSubmissions:
+    return handed_in.ChangeSubmissions(mock.Mock(), "east", SERVICES)
 
 
 def _read_operator_call(data: bytes) -> Any:
@@ -416,13 +416,13 @@
         found.update(call="log", region=region, position=_plain("position", position_of(version)))
         return 200, b""
 
-    def change(body: bytes, reply: Any) -> None:
+    def submit(body: bytes, reply: Any) -> None:
         found.update(call="changes", changes=body)
 
-    machine: Any = SimpleNamespace(status=status, log_after=log_after, change=change)
-    Call(Calls(machine, 1 << 20)).data_received(data)
+    machine: Any = SimpleNamespace(status=status, log_after=log_after, submit=submit)
+    OperatorConnection(OperatorHost(machine, 1 << 20)).data_received(data)
     if "changes" in found:
-        rows = _handed_in()._decode(found["changes"])
+        rows = handed_in.decode_changes(found["changes"], SERVICES)
         found["changes"] = [_plain("wanted", one) for one in rows]
     return found
 
@@ -430,13 +430,13 @@
 def _write_changes_answer(plain: Any) -> bytes:
     """The answer to changes handed in: HTTP status, a space, the body."""
     answers: list[bytes] = []
-    call = handed_in._Call(lambda status, body: answers.append(f"{status} ".encode() + body))
+    call = handed_in._Submission(lambda status, body: answers.append(f"{status} ".encode() + body))
     hosts = _handed_in()
     if "outcome" in plain:
         hosts._refuse(call, Proposal(Outcome(plain["outcome"]), leader=plain["leader"]))
     for one in plain.get("accepted", ()):
-        call.accepted[_built("position", one["position"])] = None
-    hosts._open = dict.fromkeys(call.accepted, call)
+        call.committed_ns[_built("position", one["position"])] = None
+    hosts._pending = dict.fromkeys(call.committed_ns, call)
     for one in plain.get("accepted", ()):
         change = Change(_built("position", one["position"]), "cart")
         with mock.patch("time.monotonic_ns", lambda at=one["at_ns"]: at):
