--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -19,12 +19,8 @@
 from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.publisher import (
-    Publisher,
-    PublisherLimits,
-    RetryAfter,
-    SendUpdate,
-)
+from loadbalancer.core.subscription.answers import RetryAfter, SendUpdate
+from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
 from simulation.control_world import REGIONS, World
 
 MACHINES = [MachineSpec(f"{r}-{i}", r, f"{r}-{i % 2}") for r in REGIONS for i in range(3)]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -39,7 +39,9 @@
 from loadbalancer.core.assignment.model import Update as ScaleUpdate
 from loadbalancer.core.balancing.balancer import TIMER_CYCLE, Balancer
 from loadbalancer.core.balancing.model import MS, SECOND, Outcome, RequestClass, Tenant
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.limits import HolderLimits
+from loadbalancer.core.subscription.updates import UpdateResult
 from loadbalancer.sources.discovery import Roster, backend_id
 
 ZONES = tuple(zone for zones in REGIONS.values() for zone in zones)
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -16,8 +16,9 @@
 from loadbalancer.core.assignment.model import InvalidInputError, Position
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.replication import Replica
-from loadbalancer.core.subscription import publisher
-from loadbalancer.core.subscription.publisher import Publisher, Refusal
+from loadbalancer.core.subscription import answers
+from loadbalancer.core.subscription.answers import Refusal
+from loadbalancer.core.subscription.publisher import Publisher
 from loadbalancer.sources.http_get import whole_number
 from loadbalancer.sources.watchers import Query, Watcher
 
@@ -53,7 +54,7 @@
     def __init__(
         self,
         nodes: NodeRegistry,
-        answers: Publisher,
+        publisher: Publisher,
         replica: Replica,
         addresses: Mapping[str, Address],
         most_watchers: int,
@@ -62,7 +63,7 @@
         self.connections = 0
         self.counts: Counter[str] = Counter()
         self._nodes = nodes
-        self._publisher = answers
+        self._publisher = publisher
         self._replica = replica
         self._addresses = addresses  # of the machines, for subscribers
         self._waiting: dict[Watcher, PollRequest] = {}
@@ -158,15 +159,15 @@
         found = self._publisher.subscribe(
             now, node, region, question.position, services, question.held, question.redirected
         )
-        if isinstance(found, publisher.Refused):
+        if isinstance(found, answers.Refused):
             place = "region" if found.reason is Refusal.UNKNOWN_REGION else "version"
             self._refuse(watcher, f"{place}: [{found.reason.value}] {region[:64]!r}")
             self._nodes.on_response(now, node)
             return
         self._replica.on_reported(now, region, question.position)
-        if isinstance(found, publisher.Redirect):
+        if isinstance(found, answers.Redirect):
             self._send_on(now, watcher, question, found.machine)
-        elif isinstance(found, publisher.SendUpdate):
+        elif isinstance(found, answers.SendUpdate):
             orders = self._nodes.changed_assignment(now, node, region, anew)
             self._reply(now, watcher, question, listform.encode(found.update, orders), orders)
         else:
@@ -177,12 +178,12 @@
         now: int,
         watcher: Watcher,
         question: PollRequest,
-        found: publisher.RetryAfter | publisher.Wait,
+        found: answers.RetryAfter | answers.Wait,
         anew: bool,
     ) -> None:
         """There is nothing to send yet: orders alone, or a pause, or a wait."""
         orders = self._nodes.changed_assignment(now, question.node, question.region, anew)
-        if isinstance(found, publisher.RetryAfter):
+        if isinstance(found, answers.RetryAfter):
             pause = max(found.delay // MS, 1)
             body = listform.encode_empty(question.position, pause_ms=pause)
             self._reply(now, watcher, question, body, None, found.delay)
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -19,7 +19,8 @@
 from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Update
-from loadbalancer.core.subscription.holder import Holder, UpdateResult, UpdateStatus
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
 from loadbalancer.sources.http_get import Answer, Call
 from loadbalancer.sources.watchers import LIST
 
--- a/loadbalancer/core/subscription/pacing.py
+++ b/loadbalancer/core/subscription/pacing.py
@@ -1,8 +1,8 @@
-"""Paces snapshots by bytes a second, first come first served. Pure, told the time.
+"""Paces snapshots by bytes a second, first come first served. Pure: time is given.
 
-Each snapshot is given a place in time when it is first asked for, right behind those before it.
-Whoever comes back at its place is served: one retry a snapshot, however many wait. Changes are
-never put off, but what they spend moves the places that are given after them.
+Each snapshot reserves a time when it is first asked for, right behind those before it. A subscriber
+that returns at its time is served: one retry a snapshot, however many wait. Changes are never
+delayed, but the bytes that they spend move the times that are reserved after them.
 """
 
 from __future__ import annotations
@@ -10,42 +10,45 @@
 from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
 
-KEPT = 30 * SECOND  # a place that is not taken up is kept so long
+RESERVATION_TTL = 30 * SECOND  # from the reserved time until the reservation lapses
 
-_Key = tuple[str, str]
+Key = tuple[str, str]  # node and region
 
 
 class Pacer:
-    """Places in time for snapshots, `rate` bytes a second after `burst` bytes."""
+    """Reserves times for snapshots: `rate` bytes a second after `burst` bytes.
+
+    Raises:
+        InvalidInputError: one of them is not positive.
+    """
 
     def __init__(self, rate: int, burst: int) -> None:
-        """Raises InvalidInputError unless both are positive."""
         if rate < 1 or burst < 1:
             raise InvalidInputError("snapshot pace: rate and burst must be at least 1 byte")
         self._rate = rate
         self._burst = burst * SECOND // rate  # nanoseconds
-        self._free = 0  # when the bytes given out so far have been paid for
-        self._places: dict[_Key, int] = {}
-
-    def wait(self, now: int, key: _Key, size: int) -> int:
-        """Nanoseconds until it may be sent; 0 if now, and then its place is taken up."""
-        place = self._places.get(key)
-        if place is None or now > place + KEPT:
-            place = self._places[key] = self._take(now, size)
-        if place > now:
-            return place - now
-        del self._places[key]
+        self._next = 0  # the time after all reserved bytes, at the given rate
+        self._reservations: dict[Key, int] = {}  # times
+
+    def wait(self, now: int, key: Key, size: int) -> int:
+        """Nanoseconds until `size` bytes may go; 0 uses the reservation up."""
+        time = self._reservations.get(key)
+        if time is None or now > time + RESERVATION_TTL:
+            time = self._reservations[key] = self._reserve(now, size)
+        if time > now:
+            return time - now
+        del self._reservations[key]
         return 0
 
     def spend(self, now: int, size: int) -> None:
-        """Bytes that go at once, whatever the pace."""
-        self._take(now, size)
+        """Count bytes that go at once, whatever the pace."""
+        self._reserve(now, size)
 
-    def forget(self, key: _Key) -> None:
-        """Its place will not be taken up."""
-        self._places.pop(key, None)
+    def forget(self, key: Key) -> None:
+        """Drop the reservation: the subscriber has moved away."""
+        self._reservations.pop(key, None)
 
-    def _take(self, now: int, size: int) -> int:
-        place = max(self._free, now - self._burst)
-        self._free = place + size * SECOND // self._rate
-        return place
+    def _reserve(self, now: int, size: int) -> int:
+        time = max(self._next, now - self._burst)
+        self._next = time + size * SECOND // self._rate
+        return time
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -1,10 +1,10 @@
 """What a control machine answers its subscribers, and when.
 
-A subscriber asks with its position in one region's log, as a reader asks the list service, and
-waits while there is nothing newer. It is given the changes of its own services since then, and
-newly assigned ones whole in the same update; a snapshot only where the log's history does not
-have its position. Whole services and snapshots are paced by bytes a second; changes never wait.
-Pure: told the time in nanoseconds, no I/O.
+A subscriber resumes from its position in one region's log, as in the list service, and waits while
+there is nothing newer (a long poll). It is sent the changes of its own services since then, and
+newly assigned ones completely in the same update; a snapshot only where the log's history does not
+have its position. Complete services and snapshots are paced by bytes a second; changes never wait.
+Pure: time is given in nanoseconds, no I/O.
 """
 
 from __future__ import annotations
@@ -12,100 +12,38 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
-from enum import Enum
-
-from loadbalancer.core.assignment.model import (
-    START,
-    Change,
-    Delta,
-    MachineSpec,
-    Position,
-    Update,
-)
+
+from loadbalancer.core.assignment.model import START, Change, Delta, MachineSpec, Position, Update
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.replicated_log.change_log import ChangeLog, change_size
+from loadbalancer.core.subscription.answers import (
+    Answer,
+    Redirect,
+    Refusal,
+    Refused,
+    RetryAfter,
+    SendUpdate,
+    Wait,
+)
 from loadbalancer.core.subscription.pacing import Pacer
 from loadbalancer.core.subscription.placement import Placement
+from loadbalancer.core.subscription.subscribers import Key, Subscriber, Subscribers
 
-NOT_READY = 500 * MS  # pause for a subscriber of a log that has nothing yet
-
-
-class Refusal(Enum):
-    """Why a subscription can't be used; asking again in the same way is of no use."""
-
-    UNKNOWN_NODE = "unknown node"
-    UNKNOWN_REGION = "unknown region"
-    INVALID_POSITION = "nonsense position"
-    TOO_MANY_SERVICES = "too many services"
-
-
-@dataclass(frozen=True, slots=True)
-class SendUpdate:
-    """An update to take now, of about `size` bytes."""
-
-    update: Update
-    size: int
-
-
-@dataclass(frozen=True, slots=True)
-class Wait:
-    """Nothing to be sent yet: held until `on_change` or another event names the node.
-
-    Then, and at `until` where that is not None, `subscribe` is called again and answers.
-    """
-
-    until: int | None = None
-
-
-@dataclass(frozen=True, slots=True)
-class Redirect:
-    """Another machine is to be asked."""
-
-    machine: str
-
-
-@dataclass(frozen=True, slots=True)
-class RetryAfter:
-    """To be asked again after `delay` nanoseconds, when the snapshot's turn has come."""
-
-    delay: int
-
-
-@dataclass(frozen=True, slots=True)
-class Refused:
-    """The subscription can't be used."""
-
-    reason: Refusal
-
-
-Answer = SendUpdate | Wait | Redirect | RetryAfter | Refused
+NOT_READY_DELAY = 500 * MS  # for a subscriber of a log that has nothing yet
 
 
 @dataclass(frozen=True, slots=True)
 class PublisherLimits:
     """What one machine's subscribers may cost it."""
 
-    snapshot_rate: int = 2_000_000  # bytes a second for whole services and snapshots
+    snapshot_rate: int = 2_000_000  # bytes a second for complete services and snapshots
     snapshot_burst: int = 2_000_000  # bytes that may go at once after a quiet time
-    unpaced_bytes: int = 16 * 1024  # bytes of newly assigned services that go with changes, unpaced
+    unpaced_bytes: int = 16 * 1024  # of newly assigned services, that go with changes at once
     max_services: int = 1024  # that one subscription may name
-    max_epochs_ahead: int = 1_000_000  # a position further ahead of the log is nonsense
+    max_epochs_ahead: int = 1_000_000  # a position further ahead of the log is refused
     max_revision: int = 1 << 40
 
 
-@dataclass(slots=True)
-class _Subscriber:
-    """What is known here of one node's subscription to one region's log."""
-
-    services: frozenset[str] = frozenset()
-    position: Position = START  # that the last update sent from here takes it to
-    sent: frozenset[str] = frozenset()  # the services that it then holds
-    waiting: bool = False
-
-
-_Key = tuple[str, str]  # node and region
-
-
 class Publisher:
     """One control machine's answers to the nodes that subscribe at it."""
 
@@ -125,9 +63,9 @@
         self._living = frozenset(spec.name for spec in machines)
         self._placement = Placement({}, self._machines)
         self._pacer = Pacer(limits.snapshot_rate, limits.snapshot_burst)
-        self._subscribers: dict[_Key, _Subscriber] = {}
-        # The nodes that subscribe to each service, by region and service, in the order they came.
-        self._index: dict[tuple[str, str], dict[str, None]] = {}
+        self._subscribers = Subscribers()
+
+    # ---- nodes and machines -------------------------------------------------
 
     def on_nodes(self, nodes: Mapping[str, str]) -> None:
         """All registered nodes with their regions, living or not."""
@@ -136,15 +74,19 @@
             if node not in nodes:
                 self._forget(node, region)
 
-    def on_living(self, living: Iterable[str]) -> tuple[_Key, ...]:
-        """The control machines that live; gives waiting (node, region) pairs to answer again."""
+    def on_living(self, living: Iterable[str]) -> tuple[Key, ...]:
+        """The control machines that live.
+
+        Returns the waiting (node, region) pairs that belong to another machine now and are to be
+        answered again.
+        """
         self._living = frozenset(living)
         moved = [
             (node, region)
             for node, region in self._subscribers
             if self._placement.machine_for(node, self._living) != self._name
         ]
-        woken = tuple(key for key in moved if self._subscribers[key].waiting)
+        woken = tuple(key for key in moved if self._subscribers.waiting(*key))
         for node, region in moved:
             self._forget(node, region)
         return woken
@@ -153,6 +95,12 @@
         """The machine that a node subscribes at; None where the node is unknown."""
         return self._placement.machine_for(node, living)
 
+    def _forget(self, node: str, region: str) -> None:
+        self._subscribers.remove(node, region)
+        self._pacer.forget((node, region))
+
+    # ---- answers ------------------------------------------------------------
+
     def subscribe(
         self,
         now: int,
@@ -160,12 +108,12 @@
         region: str,
         position: Position,
         services: frozenset[str],
-        held: frozenset[str] | None = None,
+        current: frozenset[str] | None = None,
         redirected: bool = False,
     ) -> Answer:
         """What to answer a node that is at `position` of a region's log.
 
-        `services` are those that it is to hold, by the assignment; `held` those that it holds as
+        `services` are those that it is to hold, by the assignment; `current` those that it holds as
         of `position`, None where it does not say: then what this machine last sent it counts, if
         that took it to `position`, and nothing otherwise. `redirected`: another machine has sent
         it here, so it is answered here although it belongs there.
@@ -174,21 +122,21 @@
         if refusal is not None:
             self.counts[f"refused: {refusal.value}"] += 1
             return Refused(refusal)
-        belongs = self._placement.machine_for(node, self._living)
-        if belongs is not None and belongs != self._name and not redirected:
-            return Redirect(belongs)
+        belongs_to = self._placement.machine_for(node, self._living)
+        if belongs_to is not None and belongs_to != self._name and not redirected:
+            return Redirect(belongs_to)
         log = self._logs[region]
         if position > log.position or position.revision > log.position.revision:
             return self._behind(node, redirected)
         if log.position == START:
             self.counts["not ready"] += 1
-            return RetryAfter(NOT_READY)
-        subscriber = self._subscriber(node, region, services)
-        if held is None:
-            held = subscriber.sent if subscriber.position == position else frozenset()
+            return RetryAfter(NOT_READY_DELAY)
+        subscriber = self._subscribers.update(node, region, services)
+        if current is None:
+            current = subscriber.sent if subscriber.position == position else frozenset()
         if position == START or not log.contains(position):
             return self._snapshot(now, (node, region), log, subscriber)
-        return self._changes(now, (node, region), log, subscriber, position, held & services)
+        return self._changes(now, (node, region), log, subscriber, position, current & services)
 
     def _refusal(
         self, node: str, region: str, position: Position, services: frozenset[str]
@@ -211,64 +159,67 @@
         return None
 
     def _behind(self, node: str, redirected: bool) -> Answer:
-        """The subscriber knows more than this machine: it is sent to another, with nothing.
+        """The subscriber is ahead of this machine's log: it is sent to another, with nothing.
 
-        One that was sent here already waits a little: the next may know no more.
+        One that was redirected here already waits a little instead: the next machine may be behind
+        as well, and two such machines would send it to and fro.
         """
         self.counts["behind a subscriber"] += 1
         others = self._placement.others(node, self._living - {self._name})
-        return Redirect(others[0]) if others and not redirected else RetryAfter(NOT_READY)
+        if others and not redirected:
+            return Redirect(others[0])
+        return RetryAfter(NOT_READY_DELAY)
 
-    def _snapshot(self, now: int, key: _Key, log: ChangeLog, subscriber: _Subscriber) -> Answer:
+    def _snapshot(self, now: int, key: Key, log: ChangeLog, subscriber: Subscriber) -> Answer:
         size = log.size(subscriber.services)
-        wait = self._pacer.wait(now, key, size)
-        if wait:
+        delay = self._pacer.wait(now, key, size)
+        if delay:
             self.counts["snapshots put off"] += 1
-            return RetryAfter(wait)
+            return RetryAfter(delay)
         self.counts["snapshots"] += 1
-        return self._sent(subscriber, log.snapshot(subscriber.services), size, subscriber.services)
+        snapshot = log.snapshot(subscriber.services)
+        return self._send(subscriber, snapshot, size, subscriber.services)
 
     def _changes(
         self,
         now: int,
-        key: _Key,
+        key: Key,
         log: ChangeLog,
-        subscriber: _Subscriber,
+        subscriber: Subscriber,
         position: Position,
-        held: frozenset[str],
+        current: frozenset[str],
     ) -> Answer:
-        missing = log.missing(position, held)
-        fresh = subscriber.services - held
-        whole = missing | fresh
+        """The changes of the `current` services, and the others completely, or a wait."""
+        not_logged = log.missing(position, current)
+        complete = not_logged | (subscriber.services - current)
         until = None
-        if whole and (wait := self._whole_wait(now, key, log.size(whole))):
-            until = now + wait
-            if missing:
+        if complete and (delay := self._delay(now, key, log.size(complete))):
+            until = now + delay
+            if not_logged:
                 # Its position must not move past changes that it would not get.
                 return Wait(until)
-            whole = frozenset()
-        delta = log.since(position, held - missing)
+            complete = frozenset()
+        delta = log.since(position, current - not_logged)
         assert delta is not None, "every service that the log does not reach was taken out"
-        if not delta.changes and not whole:
+        if not delta.changes and not complete:
             subscriber.waiting = True
             return Wait(until)
         size = sum(change_size(change) for change in delta.changes)
         self._pacer.spend(now, size)
-        update = Delta(
-            log.region, position, log.position, (*delta.changes, *log.replacements(sorted(whole)))
-        )
+        replacements = log.replacements(sorted(complete))
+        update = Delta(log.region, position, log.position, (*delta.changes, *replacements))
         self.counts["deltas"] += 1
-        return self._sent(subscriber, update, size + log.size(whole), held | whole)
+        return self._send(subscriber, update, size + log.size(complete), current | complete)
 
-    def _whole_wait(self, now: int, key: _Key, size: int) -> int:
-        """How long until services may go whole: a few go at once, but count."""
+    def _delay(self, now: int, key: Key, size: int) -> int:
+        """How long until services may go completely: a few go at once, but count."""
         if size <= self._limits.unpaced_bytes:
             self._pacer.spend(now, size)
             return 0
         return self._pacer.wait(now, key, size)
 
-    def _sent(
-        self, subscriber: _Subscriber, update: Update, size: int, sent: frozenset[str]
+    def _send(
+        self, subscriber: Subscriber, update: Update, size: int, sent: frozenset[str]
     ) -> SendUpdate:
         subscriber.waiting = False
         subscriber.position = update.position
@@ -276,51 +227,20 @@
         self.counts["bytes"] += size
         return SendUpdate(update, size)
 
-    # ---- who waits for what -----------------------------------------------
+    # ---- which waiting nodes to answer again --------------------------------
 
     def on_change(self, region: str, change: Change) -> tuple[str, ...]:
         """The waiting nodes to answer again now that a change is in the log.
 
         Cost follows the subscribers of the change's service.
         """
-        nodes = self._index.get((region, change.service), ())
-        return tuple(node for node in nodes if self._subscribers[node, region].waiting)
+        return self._subscribers.waiting_for_service(region, change.service)
 
     def on_restored(self, region: str) -> tuple[str, ...]:
-        """The waiting nodes to answer again after a region's log was restored from an image."""
-        return tuple(
-            node
-            for (node, where), subscriber in self._subscribers.items()
-            if where == region and subscriber.waiting
-        )
-
-    def on_assigned(self, node: str, region: str, services: frozenset[str]) -> bool:
-        """A node's services have changed; gives whether it waits and is to be answered again."""
-        subscriber = self._subscribers.get((node, region))
-        return subscriber is not None and subscriber.waiting and subscriber.services != services
+        """The waiting nodes to answer again after a region's log was restored from a snapshot."""
+        return self._subscribers.waiting_for_region(region)
 
     def cancel(self, node: str, region: str) -> None:
-        """A waiting subscriber has gone away."""
-        if subscriber := self._subscribers.get((node, region)):
+        """A waiting subscriber has disconnected."""
+        if subscriber := self._subscribers.get(node, region):
             subscriber.waiting = False
-
-    def _subscriber(self, node: str, region: str, services: frozenset[str]) -> _Subscriber:
-        subscriber = self._subscribers.setdefault((node, region), _Subscriber())
-        for name in services - subscriber.services:
-            self._index.setdefault((region, name), {})[node] = None
-        self._unindex(node, region, subscriber.services - services)
-        subscriber.services = services
-        subscriber.waiting = False
-        return subscriber
-
-    def _unindex(self, node: str, region: str, services: frozenset[str]) -> None:
-        for name in services:
-            nodes = self._index[region, name]
-            nodes.pop(node, None)
-            if not nodes:
-                del self._index[region, name]
-
-    def _forget(self, node: str, region: str) -> None:
-        subscriber = self._subscribers.pop((node, region))
-        self._unindex(node, region, subscriber.services)
-        self._pacer.forget((node, region))
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -22,7 +22,8 @@
 from loadbalancer.core.assignment.model import Change
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.holder import Holder, UpdateResult, UpdateStatus
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
 from simulation.control_world import REGIONS, World
 from simulation.digest import Digest
 from simulation.seeds import run
@@ -45,7 +46,10 @@
 
 def _older_taken(self: Any, region: Any, snapshot: Any) -> UpdateResult:
     """A snapshot is taken whatever its position."""
-    rows = {name: snapshot.services.get(name) for name in sorted(region.held)}
+    rows = {
+        name: snapshot.services.get(name)
+        for name in sorted(self._services.in_region(snapshot.region))
+    }
     changes = [
         Change(snapshot.position, name, tuple(held.values()), complete=True)
         for name, held in rows.items()
@@ -55,11 +59,15 @@
     return taken
 
 
-def _gap_ignored(self: Any, region: Any, delta: Any, asked: Any) -> UpdateResult:
+def _gap_ignored(self: Any, region: Any, delta: Any, request: Any) -> UpdateResult:
     """A delta is taken whatever it follows."""
     if delta.position < region.position:
         return UpdateResult(UpdateStatus.OLDER)
-    mine = [change for change in delta.changes if change.service in region.held]
+    mine = [
+        change
+        for change in delta.changes
+        if change.service in self._services.in_region(delta.region)
+    ]
     taken: UpdateResult = self._apply_all(mine, True)
     return taken
 
--- a/simulation/control_invariants.py
+++ b/simulation/control_invariants.py
@@ -16,7 +16,8 @@
 from loadbalancer.core.assignment.model import START, Change, Delta, Position, Row, Update
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.subscription.holder import Holder, UpdateStatus
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.updates import UpdateStatus
 
 UNKNOWN_DEATH = 8 * SECOND  # until control knows that a node is dead
 GRACE = SECOND  # from when a drain is told until nothing is sent to the backend
--- a/simulation/control_world.py
+++ b/simulation/control_world.py
@@ -33,17 +33,18 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import Message
 from loadbalancer.core.replicated_log.replication import Outcome, Replica, Role, Timing
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, Subscription
-from loadbalancer.core.subscription.publisher import (
+from loadbalancer.core.subscription.answers import (
     Answer,
-    Publisher,
-    PublisherLimits,
     Redirect,
     Refused,
     RetryAfter,
     SendUpdate,
     Wait,
 )
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.limits import HolderLimits
+from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
+from loadbalancer.core.subscription.updates import Subscription
 from simulation.control_invariants import NodeLife, Referee
 from simulation.digest import Digest, machine_bytes
 from simulation.links import Links
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -22,7 +22,9 @@
 from loadbalancer.control.machine.version import MAX_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.limits import HolderLimits
+from loadbalancer.core.subscription.updates import UpdateResult
 from tests.harness import ROOT, config, listen, served_by, started, target, until
 from tests.scalemachines import NAMES, Machines, three, write_file
 
--- /dev/null
+++ b/tests/core/subscription/test_unknown_services.py
@@ -0,0 +1,42 @@
+"""Services that clients ask for and that are not held."""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.subscription.limits import HolderLimits
+from loadbalancer.core.subscription.unknown_services import ServiceQuery
+from tests.core.subscription.holders import (
+    bytes_of_service,
+    holding,
+)
+
+
+def test_ten_thousand_unknown_names_cost_no_more_than_the_bound() -> None:
+    """A client tries 10,000 names of services in ten seconds."""
+    limits = HolderLimits(max_unknown_names=100, queries_per_s=5.0)
+    holder = holding("s", limits=limits)
+    queries = []
+    for number in range(10_000):
+        now = number * SECOND // 1000  # in ten seconds
+        if (query := holder.on_unknown(now, f"name-{number}")) is not None:
+            queries.append((now, query))
+        assert len(holder._unknown) <= limits.max_unknown_names
+    assert 50 <= len(queries) <= 56
+    assert queries[0] == (0, ServiceQuery("name-0"))
+    assert (
+        max(sum(start <= now < start + SECOND for now, _ in queries) for start, _ in queries) <= 10
+    )
+    assert holder.retained_bytes == bytes_of_service(holder, "s")
+    assert holder.subscription("r") == {"s"}
+
+
+def test_an_unknown_name_is_queried_once_an_interval() -> None:
+    holder = holding("s", limits=HolderLimits(query_interval=10 * SECOND))
+    assert holder.on_unknown(0, "x") == ServiceQuery("x")
+    assert holder.on_unknown(SECOND, "x") is None
+    assert holder.on_unknown(10 * SECOND, "x") == ServiceQuery("x")
+    assert holder.on_unknown(11 * SECOND, "s") is None  # held
+    assert holder.on_unknown(11 * SECOND, "") is None
+    assert holder.on_unknown(11 * SECOND, "x" * 257) is None
+    assert holder.on_wanted(12 * SECOND, {"s": "r", "x": "r"}, ()) == ()
+    assert holder.on_unknown(30 * SECOND, "x") is None  # on its way
