--- a/loadbalancer/core/subscription/unknown_services.py
+++ b/loadbalancer/core/subscription/unknown_services.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from loadbalancer.core.gossip.token_bucket import Bucket
+from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.core.subscription.limits import HolderLimits
 
 MAX_NAME = 256  # characters of a service's name that clients may ask for
@@ -23,7 +23,7 @@
     def __init__(self, limits: HolderLimits) -> None:
         self._limits = limits
         self._queried: OrderedDict[str, int] = OrderedDict()  # names and times, oldest first
-        self._bucket: Bucket | None = None  # made with the first name, when the time is known
+        self._bucket: TokenBucket | None = None  # made with the first name, when the time is known
 
     def __len__(self) -> int:
         """How many names are remembered."""
@@ -35,7 +35,7 @@
             return None
         limits = self._limits
         if self._bucket is None:
-            self._bucket = Bucket(limits.queries_per_s, max(limits.queries_per_s, 1.0), now)
+            self._bucket = TokenBucket(limits.queries_per_s, max(limits.queries_per_s, 1.0), now)
         queried = self._queried.get(service)
         if queried is not None and now - queried < limits.query_interval:
             return None
--- a/tests/core/subscription/test_holder_orders.py
+++ b/tests/core/subscription/test_holder_orders.py
@@ -149,7 +149,7 @@
 
 
 def assert_drains_last(before: Mapping[str, Rows], holder: Holder, history: History) -> None:
-    """A backend whose drain was applied is sent nothing, unless a later change takes it up again."""
+    """A backend that drains is sent nothing, unless a later change takes it up again."""
     state = history.states[holder.position("r").revision]
     for service, old in before.items():
         for uid, one in (holder.rows(service) or {}).items():
