--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -16,7 +16,9 @@
 from loadbalancer.control.machine.version import MAX_VERSION, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Update
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
-from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
+from loadbalancer.core.subscription.holder import Holder
+from loadbalancer.core.subscription.limits import HolderLimits
+from loadbalancer.core.subscription.updates import UpdateResult
 from tests.control_machines import NAMES, Machines, rows
 from tests.harness import config, listen, served_by, started, target, until
 
