--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -1,10 +1,13 @@
-"""Passes the merged list on to nodes in the platform's discovery protocol.
+"""Serves the list merged from Consul to nodes, in the platform's discovery protocol.
 
-One reader spends the lines of all, however many nodes there are: they ask here, with
-watches, as they would ask discovery (`PROXY_DISCOVERY`). A relay that is down costs
-nothing but news: nodes keep the list they have, as with discovery. After a restart
-versions go on growing with the wall clock, and nothing is answered but 503 before a
-whole round has ended: a half-read list would empty the nodes' pools.
+One reader uses Consul's capacity for all, however many nodes there are: they poll here, with
+watches, as they would poll discovery (`PROXY_DISCOVERY`). A relay that is down costs nothing but
+updates: nodes go on with the list they have, as with discovery. Two rules follow from a restart:
+
+- Versions grow with the wall clock. If they began anew, a node would ask for changes since a
+  version that stands for another list.
+- Until a complete round has ended, every answer is 503. A list that is read in part would take
+  servers from the nodes' pools.
 
 Source: the platform's protocol, "Discovery".
 """
@@ -15,7 +18,7 @@
 import json
 import time
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from loadbalancer.config.address import Address
 from loadbalancer.core import State
@@ -27,77 +30,104 @@
 from loadbalancer.sources.watchers import Query, Watcher, gone_row
 
 MAX_WATCHERS = 1024
-STATES = {State.READY: "active", State.DRAINING: "leaving"}
+OK = 200
+# The protocol's names of states.
+STATE_NAMES = {State.READY: "active", State.DRAINING: "leaving"}
 
 Row = Mapping[str, Any]
 
 
-def row_of(m: Member, wall: int) -> Row:
-    """One server in discovery's form; `wall`: Unix time less the monotonic clock's."""
+def discovery_row(member: Member, wall_offset: int) -> Row:
+    """One server in discovery's form.
+
+    Args:
+        member: the server.
+        wall_offset: Unix time less the monotonic clock's, in nanoseconds.
+    """
     return {
-        "uid": m.uid, "endpoint": str(Address(m.host, m.port)), "az": m.zone, "model": "",
-        "pod_group": m.cell, "state": STATES[m.state], "capacity_hint": m.weight,
-        "boot_ms": (m.boot + wall) // MS if m.boot else 0,
-    }  # fmt: skip
+        "uid": member.uid,
+        "endpoint": str(Address(member.host, member.port)),
+        "az": member.zone,
+        "model": "",
+        "pod_group": member.cell,
+        "state": STATE_NAMES[member.state],
+        "capacity_hint": member.weight,
+        "boot_ms": (member.boot + wall_offset) // MS if member.boot else 0,
+    }
+
+
+class Wait(NamedTuple):
+    """A watcher without an answer yet: the version it has, and when it is answered at last."""
 
+    version: int
+    timeout: asyncio.TimerHandle
 
-class Relay:
-    """The list and who waits for news of it."""
+
+class ListRelay:
+    """The list by version, and the watchers that wait for its next one."""
 
     most_watchers = MAX_WATCHERS
 
     def __init__(self, file: ConsulFile, log: Callable[[str], None], seed: int) -> None:
-        self.merged = MergedList(file, self._pass_on, log, seed)
-        self.list: Revisions[Row] = Revisions(time.time_ns() // MS)
-        # The version each holds, and the end of its wait.
-        self.watchers: dict[Watcher, tuple[int, asyncio.TimerHandle]] = {}
+        self.merged = MergedList(file, self._publish, log, seed)
+        self.revisions: Revisions[Row] = Revisions(time.time_ns() // MS)
         self.connections = 0
-        # Taken once: a boot that is converted again must look the same.
-        self._wall = time.time_ns() - time.monotonic_ns()
+        self._waits: dict[Watcher, Wait] = {}
+        # Read once: a boot time that is converted again must give the same row.
+        self._wall_offset = time.time_ns() - time.monotonic_ns()
 
     def ready(self) -> bool:
+        """Whether the list is complete."""
         return self.merged.members.complete()
 
-    def answer(self, since: int) -> bytes:
-        """Discovery's answer to whoever holds version `since`, 0 for none."""
-        changed, whole = self.list.since(since)
+    def answer(self, version: int) -> bytes:
+        """Discovery's answer to a watcher that has this version, 0 for none."""
+        changed, is_full = self.revisions.since(version)
         rows = [gone_row(uid) if row is None else row for uid, row in changed.items()]
-        return json.dumps({"rev": self.list.rev, "all": whole, "targets": rows}).encode()
+        return json.dumps({"rev": self.revisions.rev, "all": is_full, "targets": rows}).encode()
 
     def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
-        """Answer at once where there is news or no wait is asked for, else after `hold` s."""
-        if since == self.list.rev and hold > 0:
+        """Answer now where the list has changed or no wait is wanted, else within `hold` s."""
+        del query  # a relay has one list for all
+        if since == self.revisions.rev and hold > 0:
             loop = asyncio.get_running_loop()
-            self.watchers[watcher] = (since, loop.call_later(hold, self.release, watcher))
+            timeout = loop.call_later(hold, self._answer_wait, watcher)
+            self._waits[watcher] = Wait(since, timeout)
         else:
-            watcher.reply(200, self.answer(since))
+            watcher.reply(OK, self.answer(since))
 
     def waits(self, watcher: Watcher) -> bool:
-        return watcher in self.watchers
-
-    def release(self, watcher: Watcher) -> None:
-        """Answer a watcher that waits."""
-        found = self.watchers.pop(watcher, None)
-        if found is not None:
-            since, handle = found
-            handle.cancel()
-            watcher.reply(200, self.answer(since))
+        """Whether a watcher has no answer yet."""
+        return watcher in self._waits
 
     def forget(self, watcher: Watcher) -> None:
-        found = self.watchers.pop(watcher, None)
-        if found is not None:
-            found[1].cancel()
-
-    def _pass_on(self) -> None:
-        told = [m for m in self.merged.members.members() if m.state != State.GONE]
-        if self.list.replace({m.uid: row_of(m, self._wall) for m in told}):
-            for watcher in [*self.watchers]:
-                self.release(watcher)
+        """Answer a watcher no more."""
+        wait = self._waits.pop(watcher, None)
+        if wait is not None:
+            wait.timeout.cancel()
+
+    def _answer_wait(self, watcher: Watcher) -> None:
+        wait = self._waits.pop(watcher, None)
+        if wait is not None:
+            wait.timeout.cancel()
+            watcher.reply(OK, self.answer(wait.version))
+
+    def _publish(self) -> None:
+        """Take the merged list as the next version, and answer all watchers that wait for it."""
+        members = [member for member in self.merged.members.members() if member.state != State.GONE]
+        rows = {member.uid: discovery_row(member, self._wall_offset) for member in members}
+        if self.revisions.replace(rows):
+            for watcher in [*self._waits]:
+                self._answer_wait(watcher)
 
 
 async def serve(file: ConsulFile, listen: Address, log: Callable[[str], None], seed: int) -> None:
-    """Pass the list on at `listen` until cancelled; OSError where it can't be listened at."""
-    relay = Relay(file, log, seed)
+    """Serve the list at `listen` until cancelled.
+
+    Raises:
+        OSError: the address can't be listened at.
+    """
+    relay = ListRelay(file, log, seed)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Watcher(relay), listen.host, listen.port)
     port = server.sockets[0].getsockname()[1]
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from loadbalancer.config.address import Address, parse_address
-from loadbalancer.control.consul_relay import Relay
+from loadbalancer.control.consul_relay import ListRelay
 from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core import learned_state as legacy
 from loadbalancer.core.balancing.model import MS, SECOND
@@ -600,8 +600,8 @@
 
     async def serve() -> None:
         with _clocks():
-            relay = Relay(file, lambda _text: None, 1)
-        relay.list.rev = relay.list._floor = plain["first_rev"]
+            relay = ListRelay(file, lambda _text: None, 1)
+        relay.revisions.rev = relay.revisions._floor = plain["first_rev"]
         for members in plain["lists"]:
             told: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
@@ -612,7 +612,7 @@
                     members=lambda told=told: told, complete=lambda: plain["complete"]
                 )
             )
-            relay._pass_on()
+            relay._publish()
         watcher = Watcher(relay)
         watcher.connection_made(transport)
         watcher.data_received(plain["call"].encode())
