--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -17,7 +17,7 @@
 from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies
 
 MAX_EJECTION_PERCENT = 50
-REQUEST_BOUND_DIGITS = 3  # binary digits that are kept of the bound on requests in flight
+REQUEST_BOUND_DIGITS = 3  # significant binary digits of the bound on requests in flight
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/core/xds/test_load_reports.py
+++ b/tests/core/xds/test_load_reports.py
@@ -63,7 +63,7 @@
             )
 
     def assessments(self) -> dict[int, Assessment]:
-        return {v.backend: v for v in self.aggregator.assess()}
+        return {found.backend: found for found in self.aggregator.assess()}
 
 
 def test_a_slow_server_stands_out() -> None:
@@ -72,26 +72,26 @@
         proxies.report_all()
     seen = proxies.assessments()
     assert seen[SLOW_SERVER].latency_ratio > 1.5
-    assert all(0.6 < v.latency_ratio < 1.4 for b, v in seen.items() if b != SLOW_SERVER)
-    assert not any(v.failing for v in seen.values())
+    assert all(0.6 < found.latency_ratio < 1.4 for b, found in seen.items() if b != SLOW_SERVER)
+    assert not any(found.failing for found in seen.values())
 
 
 def test_few_requests_say_little() -> None:
     proxies = Proxies(3)
     proxies.report_all(per_server=1)
-    assert all(0.7 < v.latency_ratio < 1.4 for v in proxies.assessments().values())
+    assert all(0.7 < found.latency_ratio < 1.4 for found in proxies.assessments().values())
 
 
 def test_one_server_that_fails_counts_as_failing_and_a_fleet_that_fails_does_not() -> None:
     proxies = Proxies(5)
     proxies.report_all(failing=3)
-    assert [b for b, v in proxies.assessments().items() if v.failing] == [3]
+    assert [b for b, found in proxies.assessments().items() if found.failing] == [3]
     aggregator = LoadReportAggregator(REPORT_INTERVAL)
     for name in ("a", "b", "c"):
         stream = aggregator.open_stream(0, name)
         loads = [EndpointLoad(b, 0, 100, 0) for b in range(1, SERVERS + 1)]
         assert aggregator.add_report(REPORT_INTERVAL, name, stream, REPORT_INTERVAL, loads) == ""
-    assert not any(v.failing for v in aggregator.assess())
+    assert not any(found.failing for found in aggregator.assess())
 
 
 @pytest.mark.parametrize("count", [2, 3, 21])
@@ -102,8 +102,8 @@
     for _ in range(4):
         proxies.report_all(false_report=false_report, slow=0)
     seen = proxies.assessments()
-    assert not any(v.failing for v in seen.values())
-    assert all(0.5 < v.latency_ratio < 1.5 for v in seen.values()), seen
+    assert not any(found.failing for found in seen.values())
+    assert all(0.5 < found.latency_ratio < 1.5 for found in seen.values()), seen
 
 
 @pytest.mark.parametrize("count", [3, 21])
@@ -123,7 +123,7 @@
 def test_one_proxy_alone_is_believed_within_bounds() -> None:
     proxies = Proxies(1)
     proxies.report_all(false_report=[EndpointLoad(1, 10, 0, 50_000), EndpointLoad(2, 1000, 0, 0)])
-    assert {v.latency_ratio for v in proxies.assessments().values()} <= {0.5, 2.0}
+    assert {found.latency_ratio for found in proxies.assessments().values()} <= {0.5, 2.0}
 
 
 def test_a_report_sent_twice_is_counted_once() -> None:
--- a/tests/core/xds/test_plan.py
+++ b/tests/core/xds/test_plan.py
@@ -49,7 +49,7 @@
 
 
 def planned(*view: ServerView, target: TargetProxies = ENVOY, text: str = GOOD) -> Plan:
-    addresses = {v.backend: ("127.0.0.1", 9000 + v.backend) for v in view}
+    addresses = {row.backend: ("127.0.0.1", 9000 + row.backend) for row in view}
     found = table(text)
     return make_plan(found.services[0], SETTINGS, found.node_budget, view, addresses, target)
 
@@ -60,16 +60,16 @@
     return into
 
 
-def cluster(p: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> Any:
-    snapshot = Encoder(kind, LISTEN).build([p])
+def cluster(plan: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> Any:
+    snapshot = Encoder(kind, LISTEN).build([plan])
     return unpacked(snapshot, ResourceType.CLUSTER, "topup", cluster_pb2.Cluster())
 
 
-def routes(p: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> dict[str, Any]:
+def routes(plan: Plan, kind: ProxyKind = ProxyKind.ENVOY) -> dict[str, Any]:
     name = "topup" if kind.proxyless else "wharfspread"
-    snapshot = Encoder(kind, LISTEN).build([p])
+    snapshot = Encoder(kind, LISTEN).build([plan])
     found = unpacked(snapshot, ResourceType.ROUTES, name, route_pb2.RouteConfiguration())
-    return {r.name.removeprefix("topup/"): r for r in found.virtual_hosts[0].routes}
+    return {route.name.removeprefix("topup/"): route for route in found.virtual_hosts[0].routes}
 
 
 def test_the_bound_in_flight_is_divided_among_the_proxies_present() -> None:
@@ -134,18 +134,20 @@
     assert balance.retry_policy.per_try_timeout.nanos == 80_000_000
     assert balance.retry_policy.num_retries.value == 1
     assert not found["credit"].route.HasField("hedge_policy")
-    planned_for = planned(server(1), target=GRPC)
-    assert not routes(planned_for, ProxyKind.GRPC)["balance"].route.HasField("hedge_policy")
-    assert planned_for.omitted == ("topup/balance: gRPC's client sends no second copies",)
+    plan = planned(server(1), target=GRPC)
+    assert not routes(plan, ProxyKind.GRPC)["balance"].route.HasField("hedge_policy")
+    assert plan.omitted == ("topup/balance: gRPC's client sends no second copies",)
 
 
 @pytest.mark.parametrize("kind", [ProxyKind.ENVOY, ProxyKind.GRPC])
 def test_credits_routes_hold_no_retry_condition_that_may_have_run(kind: ProxyKind) -> None:
-    p = planned(server(1), target=replace(ENVOY, kind=kind))
-    (credit,) = (r for r in p.routes if r.policy is not None and r.policy.cls == "credit")
+    plan = planned(server(1), target=replace(ENVOY, kind=kind))
+    (credit,) = (
+        route for route in plan.routes if route.policy is not None and route.policy.cls == "credit"
+    )
     never_ran = {Condition.CONNECT_FAILURE, Condition.REFUSED, Condition.RESET_BEFORE_SENT}
     assert set(credit.retry_on) <= never_ran
-    retry = routes(p, kind)["credit"].route.retry_policy
+    retry = routes(plan, kind)["credit"].route.retry_policy
     conditions: set[str] = set(filter(None, retry.retry_on.split(",")))
     safe = {"connect-failure", "refused-stream", "reset-before-request"}
     assert conditions == (set() if kind.proxyless else safe)
@@ -153,10 +155,12 @@
 
 def test_a_route_that_takes_its_class_from_the_path_is_a_path_for_each_class() -> None:
     text = spoilt(('prefix = "/"\ndeny = true', 'prefix = "/"'))
-    p = planned(server(1), text=text)
-    assert not p.unsupported
+    plan = planned(server(1), text=text)
+    assert not plan.unsupported
     patterns = {
-        str(r.pattern): r.policy.cls for r in p.routes if r.name == "topup/rest" and r.policy
+        str(route.pattern): route.policy.cls
+        for route in plan.routes
+        if route.name == "topup/rest" and route.policy
     }
     assert patterns == {f"/{c} and below": c for c in ("balance", "credit", "topup")}
 
@@ -166,9 +170,9 @@
         ('prefix = "/balance"', 'prefix = "/balance"\nmethods = ["GET"]'),
         ('prefix = "/credit"', 'prefix = "/credit"\nmethods = ["POST", "GET"]'),
     )
-    p = planned(server(1), target=GRPC, text=text)
-    assert [r.name for r in p.routes] == ["topup/credit", "topup/rest"]
-    assert not p.unsupported
+    plan = planned(server(1), target=GRPC, text=text)
+    assert [route.name for route in plan.routes] == ["topup/credit", "topup/rest"]
+    assert not plan.unsupported
     envoy = routes(planned(server(1), text=text))["credit"]
     (header,) = envoy.match.headers
     assert (header.name, header.string_match.safe_regex.regex) == (":method", "GET|POST")
@@ -195,17 +199,22 @@
 
 
 def test_grpcs_client_for_node_is_never_sent_a_route_that_ends_its_process() -> None:
-    """Its denied catch is left out, which forwards as little; one in between is refused."""
+    """The client for Node.js ends its process on a denied route.
+
+    One behind all others is omitted, since a call that no route matches is forwarded as little.
+    With one in between, the service is withheld.
+    """
     node = replace(GRPC, kind=ProxyKind.GRPC_NODE)
-    plain, planned_for = planned(server(1), target=GRPC), planned(server(1), target=node)
-    assert [r.name for r in plain.routes if r.policy is None]
-    assert planned_for.routes
-    assert all(r.policy is not None for r in planned_for.routes)
-    assert not planned_for.unsupported
-    assert [r.name for r in planned_for.routes] == [
-        r.name for r in plain.routes if r.policy is not None
+    grpc_plan = planned(server(1), target=GRPC)
+    plan = planned(server(1), target=node)
+    assert [route.name for route in grpc_plan.routes if route.policy is None]
+    assert plan.routes
+    assert all(route.policy is not None for route in plan.routes)
+    assert not plan.unsupported
+    assert [route.name for route in plan.routes] == [
+        route.name for route in grpc_plan.routes if route.policy is not None
     ]
-    for route in routes(planned_for, ProxyKind.GRPC_NODE).values():
+    for route in routes(plan, ProxyKind.GRPC_NODE).values():
         assert route.HasField("route")
     inner = GOOD + '[[service.route]]\nname = "inner"\nprefix = "/balance/in"\ndeny = true\n'
     assert "topup/inner" in planned(server(1), target=node, text=inner).unsupported[0]
@@ -213,8 +222,8 @@
 
 
 def test_a_proxy_without_circuit_breaking_is_not_served_and_the_reason_is_named() -> None:
-    p = planned(server(1), target=replace(ENVOY, kind=ProxyKind.GRPC_UNBOUNDED))
-    assert p.unsupported == ("bounds nothing in flight, or tells no version",)
+    plan = planned(server(1), target=replace(ENVOY, kind=ProxyKind.GRPC_UNBOUNDED))
+    assert plan.unsupported == ("bounds nothing in flight, or tells no version",)
     wild = spoilt(('hosts = ["topup.example.org", "*.example.org"]', 'hosts = ["*.example.org"]'))
     assert "exact host" in planned(server(1), target=GRPC, text=wild).unsupported[0]
     assert not planned(server(1), text=wild).unsupported
@@ -275,8 +284,12 @@
         view = [server(1, warmth=warmth, cap=2), *(server(i) for i in range(2, servers + 1))]
         rows = planned(*view, target=target).localities
         weights = (
-            {int(x.sub_zone): x.weight for x in rows} if proxyless
-            else {s.port - 9000: s.weight for x in rows for s in x.endpoints}
+            {int(row.sub_zone): row.weight for row in rows} if proxyless
+            else {
+                endpoint.port - 9000: endpoint.weight
+                for row in rows
+                for endpoint in row.endpoints
+            }
         )  # fmt: skip
         if weights != loaded:
             for wheel in proxies:
