--- a/benchmarks/scale/balancers.py
+++ b/benchmarks/scale/balancers.py
@@ -19,7 +19,7 @@
     Tenant,
     Update,
 )
-from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
 
 CLASSES = (
     RequestClass("balance", 800 * MS, 2 * SECOND),
@@ -70,7 +70,7 @@
     balancers = {size: loaded(size, ALL_NODES) for size in sizes}
     held = {n: partial(loaded, n, ALL_NODES) for n in sizes}
     changed = {n: changing(b) for n, b in balancers.items()}
-    cycled = {n: partial(b.cycle, SECOND) for n, b in balancers.items()}
+    cycled = {n: partial(b.on_timer, SECOND, Timer.CYCLE) for n, b in balancers.items()}
     return [
         fit("balancer.memory", "bytes", "backend", meter.memory(held, 1)),
         fit("balancer.change", "us", "backend", meter.cpu(changed, 8)),
@@ -82,7 +82,7 @@
     """What a cycle pays for each slot held: classes' shares are dealt slot by slot."""
     backends = 400 if quick else 2_000
     balancers = [loaded(backends, nodes) for nodes in (4, 6, 8, 16, 64)]
-    points = meter.cpu({b.total: partial(b.cycle, SECOND) for b in balancers})
+    points = meter.cpu({b.state.total: partial(b.on_timer, SECOND, Timer.CYCLE) for b in balancers})
     return [fit("balancer.cycle_by_slots", "us", "slot", points)]
 
 
@@ -108,7 +108,7 @@
 def cycle_all(balancers: list[Balancer]) -> None:
     """The work that each does twice a second."""
     for balancer in balancers:
-        balancer.cycle(SECOND)
+        balancer.on_timer(SECOND, Timer.CYCLE)
 
 
 def by_tenants(quick: bool) -> list[Slope]:
--- a/benchmarks/scale/capacity/node.py
+++ b/benchmarks/scale/capacity/node.py
@@ -31,12 +31,12 @@
     "gossip between nodes (SWIM)", "loadbalancer/core/gossip, tests/core/gossip/test_fleet_world.py"
 )
 DEAL = Mechanism("slots dealt among the nodes of a service",
-                 "loadbalancer/core/balancing/balancer.py, "
+                 "loadbalancer/core/balancing/endpoint_caps.py, "
                  "tests/core/balancing/test_ordinary_path.py")  # fmt: skip
 PROCESS = Mechanism("the process itself", "loadbalancer/proxy/host.py, tests/proxy/test_node.py")
 QUOTAS = Mechanism(
     "a bucket a tenant and node, its part of the quota",
-    "loadbalancer/core/balancing/balancer.py, tests/core/balancing/test_ordinary_path.py",
+    "loadbalancer/core/balancing/admission.py, tests/core/balancing/test_ordinary_path.py",
 )
 
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -36,8 +36,8 @@
 from loadbalancer.core import Settings
 from loadbalancer.core.assignment.model import Change, Row, Snapshot
 from loadbalancer.core.assignment.model import Update as ScaleUpdate
-from loadbalancer.core.balancing.balancer import TIMER_CYCLE, Balancer
-from loadbalancer.core.balancing.model import MS, SECOND, Outcome, RequestClass, Tenant
+from loadbalancer.core.balancing.balancer import Balancer
+from loadbalancer.core.balancing.model import MS, SECOND, Outcome, RequestClass, Tenant, Timer
 from loadbalancer.core.subscription.holder import Holder, HolderLimits, UpdateResult
 from loadbalancer.sources.discovery import Roster, backend_id
 
@@ -122,7 +122,7 @@
 
     def set_timer(self, token: int, due: int) -> None:
         wait = max(due - time.monotonic_ns(), 0) / SECOND
-        if token == TIMER_CYCLE:
+        if token == Timer.CYCLE:
             wait *= self.stretch
         loop = asyncio.get_running_loop()
         handle: asyncio.TimerHandle
@@ -135,7 +135,7 @@
             return
         before = time.thread_time_ns()
         self.balancer.on_timer(time.monotonic_ns(), token)
-        if token == TIMER_CYCLE:
+        if token == Timer.CYCLE:
             self.process.counts["cycles"] += 1
             self.process.counts["cycles_cpu_ns"] += time.thread_time_ns() - before
 
--- /dev/null
+++ b/loadbalancer/core/balancing/concurrency_limit.py
@@ -0,0 +1,91 @@
+"""How many requests all nodes together have in flight at one endpoint.
+
+The DESIGN-wharfspread page leaves the sizing of the caps open. Here the limit
+follows the crowding of the worst class: the part of the time between its
+uncrowded latency and its latency objective that its attempts use up, 0 on idle
+endpoints, 1 where the objective is missed on average. Once a cycle the limit is
+cut where crowding, rejections or time-outs are high, and grows where requests
+wait while crowding is low. Each node does so from its own attempts alone.
+
+Inputs: the sums of `latency.record`, counts of outcomes, and whether any request
+had to wait since the last cycle.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.class_weights import DECAY
+from loadbalancer.core.balancing.latency import FEW_SAMPLES
+from loadbalancer.core.balancing.state import BalancerState
+
+MIN_LIMIT = 1.0
+MAX_LIMIT = 64.0
+LOW_CROWDING = 0.17
+HIGH_CROWDING = 0.32
+DEEP_CROWDING = 2.0 * HIGH_CROWDING
+GROWTH = 1.15
+CUT = 0.9
+DEEP_CUT = CUT * CUT * CUT
+MAX_REJECTED_PART = 0.05  # of outcomes, above which endpoints' rejections cut the limit
+MAX_TIMEOUT_PART = 0.04  # the same of time-outs of endpoints that answer otherwise
+MIN_SAMPLES = 3  # attempts of a class by which its crowding is judged
+CARRIED_SAMPLES = 10  # samples up to which a class's sums are carried to the next cycle
+BASE_GROWTH = 1.005  # a cycle, so that an uncrowded latency once seen does not stay for ever
+MAX_BASE_PART = 0.9  # of the objective, that an uncrowded latency counts as
+
+
+def adjust(state: BalancerState, now: int) -> None:
+    """Cut the limit, let it grow, or leave it, by what was counted since the last cycle."""
+    crowding, judged = _worst_crowding(state)
+    cut = False
+    if state.outcomes:
+        if _must_cut(state, crowding):
+            cut = True
+            deep = crowding > DEEP_CROWDING
+            limit = state.concurrency_limit * (DEEP_CUT if deep else CUT)
+            state.concurrency_limit = max(MIN_LIMIT, limit)
+            if deep:
+                state.log(now, f"level down to {state.concurrency_limit:.1f}")
+        elif state.saturated and judged and crowding < LOW_CROWDING:
+            state.concurrency_limit = min(MAX_LIMIT, state.concurrency_limit * GROWTH)
+    state.outcomes = state.rejections = state.timeouts = 0
+    state.saturated = False
+    _carry_samples(state, cut)
+
+
+def _worst_crowding(state: BalancerState) -> tuple[float, bool]:
+    """The highest crowding of all classes, at least 0, and whether any class was judged."""
+    worst = 0.0
+    judged = False
+    for number, samples in enumerate(state.crowding_samples):
+        judged = judged or samples >= MIN_SAMPLES
+        c = state.classes[number]
+        if c.latency_samples > FEW_SAMPLES:
+            base = min(c.base_latency * BASE_GROWTH, c.latency)
+            c.base_latency = base if c.base_latency else c.latency
+        # Without a base latency half an objective on idle endpoints would pass for crowding.
+        if samples >= MIN_SAMPLES and c.base_latency:
+            # A class may take half its objective on an idle endpoint: that is no crowding.
+            base = min(c.base_latency / c.latency_objective, MAX_BASE_PART)
+            worst = max(worst, (state.crowding_sum[number] / samples - base) / (1.0 - base))
+    return worst, judged
+
+
+def _must_cut(state: BalancerState, crowding: float) -> bool:
+    outcomes = state.outcomes
+    return (
+        crowding > HIGH_CROWDING
+        or state.rejections > MAX_REJECTED_PART * outcomes
+        or state.timeouts > max(MAX_TIMEOUT_PART * outcomes, 1)
+    )
+
+
+def _carry_samples(state: BalancerState, cut: bool) -> None:
+    """Let what few samples a class has fade into the next cycle; forget the others.
+
+    A node of many sees an answer or two a cycle, and the worst class's mean over so few
+    is mostly chance. Nothing is carried past a cut: one jam would be judged many times.
+    """
+    for number, samples in enumerate(state.crowding_samples):
+        carry = DECAY if samples < CARRIED_SAMPLES and not cut else 0.0
+        state.crowding_sum[number] *= carry
+        state.crowding_samples[number] *= carry
--- /dev/null
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -0,0 +1,71 @@
+"""Queued requests leave while slots are free (DESIGN-wharfspread, point 2).
+
+A request may leave while fewer than N_g are in flight (long messages that only move
+bytes don't count) and some endpoint is under its cap. Which one leaves is decided in
+`scheduling`, where to in `endpoint_selection`.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing import final_answer, rotation, slow_start
+from loadbalancer.core.balancing.endpoint_selection import pick, pick_for
+from loadbalancer.core.balancing.records import Attempt, Endpoint, Request
+from loadbalancer.core.balancing.retries import attempt_timeout, may_resend
+from loadbalancer.core.balancing.scheduling import next_request
+from loadbalancer.core.balancing.state import BalancerState
+
+
+def dispatch(state: BalancerState, now: int) -> None:
+    """Send queued requests while slots are free."""
+    while state.in_flight - state.transferring < state.total:
+        deferred = False
+        if not state.queued:
+            if not state.deferred:
+                return
+            deferred = True
+        picked = pick(state, now)
+        if picked is None:
+            return
+        request = next_request(state, deferred)
+        # A repeat's window may close while it waits for a slot.
+        if now > request.wait_until or (request.attempts and not may_resend(now, request)):
+            final_answer.give(state, request)
+            continue
+        endpoint = pick_for(state, now, request, picked)
+        if endpoint is None:
+            final_answer.give(state, request)
+        else:
+            send(state, now, request, endpoint)
+
+
+def send(state: BalancerState, now: int, request: Request, endpoint: Endpoint) -> None:
+    """Send a request's next attempt to an endpoint."""
+    timeout = attempt_timeout(state, now, request)
+    request.attempts.append(Attempt(endpoint, now))
+    request.in_flight += 1
+    request.request_class.in_flight += 1
+    state.in_flight += 1
+    state.sends += 1
+    if not endpoint.in_flight:
+        endpoint.silent_since = now
+    endpoint.in_flight += 1
+    if endpoint.cold_until > now:
+        slow_start.space_sends(state, now, endpoint)
+    rotation.update(state, endpoint)
+    state.actions.send(request.id, endpoint.id, timeout)
+
+
+def set_transferring(state: BalancerState, attempt: Attempt, transferring: bool) -> None:
+    """Count an attempt that only moves bytes: its silence is not its endpoint's.
+
+    Its slot is free for others meanwhile, up to `rotation.MAX_TRANSFERRING`.
+    """
+    if attempt.transferring != transferring and (attempt.open or not transferring):
+        attempt.transferring = transferring
+        step = 1 if transferring else -1
+        endpoint = attempt.endpoint
+        endpoint.transferring += step
+        state.transferring += step
+        rotation.update(state, endpoint)
+        if transferring:
+            dispatch(state, state.now)
--- /dev/null
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -0,0 +1,138 @@
+"""How many of each endpoint's slots are this node's (DESIGN-wharfspread, points 1 and 2).
+
+The concurrency limit says how many requests all nodes together have in flight at
+one endpoint. The paper splits it among the nodes in proportion to their load,
+which needs a global manager. Here each node takes the slots whose turn falls on
+it: nodes are ranked the same way everywhere, from the settings and the list
+alone, and the ranks are shifted from endpoint to endpoint. With more nodes than
+slots most nodes have no slot at most endpoints, and some at a few.
+
+Inputs: the concurrency limit, the listed endpoints, this node's number and zone,
+and what the endpoints' answers show. Results, all in requests: `Endpoint.cap`
+(N_{g,s}), `Endpoint.node_cap` and `BalancerState.total` (N_g). Nodes of other
+zones get a part of an endpoint's slots of their own. Where nodes exchange
+messages (`SlotRanks`) the slots of nodes that are down are divided among the
+others, and where two processes are this node (`LimitShare`) they divide its caps.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing import outlier_detection, rotation, slow_start
+from loadbalancer.core.balancing.model import SECOND, Settings, State
+from loadbalancer.core.balancing.records import Endpoint
+from loadbalancer.core.balancing.state import BalancerState
+
+OTHER_ZONES_PART = 0.34  # of the limit, for the nodes of other zones
+# Golden section: among any run of endpoints a fractional limit is rounded up at as
+# many as its fraction says. Rounded up everywhere, just over 2 would give three slots.
+ROUNDING_STEP = 0.618034
+MIN_SLOTS = 3  # a node has at least so many slots in its zone, however many nodes there are
+RESERVE_REACH = 4  # multiples of an endpoint's slots within which a node's rank gives a reserve
+SLOW_RATIO = 1.5  # latency against the fleet's above which an endpoint's own limit shrinks
+STALE_GAIN = 0.05  # a cycle, by which a latency that nothing measures returns to the usual one
+FRESH_NS = 2 * SECOND  # an endpoint's last answer is taken as true for this long
+
+
+def locate(state: BalancerState, settings: Settings) -> None:
+    """Set this node's place among the nodes of its zone, and the load report's column."""
+    columns = settings.load_columns
+    state.queue_column = columns.index("q") if "q" in columns else -1
+    own = settings.node % settings.zones == settings.zone % settings.zones
+    same = range(settings.zone, settings.nodes, settings.zones) if own else ()
+    state.peers = max(1, len(same) or -(-settings.nodes // settings.zones))
+    state.zone_rank = settings.node // settings.zones
+
+
+def assign_ranks(state: BalancerState) -> None:
+    """Set this node's rank at every endpoint from the list, then all caps.
+
+    Instead of the paper's equations 5 and 6, see the module's comment.
+    """
+    zones: dict[int, list[Endpoint]] = {}
+    for endpoint in state.endpoints.values():
+        if endpoint.state == State.READY:
+            zones.setdefault(endpoint.zone, []).append(endpoint)
+    state.ready = 0
+    for zone in sorted(zones):
+        endpoints = sorted(zones[zone], key=lambda e: e.id)
+        count = len(endpoints)
+        state.ready += count
+        nodes, place = _place_in(state, zone)
+        # Where nodes outnumber endpoints, ranks shifted one by one would miss the last nodes.
+        spread = max(nodes, count)
+        for index, endpoint in enumerate(endpoints):
+            endpoint.rounding = index * ROUNDING_STEP % 1.0
+            endpoint.sharing_nodes = nodes
+            endpoint.node_rank = (place - index * spread // count) % nodes
+    update(state)
+
+
+def _place_in(state: BalancerState, zone: int) -> tuple[int, int]:
+    """How many nodes share the endpoints of a zone, and this node's place among them."""
+    settings = state.settings
+    if zone == settings.zone:
+        return state.peers, state.zone_rank
+    inside = len(range(zone % settings.zones, settings.nodes, settings.zones))
+    earlier = len(range(zone % settings.zones, settings.node, settings.zones))
+    return max(1, settings.nodes - inside), settings.node - earlier
+
+
+def update(state: BalancerState) -> None:
+    """Set each endpoint's cap, and a reserve where this node's own slots are of no use.
+
+    Slots at endpoints that are silent, slow or cold serve nobody, and a node with few
+    slots may have no others: its requests would be rejected while other nodes have
+    slots free. Such a node uses the next slots in the order of its ranks.
+    """
+    local = sum(1 for e in state.endpoints.values() if e.local and e.state == State.READY)
+    limit = state.concurrency_limit
+    if local:
+        limit = max(limit, MIN_SLOTS * state.peers / local)
+    silence = outlier_detection.silence_limit(state)
+    total = assigned = usable = 0
+    reserve: list[tuple[int, int, Endpoint]] = []
+    for e in state.endpoints.values():
+        if e.state != State.READY:
+            continue
+        depth = limit if e.local else limit * OTHER_ZONES_PART
+        slots = int(depth + e.rounding)
+        _set_cap(state, e, depth, local)
+        total += e.cap
+        assigned += slots > e.node_rank
+        silent = e.in_flight > e.transferring and state.now - e.silent_since > silence
+        if not (silent or e.unresponsive or e.probing or e.ejected_until):
+            usable += e.cap
+            if not e.cap and e.cold_until <= state.now and e.node_rank < RESERVE_REACH * slots:
+                reserve.append((e.node_rank - slots, e.id, e))
+    lacking = max(min(assigned, MIN_SLOTS), 1) - usable
+    if lacking > 0 and state.slot_ranks is None:  # nodes that exchange messages lease slots
+        for _, _, e in sorted(reserve)[:lacking]:
+            e.node_cap = 1
+            e.cap = 1 if state.limit_share is None else state.limit_share.of(e.id, 1)
+            total += e.cap
+            rotation.update(state, e)
+    state.total = max(total, 1)
+
+
+def _set_cap(state: BalancerState, endpoint: Endpoint, depth: float, local: int) -> None:
+    """Set one endpoint's cap, where all nodes of a zone share `depth` slots of it."""
+    warm = endpoint.cold_until <= state.now
+    ratio = max(endpoint.latency_ratio, endpoint.reported_ratio)
+    if ratio > SLOW_RATIO:
+        depth = min(depth, max(1.0, depth / ratio))
+        if not endpoint.in_flight and state.now - endpoint.last_seen > FRESH_NS:
+            # Without a slot nothing measures it: its last latency must not count for ever.
+            endpoint.latency_ratio += STALE_GAIN * (1.0 - endpoint.latency_ratio)
+    if not warm:
+        depth = slow_start.depth(state, endpoint, depth)
+    nodes = endpoint.sharing_nodes
+    endpoint.sharers = max(1, min(int(depth + 1.0), nodes))
+    slots = int(depth + endpoint.rounding)
+    rank = endpoint.node_rank
+    endpoint.node_cap = -(-(slots - rank) // nodes) if slots > rank else 0
+    if state.slot_ranks is not None and endpoint.local and warm:
+        endpoint.node_cap = state.slot_ranks.cap(endpoint.id, rank, slots, local)
+    endpoint.cap = endpoint.node_cap
+    if state.limit_share is not None:
+        endpoint.cap = state.limit_share.of(endpoint.id, endpoint.node_cap)
+    rotation.update(state, endpoint)
--- /dev/null
+++ b/loadbalancer/core/balancing/hedging.py
@@ -0,0 +1,61 @@
+"""When a second copy of a slow request is sent (a hedge), and what a hedge that wins shows.
+
+Only of requests that may be repeated without effect, where the settings allow hedges
+and cancelling and the route's policy asks for them: after a fixed time, or after a
+percentile of the route's answer times. A hedge needs a free slot, part of the route's
+allowance, and tokens of the retry budgets.
+
+Times are nanoseconds.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing import retries, rotation
+from loadbalancer.core.balancing.answer_times import AnswerTimes
+from loadbalancer.core.balancing.latency import MAX_RATIO, RATIO_GAIN
+from loadbalancer.core.balancing.model import Effect
+from loadbalancer.core.balancing.outlier_detection import MAX_BACKOFF_NS
+from loadbalancer.core.balancing.records import Endpoint, Request
+from loadbalancer.core.balancing.state import BalancerState
+from loadbalancer.core.routes.table import CopySpec
+
+HEDGE_BURST = 2.0  # hedges that may have been saved up, at least
+
+
+def may_hedge(state: BalancerState, request: Request) -> bool:
+    """Whether the settings and the request allow another copy of it."""
+    settings = state.settings
+    allowed = settings.hedging and settings.can_cancel and request.effect == Effect.PURE
+    if not allowed or request.response_started:
+        return False
+    return len(request.attempts) < retries.max_attempts(request)
+
+
+def delay(spec: CopySpec, answers: AnswerTimes) -> int:
+    """How long after the first attempt a hedge is due; 0 where that is not known yet."""
+    return spec.after or answers.at(spec.percentile)
+
+
+def allowance(spec: CopySpec, saved: float, active: int) -> float:
+    """The hedges that a route may send after one more request, of which `saved` before it."""
+    return min(saved + spec.most, max(HEDGE_BURST, spec.most * active))
+
+
+def on_cancelled(
+    state: BalancerState, now: int, request: Request, endpoint: Endpoint, duration: int
+) -> None:
+    """The other copy was faster: this one's time so far is the least it would have taken.
+
+    Not learned from, a slow endpoint that always loses would look as it did at first.
+    Nor does a cancel end its work at once: it backs off for as long again as the
+    attempt was out, or the next requests would queue behind work that nobody waits
+    for. An endpoint that loses by chance backs off for some mean latencies.
+    """
+    endpoint.backoff_until = max(endpoint.backoff_until, now + min(duration, MAX_BACKOFF_NS))
+    rotation.update(state, endpoint)
+    state.wake(endpoint.backoff_until, endpoint)
+    ratio = min(duration / request.request_class.latency, MAX_RATIO)
+    if ratio > endpoint.latency_ratio:
+        endpoint.latency_ratio += RATIO_GAIN * (ratio - endpoint.latency_ratio)
+        endpoint.load_cost = max(endpoint.load_cost, ratio)
+        endpoint.last_seen = now
--- /dev/null
+++ b/loadbalancer/core/balancing/latency.py
@@ -0,0 +1,38 @@
+"""What an attempt's duration teaches of its class, its endpoint and the crowding of all.
+
+Inputs are durations in nanoseconds; a class's mean is in nanoseconds too, an
+endpoint's ratio is against its class's mean, a crowding sample is in objectives.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.records import ClassState, Endpoint
+from loadbalancer.core.balancing.state import BalancerState
+
+MAX_OBJECTIVES = 1.2  # most latency objectives that one attempt counts as
+FEW_SAMPLES = 20  # up to which a class's mean follows new samples quickly
+FAST_GAIN = 0.2
+SLOW_GAIN = 0.05
+RATIO_GAIN = 0.2
+MAX_RATIO = 10.0
+
+
+def record(
+    state: BalancerState, request_class: ClassState, endpoint: Endpoint, duration: int
+) -> float:
+    """Learn from how long an attempt was out; its duration against the class's mean.
+
+    The duration is bounded: in full, a few time-outs of one unresponsive endpoint
+    would look like crowding of the whole fleet and cut the limit for all of them.
+    """
+    objective = request_class.latency_objective
+    duration = min(duration, int(MAX_OBJECTIVES * objective))
+    gain = SLOW_GAIN if request_class.latency_samples > FEW_SAMPLES else FAST_GAIN
+    request_class.latency_samples += 1
+    request_class.latency += gain * (duration - request_class.latency)
+    number = request_class.number
+    state.crowding_sum[number] += duration / objective
+    state.crowding_samples[number] += 1
+    ratio = min(duration / request_class.latency, MAX_RATIO)
+    endpoint.latency_ratio += RATIO_GAIN * (ratio - endpoint.latency_ratio)
+    return ratio
--- /dev/null
+++ b/loadbalancer/core/balancing/list_updates.py
@@ -0,0 +1,92 @@
+"""What an update of the endpoint list changes.
+
+Rows name endpoints and their states; a complete list also removes what it does not
+name. An endpoint that is removed or draining gets nothing more and is forgotten once
+it has nothing in flight: ids are never used again, so the list would grow for ever.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from loadbalancer.core.balancing import outlier_detection, rotation, slow_start
+from loadbalancer.core.balancing.model import MS, Listing, Settings, State, Timer, Update
+from loadbalancer.core.balancing.records import Endpoint
+from loadbalancer.core.balancing.state import BalancerState
+from loadbalancer.core.endpoints.poll_timing import terms
+
+FIRST_POLL_PART = 4  # one in so many of `poll_within` is the most that first polls are spread over
+FIRST_POLL_SPREAD_NS = 100 * MS  # for each node
+
+
+def schedule_first_poll(state: BalancerState, now: int) -> None:
+    """Spread the nodes' first polls: they start together, and the list service has a limit."""
+    settings = state.settings
+    spread = min(settings.poll_within // FIRST_POLL_PART, settings.nodes * FIRST_POLL_SPREAD_NS)
+    state.actions.set_timer(Timer.LIST, now + state.random.randrange(1, spread + 2))
+
+
+def poll(state: BalancerState) -> None:
+    """Ask for the list, unless a call is out."""
+    if not state.polling:
+        state.polling = True
+        state.actions.watch()
+
+
+def poll_failed(state: BalancerState, now: int) -> None:
+    """A list call has failed: the next one comes after a random pause."""
+    state.polling = False
+    state.log(now, "list call failed")
+    pause = terms(state.settings)
+    due = now + state.random.randint(pause.pause_least, pause.pause_most)
+    state.actions.set_timer(Timer.LIST, due)
+
+
+def apply(state: BalancerState, now: int, update: Update, rows: Sequence[Listing]) -> None:
+    """Take over the rows of an update that has not failed."""
+    if update < Update.CACHED:
+        state.polling = False
+    if update in (Update.FULL, Update.CACHED):
+        named = {row.backend for row in rows}
+        for endpoint in state.endpoints.values():
+            if endpoint.id not in named:
+                endpoint.state = State.GONE
+                rotation.update(state, endpoint)
+    for row in rows:
+        _apply_row(state, now, row)
+    _forget_removed(state)
+
+
+def _apply_row(state: BalancerState, now: int, row: Listing) -> None:
+    settings = state.settings
+    endpoint = state.endpoints.get(row.backend)
+    if endpoint is None:
+        if row.state == State.GONE:
+            return
+        endpoint = Endpoint(row, row.zone == settings.zone)
+        state.endpoints[row.backend] = endpoint
+        slow_start.listed(settings, endpoint, now)
+    else:
+        _change(state, endpoint, row, settings)
+    rotation.update(state, endpoint)
+
+
+def _change(state: BalancerState, endpoint: Endpoint, row: Listing, settings: Settings) -> None:
+    listed = row.state != State.GONE
+    if listed and row.boot and row.boot != endpoint.boot:
+        slow_start.restarted(settings, endpoint, row.boot)
+        if endpoint.ejected_until:
+            outlier_detection.readmit(state, endpoint)
+    endpoint.state = row.state
+    if listed:
+        endpoint.rating = row.rating if row.rating > 0 else 1.0
+        endpoint.zone, endpoint.cell = row.zone, row.cell
+        endpoint.local = row.zone == settings.zone
+
+
+def _forget_removed(state: BalancerState) -> None:
+    for endpoint in list(state.endpoints.values()):
+        if endpoint.state == State.GONE and not endpoint.in_flight:
+            if endpoint.ejected_until:
+                outlier_detection.readmit(state, endpoint)
+            del state.endpoints[endpoint.id]
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -1,6 +1,7 @@
-"""Plain types that the decisions share with whoever tells them and carries them out.
+"""Settings, endpoint lists, outcomes and actions: what a host and the decisions exchange.
 
-Times are integer nanoseconds. Nothing here decides or imports anything of the project.
+Times are integer nanoseconds. Below all: nothing here decides or imports anything of the
+project but its errors.
 """
 
 from __future__ import annotations
@@ -9,17 +10,27 @@
 from enum import IntEnum
 from typing import NamedTuple, Protocol
 
+from loadbalancer.core.errors import ConfigurationError
+
 MS = 1_000_000
 SECOND = 1_000_000_000
 
 
+class SettingsError(ConfigurationError, ValueError):
+    """Settings that a Balancer can't go by; also a ValueError, as a value that does not fit."""
+
+
 class State(IntEnum):
+    """The state of an endpoint in the list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class Update(IntEnum):
+    """What an update of the endpoint list is."""
+
     DELTA = 0
     FULL = 1
     CACHED = 2
@@ -28,39 +39,53 @@
 
 
 class Effect(IntEnum):
-    PURE = 0
-    TOKEN = 1
-    SIDE_EFFECT = 2
+    """What a second execution of a request does; the later, the stricter."""
+
+    PURE = 0  # nothing
+    TOKEN = 1  # nothing, where its key is known
+    SIDE_EFFECT = 2  # an effect twice
 
 
 class Scope(IntEnum):
+    """Which endpoints know a request's key once it has executed; the later, the stricter."""
+
     ALL = 0
     ZONE = 1
     CELL = 2
 
 
+class Timer(IntEnum):
+    """What a timer is for: the token of Actions.set_timer."""
+
+    WAKE = 1  # look at requests and endpoints whose time has come
+    CYCLE = 2  # adjust limits and shares
+    LIST = 3  # poll the endpoint list
+
+
 class Outcome(IntEnum):
+    """How an attempt ended."""
+
     OK = 1
     ERROR = 2
-    FULL = 3
+    FULL = 3  # the endpoint turned it away
     TIMEOUT = 4
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    MOOT = 8  # it was never begun
 
 
 class ReportedState(IntEnum):
-    """What other nodes' words come to for one backend; the later, the stricter."""
+    """What other nodes' reports of one endpoint come to; the later, the stricter."""
 
     SLOW = 1
     FULL = 2
-    DOUBTED = 3  # by one that may be cut off itself
+    DOUBTED = 3  # silent, by one node that may be cut off itself
     SILENT = 4
 
 
 class Listing(NamedTuple):
-    """One line of the backend list."""
+    """One row of the endpoint list; `backend` is the endpoint's id."""
 
     backend: int
     state: State
@@ -72,7 +97,7 @@
 
 
 class ServerView(NamedTuple):
-    """What the Balancer holds of one backend, for whoever passes its decisions on."""
+    """What the Balancer knows of one endpoint, for those that pass its decisions on."""
 
     backend: int
     zone: int
@@ -80,55 +105,59 @@
     cap: int  # requests in flight that this node allows
     warmth: float  # part of its capacity, 1.0 once warm
     latency_ratio: float  # against the fleet's
-    ejected: bool  # left alone as silent or unreachable
+    ejected: bool  # out of rotation as silent or unreachable
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A grade of requests with its rules; times in nanoseconds."""
+
     name: str
     latency_objective: int
-    deadline: int
+    deadline: int  # the longest that its clients wait
     effect: Effect = Effect.PURE
     scope: Scope = Scope.ALL
-    repeat_window: int = 0
-    priority_weight: float = 1.0
-    late_weight: float = 0.0
+    repeat_window: int = 0  # for so long after a send its key is known
+    priority_weight: float = 1.0  # of missing the objective
+    late_weight: float = 0.0  # of an answer after the objective; 0: of no use
     stream: bool = False
-    objective_stretch: float = 0.0
+    objective_stretch: float = 0.0  # nanoseconds of objective per nanosecond of stated work
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """Whose requests share the node."""
+
     name: str
-    portion: float = 1.0
-    quota_per_s: float = 0.0
+    portion: float = 1.0  # of each class, against the other tenants'
+    quota_per_s: float = 0.0  # requests a second at all nodes; 0: no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is told at its start; times in nanoseconds."""
+    """What a node is given at its start; times in nanoseconds."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    node: int = 0
+    node: int = 0  # this node's number
     nodes: int = 1
     zone: int = 0
     zones: int = 1
-    load_columns: tuple[str, ...] = ()
-    poll: bool = False
+    load_columns: tuple[str, ...] = ()  # of the load reports in endpoints' answers
+    poll: bool = False  # the Balancer says when the list is asked for
     poll_within: int = 10 * SECOND
     drain_grace: int = SECOND
-    cold_from: float = 0.1
-    cold: int = 10 * SECOND
-    fall_multiple: float = 3.0
-    fall: int = 2 * SECOND
+    cold_from: float = 0.1  # part of its capacity that an endpoint starts with
+    cold: int = 10 * SECOND  # until it has all of it
+    fall_multiple: float = 3.0  # of its present capacity, that it may be sent ...
+    fall: int = 2 * SECOND  # ... within this time
     answer_slack: int = 0
     max_attempts: int = 1
     hedging: bool = False
     can_cancel: bool = False
     can_probe: bool = False
     max_retry_after: int = 0
-    marks_retry: bool = False
+    marks_retry: bool = False  # clients mark further tries
     connect_timeout: int = 250 * MS
     tick: int = MS
     worst_class: float = 0.0
@@ -136,23 +165,39 @@
     rated: bool = False
 
     def __post_init__(self) -> None:
+        """Raise SettingsError where a value can't be used."""
         if not self.classes:
-            raise ValueError("settings need at least one request class")
+            raise SettingsError("settings need at least one request class")
         if self.nodes < 1:
-            raise ValueError("balancers must be at least 1")
+            raise SettingsError("balancers must be at least 1")
         for c in self.classes:
             if c.latency_objective <= 0 or c.deadline <= 0:
-                raise ValueError(f"class {c.name!r} needs an aim and a deadline above 0")
+                raise SettingsError(f"class {c.name!r} needs an aim and a deadline above 0")
 
 
 class Actions(Protocol):
-    """What a Balancer asks its host to do; all take effect at once."""
-
-    def send(self, request: int, backend: int, timeout: int) -> None: ...
-    def refuse(self, request: int, retry_after: int) -> None: ...
-    def fail(self, request: int) -> None: ...
-    def cancel(self, request: int, attempt: int) -> None: ...
-    def set_timer(self, token: int, due: int) -> None: ...
-    def probe(self, backend: int) -> None: ...
-    def watch(self) -> None: ...
-    def log(self, text: str) -> None: ...
+    """What a Balancer asks its host to do; all take effect at once, times in nanoseconds."""
+
+    def send(self, request: int, backend: int, timeout: int) -> None:
+        """Send the request's next attempt to this endpoint, and end it after `timeout`."""
+
+    def refuse(self, request: int, retry_after: int) -> None:
+        """Reject the request: trying again is harmless, after `retry_after` or at once (0)."""
+
+    def fail(self, request: int) -> None:
+        """Answer that the request has failed and may have been executed."""
+
+    def cancel(self, request: int, attempt: int) -> None:
+        """Cancel an attempt; its outcome is reported all the same."""
+
+    def set_timer(self, token: int, due: int) -> None:
+        """Report `on_timer` with this Timer at `due`."""
+
+    def probe(self, backend: int) -> None:
+        """Probe an endpoint."""
+
+    def watch(self) -> None:
+        """Ask for the endpoint list."""
+
+    def log(self, text: str) -> None:
+        """Log one line."""
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -1,41 +1,69 @@
-"""What a Balancer asks of the modules beside it, which know it; it knows them by these alone."""
+"""What a host plugs into a Balancer, by interface: the decisions import none of these modules."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol, TypeVar
+from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
+    from loadbalancer.core.balancing.records import Request
     from loadbalancer.core.balancing.request_policy_state import RequestPolicyState
     from loadbalancer.core.routes.table import Policy
 
-R = TypeVar("R", contravariant=True)  # the Balancer's record of a request
-
 
 class LimitShare(Protocol):
-    """Each backend's cap, where two processes are this node."""
+    """This process's part of each endpoint's cap, where two processes are one node."""
 
-    def of(self, backend: int, cap: int) -> int: ...
+    def of(self, backend: int, cap: int) -> int:
+        """The part of a node's `cap` of this endpoint, in requests."""
 
 
 class SlotRanks(Protocol):
-    """How many of a backend's slots are this node's among the living (see fleet/slots.py)."""
+    """Slots divided among the nodes that are alive; see loadbalancer.core.gossip.slots."""
+
+    def cap(self, backend: int, deal: int, depth: int, servers: int) -> int:
+        """The cap of the node whose rank at this endpoint is `deal`, of `depth` slots.
 
-    def cap(self, backend: int, deal: int, depth: int, servers: int) -> int: ...
+        `servers` is how many endpoints of its zone are listed as ready.
+        """
 
 
-class Policies(Protocol[R]):
-    """The routes' policies, for requests that have one (see attempts.py)."""
+class Policies(Protocol):
+    """The routes' policies, called for the requests that have one; see `route_policies`."""
+
+    def adopt(self, now: int, request: Request, policy: Policy) -> None:
+        """A new request has come under this policy."""
 
-    def adopt(self, now: int, r: R, policy: Policy) -> None: ...
     def sending(
-        self, now: int, r: R, ticket: RequestPolicyState, limit: int
-    ) -> tuple[int, bool]: ...
+        self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
+    ) -> tuple[int, bool]:
+        """An attempt is sent: its time-out, and whether the usual patience bounds it."""
+
     def attempt_ended(
-        self, now: int, r: R, ticket: RequestPolicyState, number: int, outcome: int, taken: int
-    ) -> None: ...
+        self,
+        now: int,
+        request: Request,
+        policy_state: RequestPolicyState,
+        number: int,
+        outcome: int,
+        duration: int,
+    ) -> None:
+        """An attempt of a request that may be hedged has ended."""
+
     def again(
-        self, now: int, r: R, ticket: RequestPolicyState, outcome: int, connected: bool
-    ) -> None: ...
-    def come_due(self, now: int, r: R, ticket: RequestPolicyState) -> None: ...
-    def cancel(self, r: R, first: int) -> None: ...
-    def ended(self, ticket: RequestPolicyState) -> None: ...
+        self,
+        now: int,
+        request: Request,
+        policy_state: RequestPolicyState,
+        outcome: int,
+        connected: bool,
+    ) -> None:
+        """The last attempt in flight has failed: send another, or give the final answer."""
+
+    def come_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
+        """A back-off is over, or a hedge due."""
+
+    def cancel(self, request: Request, first: int) -> None:
+        """Cancel the open attempts from this number on."""
+
+    def ended(self, policy_state: RequestPolicyState) -> None:
+        """The request has ended."""
--- /dev/null
+++ b/loadbalancer/core/balancing/request_classes.py
@@ -0,0 +1,79 @@
+"""Which request classes count, as the settings change while requests are open.
+
+A class that is the same in every setting goes on as it is. A changed one begins anew
+with what its name had learned; the old one, like one that is dropped, is retired: it
+finishes the requests it has under its own rules, and for RETIRE_AFTER_NS requests
+may still name it, because its clients may not know yet.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import SECOND, Effect, Settings
+from loadbalancer.core.balancing.records import ClassState
+from loadbalancer.core.balancing.state import BalancerState
+
+RETIRE_AFTER_NS = 2 * SECOND
+
+
+def replace(state: BalancerState, now: int, settings: Settings) -> None:
+    """Go by the classes of other settings from now on."""
+    current = {c.spec.name: c for c in state.classes if not c.retires_at}
+    classes = []
+    for spec in settings.classes:
+        c = current.get(spec.name)
+        if c is None or c.spec != spec:
+            fresh = ClassState(0, spec, len(settings.tenants))
+            if c is not None:
+                fresh.learn_from(c)
+            c = fresh
+        classes.append(c)
+    for c in state.classes:
+        if c not in classes:
+            c.retires_at = c.retires_at or now + RETIRE_AFTER_NS
+            c.arrivals = 0.0
+            classes.append(c)
+    _renumber(state, classes)
+
+
+def drop_retired(state: BalancerState, now: int) -> None:
+    """Drop the retired classes that have no request queued or in flight."""
+    remaining = [
+        c
+        for c in state.classes
+        if not c.retires_at or now < c.retires_at or c.has_queued() or c.in_flight
+    ]
+    if len(remaining) < len(state.classes):
+        _renumber(state, remaining)
+
+
+def _renumber(state: BalancerState, classes: list[ClassState]) -> None:
+    """These classes count from now on, in this order; each one's counts go along."""
+    sums = {
+        id(c): (state.crowding_sum[c.number], state.crowding_samples[c.number])
+        for c in state.classes
+    }
+    for c in state.classes:
+        c.number = -1
+    state.classes = classes
+    state.crowding_sum, state.crowding_samples = [], []
+    for number, c in enumerate(classes):
+        c.number = number
+        crowding, samples = sums.get(id(c), (0.0, 0.0))
+        state.crowding_sum.append(crowding)
+        state.crowding_samples.append(samples)
+    state.turn = state.remaining_in_turn = 0
+
+
+def find(state: BalancerState, now: int, name: str, safe: bool, keyed: bool) -> ClassState | None:
+    """The class that a client means who names it, None where there is none.
+
+    Where one has just changed, its method and key tell whether the client knows.
+    """
+    first = None
+    for c in state.classes:
+        if c.spec.name == name and (not c.retires_at or now < c.retires_at):
+            effect = c.effect
+            if safe == (effect == Effect.PURE) and (keyed or effect != Effect.TOKEN):
+                return c
+            first = first or c
+    return first
--- /dev/null
+++ b/loadbalancer/core/balancing/retries.py
@@ -0,0 +1,123 @@
+"""May a further attempt be sent, how long may one take, and when a request gives up.
+
+- No second send of what may have executed, unless repeating has no effect, or the
+  request's key makes the repeat harmless within its window. Never two at a time.
+- At most the attempts of the settings or, lower, of the route's policy.
+- A further attempt must be able to end in time: it is queued ahead of the others
+  while its objective and its client's deadline are a mean latency away.
+- The retry budget bounds work that is done twice: RETRY_PART of first attempts,
+  RETRY_BURST saved up. An attempt that came back at once has cost little and is
+  charged by its duration; one that never executed costs nothing.
+- An attempt ends at its client's deadline, or just before the objective where late
+  answers are of no use; one that may be repeated ends earlier, after PATIENCE mean
+  latencies, while the budget has credit.
+
+Times are nanoseconds.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing import admission, final_answer
+from loadbalancer.core.balancing.model import MS, Effect, Outcome, State
+from loadbalancer.core.balancing.records import Request, RequestState
+from loadbalancer.core.balancing.state import RETRY_BURST, BalancerState
+
+OBJECTIVE_MARGIN = 0.03  # of the objective, that an attempt ends before it
+PATIENCE = 5.0  # mean latencies that an attempt is given which may be repeated ...
+PATIENCE_PART = 1.0  # ... and at least this part of its objective
+RETRY_PART = 0.1  # retries after executed attempts allowed per first attempt
+MIN_TIMEOUT_NS = MS
+# Outcomes after which an attempt has certainly not executed.
+NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+
+PURE, TOKEN, SIDE_EFFECT = Effect.PURE, Effect.TOKEN, Effect.SIDE_EFFECT
+ERROR, RESET = Outcome.ERROR, Outcome.RESET
+ENDED = RequestState.ENDED
+
+
+def max_attempts(request: Request) -> int:
+    """The most attempts that a request may have."""
+    policy_state = request.policy_state
+    granted = policy_state.policy.attempts if policy_state is not None else 0
+    return min(granted or request.max_attempts, request.max_attempts)
+
+
+def may_resend(now: int, request: Request) -> bool:
+    """Whether another attempt is allowed; `endpoint_selection` says where to."""
+    if request.in_flight or request.body_sent:
+        return False
+    if len(request.attempts) >= max_attempts(request):
+        return False
+    executed = request.first_executed
+    if executed is None or request.effect == PURE:
+        return True
+    if request.effect == SIDE_EFFECT:
+        return False
+    return now < executed.sent + request.repeat_window
+
+
+def attempt_timeout(state: BalancerState, now: int, request: Request) -> int:
+    """How long the request's next attempt may take; earns the first one's retry credit."""
+    c = request.request_class
+    end = request.deadline
+    if c.spec.late_weight <= 0:
+        margin = int(c.latency_objective * OBJECTIVE_MARGIN)
+        end = min(end, request.objective_at - margin)
+    timeout = max(end - now, MIN_TIMEOUT_NS)
+    attempts = len(request.attempts)
+    if not attempts:
+        state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
+    patient = True
+    if request.policy_state is not None and state.policies is not None:
+        timeout, patient = state.policies.sending(now, request, request.policy_state, timeout)
+    if (
+        patient
+        and request.effect == PURE
+        and attempts + 1 < max_attempts(request)
+        and state.retry_credit >= 1.0
+    ):
+        limit = max(PATIENCE * c.latency, PATIENCE_PART * c.latency_objective)
+        timeout = min(timeout, int(limit))
+    return timeout
+
+
+def price(request: Request, outcome: int, duration: int) -> float:
+    """What a retry after this outcome costs of the budget, up to 1."""
+    if outcome in (ERROR, RESET):
+        return min(duration / request.request_class.latency, 1.0)
+    return 1.0
+
+
+def retry_or_finish(state: BalancerState, now: int, request: Request, cost: float) -> None:
+    """Queue a further attempt ahead of the others, or give the final answer."""
+    c = request.request_class
+    request.wait_until = min(request.objective_at, request.deadline) - int(c.latency)
+    allowed = now < request.wait_until and may_resend(now, request)
+    if allowed and request.first_executed is not None:
+        allowed = state.retry_credit >= cost
+        if allowed:
+            state.retry_credit -= cost
+    if not allowed:
+        final_answer.give(state, request)
+        return
+    admission.enqueue(state, request, True)
+    state.wake(request.wait_until, request)
+
+
+def may_begin(now: int, request: Request, attempt: int) -> bool:
+    """Whether an attempt's first byte may still leave, now that its connection is up.
+
+    Guards against what changed meanwhile: its endpoint is being removed, its client has
+    gone, its window has closed. What may not begin has never executed and is queued
+    again, or rejected.
+    """
+    if request.state is ENDED or attempt >= len(request.attempts) or not request.max_attempts:
+        return False
+    executed = request.first_executed
+    if (
+        executed is not None
+        and request.effect == TOKEN
+        and now >= executed.sent + request.repeat_window
+    ):
+        return False
+    return request.attempts[attempt].endpoint.state == State.READY
--- /dev/null
+++ b/loadbalancer/core/balancing/rotation.py
@@ -0,0 +1,48 @@
+"""Which endpoints may take one more request.
+
+An endpoint is in rotation while it is listed as ready, has fewer requests in
+flight than its cap (one while it is probed) and is neither unresponsive, ejected
+nor backing off. Those in rotation stand in buckets by requests in flight, so
+that the least loaded ones are found without a search. Every change of one of
+these inputs is followed by `update`.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import State
+from loadbalancer.core.balancing.records import Endpoint
+from loadbalancer.core.balancing.state import BalancerState
+
+MAX_TRANSFERRING = 6  # long messages under way at an endpoint that don't count against its cap
+
+READY = State.READY
+
+
+def update(state: BalancerState, endpoint: Endpoint) -> None:
+    """Put an endpoint into the bucket of its requests in flight, or in none."""
+    in_flight = endpoint.in_flight
+    bucket = None
+    if (
+        endpoint.state == READY
+        and in_flight - min(endpoint.transferring, MAX_TRANSFERRING)
+        < (min(endpoint.cap, 1) if endpoint.probing else endpoint.cap)
+        and not endpoint.unresponsive
+        and not endpoint.ejected_until
+        and endpoint.backoff_until <= state.now
+    ):
+        pool = state.local if endpoint.local else state.remote
+        while len(pool) <= in_flight:
+            pool.append([])
+        bucket = pool[in_flight]
+    old = endpoint.bucket
+    if old is bucket:
+        return
+    if old is not None:
+        last = old.pop()
+        if last is not endpoint:
+            old[endpoint.bucket_index] = last
+            last.bucket_index = endpoint.bucket_index
+    if bucket is not None:
+        endpoint.bucket_index = len(bucket)
+        bucket.append(endpoint)
+    endpoint.bucket = bucket
--- /dev/null
+++ b/loadbalancer/core/balancing/slow_start.py
@@ -0,0 +1,58 @@
+"""Slow start: how much an endpoint gets whose process has just started.
+
+A process that has just started serves only a part of what it will: `cold_from`
+of the settings at first, all of it after `cold` nanoseconds. What all nodes
+together send it within `fall` nanoseconds must stay within `fall_multiple` times
+its present capacity. Nodes do not know of one another's sends, so each spaces its
+own sends to its part of that budget, and fewer slots are open meanwhile.
+"""
+
+from __future__ import annotations
+
+from loadbalancer.core.balancing.model import SECOND, Settings
+from loadbalancer.core.balancing.records import Endpoint
+from loadbalancer.core.balancing.state import BalancerState
+
+# Part of the budget that is used. The rest is for views of the list that differ
+# between nodes, and for requests that need more work than others.
+BUDGET_PART = 0.5
+MIN_COLD_DEPTH = 2  # slots of all nodes at a cold endpoint, where its limit allows as many
+
+
+def listed(settings: Settings, endpoint: Endpoint, now: int) -> None:
+    """An endpoint that is new in the list is cold if its process is."""
+    if endpoint.boot and now - endpoint.boot < settings.cold:
+        endpoint.cold_until = endpoint.boot + settings.cold
+
+
+def restarted(settings: Settings, endpoint: Endpoint, boot: int) -> None:
+    """An endpoint that was known has a new process, started at `boot`."""
+    endpoint.boot = boot
+    endpoint.cold_until = max(endpoint.cold_until, boot + settings.cold)
+
+
+def warmth(state: BalancerState, endpoint: Endpoint) -> float:
+    """The part of its capacity that a cold endpoint is assumed to have by now, up to 1."""
+    settings = state.settings
+    warm = 1.0 - (endpoint.cold_until - state.now) / max(settings.cold, 1)
+    return settings.cold_from + (1.0 - settings.cold_from) * max(0.0, min(1.0, warm))
+
+
+def depth(state: BalancerState, endpoint: Endpoint, limit: float) -> float:
+    """The concurrency limit of a cold endpoint, from the `limit` it has when warm."""
+    # A fixed pair of slots would leave a zone of half-warm endpoints idle.
+    return min(limit, max(MIN_COLD_DEPTH, limit * warmth(state, endpoint)))
+
+
+def space_sends(state: BalancerState, now: int, endpoint: Endpoint) -> None:
+    """Send nothing more to a cold endpoint until this node's part of its budget allows.
+
+    Where requests wait, its answers lift that (see `outlier_detection.succeeded`): when
+    every endpoint is cold there is no usual rate to go by.
+    """
+    settings = state.settings
+    usual = state.send_rate * settings.nodes / max(state.ready, 1)
+    rate = BUDGET_PART * settings.fall_multiple * warmth(state, endpoint) * usual
+    gap = settings.fall if rate <= 0 else min(int(SECOND * endpoint.sharers / rate), settings.fall)
+    endpoint.backoff_until = now + gap
+    state.wake(endpoint.backoff_until, endpoint)
--- a/loadbalancer/core/endpoints/attempt_evidence.py
+++ b/loadbalancer/core/endpoints/attempt_evidence.py
@@ -7,8 +7,9 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.balancing.balancer import STRIKES, Balancer
+from loadbalancer.core.balancing.balancer import Balancer
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES
 
 ANSWERED = 5 * SECOND  # for so long an answer says that a server is alive
 
@@ -17,12 +18,12 @@
     """True: it answered within ANSWERED. False: it is silent or unreachable. None: unknown.
 
     Times in nanoseconds. Could do harm if one lost connection made a server dead: it
-    takes STRIKES failures in a row with no answer between.
+    takes MAX_SILENT_FAILURES failures in a row with no answer between.
     """
     b = balancer.endpoints.get(backend)
     if b is None:
         return None
-    if b.consecutive_failures >= STRIKES or b.ejected_until:
+    if b.consecutive_failures >= MAX_SILENT_FAILURES or b.ejected_until:
         return False
     if b.last_seen and now - b.last_seen <= ANSWERED and not b.consecutive_failures:
         return True
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -42,7 +42,7 @@
         self._peaks = [0, 0]  # most in flight in this span and the one before
         self._span = 0
         self._zone, self._zones = s.node % s.zones, s.zones
-        balancer.slot_ranks = self.slots
+        balancer.set_slot_ranks(self.slots)
 
     def _living_at(self, place: int) -> bool:
         """A node beyond what our list of the nodes names is never taken for dead."""
@@ -131,7 +131,7 @@
         if update.draining:
             b.on_members(now, Update.REPORTED, update.draining)
         elif update.deal:
-            b.recap()
+            b.update_caps()
         b.dispatch(now)
 
     def _known_better(self, change: Change) -> bool:
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -1,10 +1,9 @@
 """What a Balancer has learned, as plain data for the process that succeeds it.
 
-Times go as spans before or after the moment of writing, so no clock need be
-shared. Reading checks the whole before anything is taken over; words of another
-form raise ValueError and change nothing. Nothing here grants more than a fresh
-start has earned: a cold backend stays cold for the time that was left, one that
-was left alone stays so.
+Times are written as spans before or after the moment of writing, so that the two
+processes need no common clock. `parse` checks all of the data before `restore` changes
+anything. Nothing here grants more than a fresh start: a cold endpoint stays cold for
+the time that remained, and an ejected one stays ejected.
 """
 
 from __future__ import annotations
@@ -13,47 +12,68 @@
 from math import isfinite
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from loadbalancer.core.balancing.balancer import BACKOFF, BACKOFF_MAX, LEFTS, MAX_LEVEL, MIN_LEVEL
+from loadbalancer.core.balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.balancing.outlier_detection import MAX_EJECTION_NS
+from loadbalancer.core.balancing.records import FIRST_EJECTION, REMAINING_STEPS
+from loadbalancer.core.errors import ProtocolError
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.balancer import Balancer, ClassState, Endpoint
+    from loadbalancer.core.balancing.balancer import Balancer
+    from loadbalancer.core.balancing.records import ClassState, Endpoint
+    from loadbalancer.core.balancing.state import BalancerState
 
-LONGEST = 3600 * SECOND  # no span that was learned is longer
+LONGEST_NS = 3600 * SECOND  # no span that was learned is longer
+MAX_RATIO = 10.0  # the most that a latency ratio or a load cost counts as
+
+# Keys of the data, by what they stand for here.
+LIMIT, SEND_RATE, RETRY_CREDIT = "level", "send_rate", "retry_credit"
+CLASSES, ENDPOINTS = "classes", "backends"
+
+
+class LearnedStateError(ProtocolError, ValueError):
+    """Data that is not of this form; also a ValueError, as a value that does not fit."""
 
 
 class LearnedClass(NamedTuple):
-    lat: float
-    lat_n: float
-    base: float
+    """What was learned of a request class, by its name; latencies in nanoseconds."""
+
+    latency: float
+    latency_samples: float
+    base_latency: float
     share: int
-    lefts: tuple[int, ...]
+    remaining_histogram: tuple[int, ...]
+
 
+class LearnedEndpoint(NamedTuple):
+    """What was learned of an endpoint, by its id; `cold` and `ejected` are spans that remain."""
 
-class LearnedBackend(NamedTuple):
-    lat: float
-    cost: float
-    cold: int  # spans left, in nanoseconds
-    down: int
+    latency_ratio: float
+    load_cost: float
+    cold: int
+    ejected: int
     backoff: int
-    strikes: int
+    consecutive_failures: int
+
 
+class LearnedState(NamedTuple):
+    """What a Balancer has learned."""
 
-class Learned(NamedTuple):
-    level: float
+    concurrency_limit: float
     send_rate: float
     retry_credit: float
     classes: Mapping[str, LearnedClass]
-    backends: Mapping[int, LearnedBackend]
+    endpoints: Mapping[int, LearnedEndpoint]
 
 
-def write(balancer: Balancer, now: int) -> dict[str, Any]:
-    """What this Balancer has learned; JSON can carry it."""
+def export(balancer: Balancer, now: int) -> dict[str, Any]:
+    """What this Balancer has learned, as data for JSON."""
+    state = balancer.state
     return {
-        "level": balancer.concurrency_limit,
-        "send_rate": balancer.send_rate,
-        "retry_credit": balancer.retry_credit,
-        "classes": {
+        LIMIT: state.concurrency_limit,
+        SEND_RATE: state.send_rate,
+        RETRY_CREDIT: state.retry_credit,
+        CLASSES: {
             c.spec.name: [
                 c.latency,
                 c.latency_samples,
@@ -61,102 +81,117 @@
                 c.share,
                 c.remaining_histogram,
             ]
-            for c in balancer.classes
-            if not c.retires_at  # one that was dropped may have the name of one that counts
+            for c in state.classes
+            if not c.retires_at  # a retired one may have the name of one that counts
         },
-        "backends": {
-            str(b.id): [
-                b.latency_ratio,
-                b.load_cost,
-                max(b.cold_until - now, 0),
-                max(b.ejected_until - now, 0),
-                b.backoff,
-                b.consecutive_failures,
+        ENDPOINTS: {
+            str(e.id): [
+                e.latency_ratio,
+                e.load_cost,
+                max(e.cold_until - now, 0),
+                max(e.ejected_until - now, 0),
+                e.backoff,
+                e.consecutive_failures,
             ]
-            for b in balancer.endpoints.values()
+            for e in state.endpoints.values()
         },
     }
 
 
-def read(raw: Any) -> Learned:
-    """Check such data whole; ValueError names nothing more than that it is none."""
+def parse(raw: Any) -> LearnedState:
+    """Check all of such data; LearnedStateError where any of it is not of this form."""
     try:
-        classes = {
-            str(name): LearnedClass(
-                _span(lat), _figure(n), _span(base, 0.0), max(int(share), 1), _lefts(lefts)
-            )
-            for name, (lat, n, base, share, lefts) in raw["classes"].items()
-        }
-        backends = {
-            int(key): LearnedBackend(
-                min(_figure(lat), 10.0), min(_figure(cost), 10.0), int(_span(cold, 0.0)),
-                int(_span(down, 0.0)), min(max(int(backoff), BACKOFF), BACKOFF_MAX),
-                max(int(strikes), 0),
-            )
-            for key, (lat, cost, cold, down, backoff, strikes) in raw["backends"].items()
-        }  # fmt: skip
-        return Learned(
-            min(max(_figure(raw["level"]), MIN_LEVEL), MAX_LEVEL),
-            _figure(raw["send_rate"]),
-            _figure(raw["retry_credit"]),
+        classes = {str(name): _parse_class(row) for name, row in raw[CLASSES].items()}
+        endpoints = {int(key): _parse_endpoint(row) for key, row in raw[ENDPOINTS].items()}
+        return LearnedState(
+            min(max(_figure(raw[LIMIT]), MIN_LIMIT), MAX_LIMIT),
+            _figure(raw[SEND_RATE]),
+            _figure(raw[RETRY_CREDIT]),
             classes,
-            backends,
+            endpoints,
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as err:
-        raise ValueError(f"not what a Balancer has learned: {err}") from None
-
-
-def take_over(balancer: Balancer, now: int, learned: Learned) -> None:
-    """Go on from there, for the classes and backends that are still known."""
-    balancer.now = now
-    balancer.concurrency_limit = learned.level
-    balancer.send_rate = learned.send_rate
-    balancer.retry_credit = min(learned.retry_credit, balancer.retry_credit)
-    for c in balancer.classes:
-        known = learned.classes.get(c.spec.name)
-        if known is not None:
-            _class(c, known)
-    for b in balancer.endpoints.values():
-        held = learned.backends.get(b.id)
-        if held is not None:
-            _backend(balancer, now, b, held)
-    balancer.recap()
-
-
-def _class(c: ClassState, known: LearnedClass) -> None:
-    c.latency, c.latency_samples, c.base_latency = known.lat, known.lat_n, known.base
-    c.share = known.share
-    c.remaining_histogram = list(known.lefts)
-    c.remaining_seen = sum(c.remaining_histogram)
-    c.usual_remaining = max(
-        range(len(c.remaining_histogram)), key=c.remaining_histogram.__getitem__
+        raise LearnedStateError(f"not what a Balancer has learned: {err}") from None
+
+
+def restore(balancer: Balancer, now: int, learned: LearnedState) -> None:
+    """Go on from there, for the classes and endpoints that are still known."""
+    state = balancer.state
+    state.now = now
+    state.concurrency_limit = learned.concurrency_limit
+    state.send_rate = learned.send_rate
+    state.retry_credit = min(learned.retry_credit, state.retry_credit)
+    for c in state.classes:
+        learned_class = learned.classes.get(c.spec.name)
+        if learned_class is not None:
+            _restore_class(c, learned_class)
+    for endpoint in state.endpoints.values():
+        learned_endpoint = learned.endpoints.get(endpoint.id)
+        if learned_endpoint is not None:
+            _restore_endpoint(state, now, endpoint, learned_endpoint)
+    balancer.update_caps()
+
+
+def _parse_class(row: Any) -> LearnedClass:
+    latency, samples, base, share, histogram = row
+    return LearnedClass(
+        _span(latency),
+        _figure(samples),
+        _span(base, 0.0),
+        max(int(share), 1),
+        _histogram(histogram),
     )
 
 
-def _backend(balancer: Balancer, now: int, b: Endpoint, held: LearnedBackend) -> None:
-    b.latency_ratio, b.load_cost, b.last_seen = held.lat, held.cost, now
-    b.backoff, b.consecutive_failures = held.backoff, held.strikes
-    if held.cold:
-        b.cold_until = max(b.cold_until, now + held.cold)
-    if held.down:
-        b.ejected_until = now + held.down
-        balancer.ejected += 1
-        balancer.remind(b.ejected_until, b)
+def _parse_endpoint(row: Any) -> LearnedEndpoint:
+    ratio, cost, cold, ejected, backoff, failures = row
+    return LearnedEndpoint(
+        min(_figure(ratio), MAX_RATIO),
+        min(_figure(cost), MAX_RATIO),
+        int(_span(cold, 0.0)),
+        int(_span(ejected, 0.0)),
+        min(max(int(backoff), FIRST_EJECTION), MAX_EJECTION_NS),
+        max(int(failures), 0),
+    )
+
+
+def _restore_class(c: ClassState, learned: LearnedClass) -> None:
+    c.latency, c.latency_samples = learned.latency, learned.latency_samples
+    c.base_latency = learned.base_latency
+    c.share = learned.share
+    histogram = c.remaining_histogram = list(learned.remaining_histogram)
+    c.remaining_seen = sum(histogram)
+    c.usual_remaining = max(range(len(histogram)), key=histogram.__getitem__)
+
+
+def _restore_endpoint(
+    state: BalancerState, now: int, endpoint: Endpoint, learned: LearnedEndpoint
+) -> None:
+    endpoint.latency_ratio, endpoint.load_cost = learned.latency_ratio, learned.load_cost
+    endpoint.last_seen = now
+    endpoint.backoff = learned.backoff
+    endpoint.consecutive_failures = learned.consecutive_failures
+    if learned.cold:
+        endpoint.cold_until = max(endpoint.cold_until, now + learned.cold)
+    if learned.ejected:
+        endpoint.ejected_until = now + learned.ejected
+        state.ejected += 1
+        state.wake(endpoint.ejected_until, endpoint)
 
 
 def _figure(value: Any) -> float:
     number = float(value)
     if not isfinite(number) or number < 0:
-        raise ValueError(f"{value!r} is no figure")
+        raise LearnedStateError(f"{value!r} is no figure")
     return number
 
 
-def _span(value: Any, least: float = 1.0) -> float:
-    return min(max(_figure(value), least), float(LONGEST))
+def _span(value: Any, minimum: float = 1.0) -> float:
+    return min(max(_figure(value), minimum), float(LONGEST_NS))
 
 
-def _lefts(value: Any) -> tuple[int, ...]:
-    counts = tuple(int(_figure(n)) for n in value)
-    if len(counts) != LEFTS + 1:
-        raise ValueError("the times left are counted in other steps")
+def _histogram(value: Any) -> tuple[int, ...]:
+    counts = tuple(int(_figure(count)) for count in value)
+    if len(counts) != REMAINING_STEPS + 1:
+        raise LearnedStateError("the times left are counted in other steps")
     return counts
--- a/loadbalancer/core/process_pair.py
+++ b/loadbalancer/core/process_pair.py
@@ -1,9 +1,9 @@
 """How two processes that are one node divide its caps while one succeeds the other.
 
-The old one keeps some slots of each backend and only ever gives up; the new one
-uses its own cap less what it last heard is kept. Both may then act on old words,
-in any order, and together stay within the larger of their two caps. Free of I/O
-and clock; counts are requests in flight.
+The predecessor retains some slots of each endpoint and only ever releases them; the
+successor uses its own cap less what the predecessor last said it retains. Both may act
+on messages that are out of date, in any order, and together stay within the larger of
+their two caps. Free of I/O and clock; counts are requests in flight.
 """
 
 from __future__ import annotations
@@ -14,29 +14,31 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.balancer import Balancer
 
-GOLDEN = 0x9E3779B97F4A7C15  # ids are hashes, but a list in a test may count from 1
-TURN = 1 << 64
+RETAINED_PART = 0.5  # of a warm endpoint's cap, to begin with
+# Multiplicative hashing (Knuth): ids may be hashes, or count from 1.
+HASH_FACTOR = 0x9E3779B97F4A7C15
+HASH_RANGE = 1 << 64
 
 
-class Standing(NamedTuple):
-    """One backend as the old process sees it."""
+class EndpointUse(NamedTuple):
+    """One endpoint as the predecessor sees it."""
 
     backend: int
-    cap: int  # a whole node's
-    held: int
+    cap: int  # of the node, both processes
+    in_flight: int
     cold: bool
 
 
-def standing(balancer: Balancer, now: int) -> list[Standing]:
-    """Every backend as this Balancer sees it."""
+def endpoint_use(balancer: Balancer, now: int) -> list[EndpointUse]:
+    """Every endpoint as this Balancer sees it."""
     return [
-        Standing(b.id, b.node_cap, b.in_flight, b.cold_until > now)
-        for b in balancer.endpoints.values()
+        EndpointUse(e.id, e.node_cap, e.in_flight, e.cold_until > now)
+        for e in balancer.endpoints.values()
     ]
 
 
-class Kept:
-    """The old process's part: what it has said it keeps. It never rises."""
+class PredecessorShare:
+    """The predecessor's part: the slots that it has said it retains. It never rises."""
 
     __slots__ = ("slots",)
 
@@ -44,57 +46,60 @@
         self.slots: dict[int, int] = {}
 
     def of(self, backend: int, cap: int) -> int:
+        """This process's part of a node's cap."""
         return min(cap, self.slots.get(backend, 0))
 
-    def begin(self, rows: Iterable[Standing]) -> dict[int, int]:
-        """Keep half of every warm backend's slots, and what is held of the others."""
+    def begin(self, rows: Iterable[EndpointUse]) -> dict[int, int]:
+        """Retain half of every warm endpoint's slots, and what is in flight at the others."""
         for row in rows:
-            share = 0.0 if row.cold else 0.5
-            self.slots[row.backend] = max(row.held, _rounded(row.backend, row.cap * share))
+            self.slots[row.backend] = _retained(row, 1.0)
         return dict(self.slots)
 
-    def give_up(self, rows: Iterable[Standing], need: float) -> dict[int, int]:
-        """Lower to this part (0 to 1) of a half, never under what is held.
+    def release(self, rows: Iterable[EndpointUse], need: float) -> dict[int, int]:
+        """Lower to this part (0 to 1) of a half, never under what is in flight.
 
-        Returns what has changed, with 0 for what is no longer kept at all.
+        Returns what has changed, with 0 for what is no longer retained at all.
         """
         changed: dict[int, int] = {}
-        standing = {row.backend: row for row in rows}
-        for backend, kept in list(self.slots.items()):
-            row = standing.get(backend)
-            want = 0
-            if row is not None:
-                share = 0.0 if row.cold else 0.5 * need
-                want = max(row.held, _rounded(backend, row.cap * share))
-            if want < kept:
-                changed[backend] = want
-                if want:
-                    self.slots[backend] = want
+        known = {row.backend: row for row in rows}
+        for backend, slots in list(self.slots.items()):
+            row = known.get(backend)
+            wanted = 0 if row is None else _retained(row, need)
+            if wanted < slots:
+                changed[backend] = wanted
+                if wanted:
+                    self.slots[backend] = wanted
                 else:
                     del self.slots[backend]
         return changed
 
 
-class Left:
-    """The new process's part: whatever the old one has not said it keeps."""
+class SuccessorShare:
+    """The successor's part: whatever the predecessor has not said it retains."""
 
-    __slots__ = ("kept",)
+    __slots__ = ("retained",)
 
     def __init__(self) -> None:
-        self.kept: dict[int, int] = {}
+        self.retained: dict[int, int] = {}
 
     def of(self, backend: int, cap: int) -> int:
-        return max(cap - self.kept.get(backend, 0), 0)
+        """This process's part of a node's cap."""
+        return max(cap - self.retained.get(backend, 0), 0)
 
-    def hear(self, kept: Mapping[int, int]) -> None:
-        """Take the old process's word; what it names 0 is all ours."""
-        for backend, slots in kept.items():
+    def update(self, retained: Mapping[int, int]) -> None:
+        """Take over the predecessor's message; 0 slots are all released."""
+        for backend, slots in retained.items():
             if slots > 0:
-                self.kept[backend] = slots
+                self.retained[backend] = slots
             else:
-                self.kept.pop(backend, None)
+                self.retained.pop(backend, None)
+
+
+def _retained(row: EndpointUse, need: float) -> int:
+    share = 0.0 if row.cold else RETAINED_PART * need
+    return max(row.in_flight, _rounded(row.backend, row.cap * share))
 
 
 def _rounded(backend: int, slots: float) -> int:
-    """To a whole number, up or down by the id: caps of one must not all fall to one side."""
-    return int(slots + (backend * GOLDEN % TURN) / TURN)
+    """To an integer, up or down by the id: caps of one must not all fall to one side."""
+    return int(slots + (backend * HASH_FACTOR % HASH_RANGE) / HASH_RANGE)
--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -14,8 +14,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from loadbalancer.core.balancing.balancer import BACKOFF, BACKOFF_MAX, ERRORS
 from loadbalancer.core.balancing.model import Effect, ServerView, Settings, State
+from loadbalancer.core.balancing.outlier_detection import MAX_EJECTION_NS, MAX_ERRORS
+from loadbalancer.core.balancing.records import FIRST_EJECTION
 from loadbalancer.core.routes.table import BudgetSpec, Condition, Pattern, Policy, Route, Service
 
 WEIGHT_UNIT = 100  # a warm server of usual speed, a slot
@@ -171,7 +172,7 @@
         tuple(_localities(usable, addresses, to)),
         max(_rounded(total) >> shift, 1),
         tuple(_routes(service.routes, to.kind)),
-        Outliers(ERRORS, BACKOFF, BACKOFF_MAX, 50) if envoy else None,
+        Outliers(MAX_ERRORS, FIRST_EJECTION, MAX_EJECTION_NS, 50) if envoy else None,
         SlowStart(settings.cold, max(int(100 * settings.cold_from), 1)) if to.ramps else None,
         _budget(service, node_budget, shift) if envoy else None,
         tuple(_refused(service, to.kind)),
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -8,8 +8,8 @@
 from zlib import crc32
 
 from loadbalancer.core import Effect
-from loadbalancer.core.balancing.balancer import ClassState
 from loadbalancer.core.balancing.model import MS, RequestClass
+from loadbalancer.core.balancing.records import ClassState
 from loadbalancer.errors import BadRequestError
 
 if TYPE_CHECKING:
@@ -148,7 +148,7 @@
     def _named(self, incoming: IncomingRequest, name: str) -> ClassState:
         """The class of this name that fits the method and key; BadRequestError for none."""
         safe, keyed = incoming.method == b"GET", incoming.keyed
-        cls = self._node.balancer.class_named(time.monotonic_ns(), name, safe, keyed)
+        cls = self._node.balancer.find_class(time.monotonic_ns(), name, safe, keyed)
         if cls is None:
             raise BadRequestError(404)
         return cls
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.balancer import ClassState
+    from loadbalancer.core.balancing.records import ClassState
     from loadbalancer.core.routes.table import Policy
     from loadbalancer.proxy.flow_control import Flow
 
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -20,7 +20,7 @@
 from loadbalancer.config.node import Config
 from loadbalancer.core import Balancer, Listing, Outcome, Update
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.learned_state import take_over
+from loadbalancer.core.learned_state import restore
 from loadbalancer.proxy.admin import DESCRIPTORS
 from loadbalancer.proxy.exchange import Attempt, Request
 from loadbalancer.proxy.flow_control import Budget
@@ -115,7 +115,7 @@
         if self.balancer.ready:
             self.usable()
         if left is not None:
-            take_over(self.balancer, self.now, left.learned)
+            restore(self.balancer, self.now, left.learned)
         self.leave()
         if self.peers is not None:
             self.peers.open()
@@ -145,9 +145,7 @@
     def divide(self, part: LimitShare) -> None:
         """Use this part of the caps from now on."""
         self.enter()
-        self.balancer.limit_share = part
-        self.balancer.recap()
-        self.balancer.dispatch(self.now)
+        self.balancer.set_limit_share(self.now, part)
         self.leave()
 
     def lend_descriptors(self, others: int) -> None:
@@ -167,11 +165,9 @@
         """The other process has gone."""
         self.others = set()
         self.lend_descriptors(0)
-        if self.balancer.limit_share is not None:
+        if self.balancer.has_limit_share:
             self.enter()
-            self.balancer.limit_share = None
-            self.balancer.recap()
-            self.balancer.dispatch(self.now)
+            self.balancer.set_limit_share(self.now, None)
             self.leave()
 
     def route(self, path: str) -> None:
@@ -193,7 +189,7 @@
             now = time.monotonic_ns()
             seed = self.config.seed
             self.policies = RoutePolicies(self.balancer, seed, table.node_budget, now)
-            self.balancer.policies = self.policies
+            self.balancer.set_policies(self.policies)
         else:
             self.policies.replace(table.node_budget, table.names())
 
@@ -224,7 +220,7 @@
             self.log(f"refused by the routes: {reason} {count}")
         p = self.policies
         if p is not None:
-            text = f"{p.further} further attempts, {p.copies} second copies, {p.unpaid} held back"
+            text = f"{p.retries} further attempts, {p.hedges} second copies, {p.unpaid} held back"
             self.log(f"by the routes' policies: {text}")
 
     # ---- events: each enters, tells the Balancer, and leaves -----------
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -7,8 +7,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from loadbalancer.config.node import Address
-from loadbalancer.core import Listing, State
-from loadbalancer.core import learned_state as legacy
+from loadbalancer.core import Listing, State, learned_state
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.ports import Leaving
@@ -25,7 +24,7 @@
 class Inheritance(NamedTuple):
     rev: int
     members: tuple[Heirloom, ...]
-    learned: legacy.Learned
+    learned: learned_state.LearnedState
     standby: bool
 
 
@@ -45,7 +44,7 @@
     return {
         "rev": roster.rev,
         "members": rows,
-        "learned": legacy.write(node.balancer, now),
+        "learned": learned_state.export(node.balancer, now),
         "standby": standby,
     }
 
@@ -54,7 +53,7 @@
     """Check it whole; ValueError where it is of another form."""
     try:
         members = tuple(_heirloom(row, now) for row in raw["members"])
-        learned = legacy.read(raw["learned"])
+        learned = learned_state.parse(raw["learned"])
         return Inheritance(int(raw["rev"]), members, learned, bool(raw["standby"]))
     except (KeyError, TypeError, OverflowError) as err:
         raise ValueError(f"not what a process leaves: {err}") from None
--- a/loadbalancer/upgrade/handover.py
+++ b/loadbalancer/upgrade/handover.py
@@ -13,9 +13,8 @@
 import time
 from typing import Protocol
 
-from loadbalancer.core import process_pair as halves
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.process_pair import Kept, Left
+from loadbalancer.core.process_pair import PredecessorShare, SuccessorShare, endpoint_use
 from loadbalancer.proxy.downstream.listener import Listener
 from loadbalancer.proxy.host import Node
 from loadbalancer.proxy.lifecycle import TICK, Service
@@ -53,7 +52,7 @@
         self._place = Place(path_for(host.node.config.listen))
         self._callers: dict[socket.socket, asyncio.TimerHandle] = {}
         self._link: Link | None = None
-        self._kept: Kept | None = None
+        self._kept: PredecessorShare | None = None
         self._clients = 1  # when the successor began
         self._idle = 0
         self._need = 1.0
@@ -162,12 +161,12 @@
         node.discovery.rest()
         if node.peers is not None:
             node.peers.close(leaving=False)  # one writer: the successor speaks from here on
-        self._kept = Kept()
+        self._kept = PredecessorShare()
         self._clients = max(node.clients, 1)
         self._idle = node.upstream.resting()
         self._need = 1.0
         self._lent = 0
-        kept = self._kept.begin(halves.standing(node.balancer, time.monotonic_ns()))
+        kept = self._kept.begin(endpoint_use(node.balancer, time.monotonic_ns()))
         node.divide(self._kept)
         node.log(f"upgrade: the successor serves; {node.clients} connections to empty")
         self._tell(kept)
@@ -180,7 +179,7 @@
         node = self.host.node
         self.host.listener.send_away(time.monotonic_ns())
         self._need = min(self._need, node.clients / self._clients)
-        changed = kept.give_up(halves.standing(node.balancer, time.monotonic_ns()), self._need)
+        changed = kept.release(endpoint_use(node.balancer, time.monotonic_ns()), self._need)
         node.upstream.trim(int(self._idle * self._need))
         node.divide(kept)
         self._tell(changed)
@@ -228,7 +227,7 @@
         self._link: Link | None = None
         self._state: asyncio.Future[Inheritance | None] | None = None
         self._yielded: asyncio.Future[None] | None = None
-        self._left: Left | None = None
+        self._left: SuccessorShare | None = None
         self.listener: socket.socket | None = None
 
     async def find(self) -> None:
@@ -271,7 +270,7 @@
         link = self._link
         if link is None or not link.open:
             return
-        self._left = Left()
+        self._left = SuccessorShare()
         self._yielded = self.host.loop.create_future()
         self.host.node.discovery.pass_on = self._news
         link.send({"serving": True})
@@ -294,7 +293,7 @@
             labels = {str(label).encode("latin-1") for label in frame["labels"]}
             descriptors = int(frame["descriptors"])
             node = self.host.node
-            self._left.hear(kept)
+            self._left.update(kept)
             node.divide(self._left)
             node.others = labels
             node.lend_descriptors(descriptors)
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -16,8 +16,7 @@
 from typing import NamedTuple
 
 from loadbalancer.core import Balancer, Listing, RequestClass, Settings, State, Update
-from loadbalancer.core.balancing.balancer import TIMER_CYCLE
-from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
 from loadbalancer.core.endpoints.poll_backoff import Caller, failure_of
 from loadbalancer.core.endpoints.poll_timing import HOLD, LATE
 from loadbalancer.core.endpoints.revisions import Lag, Revisions
@@ -293,7 +292,7 @@
         self.list.watch()
 
     def set_timer(self, token: int, due: int) -> None:
-        if token == TIMER_CYCLE:
+        if token == Timer.CYCLE:
             return  # no requests: nothing to balance
         self.world.later(due - self.world.skew[self.node], self._timer, token)
 
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -6,18 +6,16 @@
 
 import pytest
 
-from loadbalancer.core.balancing.balancer import WORST, predicted, solve, utility
-
-Flow = tuple[float, float, float, float, float]
+from loadbalancer.core.balancing.class_weights import MAX_OBJECTIVES, Flow, predict, solve, utility
 
 
 def stand(flow: Flow, share: int) -> float:
     rate, mean, old, aim, worth = flow
     if rate <= 0 or mean <= 0:
         return 1.0
-    t = predicted(rate, mean, max(old, 1.0), share)
+    t = predict(rate, mean, max(old, 1.0), share)
     if t == float("inf"):
-        return -worth * (WORST - 1.0) - worth * rate * aim / share
+        return -worth * (MAX_OBJECTIVES - 1.0) - worth * rate * aim / share
     return utility(aim, t, worth)
 
 
@@ -31,11 +29,11 @@
 
 
 CASES: list[list[Flow]] = [
-    [(20, 0.1, 4, 0.2, 1), (20, 0.1, 4, 0.2, 1)],
-    [(50, 0.4, 3, 0.2, 1), (20, 0.1, 6, 0.5, 5), (5, 0.05, 2, 0.1, 1)],
-    [(500, 0.9, 6, 0.2, 1), (400, 0.9, 3, 0.2, 10)],
-    [(0, 0, 3, 0.2, 1), (30, 0.3, 4, 0.2, 2)],
-    [(0, 0.1, 3, 0.2, 1), (0, 0, 4, 0.2, 2)],
+    [Flow(20, 0.1, 4, 0.2, 1), Flow(20, 0.1, 4, 0.2, 1)],
+    [Flow(50, 0.4, 3, 0.2, 1), Flow(20, 0.1, 6, 0.5, 5), Flow(5, 0.05, 2, 0.1, 1)],
+    [Flow(500, 0.9, 6, 0.2, 1), Flow(400, 0.9, 3, 0.2, 10)],
+    [Flow(0, 0, 3, 0.2, 1), Flow(30, 0.3, 4, 0.2, 2)],
+    [Flow(0, 0.1, 3, 0.2, 1), Flow(0, 0, 4, 0.2, 2)],
 ]
 
 
--- a/tests/core/balancing/test_ordinary_path.py
+++ b/tests/core/balancing/test_ordinary_path.py
@@ -17,6 +17,7 @@
     Tenant,
     Update,
 )
+from loadbalancer.core.balancing import class_weights
 from loadbalancer.core.balancing.model import MS, SECOND
 from tests.recording_host import PURE, UNSAFE, Host, build
 
@@ -33,7 +34,7 @@
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
     sent = len(host.named("send"))
-    assert sent == balancer.total < 20
+    assert sent == balancer.state.total < 20
     balancer.on_timer(190 * MS, 1)
     assert len(host.named("refuse")) == 20 - sent
 
@@ -75,7 +76,7 @@
     balancer.on_request(1, 9, 0, SECOND)
     assert len(host.named("send")) == 1
     balancer.on_outcome(2, 9, 0, 1, 1, True)
-    assert balancer.in_flight == 0 and not balancer.requests
+    assert balancer.in_flight == 0 and not balancer.state.requests
 
 
 def test_unsafe_that_never_ran_is_sent_again() -> None:
@@ -91,7 +92,7 @@
     balancer, host = build(Settings(classes=(near,)), count=1)
     for i in range(10):
         balancer.on_request(1, i, 0, 250 * MS)
-    held = balancer.total
+    held = balancer.state.total
     balancer.on_request(1, 90, 0, 170 * MS)
     assert len(host.named("send")) == held
     due = min(int(str(c[2])) for c in host.named("timer") if c[1] == 1)
@@ -158,7 +159,7 @@
         balancer.on_request(MS, i, 1, SECOND)
     for i in range(24):
         balancer.on_outcome(2 * MS, i, 0, 6, MS, True)
-    assert balancer.ejected > 1
+    assert balancer.state.ejected > 1
     assert len(host.named("log")) == 1
 
 
@@ -198,13 +199,13 @@
 
 def test_round_robin_keeps_each_share_running() -> None:
     balancer, host = build(count=6)
-    total = balancer.total
+    total = balancer.state.total
     balancer.classes[0].share, balancer.classes[1].share = total - 4, 3
     balancer.classes[2].share = 1
     for i in range(9 * total):
         balancer.on_request(1, i, i // 3 % 3 if i > total else 0, SECOND)
     for step in range(3 * total):
-        out = [r for r in balancer.requests.values() if r.in_flight]
+        out = [r for r in balancer.state.requests.values() if r.in_flight]
         r = out[step % len(out)]
         balancer.on_outcome(2, r.id, 0, 1, 1, True)
     assert all(c.queued for c in balancer.classes)
@@ -214,7 +215,7 @@
 def test_beyond_quota_waits_behind_and_tenants_take_turns() -> None:
     tenants = (Tenant("a", 0.75, 1000.0), Tenant("b", 0.45, 1000.0), Tenant("c", 0.1, 1.0))
     balancer, host = build(Settings(classes=(PURE,), tenants=tenants), count=1)
-    for i in range(balancer.total):
+    for i in range(balancer.state.total):
         balancer.on_request(1, 900 + i, 0, SECOND, 0)
     for i in range(6):
         balancer.on_request(1, 300 + i, 0, SECOND, 2)
@@ -223,7 +224,7 @@
         balancer.on_request(1, 200 + i, 0, SECOND, 1)
     host.calls.clear()
     for _ in range(9):
-        out = next(r for r in balancer.requests.values() if r.in_flight)
+        out = next(r for r in balancer.state.requests.values() if r.in_flight)
         balancer.on_outcome(2, out.id, 0, 1, 1, True)
     sent = [int(str(c[1])) // 100 for c in host.named("send")]
     assert sent.count(1) == 5 and sent.count(2) == 3 and sent.count(3) == 1
@@ -251,7 +252,7 @@
     start = Listing(100, State.READY, boot=20 * SECOND)
     settings = Settings(classes=(PURE,), cold=10 * SECOND, cold_from=0.2)
     balancer, _ = build(settings, count=1)
-    balancer.concurrency_limit = 20.0
+    balancer.state.concurrency_limit = 20.0
     caps = []
     for after in (1, 5 * SECOND, 9 * SECOND):
         balancer.on_members(20 * SECOND + after, Update.DELTA, [start])
@@ -320,7 +321,7 @@
 def test_a_marked_client_retry_waits_behind_first_tries() -> None:
     """Told to stay away past its aim, a client that is back is late already."""
     balancer, host = build(Settings(classes=(PURE,), max_retry_after=SECOND), count=1)
-    for i in range(balancer.total):
+    for i in range(balancer.state.total):
         balancer.on_request(MS, i, 0, SECOND)
     balancer.on_request(MS, 50, 0, SECOND, client_retry=True)
     balancer.on_request(MS, 51, 0, SECOND)
@@ -349,7 +350,7 @@
 def test_a_try_late_by_its_first_waits_behind() -> None:
     """Less time left than usual tells how long ago the client began."""
     balancer, host = build(Settings(classes=(PURE,)), count=1)
-    for i in range(balancer.total):
+    for i in range(balancer.state.total):
         balancer.on_request(MS, i, 0, 500 * MS)
     balancer.on_request(MS, 50, 0, 300 * MS)  # began 700 ms ago, its aim is 200
     balancer.on_request(MS, 51, 0, 980 * MS)  # a last try, begun 20 ms ago
@@ -365,14 +366,14 @@
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(30):
         balancer.on_request(MS, i, 0, 980 * MS if i % 3 == 2 else 400 * MS)
-    assert balancer.deferred == 0 and balancer.queued > 0
+    assert balancer.state.deferred == 0 and balancer.state.queued > 0
 
 
 def test_times_left_that_vary_tell_nothing() -> None:
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(40):
         balancer.on_request(MS, i, 0, (1000 - 25 * (i * 7 % 40)) * MS)
-    assert balancer.deferred <= 2  # only while few have been seen
+    assert balancer.state.deferred <= 2  # only while few have been seen
 
 
 def test_errors_that_come_at_once_leave_the_retry_budget_alone() -> None:
@@ -450,7 +451,7 @@
             c.served += served
             c.response_time += served * 400.0 * MS
             c.rejected += came - served
-        balancer.solve_shares()
+        class_weights.update(balancer.state)
     assert balancer.classes[1].share > 20
 
 
@@ -458,9 +459,9 @@
     """A level just over 2 must not put a third request on every backend."""
     balancer, host = build(count=20)
     for level, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
-        balancer.concurrency_limit = level
-        balancer.recap()
-        assert abs(balancer.total - slots) <= 1
+        balancer.state.concurrency_limit = level
+        balancer.update_caps()
+        assert abs(balancer.state.total - slots) <= 1
 
 
 @pytest.mark.parametrize("within", [2 * SECOND, 10 * SECOND])
@@ -495,10 +496,10 @@
     for k in range(50):
         now = k * SECOND
         for i in range(20):
-            balancer.on_request(now, 100 * k + i, 0, SECOND, client_retry=i >= balancer.total)
-        assert balancer.deferred == 20 - balancer.total
+            balancer.on_request(now, 100 * k + i, 0, SECOND, client_retry=i >= balancer.state.total)
+        assert balancer.state.deferred == 20 - balancer.state.total
         balancer.on_timer(now + 190 * MS, 1)
-        for i in range(balancer.total):
+        for i in range(balancer.state.total):
             balancer.on_outcome(now + 191 * MS, 100 * k + i, 0, 1, 191 * MS, True)
     assert len(balancer.classes[0].deferred_queue) == 0
 
@@ -524,5 +525,5 @@
             balancer.on_outcome(now + 9 * MS, i, 1, 1, 9 * MS, True)
         else:
             balancer.on_outcome(now + 9 * MS, i, 0, 1, 9 * MS, True)
-    assert balancer.ejected == 0 and not balancer.requests
+    assert balancer.state.ejected == 0 and not balancer.state.requests
     assert len(host.named("send")) == 120 and not host.named("refuse")
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -18,9 +18,10 @@
     State,
     Update,
 )
-from loadbalancer.core.balancing.balancer import TIMER_WAKE
-from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.balancing.request_policy_state import Budget, Latencies
+from loadbalancer.core.balancing import rotation
+from loadbalancer.core.balancing.answer_times import AnswerTimes
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
+from loadbalancer.core.balancing.retry_budget import RetryBudget
 from loadbalancer.core.balancing.route_policies import RoutePolicies
 from loadbalancer.core.routes.table import NEVER_RAN, BudgetSpec, Condition, CopySpec, Policy
 from tests.recording_host import Host, rows
@@ -42,7 +43,8 @@
     ) -> None:
         self.host = Host()
         self.balancer = Balancer(settings, 1, self.host)
-        self.policies = self.balancer.policies = RoutePolicies(self.balancer, 1, node, 0)
+        self.policies = RoutePolicies(self.balancer, 1, node, 0)
+        self.balancer.set_policies(self.policies)
         self.balancer.start(0)
         self.balancer.on_members(0, Update.CACHED, rows(count))
         self.told = 0
@@ -60,7 +62,7 @@
         self.balancer.on_outcome(now, rid, attempt, outcome, taken, done, (), **more)
 
     def wake(self, now: int) -> None:
-        self.balancer.on_timer(now, TIMER_WAKE)
+        self.balancer.on_timer(now, Timer.WAKE)
 
     def answers(self, rid: int) -> int:
         return sum(c[0] in ("refuse", "fail") and c[1] == rid for c in self.host.calls)
@@ -177,7 +179,7 @@
     fleet.ask(0, 1, policy)
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
     assert len(fleet.sends(1)) == 1 and not fleet.answers(1)
-    due = [c for c in fleet.host.named("timer") if c[1] == TIMER_WAKE][-1][2]
+    due = [c for c in fleet.host.named("timer") if c[1] == Timer.WAKE][-1][2]
     assert isinstance(due, int) and 5 * MS < due <= 45 * MS
     fleet.ask(6 * MS, 2, policy)
     assert len(fleet.sends(2)) == 1
@@ -200,7 +202,7 @@
     fleet.balancer.on_client_disconnected(6 * MS, 1)
     fleet.wake(100 * MS)
     assert len(fleet.sends(1)) == 1
-    assert not fleet.balancer.requests
+    assert not fleet.balancer.state.requests
     assert fleet.policies.node.active == 0
 
 
@@ -213,10 +215,10 @@
         fleet.ask(0, rid, policy)
         if fleet.sends(rid):
             fleet.end(0, rid, 0, Outcome.ERROR)
-            dues.append(fleet.balancer.requests[rid].policy_state.due)  # type: ignore[union-attr]
+            dues.append(fleet.balancer.state.requests[rid].policy_state.due)  # type: ignore[union-attr]
         for b in fleet.balancer.endpoints.values():
             b.backoff_until = 0
-            fleet.balancer.settle(b)
+            rotation.update(fleet.balancer.state, b)
     assert len(dues) > 40
     assert min(dues) < 8 * MS and max(dues) > 32 * MS
 
@@ -244,11 +246,11 @@
             fleet.ask(now, rid, policy)
         for b in fleet.balancer.endpoints.values():
             b.backoff_until = b.ejected_until = 0
-            fleet.balancer.ejected = 0
-            fleet.balancer.settle(b)
+            fleet.balancer.state.ejected = 0
+            rotation.update(fleet.balancer.state, b)
         out = [
             (r.id, i)
-            for r in fleet.balancer.requests.values()
+            for r in fleet.balancer.state.requests.values()
             for i, a in enumerate(r.attempts)
             if a.open
         ]
@@ -261,19 +263,19 @@
     # Well again for ten seconds: what is saved up is no more than one floor.
     budget = fleet.policies.node
     paid = 0
-    while budget.take(now + 10 * SECOND):
+    while budget.spend(now + 10 * SECOND):
         paid += 1
     assert paid <= node.floor + node.part * budget.active
 
 
 def test_a_budget_never_holds_more_than_its_part_of_the_active_and_the_floor() -> None:
-    budget = Budget(BudgetSpec(0.5, 2.0), 0)
+    budget = RetryBudget(BudgetSpec(0.5, 2.0), 0)
     budget.arrivals += 100  # come and gone
-    assert [budget.take(0) for _ in range(3)] == [True, True, False]
-    assert budget.take(SECOND) and budget.take(SECOND) and not budget.take(SECOND)
+    assert [budget.spend(0) for _ in range(3)] == [True, True, False]
+    assert budget.spend(SECOND) and budget.spend(SECOND) and not budget.spend(SECOND)
     budget.active += 10
     budget.arrivals += 10
-    assert sum(budget.take(SECOND) for _ in range(20)) == 5
+    assert sum(budget.spend(SECOND) for _ in range(20)) == 5
 
 
 def test_a_route_out_of_budget_leaves_the_others_theirs() -> None:
@@ -302,7 +304,7 @@
     assert fleet.balancer.endpoints[first[2]].in_flight == 1
     assert fleet.balancer.in_flight == 1
     fleet.end(60 * MS, 1, 0, Outcome.CANCELLED, 60 * MS)
-    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.state.requests
     assert fleet.answers(1) == 0
 
 
@@ -313,7 +315,7 @@
     fleet.wake(50 * MS)
     fleet.end(60 * MS, 1, 0, Outcome.OK)
     fleet.end(60 * MS, 1, 1, Outcome.OK)
-    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.state.requests
     assert fleet.policies.node.active == 0
 
 
@@ -332,7 +334,7 @@
 def test_no_copy_goes_to_a_full_fleet_nor_ahead_of_those_that_wait() -> None:
     fleet = Fleet(2)
     asked = 0
-    while not fleet.balancer.queued:
+    while not fleet.balancer.state.queued:
         asked += 1
         fleet.ask(0, asked, COPY)
     sent = len(fleet.host.named("send"))
@@ -380,7 +382,7 @@
     fleet.end(55 * MS, 1, 1, Outcome.CANCELLED)
     assert fleet.balancer.in_flight == 1
     fleet.end(90 * MS, 1, 0, Outcome.OK)
-    assert fleet.balancer.in_flight == 0 and not fleet.balancer.requests
+    assert fleet.balancer.in_flight == 0 and not fleet.balancer.state.requests
 
 
 def test_a_learned_delay_waits_until_enough_is_known() -> None:
@@ -392,12 +394,12 @@
         fleet.end(rid * SECOND + 10 * MS, rid, 0, Outcome.OK, 10 * MS)
     assert len(fleet.host.named("send")) == 100  # none while unknown, none before its time
     fleet.ask(200 * SECOND, 200, policy)
-    due = fleet.balancer.requests[200].policy_state.due  # type: ignore[union-attr]
+    due = fleet.balancer.state.requests[200].policy_state.due  # type: ignore[union-attr]
     assert 10 * MS <= due - 200 * SECOND <= 12 * MS
 
 
 def test_latencies_are_told_within_a_bucket_and_forgotten_in_time() -> None:
-    latencies = Latencies()
+    latencies = AnswerTimes()
     random = Random(1)
     values = [int(random.expovariate(1 / (20 * MS))) for _ in range(1999)]
     for value in values:
--- a/tests/core/balancing/test_settings.py
+++ b/tests/core/balancing/test_settings.py
@@ -13,8 +13,8 @@
 import pytest
 
 from loadbalancer.core import Effect, Outcome, RequestClass, Settings
-from loadbalancer.core.balancing.balancer import LATE, TIMER_CYCLE
-from loadbalancer.core.balancing.model import MS, SECOND, Tenant
+from loadbalancer.core.balancing.model import MS, SECOND, Tenant, Timer
+from loadbalancer.core.balancing.request_classes import RETIRE_AFTER_NS
 from tests.harness import Peer, accept, answer, listen, node, request, roster, target
 from tests.proxy.test_reload import replace_config
 from tests.recording_host import PURE, UNSAFE, build
@@ -55,7 +55,7 @@
 def test_a_dropped_class_finishes_what_waits_and_goes() -> None:
     balancer, host = build(TWO, count=1)
     unsafe = balancer.classes[1]
-    cap = balancer.total
+    cap = balancer.state.total
     for rid in range(1, cap + 3):
         balancer.on_request(0, rid, 1, 900 * MS)
     assert unsafe.queued == 2
@@ -63,9 +63,9 @@
     for rid in range(1, cap + 3):
         balancer.on_outcome(2 * MS, rid, 0, Outcome.OK, MS, True)
     assert {call[1] for call in host.named("send")} == set(range(1, cap + 3))
-    balancer.on_timer(LATE, TIMER_CYCLE)
+    balancer.on_timer(RETIRE_AFTER_NS, Timer.CYCLE)
     assert unsafe in balancer.classes
-    balancer.on_timer(LATE + SECOND, TIMER_CYCLE)
+    balancer.on_timer(RETIRE_AFTER_NS + SECOND, Timer.CYCLE)
     assert balancer.classes == [balancer.classes[0]] and unsafe.number == -1
 
 
@@ -75,7 +75,7 @@
     balancer.on_settings(2, TWO)
     assert names(balancer) == ["pure", "unsafe"]
     assert len([c for c in balancer.classes if c.spec.name == "unsafe"]) == 2
-    balancer.on_timer(10 * SECOND, TIMER_CYCLE)
+    balancer.on_timer(10 * SECOND, Timer.CYCLE)
     assert len(balancer.classes) == 2
 
 
@@ -85,17 +85,17 @@
     balancer.on_settings(0, replace(TWO, classes=(PURE, keyed)))
 
     def effect(now: int, safe: bool, key: bool) -> Effect:
-        c = balancer.class_named(now, "unsafe", safe, key)
+        c = balancer.find_class(now, "unsafe", safe, key)
         assert c is not None
         return c.effect
 
     assert effect(1, False, True) == Effect.TOKEN
     assert effect(1, False, False) == Effect.SIDE_EFFECT  # as it was told a moment ago
-    assert effect(LATE, False, False) == Effect.TOKEN
-    assert balancer.class_named(1, "none", True, False) is None
+    assert effect(RETIRE_AFTER_NS, False, False) == Effect.TOKEN
+    assert balancer.find_class(1, "none", True, False) is None
     balancer.on_settings(1, replace(TWO, classes=(PURE,)))
-    assert balancer.class_named(2, "unsafe", False, False) is not None
-    assert balancer.class_named(1 + LATE, "unsafe", False, False) is None
+    assert balancer.find_class(2, "unsafe", False, False) is not None
+    assert balancer.find_class(1 + RETIRE_AFTER_NS, "unsafe", False, False) is None
 
 
 def test_tenants_can_not_change_and_nothing_is_taken_over_then() -> None:
@@ -137,17 +137,17 @@
                     once.add(rid)
                 balancer.on_request(now, rid, cls, 900 * MS)
             elif act == 6:
-                balancer.on_timer(now, random.choice((1, TIMER_CYCLE)))
+                balancer.on_timer(now, random.choice((1, Timer.CYCLE)))
             elif out:
                 r, attempt = random.choice(out)
                 outcome = random.choice((Outcome.OK, Outcome.OK, Outcome.RESET, Outcome.FULL))
                 done = outcome == Outcome.OK
                 if done:
                     host.calls.append(("ok", r))
-                tries = len(balancer.requests[r].attempts)
+                tries = len(balancer.state.requests[r].attempts)
                 balancer.on_outcome(now, r, attempt, outcome, 5 * MS, done)
                 if outcome == Outcome.RESET and r in once:
-                    assert r not in balancer.requests and tries == attempt + 1
+                    assert r not in balancer.state.requests and tries == attempt + 1
             running = sum(c.in_flight for c in balancer.classes)
             assert (
                 running
@@ -155,7 +155,7 @@
                 == sum(b.in_flight for b in balancer.endpoints.values())
             )
             waiting = sum(c.queued for c in balancer.classes)
-            assert waiting == balancer.queued
+            assert waiting == balancer.state.queued
             out = _open(balancer)
         ended = [c[1] for c in host.calls if c[0] in ("refuse", "fail", "ok")]
         assert len(ended) == len(set(ended))
@@ -163,7 +163,10 @@
 
 def _open(balancer: Any) -> list[tuple[int, int]]:
     return [
-        (r.id, i) for r in balancer.requests.values() for i, a in enumerate(r.attempts) if a.open
+        (r.id, i)
+        for r in balancer.state.requests.values()
+        for i, a in enumerate(r.attempts)
+        if a.open
     ]
 
 
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadbalancer.core import State
-from loadbalancer.core.balancing.balancer import STRIKES
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES, answered
 from loadbalancer.core.endpoints.attempt_evidence import alive
 from loadbalancer.core.endpoints.merged_list import Health, Member, Members, Rules, Source, Word
 from loadbalancer.core.endpoints.revisions import KEPT, Revisions
@@ -295,10 +295,10 @@
     balancer, _ = build(count=2)
     assert alive(balancer, SECOND, 100) is None and alive(balancer, SECOND, 9) is None
     b = balancer.endpoints[100]
-    balancer.heard(SECOND, b)
+    answered(SECOND, b)
     assert alive(balancer, 2 * SECOND, 100) is True
     assert alive(balancer, 7 * SECOND, 100) is None  # too long ago
-    b.consecutive_failures = STRIKES
+    b.consecutive_failures = MAX_SILENT_FAILURES
     assert alive(balancer, 2 * SECOND, 100) is False
 
 
--- a/tests/core/gossip/test_gossip.py
+++ b/tests/core/gossip/test_gossip.py
@@ -20,6 +20,7 @@
     State,
     Update,
 )
+from loadbalancer.core.balancing.outlier_detection import eject
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
 from loadbalancer.core.gossip.dissemination import DisseminationQueue
 from loadbalancer.core.gossip.gossip_node import (
@@ -220,7 +221,7 @@
     balancer.start(0)
     fleet = Fleet(Terms(4, 0), 1, 1, 0)
     bridge = BalancerBridge(fleet, balancer)
-    balancer.concurrency_limit = 20.0
+    balancer.state.concurrency_limit = 20.0
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(16)])
 
     def caps(update: BalancerUpdate | None) -> int:
@@ -269,10 +270,10 @@
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(4)])
     caps = {b.id: b.cap for b in balancer.endpoints.values()}
     balancer.on_peer_report(1, 0, ReportedState.SLOW, 4.0, False)
-    balancer.recap()
+    balancer.update_caps()
     assert balancer.endpoints[0].cap < caps[0] and balancer.endpoints[0].latency_ratio == 1.0
     balancer.on_peer_report(2, 0, None, 1.0, False)
-    balancer.recap()
+    balancer.update_caps()
     assert balancer.endpoints[0].cap == caps[0]
     balancer.on_peer_report(3, 1, ReportedState.SILENT, 1.0, True)
     assert balancer.endpoints[1].ejected_until and balancer.endpoints[1].cold_until
@@ -280,7 +281,7 @@
     assert not balancer.endpoints[1].ejected_until and balancer.endpoints[1].probing
     # What its own attempts have met, no message takes back.
     balancer.endpoints[2].consecutive_failures = 4
-    balancer.suspend(5, balancer.endpoints[2], True, False)
+    eject(balancer.state, 5, balancer.endpoints[2], True, False)
     balancer.on_peer_report(50, 2, None, 1.0, False)
     assert balancer.endpoints[2].ejected_until
 
--- a/tests/core/gossip/test_slots.py
+++ b/tests/core/gossip/test_slots.py
@@ -11,15 +11,10 @@
 import pytest
 
 from loadbalancer.core import Balancer, Listing, Outcome, Settings, State, Update
-from loadbalancer.core.balancing.balancer import (
-    CYCLE,
-    MIN_SLOTS,
-    REACH,
-    SPILL,
-    TIMER_CYCLE,
-    Endpoint,
-)
-from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.balancing.class_weights import CYCLE_NS
+from loadbalancer.core.balancing.endpoint_caps import MIN_SLOTS, OTHER_ZONES_PART, RESERVE_REACH
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
+from loadbalancer.core.balancing.records import Endpoint
 from tests.many_nodes import World
 from tests.recording_host import PURE, build
 
@@ -64,7 +59,7 @@
         level = max(4.0, MIN_SLOTS * peers / local)
         assert int(level) <= own[server + 1] <= int(level) + 1
         # A node reckons the level by its own zone, which may be smaller by one.
-        spilled = SPILL * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
+        spilled = OTHER_ZONES_PART * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
         assert others[server + 1] <= int(spilled) + 1
 
 
@@ -96,21 +91,21 @@
             takes_others_in_place_of_its_own(host.balancer)
     assert [host.balancer.settings.node for host in world.hosts if host.idle] == []
     floor = MIN_SLOTS * (len(world.hosts) / world.zones + 1) / (len(world.servers) // world.zones)
-    most = REACH * (int(max(*levels, floor)) + 1)
+    most = RESERVE_REACH * (int(max(*levels, floor)) + 1)
     if world.zones > 1:
-        most += REACH * (int(SPILL * max(*levels, floor)) + 1)
+        most += RESERVE_REACH * (int(OTHER_ZONES_PART * max(*levels, floor)) + 1)
     assert max(server.most_out for server in world.servers) <= most
 
 
 def takes_others_in_place_of_its_own(balancer: Balancer) -> None:
     """Slots beyond the deal are no more than those of its own deal, of which some are bad."""
-    balancer.recap()
+    balancer.update_caps()
     backends = balancer.endpoints.values()
     local = sum(b.local and b.state == State.READY for b in backends)
     level = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
     beyond = dealt = 0
     for b in backends:
-        within = b.node_rank < int((level if b.local else level * SPILL) + b.rounding)
+        within = b.node_rank < int((level if b.local else level * OTHER_ZONES_PART) + b.rounding)
         dealt += within
         beyond += b.cap > 0 and not within
     assert beyond <= max(min(dealt, MIN_SLOTS), 1)
@@ -124,12 +119,12 @@
     full = b.cap
     assert full
     b.latency_ratio = 10.0  # as after heavy requests that all fell on it
-    now = CYCLE
-    balancer.on_timer(now, TIMER_CYCLE)
+    now = CYCLE_NS
+    balancer.on_timer(now, Timer.CYCLE)
     assert not b.cap
     while now < 40 * SECOND and not b.cap:
-        now += CYCLE
-        balancer.on_timer(now, TIMER_CYCLE)
+        now += CYCLE_NS
+        balancer.on_timer(now, Timer.CYCLE)
     assert b.cap == full
     assert not host.named("send")
 
@@ -152,7 +147,7 @@
         if all(balancer.endpoints[i].ejected_until for i in own):
             break
     assert all(balancer.endpoints[i].ejected_until for i in own)
-    balancer.on_timer(now, TIMER_CYCLE)
+    balancer.on_timer(now, Timer.CYCLE)
     host.calls.clear()
     balancer.on_request(now, rid + 1, 0, SECOND)
     sent_to = {c[2] for c in host.named("send")}
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -8,11 +8,15 @@
 
 import pytest
 
-from loadbalancer.core import Listing, Outcome, Settings, State, Update
-from loadbalancer.core import learned_state as legacy
-from loadbalancer.core import process_pair as halves
+from loadbalancer.core import Listing, Outcome, Settings, State, Update, learned_state
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.process_pair import Kept, Left, Standing
+from loadbalancer.core.balancing.outlier_detection import eject
+from loadbalancer.core.process_pair import (
+    EndpointUse,
+    PredecessorShare,
+    SuccessorShare,
+    endpoint_use,
+)
 from tests.recording_host import KEYED, PURE, build, rows
 
 
@@ -22,11 +26,11 @@
         random = Random(seed)
         cap = {b: random.randrange(0, 6) for b in range(1, 30)}
         most = dict(cap)
-        old, new = Kept(), Left()
+        old, new = PredecessorShare(), SuccessorShare()
         held = {b: random.randrange(0, cap[b] + 1) for b in cap}
         ours = dict.fromkeys(cap, 0)
-        words = [old.begin(Standing(b, cap[b], held[b], b % 7 == 0) for b in cap)]
-        new.hear(words.pop())
+        words = [old.begin(EndpointUse(b, cap[b], held[b], b % 7 == 0) for b in cap)]
+        new.update(words.pop())
         need = 1.0
         for _ in range(300):
             b = random.choice(list(cap))
@@ -39,41 +43,46 @@
                 ours[b] += 1
             elif act == 3:
                 need *= random.random()
-                words.append(old.give_up([Standing(b, cap[b], held[b], False) for b in cap], need))
+                words.append(
+                    old.release([EndpointUse(b, cap[b], held[b], False) for b in cap], need)
+                )
             elif act == 4 and words:
-                new.hear(words.pop(0))
+                new.update(words.pop(0))
             elif act == 5 and ours[b]:
                 ours[b] -= 1
             assert held[b] + ours[b] <= max(most[b], held[b])
             assert all(held[b] <= old.slots.get(b, 0) for b in cap)
         for word in words:
-            new.hear(word)
-        new.hear(old.give_up([Standing(b, cap[b], 0, False) for b in cap], 0.0))
+            new.update(word)
+        new.update(old.release([EndpointUse(b, cap[b], 0, False) for b in cap], 0.0))
         assert all(new.of(b, cap[b]) == cap[b] for b in cap)
 
 
 def test_caps_of_one_fall_to_both_sides_and_cold_ones_to_the_new_one() -> None:
-    old = Kept()
-    kept = old.begin(Standing(b, 1, 0, False) for b in range(1, 101))
+    old = PredecessorShare()
+    kept = old.begin(EndpointUse(b, 1, 0, False) for b in range(1, 101))
     assert 40 <= sum(kept.values()) <= 60
-    assert sum(Kept().begin(Standing(b, 3, 0, True) for b in range(1, 101)).values()) == 0
-    assert Kept().begin([Standing(1, 3, 2, True)]) == {1: 2}
+    assert (
+        sum(PredecessorShare().begin(EndpointUse(b, 3, 0, True) for b in range(1, 101)).values())
+        == 0
+    )
+    assert PredecessorShare().begin([EndpointUse(1, 3, 2, True)]) == {1: 2}
 
 
 def test_a_balancer_sends_within_its_part_and_takes_the_rest_back() -> None:
     balancer, host = build(count=4)
-    left = Left()
-    left.hear({b.id: b.cap for b in balancer.endpoints.values() if b.id != 100})
-    balancer.limit_share = left
-    balancer.recap()
+    left = SuccessorShare()
+    left.update({b.id: b.cap for b in balancer.endpoints.values() if b.id != 100})
+    balancer.state.limit_share = left
+    balancer.update_caps()
     for rid in range(1, 20):
         balancer.on_request(1, rid, 0, 900 * MS)
     assert {call[2] for call in host.named("send")} == {100}
-    assert [row.cap for row in halves.standing(balancer, 1)] == [
+    assert [row.cap for row in endpoint_use(balancer, 1)] == [
         b.node_cap for b in balancer.endpoints.values()
     ]
-    balancer.limit_share = None
-    balancer.recap()
+    balancer.state.limit_share = None
+    balancer.update_caps()
     balancer.dispatch(1)
     assert {call[2] for call in host.named("send")} == {100, 101, 102, 103}
 
@@ -84,8 +93,8 @@
     for rid in range(1, 30):
         balancer.on_request(rid * MS, rid, rid % 3, 900 * MS)
         balancer.on_outcome(rid * MS + 5 * MS, rid, 0, Outcome.OK, 5 * MS, True)
-    balancer.suspend(SECOND, balancer.endpoints[101], True, False)
-    return legacy.write(balancer, SECOND)
+    eject(balancer.state, SECOND, balancer.endpoints[101], True, False)
+    return learned_state.export(balancer, SECOND)
 
 
 def test_what_was_learned_comes_through_json_and_by_spans() -> None:
@@ -93,13 +102,13 @@
     heir, _ = build(count=4)
     heir.on_members(0, Update.DELTA, [Listing(9, State.READY)])
     now = 500 * SECOND  # of another clock
-    legacy.take_over(heir, now, legacy.read(raw))
+    learned_state.restore(heir, now, learned_state.parse(raw))
     assert heir.classes[0].latency == raw["classes"]["pure"][0] != build()[0].classes[0].latency
-    assert heir.endpoints[101].ejected_until > now and heir.ejected == 1
+    assert heir.endpoints[101].ejected_until > now and heir.state.ejected == 1
     assert now < heir.endpoints[9].cold_until <= now + heir.settings.cold  # cold as it was
     for step in range(1, 200):
         heir.on_timer(now + step * SECOND, 1)
-    assert heir.ejected == 0 and not heir.endpoints[101].ejected_until
+    assert heir.state.ejected == 0 and not heir.endpoints[101].ejected_until
 
 
 def test_of_two_classes_of_one_name_the_one_that_counts_is_left() -> None:
@@ -107,7 +116,7 @@
     balancer.classes[1].latency = 77.0 * MS
     balancer.on_settings(1, Settings(classes=(replace(PURE, latency_objective=150 * MS),)))
     balancer.classes[0].latency = 33.0 * MS
-    assert legacy.write(balancer, 2)["classes"] == {
+    assert learned_state.export(balancer, 2)["classes"] == {
         "pure": [33.0 * MS, 0.0, 0.0, balancer.classes[0].share, [0] * 65]
     }
 
@@ -115,8 +124,8 @@
 def test_what_is_not_known_any_more_is_passed_over() -> None:
     heir, _ = build(count=1)
     heir.on_members(0, Update.FULL, rows(1, first=500))
-    legacy.take_over(heir, SECOND, legacy.read(json.loads(json.dumps(learned()))))
-    assert set(heir.endpoints) == {500} and heir.ejected == 0
+    learned_state.restore(heir, SECOND, learned_state.parse(json.loads(json.dumps(learned()))))
+    assert set(heir.endpoints) == {500} and heir.state.ejected == 0
 
 
 @pytest.mark.parametrize(
@@ -134,4 +143,4 @@
 )
 def test_what_is_of_another_form_is_refused_whole(key: str, value: object) -> None:
     with pytest.raises(ValueError, match="not what a Balancer has learned"):
-        legacy.read(learned() | {key: value})
+        learned_state.parse(learned() | {key: value})
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -20,8 +20,16 @@
 
 from loadbalancer.config.node import Address, parse_address
 from loadbalancer.control.consul_relay import Relay
-from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
-from loadbalancer.core import learned_state as legacy
+from loadbalancer.core import (
+    Balancer,
+    Effect,
+    Listing,
+    RequestClass,
+    Settings,
+    State,
+    Update,
+    learned_state,
+)
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.list_versions import (
     NOTHING,
@@ -35,7 +43,7 @@
 from loadbalancer.core.endpoints.shared_list import Taken
 from loadbalancer.core.gossip.messages import Kind, Life, Listed, Message, Observation, Reading
 from loadbalancer.core.gossip.slot_leases import Held, Lent
-from loadbalancer.core.process_pair import Left
+from loadbalancer.core.process_pair import SuccessorShare
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
@@ -316,7 +324,7 @@
     host.reload = lambda passed_on: heard.update(says="reload")
     host.set_standby = lambda on: heard.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
-    left = heir._left = Left()
+    left = heir._left = SuccessorShare()
     awaited: Any = SimpleNamespace(
         done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
     )
@@ -329,7 +337,7 @@
         if not heard:
             _link(elder._told)[0].data_received(data)
     if heard["says"] == "keeps":
-        heard["keeps"] = {str(server): slots for server, slots in left.kept.items()}
+        heard["keeps"] = {str(server): slots for server, slots in left.retained.items()}
         heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
     return heard
 
@@ -349,7 +357,7 @@
         for m in plain["members"]
     ]  # fmt: skip
     balancer.on_members(0, Update.CACHED, rows)
-    legacy.take_over(balancer, NOW, legacy.read(plain["learned"]))
+    learned_state.restore(balancer, NOW, learned_state.parse(plain["learned"]))
     boots = {m["server"]: m["boot_ms"] for m in plain["members"]}
     roster = SimpleNamespace(
         rev=plain["rev"],
@@ -380,12 +388,12 @@
     return {
         "rev": left.rev, "members": members, "standby": left.standby,
         "learned": {
-            "level": learned.level, "send_rate": learned.send_rate,
+            "level": learned.concurrency_limit, "send_rate": learned.send_rate,
             "retry_credit": learned.retry_credit,
             "classes": {
-                name: [*known[:4], list(known.lefts)] for name, known in learned.classes.items()
+                name: [*c[:4], list(c.remaining_histogram)] for name, c in learned.classes.items()
             },
-            "backends": {str(server): list(held) for server, held in learned.backends.items()},
+            "backends": {str(server): list(held) for server, held in learned.endpoints.items()},
         },
     }  # fmt: skip
 
--- a/tests/proxy/test_long_messages.py
+++ b/tests/proxy/test_long_messages.py
@@ -11,8 +11,8 @@
 import pytest
 
 from loadbalancer.core import Outcome
-from loadbalancer.core.balancing.balancer import MOST_MOVING
 from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.balancing.rotation import MAX_TRANSFERRING
 from loadbalancer.proxy.flow_control import WHOLE, WINDOW, Budget, Flow
 from tests.harness import Peer, Running, accept, answer, listen, node, request, roster, target
 from tests.recording_host import build
@@ -435,9 +435,13 @@
     for rid in range(2, 60):
         balancer.on_response_started(rid, rid - 1, 0, 5 * MS)
         balancer.on_request(rid, rid, 0, 900 * MS)
-    assert len(host.named("send")) == cap + MOST_MOVING
+    assert len(host.named("send")) == cap + MAX_TRANSFERRING
     balancer.on_outcome(100, 1, 0, Outcome.OK, SECOND, True)
-    assert balancer.endpoints[100].transferring == balancer.transferring == MOST_MOVING + cap - 1
+    assert (
+        balancer.endpoints[100].transferring
+        == balancer.state.transferring
+        == MAX_TRANSFERRING + cap - 1
+    )
 
 
 def test_a_long_answer_teaches_the_time_of_its_first_bytes() -> None:
@@ -458,7 +462,7 @@
         balancer.on_body_started(1, 1, 0)
         balancer.on_outcome(2, 1, 0, outcome, 1, False)
         assert len(host.named("send")) == 1 and host.named(said) == [(said, 1)]
-        assert balancer.transferring == 0
+        assert balancer.state.transferring == 0
 
 
 def test_an_upload_is_no_silence_of_its_server() -> None:
@@ -468,4 +472,4 @@
     balancer.on_request(20 * SECOND, 2, 0, 900 * MS)
     assert len(host.named("send")) == 2
     balancer.on_body_sent(20 * SECOND, 1, 0)
-    assert balancer.transferring == 0 and balancer.endpoints[100].silent_since == 20 * SECOND
+    assert balancer.state.transferring == 0 and balancer.endpoints[100].silent_since == 20 * SECOND
