--- a/tests/core/balancing/test_slot_ranks.py
+++ b/tests/core/balancing/test_slot_ranks.py
@@ -11,15 +11,10 @@
 import pytest
 
 from loadbalancer.core import Balancer, Listing, Outcome, Settings, State, Update
-from loadbalancer.core.balancing.balancer import (
-    CYCLE,
-    MIN_SLOTS,
-    REACH,
-    SPILL,
-    TIMER_CYCLE,
-    Endpoint,
-)
-from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.balancing.class_weights import CYCLE_NS
+from loadbalancer.core.balancing.endpoint_caps import MIN_SLOTS, OTHER_ZONES_PART, RESERVE_REACH
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
+from loadbalancer.core.balancing.records import Endpoint
 from tests.many_nodes import World
 from tests.recording_host import PURE, build
 
@@ -64,7 +59,7 @@
         limit = max(4.0, MIN_SLOTS * peers / local)
         assert int(limit) <= own[server + 1] <= int(limit) + 1
         # A node reckons the limit by its own zone, which may be smaller by one.
-        spilled = SPILL * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
+        spilled = OTHER_ZONES_PART * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
         assert others[server + 1] <= int(spilled) + 1
 
 
@@ -96,21 +91,21 @@
             check_slots_beyond_its_own(host.balancer)
     assert [host.balancer.settings.node for host in world.hosts if host.idle] == []
     floor = MIN_SLOTS * (len(world.hosts) / world.zones + 1) / (len(world.servers) // world.zones)
-    max_in_flight = REACH * (int(max(*limits, floor)) + 1)
+    max_in_flight = RESERVE_REACH * (int(max(*limits, floor)) + 1)
     if world.zones > 1:
-        max_in_flight += REACH * (int(SPILL * max(*limits, floor)) + 1)
+        max_in_flight += RESERVE_REACH * (int(OTHER_ZONES_PART * max(*limits, floor)) + 1)
     assert max(server.most_out for server in world.servers) <= max_in_flight
 
 
 def check_slots_beyond_its_own(balancer: Balancer) -> None:
     """Slots beyond the deal are no more than those of its own deal, of which some are bad."""
-    balancer.recap()
+    balancer.update_caps()
     backends = balancer.endpoints.values()
     local = sum(b.local and b.state == State.READY for b in backends)
     limit = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
     beyond = dealt = 0
     for b in backends:
-        within = b.node_rank < int((limit if b.local else limit * SPILL) + b.rounding)
+        within = b.node_rank < int((limit if b.local else limit * OTHER_ZONES_PART) + b.rounding)
         dealt += within
         beyond += b.cap > 0 and not within
     assert beyond <= max(min(dealt, MIN_SLOTS), 1)
@@ -124,12 +119,12 @@
     full = b.cap
     assert full
     b.latency_ratio = 10.0  # as after heavy requests that all fell on it
-    now = CYCLE
-    balancer.on_timer(now, TIMER_CYCLE)
+    now = CYCLE_NS
+    balancer.on_timer(now, Timer.CYCLE)
     assert not b.cap
     while now < 40 * SECOND and not b.cap:
-        now += CYCLE
-        balancer.on_timer(now, TIMER_CYCLE)
+        now += CYCLE_NS
+        balancer.on_timer(now, Timer.CYCLE)
     assert b.cap == full
     assert not host.named("send")
 
@@ -152,7 +147,7 @@
         if all(balancer.endpoints[i].ejected_until for i in own):
             break
     assert all(balancer.endpoints[i].ejected_until for i in own)
-    balancer.on_timer(now, TIMER_CYCLE)
+    balancer.on_timer(now, Timer.CYCLE)
     host.calls.clear()
     balancer.on_request(now, rid + 1, 0, SECOND)
     sent_to = {c[2] for c in host.named("send")}
