--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -35,6 +35,7 @@
 
 import uvloop  # noqa: E402
 
+from loadbalancer import logs  # noqa: E402
 from loadbalancer.config.address import Address  # noqa: E402
 from loadbalancer.config.node import Config, ConfigError, load, reload  # noqa: E402
 from loadbalancer.core.balancing.model import SECOND  # noqa: E402
@@ -42,7 +43,7 @@
 from loadbalancer.proxy.admin import Admin, Reply, Route  # noqa: E402
 from loadbalancer.proxy.downstream.connection import SWEEP_S  # noqa: E402
 from loadbalancer.proxy.downstream.listener import Listener  # noqa: E402
-from loadbalancer.proxy.host import Node  # noqa: E402
+from loadbalancer.proxy.host import LOG_LINES, Node  # noqa: E402
 from loadbalancer.proxy.lifecycle import TICK, Service  # noqa: E402
 from loadbalancer.sources.discovery import ListError  # noqa: E402
 
@@ -270,6 +271,7 @@
     except ConfigError as err:
         print(f"loadbalancer: {err}", file=sys.stderr)
         return 2
+    logs.configure(config.name, LOG_LINES)
     # A full pipe behind the log must not stop the loop.
     os.set_blocking(sys.stderr.fileno(), False)
     loop = uvloop.new_event_loop()
--- a/loadbalancer/gossip_transport/__init__.py
+++ b/loadbalancer/gossip_transport/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip between nodes: bytes, sockets and pace; loadbalancer.core.gossip decides what it means."""
+"""Gossip between nodes as datagrams: codec, socket and rates (see `loadbalancer.core.gossip`)."""
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -1,18 +1,20 @@
-"""A message as one datagram: a checksum, the version, the tier, and MessagePack.
+"""A gossip message as one datagram: a checksum, the version, the fleet, and MessagePack.
 
     0  4 bytes  CRC-32 of all that follows
     4  1 byte   version
-    5  2 bytes  the tier, of its name's CRC
+    5  2 bytes  the fleet, of its name's CRC
     7  ...      MessagePack: [kind, origin, incarnation, serial, subject, [digest], [record...]],
                 in a piece of the list its bytes behind them
 
-Records are arrays with their kind first; ages go out in milliseconds. What a reader does not
-know (a kind of message or record, further figures behind those it knows) it skips.
+A record is an array that begins with its kind (RECORD_NUMBERS); ages are in milliseconds. A
+reader skips what it does not know: a kind of message or of record, and further fields behind
+those it knows.
 """
 
 from __future__ import annotations
 
 import struct
+from typing import Any
 from zlib import crc32
 
 import msgpack
@@ -30,82 +32,104 @@
 )
 
 VERSION = 1
-_HEAD = struct.Struct(">IBH")
-_KINDS: dict[int, type[Record]] = {
-    0: MemberRecord,
-    1: DrainRecord,
-    2: Observation,
-    3: ReaderRecord,
+CHECKSUM = struct.Struct(">I")
+HEAD = struct.Struct(">BH")  # version, fleet
+BODY_AT = CHECKSUM.size + HEAD.size
+RECORD_NUMBERS: dict[type[Record], int] = {
+    MemberRecord: 0,
+    DrainRecord: 1,
+    Observation: 2,
+    ReaderRecord: 3,
 }
-_NUMBERS: dict[type[Record], int] = {made: number for number, made in _KINDS.items()}
-_KNOWN = {int(kind) for kind in Kind}
+RECORD_TYPES = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
+MESSAGE_FIELDS = 7  # of every message; a piece has its bytes as one more
+KNOWN_KINDS = {int(kind) for kind in Kind}
 
 
 class BadMessageError(ProtocolError, ValueError):
-    """A datagram that is none of ours; the text is what it is counted under."""
+    """A datagram that is no message of this fleet; the text is the counter it adds to."""
 
 
-def tier(name: str) -> int:
+def fleet_number(name: str) -> int:
+    """The number of a fleet on the wire."""
     return crc32(name.encode()) & 0xFFFF
 
 
-def encode(message: Message, number: int) -> bytes:
-    """A message for the tier of this number."""
-    rows = [_row(record) for record in message.records]
-    fields = [int(message.kind), *message[1:5], list(message.digest), rows]
+def encode(message: Message, fleet: int) -> bytes:
+    """The datagram of a message, for the fleet of this number."""
+    records = [_encode_record(record) for record in message.records]
+    fields = [int(message.kind), *message[1:5], list(message.digest), records]
     if message.body:
         fields.append(message.body)
     packed: bytes = msgpack.packb(fields)
-    body = struct.pack(">BH", VERSION, number) + packed
-    return struct.pack(">I", crc32(body)) + body
+    body = HEAD.pack(VERSION, fleet) + packed
+    return CHECKSUM.pack(crc32(body)) + body
 
 
-def _row(record: Record) -> list[int]:
-    row = [_NUMBERS[type(record)], *map(int, record)]
+def _encode_record(record: Record) -> list[int]:
+    row = [RECORD_NUMBERS[type(record)], *map(int, record)]
     if not isinstance(record, MemberRecord):
         row[-1] //= MS
     return row
 
 
-def decode(data: bytes, number: int) -> Message | None:
-    """The message; None where its kind is not known here. BadMessageError on anything else."""
-    if len(data) < _HEAD.size:
+def decode(data: bytes, fleet: int) -> Message | None:
+    """The message of a datagram; None where its kind is not known here.
+
+    Raises:
+        BadMessageError: on anything else, with the counter's name.
+    """
+    _check_head(data, fleet)
+    try:
+        return _decode_body(msgpack.unpackb(data[BODY_AT:]))
+    except (ValueError, TypeError, msgpack.UnpackException) as err:
+        raise BadMessageError("unsound") from err
+
+
+def _check_head(data: bytes, fleet: int) -> None:
+    if len(data) < BODY_AT:
         raise BadMessageError("short")
-    check, version, of = _HEAD.unpack_from(data)
-    if crc32(data[4:]) != check:
+    (checksum,) = CHECKSUM.unpack_from(data)
+    if crc32(data[CHECKSUM.size :]) != checksum:
         raise BadMessageError("broken")
+    version, sender_fleet = HEAD.unpack_from(data, CHECKSUM.size)
     if version != VERSION:
         raise BadMessageError("another version")
-    if of != number:
+    if sender_fleet != fleet:
         raise BadMessageError("another tier")
-    try:
-        fields = msgpack.unpackb(data[_HEAD.size :])
-        kind, origin, incarnation, serial, subject, digest, rows = fields[:7]
-        figures = (kind, origin, incarnation, serial, subject, *digest)
-        if not all(type(f) is int for f in figures):
-            raise BadMessageError("unsound")
-        if kind not in _KNOWN:
-            return None
-        records = tuple(r for r in map(_record, rows) if r is not None)
-        body = fields[7] if kind == Kind.PIECE and len(fields) > 7 else b""
-        if not isinstance(body, bytes):
-            raise BadMessageError("unsound")
-    except (ValueError, TypeError, msgpack.UnpackException) as err:
-        raise BadMessageError("unsound") from err
+
+
+def _decode_body(fields: Any) -> Message | None:
+    kind, origin, incarnation, serial, subject, digest, rows = fields[:MESSAGE_FIELDS]
+    _check_integers((kind, origin, incarnation, serial, subject, *digest))
+    if kind not in KNOWN_KINDS:
+        return None
+    records = tuple(record for record in map(_decode_record, rows) if record is not None)
+    body = b""
+    if kind == Kind.PIECE and len(fields) > MESSAGE_FIELDS:
+        body = fields[MESSAGE_FIELDS]
+    if not isinstance(body, bytes):
+        raise BadMessageError("unsound")
     return Message(Kind(kind), origin, incarnation, serial, subject, tuple(digest), records, body)
 
 
-def _record(row: list[int]) -> Record | None:
-    """One record; None where its kind is not known here. ValueError on one that is short."""
-    if not isinstance(row, list) or not row or not all(type(f) is int for f in row):
+def _decode_record(row: Any) -> Record | None:
+    """One record; None where its kind is not known here."""
+    if not isinstance(row, list) or not row:
         raise BadMessageError("unsound")
-    made = _KINDS.get(row[0])
-    if made is None:
+    _check_integers(row)
+    record_type = RECORD_TYPES.get(row[0])
+    if record_type is None:
         return None
-    count = len(made._fields)
+    count = len(record_type._fields)
     if len(row) <= count:
         raise BadMessageError("unsound")
-    figures = row[1 : count + 1]
-    if made is not MemberRecord:
-        figures[-1] *= MS
-    return made(*figures)
+    fields = row[1 : count + 1]
+    if record_type is not MemberRecord:
+        fields[-1] *= MS
+    return record_type(*fields)
+
+
+def _check_integers(values: list[Any] | tuple[Any, ...]) -> None:
+    if not all(type(value) is int for value in values):
+        raise BadMessageError("unsound")
--- a/loadbalancer/gossip_transport/file.py
+++ b/loadbalancer/gossip_transport/file.py
@@ -1,4 +1,13 @@
-"""deploy/fleet.toml, decoded in one place; without it a node goes by the platform's terms."""
+"""Reads deploy/fleet.toml. The file's words are mapped to this program's terms here alone.
+
+| key      | field of `FleetFile` |
+|----------|----------------------|
+| tier     | name                 |
+| datagram | datagram             |
+| words    | messages             |
+| seats    | slots                |
+| readers  | readers              |
+"""
 
 from __future__ import annotations
 
@@ -14,10 +23,12 @@
 from loadbalancer.gossip_transport.settings import FleetFile
 
 KEYS = ("version", "tier", "datagram", "words", "seats", "readers")
-LEAST_DATAGRAM, MOST_DATAGRAM = 128, 1400
-LEAST_MESSAGES, MOST_MESSAGES = 5, 1000
-MOST_SLOTS = 10_000
-MOST_READERS = 16
+NUMBERS = {  # key: field, minimum, maximum
+    "datagram": ("datagram", 128, 1400),
+    "words": ("messages", 5, 1000),
+    "seats": ("slots", 1, 10_000),
+    "readers": ("readers", 0, 16),
+}
 
 
 class FleetError(SourceError):
@@ -25,29 +36,35 @@
 
 
 def read_fleet(path: str) -> FleetFile:
-    """Read and decode it; FleetError with every fault and its line."""
+    """Read and decode the file.
+
+    Raises:
+        FleetError: with every fault and its line.
+    """
     return section.read_file(path, decode, FleetError)
 
 
 def decode(
     raw: dict[str, Any], lines: Mapping[Key, int], folder: Path = Path()
 ) -> tuple[FleetFile | None, list[Fault]]:
-    """The decoded file, or its faults in the file's order."""
+    """The decoded file, or None and its faults in the file's order."""
     top = section.top_of(raw, lines, folder, KEYS)
-    usual = FleetFile()
-    tier = top.text("tier", usual.tier)
-    datagram = _within(top, "datagram", usual.datagram, LEAST_DATAGRAM, MOST_DATAGRAM)
-    messages = _within(top, "words", usual.messages, LEAST_MESSAGES, MOST_MESSAGES)
-    slots = _within(top, "seats", usual.slots, 1, MOST_SLOTS)
-    readers = _within(top, "readers", usual.readers, 0, MOST_READERS)
+    defaults = FleetFile()
+    name = top.text("tier", defaults.name)
+    numbers = {
+        field: _number(top, key, getattr(defaults, field), minimum, maximum)
+        for key, (field, minimum, maximum) in NUMBERS.items()
+    }
     if top.faults:
         return None, sorted(top.faults)
-    return FleetFile(tier, datagram, messages, slots, readers), []
+    return FleetFile(name, **numbers), []
 
 
-def _within(top: Section, key: str, usual: int, least: int, most: int) -> int:
-    value = top.raw.get(key, usual)
-    if type(value) is int and least <= value <= most:
+def _number(top: Section, key: str, default: int, minimum: int, maximum: int) -> int:
+    value = top.raw.get(key, default)
+    if type(value) is int and minimum <= value <= maximum:
         return value
-    top.fault(key, "bad-value", f"{key} is no whole number", f"write one from {least} to {most}")
-    return usual
+    top.fault(
+        key, "bad-value", f"{key} is no whole number", f"write one from {minimum} to {maximum}"
+    )
+    return default
--- a/loadbalancer/gossip_transport/settings.py
+++ b/loadbalancer/gossip_transport/settings.py
@@ -1,4 +1,4 @@
-"""What deploy/fleet.toml says, and the platform's terms where there is no such file."""
+"""The contents of deploy/fleet.toml, and the platform's values where there is no such file."""
 
 from __future__ import annotations
 
@@ -7,10 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFile:
-    """`datagram`: bytes; `messages`: a second; `slots`: requests that every server takes at once;
-    `readers`: nodes that read the list for all, 0 where each does for itself."""
+    """The fleet's terms.
 
-    tier: str = "nodes"
+    Attributes:
+        name: of the fleet; nodes ignore the messages of another fleet.
+        datagram: bytes of a message at most.
+        messages: of one node, a second.
+        slots: concurrent requests of one server, from all nodes together.
+        readers: nodes that read the list for all, 0 where each reads for itself.
+    """
+
+    name: str = "nodes"
     datagram: int = 256
     messages: int = 20
     slots: int = 15
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -1,8 +1,9 @@
-"""The list that some nodes read for all: between discovery and this node's part in the fleet."""
+"""The list that a few nodes read for all: between discovery and this node's gossip."""
 
 from __future__ import annotations
 
 import json
+import logging
 import time
 from typing import TYPE_CHECKING, Any, Protocol
 
@@ -13,85 +14,107 @@
 if TYPE_CHECKING:
     from loadbalancer.sources.consul.source import ConsulMembers
 
-LEFT = "left"
+logger = logging.getLogger(__name__)
+
+REMOVED = "left"  # discovery's state of a server that is no longer listed
 
 
 class Host(Protocol):
-    """What this asks of the host."""
+    """What the sharing asks of the node's host."""
 
     @property
-    def discovery(self) -> Discovery | ConsulMembers: ...
-    def log(self, text: str) -> None: ...
+    def discovery(self) -> Discovery | ConsulMembers:
+        """Where the list of servers comes from."""
 
 
-def rows_of(raw: dict[str, Any]) -> dict[str, str | None]:
-    """Discovery's rows as text by id, None for one that has left."""
+def rows_of(answer: dict[str, Any]) -> dict[str, str | None]:
+    """The rows of an answer of discovery as text by id, None for a removed server."""
     return {
-        str(t["uid"]): None
-        if t["state"] == LEFT
-        else json.dumps(t, sort_keys=True, separators=(",", ":"))
-        for t in raw["targets"]
+        str(target["uid"]): None
+        if target["state"] == REMOVED
+        else json.dumps(target, sort_keys=True, separators=(",", ":"))
+        for target in answer["targets"]
     }
 
 
-def raw_of(taken: Taken) -> dict[str, Any]:
-    """The same as an answer of discovery's."""
+def answer_of(update: Taken) -> dict[str, Any]:
+    """An update of the shared list as an answer of discovery."""
     targets = [
-        {"uid": uid, "state": LEFT} if row is None else json.loads(row)
-        for uid, row in taken.rows.items()
+        {"uid": uid, "state": REMOVED} if row is None else json.loads(row)
+        for uid, row in update.rows.items()
     ]
-    return {"rev": taken.rev, "all": taken.whole, "targets": targets}
+    return {"rev": update.rev, "all": update.whole, "targets": targets}
+
 
+class ListSharing:
+    """Has discovery poll only while this node is a reader, and takes what other readers read.
 
-class Lists:
-    """Implements ports.ListReaders."""
+    Implements `proxy.ports.ListReaders`.
+    """
 
-    def __init__(self, host: Host, fleet: GossipNode, known: dict[str, Any]) -> None:
-        assert fleet.shared_list is not None and isinstance(host.discovery, Discovery)
-        self._host = host
-        self._fleet = fleet
-        self._shared = fleet.shared_list
+    def __init__(self, host: Host, node: GossipNode, known: dict[str, Any]) -> None:
+        assert node.shared_list is not None
+        assert isinstance(host.discovery, Discovery)
+        self._node = node
+        self._shared_list = node.shared_list
         self._discovery = host.discovery
         self._discovery.readers = self
-        self._reads = False  # as last told
-        self._refused = False  # the last list of others could not be used
-        rows = {u: row for u, row in rows_of(known).items() if row is not None}
+        self._polls = False  # whether this node was a reader at the last update
+        self._refused = False  # whether the last update could not be used
+        rows = {uid: row for uid, row in rows_of(known).items() if row is not None}
         if rows:
-            self._shared.copy.begin(known["rev"], rows)
-
-    def after(self, now: int, spoken: bool) -> None:
-        """Read or leave it to others, and go by what they read; after each turn and message."""
-        shared = self._shared
-        if not spoken:
-            shared.alone(now)
-        if shared.reads != self._reads:
-            self._reads = shared.reads
-            self._host.log("asks for the list" if self._reads else "leaves the list to others")
-            if self._reads:
-                self._discovery.watch()
-            else:
-                self._discovery.close()
-        news, shared.news = shared.news, []
-        for taken in news:
-            if self._refused:  # what it said is missing in hand: all rows from here on
-                taken = Taken(taken.rev, dict(shared.copy.rows), True)
-            try:
-                self._discovery.passed(raw_of(taken))
-                self._refused = False
-            except (ListError, ValueError, RecursionError) as err:
-                self._refused = True
-                self._host.log(f"the list of another node not used: {err}")
+            self._shared_list.copy.begin(known["rev"], rows)
+
+    def update(self, now: int, connected: bool) -> None:
+        """After each turn and message: start or stop polling, and apply what others have read.
+
+        Args:
+            now: ns.
+            connected: whether this node takes part in the gossip; otherwise it polls itself.
+        """
+        shared_list = self._shared_list
+        if not connected:
+            shared_list.alone(now)
+        if shared_list.reads != self._polls:
+            self._polls = shared_list.reads
+            self._switch_polling()
+        updates, shared_list.news = shared_list.news, []
+        for update in updates:
+            self._apply(update)
+
+    def _switch_polling(self) -> None:
+        if self._polls:
+            logger.info("asks for the list")
+            self._discovery.watch()
+        else:
+            logger.info("leaves the list to others")
+            self._discovery.close()
+
+    def _apply(self, update: Taken) -> None:
+        if self._refused:
+            # The rows of the refused update are missing: all rows are needed from here on.
+            update = Taken(update.rev, dict(self._shared_list.copy.rows), True)
+        try:
+            self._discovery.passed(answer_of(update))
+            self._refused = False
+        except (ListError, ValueError, RecursionError) as err:
+            self._refused = True
+            logger.info("the list of another node not used: %s", err)
 
     # ---- for discovery ------------------------------------------------------------
 
-    def may_ask(self) -> bool:
-        return self._shared.reads
+    def may_poll(self) -> bool:
+        """Whether this node polls the list service itself."""
+        return self._shared_list.reads
 
     def unread(self) -> bool:
-        return not self._shared.copy.version.epoch
+        """Whether the list in hand is from the configuration, and no node has read it."""
+        return not self._shared_list.copy.version.epoch
 
     def read(self, raw: dict[str, Any]) -> None:
-        self._fleet.on_list_read(time.monotonic_ns(), raw["rev"], rows_of(raw), raw["all"])
+        """The list service has answered this node."""
+        self._node.on_list_read(time.monotonic_ns(), raw["rev"], rows_of(raw), raw["all"])
 
     def failed(self, older: bool) -> None:
-        self._shared.failed(time.monotonic_ns(), older)
+        """A call of this node failed, or (`older`) answered with an older version."""
+        self._shared_list.failed(time.monotonic_ns(), older)
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -8,8 +8,7 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import sys
+import logging
 import time
 import traceback
 from collections import deque
@@ -30,12 +29,13 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.ports import LimitShare
     from loadbalancer.core.balancing.route_policies import RoutePolicies
-    from loadbalancer.gossip_transport.transport import Peers
+    from loadbalancer.gossip_transport.transport import GossipTransport
     from loadbalancer.proxy.exchange import Client, Taken
     from loadbalancer.proxy.routing import Routing
     from loadbalancer.sources.consul.source import ConsulMembers
     from loadbalancer.upgrade.handed_state import Inheritance
 
+logger = logging.getLogger(__name__)
 
 BACKSTOP = 10 * MS  # past its deadline a request the module forgot is failed
 REARM = 100 * MS  # a timer whose event raised comes again after this long
@@ -75,11 +75,11 @@
         self.timer_count = 0
         self.timer: asyncio.TimerHandle | None = None
         self.armed = NO_TIMER
-        self.log_second = 0
-        self.log_lines = 0
         self.balancer = Balancer(config.settings, config.seed, self)
         self.routing: Routing | None = None
-        self.peers: Peers | None = None  # gossip between nodes, where the settings allow them
+        self.peers: GossipTransport | None = (
+            None  # gossip between nodes, where the settings allow them
+        )
         self.policies: RoutePolicies | None = None  # with the first routes file
 
     def _members(self) -> Discovery | ConsulMembers:
@@ -108,7 +108,7 @@
             rows = self.discovery.inherit(left)
         self._meet_peers()
         if self.peers is not None:
-            rows = self.peers.listed(Update.CACHED, rows)
+            rows = self.peers.on_list(Update.CACHED, rows)
         self.enter()
         self.balancer.start(self.now)
         self.balancer.on_members(self.now, Update.CACHED, rows)
@@ -136,9 +136,9 @@
             self.log(f"no gossip between nodes: peers name no node {config.settings.node}")
             return
         # Here and not above: without gossip the node is as small as ever.
-        from loadbalancer.gossip_transport.transport import Peers
+        from loadbalancer.gossip_transport.transport import GossipTransport
 
-        self.peers = Peers(self, config)
+        self.peers = GossipTransport(self, config)
 
     # ---- two processes as one node --------------------------------------
 
@@ -395,7 +395,7 @@
         for backend in stale:
             self.upstream.drop_idle(backend)
         if self.peers is not None:
-            rows = self.peers.listed(update, rows)
+            rows = self.peers.on_list(update, rows)
         now = self.enter()
         try:
             self.balancer.on_members(now, update, rows)
@@ -530,16 +530,8 @@
         self.later(due, token)
 
     def log(self, text: str) -> None:
-        """A line on standard error; past LOG_LINES a second lines are dropped."""
-        second = time.monotonic_ns() // SECOND
-        if second != self.log_second:
-            self.log_second = second
-            self.log_lines = 0
-        self.log_lines += 1
-        if self.log_lines <= LOG_LINES:
-            # A log that nobody reads any more, or not fast enough, must stop no request.
-            with contextlib.suppress(OSError):
-                print(f"{self.config.name}: {text}", file=sys.stderr, flush=True)
+        """A line of the log; past LOG_LINES a second lines are dropped."""
+        logger.info("%s", text)
 
     # ---- time ---------------------------------------------------------
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -270,7 +270,7 @@
         self._told(update, rows, stale)
 
     def _may_ask(self) -> bool:
-        return self.readers is None or self.readers.may_ask()
+        return self.readers is None or self.readers.may_poll()
 
     def inherit(self, left: Inheritance) -> list[Listing]:
         """The list as the process before this one had it."""
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -46,7 +46,7 @@
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
-from loadbalancer.gossip_transport.shared_list import raw_of, rows_of
+from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.lifecycle import Service
 from loadbalancer.sources.consul.file import ConsulFile
@@ -145,12 +145,12 @@
 
 
 def _encode_gossip(plain: Plain) -> bytes:
-    return codec.encode(_message(plain), codec.tier(plain["tier"]))
+    return codec.encode(_message(plain), codec.fleet_number(plain["tier"]))
 
 
 def _decode_gossip(data: bytes) -> Plain:
     try:
-        message = codec.decode(data, codec.tier("nodes"))
+        message = codec.decode(data, codec.fleet_number("nodes"))
     except codec.BadMessageError as err:
         return {"refused": str(err)}
     if message is None:
@@ -193,7 +193,7 @@
 
 
 def _encode_rows(plain: Plain) -> bytes:
-    return json.dumps(raw_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
+    return json.dumps(answer_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
 
 
 def _decode_rows(data: bytes) -> Plain:
@@ -456,15 +456,15 @@
         return ours.recv(1 << 16)
 
 
-def _peers() -> link.Peers:
+def _peers() -> link.GossipTransport:
     """The first of four nodes, which has heard of the others what `status` shows."""
     host: Any = SimpleNamespace(log=lambda _text: None)
     config: Any = _node_config()
     host.discovery = Discovery(config, lambda *_: None, host.log)
     host.balancer = Balancer(SETTINGS, 1, host)
     with _clocks(), mock.patch.object(link, "FleetFile", lambda: FleetFile(readers=2)):
-        peers = link.Peers(host, config)
-        fleet = peers.fleet
+        peers = link.GossipTransport(host, config)
+        fleet = peers.node
         fleet.receive(
             NOW - 30 * MS,
             Message(
@@ -483,7 +483,7 @@
         )  # fmt: skip
         fleet.leases.grants |= {c: Grant(2, NOW + (300 + c) * MS) for c in (1, 4)}
         fleet.leases.active[1] = Lease(0b101, NOW, NOW + 700 * MS)
-        peers.counts["broken"] += 2
+        peers.counters["broken"] += 2
         return peers
 
 
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -1,4 +1,4 @@
-"""Real nodes with links between them that are cut, slowed and spoilt, and peers that lie."""
+"""Real nodes over links that are cut, slowed and damaged, and peers that send false records."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 from loadbalancer.cli.commands import main as run_command
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
-from loadbalancer.gossip_transport.codec import decode, encode
-from loadbalancer.gossip_transport.codec import tier as tier_number
+from loadbalancer.gossip_transport.codec import decode, encode, fleet_number
 from loadbalancer.sources.discovery import backend_id
-from tests.harness import ROOT, answer, listen, node, request, roster
+from tests.harness import answer, listen, node, request, roster
 from tests.harness import target as listed_target
 
 NODES = 5
@@ -38,7 +37,7 @@
         yield found
 
 
-def ask(process: Process, rid: str, path: str = "/balance/1") -> int:
+def request_status(process: Process, rid: str, path: str = "/balance/1") -> int:
     connection = HTTPConnection(process.address, timeout=20)
     headers = {"X-Request-ID": rid, "X-Priority-Class": "balance", "X-Timeout-Ms": "1500"}
     connection.request("GET", path, headers=headers | {"Host": "app.svc"})
@@ -52,18 +51,21 @@
     return state.get("received", 0)
 
 
-def own(t: Tier, servers: list[Process], discovery: Process) -> None:
-    """The list service's list, as one of these nodes is told it."""
+def drain_first(servers: list[Process], discovery: Process) -> None:
+    """Let the list service list these servers, the first of them as leaving."""
     rows = [target(f"s-{i}", s.address) for i, s in enumerate(servers, 1)]
     rows[0]["state"] = "leaving"
     discovery.call("POST", "/standin/targets", rows)
 
 
-def test_a_drain_told_to_one_node_holds_at_all_across_a_cut(servers: list[Process]) -> None:
-    """Nodes 0 and 1 are apart from the others, and the list service tells node 0 alone."""
-    pairs = [word for i, s in enumerate(servers, 1) for word in ("--target", f"s-{i}={s.address}")]
+def test_a_drain_that_one_node_reads_reaches_all_after_a_partition(servers: list[Process]) -> None:
+    """Node 0 alone reads that a server drains, while it and node 1 are cut off from the others.
+
+    The others must not send to that server once the partition has ended.
+    """
+    targets = [arg for i, s in enumerate(servers, 1) for arg in ("--target", f"s-{i}={s.address}")]
     with (
-        started(("-m", "fakes.discovery", *pairs)) as discovery,
+        started(("-m", "fakes.discovery", *targets)) as discovery,
         tier(
             NODES,
             [s.address for s in servers],
@@ -75,7 +77,7 @@
         t.cut([0, 1], [2, 3, 4])
         t.agree({0, 1}, [0, 1])
         t.agree({2, 3, 4}, [2, 3, 4])
-        own(t, servers, discovery)
+        drain_first(servers, discovery)
 
         def knows(n: int) -> bool:
             return any(s == drained and who == "list" for s, who, *_ in t.status(n)["servers"])
@@ -87,80 +89,85 @@
             wait_until(lambda n=n: knows(n))  # type: ignore[misc]
         t.agree(set(range(NODES)))
         before = received(servers[0])
-        statuses = {ask(t.nodes[n], f"r{n}-{i}") for n in range(1, NODES) for i in range(12)}
+        statuses = {
+            request_status(t.nodes[n], f"r{n}-{i}") for n in range(1, NODES) for i in range(12)
+        }
         assert statuses == {200}
         assert received(servers[0]) == before  # nothing more goes where the list says leaving
 
 
-def test_kills_stops_and_returns_are_found_and_nobody_refuses(servers: list[Process]) -> None:
+def test_kills_pauses_and_returns_are_detected_and_no_request_fails(servers: list[Process]) -> None:
+    """One node is killed and one paused; then all but one are killed, and started again."""
     with tier(NODES, [s.address for s in servers]) as t:
         t.agree(set(range(NODES)))
         t.kill(3)
         t.signal(signal.SIGSTOP, 4)
         t.agree({0, 1, 2}, [0, 1, 2])
-        assert {ask(t.nodes[0], f"a{i}") for i in range(20)} == {200}
-        said = StringIO()
+        assert {request_status(t.nodes[0], f"a{i}") for i in range(20)} == {200}
+        shown = StringIO()
         assert (
-            run_command(["peers", t.nodes[0].admin], said) == 1
+            run_command(["peers", t.nodes[0].admin], shown) == 1
         )  # the answer is that some are missing
-        assert "3 of 5 nodes live" in said.getvalue()
-        assert "node 3 dead, incarnation" in said.getvalue()
+        assert "3 of 5 nodes live" in shown.getvalue()
+        assert "node 3 dead, incarnation" in shown.getvalue()
         t.signal(signal.SIGCONT, 4)
         t.start(3)
         t.agree(set(range(NODES)))
         counts = t.status(4)["counts"]
-        assert counts["stalls"] >= 1 and counts["waited too long"] > 0
+        assert counts["stalls"] >= 1
+        assert counts["waited too long"] > 0
         t.kill(0, 1, 2, 3)
         t.agree({4}, [4])  # the last one
-        assert {ask(t.nodes[4], f"b{i}") for i in range(20)} == {200}
+        assert {request_status(t.nodes[4], f"b{i}") for i in range(20)} == {200}
         t.start(0, 1, 2, 3)
         t.agree(set(range(NODES)))
         t.signal(signal.SIGTERM, 2)
         wait_until(lambda: [2, "left"] in [row[:2] for row in t.status(0)["nodes"]])
 
 
-def test_a_server_that_fails_one_node_is_hardly_tried_by_the_others(
+def test_a_server_that_failed_at_two_nodes_is_hardly_tried_by_the_others(
     servers: list[Process],
 ) -> None:
+    """A server resets each connection. Without gossip each node takes four attempts to find out."""
     with tier(NODES, [s.address for s in servers]) as t:
         t.agree(set(range(NODES)))
         servers[1].call("POST", "/standin/faults", {"reset": 1.0})
         bad = f"{backend_id('s-2'):016x}"
 
-        def met(witness: int) -> str:
-            """One request at a node that may try it; what node 4 makes of it by then."""
-            assert ask(t.nodes[witness], f"m{witness}-{time.monotonic_ns()}") == 200
+        def verdict_after_request_at(witness: int) -> str:
+            """Send one request to a node, which may try the server; node 4's verdict by then."""
+            assert request_status(t.nodes[witness], f"m{witness}-{time.monotonic_ns()}") == 200
             return t.verdicts(4).get(bad, "-")
 
-        wait_until(lambda: met(0) != "-" or met(1) != "-")
+        wait_until(lambda: verdict_after_request_at(0) != "-" or verdict_after_request_at(1) != "-")
         for n in (2, 3, 4):
             wait_until(lambda n=n: t.verdicts(n).get(bad) != "-")  # type: ignore[misc]
-        said = StringIO()
-        assert run_command(["peers", t.nodes[4].admin], said) == 0
-        assert f"server {bad}: " in said.getvalue() and " s ago: failures " in said.getvalue()
+        shown = StringIO()
+        assert run_command(["peers", t.nodes[4].admin], shown) == 0
+        assert f"server {bad}: " in shown.getvalue()
+        assert " s ago: failures " in shown.getvalue()
         before = received(servers[1])
         for n in (2, 3, 4):
-            assert {ask(t.nodes[n], f"s{n}-{i}") for i in range(20)} == {200}
+            assert {request_status(t.nodes[n], f"s{n}-{i}") for i in range(20)} == {200}
         assert received(servers[1]) - before <= 6  # each alone takes 4 to find out
         servers[1].call("POST", "/standin/faults", {})
-        wait_until(lambda: met(0) == met(1) == "-")
+        wait_until(lambda: verdict_after_request_at(0) == verdict_after_request_at(1) == "-")
 
 
-def test_words_lost_slow_doubled_and_broken_cost_no_request(servers: list[Process]) -> None:
+def test_messages_lost_late_duplicated_and_damaged_fail_no_request(servers: list[Process]) -> None:
     with tier(NODES, [s.address for s in servers]) as t:
         t.order(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
-        assert {ask(t.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
+        assert {request_status(t.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
         wait_until(lambda: all(t.status(n)["counts"].get("broken", 0) > 3 for n in t.nodes))
         t.order(loss=0.0, delay_ms=0, jitter_ms=0, double=0.0, broken=0.0)
         t.agree(set(range(NODES)))
 
 
-def test_versions_and_lists_that_differ_stand_side_by_side(servers: list[Process]) -> None:
-    """Node 4's list lacks node 0, node 3's ends before node 4; the others' are whole."""
-
+def test_nodes_with_different_lists_of_nodes_run_side_by_side(servers: list[Process]) -> None:
+    """Node 4's list lacks node 0, node 3's ends before node 4; the others' are complete."""
     tiers: list[Tier] = []
 
-    def over(n: int) -> dict[str, Any]:
+    def overrides(n: int) -> dict[str, Any]:
         peers = list(tiers[0].addresses[n])
         if n == 4:
             peers[0] = "127.0.0.1:1"
@@ -168,13 +175,13 @@
 
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(_folder())
-        t = stack.enter_context(Tier(NODES, [s.address for s in servers], folder, over=over))
+        t = stack.enter_context(Tier(NODES, [s.address for s in servers], folder, over=overrides))
         tiers.append(t)
         t.start()
         t.agree(set(range(NODES)), [0, 1, 2])
         t.agree({0, 1, 2, 3}, [3])
         wait_until(lambda: t.status(3)["counts"].get("unlisted", 0) > 0)
-        assert {ask(t.nodes[n], f"d{n}") for n in t.nodes} == {200}
+        assert {request_status(t.nodes[n], f"d{n}") for n in t.nodes} == {200}
 
 
 @contextlib.contextmanager
@@ -185,11 +192,11 @@
         yield Path(folder)
 
 
-# ---- one node and peers driven by hand ------------------------------------
+# ---- one node and scripted peers ------------------------------------
 
 
 @contextlib.contextmanager
-def by_hand(tmp_path: Path, count: int = 3, **over: Any) -> Iterator[Any]:
+def scripted_peers(tmp_path: Path, count: int = 3, **overrides: Any) -> Iterator[Any]:
     """A node 0 of `count`, the sockets of its peers, and its server."""
     peers = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in peers:
@@ -205,7 +212,7 @@
             "admin": "127.0.0.1:0",
             "settings": {"balancers": count, "limits": LIMITS | {"peers": True}},
         }
-        with node(tmp_path, known, **(more | over)) as n:
+        with node(tmp_path, known, **(more | overrides)) as n:
             yield n, peers, ("127.0.0.1", ports[0]), server
     for sock in peers:
         sock.close()
@@ -230,8 +237,13 @@
     return line
 
 
-def test_ten_thousand_words_of_every_bad_kind_cost_no_request(tmp_path: Path) -> None:
-    number = tier_number("nodes")
+def test_floods_of_each_kind_of_bad_datagram_fail_no_request(tmp_path: Path) -> None:
+    """A peer sends malformed, foreign and old messages, then far too many of them.
+
+    They are counted by cause; requests are answered meanwhile, and what waited during a pause of
+    the node is not processed after it.
+    """
+    number = fleet_number("nodes")
     message = Message(Kind.GOSSIP, 1, 50)
     good = encode(message, number)
     kinds = {
@@ -244,7 +256,7 @@
         ),
         "old": encode(message._replace(incarnation=3), number),
     }
-    with by_hand(tmp_path) as (n, peers, to, server):
+    with scripted_peers(tmp_path) as (n, peers, to, server):
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         peers[1].sendto(good, to)
         for data in kinds.values():
@@ -270,26 +282,26 @@
         assert served(n, server) == "HTTP/1.1 200 OK"
         later = encode(message._replace(incarnation=51), number)
 
-        def heard() -> bool:
+        def accepted() -> bool:
             peers[1].sendto(later, to)
             return any(r[2] == 51 for r in json.loads(n.call("GET /peers")[2])["nodes"])
 
-        wait_until(heard)
+        wait_until(accepted)
         assert sum(counts().values()) - before < 5_000
         stranger.close()
 
 
-def test_a_later_version_s_words_are_skipped_where_they_are_not_known(tmp_path: Path) -> None:
+def test_what_a_later_version_adds_to_messages_is_skipped(tmp_path: Path) -> None:
     import struct
     from zlib import crc32
 
     rows = [[9, 1, 2], [1, backend_id("s-1"), 0, 7, int(State.DRAINING), 0, 77]]
-    body = struct.pack(">BH", 1, tier_number("nodes"))
+    body = struct.pack(">BH", 1, fleet_number("nodes"))
     # A kind of message that comes with a later version, as leases came with this one, then
     # a known one.
     later = body + msgpack.packb([99, 1, 50, 0, -1, [], [], "more"])
     body += msgpack.packb([3, 1, 50, 0, -1, [], rows, "more"])
-    with by_hand(tmp_path) as (n, peers, to, _server):
+    with scripted_peers(tmp_path) as (n, peers, to, _server):
         peers[1].sendto(struct.pack(">I", crc32(later)) + later, to)
         peers[1].sendto(struct.pack(">I", crc32(body)) + body, to)
 
@@ -304,22 +316,28 @@
         assert client.message()[0].startswith("HTTP/1.1 503")  # nowhere to send it
 
 
-def test_who_is_held_for_dead_says_otherwise_and_a_lie_ends(tmp_path: Path) -> None:
-    number = tier_number("nodes")
-    with by_hand(tmp_path) as (n, peers, to, server):
+def test_a_node_refutes_its_own_death_and_ignores_drains_of_other_starts(
+    tmp_path: Path,
+) -> None:
+    """A peer publishes that this node is dead, and that its only server is gone."""
+    number = fleet_number("nodes")
+    with scripted_peers(tmp_path) as (n, peers, to, server):
         first = json.loads(n.call("GET /peers")[2])["incarnation"]
-        lies = (MemberRecord(0, first + 5, 2), DrainRecord(backend_id("s-1"), 3, 9, State.GONE, 0))
-        peers[1].sendto(encode(Message(Kind.GOSSIP, 1, 50, records=lies), number), to)
+        records = (
+            MemberRecord(0, first + 5, 2),
+            DrainRecord(backend_id("s-1"), 3, 9, State.GONE, 0),
+        )
+        peers[1].sendto(encode(Message(Kind.GOSSIP, 1, 50, records=records), number), to)
         wait_until(lambda: json.loads(n.call("GET /peers")[2])["incarnation"] == first + 6)
         assert served(n, server) == "HTTP/1.1 200 OK"  # gone was another start of that server
 
 
-def test_an_idle_node_lends_its_upper_slots_once_and_says_so(tmp_path: Path) -> None:
-    number = tier_number("nodes")
-    with by_hand(tmp_path, 5) as (n, peers, to, server):
+def test_an_idle_node_leases_its_upper_slots_to_one_node_and_reports_it(tmp_path: Path) -> None:
+    number = fleet_number("nodes")
+    with scripted_peers(tmp_path, 5) as (n, peers, to, server):
 
-        def asked(node: int, serial: int) -> int:
-            """What this node, which lives, is lent; an answer names its question."""
+        def leased_to(node: int, serial: int) -> int:
+            """The classes that this node, which is alive, gets; -1 where nobody answers."""
             peers[node].settimeout(0.1)
             peers[node].sendto(encode(Message(Kind.LEASE_REQUEST, node, 50, serial), number), to)
             with contextlib.suppress(TimeoutError):
@@ -333,21 +351,21 @@
                         peers[node].sendto(encode(back, number), to)
             return -1
 
-        def told() -> bool:
-            said = StringIO()
-            run_command(["peers", f"127.0.0.1:{n.admin}"], said)
-            return "slots lent: at 8 in 8 servers to node 2" in said.getvalue()
+        def reported() -> bool:
+            shown = StringIO()
+            run_command(["peers", f"127.0.0.1:{n.admin}"], shown)
+            return "slots lent: at 8 in 8 servers to node 2" in shown.getvalue()
 
-        # Nothing at first: an earlier start of this node may have lent what is its own.
-        wait_until(lambda: asked(2, 77) == 255 and asked(4, 78) == 0 and told())
-        assert asked(1, 79) == -1  # of another zone: it has no slots at these servers
+        # Nothing at first: an earlier start of this node may have leased out its slots.
+        wait_until(lambda: leased_to(2, 77) == 255 and leased_to(4, 78) == 0 and reported())
+        assert leased_to(1, 79) == -1  # of another zone: it has no slots at these servers
         assert served(n, server) == "HTTP/1.1 200 OK"
-        # Two processes under one name: neither may use what the other is lent.
+        # Two processes under one name: neither may use what is leased to the other.
         for serial in range(4):
             peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 60, 90), number), to)
             peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 50, 91 + serial), number), to)
 
-        def refused() -> bool:
+        def granted_nothing() -> bool:
             peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 60, 99), number), to)
             with contextlib.suppress(TimeoutError):
                 while True:
@@ -360,27 +378,26 @@
                         return message.subject == 0
             return False
 
-        wait_until(refused)
+        wait_until(granted_nothing)
         assert [r for r in json.loads(n.call("GET /peers")[2])["nodes"] if r[0] == 2 and r[4]]
 
 
-def test_without_the_settings_word_there_is_no_socket_and_no_import(tmp_path: Path) -> None:
+def test_without_the_setting_there_is_no_socket_and_no_import(tmp_path: Path) -> None:
     off = {"balancers": 3, "limits": LIMITS}
-    with by_hand(tmp_path, settings=off) as (n, _peers, to, server):
+    with scripted_peers(tmp_path, settings=off) as (n, _peers, to, server):
         maps = Path(f"/proc/{n.process.pid}/maps").read_text()
         assert "msgpack" not in maps
         probe = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        probe.bind(to)  # nobody has it
+        probe.bind(to)  # no process has bound it
         probe.close()
         assert n.call("GET /peers")[0] == "HTTP/1.1 404 Not Found"
-        assert (
-            run_command(["peers", f"127.0.0.1:{n.admin}"]) == 2
-            and run_command(["peers", "127.0.0.1:1"]) == 2
-        )
+        assert run_command(["peers", f"127.0.0.1:{n.admin}"]) == 2
+        assert run_command(["peers", "127.0.0.1:1"]) == 2
         assert served(n, server) == "HTTP/1.1 200 OK"
 
 
-def test_an_upgrade_s_two_processes_are_one_writer(servers: list[Process]) -> None:
+def test_the_two_processes_of_an_upgrade_are_one_member(servers: list[Process]) -> None:
+    """Were both to take part, the others would trust neither of the two incarnations."""
     with listen() as free:
         port = free.getsockname()[1]
     at = {"listen": f"127.0.0.1:{port}"}
@@ -394,13 +411,13 @@
             wait_until(lambda: other.call("GET", "/peers")["caught_up"])
             incarnations = [r[2] for r in t.status(1)["nodes"] if r[0] == 0]
             assert incarnations[0] >= first
-            assert not [r for r in t.status(1)["nodes"] if r[4]]  # nobody is doubted
+            assert not [r for r in t.status(1)["nodes"] if r[4]]  # no member is untrusted
 
 
-def test_leases_end_whoever_is_stopped_or_upgraded_and_no_server_holds_more(
+def test_leases_end_at_pauses_and_upgrades_and_no_server_gets_more_than_its_slots(
     servers: list[Process], tmp_path: Path
 ) -> None:
-    """Three nodes before servers of three slots; node 0 has all clients, and borrows."""
+    """Three nodes before servers of three slots; node 0 has all clients, and leases slots."""
     fleet = tmp_path / "fleet.toml"
     fleet.write_text("version = 1\nseats = 3\n")
     with listen() as free:
@@ -414,68 +431,58 @@
         contextlib.ExitStack() as stack,
     ):
         t.agree({0, 1, 2})
-        going = Going(t.nodes[0].address)
-        stack.callback(going.stop)
+        clients = SteadyClients(t.nodes[0].address)
+        stack.callback(clients.stop)
 
-        def lenders() -> list[int]:
+        def grantors() -> list[int]:
             return [row[0] for row in t.status(0)["borrowed"]]
 
-        wait_until(lambda: bool(lenders()))
-        lender = lenders()[0]
-        t.signal(signal.SIGSTOP, lender)
-        wait_until(lambda: lender not in lenders())  # though nobody has told it
-        t.signal(signal.SIGCONT, lender)
-        wait_until(lambda: bool(lenders()))
-        lender = lenders()[0]
-        wait_until(lambda: any(row[0] == 0 for row in t.status(lender)["lent"]))
+        wait_until(lambda: bool(grantors()))
+        grantor = grantors()[0]
+        t.signal(signal.SIGSTOP, grantor)
+        wait_until(lambda: grantor not in grantors())  # though no message ended it
+        t.signal(signal.SIGCONT, grantor)
+        wait_until(lambda: bool(grantors()))
+        grantor = grantors()[0]
+        wait_until(lambda: any(row[0] == 0 for row in t.status(grantor)["lent"]))
         t.signal(signal.SIGSTOP, 0)
-        wait_until(lambda: not t.status(lender)["lent"])
+        wait_until(lambda: not t.status(grantor)["lent"])
         t.signal(signal.SIGCONT, 0)
-        wait_until(lambda: bool(lenders()))
-        # An upgrade in the middle of it: the new process is lent to once the old one is silent.
+        wait_until(lambda: bool(grantors()))
+        # An upgrade in the middle of it: the new process gets leases once the old one has stopped.
         with started(("-m", "loadbalancer"), t.config(0)) as successor:
             successor.read_on()
             t.signal(signal.SIGTERM, 0)
             t.nodes[0].popen.wait(20)
             t.nodes[0].admin = successor.admin
-            wait_until(lambda: bool(lenders()))
-            going.stop()
-        # What a stopped node held is too late when it wakes, and answered as failed.
-        assert going.statuses <= {200, 502, 503, 504} and 200 in going.statuses
+            wait_until(lambda: bool(grantors()))
+            clients.stop()
+        # Requests that a paused node had are late when it goes on, and are answered as failed.
+        assert clients.statuses <= {200, 502, 503, 504}
+        assert 200 in clients.statuses
     assert max(s.call("GET", "/standin/state")["most_held"] for s in servers) <= 3
 
 
-class Going:
-    """Clients that ask one address without a pause, a dozen side by side, until told to stop."""
+class SteadyClients:
+    """A dozen clients that send requests to one address without a pause, until `stop`."""
 
     def __init__(self, address: str) -> None:
         self.statuses: set[int] = set()
         self._address = address
-        self._over = threading.Event()
-        self._threads = [threading.Thread(target=self._ask, args=(i,)) for i in range(12)]
+        self._stopping = threading.Event()
+        self._threads = [threading.Thread(target=self._send_requests, args=(i,)) for i in range(12)]
         for thread in self._threads:
             thread.start()
 
-    def _ask(self, client: int) -> None:
-        asked = 0
-        while not self._over.is_set():
-            asked += 1
+    def _send_requests(self, client: int) -> None:
+        sent = 0
+        while not self._stopping.is_set():
+            sent += 1
             with contextlib.suppress(OSError, HTTPException):
                 process = Process(None, self._address)  # type: ignore[arg-type]
-                self.statuses.add(ask(process, f"g{client}-{asked}"))
+                self.statuses.add(request_status(process, f"g{client}-{sent}"))
 
     def stop(self) -> None:
-        self._over.set()
+        self._stopping.set()
         for thread in self._threads:
             thread.join()
-
-
-def test_the_fleet_file_s_faults_are_told_with_their_lines(tmp_path: Path) -> None:
-    said = StringIO()
-    path = tmp_path / "fleet.toml"
-    path.write_text('version = 1\ntier = ""\ndatagram = 64\nword = 3\nseats = "x"\n')
-    assert run_command(["check", str(path)], said) == 2
-    out = said.getvalue()
-    for line, rule in ((2, "missing-key"), (3, "bad-value"), (4, "unknown-key"), (5, "bad-value")):
-        assert f"{path}:{line}: [{rule}]" in out
-    assert run_command(["check", str(ROOT / "deploy" / "fleet.toml")], said) == 0
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -14,7 +14,7 @@
 from fakes.fleet import Process, backends, started
 from fakes.tier import Tier, tier, wait_until
 from loadbalancer.cli.commands import main as run_command
-from tests.gossip_transport.test_transport import ask, received
+from tests.gossip_transport.test_transport import received, request_status
 
 NODES = 9
 ROWS = 60
@@ -56,7 +56,9 @@
 
 
 def serve(t: Tier, name: str) -> None:
-    assert {ask(t.nodes[n], f"{name}{n}-{i}") for n in t.nodes for i in range(4)} == {200}
+    assert {request_status(t.nodes[n], f"{name}{n}-{i}") for n in t.nodes for i in range(4)} == {
+        200
+    }
 
 
 def test_a_cold_tier_reads_the_list_as_one_whatever_dies(
