--- a/loadbalancer/config/settings.py
+++ b/loadbalancer/config/settings.py
@@ -11,8 +11,16 @@
 import json
 from typing import Any
 
-from loadbalancer.core.balancing.model import Effect, RequestClass, Scope, Settings, Tenant
-from loadbalancer.core.errors import ConfigurationError
+from loadbalancer.core.balancing.model import (
+    Effect,
+    RequestClass,
+    Scope,
+    Settings,
+    SettingsError,
+    Tenant,
+)
+
+__all__ = ["SettingsError", "settings_from_json", "without_nulls"]
 
 EFFECTS = {"pure": Effect.PURE, "token": Effect.TOKEN, "side_effect": Effect.SIDE_EFFECT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
@@ -27,10 +35,6 @@
 DEFAULT_TICK_NS = 1_000_000
 
 
-class SettingsError(ConfigurationError):
-    """The settings can't be used; the text says which key, and why."""
-
-
 def settings_from_json(text: bytes) -> Settings:
     """Decode the settings object.
 
--- /dev/null
+++ b/loadbalancer/simulator/actions.py
@@ -0,0 +1,83 @@
+"""The actions of one instance's Balancer, as records of the reply."""
+
+from __future__ import annotations
+
+import struct
+
+from loadbalancer.simulator.wire_format import ActionCode
+
+MAX_TEXT_BYTES = 500
+
+_SEND = struct.Struct(">BIIQI").pack
+_REJECT = struct.Struct(">BIIQ").pack
+_FAIL = struct.Struct(">BII").pack
+_CANCEL = struct.Struct(">BIIH").pack
+_SET_TIMER = struct.Struct(">BIQQ").pack
+_PROBE = struct.Struct(">BII").pack
+_TEXT = struct.Struct(">BIH").pack
+_WATCH = struct.Struct(">BIB").pack
+
+# As plain numbers: packing converts an enum's member each time.
+SEND, REJECT, FAIL, CANCEL = (
+    int(code) for code in (ActionCode.SEND, ActionCode.REJECT, ActionCode.FAIL, ActionCode.CANCEL)
+)
+SET_TIMER, PROBE, LOG, FAULT, WATCH = (
+    int(code)
+    for code in (
+        ActionCode.SET_TIMER,
+        ActionCode.PROBE,
+        ActionCode.LOG,
+        ActionCode.FAULT,
+        ActionCode.WATCH,
+    )
+)
+
+
+class InstanceActions:
+    """Implements `core.balancing.model.Actions`: packs each call into the reply being built."""
+
+    __slots__ = ("_instance", "_reply")
+
+    def __init__(self, instance: int, reply: list[bytes]) -> None:
+        self._instance = instance
+        self._reply = reply
+
+    def send(self, request: int, backend: int, timeout: int) -> None:
+        """Send an attempt; the timeout is in nanoseconds."""
+        self._reply.append(_SEND(SEND, self._instance, request, timeout, backend))
+
+    def refuse(self, request: int, retry_after: int) -> None:
+        """Reject a request; the client may retry after so many nanoseconds."""
+        self._reply.append(_REJECT(REJECT, self._instance, request, retry_after))
+
+    def fail(self, request: int) -> None:
+        """Answer that a request has failed."""
+        self._reply.append(_FAIL(FAIL, self._instance, request))
+
+    def cancel(self, request: int, attempt: int) -> None:
+        """Cancel an attempt."""
+        self._reply.append(_CANCEL(CANCEL, self._instance, request, attempt))
+
+    def set_timer(self, token: int, due: int) -> None:
+        """Set a timer for a time in nanoseconds."""
+        self._reply.append(_SET_TIMER(SET_TIMER, self._instance, token, due))
+
+    def probe(self, backend: int) -> None:
+        """Probe a backend."""
+        self._reply.append(_PROBE(PROBE, self._instance, backend))
+
+    def watch(self) -> None:
+        """Watch the endpoint list."""
+        self._reply.append(_WATCH(WATCH, self._instance, 1))
+
+    def log(self, text: str) -> None:
+        """Add a line to the simulator's report."""
+        self._append_text(LOG, text)
+
+    def fault(self, text: str) -> None:
+        """Report that a decision raised."""
+        self._append_text(FAULT, text)
+
+    def _append_text(self, code: int, text: str) -> None:
+        data = text.encode()[:MAX_TEXT_BYTES]
+        self._reply.append(_TEXT(code, self._instance, len(data)) + data)
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -1,8 +1,8 @@
-"""The bench's wire: frames in, events to one Balancer per instance, actions out.
+"""The decisions on the simulator's wire: `python -m loadbalancer.simulator.adapter`.
 
-Nothing is decided here. A frame is decoded, each event is handed to the
-instance it names, and what that instance's Balancer calls for is packed into
-the reply in the order of the calls.
+Batches of events come on standard input and one reply a batch goes to standard output. Each event
+is handed to the Balancer of the instance that it names; what that Balancer calls for is packed
+into the reply in the order of the calls. Nothing is decided here, and instances share nothing.
 """
 
 from __future__ import annotations
@@ -10,112 +10,61 @@
 import struct
 import sys
 from collections.abc import Callable
-from typing import Any, BinaryIO
+from typing import Any, BinaryIO, NamedTuple
 
 from loadbalancer.config.settings import SettingsError, settings_from_json
 from loadbalancer.core.balancing.balancer import Balancer
 from loadbalancer.core.balancing.model import Listing, State, Update
-from loadbalancer.core.errors import ProtocolError
+from loadbalancer.simulator import wire_format
+from loadbalancer.simulator.actions import InstanceActions
+from loadbalancer.simulator.wire_format import EventCode, WireError
 
-HEAD = struct.Struct(">IIIQ")
-REPLY = struct.Struct(">III")
-ENTRY = struct.Struct(">HBIBHQf")
 
-EV_TIMER = struct.Struct(">BIQ")
-EV_HELLO = struct.Struct(">BIQI")
-EV_MEMBERS = struct.Struct(">BIBIH")
-EV_STOP = struct.Struct(">BI")
-EV_LEFT = struct.Struct(">BII")
-EV_STARTED = struct.Struct(">BIIHIQ")
-EV_RESOLVED = struct.Struct(">BIIIBHQBB")
-EV_CATALOG = struct.Struct(">BHI")
-EV_ACCEPT = struct.Struct(">BIIHHQQQB")
-EV_PROBED = struct.Struct(">BIIQBB")
-EV_NOTE = struct.Struct(">BIIH")
+class Instance(NamedTuple):
+    """One instance: its Balancer (None where it could not be made) and its actions."""
 
-SUBMIT = struct.Struct(">BIIQI").pack
-TURN_AWAY = struct.Struct(">BIIQ").pack
-DROP = struct.Struct(">BII").pack
-WITHDRAW = struct.Struct(">BIIH").pack
-SCHEDULE = struct.Struct(">BIQQ").pack
-CHECK = struct.Struct(">BII").pack
-TEXT = struct.Struct(">BIH").pack
-WATCH = struct.Struct(">BIB").pack
+    balancer: Balancer | None
+    actions: InstanceActions
 
-HINT_VALID = 1
-CLIENT_RETRY = 2
 
+class Adapter:
+    """All instances of one process, and the numbered endpoint lists that updates refer to.
 
-class WireError(ProtocolError):
-    """The input is not what the wire describes; the text says where."""
-
-
-class Node:
-    """Actions of one instance: packs each call into the reply being built."""
-
-    __slots__ = ("balancer", "me", "out")
-
-    def __init__(self, me: int, out: list[bytes]) -> None:
-        self.me = me
-        self.out = out
-        self.balancer: Balancer | None = None
-
-    def send(self, request: int, backend: int, timeout: int) -> None:
-        self.out.append(SUBMIT(16, self.me, request, timeout, backend))
-
-    def refuse(self, request: int, retry_after: int) -> None:
-        self.out.append(TURN_AWAY(17, self.me, request, retry_after))
-
-    def fail(self, request: int) -> None:
-        self.out.append(DROP(18, self.me, request))
-
-    def cancel(self, request: int, attempt: int) -> None:
-        self.out.append(WITHDRAW(19, self.me, request, attempt))
-
-    def set_timer(self, token: int, due: int) -> None:
-        self.out.append(SCHEDULE(20, self.me, token, due))
-
-    def probe(self, backend: int) -> None:
-        self.out.append(CHECK(21, self.me, backend))
-
-    def watch(self) -> None:
-        self.out.append(WATCH(26, self.me, 1))
-
-    def log(self, text: str) -> None:
-        data = text.encode()[:500]
-        self.out.append(TEXT(24, self.me, len(data)) + data)
-
-    def fault(self, text: str) -> None:
-        data = text.encode()[:500]
-        self.out.append(TEXT(25, self.me, len(data)) + data)
-
-
-class Drill:
-    """All instances of one process, and the numbered lists they point at."""
+    Methods named `_on_...` read one record at an offset, hand it on, and return the next offset.
+    """
 
     def __init__(self) -> None:
-        self.nodes: dict[int, Node] = {}
-        self.lists: dict[int, tuple[Listing, ...]] = {}
-        self.out: list[bytes] = []
-        self.readers: dict[int, Callable[[int, bytes, int], int]] = {
-            16: self.timer,
-            17: self.hello,
-            18: self.members,
-            19: self.stop,
-            20: self.left,
-            21: self.started,
-            22: self.resolved,
-            23: self.catalog,
-            24: self.accept,
-            25: self.probed,
-            26: self.note,
+        self.instances: dict[int, Instance] = {}
+        self._lists: dict[int, tuple[Listing, ...]] = {}
+        self._reply: list[bytes] = []
+        self._readers: dict[int, Callable[[int, bytes, int], int]] = {
+            EventCode.TIMER: self._on_timer,
+            EventCode.START: self._on_start,
+            EventCode.LIST_UPDATE: self._on_list_update,
+            EventCode.STOP: self._on_stop,
+            EventCode.CLIENT_DISCONNECTED: self._on_client_disconnected,
+            EventCode.RESPONSE_STARTED: self._on_response_started,
+            EventCode.OUTCOME: self._on_outcome,
+            EventCode.ENDPOINT_LIST: self._on_endpoint_list,
+            EventCode.REQUEST: self._on_request,
+            EventCode.PROBE_OUTCOME: self._on_probe_outcome,
+            EventCode.PEER_MESSAGE: self._on_peer_message,
         }
 
-    def batch(self, now: int, count: int, body: bytes) -> tuple[int, bytes]:
-        """Handle one frame's records; returns the reply's record count and body."""
-        self.out.clear()
+    def handle_batch(self, now: int, count: int, body: bytes) -> tuple[int, bytes]:
+        """Handle a batch's records; returns the reply's record count and body.
+
+        Args:
+            now: the batch's clock in nanoseconds.
+            count: how many records the body has.
+            body: the records.
+
+        Raises:
+            WireError: where the body is not so many known records.
+        """
+        self._reply.clear()
         at = 0
-        readers = self.readers
+        readers = self._readers
         try:
             for _ in range(count):
                 reader = readers.get(body[at])
@@ -126,140 +75,171 @@
             raise WireError("a record is cut short") from None
         if at != len(body):
             raise WireError(f"{len(body) - at} bytes are left after the last record")
-        return len(self.out), b"".join(self.out)
+        return len(self._reply), b"".join(self._reply)
 
-    def timer(self, now: int, body: bytes, at: int) -> int:
-        _, inst, token = EV_TIMER.unpack_from(body, at)
-        self.call(inst, "on_timer", now, token)
-        return at + 13
+    # ---- instances -----------------------------------------------------
 
-    def hello(self, now: int, body: bytes, at: int) -> int:
-        _, inst, seed, size = EV_HELLO.unpack_from(body, at)
-        end: int = at + 17 + size
+    def _on_start(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.START
+        _, number, seed, size = layout.unpack_from(body, at)
+        begin = at + layout.size
+        end: int = begin + size
         if end > len(body):
             raise WireError("the settings are cut short")
         try:
-            settings = settings_from_json(body[at + 17 : end])
+            settings = settings_from_json(body[begin:end])
         except SettingsError as err:
             raise WireError(str(err)) from None
-        node = Node(inst, self.out)
-        self.nodes[inst] = node
+        actions = InstanceActions(number, self._reply)
+        self.instances[number] = Instance(None, actions)
         try:
-            node.balancer = Balancer(settings, seed, node)
-            node.balancer.start(now)
-        except Exception as err:
-            self.broken(inst, err)
+            balancer = Balancer(settings, seed, actions)
+            self.instances[number] = Instance(balancer, actions)
+            balancer.start(now)
+        except Exception as err:  # noqa: BLE001  # any fault of a decision goes into the report
+            _report_fault(actions, err)
         return end
 
-    def members(self, now: int, body: bytes, at: int) -> int:
-        _, inst, mode, version, number = EV_MEMBERS.unpack_from(body, at)
-        if mode > 3:
-            raise WireError(f"unknown list mode {mode}")
-        entries: tuple[Listing, ...] = ()
-        if mode != Update.FAILED:
-            if number not in self.lists:
-                raise WireError(f"list {number} was never given")
-            entries = self.lists[number]
-        self.call(inst, "on_members", now, Update(mode), entries)
-        return at + 12
-
-    def stop(self, now: int, body: bytes, at: int) -> int:
-        _, inst = EV_STOP.unpack_from(body, at)
-        self.nodes.pop(inst, None)
-        return at + 5
-
-    def left(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request = EV_LEFT.unpack_from(body, at)
-        self.call(inst, "on_client_disconnected", now, request)
-        return at + 9
-
-    def started(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, attempt, _backend, taken = EV_STARTED.unpack_from(body, at)
-        self.call(inst, "on_response_started", now, request, attempt, taken)
-        return at + 23
-
-    def resolved(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, _backend, done, attempt, taken, code, n = EV_RESOLVED.unpack_from(
-            body, at
-        )
-        if not 1 <= code <= 8:
-            raise WireError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, at + 26) if n else ()
-        node = self.nodes.get(inst)
-        if node is not None and node.balancer is not None:
-            try:
-                node.balancer.on_outcome(now, request, attempt, code, taken, done != 0, load)
-            except Exception as err:
-                self.broken(inst, err)
-        return at + 26 + 4 * int(n)
-
-    def catalog(self, now: int, body: bytes, at: int) -> int:
-        _, number, n = EV_CATALOG.unpack_from(body, at)
-        end: int = at + 7 + ENTRY.size * n
+    def _on_stop(self, _now: int, body: bytes, at: int) -> int:
+        layout = wire_format.STOP
+        _, number = layout.unpack_from(body, at)
+        self.instances.pop(number, None)
+        return at + layout.size
+
+    def _on_timer(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.TIMER
+        _, number, token = layout.unpack_from(body, at)
+        self._call(number, Balancer.on_timer, now, token)
+        return at + layout.size
+
+    # ---- the endpoint list ----------------------------------------------
+
+    def _on_endpoint_list(self, _now: int, body: bytes, at: int) -> int:
+        layout = wire_format.ENDPOINT_LIST
+        _, list_number, rows = layout.unpack_from(body, at)
+        begin = at + layout.size
+        end: int = begin + wire_format.LIST_ROW.size * rows
         if end > len(body):
             raise WireError("a list is cut short")
         entries = []
-        for cell, zone, backend, state, kind, boot, rating in ENTRY.iter_unpack(body[at + 7 : end]):
-            if state > 2:
+        for row in wire_format.LIST_ROW.iter_unpack(body[begin:end]):
+            cell, zone, backend, state, kind, boot, rating = row
+            if state > wire_format.MAX_LIST_STATE:
                 raise WireError(f"unknown backend state {state}")
             entries.append(Listing(backend, State(state), zone, cell, kind, boot, rating))
-        self.lists[number] = tuple(entries)
+        self._lists[list_number] = tuple(entries)
         return end
 
-    def accept(self, now: int, body: bytes, at: int) -> int:
-        _, inst, request, cls, tenant, key, left, hint, flags = EV_ACCEPT.unpack_from(body, at)
-        node = self.nodes.get(inst)
-        if node is not None and node.balancer is not None:
+    def _on_list_update(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.LIST_UPDATE
+        _, number, kind, _version, list_number = layout.unpack_from(body, at)
+        if kind > wire_format.MAX_UPDATE_KIND:
+            raise WireError(f"unknown list mode {kind}")
+        entries: tuple[Listing, ...] = ()
+        if kind != Update.FAILED:
+            if list_number not in self._lists:
+                raise WireError(f"list {list_number} was never given")
+            entries = self._lists[list_number]
+        self._call(number, Balancer.on_members, now, Update(kind), entries)
+        return at + layout.size
+
+    # ---- requests and attempts --------------------------------------------
+
+    def _on_request(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.REQUEST
+        _, number, request, class_number, tenant, key, remaining, hint, flags = layout.unpack_from(
+            body, at
+        )
+        instance = self.instances.get(number)
+        if instance is not None and instance.balancer is not None:
+            valid_hint = hint if flags & wire_format.HINT_VALID else 0
+            retry = flags & wire_format.CLIENT_RETRY != 0
             try:
-                node.balancer.on_request(
-                    now,
-                    request,
-                    cls,
-                    left,
-                    tenant,
-                    key,
-                    hint if flags & HINT_VALID else 0,
-                    flags & CLIENT_RETRY != 0,
+                instance.balancer.on_request(
+                    now, request, class_number, remaining, tenant, key, valid_hint, retry
                 )
-            except Exception as err:
-                self.broken(inst, err)
-        return at + 38
-
-    def probed(self, now: int, body: bytes, at: int) -> int:
-        _, inst, backend, taken, code, n = EV_PROBED.unpack_from(body, at)
-        if not 1 <= code <= 8:
-            raise WireError(f"unknown outcome {code}")
-        load = struct.unpack_from(f">{n}f", body, at + 19)
-        self.call(inst, "on_probe", now, backend, code, taken, load)
-        return at + 19 + 4 * int(n)
-
-    def note(self, now: int, body: bytes, at: int) -> int:
-        _, _inst, _peer, size = EV_NOTE.unpack_from(body, at)
-        if at + 11 + size > len(body):
+            except Exception as err:  # noqa: BLE001  # as in `_call`
+                _report_fault(instance.actions, err)
+        return at + layout.size
+
+    def _on_client_disconnected(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.CLIENT_DISCONNECTED
+        _, number, request = layout.unpack_from(body, at)
+        self._call(number, Balancer.on_client_disconnected, now, request)
+        return at + layout.size
+
+    def _on_response_started(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.RESPONSE_STARTED
+        _, number, request, attempt, _backend, duration = layout.unpack_from(body, at)
+        self._call(number, Balancer.on_response_started, now, request, attempt, duration)
+        return at + layout.size
+
+    def _on_outcome(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.OUTCOME
+        _, number, request, _backend, complete, attempt, duration, code, figures = (
+            layout.unpack_from(body, at)
+        )
+        _check_outcome(code)
+        end = at + layout.size
+        load = struct.unpack_from(f">{figures}f", body, end) if figures else ()
+        instance = self.instances.get(number)
+        if instance is not None and instance.balancer is not None:
+            try:
+                instance.balancer.on_outcome(
+                    now, request, attempt, code, duration, complete != 0, load
+                )
+            except Exception as err:  # noqa: BLE001  # as in `_call`
+                _report_fault(instance.actions, err)
+        return end + wire_format.FLOAT_BYTES * int(figures)
+
+    def _on_probe_outcome(self, now: int, body: bytes, at: int) -> int:
+        layout = wire_format.PROBE_OUTCOME
+        _, number, backend, duration, code, figures = layout.unpack_from(body, at)
+        _check_outcome(code)
+        end = at + layout.size
+        load = struct.unpack_from(f">{figures}f", body, end)
+        self._call(number, Balancer.on_probe, now, backend, code, duration, load)
+        return end + wire_format.FLOAT_BYTES * int(figures)
+
+    def _on_peer_message(self, _now: int, body: bytes, at: int) -> int:
+        """Skip a message of another instance: none is sent on the simulator."""
+        layout = wire_format.PEER_MESSAGE
+        _, _number, _peer, size = layout.unpack_from(body, at)
+        end: int = at + layout.size + size
+        if end > len(body):
             raise WireError("a note is cut short")
-        return at + 11 + int(size)
+        return end
+
+    def _call(self, number: int, method: Callable[..., None], now: int, *args: Any) -> None:
+        """Hand one event to an instance's Balancer; one of an unknown instance is skipped.
 
-    def call(self, inst: int, method: str, now: int, *args: Any) -> None:
-        """Hand one event to its instance; one it does not have is skipped."""
-        node = self.nodes.get(inst)
-        if node is None or node.balancer is None:
+        A decision that raises is reported on the wire for that instance alone: the others go on.
+        """
+        instance = self.instances.get(number)
+        if instance is None or instance.balancer is None:
             return
         try:
-            getattr(node.balancer, method)(now, *args)
-        except Exception as err:
-            self.broken(inst, err)
+            method(instance.balancer, now, *args)
+        except Exception as err:  # noqa: BLE001  # any fault of a decision goes into the report
+            _report_fault(instance.actions, err)
 
-    def broken(self, inst: int, err: Exception) -> None:
-        """A decision raised: say so on the wire for that instance alone."""
-        trace = err.__traceback__
-        while trace is not None and trace.tb_next is not None:
-            trace = trace.tb_next
-        where = f" at line {trace.tb_lineno}" if trace is not None else ""
-        self.nodes[inst].fault(f"{type(err).__name__}: {err}{where}")
 
+def _check_outcome(code: int) -> None:
+    if not wire_format.MIN_OUTCOME <= code <= wire_format.MAX_OUTCOME:
+        raise WireError(f"unknown outcome {code}")
 
-def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Read size bytes, or fewer where the input ends."""
+
+def _report_fault(actions: InstanceActions, err: Exception) -> None:
+    """Report what a decision raised, and at which line."""
+    trace = err.__traceback__
+    while trace is not None and trace.tb_next is not None:
+        trace = trace.tb_next
+    where = f" at line {trace.tb_lineno}" if trace is not None else ""
+    actions.fault(f"{type(err).__name__}: {err}{where}")
+
+
+def _read_exactly(stream: BinaryIO, size: int) -> bytes:
+    """Read so many bytes, or fewer where the input ends."""
     data = stream.read(size)
     while len(data) < size:
         more = stream.read(size - len(data))
@@ -270,24 +250,30 @@
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
-    """Answer frames until the input ends; WireError on anything malformed."""
-    drill = Drill()
+    """Answer batches until the input ends.
+
+    Raises:
+        WireError: on anything malformed.
+    """
+    adapter = Adapter()
+    header = wire_format.BATCH_HEADER
     while True:
-        head = read_exactly(stdin, HEAD.size)
+        head = _read_exactly(stdin, header.size)
         if not head:
             return
-        if len(head) < HEAD.size:
+        if len(head) < header.size:
             raise WireError("a frame's header is cut short")
-        seq, count, size, now = HEAD.unpack(head)
-        body = read_exactly(stdin, size)
+        batch, count, size, now = header.unpack(head)
+        body = _read_exactly(stdin, size)
         if len(body) < size:
             raise WireError("a frame is cut short")
-        n, reply = drill.batch(now, count, body)
-        stdout.write(REPLY.pack(seq, n, len(reply)) + reply)
+        records, reply = adapter.handle_batch(now, count, body)
+        stdout.write(wire_format.REPLY_HEADER.pack(batch, records, len(reply)) + reply)
         stdout.flush()
 
 
 def main() -> int:
+    """Serve standard input; 0 at its end, 2 where it is malformed, 1 where nobody reads."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from loadbalancer.simulator.adapter import Drill, WireError, serve
+from loadbalancer.simulator.adapter import Adapter, serve
+from loadbalancer.simulator.wire_format import WireError
 from tests.harness import ROOT
 
 SETTINGS = {
@@ -117,7 +118,7 @@
         frame(catalog(1)[:-3]),
     ],
 )
-def test_malformed_input_is_named_not_guessed(data: bytes) -> None:
+def test_malformed_input_is_named(data: bytes) -> None:
     with pytest.raises(WireError):
         serve(io.BytesIO(data), io.BytesIO())
 
@@ -140,7 +141,7 @@
     assert done.stderr.decode().splitlines() == ["loadbalancer: unknown event code 99"]
 
 
-def test_clean_end_and_no_word_from_the_hash_seed() -> None:
+def test_a_clean_end_and_nothing_that_depends_on_the_hash_seed() -> None:
     many = [ACCEPT[:5] + struct.pack(">I", i) + ACCEPT[9:] for i in range(50)]
     data = frame(hello(), catalog(*range(100, 140)), MEMBERS) + frame(*many, seq=2)
     one, two = run(data, "1"), run(data, "2")
@@ -157,9 +158,10 @@
 
 
 def test_instances_share_nothing() -> None:
-    drill = Drill()
+    adapter = Adapter()
     body = hello(3) + hello(4) + catalog(1) + MEMBERS
-    drill.batch(1, 4, body)
-    assert drill.nodes[3].balancer is not drill.nodes[4].balancer
-    four = drill.nodes[4].balancer
-    assert four is not None and not four.endpoints
+    adapter.handle_batch(1, 4, body)
+    assert adapter.instances[3].balancer is not adapter.instances[4].balancer
+    four = adapter.instances[4].balancer
+    assert four is not None
+    assert not four.endpoints
