--- a/tests/core/replicated_log/group.py
+++ b/tests/core/replicated_log/group.py
@@ -11,7 +11,9 @@
 from loadbalancer.core.replicated_log.messages import (
     Message,
 )
+from loadbalancer.core.replicated_log.raft import RaftMember
 from loadbalancer.core.replicated_log.replication import Outcome, Replica, Role, Timing
+from loadbalancer.core.replicated_log.state import Membership, Outbox
 
 REGIONS = ("east", "west")
 SPECS = [MachineSpec(f"{region}-{i}", region, region) for region in REGIONS for i in range(3)]
@@ -138,3 +140,9 @@
 def cut(group: Group, *names: str) -> None:
     """Nothing passes between these and the others."""
     group.drops = lambda sent: (sent.sender in names) != (sent.recipient in names)
+
+
+def member_of(log: ChangeLog, outbox: Outbox | None = None) -> RaftMember:
+    """The east's first member by itself, just started, at time 0."""
+    membership = Membership("east", "east-0", tuple(EAST))
+    return RaftMember(membership, log, 1, 0, Timing(), [] if outbox is None else outbox)
--- a/tests/core/replicated_log/test_follower.py
+++ b/tests/core/replicated_log/test_follower.py
@@ -2,11 +2,16 @@
 
 from __future__ import annotations
 
+from loadbalancer.core.assignment.model import Change, Position
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import (
     AppendEntries,
+    AppendEntriesResponse,
 )
-from tests.core.replicated_log.group import EAST, STEP, started
+from loadbalancer.core.replicated_log.model import Role
+from loadbalancer.core.replicated_log.state import Outbox
+from tests.core.replicated_log.group import EAST, STEP, member_of, started
 
 
 def test_late_duplicate_and_older_entries_change_nothing() -> None:
@@ -34,3 +39,24 @@
         group.replicas[follower].on_message(group.now, leader, message)
     assert group.replicas[follower].counts["older epochs"] >= len(old)
     assert group.logs[follower]["east"].log_snapshot().rows == before.rows
+
+
+def test_entries_of_an_older_history_are_refused_whatever_their_term() -> None:
+    """A log was lost and loaded again; a leader of the history before sends with a later term.
+
+    Taking its entries would bring back what was lost, below positions that subscribers have. The
+    member must refuse them and stay in its own term.
+    """
+    log = ChangeLog("east", 100, 1 << 20)
+    log.reset(Position(256, 1_000_000))
+    log.append(Change(Position(256, 1_000_001), "a"))
+    outbox: Outbox = []
+    member = member_of(log, outbox)
+    member.state.role, member.state.current_term = Role.FOLLOWER, 256
+    entry = Change(Position(300, 2), "b")
+    old = AppendEntries("east", 300, Position(1, 0), Position(1, 1), (entry,), 2)
+    member.on_message(SECOND, "east-1", old)
+    assert outbox == [("east-1", AppendEntriesResponse("east", 256, False, 1_000_001))]
+    assert member.current_term == 256
+    assert member.leader == ""
+    assert member.log.last == Position(256, 1_000_001)
--- a/tests/core/replicated_log/test_leader.py
+++ b/tests/core/replicated_log/test_leader.py
@@ -10,10 +10,8 @@
     AppendEntriesResponse,
     RequestVoteResponse,
 )
-from loadbalancer.core.replicated_log.raft import RaftMember
-from loadbalancer.core.replicated_log.replication import Outcome, Role, Timing
-from loadbalancer.core.replicated_log.state import Membership
-from tests.core.replicated_log.group import EAST, STEP, cut, started
+from loadbalancer.core.replicated_log.replication import Outcome, Role
+from tests.core.replicated_log.group import EAST, STEP, cut, member_of, started
 
 
 def test_a_change_is_committed_by_a_majority_and_reaches_all_machines_at_once() -> None:
@@ -96,8 +94,7 @@
     """
     log = ChangeLog("east", 100, 1 << 20)
     log.append(Change(Position(1, 1), "a"))
-    membership = Membership("east", "east-0", tuple(EAST))
-    member = RaftMember(membership, log, 1, 0, Timing(), [])
+    member = member_of(log)
     member.state.role, member.state.current_term = Role.FOLLOWER, 2
     older = Change(Position(2, 2), "a", (Row("u", "x"),))
     assert member.log.append_entries(Position(1, 1), (older,))
--- a/tests/core/replicated_log/test_recovery.py
+++ b/tests/core/replicated_log/test_recovery.py
@@ -2,10 +2,18 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.assignment.model import Position
+from loadbalancer.core.assignment.model import START, Change, Position
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.replicated_log.replication import Role
-from tests.core.replicated_log.group import EAST, SPECS, cut, started
+from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
+from loadbalancer.core.replicated_log.messages import (
+    AppendEntries,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
+)
+from loadbalancer.core.replicated_log.model import Role
+from loadbalancer.core.replicated_log.state import Outbox
+from tests.core.replicated_log.group import EAST, SPECS, cut, member_of, started
 
 
 def test_a_restarted_member_neither_votes_nor_counts_until_it_has_caught_up() -> None:
@@ -98,3 +106,79 @@
     assert group.everywhere("kept")
     group.propose(group.leader(), "on")
     assert group.run(2 * SECOND, lambda: group.everywhere("on"))
+
+
+def test_a_member_does_not_count_as_recovered_while_another_recovers() -> None:
+    """Two members of three have restarted; one catches up with the third's log.
+
+    The other restarted one may have acknowledged entries that the third does not have. The log
+    that was caught up with need not have all that was committed: no vote before it has recovered.
+    """
+    entry = Change(Position(1, 1), "a")
+    member = member_of(ChangeLog("east", 100, 1 << 20))
+    nonce = member.state.nonce
+
+    def respond(sender: str, recovering: bool) -> None:
+        response = RecoveryResponse("east", nonce, recovering, 1, entry.position, START)
+        member.on_message(0, sender, response)
+
+    def catch_up() -> Role:
+        append = AppendEntries("east", 1, START, START, (entry,), 1)
+        member.on_message(0, "east-1", append)
+        return member.role
+
+    respond("east-1", recovering=False)
+    assert catch_up() is Role.RECOVERING  # east-2 has not answered
+    respond("east-2", recovering=True)
+    assert catch_up() is Role.RECOVERING
+    respond("east-2", recovering=False)
+    assert catch_up() is Role.FOLLOWER
+
+
+def test_answers_to_an_earlier_start_of_a_member_do_not_count() -> None:
+    """A member restarts twice; an answer to its first start comes after the second.
+
+    The sender may have restarted since, and have less than the answer says: only an answer with
+    the nonce of this start counts.
+    """
+    entry = Change(Position(1, 1), "a")
+    member = member_of(ChangeLog("east", 100, 1 << 20))
+    nonce = member.state.nonce
+    for sender, answered in (("east-1", nonce), ("east-2", nonce + 1)):
+        response = RecoveryResponse("east", answered, False, 1, entry.position, START)
+        member.on_message(0, sender, response)
+    member.on_message(0, "east-1", AppendEntries("east", 1, START, START, (entry,), 1))
+    assert member.log.commit_index == 1
+    assert member.role is Role.RECOVERING
+
+
+def test_a_snapshot_of_an_older_history_is_for_recovering_members_alone() -> None:
+    """A machine offers a snapshot of the history before the log was lost.
+
+    A member with the new history must keep it; one that has nothing may serve the old one on.
+    """
+    log = ChangeLog("east", 100, 1 << 20)
+    log.reset(Position(256, 1_000_000))
+    member = member_of(log)
+    old = LogSnapshot(Position(300, 5), history=Position(1, 0))
+    assert member.accepts_snapshot(old)
+    member.state.role = Role.FOLLOWER
+    assert not member.accepts_snapshot(old)
+    assert member.accepts_snapshot(LogSnapshot(Position(256, 1_000_001), history=log.history))
+
+
+def test_a_reload_is_not_granted_below_a_reported_term() -> None:
+    """Machines without logs elect a leader to load the log; a subscriber knows a later term.
+
+    In a lower term, the subscriber would refuse all that is loaded: such a vote is refused.
+    """
+    outbox: Outbox = []
+    member = member_of(ChangeLog("east", 100, 1 << 20), outbox)
+    member.on_reported(0, Position(700, 5))
+    for term in (700, 701):
+        request = RequestVote("east", term, START, START, reload=True)
+        member.on_message(SECOND, "east-1", request)
+    assert outbox == [
+        ("east-1", RequestVoteResponse("east", 700, 0, False)),
+        ("east-1", RequestVoteResponse("east", 701, 701, True)),
+    ]
