--- a/tests/core/balancing/test_four_rules.py
+++ b/tests/core/balancing/test_four_rules.py
@@ -73,11 +73,12 @@
                 assert first.cell == row.cell, "group"
         tries.append({"backend": backend, "sent": self.now, "code": 0, "by": self.now + timeout})
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def refuse(self, request: int, _retry_after: int) -> None:
         spec = CLASSES[int(str(self.requests[request]["cls"]))]
         may_have_run = any(t["code"] in RAN or t["code"] == 0 for t in self.tries[request])
         if may_have_run and spec.effect != Effect.PURE:
-            assert spec.effect == Effect.TOKEN and spec.scope == Scope.ALL, "harmful refusal"
+            assert spec.effect == Effect.TOKEN, "harmful refusal"
+            assert spec.scope == Scope.ALL, "harmful refusal"
         self.close(request)
 
     def fail(self, request: int) -> None:
@@ -113,7 +114,9 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(EVENTS, st.booleans())
-def test_rules_hold(events: list[tuple[str, int]], tenants: bool) -> None:
+def test_rules_hold(  # noqa: C901, PLR0912 - one branch an event
+    events: list[tuple[str, int]], tenants: bool
+) -> None:
     world = World()
     realms = (Tenant("a", 0.7, 50.0), Tenant("b", 0.3, 5.0)) if tenants else ()
     balancer = Balancer(Settings(classes=CLASSES, tenants=realms, max_attempts=4), 5, world)
--- a/tests/core/gossip/test_balancer_bridge.py
+++ b/tests/core/gossip/test_balancer_bridge.py
@@ -11,6 +11,7 @@
     State,
     Update,
 )
+from loadbalancer.core.balancing.outlier_detection import eject
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import DrainRecord, Kind, Message
@@ -23,7 +24,7 @@
     balancer.start(0)
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     bridge = BalancerBridge(node, balancer)
-    balancer.concurrency_limit = 20.0
+    balancer.state.concurrency_limit = 20.0
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(16)])
 
     def caps(update: BalancerUpdate | None) -> int:
@@ -84,11 +85,11 @@
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(4)])
     caps = {b.id: b.cap for b in balancer.endpoints.values()}
     balancer.on_peer_report(1, 0, ReportedState.SLOW, 4.0, False)
-    balancer.recap()
+    balancer.update_caps()
     assert balancer.endpoints[0].cap < caps[0]
     assert balancer.endpoints[0].latency_ratio == 1.0
     balancer.on_peer_report(2, 0, None, 1.0, False)
-    balancer.recap()
+    balancer.update_caps()
     assert balancer.endpoints[0].cap == caps[0]
     balancer.on_peer_report(3, 1, ReportedState.SILENT, 1.0, True)
     assert balancer.endpoints[1].ejected_until
@@ -98,6 +99,6 @@
     assert balancer.endpoints[1].probing
     # No verdict ends an ejection for this node's own results.
     balancer.endpoints[2].consecutive_failures = 4
-    balancer.suspend(5, balancer.endpoints[2], True, False)
+    eject(balancer.state, 5, balancer.endpoints[2], True, False)
     balancer.on_peer_report(50, 2, None, 1.0, False)
     assert balancer.endpoints[2].ejected_until
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -19,9 +19,17 @@
 from zlib import crc32
 
 from loadbalancer.config.address import Address, parse_address
-from loadbalancer.control.consul_relay import Relay
-from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
-from loadbalancer.core import learned_state as legacy
+from loadbalancer.control.consul_relay import ListRelay
+from loadbalancer.core import (
+    Balancer,
+    Effect,
+    Listing,
+    RequestClass,
+    Settings,
+    State,
+    Update,
+    learned_state,
+)
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.list_versions import (
     NOTHING,
@@ -42,11 +50,11 @@
     ReaderRecord,
 )
 from loadbalancer.core.gossip.slot_leases import Grant, Lease
-from loadbalancer.core.process_pair import Left
+from loadbalancer.core.process_pair import SuccessorShare
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
-from loadbalancer.gossip_transport.shared_list import raw_of, rows_of
+from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.lifecycle import Service
 from loadbalancer.sources.consul.file import ConsulFile
@@ -145,12 +153,12 @@
 
 
 def _encode_gossip(plain: Plain) -> bytes:
-    return codec.encode(_message(plain), codec.tier(plain["tier"]))
+    return codec.encode(_message(plain), codec.fleet_number(plain["tier"]))
 
 
 def _decode_gossip(data: bytes) -> Plain:
     try:
-        message = codec.decode(data, codec.tier("nodes"))
+        message = codec.decode(data, codec.fleet_number("nodes"))
     except codec.BadMessageError as err:
         return {"refused": str(err)}
     if message is None:
@@ -193,7 +201,7 @@
 
 
 def _encode_rows(plain: Plain) -> bytes:
-    return json.dumps(raw_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
+    return json.dumps(answer_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
 
 
 def _decode_rows(data: bytes) -> Plain:
@@ -335,7 +343,7 @@
     host.reload = lambda passed_on: heard.update(says="reload")
     host.set_standby = lambda on: heard.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
-    left = heir._left = Left()
+    left = heir._left = SuccessorShare()
     awaited: Any = SimpleNamespace(
         done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
     )
@@ -348,7 +356,7 @@
         if not heard:
             _link(elder._told)[0].data_received(data)
     if heard["says"] == "keeps":
-        heard["keeps"] = {str(server): slots for server, slots in left.kept.items()}
+        heard["keeps"] = {str(server): slots for server, slots in left.retained.items()}
         heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
     return heard
 
@@ -368,7 +376,7 @@
         for m in plain["members"]
     ]  # fmt: skip
     balancer.on_members(0, Update.CACHED, rows)
-    legacy.take_over(balancer, NOW, legacy.read(plain["learned"]))
+    learned_state.restore(balancer, NOW, learned_state.parse(plain["learned"]))
     boots = {m["server"]: m["boot_ms"] for m in plain["members"]}
     roster = SimpleNamespace(
         rev=plain["rev"],
@@ -399,12 +407,12 @@
     return {
         "rev": left.rev, "members": members, "standby": left.standby,
         "learned": {
-            "level": learned.level, "send_rate": learned.send_rate,
+            "level": learned.concurrency_limit, "send_rate": learned.send_rate,
             "retry_credit": learned.retry_credit,
             "classes": {
-                name: [*known[:4], list(known.lefts)] for name, known in learned.classes.items()
+                name: [*c[:4], list(c.remaining_histogram)] for name, c in learned.classes.items()
             },
-            "backends": {str(server): list(held) for server, held in learned.backends.items()},
+            "backends": {str(server): list(held) for server, held in learned.endpoints.items()},
         },
     }  # fmt: skip
 
@@ -456,15 +464,15 @@
         return ours.recv(1 << 16)
 
 
-def _peers() -> link.Peers:
+def _peers() -> link.GossipTransport:
     """The first of four nodes, which has heard of the others what `status` shows."""
     host: Any = SimpleNamespace(log=lambda _text: None)
     config: Any = _node_config()
     host.discovery = Discovery(config, lambda *_: None, host.log)
     host.balancer = Balancer(SETTINGS, 1, host)
     with _clocks(), mock.patch.object(link, "FleetFile", lambda: FleetFile(readers=2)):
-        peers = link.Peers(host, config)
-        fleet = peers.fleet
+        peers = link.GossipTransport(host, config)
+        fleet = peers.node
         fleet.receive(
             NOW - 30 * MS,
             Message(
@@ -483,7 +491,7 @@
         )  # fmt: skip
         fleet.leases.grants |= {c: Grant(2, NOW + (300 + c) * MS) for c in (1, 4)}
         fleet.leases.active[1] = Lease(0b101, NOW, NOW + 700 * MS)
-        peers.counts["broken"] += 2
+        peers.counters["broken"] += 2
         return peers
 
 
@@ -600,8 +608,8 @@
 
     async def serve() -> None:
         with _clocks():
-            relay = Relay(file, lambda _text: None, 1)
-        relay.list.rev = relay.list._floor = plain["first_rev"]
+            relay = ListRelay(file, lambda _text: None, 1)
+        relay.revisions.rev = relay.revisions._floor = plain["first_rev"]
         for members in plain["lists"]:
             told: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
@@ -612,7 +620,7 @@
                     members=lambda told=told: told, complete=lambda: plain["complete"]
                 )
             )
-            relay._pass_on()
+            relay._publish()
         watcher = Watcher(relay)
         watcher.connection_made(transport)
         watcher.data_received(plain["call"].encode())
