--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -1,6 +1,6 @@
 """The services' backends in a file of JSON lines, for a region that has no log.
 
-One object a line: {"service": NAME, "targets": [...]}, the targets as the list service words them.
+One object a line: {"service": NAME, "targets": [...]}, the targets in the list service's form.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from loadbalancer.control.machine.list_form import ListFormError, row_of
 from loadbalancer.core.assignment.model import InvalidInputError, Row
 
-MOST_BYTES = 1 << 30
+MAX_FILE_BYTES = 1 << 30
 
 
 def read_backends(path: Path, services: Collection[str]) -> dict[str, tuple[Row, ...]]:
-    """The rows of these services.
+    """The rows of these services; lines of other services are passed over.
 
     Raises:
         InvalidInputError: the file can't be used; the text names the line.
     """
     found: dict[str, tuple[Row, ...]] = dict.fromkeys(services, ())
     try:
-        if path.stat().st_size > MOST_BYTES:
+        if path.stat().st_size > MAX_FILE_BYTES:
             raise InvalidInputError(
-                f"{path.name}: [too-large] over {MOST_BYTES} bytes; divide the fleet"
+                f"{path.name}: [too-large] over {MAX_FILE_BYTES} bytes; divide the fleet"
             )
-        with open(path, "rb") as file:
+        with path.open("rb") as file:
             for number, line in enumerate(file, 1):
-                _line(f"{path.name}:{number}", line, found)
+                _read_line(f"{path.name}:{number}", line, found)
     except OSError as err:
         raise InvalidInputError(
             f"{path.name}: [unreadable] {err.strerror}; see backends_file"
@@ -37,7 +37,7 @@
     return found
 
 
-def _line(place: str, line: bytes, found: dict[str, tuple[Row, ...]]) -> None:
+def _read_line(place: str, line: bytes, found: dict[str, tuple[Row, ...]]) -> None:
     try:
         raw = json.loads(line)
         service = raw["service"]
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import dataclass
+from http import HTTPStatus
 
 from loadbalancer.control.machine.list_form import encode_plain_list
 from loadbalancer.control.machine.version import position_of, version_of
@@ -11,68 +13,90 @@
 from loadbalancer.sources.watchers import Query, Watcher
 
 
+@dataclass(frozen=True, slots=True)
+class _LongPoll:
+    """A poll that waits for a newer version than `since`, until `timer` ends it."""
+
+    since: int
+    timer: asyncio.TimerHandle
+
+
 class BoundList:
     """The platform's list, with one service's backends, as of the region's accepted changes."""
 
-    def __init__(self, log: ChangeLog, service: str, most_watchers: int) -> None:
-        self.most_watchers = most_watchers
+    def __init__(self, log: ChangeLog, service: str, max_watchers: int) -> None:
+        self.most_watchers = max_watchers  # the name that `watchers.Host` gives it
         self.connections = 0
         self.service = service
         self.region = log.region
         self._log = log
-        self._waiting: dict[Watcher, tuple[int, asyncio.TimerHandle]] = {}
+        self._waiting: dict[Watcher, _LongPoll] = {}
+
+    # ---- what a connection calls --------------------------------------------
 
     def ready(self) -> bool:
-        """There is a log: before, an empty list would empty the node's pool."""
+        """Whether there is a log: before, an empty list would empty the node's pool."""
         return self._log.position > START
 
     def waits(self, caller: Watcher) -> bool:
+        """Whether the connection's last poll has no answer yet."""
         return caller in self._waiting
 
     def forget(self, caller: Watcher) -> None:
-        found = self._waiting.pop(caller, None)
-        if found is not None:
-            found[1].cancel()
+        """The connection's poll needs no answer any more."""
+        poll = self._waiting.pop(caller, None)
+        if poll is not None:
+            poll.timer.cancel()
 
-    def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
+    def asked(
+        self,
+        watcher: Watcher,
+        since: int,
+        hold: float,
+        query: Query,  # noqa: ARG002 - part of `watchers.ListHost`; this list has one service
+    ) -> None:
+        """A poll: the version that the node has, and for how many seconds it may wait."""
         try:
             position = position_of(since)
         except InvalidInputError as err:
-            watcher.reply(400, str(err).encode())
+            watcher.reply(HTTPStatus.BAD_REQUEST, str(err).encode())
             return
         if position > self._log.position:
-            watcher.reply(503, b"behind the version asked from")
+            watcher.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"behind the version asked from")
         elif hold > 0 and since and self._unchanged(since):
             loop = asyncio.get_running_loop()
-            self._waiting[watcher] = (since, loop.call_later(hold, self._release, watcher))
+            timer = loop.call_later(hold, self._answer_waiting, watcher)
+            self._waiting[watcher] = _LongPoll(since, timer)
         else:
-            watcher.reply(200, self._answer(since))
+            watcher.reply(HTTPStatus.OK, self._answer(since))
+
+    # ---- what the machine calls ---------------------------------------------
 
     def on_change(self) -> None:
         """The service has changed."""
         for watcher in [*self._waiting]:
-            self._release(watcher)
+            self._answer_waiting(watcher)
 
-    def _release(self, watcher: Watcher) -> None:
-        found = self._waiting.pop(watcher, None)
-        if found is not None:
-            found[1].cancel()
-            watcher.reply(200, self._answer(found[0]))
+    def _answer_waiting(self, watcher: Watcher) -> None:
+        poll = self._waiting.pop(watcher, None)
+        if poll is not None:
+            poll.timer.cancel()
+            watcher.reply(HTTPStatus.OK, self._answer(poll.since))
 
     def _unchanged(self, since: int) -> bool:
         delta = self._log.since(position_of(since), (self.service,))
         return delta is not None and not delta.changes
 
     def _answer(self, since: int) -> bytes:
-        """What changed since a version, or the whole list."""
+        """What changed since a version, or the complete list."""
         delta = self._log.since(position_of(since), (self.service,)) if since else None
         version = version_of(self._log.position)
         if delta is None or any(change.complete or change.deleted for change in delta.changes):
             rows = self._log.rows(self.service) or {}
             return encode_plain_list(version, True, rows.values(), ())
-        latest: dict[str, Row | None] = {}
+        latest: dict[str, Row | None] = {}  # None for a removed backend
         for change in delta.changes:
             latest |= dict.fromkeys(change.removed)
             latest |= {row.uid: row for row in change.rows}
-        gone = [uid for uid, row in latest.items() if row is None]
-        return encode_plain_list(version, False, [row for row in latest.values() if row], gone)
+        removed = [uid for uid, row in latest.items() if row is None]
+        return encode_plain_list(version, False, [row for row in latest.values() if row], removed)
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -1,14 +1,25 @@
 """An update in the list's own form, and back.
 
 The platform's list answers {"rev", "all", "targets"}. A subscriber that names itself is given
-keys beside these: `changes` says which service each run of targets belongs to, and what the
-control machine wants of the node stands next to it. A reader of the plain list passes them over.
+keys beside these: `changes` says which service each run of targets belongs to, and the node's
+assignment stands next to it. A reader of the plain list passes them over.
+
+The keys of the form, and what they mean here:
+
+    rev, from             versions of `Update.position` and `Delta.base`
+    all                   whether the update is a `Snapshot`
+    changes               service, version, numbers of rows and of removed, `deleted`, `complete`
+    wanted, releasable,
+    generation            a `NodeAssignment`
+    elsewhere, address    the machine to poll instead, and its address
+    pause_ms              the delay before the next poll
+    state "leaving"       a backend that drains; "left": one that was removed
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Collection, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -17,8 +28,8 @@
 from loadbalancer.core.errors import ProtocolError
 from loadbalancer.sources.watchers import gone_row
 
-LEAVING = "leaving"
-GONE = "left"
+STATE_DRAINING = "leaving"
+STATE_REMOVED = "left"
 
 
 class ListFormError(ProtocolError, ValueError):
@@ -27,23 +38,26 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAssignment:
-    """What a control machine wants of a node, beside an update."""
+    """What a node is to hold and may release, as sent beside an update."""
 
     wanted: Mapping[str, str] = field(default_factory=dict)  # services and their regions
     releasable: frozenset[str] = frozenset()
-    generation: int = 0  # to be named with the next word on what is served
+    generation: int = 0  # that the node's next reports carry
 
 
 @dataclass(frozen=True, slots=True)
 class PollResponse:
-    """One whole answer of a control machine."""
+    """One complete answer of a control machine."""
 
     position: Position
     update: Update | None = None
     assignment: NodeAssignment | None = None
-    redirect_machine: str = ""  # the machine to ask instead
+    redirect_machine: str = ""  # the machine to poll instead
     redirect_address: str = ""  # of that machine
-    pause_ms: int = 0  # before the next question
+    pause_ms: int = 0  # before the next poll
+
+
+# ---- rows ---------------------------------------------------------------
 
 
 def body_of(target: Mapping[str, Any]) -> str:
@@ -52,39 +66,47 @@
 
 
 def row_of(target: Any) -> Row:
-    """A target as a row; ListFormError where it is none."""
+    """A target as a row.
+
+    Raises:
+        ListFormError: it is no target.
+    """
     if not isinstance(target, dict):
         raise ListFormError("a target is no object")
     uid = target.get("uid")
     if not isinstance(uid, str) or not uid:
         raise ListFormError(f"{uid!r} is no uid")
-    return Row(uid, body_of(target), target.get("state") == LEAVING)
+    return Row(uid, body_of(target), target.get("state") == STATE_DRAINING)
+
 
+def _removed_target(uid: str) -> str:
+    return body_of({"uid": uid, "state": STATE_REMOVED})
 
-def _gone(uid: str) -> str:
-    return body_of({"uid": uid, "state": GONE})
 
+# ---- encoding -----------------------------------------------------------
 
-def encode_plain_list(version: int, whole: bool, rows: Iterable[Row], gone: Iterable[str]) -> bytes:
+
+def encode_plain_list(
+    version: int, complete: bool, rows: Iterable[Row], removed: Iterable[str]
+) -> bytes:
     """The platform's own answer, for a node that knows of no services."""
     targets = [row.body for row in rows]
-    targets += [body_of(gone_row(uid)) for uid in gone]
-    return _head(version, whole, targets).encode() + b"}"
+    targets += [body_of(gone_row(uid)) for uid in removed]
+    return _head(version, complete, targets).encode() + b"}"
 
 
-def _head(version: int, whole: bool, targets: Iterable[str]) -> str:
-    all_ = "true" if whole else "false"
+def _head(version: int, complete: bool, targets: Iterable[str]) -> str:
+    all_ = "true" if complete else "false"
     return f'{{"rev":{version},"all":{all_},"targets":[{",".join(targets)}]'
 
 
-def encode(update: Update, orders: NodeAssignment | None) -> bytes:
-    """An update and what is wanted beside it."""
-    whole = isinstance(update, Snapshot)
+def encode(update: Update, assignment: NodeAssignment | None) -> bytes:
+    """An update, with the node's assignment if there is one to send."""
     targets: list[str] = []
     changes: list[list[Any]] = []
     for change in _changes(update):
         targets += [row.body for row in change.rows]
-        targets += [_gone(uid) for uid in change.removed]
+        targets += [_removed_target(uid) for uid in change.removed]
         changes.append(
             [
                 change.service, version_of(change.position), len(change.rows),
@@ -94,10 +116,11 @@
     more: dict[str, Any] = {"region": update.region, "changes": changes}
     if isinstance(update, Delta):
         more["from"] = version_of(update.base)
-    if orders is not None:
-        more |= _orders(orders)
+    if assignment is not None:
+        more |= _assignment_keys(assignment)
     text = json.dumps(more, separators=(",", ":"))
-    return (_head(version_of(update.position), whole, targets) + "," + text[1:]).encode()
+    head = _head(version_of(update.position), isinstance(update, Snapshot), targets)
+    return (head + "," + text[1:]).encode()
 
 
 def _changes(update: Update) -> Iterable[Change]:
@@ -110,38 +133,43 @@
 
 
 def encode_empty(position: Position, **more: Any) -> bytes:
-    """An answer without an update: the caller's own version, and what it is to do."""
-    rows: dict[str, Any] = {"rev": version_of(position), "all": False, "targets": []}
-    return json.dumps(rows | more, separators=(",", ":")).encode()
+    """An answer without an update: the caller's own version, and further keys."""
+    raw: dict[str, Any] = {"rev": version_of(position), "all": False, "targets": []}
+    return json.dumps(raw | more, separators=(",", ":")).encode()
 
 
-def encode_assignment(position: Position, orders: NodeAssignment) -> bytes:
-    """An answer without an update, for a node whose services have changed."""
-    return encode_empty(position, **_orders(orders))
+def encode_assignment(position: Position, assignment: NodeAssignment) -> bytes:
+    """An answer without an update, for a node whose assignment has changed."""
+    return encode_empty(position, **_assignment_keys(assignment))
 
 
-def _orders(orders: NodeAssignment) -> dict[str, Any]:
+def _assignment_keys(assignment: NodeAssignment) -> dict[str, Any]:
     by_region: dict[str, list[str]] = {}
-    for service, region in sorted(orders.wanted.items()):
+    for service, region in sorted(assignment.wanted.items()):
         by_region.setdefault(region, []).append(service)
     return {
         "wanted": by_region,
-        "releasable": sorted(orders.releasable),
-        "generation": orders.generation,
+        "releasable": sorted(assignment.releasable),
+        "generation": assignment.generation,
     }
 
 
-def decode(body: bytes, most_services: int) -> PollResponse:
-    """An answer; ListFormError where it is none or names more services than may be held."""
+# ---- decoding -----------------------------------------------------------
+
+
+def decode(body: bytes, max_services: int) -> PollResponse:
+    """An answer of a control machine.
+
+    Raises:
+        ListFormError: it is no answer, or its assignment names over `max_services` services.
+    """
     try:
-        raw = json.loads(body)
-        if not isinstance(raw, dict):
-            raise ListFormError("no object")
+        raw = _object(json.loads(body))
         pause = raw.get("pause_ms", 0)
         return PollResponse(
-            position_of(_whole(raw["rev"])),
-            _update(raw) if "changes" in raw else None,
-            _orders_of(raw, most_services) if "wanted" in raw else None,
+            position_of(_non_negative(raw["rev"])),
+            _decode_update(raw) if "changes" in raw else None,
+            _decode_assignment(raw, max_services) if "wanted" in raw else None,
             _text(raw.get("elsewhere", "")),
             _text(raw.get("address", "")),
             pause if type(pause) is int and pause >= 0 else 0,
@@ -152,46 +180,53 @@
         raise ListFormError(f"{type(err).__name__}: {err}") from None
 
 
-def _update(raw: Mapping[str, Any]) -> Update:
-    position, targets = position_of(_whole(raw["rev"])), raw["targets"]
+def _decode_update(raw: Mapping[str, Any]) -> Update:
+    position, targets = position_of(_non_negative(raw["rev"])), raw["targets"]
     changes: list[Change] = []
-    at = 0
-    for service, version, rows, removed, deleted, whole in raw["changes"]:
-        end = at + _whole(rows)
-        gone = end + _whole(removed)
+    start = 0
+    for service, version, row_count, removed_count, deleted, complete in raw["changes"]:
+        rows_end = start + _non_negative(row_count)
+        end = rows_end + _non_negative(removed_count)
         changes.append(
             Change(
-                position_of(_whole(version)),
+                position_of(_non_negative(version)),
                 _text(service),
-                tuple([row_of(target) for target in targets[at:end]]),
-                tuple([_text(target["uid"]) for target in targets[end:gone]]),
+                tuple([row_of(target) for target in targets[start:rows_end]]),
+                tuple([_text(target["uid"]) for target in targets[rows_end:end]]),
                 deleted is True,
-                whole is True,
+                complete is True,
             )
         )
-        at = gone
-    if at != len(targets):
+        start = end
+    if start != len(targets):
         raise ListFormError("targets and changes differ in number")
     region = _text(raw["region"])
     if raw["all"] is not True:
-        return Delta(region, position_of(_whole(raw["from"])), position, tuple(changes))
-    held = {change.service: {row.uid: row for row in change.rows} for change in changes}
-    return Snapshot(region, position, held)
+        base = position_of(_non_negative(raw["from"]))
+        return Delta(region, base, position, tuple(changes))
+    services = {change.service: {row.uid: row for row in change.rows} for change in changes}
+    return Snapshot(region, position, services)
 
 
-def _orders_of(raw: Mapping[str, Any], most_services: int) -> NodeAssignment:
+def _decode_assignment(raw: Mapping[str, Any], max_services: int) -> NodeAssignment:
     wanted = {
         _text(service): _text(region)
         for region, services in raw["wanted"].items()
         for service in services
     }
     releasable = frozenset(_text(service) for service in raw["releasable"])
-    if len(wanted) + len(releasable) > most_services:
-        raise ListFormError(f"names over {most_services} services")
-    return NodeAssignment(wanted, releasable, _whole(raw["generation"]))
+    if len(wanted) + len(releasable) > max_services:
+        raise ListFormError(f"names over {max_services} services")
+    return NodeAssignment(wanted, releasable, _non_negative(raw["generation"]))
+
+
+def _object(value: Any) -> Mapping[str, Any]:
+    if not isinstance(value, dict):
+        raise ListFormError("no object")
+    return value
 
 
-def _whole(value: Any) -> int:
+def _non_negative(value: Any) -> int:
     if type(value) is not int or value < 0:
         raise ListFormError(f"{value!r} is no whole number")
     return value
@@ -201,8 +236,3 @@
     if not isinstance(value, str):
         raise ListFormError(f"{value!r} is no text")
     return value
-
-
-def names(words: Collection[str]) -> str:
-    """Names for a question's query."""
-    return ",".join(sorted(words))
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -1,4 +1,4 @@
-"""Nodes' questions to a control machine, and its answers in the list's form."""
+"""Nodes' polls of a control machine, and its answers in the list's form."""
 
 from __future__ import annotations
 
@@ -7,24 +7,32 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from http import HTTPStatus
 
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine import list_form as listform
+from loadbalancer.control.machine import list_form
+from loadbalancer.control.machine.list_form import NodeAssignment
 from loadbalancer.control.machine.nodes import NodeRegistry
 from loadbalancer.control.machine.version import position_of
 from loadbalancer.core.assignment.model import InvalidInputError, Position
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.replication import Replica
-from loadbalancer.core.subscription import answers
-from loadbalancer.core.subscription.answers import Refusal
+from loadbalancer.core.subscription.answers import (
+    Redirect,
+    Refusal,
+    Refused,
+    RetryAfter,
+    SendUpdate,
+    Wait,
+)
 from loadbalancer.core.subscription.publisher import Publisher
 from loadbalancer.sources.http_get import whole_number
 from loadbalancer.sources.watchers import Query, Watcher
 
-MOST_HEAD = 64 << 10  # bytes of a question: it may name the services of a node
-MOST_NAMES = 1024  # services that one question may name
-ELSEWHERE_PAUSE = 2 * SECOND  # a node that is sent on has so long to be heard at the other
+MAX_HEAD_BYTES = 64 << 10  # of a poll: it may name the services of a node
+MAX_NAMES = 1024  # services that one poll may name
+MAX_QUOTED = 64  # characters of a wrong name that an answer repeats
+REDIRECT_PAUSE = 2 * SECOND  # for a redirected node to poll the other machine
 
 Key = tuple[str, str]  # node and region
 
@@ -32,19 +40,19 @@
 class SubscriberConnection(Watcher):
     """One connection of a node that knows of services."""
 
-    most_bytes = MOST_HEAD
+    most_bytes = MAX_HEAD_BYTES
 
 
 @dataclass(slots=True)
 class PollRequest:
-    """What a node asked, and waits for."""
+    """What a node polls for, while it waits."""
 
     node: str
     region: str
     position: Position
-    held: frozenset[str] | None
+    current: frozenset[str] | None  # services that it has as of `position`; None: it does not say
     redirected: bool
-    until: int  # when it is answered at the latest
+    deadline: int  # when it is answered at the latest, in nanoseconds
     timer: asyncio.TimerHandle | None = None
 
 
@@ -57,191 +65,203 @@
         publisher: Publisher,
         replica: Replica,
         addresses: Mapping[str, Address],
-        most_watchers: int,
+        max_watchers: int,
     ) -> None:
-        self.most_watchers = most_watchers
+        """`addresses` are those for subscribers, by machine."""
+        self.most_watchers = max_watchers  # the name that `watchers.Host` gives it
         self.connections = 0
         self.counts: Counter[str] = Counter()
         self._nodes = nodes
         self._publisher = publisher
         self._replica = replica
-        self._addresses = addresses  # of the machines, for subscribers
+        self._addresses = addresses
         self._waiting: dict[Watcher, PollRequest] = {}
         self._by_key: dict[Key, Watcher] = {}
 
-    # ---- what a connection asks its host ----------------------------------
+    # ---- what a connection calls --------------------------------------------
 
     def ready(self) -> bool:
-        """Each question is answered on its own terms."""
+        """Whether polls are answered: always, each with what there is for it."""
         return True
 
     def waits(self, caller: Watcher) -> bool:
+        """Whether the connection's last poll has no answer yet."""
         return caller in self._waiting
 
     def forget(self, caller: Watcher) -> None:
-        question = self._leave(caller)
-        if question is not None:
-            self._publisher.cancel(question.node, question.region)
-            self._nodes.on_response(time.monotonic_ns(), question.node)
+        """The connection's poll needs no answer any more."""
+        request = self._stop_waiting(caller)
+        if request is not None:
+            self._publisher.cancel(request.node, request.region)
+            self._nodes.on_response(time.monotonic_ns(), request.node)
 
     def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
+        """A poll: the version that the node has, and for how many seconds it may wait."""
         now = time.monotonic_ns()
         try:
-            question = self._question(now, since, hold, query)
-            self._heard(now, question, query)
+            request = self._decode(now, since, hold, query)
+            self._on_poll(now, request, query)
         except InvalidInputError as err:
             self._refuse(watcher, str(err))
             return
-        anew = since == 0
-        self._answer(now, watcher, question, anew)
+        self._answer(now, watcher, request, first_poll=since == 0)
 
-    # ---- what the machine tells it ----------------------------------------
+    # ---- what the machine calls ---------------------------------------------
 
     def wake(self, region: str, nodes: Iterable[str]) -> None:
-        """There may be news for these."""
+        """There may be something new for these nodes in a region."""
         now = time.monotonic_ns()
         for node in nodes:
             watcher = self._by_key.get((node, region))
             if watcher is not None:
-                self._again(now, watcher)
+                self._answer_waiting(now, watcher)
 
     def wake_keys(self, keys: Iterable[Key]) -> None:
-        """There may be news for these nodes in these regions."""
+        """There may be something new for these nodes in these regions."""
         for node, region in keys:
             self.wake(region, (node,))
 
     def push_assignments(self) -> None:
-        """Answer the waiting nodes whose orders have changed."""
+        """Answer the waiting nodes whose assignment has changed."""
         now = time.monotonic_ns()
-        for watcher, question in [*self._waiting.items()]:
-            if self._nodes.changed_assignment(now, question.node, question.region) is not None:
-                self._again(now, watcher)
+        for watcher, request in [*self._waiting.items()]:
+            if self._nodes.changed_assignment(now, request.node, request.region) is not None:
+                self._answer_waiting(now, watcher)
 
     def waiting_count(self) -> int:
-        """How many questions wait for an answer."""
+        """How many polls wait for an answer."""
         return len(self._waiting)
 
-    # ---- one question ------------------------------------------------------
+    # ---- one poll -----------------------------------------------------------
 
-    def _question(self, now: int, since: int, hold: float, query: Query) -> PollRequest:
+    def _decode(self, now: int, since: int, hold: float, query: Query) -> PollRequest:
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.is_registered(node):
-            raise InvalidInputError(f"node: [{Refusal.UNKNOWN_NODE.value}] no node {node[:64]!r}")
-        held = None
+            raise InvalidInputError(
+                f"node: [{Refusal.UNKNOWN_NODE.value}] no node {node[:MAX_QUOTED]!r}"
+            )
+        current = None
         if "held" in query:
-            held = frozenset(_names(query["held"][0]))
+            current = frozenset(_names(query["held"][0]))
         redirected = query.get("redirected") == ["1"]
-        until = now + int(hold * SECOND)
-        return PollRequest(node, region, position_of(since), held, redirected, until)
+        deadline = now + int(hold * SECOND)
+        return PollRequest(node, region, position_of(since), current, redirected, deadline)
 
-    def _heard(self, now: int, question: PollRequest, query: Query) -> None:
-        """Take what the question says of the node itself."""
-        self._nodes.on_poll(now, question.node)
+    def _on_poll(self, now: int, request: PollRequest, query: Query) -> None:
+        """Take note of what the poll reports of the node itself."""
+        self._nodes.on_poll(now, request.node)
         if "serving" in query:
             generation = whole_number(query.get("generation", ["0"])[0])
             if generation is None:
                 raise InvalidInputError("generation: [range] no whole number")
-            self._nodes.on_report(question.node, _names(query["serving"][0]), generation)
+            self._nodes.on_report(request.node, _names(query["serving"][0]), generation)
 
-    def _refuse(self, watcher: Watcher, why: str) -> None:
-        self.counts["refused"] += 1
-        watcher.reply(400, why.encode())
-
-    def _again(self, now: int, watcher: Watcher) -> None:
-        question = self._leave(watcher)
-        if question is not None:
-            self._answer(now, watcher, question, False)
-
-    def _answer(self, now: int, watcher: Watcher, question: PollRequest, anew: bool) -> None:
-        """Answer now, or keep the question until there is something to say."""
-        node, region = question.node, question.region
+    def _answer(
+        self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
+    ) -> None:
+        """Answer now, or let the poll wait until there is something to send."""
+        node, region = request.node, request.region
         services = self._nodes.services_in_region(node, region)
-        found = self._publisher.subscribe(
-            now, node, region, question.position, services, question.held, question.redirected
+        answer = self._publisher.subscribe(
+            now, node, region, request.position, services, request.current, request.redirected
         )
-        if isinstance(found, answers.Refused):
-            place = "region" if found.reason is Refusal.UNKNOWN_REGION else "version"
-            self._refuse(watcher, f"{place}: [{found.reason.value}] {region[:64]!r}")
+        if isinstance(answer, Refused):
+            place = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
+            self._refuse(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
             self._nodes.on_response(now, node)
             return
-        self._replica.on_reported(now, region, question.position)
-        if isinstance(found, answers.Redirect):
-            self._send_on(now, watcher, question, found.machine)
-        elif isinstance(found, answers.SendUpdate):
-            orders = self._nodes.changed_assignment(now, node, region, anew)
-            self._reply(now, watcher, question, listform.encode(found.update, orders), orders)
+        self._replica.on_reported(now, region, request.position)
+        if isinstance(answer, Redirect):
+            self._redirect(now, watcher, request, answer.machine)
+        elif isinstance(answer, SendUpdate):
+            assignment = self._nodes.changed_assignment(now, node, region, first_poll)
+            body = list_form.encode(answer.update, assignment)
+            self._reply(now, watcher, request, body, assignment)
         else:
-            self._put_off(now, watcher, question, found, anew)
+            self._answer_without_update(now, watcher, request, answer, first_poll)
 
-    def _put_off(
+    def _answer_without_update(
         self,
         now: int,
         watcher: Watcher,
-        question: PollRequest,
-        found: answers.RetryAfter | answers.Wait,
-        anew: bool,
+        request: PollRequest,
+        answer: RetryAfter | Wait,
+        first_poll: bool,
     ) -> None:
-        """There is nothing to send yet: orders alone, or a pause, or a wait."""
-        orders = self._nodes.changed_assignment(now, question.node, question.region, anew)
-        if isinstance(found, answers.RetryAfter):
-            pause = max(found.delay // MS, 1)
-            body = listform.encode_empty(question.position, pause_ms=pause)
-            self._reply(now, watcher, question, body, None, found.delay)
-        elif orders is not None:
-            body = listform.encode_assignment(question.position, orders)
-            self._reply(now, watcher, question, body, orders)
-        elif question.until <= now:
-            self._reply(now, watcher, question, listform.encode_empty(question.position), None)
+        """There is no update to send yet: the assignment alone, a pause, or a long poll."""
+        node, region = request.node, request.region
+        assignment = self._nodes.changed_assignment(now, node, region, first_poll)
+        if isinstance(answer, RetryAfter):
+            pause = max(answer.delay // MS, 1)
+            body = list_form.encode_empty(request.position, pause_ms=pause)
+            self._reply(now, watcher, request, body, None, answer.delay)
+        elif assignment is not None:
+            body = list_form.encode_assignment(request.position, assignment)
+            self._reply(now, watcher, request, body, assignment)
+        elif request.deadline <= now:
+            self._reply(now, watcher, request, list_form.encode_empty(request.position), None)
         else:
-            self._keep(now, watcher, question, found.until)
+            self._wait(now, watcher, request, answer.until)
 
-    def _keep(self, now: int, watcher: Watcher, question: PollRequest, until: int | None) -> None:
-        due = question.until if until is None else min(question.until, until)
+    def _wait(self, now: int, watcher: Watcher, request: PollRequest, until: int | None) -> None:
+        due = request.deadline if until is None else min(request.deadline, until)
         loop = asyncio.get_running_loop()
-        question.timer = loop.call_later(max(due - now, 0) / SECOND, self._expired, watcher)
-        self._waiting[watcher] = question
-        self._by_key[question.node, question.region] = watcher
-
-    def _expired(self, watcher: Watcher) -> None:
-        self._again(time.monotonic_ns(), watcher)
-
-    def _leave(self, watcher: Watcher) -> PollRequest | None:
-        """The question no longer waits."""
-        question = self._waiting.pop(watcher, None)
-        if question is None:
+        request.timer = loop.call_later(max(due - now, 0) / SECOND, self._on_timer, watcher)
+        self._waiting[watcher] = request
+        self._by_key[request.node, request.region] = watcher
+
+    def _on_timer(self, watcher: Watcher) -> None:
+        self._answer_waiting(time.monotonic_ns(), watcher)
+
+    def _answer_waiting(self, now: int, watcher: Watcher) -> None:
+        request = self._stop_waiting(watcher)
+        if request is not None:
+            self._answer(now, watcher, request)
+
+    def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
+        """The connection's poll, which does not wait any more; None where none waited."""
+        request = self._waiting.pop(watcher, None)
+        if request is None:
             return None
-        if question.timer is not None:
-            question.timer.cancel()
-        key = (question.node, question.region)
+        if request.timer is not None:
+            request.timer.cancel()
+        key = (request.node, request.region)
         if self._by_key.get(key) is watcher:
             del self._by_key[key]
-        return question
+        return request
+
+    # ---- replies ------------------------------------------------------------
+
+    def _refuse(self, watcher: Watcher, why: str) -> None:
+        self.counts["refused"] += 1
+        watcher.reply(HTTPStatus.BAD_REQUEST, why.encode())
 
-    def _send_on(self, now: int, watcher: Watcher, question: PollRequest, machine: str) -> None:
+    def _redirect(self, now: int, watcher: Watcher, request: PollRequest, machine: str) -> None:
         self.counts["sent elsewhere"] += 1
-        more: dict[str, Any] = {"elsewhere": machine, "address": str(self._addresses[machine])}
-        body = listform.encode_empty(question.position, **more)
-        self._reply(now, watcher, question, body, None, ELSEWHERE_PAUSE)
+        address = str(self._addresses[machine])
+        body = list_form.encode_empty(request.position, elsewhere=machine, address=address)
+        self._reply(now, watcher, request, body, None, REDIRECT_PAUSE)
 
     def _reply(
         self,
         now: int,
         watcher: Watcher,
-        question: PollRequest,
+        request: PollRequest,
         body: bytes,
-        orders: listform.NodeAssignment | None,
+        assignment: NodeAssignment | None,
         pause: int = 0,
     ) -> None:
-        self._nodes.on_response(now, question.node, pause)
-        if orders is not None:
-            self._nodes.on_assignment_sent(question.node, question.region, orders)
+        """Send the answer; `pause`: nanoseconds before the node polls again."""
+        self._nodes.on_response(now, request.node, pause)
+        if assignment is not None:
+            self._nodes.on_assignment_sent(request.node, request.region, assignment)
         self.counts["answers"] += 1
         self.counts["bytes"] += len(body)
-        watcher.reply(200, body)
+        watcher.reply(HTTPStatus.OK, body)
 
 
 def _names(text: str) -> list[str]:
     names = [name for name in text.split(",") if name]
-    if len(names) > MOST_NAMES:
-        raise InvalidInputError(f"names: [too-many] {len(names)}; at most {MOST_NAMES}")
+    if len(names) > MAX_NAMES:
+        raise InvalidInputError(f"names: [too-many] {len(names)}; at most {MAX_NAMES}")
     return names
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -1,12 +1,13 @@
-"""Which nodes live, which services each is to hold, and what each was last told of it.
+"""All registered nodes as one control machine sees them: liveness, assignments, reports.
 
-The decisions are `loadbalancer.core.assignment`'s: this joins them, and keeps who has to be
-told again.
+The decisions are made in `loadbalancer.core.assignment`: this joins them, and remembers which
+assignment was last sent to each node.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable, Mapping
+from itertools import islice
 
 from loadbalancer.control.machine.file import ScaleFile
 from loadbalancer.control.machine.list_form import NodeAssignment
@@ -18,120 +19,131 @@
 from loadbalancer.core.assignment.release import ReleaseAuthority, ReleaseGrant, ReleaseRules
 from loadbalancer.core.balancing.model import MS, SECOND
 
-ABSENT = 2 * SECOND  # after an answer, until a node that asks no more counts as gone from here
-START = 30 * SECOND  # after this machine's own, in which nodes may ask for the first time
-STALL = 3 * SECOND  # between two turns, from which on this machine itself has stood still
-SILENCE = 10 * SECOND  # nodes of a lost machine find another within this
-SETTLE = 2 * SECOND  # without a further loss or return, before services move
-SETTLE_MOST = 15 * SECOND
-REPORTS_A_MESSAGE = 512
-# Turns and grants come once a second: one may be late or lost.
+# Times in nanoseconds.
+POLL_GRACE = 2 * SECOND  # after an answer, until a node that does not poll again counts as absent
+MAX_OPEN_POLL = 3600 * SECOND  # the same for a poll without an answer; `on_response` ends it before
+FIRST_POLL_WAIT = 30 * SECOND  # after this machine's start, for nodes to poll for the first time
+MAX_TICK_GAP = 3 * SECOND  # between two ticks; after a longer one this machine was stopped
+NODE_TIMEOUT = 10 * SECOND  # nodes of a lost machine find another within this
+SETTLE_TIME = 2 * SECOND  # without a further loss or return, before services move
+MAX_SETTLE_TIME = 15 * SECOND
+REPORTS_PER_MESSAGE = 512
+# Ticks and grants come once a second: one may be late or lost.
 RELEASE_RULES = ReleaseRules(lease_duration=2500 * MS, max_pause=2500 * MS)
 
+Send = Callable[[object], None]
+
 
 class NodeRegistry:
-    """All registered nodes, as one control machine sees them."""
+    """All registered nodes, as one control machine sees them.
+
+    `changed` says that assignments may differ from those that nodes were sent; the owner resets it.
+    """
 
     def __init__(self, file: ScaleFile, now: int, releases: ReleaseAuthority | None = None) -> None:
+        """Without `releases` no node may release anything."""
         self.regions = {service.name: service.region for service in file.services}
         self.assigner = Assigner(file.nodes, file.services, file.rules)
         self.handover = Handover(file.nodes)
-        self.releases = releases  # None: nobody may release anything
-        self._released: Mapping[str, frozenset[str]] = {}  # as of the last turn, by node
+        self.releases = releases
+        self._released: Mapping[str, frozenset[str]] = {}  # as of the last tick, by node
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
-        self.liveness = Liveness(now, names, LivenessRules(timeout=SILENCE))
+        self.liveness = Liveness(now, names, LivenessRules(timeout=NODE_TIMEOUT))
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
-        self.changed = False  # orders may differ from what nodes were told
+        self.changed = False
         self.touched = 0  # nodes whose services differ by the last assignment
-        self._machines = len(file.machines)
-        self._began = self._turned = now
-        self._unheard = set(names)  # nodes that have asked nowhere since this machine began
-        self._unsettled = 0  # since when losses and returns wait to move services, 0 for never
+        self._machine_count = len(file.machines)
+        self._started = self._last_tick = now
+        self._not_seen = set(names)  # nodes that have polled nowhere since this machine started
+        self._unsettled_since = 0  # of losses and returns that have not moved services, 0 for none
         self._last_change = 0
-        self._due: dict[str, int] = {}  # nodes that ask here, and until when they have to again
-        self._reports: dict[str, tuple[str, ...]] = {}  # of the nodes that ask here
-        self._news: dict[str, tuple[str, ...]] = {}  # of them, to be passed on
-        self._told: dict[tuple[str, str], NodeAssignment] = {}  # by node and region
+        self._deadlines: dict[str, int] = {}  # of nodes that poll here: when to poll again
+        self._reports: dict[str, tuple[str, ...]] = {}  # of the nodes that poll here
+        self._unsent_reports: dict[str, tuple[str, ...]] = {}  # to the other machines
+        self._sent: dict[tuple[str, str], NodeAssignment] = {}  # by node and region
 
-    # ---- orders ---------------------------------------------------------
+    # ---- assignments ----------------------------------------------------
 
     def is_registered(self, node: str) -> bool:
-        """Whether it is registered."""
+        """Whether the control file names the node."""
         return node in self.assigner.nodes
 
     def services_in_region(self, node: str, region: str) -> frozenset[str]:
-        """What it is to hold of this region."""
+        """The services of this region that the node is to hold."""
         wanted = self.handover.wanted(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
     def assignment_for(self, now: int, node: str) -> NodeAssignment:
-        """What it is to hold and may release."""
+        """What the node is to hold and may release."""
         wanted = {name: self.regions[name] for name in self.handover.wanted(node)}
         releasable = self.releases.releasable(now, node) if self.releases else frozenset[str]()
         return NodeAssignment(wanted, releasable, self.handover.generation)
 
     def changed_assignment(
-        self, now: int, node: str, region: str, anew: bool = False
+        self, now: int, node: str, region: str, first_poll: bool = False
     ) -> NodeAssignment | None:
-        """Its orders where they differ from what it was told; `anew`: whatever it was told."""
-        orders = self.assignment_for(now, node)
-        told = self._told.get((node, region))
-        if not anew and told is not None and _same(told, orders):
+        """The node's assignment, if it differs from the one sent last or this is a first poll."""
+        assignment = self.assignment_for(now, node)
+        sent = self._sent.get((node, region))
+        if not first_poll and sent is not None and _same(sent, assignment):
             return None
-        return orders
+        return assignment
 
-    def on_assignment_sent(self, node: str, region: str, orders: NodeAssignment) -> None:
-        """These orders have gone out."""
-        self._told[node, region] = orders
+    def on_assignment_sent(self, node: str, region: str, assignment: NodeAssignment) -> None:
+        """The assignment went out with an answer for this region."""
+        self._sent[node, region] = assignment
 
-    # ---- what nodes say --------------------------------------------------
+    # ---- polls and reports of nodes -------------------------------------
 
     def on_poll(self, now: int, node: str) -> None:
-        """It asks here."""
-        self._due[node] = now + 3600 * SECOND  # it waits for an answer: `on_response` says more
+        """The node polls here."""
+        self._deadlines[node] = now + MAX_OPEN_POLL
         self.presence.on_present(node)
         self.liveness.on_heartbeat(now, node)
 
     def on_response(self, now: int, node: str, pause: int = 0) -> None:
-        """Its question has been answered, or its connection is gone: it has to ask again."""
-        self._due[node] = now + pause + ABSENT
+        """Its poll was answered, or its connection was lost.
+
+        It has to poll again after a pause in nanoseconds.
+        """
+        self._deadlines[node] = now + pause + POLL_GRACE
 
     def on_report(self, node: str, serving: Collection[str], generation: int) -> None:
-        """It says what it serves, as of the orders of this generation."""
+        """The node reports what it serves, as of the assignment of this generation."""
         named = tuple(sorted(name for name in serving if name in self.regions))
         self.handover.on_report(node, named, generation)
         self.changed = True
         if self._reports.get(node) != named:
-            self._reports[node] = self._news[node] = named
+            self._reports[node] = self._unsent_reports[node] = named
 
-    # ---- what other machines say ------------------------------------------
+    # ---- the other machines ---------------------------------------------
 
     def on_reports(self, reports: Iterable[NodeReport]) -> None:
-        """What nodes have told another machine."""
+        """Reports that nodes made to another machine."""
         for report in reports:
             if self.is_registered(report.node):
                 named = [name for name in report.serving if name in self.regions]
                 self.handover.on_report(report.node, named)
                 self.changed = True
 
-    def send_full_state(self, send: Callable[[object], None]) -> None:
-        """Tell a machine that has just come up all that others have been told."""
+    def send_full_state(self, send: Send) -> None:
+        """Send everything that the connected machines have to one that has just connected."""
         send(self.presence.complete_update())
         _send_reports(send, self._reports)
 
-    def send_changes(self, send: Callable[[object], None]) -> None:
-        """Tell the machines that are up what is new."""
+    def send_changes(self, send: Send) -> None:
+        """Send what is new to the connected machines."""
         send(self.presence.next_update())
-        _send_reports(send, self._news)
-        self._news = {}
+        _send_reports(send, self._unsent_reports)
+        self._unsent_reports = {}
 
     def on_presence(self, now: int, machine: str, update: PresenceUpdate) -> bool:
-        """Who asks at another machine; False where the whole is needed."""
+        """The nodes that poll another machine; False where a complete update is needed."""
         return self.presence.on_update(now, machine, update)
 
-    # ---- releases ----------------------------------------------------------
+    # ---- releases -------------------------------------------------------
 
     def advance_releases(self, now: int, epoch: int | None) -> ReleaseGrant | None:
         """Once a second: the grant to send where this machine leads its region, in `epoch`."""
@@ -145,72 +157,91 @@
         self._released = released
         return grant
 
-    # ---- time ------------------------------------------------------------
+    # ---- time -----------------------------------------------------------
 
     def on_time(self, now: int) -> bool:
-        """Once a second: who lives. True where the assignment has changed."""
-        for node in [node for node, due in self._due.items() if due <= now]:
-            del self._due[node]
-            self._reports.pop(node, None)
-            self.presence.on_absent(node)
+        """Once a second: which nodes live. True where the assignment has changed."""
+        self._expire_polls(now)
         self.presence.on_time(now)
-        if now - self._turned > STALL or self._cut_off(now):
-            self._knows_nothing(now)
-        self._turned = now
-        present = self.presence.present()
-        self._unheard -= present
-        starting = self._unheard if now - self._began < START else ()
-        for node in (*present, *starting):
-            self.liveness.on_heartbeat(now, node)
+        if now - self._last_tick > MAX_TICK_GAP or self._is_cut_off(now):
+            self._restart_first_polls(now)
+        self._last_tick = now
+        self._pass_heartbeats(now)
         change = self.liveness.advance(now)
         for node in change.died:
             self._on_dead(node)
         if change.died or change.returned:
             self._last_change = now
-            self._unsettled = self._unsettled or now
-        if not self._unsettled or not self._settled(now):
+            self._unsettled_since = self._unsettled_since or now
+        if not self._unsettled_since or not self._is_settled(now):
             return False
-        self._unsettled = 0
+        self._unsettled_since = 0
         self._assign()
         return True
 
-    def _settled(self, now: int) -> bool:
-        """A rack or a zone goes and comes over some seconds: it moves services once.
+    def _expire_polls(self, now: int) -> None:
+        """Nodes that have not polled again in time are absent."""
+        for node in [node for node, deadline in self._deadlines.items() if deadline <= now]:
+            del self._deadlines[node]
+            self._reports.pop(node, None)
+            self.presence.on_absent(node)
+
+    def _pass_heartbeats(self, now: int) -> None:
+        """Nodes that poll anywhere are alive; so are those with time left for their first poll."""
+        present = self.presence.present()
+        self._not_seen -= present
+        starting = self._not_seen if now - self._started < FIRST_POLL_WAIT else ()
+        for node in (*present, *starting):
+            self.liveness.on_heartbeat(now, node)
+
+    def _is_settled(self, now: int) -> bool:
+        """Whether losses and returns have paused for long enough to move services.
 
-        An assignment for half a zone would be made in vain, and costs much more than one for all.
+        A rack or a zone goes and comes over some seconds. An assignment in the midst of that would
+        move services which the next one moves again.
         """
-        return now - self._last_change >= SETTLE or now - self._unsettled >= SETTLE_MOST
+        paused = now - self._last_change >= SETTLE_TIME
+        return paused or now - self._unsettled_since >= MAX_SETTLE_TIME
+
+    def _is_cut_off(self, now: int) -> bool:
+        """Whether too few machines are connected to conclude anything from a node's silence.
 
-    def _cut_off(self, now: int) -> bool:
-        """Whether it hears so few machines that silent nodes say nothing against themselves."""
-        return 2 * (len(self.presence.machines(now)) + 1) < self._machines
+        The nodes may poll the machines that this one does not hear.
+        """
+        return 2 * (len(self.presence.machines(now)) + 1) < self._machine_count
 
-    def _knows_nothing(self, now: int) -> None:
-        """It did not run, or heard nobody: who counts as alive has time again to be heard."""
-        self._began = now
-        self._unheard = set(self.liveness.alive)
+    def _restart_first_polls(self, now: int) -> None:
+        """Give the living nodes the time of a first poll again.
+
+        This machine was stopped or cut off: nodes seemed silent and would all count as dead at
+        once, which moves every service.
+        """
+        self._started = now
+        self._not_seen = set(self.liveness.alive)
 
     def _on_dead(self, node: str) -> None:
         self.handover.on_dead(node)
         for region in set(self.regions.values()):
-            self._told.pop((node, region), None)
+            self._sent.pop((node, region), None)
 
     def _assign(self) -> None:
-        before = self.assignment
+        before = self.assignment.services_by_node
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
-        held = before.services_by_node
         self.touched = sum(
-            1 for node, now in self.assignment.services_by_node.items() if now != held.get(node)
+            1
+            for node, services in self.assignment.services_by_node.items()
+            if services != before.get(node)
         )
         self.changed = True
 
 
-def _same(told: NodeAssignment, orders: NodeAssignment) -> bool:
-    return told.wanted == orders.wanted and told.releasable == orders.releasable
+def _same(sent: NodeAssignment, assignment: NodeAssignment) -> bool:
+    """Whether they differ in nothing but their generation."""
+    return sent.wanted == assignment.wanted and sent.releasable == assignment.releasable
 
 
-def _send_reports(send: Callable[[object], None], reports: dict[str, tuple[str, ...]]) -> None:
-    rows = [NodeReport(node, serving) for node, serving in reports.items()]
-    for at in range(0, len(rows), REPORTS_A_MESSAGE):
-        send(Reports(tuple(rows[at : at + REPORTS_A_MESSAGE])))
+def _send_reports(send: Send, reports: Mapping[str, tuple[str, ...]]) -> None:
+    rows = iter([NodeReport(node, serving) for node, serving in reports.items()])
+    while batch := tuple(islice(rows, REPORTS_PER_MESSAGE)):
+        send(Reports(batch))
--- a/loadbalancer/control/machine/version.py
+++ b/loadbalancer/control/machine/version.py
@@ -1,8 +1,8 @@
 """A position in a region's log as the list's one integer version, and back.
 
-The list's form has room for one whole number of at most 18 decimal digits, which a reader may
-only compare. The epoch goes above the revision, so that the order of versions is the order of
-positions, and START is 0: the version of whoever holds nothing.
+The list's form has one whole number of at most 18 decimal digits, which a reader may only compare.
+The epoch goes above the revision, so that the order of versions is the order of positions, and
+START is 0: the version of a reader that holds nothing.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 
 def version_of(position: Position) -> int:
-    """The position as one integer; InvalidInputError where a part is out of range."""
+    """The position as one integer.
+
+    Raises:
+        InvalidInputError: a part is out of range.
+    """
     epoch, revision = position
     if not 0 <= epoch <= MAX_EPOCH or not 0 <= revision <= MAX_REVISION:
         raise InvalidInputError(
@@ -27,7 +31,11 @@
 
 
 def position_of(version: int) -> Position:
-    """The position that a version means; InvalidInputError where none has it."""
+    """The position that a version means.
+
+    Raises:
+        InvalidInputError: no position has it.
+    """
     if not 0 <= version <= MAX_VERSION:
         raise InvalidInputError(f"version: [range] {version}; write 0 to {MAX_VERSION}")
     return Position(version >> REVISION_BITS, version & MAX_REVISION)
--- /dev/null
+++ b/tests/control/machine/test_nodes.py
@@ -0,0 +1,109 @@
+"""Which nodes a control machine counts as alive, and when their assignments change."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
+from loadbalancer.core.assignment.presence import Presence
+from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
+from loadbalancer.core.balancing.model import SECOND
+from tests.control_machines import write_file
+
+
+def test_losses_that_follow_one_another_move_services_once(tmp_path: Path) -> None:
+    """Two nodes die a second apart. An assignment for each would move the first one's services
+    twice.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    east = Presence(("n1", "n2"))
+    east.on_present("n1")
+    east.on_present("n2")
+    moved = []
+    for second in range(1, 80):
+        if second == 30:
+            east.on_absent("n1")
+        if second == 31:
+            east.on_absent("n2")
+        nodes.presence.on_machine_heartbeat(second * SECOND, "east-c")
+        nodes.on_presence(second * SECOND, "east-b", east.next_update())
+        nodes.on_presence(second * SECOND, "east-b", east.complete_update())
+        if nodes.on_time(second * SECOND):
+            moved.append(second)
+    assert moved == [42], "two seconds after the second loss was noticed"
+    assert nodes.liveness.alive == set()
+
+
+def test_a_machine_that_was_stopped_or_cut_off_declares_no_node_dead(tmp_path: Path) -> None:
+    """A machine is stopped for 20 seconds, and later hears no other machine. It received no sign
+    of life meanwhile; if it took that for deaths, it would move every service.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    both = ("n1", "n2")
+    others = [Presence(both), Presence(both)]
+    others[0].on_present("n1")
+    others[1].on_present("n2")
+
+    def turn(second: int, connected: tuple[str, ...] = ("east-b", "east-c")) -> None:
+        for name, other in zip(("east-b", "east-c"), others, strict=True):
+            if name in connected:
+                nodes.on_presence(second * SECOND, name, other.next_update())
+                nodes.on_presence(second * SECOND, name, other.complete_update())
+        nodes.on_time(second * SECOND)
+
+    for second in range(1, 40):
+        turn(second)
+    # It was stopped, and received nothing meanwhile. One machine's update comes before its own
+    # timer does, the other's after.
+    turn(60, connected=("east-b",))
+    assert nodes.liveness.alive == set(both)
+    for second in range(61, 70):
+        turn(second)
+    assert nodes.liveness.alive == set(both)
+    for second in range(70, 120):
+        turn(second, connected=())  # it hears no other machine, and no node
+    assert nodes.liveness.alive == set(both)
+    others[0].on_absent("n1")
+    for second in range(120, 180):
+        turn(second)
+    assert nodes.liveness.alive == {"n2"}
+
+
+def test_nodes_have_time_for_their_first_poll_and_none_after(tmp_path: Path) -> None:
+    """A control machine has started. One node polls once and stops, another never polls."""
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+
+    def turn(second: int) -> None:
+        for name in ("east-b", "east-c"):
+            nodes.presence.on_machine_heartbeat(second * SECOND, name)
+        nodes.on_time(second * SECOND)
+
+    for name in ("east-b", "east-c"):
+        nodes.presence.on_machine_heartbeat(0, name)
+    nodes.on_poll(SECOND, "n1")
+    turn(2)
+    nodes.on_response(2 * SECOND, "n1")
+    for second in range(3, 15):
+        turn(second)
+    assert nodes.liveness.alive == {"n2"}, "one that was heard and is no more"
+    for second in range(15, 41):
+        turn(second)
+    assert nodes.liveness.alive == set(), "one that never was"
+
+
+def test_assignments_change_when_a_grant_comes_and_when_it_ends(tmp_path: Path) -> None:
+    """Waiting nodes must hear of a permission to release, and that it ended."""
+    file = read_scale(str(write_file(tmp_path)))
+    specs = [one.spec for one in file.machines]
+    releases = ReleaseAuthority(0, specs[0], specs, {"cart": "east"}, RELEASE_RULES)
+    nodes = NodeRegistry(file, 0, releases)
+    nodes.changed = False
+    grant = ReleaseGrant("east", 1, (NodeRelease("n1", ("cart",)),))
+    assert releases.on_grant(0, "east-b", grant)
+    changed = []
+    for second in range(1, 5):
+        assert nodes.advance_releases(second * SECOND, None) is None
+        changed.append(nodes.changed)
+        nodes.changed = False
+    assert changed == [True, False, True, False]
--- a/tests/control/machine/test_version.py
+++ b/tests/control/machine/test_version.py
@@ -31,9 +31,9 @@
 
 def test_every_version_passes_as_a_list_version() -> None:
     assert version_of(START) == 0
-    most = version_of(Position(MAX_EPOCH, MAX_REVISION))
-    assert most == MAX_VERSION
-    assert whole_number(str(most)) == most
+    highest = version_of(Position(MAX_EPOCH, MAX_REVISION))
+    assert highest == MAX_VERSION
+    assert whole_number(str(highest)) == highest
 
 
 @pytest.mark.parametrize("version", [-1, MAX_VERSION + 1])
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -348,7 +348,7 @@
     asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
     asker.generation = plain["generation"]
     state = _Region(0, first_poll=plain["held"] is not None)
-    state.stray_until = float("inf") if plain["redirected"] else 0.0
+    state.stay_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
         state.reported = (asker.generation, "")
     target = asker._target(plain["region"], state)
@@ -372,15 +372,15 @@
     nodes: Any = mock.Mock()
     nodes.on_report.return_value = None
     questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
-    question = questions._question(0, since, hold, query)
-    questions._heard(0, question, query)
+    question = questions._decode(0, since, hold, query)
+    questions._on_poll(0, question, query)
     report = nodes.on_report.call_args
     return {
         "node": question.node,
         "region": question.region,
         "position": _plain("position", question.position),
-        "hold_ms": question.until // 1_000_000,
-        "held": None if question.held is None else sorted(question.held),
+        "hold_ms": question.deadline // 1_000_000,
+        "held": None if question.current is None else sorted(question.current),
         "serving": report and sorted(report.args[1]),
         "generation": report.args[2] if report else 0,
         "redirected": question.redirected,
