--- a/benchmarks/scale/capacity/node.py
+++ b/benchmarks/scale/capacity/node.py
@@ -32,11 +32,11 @@
 )
 DEAL = Mechanism("slots dealt among the nodes of a service",
                  "loadbalancer/core/balancing/endpoint_caps.py, "
-                 "tests/core/balancing/test_ordinary_path.py")  # fmt: skip
+                 "tests/core/balancing/test_endpoint_caps.py")  # fmt: skip
 PROCESS = Mechanism("the process itself", "loadbalancer/proxy/host.py, tests/proxy/test_node.py")
 QUOTAS = Mechanism(
     "a bucket a tenant and node, its part of the quota",
-    "loadbalancer/core/balancing/admission.py, tests/core/balancing/test_ordinary_path.py",
+    "loadbalancer/core/balancing/admission.py, tests/core/balancing/test_scheduling.py",
 )
 
 
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -6,17 +6,26 @@
 
 import pytest
 
+from loadbalancer.core import (
+    Effect,
+    Outcome,
+    RequestClass,
+    Settings,
+)
+from loadbalancer.core.balancing import class_weights
 from loadbalancer.core.balancing.class_weights import MAX_OBJECTIVES, Flow, predict, solve, utility
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
+from tests.recording_host import build
 
 
 def stand(flow: Flow, share: int) -> float:
-    rate, mean, old, aim, worth = flow
+    rate, mean, old, objective, weight = flow
     if rate <= 0 or mean <= 0:
         return 1.0
     t = predict(rate, mean, max(old, 1.0), share)
     if t == float("inf"):
-        return -worth * (MAX_OBJECTIVES - 1.0) - worth * rate * aim / share
-    return utility(aim, t, worth)
+        return -weight * (MAX_OBJECTIVES - 1.0) - weight * rate * objective / share
+    return utility(objective, t, weight)
 
 
 def best(total: int, flows: list[Flow]) -> float:
@@ -49,3 +58,36 @@
 
 def test_too_few_slots_gives_each_class_one() -> None:
     assert solve(2, CASES[1]) == [1, 1, 1]
+
+
+def test_priority_weights_move_shares_when_requests_are_rejected() -> None:
+    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=10.0)
+    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
+    balancer, host = build(Settings(classes=(rich, poor)), count=6)
+    for k in range(12):
+        now = (k + 1) * SECOND // 2
+        for i in range(60):
+            balancer.on_request(now, 1000 * k + i, i % 2, SECOND)
+        for c in host.named("send"):
+            balancer.on_outcome(now + 100 * MS, int(str(c[1])), 0, Outcome.OK, 100 * MS, True)
+        balancer.on_timer(now + 190 * MS, Timer.WAKE)
+        host.calls.clear()
+        balancer.on_timer(now + 200 * MS, Timer.CYCLE)
+    assert balancer.classes[0].share > 2 * balancer.classes[1].share
+
+
+def test_a_class_rejected_at_a_small_share_gets_a_larger_one() -> None:
+    """Equation 8 with a rejected class's mean predicts that one more slot cures it."""
+    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
+    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=5.0)
+    balancer, host = build(Settings(classes=(poor, rich)), count=40)
+    for c, share in zip(balancer.classes, (157, 2), strict=True):
+        c.share, c.share_sum, c.cycles = share, share * 6.0, 6.0
+    for _ in range(3):
+        for c, came, served in zip(balancer.classes, (195, 120), (120, 4), strict=True):
+            c.arrivals += came
+            c.served += served
+            c.response_time += served * 400.0 * MS
+            c.rejected += came - served
+        class_weights.update(balancer.state)
+    assert balancer.classes[1].share > 20
--- /dev/null
+++ b/tests/core/balancing/test_final_answer.py
@@ -0,0 +1,59 @@
+"""Which requests are rejected, and what wait is requested."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from loadbalancer.core import (
+    Effect,
+    Scope,
+    Settings,
+)
+from loadbalancer.core.balancing import final_answer
+from loadbalancer.core.balancing.model import MS, SECOND, Timer
+from loadbalancer.core.balancing.records import Attempt, Request
+from tests.recording_host import KEYED, PURE, build
+
+
+@pytest.mark.parametrize(
+    ("max_retry_after", "marks_retry", "wanted"),
+    [(SECOND, False, 0), (SECOND, True, SECOND), (100 * MS, False, 100 * MS)],
+)
+def test_no_wait_past_the_objective_is_requested_of_unmarked_clients(
+    max_retry_after: int, marks_retry: bool, wanted: int
+) -> None:
+    """They would come back late, look like new, and keep a jam going."""
+    settings = Settings(classes=(PURE,), max_retry_after=max_retry_after, marks_retry=marks_retry)
+    balancer, host = build(settings, count=1)
+    for i in range(20):
+        balancer.on_request(1, i, 0, SECOND)
+    balancer.on_timer(190 * MS, Timer.WAKE)
+    assert host.waits
+    assert set(host.waits) == {wanted}
+
+
+@pytest.mark.parametrize(
+    ("effect", "scope", "executed", "at", "answer"),
+    [
+        (Effect.PURE, Scope.ALL, True, 0, "refuse"),
+        (Effect.SIDE_EFFECT, Scope.ALL, False, 0, "refuse"),
+        (Effect.SIDE_EFFECT, Scope.ALL, True, 0, "fail"),
+        (Effect.TOKEN, Scope.ALL, True, 59, "refuse"),
+        (Effect.TOKEN, Scope.ALL, True, 60, "fail"),  # its key may be forgotten
+        (Effect.TOKEN, Scope.ZONE, True, 0, "fail"),  # a client's repeat may reach another zone
+        (Effect.TOKEN, Scope.ZONE, False, 0, "refuse"),
+    ],
+)
+def test_a_request_is_rejected_only_where_trying_again_is_harmless(
+    effect: Effect, scope: Scope, executed: bool, at: int, answer: str
+) -> None:
+    balancer, host = build(Settings(classes=(replace(KEYED, effect=effect, scope=scope),)))
+    request = Request(1, balancer.classes[0], 0, SECOND, 0, 4)
+    if executed:
+        request.first_executed = Attempt(balancer.endpoints[100], 0)
+    balancer.state.now = at * MS
+    final_answer.give(balancer.state, request)
+    final_answer.give(balancer.state, request)  # and once only
+    assert [c for c in host.calls if c[0] in ("refuse", "fail")] == [(answer, 1)]
--- a/tests/core/balancing/test_four_rules.py
+++ b/tests/core/balancing/test_four_rules.py
@@ -1,7 +1,7 @@
 """The four rules over random event sequences, checked from outside.
 
 The World plays a host that answers as it likes within the wire's rules and
-judges every action. Each rule has fixed examples in test_path.py too.
+judges every action. Each rule has fixed examples in test_retries.py and test_final_answer.py too.
 """
 
 from __future__ import annotations
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -47,19 +47,24 @@
         self.balancer.set_policies(self.policies)
         self.balancer.start(0)
         self.balancer.on_members(0, Update.CACHED, rows(count))
-        self.told = 0
 
-    def ask(self, now: int, rid: int, policy: Policy, left: int = 2000 * MS) -> None:
-        self.balancer.on_request(now, rid, policy.number, left, policy=policy)
+    def request(self, now: int, rid: int, policy: Policy, remaining: int = 2000 * MS) -> None:
+        self.balancer.on_request(now, rid, policy.number, remaining, policy=policy)
 
     def sends(self, rid: int) -> list[Any]:
         return [c for c in self.host.named("send") if c[1] == rid]
 
     def end(
-        self, now: int, rid: int, attempt: int, outcome: Outcome, taken: int = 5 * MS, **more: Any
+        self,
+        now: int,
+        rid: int,
+        attempt: int,
+        outcome: Outcome,
+        duration: int = 5 * MS,
+        **more: Any,
     ) -> None:
         done = outcome == Outcome.OK
-        self.balancer.on_outcome(now, rid, attempt, outcome, taken, done, (), **more)
+        self.balancer.on_outcome(now, rid, attempt, outcome, duration, done, (), **more)
 
     def wake(self, now: int) -> None:
         self.balancer.on_timer(now, Timer.WAKE)
@@ -88,7 +93,7 @@
     }
     fleet = Fleet()
     policy = replace(SAFE, retry_on=frozenset([listed] if listed else []))
-    fleet.ask(0, 1, policy)
+    fleet.request(0, 1, policy)
     fleet.end(5 * MS, 1, 0, outcome, connected=connected)
     again = names[outcome] == listed
     assert len(fleet.sends(1)) == 1 + again
@@ -100,7 +105,7 @@
     """Whatever a policy says: here one that no file could hold."""
     forged = replace(NEVER, retry_on=frozenset(Condition), attempts=4, copy=COPY.copy)
     fleet = Fleet()
-    fleet.ask(0, 1, forged)
+    fleet.request(0, 1, forged)
     fleet.wake(60 * MS)
     assert len(fleet.sends(1)) == 1  # no second copy
     fleet.end(70 * MS, 1, 0, outcome)
@@ -112,7 +117,7 @@
 @pytest.mark.parametrize("most", [1, 2, 3])
 def test_attempts_end_with_what_the_policy_grants(most: int) -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, replace(SAFE, attempts=most))
+    fleet.request(0, 1, replace(SAFE, attempts=most))
     for number in range(most):
         assert len(fleet.sends(1)) == number + 1
         fleet.end((number + 1) * 5 * MS, 1, number, Outcome.ERROR)
@@ -122,7 +127,7 @@
 
 def test_the_settings_most_attempts_hold_over_a_policy() -> None:
     fleet = Fleet(settings=replace(SETTINGS, max_attempts=2))
-    fleet.ask(0, 1, replace(SAFE, attempts=4))
+    fleet.request(0, 1, replace(SAFE, attempts=4))
     for number in range(2):
         fleet.end((number + 1) * 5 * MS, 1, number, Outcome.ERROR)
     assert len(fleet.sends(1)) == 2
@@ -131,11 +136,11 @@
 
 def test_times_are_the_policys_within_what_is_left() -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, replace(SAFE, attempt_timeout=300 * MS))
+    fleet.request(0, 1, replace(SAFE, attempt_timeout=300 * MS))
     assert fleet.sends(1)[0][3] == 300 * MS
-    fleet.ask(0, 2, replace(SAFE, timeout=200 * MS, attempt_timeout=300 * MS))
+    fleet.request(0, 2, replace(SAFE, timeout=200 * MS, attempt_timeout=300 * MS))
     assert fleet.sends(2)[0][3] == 200 * MS
-    fleet.ask(0, 3, replace(SAFE, attempt_timeout=300 * MS), left=100 * MS)
+    fleet.request(0, 3, replace(SAFE, attempt_timeout=300 * MS), remaining=100 * MS)
     assert fleet.sends(3)[0][3] == 100 * MS
 
 
@@ -144,15 +149,15 @@
     fleet = Fleet()
     fleet.balancer.classes[0].latency = 10.0 * MS  # a wait of five such, but for the aim's part
     patient, impatient = SAFE, replace(SAFE, retry_on=frozenset([Condition.REFUSED]), wanted=SECOND)
-    fleet.ask(0, 1, replace(patient, wanted=SECOND))
-    fleet.ask(0, 2, impatient)
+    fleet.request(0, 1, replace(patient, wanted=SECOND))
+    fleet.request(0, 2, impatient)
     assert fleet.sends(1)[0][3] < fleet.sends(2)[0][3]
 
 
 def test_a_route_stricter_than_its_class_holds() -> None:
     fleet = Fleet()
     never = replace(SAFE, effect=Effect.SIDE_EFFECT, copy=COPY.copy)
-    fleet.ask(0, 1, never)
+    fleet.request(0, 1, never)
     fleet.wake(60 * MS)
     fleet.end(70 * MS, 1, 0, Outcome.RESET)
     assert len(fleet.sends(1)) == 1
@@ -165,7 +170,7 @@
     fleet = Fleet(0, settings=settings)
     fleet.balancer.on_members(0, Update.FULL, [*rows(2, zone=0), *rows(6, zone=1, first=200)])
     keyed = replace(SAFE, effect=Effect.TOKEN, scope=Scope.ZONE, window=30 * MS)
-    fleet.ask(0, 1, keyed)
+    fleet.request(0, 1, keyed)
     fleet.end(taken, 1, 0, Outcome.RESET, taken)
     assert len(fleet.sends(1)) == sends
     assert len({send[2] // 100 for send in fleet.sends(1)}) == 1
@@ -177,14 +182,14 @@
 def test_a_back_off_holds_the_next_attempt_and_nothing_else() -> None:
     fleet = Fleet()
     policy = replace(SAFE, backoff_base=40 * MS, backoff_most=80 * MS)
-    fleet.ask(0, 1, policy)
+    fleet.request(0, 1, policy)
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
     assert len(fleet.sends(1)) == 1
     assert not fleet.answers(1)
     due = [c for c in fleet.host.named("timer") if c[1] == Timer.WAKE][-1][2]
     assert isinstance(due, int)
     assert 5 * MS < due <= 45 * MS
-    fleet.ask(6 * MS, 2, policy)
+    fleet.request(6 * MS, 2, policy)
     assert len(fleet.sends(2)) == 1
     fleet.wake(due)
     assert len(fleet.sends(1)) == 2
@@ -193,14 +198,14 @@
 def test_a_back_off_that_does_not_fit_is_answered_at_once() -> None:
     fleet = Fleet()
     policy = replace(SAFE, backoff_base=5 * SECOND, backoff_most=5 * SECOND)
-    fleet.ask(0, 1, policy)
+    fleet.request(0, 1, policy)
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
     assert fleet.answers(1) == 1
 
 
 def test_a_client_that_leaves_during_a_back_off_is_forgotten() -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, replace(SAFE, backoff_base=40 * MS, backoff_most=40 * MS))
+    fleet.request(0, 1, replace(SAFE, backoff_base=40 * MS, backoff_most=40 * MS))
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
     fleet.balancer.on_client_disconnected(6 * MS, 1)
     fleet.wake(100 * MS)
@@ -215,7 +220,7 @@
     policy = replace(SAFE, backoff_base=40 * MS, backoff_most=40 * MS)
     dues = []
     for rid in range(1, 60):
-        fleet.ask(0, rid, policy)
+        fleet.request(0, rid, policy)
         if fleet.sends(rid):
             fleet.end(0, rid, 0, Outcome.ERROR)
             dues.append(fleet.balancer.state.requests[rid].policy_state.due)  # type: ignore[union-attr]
@@ -247,7 +252,7 @@
         now += random.randrange(1, 4 * MS)
         for _ in range(random.randrange(4)):
             rid += 1
-            fleet.ask(now, rid, policy)
+            fleet.request(now, rid, policy)
         for b in fleet.balancer.endpoints.values():
             b.backoff_until = b.ejected_until = 0
             fleet.balancer.state.ejected = 0
@@ -288,7 +293,7 @@
     fleet = Fleet(8, BudgetSpec(0.2, 10.0))
     poor = replace(SAFE, name="s/poor", budget=BudgetSpec(0.0, 1.0))
     for rid, policy, sends in ((1, poor, 2), (2, poor, 1), (3, SAFE, 2)):
-        fleet.ask(0, rid, policy)
+        fleet.request(0, rid, policy)
         fleet.end(0, rid, 0, Outcome.ERROR)
         assert len(fleet.sends(rid)) == sends, rid
     assert fleet.policies.node.tokens > 7.9
@@ -299,7 +304,7 @@
 
 def test_a_second_copy_goes_elsewhere_and_the_loser_is_busy_until_its_outcome() -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, COPY)
+    fleet.request(0, 1, COPY)
     fleet.wake(49 * MS)
     assert len(fleet.sends(1)) == 1
     fleet.wake(50 * MS)
@@ -318,7 +323,7 @@
 def test_one_whose_copy_has_answered_may_still_answer_itself() -> None:
     """Both in one turn: the second outcome comes before the cancel takes effect."""
     fleet = Fleet()
-    fleet.ask(0, 1, COPY)
+    fleet.request(0, 1, COPY)
     fleet.wake(50 * MS)
     fleet.end(60 * MS, 1, 0, Outcome.OK)
     fleet.end(60 * MS, 1, 1, Outcome.OK)
@@ -329,7 +334,7 @@
 
 def test_a_first_that_fails_waits_for_its_copy() -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, replace(COPY, attempts=3))
+    fleet.request(0, 1, replace(COPY, attempts=3))
     fleet.wake(50 * MS)
     fleet.end(60 * MS, 1, 0, Outcome.ERROR)
     assert len(fleet.sends(1)) == 2
@@ -345,7 +350,7 @@
     asked = 0
     while not fleet.balancer.state.queued:
         asked += 1
-        fleet.ask(0, asked, COPY)
+        fleet.request(0, asked, COPY)
     sent = len(fleet.host.named("send"))
     fleet.wake(50 * MS)
     assert len(fleet.host.named("send")) == sent
@@ -353,7 +358,7 @@
 
 def test_no_copy_goes_where_only_the_first_backend_is_free() -> None:
     fleet = Fleet(1)
-    fleet.ask(0, 1, COPY)
+    fleet.request(0, 1, COPY)
     fleet.wake(50 * MS)
     assert len(fleet.sends(1)) == 1
 
@@ -364,7 +369,7 @@
     now = 0
     for rid in range(1, 401):
         now += 100 * MS
-        fleet.ask(now, rid, policy, left=2000 * MS)
+        fleet.request(now, rid, policy, left=2000 * MS)
         fleet.wake(now + 50 * MS)
         for attempt in range(len(fleet.sends(rid))):
             fleet.end(now + 60 * MS, rid, attempt, Outcome.OK, 60 * MS)
@@ -377,14 +382,14 @@
 )
 def test_no_copy_where_the_settings_allow_none(change: Settings) -> None:
     fleet = Fleet(settings=change)
-    fleet.ask(0, 1, COPY)
+    fleet.request(0, 1, COPY)
     fleet.wake(50 * MS)
     assert len(fleet.sends(1)) == 1
 
 
 def test_a_client_that_leaves_with_both_out_gets_its_copy_cancelled() -> None:
     fleet = Fleet()
-    fleet.ask(0, 1, COPY)
+    fleet.request(0, 1, COPY)
     fleet.wake(50 * MS)
     fleet.balancer.on_client_disconnected(55 * MS, 1)
     assert fleet.host.named("cancel") == [("cancel", 1, 1)]
@@ -399,11 +404,11 @@
     fleet = Fleet()
     policy = replace(COPY, copy=CopySpec(0, 90.0, 1.0))
     for rid in range(1, 101):
-        fleet.ask(rid * SECOND, rid, policy)
+        fleet.request(rid * SECOND, rid, policy)
         fleet.wake(rid * SECOND + 9 * MS)
         fleet.end(rid * SECOND + 10 * MS, rid, 0, Outcome.OK, 10 * MS)
     assert len(fleet.host.named("send")) == 100  # none while unknown, none before its time
-    fleet.ask(200 * SECOND, 200, policy)
+    fleet.request(200 * SECOND, 200, policy)
     due = fleet.balancer.state.requests[200].policy_state.due  # type: ignore[union-attr]
     assert 10 * MS <= due - 200 * SECOND <= 12 * MS
 
@@ -428,7 +433,7 @@
 def test_a_request_keeps_the_policy_it_came_with() -> None:
     fleet = Fleet()
     policy = replace(SAFE, attempts=2, backoff_base=40 * MS, backoff_most=40 * MS)
-    fleet.ask(0, 1, policy)
+    fleet.request(0, 1, policy)
     fleet.end(5 * MS, 1, 0, Outcome.ERROR)
     fleet.policies.replace(BudgetSpec(0.1, 1.0), set())  # its route has gone
     fleet.wake(60 * MS)
@@ -440,11 +445,11 @@
 def test_a_budget_survives_the_replacement_of_its_policy() -> None:
     fleet = Fleet(8)
     policy = replace(SAFE, budget=BudgetSpec(0.0, 1.0))
-    fleet.ask(0, 1, policy)
+    fleet.request(0, 1, policy)
     fleet.end(0, 1, 0, Outcome.ERROR)
     assert len(fleet.sends(1)) == 2  # the whole floor is spent
     fleet.policies.replace(WIDE, {policy.name})
-    fleet.ask(0, 2, replace(policy, budget=BudgetSpec(0.0, 1.0), attempts=3))
+    fleet.request(0, 2, replace(policy, budget=BudgetSpec(0.0, 1.0), attempts=3))
     fleet.end(0, 2, 0, Outcome.ERROR)
     assert len(fleet.sends(2)) == 1
 
--- /dev/null
+++ b/tests/core/balancing/test_scheduling.py
@@ -0,0 +1,46 @@
+"""Which queued request goes next."""
+
+from __future__ import annotations
+
+from loadbalancer.core import (
+    Outcome,
+    Settings,
+    Tenant,
+)
+from loadbalancer.core.balancing.model import SECOND
+from tests.recording_host import PURE, build
+
+
+def test_round_robin_keeps_each_classs_share_in_flight() -> None:
+    balancer, host = build(count=6)
+    total = balancer.state.total
+    balancer.classes[0].share, balancer.classes[1].share = total - 4, 3
+    balancer.classes[2].share = 1
+    for i in range(9 * total):
+        balancer.on_request(1, i, i // 3 % 3 if i > total else 0, SECOND)
+    for step in range(3 * total):
+        out = [r for r in balancer.state.requests.values() if r.in_flight]
+        r = out[step % len(out)]
+        balancer.on_outcome(2, r.id, 0, Outcome.OK, 1, True)
+    assert all(c.queued for c in balancer.classes)
+    assert [c.in_flight for c in balancer.classes] == [total - 4, 3, 1]
+
+
+def test_requests_over_quota_go_last_and_tenants_take_turns() -> None:
+    tenants = (Tenant("a", 0.75, 1000.0), Tenant("b", 0.45, 1000.0), Tenant("c", 0.1, 1.0))
+    balancer, host = build(Settings(classes=(PURE,), tenants=tenants), count=1)
+    for i in range(balancer.state.total):
+        balancer.on_request(1, 900 + i, 0, SECOND, 0)
+    for i in range(6):
+        balancer.on_request(1, 300 + i, 0, SECOND, 2)
+    for i in range(12):
+        balancer.on_request(1, 100 + i, 0, SECOND, 0)
+        balancer.on_request(1, 200 + i, 0, SECOND, 1)
+    host.calls.clear()
+    for _ in range(9):
+        out = next(r for r in balancer.state.requests.values() if r.in_flight)
+        balancer.on_outcome(2, out.id, 0, Outcome.OK, 1, True)
+    sent = [int(str(c[1])) // 100 for c in host.named("send")]
+    assert sent.count(1) == 5
+    assert sent.count(2) == 3
+    assert sent.count(3) == 1
