--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -369,7 +369,7 @@
     now = 0
     for rid in range(1, 401):
         now += 100 * MS
-        fleet.request(now, rid, policy, left=2000 * MS)
+        fleet.request(now, rid, policy, remaining=2000 * MS)
         fleet.wake(now + 50 * MS)
         for attempt in range(len(fleet.sends(rid))):
             fleet.end(now + 60 * MS, rid, attempt, Outcome.OK, 60 * MS)
