--- a/tests/scalemachines.py
+++ b/tests/control_machines.py
@@ -4,7 +4,9 @@
 
 import asyncio
 import contextlib
+import errno
 import json
+import logging
 import socket
 import threading
 from collections.abc import Callable, Iterator
@@ -14,8 +16,10 @@
 
 from benchmarks.scale.fleet import call
 from loadbalancer.config.address import Address
+from loadbalancer.control.machine import list_form
 from loadbalancer.control.machine.file import ScaleFile, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
+from loadbalancer.core.assignment.model import Row
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.replicated_log.replication import Timing
 from tests.harness import LIMIT, until
@@ -31,6 +35,7 @@
     unreachable_wait_ns=200 * MS,
 )
 NAMES = ("east-a", "east-b", "east-c")
+START_ATTEMPTS = 5
 
 
 def free_ports(count: int) -> list[int]:
@@ -63,6 +68,35 @@
     return path
 
 
+def row(uid: str, state: str = "active") -> Row:
+    """A backend as the log has it."""
+    return list_form.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
+
+
+def rows(*uids: str, state: str = "active") -> list[dict[str, Any]]:
+    """Backends as an operator submits them."""
+    return [{"uid": uid, "endpoint": "127.0.0.1:9", "az": "east-1", "state": state} for uid in uids]
+
+
+class LogLines(logging.Handler):
+    """Collects the lines that control machines log, until it is closed."""
+
+    def __init__(self) -> None:
+        super().__init__(logging.INFO)
+        self.lines: list[str] = []
+        self._logger = logging.getLogger("loadbalancer.control.machine")
+        self._logger.setLevel(logging.INFO)
+        self._logger.addHandler(self)
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self.lines.append(record.getMessage())
+
+    def close(self) -> None:
+        self._logger.removeHandler(self)
+        self._logger.setLevel(logging.NOTSET)
+        super().close()
+
+
 class Machines:
     """The machines of a file, each able to be ended by itself."""
 
@@ -70,7 +104,7 @@
         self.file = file
         self.loop = asyncio.new_event_loop()
         self.machines: dict[str, ControlMachine] = {}
-        self.said: list[str] = []  # their logs' lines
+        self.log = LogLines()
         self._thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self._thread.start()
 
@@ -91,8 +125,12 @@
         """Begin it, with nothing in memory."""
 
         async def begin() -> ControlMachine:
-            machine = ControlMachine(self.file, self.file.machine(name), self.said.append, TIMING)
-            await machine.open()
+            machine = ControlMachine(self.file, self.file.machine(name), TIMING)
+            try:
+                await machine.open()
+            except OSError:
+                machine.close()
+                raise
             return machine
 
         self.machines[name] = asyncio.run_coroutine_threadsafe(begin(), self.loop).result(LIMIT)
@@ -103,7 +141,7 @@
 
         def kill() -> None:
             machine.close()
-            for watcher in [*machine.questions._waiting]:
+            for watcher in [*machine.node_requests._waiting]:
                 watcher.abort()
 
         self.do(kill)
@@ -113,6 +151,7 @@
             self.end(name)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(LIMIT)
+        self.log.close()
 
     def address(self, name: str, key: str = "admin") -> Address:
         found = getattr(self.file.machine(name), key)
@@ -143,27 +182,45 @@
         return leaders[0]
 
     def change(self, *changes: dict[str, Any]) -> list[dict[str, Any]]:
-        """Hand changes in at the leader; what it answers."""
+        """Submit changes at the leader; returns its answer."""
         body = json.dumps(list(changes)).encode()
         status, answer = call(self.address(self.leader()), "POST", "/changes", body)
         assert status == 200, answer
         found: list[dict[str, Any]] = json.loads(answer)
         return found
 
-    def ask(self, name: str, query: str) -> tuple[int, str]:
-        """A subscriber's question to one machine."""
+    def poll(self, name: str, query: str) -> tuple[int, str]:
+        """A subscriber's poll of one machine."""
         address = self.address(name, "subscribers")
         status, body = call(address, "GET", f"/registry/instances?{query}")
         return status, body.decode()
 
 
+def started(folder: Path, top: str = "") -> Machines:
+    """Three machines at ports that were free; `top` as in `write_file`.
+
+    Between the choice of a free port and its use, another process may have taken it: then all
+    begin again at other ports.
+    """
+    for _ in range(START_ATTEMPTS):
+        machines = Machines(read_scale(str(write_file(folder, top))))
+        try:
+            for name in NAMES:
+                machines.start(name)
+        except OSError as err:
+            machines.close()
+            if err.errno != errno.EADDRINUSE:
+                raise
+        else:
+            return machines
+    raise OSError(errno.EADDRINUSE, f"no free ports in {START_ATTEMPTS} attempts")
+
+
 @contextlib.contextmanager
 def three(folder: Path) -> Iterator[Machines]:
     """Three machines, a leader among them."""
-    machines = Machines(read_scale(str(write_file(folder))))
+    machines = started(folder)
     try:
-        for name in NAMES:
-            machines.start(name)
         machines.leader()
         yield machines
     finally:
