--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -16,7 +16,7 @@
 import httptools
 
 from loadbalancer.config.address import Address
-from loadbalancer.proxy.sockets import listening
+from loadbalancer.proxy.sockets import listening_socket
 
 MOST_CALLERS = 8
 MOST_BYTES = 4 << 10  # of one call, head and body
@@ -60,7 +60,7 @@
 
     def listen(self, address: Address) -> int:
         """Take calls at this address; returns the port. OSError where it can't be had."""
-        sock = listening(address, BACKLOG)
+        sock = listening_socket(address, BACKLOG)
         self._sock = sock
         self.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -13,7 +13,7 @@
 from loadbalancer.proxy.downstream.registry import ConnectionRegistry
 from loadbalancer.proxy.downstream.request import IncomingRequest
 from loadbalancer.proxy.downstream.responses import EMPTY, READY, REASONS, TEXT
-from loadbalancer.proxy.flow_control import MOST, Flow
+from loadbalancer.proxy.flow_control import MAX_MESSAGE_BYTES, Flow
 
 SWEEP_S = 0.25  # from one sweep over all connections to the next
 # Patience with clients, in sweeps: a node that was stopped for a while must not
@@ -83,27 +83,27 @@
         request = node.request(self, incoming, waited)
         if request is None:
             self._give_back(incoming)
-            self.answer_empty(503, 0)
+            self.respond_empty(503, 0)
         elif not request.ended:
             self._request = request
 
     # ---- answering ----------------------------------------------------
 
-    def answer(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
+    def respond(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         """The whole answer of a backend."""
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % size
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
         self._write_head(head, chunks)
 
-    def answer_empty(self, status: int, retry_after: int) -> None:
+    def respond_empty(self, status: int, retry_after: int) -> None:
         """An answer without a body; `retry_after` in nanoseconds, 0 for none."""
         head = EMPTY[status]
         if retry_after:
             head += b"Retry-After: %.3f\r\n" % (retry_after / 1e9)
         self._write_head(head)
 
-    def begin_long(self, content_type: bytes, length: int, flow: Flow) -> None:
+    def begin_streaming(self, content_type: bytes, length: int, flow: Flow) -> None:
         """A backend's answer that is passed on as it comes; a length under 0 is not known."""
         transport = self._transport
         if transport is None or transport.is_closing():
@@ -146,7 +146,7 @@
         transport.set_write_buffer_limits()
         self._after_answer(not self._keep_alive)
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """What has begun can't be finished: an end without the rest tells the client."""
         self._request = None
         self._drop_flow()
@@ -159,7 +159,7 @@
     def _drop_flow(self) -> None:
         flow, self._flow = self._flow, None
         if flow is not None:
-            flow.drop()
+            flow.discard()
 
     def pause_writing(self) -> None:
         if self._flow is not None:
@@ -215,7 +215,7 @@
             self._registry.node.client_gone(request)
         if self._flow is not None:
             # Part of an answer has gone: an error now would pass for more of it.
-            self.cut()
+            self.abort_response()
             return
         transport = self._transport
         if transport is not None and not transport.is_closing():
@@ -236,7 +236,7 @@
         self._leave_rest()
         incoming = self._incoming
         if incoming is not None and incoming.flow is not None:
-            self._still_to_come = (incoming.length or MOST) - incoming.size
+            self._still_to_come = (incoming.length or MAX_MESSAGE_BYTES) - incoming.size
         self._drop_incoming()
         self._parser = None
         if self._eof:
@@ -309,7 +309,7 @@
             and not transport.get_write_buffer_size()
         )
 
-    def has_left(self) -> bool:
+    def has_half_closed(self) -> bool:
         """Whether the client has ended its sending, asked of the socket itself."""
         return self._eof or self._transport is None or sending_has_ended(self._sock)
 
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.proxy.downstream.connection import ClientConnection
 from loadbalancer.proxy.downstream.registry import ConnectionRegistry
-from loadbalancer.proxy.sockets import disown, listening
+from loadbalancer.proxy.sockets import listening_socket, release_socket
 
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
@@ -64,7 +64,7 @@
 
         `shared`: where one process succeeds another and can't be handed its socket.
         """
-        sock = listening(address, BACKLOG, shared)
+        sock = listening_socket(address, BACKLOG, shared)
         self._sock = sock
         self.node.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
@@ -95,7 +95,7 @@
         conn = ClientConnection(self.registry, sock)
         try:
             transport, _ = await self.node.loop.connect_accepted_socket(lambda: conn, sock)
-            disown(transport, sock)
+            release_socket(transport, sock)
         except OSError:
             sock.detach()
             if conn not in self.registry.connections:
--- a/loadbalancer/proxy/downstream/reader.py
+++ b/loadbalancer/proxy/downstream/reader.py
@@ -16,7 +16,12 @@
 from loadbalancer.errors import BadRequestError
 from loadbalancer.proxy.downstream.registry import Connection, ConnectionRegistry
 from loadbalancer.proxy.downstream.request import MAX_HEAD, NOT_PASSED_ON, READ, IncomingRequest
-from loadbalancer.proxy.flow_control import MOST, WHOLE, WINDOW, Flow
+from loadbalancer.proxy.flow_control import (
+    MAX_MESSAGE_BYTES,
+    MIN_WINDOW_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    Flow,
+)
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Request
@@ -101,7 +106,7 @@
                 self._reject(431)
         elif incoming.flow is None and incoming.size:
             if self._request is not None:
-                if incoming.size > WHOLE:
+                if incoming.size > STREAMING_THRESHOLD_BYTES:
                     self.pause_flow()  # its turn comes with the open one's answer
             elif self._registry.node.budget.must_pause(self):
                 self.pause_flow()
@@ -116,7 +121,7 @@
             and incoming is not None
             and self._headers_done
             and incoming.flow is None
-            and incoming.size > WHOLE
+            and incoming.size > STREAMING_THRESHOLD_BYTES
         ):
             self._begin_long(incoming)
 
@@ -162,13 +167,13 @@
             raise BadRequestError(400)
         incoming.old = parser.get_http_version() == "1.0"
         self._registry.heads.check(incoming)
-        if incoming.length > MOST:
+        if incoming.length > MAX_MESSAGE_BYTES:
             raise BadRequestError(413)
         if incoming.length or incoming.chunked:
-            if incoming.length > WHOLE:
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW)
+            if incoming.length > STREAMING_THRESHOLD_BYTES:
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
             elif incoming.length > SMALL_BODY or incoming.chunked:
-                self._registry.node.budget.unfinished[self] = None
+                self._registry.node.budget.incomplete[self] = None
             # Where another's answer is still to go out first, this would stand in it.
             free = self._request is None and not self._waiting
             if free and incoming.fields.get(b"expect", b"").lower() == b"100-continue":
@@ -179,13 +184,13 @@
         incoming = self._incoming
         assert incoming is not None
         incoming.size += len(body)
-        if incoming.size > MOST:
+        if incoming.size > MAX_MESSAGE_BYTES:
             raise BadRequestError(413)
         if incoming.flow is not None:
             incoming.flow.push(body)
             return
         incoming.body.append(body)
-        self._registry.node.budget.take(len(body))
+        self._registry.node.budget.reserve(len(body))
 
     def on_message_complete(self) -> None:
         incoming = self._incoming
@@ -193,7 +198,7 @@
         self._incoming = None
         self._headers_done = False
         node = self._registry.node
-        node.budget.finished(self)
+        node.budget.body_finished(self)
         # What waited in the kernel while the loop was busy is the client's time.
         info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
         (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
@@ -228,8 +233,8 @@
     def _begin_long(self, incoming: IncomingRequest) -> None:
         """Pass on a body that is too long to hold, from what has come of it."""
         node = self._registry.node
-        node.budget.finished(self)
-        node.budget.give(incoming.size)
+        node.budget.body_finished(self)
+        node.budget.release(incoming.size)
         flow = incoming.flow = Flow(node.budget, self)
         chunks, incoming.body = incoming.body, []
         self.resume_flow()
@@ -261,7 +266,7 @@
 
     def _drop_incoming(self) -> None:
         """Give back what a request not begun holds."""
-        self._registry.node.budget.finished(self)
+        self._registry.node.budget.body_finished(self)
         if self._incoming is not None:
             self._give_back(self._incoming)
         for incoming in self._waiting:
@@ -271,9 +276,9 @@
 
     def _give_back(self, incoming: IncomingRequest) -> None:
         if incoming.flow is not None:
-            incoming.flow.drop()
+            incoming.flow.discard()
         else:
-            self._registry.node.budget.give(incoming.size)
+            self._registry.node.budget.release(incoming.size)
 
     def _half_read(self) -> bool:
         """Whether the answer comes before its request has been read to its end."""
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -1,5 +1,8 @@
-"""One request and its attempts, as the host and its adapters share them, and the
-connections that these are on."""
+"""A client's request and its attempts at backends, shared by the host and its adapters.
+
+The protocols here describe the connections on both sides as far as the host uses them:
+the host knows no adapter's class, and no adapter knows another's.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +17,36 @@
 class Client(Protocol):
     """The connection that a request came on."""
 
-    def answer(self, content_type: bytes, chunks: list[bytes], size: int) -> None: ...
-    def answer_empty(self, status: int, retry_after: int) -> None: ...
-    def begin_long(self, content_type: bytes, length: int, flow: Flow) -> None: ...
-    def cut(self) -> None: ...
-    def has_left(self) -> bool: ...
+    def respond(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
+        """Send a complete 200 response."""
+
+    def respond_empty(self, status: int, retry_after: int) -> None:
+        """Send a response without content; `retry_after` in nanoseconds, 0 for none."""
+
+    def begin_streaming(self, content_type: bytes, length: int, flow: Flow) -> None:
+        """Send the head of a 200 response whose content follows through `flow`.
+
+        A negative `length` means that the length is not known.
+        """
+
+    def abort_response(self) -> None:
+        """End the connection so that the client sees its response as incomplete."""
+
+    def has_half_closed(self) -> bool:
+        """Whether the client has ended its sending, read from the socket itself."""
 
 
 class Link(Protocol):
-    """The connection that an attempt is out on."""
+    """The connection that an attempt is sent on."""
 
-    written: bool
+    request_written: bool
 
-    def abandon(self) -> bool: ...
+    def abandon(self) -> bool:
+        """Close; False where the request's last byte certainly never left this process."""
 
 
-class Taken(Protocol):
-    """A request as its adapter has read it; the host changes nothing of it."""
+class ReceivedRequest(Protocol):
+    """A request as its adapter has read it; the host does not modify it."""
 
     head: bytes
     label: bytes
@@ -49,47 +65,54 @@
 
 
 class Request:
+    """One open request of a client, with all attempts made for it. Times in nanoseconds."""
+
     __slots__ = (
-        "allowed", "arrived", "attempts", "body", "chunked", "client", "deadline", "ended", "flow",
-        "head", "id", "label", "last", "live", "once", "size", "started", "timeout",
+        "arrived", "attempts", "body", "chunked", "client", "deadline", "ended", "flow",
+        "half_closed", "head", "id", "label", "max_attempts", "open_attempts", "size", "started",
+        "timeout", "unsafe",
     )  # fmt: skip
 
     def __init__(
         self,
         rid: int,
         client: Client,
-        incoming: Taken,
+        incoming: ReceivedRequest,
         now: int,
-        left: int,
-        allowed: int,
+        remaining: int,
+        max_attempts: int,
     ) -> None:
         self.id = rid
-        self.client: Client | None = client
+        self.client: Client | None = client  # None once the request has ended
         self.head = incoming.head
         self.label = incoming.label
-        self.once = incoming.method != b"GET"
+        # No safe method (RFC 9110, section 9.2.1): a second run may have a second effect.
+        self.unsafe = incoming.method != b"GET"
         self.body = incoming.body
         self.size = incoming.size
         self.arrived = now
-        self.deadline = now + left
-        self.timeout = left
-        self.allowed = allowed  # attempts, by the settings of its admission
-        self.flow: Flow | None = incoming.flow  # of a body too long to hold
-        self.chunked = incoming.chunked  # and of a length that nobody knows yet
-        self.started = False  # an answer has begun to go to the client
+        self.deadline = now + remaining
+        self.timeout = remaining
+        self.max_attempts = max_attempts  # by the settings in force at its admission
+        self.flow: Flow | None = incoming.flow  # of a body that is forwarded as it comes
+        self.chunked = incoming.chunked  # that body's length is not known
+        self.started = False  # a response has begun to go to the client
         self.attempts: list[Attempt] = []
-        self.live = 0
+        self.open_attempts = 0
         self.ended = False
-        self.last = False  # its client sends no more: nothing begins for it any more
+        self.half_closed = False  # its client has ended its sending: no attempt begins any more
 
     @property
-    def coming(self) -> bool:
-        """Whether its body is still being read: its time has not begun."""
-        return self.flow is not None and not self.flow.whole
+    def receiving(self) -> bool:
+        """Whether its body is still being read; its timeout runs only from the end of it."""
+        return self.flow is not None and not self.flow.complete
 
 
 class Attempt:
-    """One send, or a probe where `request` is None. It has exactly one outcome."""
+    """One send of a request, or a probe where `request` is None. It has exactly one outcome.
+
+    `sent` and `limit` in nanoseconds: when it was sent, and how long it may take.
+    """
 
     __slots__ = (
         "backend", "closed", "connected", "connection", "limit", "number", "request", "sent",
@@ -101,6 +124,6 @@
         self.backend = backend
         self.sent = sent
         self.limit = 0
-        self.closed = False
-        self.connected = False  # whether its connection has ever been up
+        self.closed = False  # its outcome is settled
+        self.connected = False  # whether its connection has ever been established
         self.connection: Link | None = None
--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -1,7 +1,7 @@
-"""Long messages in bounded windows, and the bytes that the whole process holds.
+"""Flow control: long messages in bounded windows, within one budget for the process.
 
-One type for both directions: bytes come from a source that can be told to pause and
-go to a sink that says when it takes no more. No copy of a whole message is kept.
+One type for both directions: bytes come from a source that can be paused and go to a
+sink that says when it accepts no more. No copy of a whole long message is retained.
 """
 
 from __future__ import annotations
@@ -9,168 +9,189 @@
 from collections import deque
 from typing import Protocol
 
-WHOLE = 64 << 10  # bytes of a message that is passed on in one piece
-MOST = 32 << 20  # of any message
-WINDOW = 64 << 10  # of one held between its source and its sink, at the least
-ROOM_PART = 16  # one in so many of the bytes that may still be held
-BASE_MB = 32  # what the program itself takes, connections included
+STREAMING_THRESHOLD_BYTES = 64 << 10  # a message up to this size is forwarded in one piece
+MAX_MESSAGE_BYTES = 32 << 20  # of any message's content
+MIN_WINDOW_BYTES = 64 << 10  # buffered between source and sink while the budget has capacity
+WINDOW_FRACTION = 16  # a window is one in so many of the bytes that the budget has free
+BASELINE_MB = 32  # memory of the program itself, connections included
+MIN_SOFT_LIMIT_BYTES = 4 << 20
 
 
-class Reader(Protocol):
-    """Whoever reads a body, and can wait for room to read on."""
+class BodyReader(Protocol):
+    """Reads a body, and can wait for the budget to have capacity again."""
 
-    def resume_body(self) -> None: ...
+    def resume_body(self) -> None:
+        """Read on."""
 
 
-class Budget:
-    """Bytes of bodies and answers held, over all connections.
+class BufferBudget:
+    """Bytes of request bodies and responses buffered, over all connections.
 
-    Above `soft` windows shrink to one read, and reading a short body is paused, but
-    for the oldest unfinished one: it may always grow, so bodies never wait for one another.
+    Above `soft_limit` windows shrink to one read, and reading a short body is paused.
+    The oldest incomplete body is never paused: with every body waiting for the memory
+    of the others none would complete, and all would run into their timeouts.
     """
 
-    __slots__ = ("held", "paused", "soft", "unfinished")
+    __slots__ = ("buffered", "incomplete", "paused", "soft_limit")
 
     def __init__(self, memory_mb: int) -> None:
-        self.soft = max((memory_mb - BASE_MB << 20) // 2, 4 << 20)
-        self.held = 0
-        self.paused: dict[Reader, None] = {}
-        self.unfinished: dict[Reader, None] = {}  # larger bodies, oldest first
+        self.soft_limit = max((memory_mb - BASELINE_MB << 20) // 2, MIN_SOFT_LIMIT_BYTES)
+        self.buffered = 0
+        self.paused: dict[BodyReader, None] = {}
+        self.incomplete: dict[BodyReader, None] = {}  # larger bodies, oldest first
 
     def window(self) -> int:
-        """What a flow may hold before its source pauses.
+        """Bytes that a flow may buffer before its source is paused.
 
-        While there is room, a part of it: the sooner a server has given its answer, the
-        sooner its connection serves others. With many flows each comes down to WINDOW.
+        A fraction of what is free: the sooner a backend has delivered its response, the
+        sooner its connection serves other requests. With many flows each comes down to
+        MIN_WINDOW_BYTES, and to 0 above the soft limit.
         """
-        return max(WINDOW, (self.soft - self.held) // ROOM_PART) if self.held <= self.soft else 0
+        if self.buffered > self.soft_limit:
+            return 0
+        return max(MIN_WINDOW_BYTES, (self.soft_limit - self.buffered) // WINDOW_FRACTION)
 
-    def must_pause(self, conn: Reader) -> bool:
-        """Whether a body is to wait; if so resume_body tells when there is room."""
-        if self.held <= self.soft or conn not in self.unfinished:
+    def must_pause(self, reader: BodyReader) -> bool:
+        """Whether a body has to wait; if so `resume_body` is called when it may go on."""
+        if self.buffered <= self.soft_limit or reader not in self.incomplete:
             return False
-        if conn is next(iter(self.unfinished)):
+        if reader is next(iter(self.incomplete)):
             return False
-        self.paused[conn] = None
+        self.paused[reader] = None
         return True
 
-    def finished(self, conn: Reader) -> None:
-        """A body is whole or given up: the next oldest may always grow."""
-        self.paused.pop(conn, None)
-        if self.unfinished.pop(conn, self) is None:
-            oldest = next(iter(self.unfinished), None)
+    def body_finished(self, reader: BodyReader) -> None:
+        """A body is complete or dropped: the next oldest is the one that may always grow."""
+        self.paused.pop(reader, None)
+        if self.incomplete.pop(reader, self) is None:
+            oldest = next(iter(self.incomplete), None)
             if oldest is not None and oldest in self.paused:
                 del self.paused[oldest]
                 oldest.resume_body()
 
-    def take(self, size: int) -> None:
-        self.held += size
+    def reserve(self, size: int) -> None:
+        """Count `size` more bytes as buffered."""
+        self.buffered += size
 
-    def give(self, size: int) -> None:
-        self.held -= size
-        if self.paused and self.held <= self.soft:
+    def release(self, size: int) -> None:
+        """Count `size` bytes as buffered no longer, and resume the bodies that waited."""
+        self.buffered -= size
+        if self.paused and self.buffered <= self.soft_limit:
             waiting, self.paused = self.paused, {}
-            for conn in waiting:
-                conn.resume_body()
+            for reader in waiting:
+                reader.resume_body()
 
 
 class Source(Protocol):
-    def pause_flow(self) -> None: ...
-    def resume_flow(self) -> None: ...
+    """Where the bytes of a flow come from."""
+
+    def pause_flow(self) -> None:
+        """Read no more until `resume_flow`."""
+
+    def resume_flow(self) -> None:
+        """Read on."""
 
 
 class Sink(Protocol):
-    def flow_write(self, data: bytes) -> None: ...
-    def flow_end(self) -> None: ...
+    """Where the bytes of a flow go to."""
+
+    def flow_write(self, data: bytes) -> None:
+        """The next bytes."""
+
+    def flow_end(self) -> None:
+        """All bytes have been given to `flow_write`."""
 
 
 class Flow:
-    """One long message on its way.
+    """One long message between its source and its sink.
 
-    Without a sink yet, or with one that takes no more, it holds a window and pauses
-    its source. `moved` tells that bytes have left: they are held no longer.
+    Without a sink yet, or with one that accepts no more, it buffers a window and pauses
+    its source. `forwarded`: bytes have gone to a sink and are buffered no longer, so the
+    message can't be sent a second time. `complete`: the source has given its last byte.
     """
 
-    __slots__ = ("_blocked", "_budget", "_chunks", "_paused", "_sink", "_source", "held", "moved",
-                 "whole")  # fmt: skip
+    __slots__ = (
+        "_blocked", "_budget", "_chunks", "_sink", "_source", "buffered", "complete", "forwarded",
+        "paused",
+    )  # fmt: skip
 
-    def __init__(self, budget: Budget, source: Source) -> None:
+    def __init__(self, budget: BufferBudget, source: Source) -> None:
         self._budget = budget
         self._source: Source | None = source
         self._sink: Sink | None = None
         self._chunks: deque[bytes] = deque()
         self._blocked = False
-        self._paused = False
-        self.held = 0
-        self.moved = False
-        self.whole = False  # the source has given its last byte
-
-    @property
-    def paused(self) -> bool:
-        return self._paused
+        self.paused = False  # the source is; written here alone
+        self.buffered = 0
+        self.forwarded = False
+        self.complete = False
 
     def push(self, data: bytes) -> None:
-        """The next bytes from the source."""
+        """The next bytes from the source; dropped after `discard`."""
         if self._source is None:
-            return  # dropped: what still comes is nobody's
+            return
         self._chunks.append(data)
-        self.held += len(data)
-        self._budget.take(len(data))
-        self._move()
-        if not self._paused and self.held > self._budget.window():
-            self._paused = True
+        self.buffered += len(data)
+        self._budget.reserve(len(data))
+        self._forward()
+        if not self.paused and self.buffered > self._budget.window():
+            self.paused = True
             self._source.pause_flow()
 
     def finish(self) -> None:
         """The source has given everything, and is free for other work."""
-        self.whole = True
+        self.complete = True
         source, self._source = self._source, None
-        if self._paused and source is not None:
-            self._paused = False
-            source.resume_flow()
-        self._move()
+        self._resume(source)
+        self._forward()
 
     def attach(self, sink: Sink) -> None:
-        """Where the bytes go from now on."""
+        """Forward to this sink from now on."""
         self._sink = sink
         self._blocked = False
-        self._move()
+        self._forward()
 
     def detach(self, sink: Sink) -> None:
-        """This sink is of no more use; another may follow if nothing has moved."""
+        """This sink is closed; another may follow if nothing has been forwarded."""
         if self._sink is sink:
             self._sink = None
 
     def block(self) -> None:
-        """The sink takes no more for now."""
+        """The sink accepts no more until `unblock`."""
         self._blocked = True
 
     def unblock(self) -> None:
+        """The sink accepts bytes again."""
         self._blocked = False
-        self._move()
+        self._forward()
 
-    def drop(self) -> None:
-        """Give it up: nothing is held or passed on any more, and the source may read on."""
-        source, self._source = self._source, None
+    def discard(self) -> None:
+        """Give the message up: nothing is buffered or forwarded any more, the source reads on."""
         self._sink = None
         self._chunks.clear()
-        held, self.held = self.held, 0
-        self._budget.give(held)
-        if self._paused and source is not None:
-            self._paused = False
+        buffered, self.buffered = self.buffered, 0
+        source, self._source = self._source, None
+        self._budget.release(buffered)
+        self._resume(source)
+
+    def _resume(self, source: Source | None) -> None:
+        if self.paused and source is not None:
+            self.paused = False
             source.resume_flow()
 
-    def _move(self) -> None:
+    def _forward(self) -> None:
         chunks = self._chunks
         while chunks and self._sink is not None and not self._blocked:
             data = chunks.popleft()
-            self.held -= len(data)
+            self.buffered -= len(data)
             self._sink.flow_write(data)
-            self.moved = True
-            self._budget.give(len(data))
-        if self.whole and not chunks and self._sink is not None and not self._blocked:
+            self.forwarded = True
+            self._budget.release(len(data))
+        if self.complete and not chunks and self._sink is not None and not self._blocked:
             sink, self._sink = self._sink, None
             sink.flow_end()
-        elif self._paused and self._source is not None and 2 * self.held <= self._budget.window():
-            self._paused = False
-            self._source.resume_flow()
+        elif self.paused and self._source is not None:
+            # Not before half the window is free, or each write would pause and resume it.
+            if 2 * self.buffered <= self._budget.window():
+                self.paused = False
+                self._source.resume_flow()
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -22,15 +22,15 @@
 from loadbalancer.core.learned_state import restore
 from loadbalancer.proxy.admin import DESCRIPTORS
 from loadbalancer.proxy.exchange import Attempt, Request
-from loadbalancer.proxy.flow_control import Budget
-from loadbalancer.proxy.upstream.pool import Upstream
+from loadbalancer.proxy.flow_control import BufferBudget
+from loadbalancer.proxy.upstream.pool import ConnectionPool
 from loadbalancer.sources.discovery import Discovery
 
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.ports import LimitShare
     from loadbalancer.core.balancing.route_policies import RoutePolicies
     from loadbalancer.gossip_transport.transport import GossipTransport
-    from loadbalancer.proxy.exchange import Client, Taken
+    from loadbalancer.proxy.exchange import Client, ReceivedRequest
     from loadbalancer.proxy.routing import Routing
     from loadbalancer.sources.consul.source import ConsulMembers
     from loadbalancer.upgrade.handed_state import Inheritance
@@ -56,13 +56,13 @@
         self.config = config
         self.loop = loop
         self.now = time.monotonic_ns()
-        self.budget = Budget(config.memory_mb)
+        self.budget = BufferBudget(config.memory_mb)
         self.clients = 0
         self.freed: Callable[[], None] = lambda: None  # the server's, once it listens
         self.usable: Callable[[], None] = lambda: None  # told of each list that can be gone by
         self.reserved = RESERVED + (DESCRIPTORS + LINKS if config.admin else 0)
         self.sockets = config.sockets - self.reserved
-        self.upstream = Upstream(self)
+        self.upstream = ConnectionPool(self)
         self.discovery: Discovery | ConsulMembers = self._members()
         self.requests: dict[int, Request] = {}
         self.open = 0
@@ -244,7 +244,7 @@
         while outcomes:
             self.tell(*outcomes.popleft())
 
-    def request(self, client: Client, incoming: Taken, waited: int) -> Request | None:
+    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
         """Take a client's request; None where as many are open as the settings allow.
 
         Also where its class has gone while it was read: its client is to come again.
@@ -274,7 +274,7 @@
             )
         except Exception:
             self.broken()
-            if not r.live:
+            if not r.open_attempts:
                 self.finish(r, 502)
         self.leave()
         return r
@@ -284,7 +284,7 @@
         if r.ended:
             return
         now = self.enter()
-        moving = r.started or r.coming
+        moving = r.started or r.receiving
         self.end(r)
         try:
             self.balancer.on_client_disconnected(now, r.id)
@@ -303,10 +303,10 @@
         Which of the two can't be told. So nothing begins for it from here on: with nothing
         out it is refused, which is true and harmless; what a server has may still answer it.
         """
-        if r.ended or r.last:
+        if r.ended or r.half_closed:
             return
         now = self.enter()
-        r.last = True
+        r.half_closed = True
         try:
             self.balancer.on_client_half_closed(now, r.id)
         except Exception:
@@ -321,23 +321,23 @@
         r = a.request
         if a.closed or r is None or r.flow is not None:
             return False
-        return a.connection is None or not a.connection.written
+        return a.connection is None or not a.connection.request_written
 
     def may_begin(self, a: Attempt) -> bool:
         """Whether an attempt may write its first byte, now that its connection is up."""
         r = a.request
         if r is None:
             return True
-        r.last = r.last or self.has_left(r)
-        return not r.last and self.balancer.may_begin(time.monotonic_ns(), r.id, a.number)
+        r.half_closed = r.half_closed or self.has_left(r)
+        return not r.half_closed and self.balancer.may_begin(time.monotonic_ns(), r.id, a.number)
 
     def has_left(self, r: Request) -> bool:
         """Whether its client has ended its sending, asked of the socket: the loop may be late."""
-        return r.client is not None and r.client.has_left()
+        return r.client is not None and r.client.has_half_closed()
 
     def withdraw(self, backends: Sequence[int]) -> None:
         """Call off what waits for a connection to these: it has not begun."""
-        for a in self.upstream.dialling(backends):
+        for a in self.upstream.connecting(backends):
             self.give_up(a, Outcome.CANCELLED)
 
     def uploading(self, a: Attempt) -> None:
@@ -389,7 +389,7 @@
 
     def members_told(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
         for backend in stale:
-            self.upstream.drop_idle(backend)
+            self.upstream.close_idle(backend)
         if self.peers is not None:
             rows = self.peers.on_list(update, rows)
         now = self.enter()
@@ -423,15 +423,15 @@
             if r is None:
                 self.balancer.on_probe(self.now, a.backend, outcome, taken, load)
                 return
-            r.live -= 1
-            if r.last:
+            r.open_attempts -= 1
+            if r.half_closed:
                 self.balancer.on_client_half_closed(self.now, r.id)
             self.balancer.on_outcome(
                 self.now, r.id, a.number, outcome, taken, r.ended, load, a.connected
             )
         except Exception:
             self.broken()
-            if r is not None and not r.live and not r.ended:
+            if r is not None and not r.open_attempts and not r.ended:
                 self.finish(r, 502)
         if r is not None:
             self.forget(r)
@@ -442,20 +442,20 @@
         r.ended = True
         r.client = None
         if r.flow is not None:
-            r.flow.drop()
+            r.flow.discard()
         self.open -= 1
         self.labels.discard(r.label)
         self.forget(r)
 
     def forget(self, r: Request) -> None:
         """Drop a request that has ended and has nothing out any more."""
-        if r.ended and not r.live and self.requests.pop(r.id, None) is not None:
+        if r.ended and not r.open_attempts and self.requests.pop(r.id, None) is not None:
             r.body = []
             # Attempts point back at their request: left in a ring, each would wait
             # for the collector, which here comes by less and less often.
             r.attempts = []
             if r.flow is None:
-                self.budget.give(r.size)
+                self.budget.release(r.size)
 
     def finish(self, r: Request, status: int, retry_after: int = 0) -> None:
         """Give a request its final answer without service."""
@@ -464,9 +464,9 @@
         client, started = r.client, r.started
         self.end(r)
         if client is not None and started:
-            client.cut()
+            client.abort_response()
         elif client is not None:
-            client.answer_empty(status, retry_after)
+            client.respond_empty(status, retry_after)
 
     def fail_all(self) -> None:
         """At the very end of a stop: whatever is still held gets its answer."""
@@ -483,12 +483,12 @@
         now = self.now
         a = Attempt(r, len(r.attempts), backend, now)
         r.attempts.append(a)
-        r.live += 1
+        r.open_attempts += 1
         left = r.deadline - now
         limit = min(timeout, left) if timeout else left
         if now - r.arrived > STALE_CLIENT or len(r.attempts) > 1:
-            r.last = r.last or self.has_left(r)
-        if r.ended or r.last or left <= 0 or len(r.attempts) > r.allowed:
+            r.half_closed = r.half_closed or self.has_left(r)
+        if r.ended or r.half_closed or left <= 0 or len(r.attempts) > r.max_attempts:
             self.conclude(a, Outcome.MOOT)
         elif limit <= 0:
             self.conclude(a, Outcome.TIMEOUT)
@@ -564,7 +564,7 @@
             elif isinstance(item, Attempt):
                 if not item.closed and self.is_due(item, now):
                     self.give_up(item, Outcome.TIMEOUT)
-            elif not (item.ended or item.started or item.coming or item.deadline > now):
+            elif not (item.ended or item.started or item.receiving or item.deadline > now):
                 # Late, this event ended its last attempt too: what the module says goes first.
                 self.tell_all()
                 if not item.ended:
@@ -574,7 +574,7 @@
     def is_due(self, a: Attempt, now: int) -> bool:
         """Whether an attempt's time is over: a long message has one only in between."""
         r = a.request
-        return r is None or not (r.started or r.coming or a.sent + a.limit > now)
+        return r is None or not (r.started or r.receiving or a.sent + a.limit > now)
 
     def give_up(self, a: Attempt, outcome: Outcome) -> None:
         """Stop waiting. Where not all of the request was written it never ran."""
@@ -603,7 +603,7 @@
         self.log("the decision module raised: " + traceback.format_exc(limit=-4))
 
     def sweep(self) -> None:
-        self.upstream.sweep(time.monotonic_ns())
+        self.upstream.close_expired(time.monotonic_ns())
 
     # ---- descriptors --------------------------------------------------
 
@@ -617,13 +617,13 @@
     def drop_beyond_part(self) -> None:
         """Give up an idle connection to a backend for a client, never of their own part."""
         if self.upstream.count > self.sockets // UPSTREAM_PART:
-            self.upstream.drop_oldest()
+            self.upstream.close_oldest()
 
-    def room_for_upstream(self) -> bool:
+    def may_open_upstream(self) -> bool:
         """Whether one more connection to a backend fits, giving up an idle one for it."""
         used = self.clients + self.upstream.count
         if used < self.sockets:
             return True
         # What is given up is closed with the next turn of the loop: until then
         # both stand, within what RESERVED leaves.
-        return used < self.sockets + OVERLAP and self.upstream.drop_oldest()
+        return used < self.sockets + OVERLAP and self.upstream.close_oldest()
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -13,8 +13,8 @@
     from loadbalancer.config.address import Address
     from loadbalancer.config.node import Config
     from loadbalancer.core import Balancer, Outcome
-    from loadbalancer.proxy.exchange import Attempt, Client, Request, Taken
-    from loadbalancer.proxy.flow_control import Budget
+    from loadbalancer.proxy.exchange import Attempt, Client, ReceivedRequest, Request
+    from loadbalancer.proxy.flow_control import BufferBudget
     from loadbalancer.proxy.routing import Routing
 
 
@@ -46,7 +46,7 @@
 class _Host(Protocol):
     config: Config
     loop: asyncio.AbstractEventLoop
-    budget: Budget
+    budget: BufferBudget
     freed: Callable[[], None]
 
     def log(self, text: str) -> None: ...
@@ -61,7 +61,7 @@
     balancer: Balancer
     routing: Routing | None
 
-    def request(self, client: Client, incoming: Taken, waited: int) -> Request | None: ...
+    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None: ...
     def client_gone(self, r: Request) -> None: ...
     def client_ended(self, r: Request) -> None: ...
     def uploaded(self, r: Request, a: Attempt | None) -> None: ...
@@ -83,7 +83,7 @@
     def uploading(self, a: Attempt) -> None: ...
     def uploaded(self, r: Request, a: Attempt | None) -> None: ...
     def finish(self, r: Request, status: int, retry_after: int = 0) -> None: ...
-    def room_for_upstream(self) -> bool: ...
+    def may_open_upstream(self) -> bool: ...
 
 
 class Leaving(Protocol):
--- a/loadbalancer/proxy/sockets.py
+++ b/loadbalancer/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""What every listener and every connection here does with its socket."""
+"""Sockets: opening one that listens, and giving one over to the event loop."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from loadbalancer.config.address import Address
 
 
-def listening(address: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """A socket that listens there; OSError where the address can't be had.
+def listening_socket(address: Address, backlog: int, shared: bool = False) -> socket.socket:
+    """Open a socket that listens at `address`; OSError where it can't be bound.
 
-    `shared`: another process that says so too may listen at the same address.
+    `shared`: another process that also sets SO_REUSEPORT may listen at the same address.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
@@ -26,14 +26,14 @@
     return sock
 
 
-def disown(transport: asyncio.BaseTransport, sock: socket.socket) -> None:
-    """Take a socket from an owner that does not know that it is closed.
+def release_socket(transport: asyncio.BaseTransport, sock: socket.socket) -> None:
+    """Detach `sock` from its descriptor where its transport has closed that already.
 
-    The loop takes a socket over only a turn after its connection was told of. One that
-    is closed in that turn (a first write that fails does) stays Python's as well, and
-    is closed again with its object: by then its number is often another connection's,
-    which so ended without an answer (seen: accepted under the number of a server's
-    connection that had just been reset, and closed at once).
+    The event loop takes a socket over only a turn after `connection_made`. Where the
+    transport closes in that turn, as after a first write that fails, the Python object
+    still counts as the owner and closes the number again when it is freed. By then the
+    number often belongs to another connection, which ends without any message in the log:
+    a client sees its connection closed right after it was accepted.
     """
     if transport.is_closing():
         sock.detach()
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -14,8 +14,13 @@
 from loadbalancer.config.address import Address
 from loadbalancer.core import Outcome
 from loadbalancer.core.balancing.model import MS
-from loadbalancer.proxy.flow_control import MOST, WHOLE, WINDOW, Flow
-from loadbalancer.proxy.sockets import disown
+from loadbalancer.proxy.flow_control import (
+    MAX_MESSAGE_BYTES,
+    MIN_WINDOW_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    Flow,
+)
+from loadbalancer.proxy.sockets import release_socket
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Attempt, Client
@@ -31,7 +36,8 @@
 BODY_PART = 3.0
 # An answer that does not say how long it is may be a long one whose sender is slow: what
 # has not ended so long after its first bytes goes on as it comes. Held back until it
-# passed WHOLE, it would come after its aim. Costs a spoilt one that trickles its retry.
+# passed STREAMING_THRESHOLD_BYTES, it would come after its deadline. Costs a malformed
+# one that trickles its retry.
 UNSAID_S = 0.03
 STALL_S = 5.0  # the same of a long one, of which the client has a part already
 # What a backend says of the request, not of itself: no other would say otherwise,
@@ -54,11 +60,11 @@
 class BackendConnection(asyncio.Protocol):
     """One connection to one backend; it carries one attempt at a time.
 
-    `written` is the line that the rules hang on: false for as long as a part of
+    `request_written` is the line that the rules hang on: false for as long as a part of
     the request, its last byte included, has certainly not left the process.
 
-    Nothing of an answer up to WHOLE bytes goes to the client before it is whole. One
-    that can't be read, is larger than any may be, or does not come to its end is
+    Nothing of an answer up to STREAMING_THRESHOLD_BYTES goes to the client before it is
+    whole. One that can't be read, is larger than any may be, or does not come to its end is
     spoilt: an error that may have run, and the end of the connection. A backend that
     sends one lives; it is not to be taken for one whose process has gone. Of a longer
     answer what has come goes on at once; if it breaks off, the client's is cut.
@@ -70,10 +76,10 @@
         "_head_size", "_headers_done", "_interim", "_keep_alive", "_length", "_let", "_not_run",
         "_paused", "_piece", "_pieces", "_report", "_size", "_sock", "_spoilt", "_status", "_task",
         "_timer", "_type", "address", "attempt", "backend", "idle_since", "parser", "transport",
-        "upstream", "written",
+        "upstream", "request_written",
     )  # fmt: skip
 
-    def __init__(self, upstream: Upstream, backend: int, address: Address) -> None:
+    def __init__(self, upstream: ConnectionPool, backend: int, address: Address) -> None:
         self.upstream = upstream
         self.backend = backend
         self.address = address
@@ -90,7 +96,7 @@
         self._reset()
 
     def _reset(self) -> None:
-        self.written = False
+        self.request_written = False
         self._flow: Flow | None = None  # of a long body, then of a long answer
         self._client: Client | None = None  # who has a part of the answer
         self._pieces: Sequence[bytes] = ()
@@ -137,7 +143,7 @@
         await loop.sock_connect(sock, self.address)
         self._connected = True
         transport, _ = await loop.create_connection(lambda: self, sock=sock)
-        disown(transport, sock)
+        release_socket(transport, sock)
 
     def _dialled(self, task: asyncio.Task[None]) -> None:
         """However dialling ended: where no transport owns the socket it goes here."""
@@ -210,8 +216,8 @@
                 r.flow.attach(self)
                 return
             whole = b"".join((head, *r.body))
-            self._held_back = r.once
-            self._pieces = (whole[:-1], whole[-1:]) if r.once else (whole,)
+            self._held_back = r.unsafe
+            self._pieces = (whole[:-1], whole[-1:]) if r.unsafe else (whole,)
         self._write_on()
         if self._held_back and not self._closed:
             # Guards against connections that the backend has closed, or resets as a
@@ -242,7 +248,7 @@
         if self._piece > last:
             # A rest of the last piece may still wait above the kernel, but how
             # much of it is on its way is in doubt from here on.
-            self.written = True
+            self.request_written = True
             self._pieces = ()
 
     def pause_writing(self) -> None:
@@ -256,7 +262,7 @@
             if self._client is None:
                 self._flow.unblock()
             return
-        if self.attempt is not None and not self.written and not self._complete:
+        if self.attempt is not None and not self.request_written and not self._complete:
             self._write_on()
 
     # ---- a long body ----------------------------------------------------
@@ -267,7 +273,7 @@
         if attempt is None or transport is None or attempt.request is None:
             return
         flow = attempt.request.flow
-        if flow is not None and not flow.moved:
+        if flow is not None and not flow.forwarded:
             self.upstream.node.uploading(attempt)
         if attempt.request.chunked:
             data = b"%x\r\n%s\r\n" % (len(data), data)
@@ -283,7 +289,7 @@
         assert r is not None
         if r.chunked:
             transport.write(b"0\r\n\r\n")
-        self.written = True
+        self.request_written = True
         self.upstream.node.uploaded(r, attempt)
 
     # ---- the answer ---------------------------------------------------
@@ -311,7 +317,7 @@
             self._begin_long()
         elif self._spoilt or (not self._headers_done and self._head_size > MAX_HEAD):
             self._spoil()
-        elif self.written:
+        elif self.request_written:
             self._stop_timer()
             node = self.upstream.node
             part = BODY_PART if self._headers_done else HEAD_PART
@@ -325,8 +331,8 @@
             self._headers_done
             and self._status == 200
             and not self._spoilt
-            and self.written
-            and (max(self._length, self._size) > WHOLE or self._unsaid())
+            and self.request_written
+            and (max(self._length, self._size) > STREAMING_THRESHOLD_BYTES or self._unsaid())
             and attempt is not None
             and attempt.request is not None
             and attempt.request.client is not None
@@ -348,10 +354,10 @@
         client = self._client = attempt.request.client
         assert client is not None
         # One read must not fetch more than a window or two, however much waits.
-        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW)
+        self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
         self._flow = Flow(node.budget, self)
         node.started(attempt)
-        client.begin_long(self._type, self._length, self._flow)
+        client.begin_streaming(self._type, self._length, self._flow)
         self._pass_on()
 
     def _pass_on(self) -> None:
@@ -428,7 +434,7 @@
         # With no length, only an end that was announced tells a whole answer from
         # one that broke off.
         endless = self._length < 0 and not self._chunked and not self._closes
-        if self._status == 200 and (endless or self._length > MOST):
+        if self._status == 200 and (endless or self._length > MAX_MESSAGE_BYTES):
             self._spoilt = True
 
     def on_body(self, body: bytes) -> None:
@@ -438,7 +444,7 @@
             self._dirty = True
             return
         self._size += len(body)
-        if self._size > (MOST if self._status == 200 else WHOLE):
+        if self._size > (MAX_MESSAGE_BYTES if self._status == 200 else STREAMING_THRESHOLD_BYTES):
             self._spoilt = True
         elif self._status == 200:
             self._chunks.append(body)
@@ -483,7 +489,7 @@
         if status == 200:
             # Before the request's last byte is written no backend has begun it:
             # such an answer is not one to this request.
-            return Outcome.OK if self.written else Outcome.ERROR
+            return Outcome.OK if self.request_written else Outcome.ERROR
         if status in (503, 504) and self._not_run:
             return Outcome.FULL
         return Outcome.ERROR
@@ -498,7 +504,7 @@
         if attempt is not None:
             r = attempt.request
             if r is not None and outcome == Outcome.OK and not r.ended and r.client is not None:
-                r.client.answer(self._type, chunks, self._size)
+                r.client.respond(self._type, chunks, self._size)
             elif r is not None and self._status in CLIENT_FAULTS:
                 node.finish(r, 400)
             elif r is None and outcome == Outcome.ERROR and self._status == 503:
@@ -514,7 +520,7 @@
         transport = self.transport
         return (
             not self._dirty
-            and self.written
+            and self.request_written
             and not self._paused
             and self._keep_alive
             and transport is not None
@@ -543,7 +549,7 @@
 
         False where the request's last byte was certainly never written.
         """
-        sent = self.written
+        sent = self.request_written
         self.attempt = None
         self._close()
         return sent
@@ -561,9 +567,9 @@
         client, self._client = self._client, None
         self._close()
         if client is not None:
-            client.cut()
+            client.abort_response()
         if attempt is not None:
-            never = not self.written
+            never = not self.request_written
             self.upstream.node.conclude(attempt, Outcome.CONNECT_FAILED if never else outcome)
 
     def _stop_timer(self) -> None:
@@ -616,7 +622,7 @@
         return False  # an end, or bytes that nobody asked for
 
 
-class Upstream:
+class ConnectionPool:
     """Idle connections by backend, newest first, and by age for giving up."""
 
     __slots__ = ("by_age", "count", "dials", "idle", "node")
@@ -639,7 +645,7 @@
                 conn.begin(attempt)
                 return
             conn.abandon()
-        if not self.node.room_for_upstream():
+        if not self.node.may_open_upstream():
             # Our own want of descriptors says nothing of the backend.
             self.node.conclude(attempt, Outcome.MOOT)
             return
@@ -651,7 +657,7 @@
             attempt.connection = None
             self.node.conclude(attempt, Outcome.MOOT)
 
-    def dialling(self, backends: Sequence[int]) -> list[Attempt]:
+    def connecting(self, backends: Sequence[int]) -> list[Attempt]:
         """Attempts that wait for a connection to one of these to come up."""
         return [c.attempt for c in self.dials if c.attempt is not None and c.backend in backends]
 
@@ -682,20 +688,20 @@
             if not conns:
                 del self.idle[conn.backend]
 
-    def drop_idle(self, backend: int) -> None:
+    def close_idle(self, backend: int) -> None:
         for conn in list(self.idle.get(backend, ())):
             conn.abandon()
 
-    def resting(self) -> int:
+    def idle_count(self) -> int:
         """How many connections wait for an attempt."""
         return len(self.by_age)
 
     def trim(self, most: int) -> None:
         """Keep at most so many of them, the newest."""
-        while len(self.by_age) > most and self.drop_oldest():
+        while len(self.by_age) > most and self.close_oldest():
             pass
 
-    def drop_oldest(self) -> bool:
+    def close_oldest(self) -> bool:
         """Give up the connection that has been idle longest; False where none is."""
         conn = next(iter(self.by_age), None)
         if conn is None:
@@ -703,7 +709,7 @@
         conn.abandon()
         return True
 
-    def sweep(self, now: int) -> None:
+    def close_expired(self, now: int) -> None:
         """Close what has been idle nearly as long as backends allow.
 
         At the limit itself a request would cross the backend's close and count
--- a/loadbalancer/upgrade/handover.py
+++ b/loadbalancer/upgrade/handover.py
@@ -18,7 +18,7 @@
 from loadbalancer.proxy.downstream.listener import Listener
 from loadbalancer.proxy.host import Node
 from loadbalancer.proxy.lifecycle import TICK, Service
-from loadbalancer.proxy.sockets import disown
+from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.upgrade.handed_state import Inheritance, read, write
 from loadbalancer.upgrade.link import HELLO, Frame, Link, be_greeted, greet
 from loadbalancer.upgrade.socket_path import Place, path_for, trusted
@@ -131,7 +131,7 @@
     async def _begin(self, link: Link, sock: socket.socket) -> None:
         try:
             transport, _ = await self.host.loop.connect_accepted_socket(lambda: link, sock)
-            disown(transport, sock)
+            release_socket(transport, sock)
         except OSError:
             link.end()
             return
@@ -163,7 +163,7 @@
             node.peers.close(leaving=False)  # one writer: the successor speaks from here on
         self._kept = PredecessorShare()
         self._clients = max(node.clients, 1)
-        self._idle = node.upstream.resting()
+        self._idle = node.upstream.idle_count()
         self._need = 1.0
         self._lent = 0
         kept = self._kept.begin(endpoint_use(node.balancer, time.monotonic_ns()))
@@ -259,7 +259,7 @@
         sock.setblocking(False)
         try:
             transport, _ = await loop.connect_accepted_socket(lambda: link, sock)
-            disown(transport, sock)
+            release_socket(transport, sock)
             return await asyncio.wait_for(self._state, MEET_S)
         except (TimeoutError, OSError):
             link.end()
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -287,7 +287,7 @@
         side.host.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
             mock.patch.object(handing, "write", lambda *_: plain["state"]),
-            mock.patch.object(handing, "disown"),
+            mock.patch.object(handing, "release_socket"),
         ):
             asyncio.run(_begin(side, made, transport))
     elif says in ("serving", "news"):
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -238,7 +238,7 @@
     host = SimpleNamespace(
         loop=loop, clients=1, config=SimpleNamespace(sockets=64, settings=settings),
         most_clients=lambda: 30, drop_beyond_part=lambda: None, freed=None,
-        budget=SimpleNamespace(finished=lambda conn: None),
+        budget=SimpleNamespace(body_finished=lambda conn: None),
     )  # fmt: skip
     listener = Listener(cast(Any, host), Service())
     with socket.socket() as sock:
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from loadbalancer.proxy.sockets import disown
+from loadbalancer.proxy.sockets import release_socket
 from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
 
@@ -34,7 +34,7 @@
             number = sock.fileno()
             transport, _ = await loop.create_connection(Aborts, sock=sock)
             os.dup2(other.fileno(), number)  # as the next accept would take it
-            disown(cast(asyncio.BaseTransport, transport), sock)
+            release_socket(cast(asyncio.BaseTransport, transport), sock)
             return number
 
         number = loop.run_until_complete(dial())
--- a/tests/proxy/test_long_messages.py
+++ b/tests/proxy/test_long_messages.py
@@ -13,7 +13,12 @@
 from loadbalancer.core import Outcome
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.balancing.rotation import MAX_TRANSFERRING
-from loadbalancer.proxy.flow_control import WHOLE, WINDOW, Budget, Flow
+from loadbalancer.proxy.flow_control import (
+    MIN_WINDOW_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+    BufferBudget,
+    Flow,
+)
 from tests.harness import Peer, Running, accept, answer, listen, node, request, roster, target
 from tests.recording_host import build
 
@@ -208,8 +213,8 @@
         client.send(request())
         peer = accept(backend)
         peer.message()
-        peer.send(answer(LONG)[: 2 * WHOLE])
-        while len(client.buffer) < WHOLE:
+        peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
+        while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
             assert client.more()
         peer.reset()
         got = client.ends()
@@ -231,7 +236,7 @@
         client.send(request())
         peer = accept(backend)
         peer.message()
-        peer.send(answer(LONG)[: 3 * WHOLE])
+        peer.send(answer(LONG)[: 3 * STREAMING_THRESHOLD_BYTES])
         if way == "ends early":
             peer.sock.shutdown(socket.SHUT_WR)
         got = client.ends()
@@ -245,9 +250,9 @@
     """Its bytes are held no more: it goes to nobody else. An early answer is not one to it."""
     with behind(tmp_path) as (n, backend):
         client = n.connect()
-        client.send(request("/credit", LONG)[: 4 * WHOLE])
+        client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
         peer = accept(backend)
-        while len(peer.buffer) < WHOLE:
+        while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
             assert peer.more()
         if way == "resets":
             peer.reset()
@@ -283,8 +288,8 @@
         client.send(request())
         peer = accept(backend)
         peer.message()
-        peer.send(answer(LONG)[: 2 * WHOLE])
-        while len(client.buffer) < WHOLE:
+        peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
+        while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
             assert client.more()
         client.send(b"\x8a\xff\r\n\r\n")
         got = client.ends()
@@ -295,9 +300,9 @@
 def test_a_body_that_is_cut_off_frees_its_server_at_once(tmp_path: Path) -> None:
     with behind(tmp_path) as (n, backend):
         client = n.connect()
-        client.send(request("/credit", LONG)[: 4 * WHOLE])
+        client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
         peer = accept(backend)
-        while len(peer.buffer) < WHOLE:
+        while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
             assert peer.more()
         client.sock.shutdown(socket.SHUT_WR)
         assert len(peer.ends()) < SIZE
@@ -309,16 +314,16 @@
     with behind(tmp_path) as (n, backend):
         client = n.connect()
         if when == "body":
-            client.send(request("/credit", LONG)[: 4 * WHOLE])
+            client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
             peer = accept(backend)
-            while len(peer.buffer) < WHOLE:
+            while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
                 assert peer.more()
         else:
             client.send(request())
             peer = accept(backend)
             peer.message()
-            peer.send(answer(LONG)[: 2 * WHOLE])
-            while len(client.buffer) < WHOLE:
+            peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
+            while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
                 assert client.more()
         client.reset()
         assert len(peer.ends()) < SIZE
@@ -383,14 +388,16 @@
 
 
 def test_a_full_window_pauses_its_source_until_half_has_gone() -> None:
-    budget, ends = Budget(0), Ends()
+    budget, ends = BufferBudget(0), Ends()
     flow = Flow(budget, ends)
     while not flow.paused:
         flow.push(b"x" * 10_000)
-    assert flow.held > WINDOW and budget.held == flow.held and not flow.moved
-    sent = flow.held
+    assert flow.buffered > MIN_WINDOW_BYTES
+    assert budget.buffered == flow.buffered
+    assert not flow.forwarded
+    sent = flow.buffered
     flow.attach(ends)
-    assert len(ends.got) == sent and budget.held == 0 and flow.moved
+    assert len(ends.got) == sent and budget.buffered == 0 and flow.forwarded
     flow.block()
     flow.push(b"last")
     flow.finish()
@@ -401,8 +408,8 @@
 
 def test_over_the_budget_each_flow_still_moves_read_by_read() -> None:
     """However tight it is, a flow whose sink takes what it holds may read on."""
-    budget = Budget(0)
-    budget.take(budget.soft + 1)
+    budget = BufferBudget(0)
+    budget.reserve(budget.soft_limit + 1)
     ends = Ends()
     flow = Flow(budget, ends)
     flow.attach(ends)
@@ -416,13 +423,13 @@
 
 
 def test_a_flow_that_is_dropped_gives_back_what_it_held() -> None:
-    budget, ends = Budget(0), Ends()
+    budget, ends = BufferBudget(0), Ends()
     flow = Flow(budget, ends)
     while not flow.paused:
         flow.push(b"x" * 10_000)
-    flow.drop()
+    flow.discard()
     flow.push(b"more")
-    assert budget.held == 0 and ends.said == ["pause", "resume"] and ends.got == b""
+    assert budget.buffered == 0 and ends.said == ["pause", "resume"] and ends.got == b""
 
 
 # ---- decisions ----------------------------------------------------------------
