--- a/loadbalancer/proxy/upstream/__init__.py
+++ b/loadbalancer/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections to backends."""
+"""Connections to backends: the pool, and one connection's states, request and response."""
--- /dev/null
+++ b/loadbalancer/proxy/upstream/response_reader.py
@@ -0,0 +1,178 @@
+"""Reading one response after another from a connection's bytes (RFC 9112); no I/O, no clock."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import httptools
+
+from loadbalancer.proxy.flow_control import MAX_MESSAGE_BYTES, STREAMING_THRESHOLD_BYTES
+
+MAX_HEAD_BYTES = 16 << 10  # of a response, without its content
+OK_STATUS = 200
+# Another response follows these (RFC 9110, section 15.2); after 101 another protocol.
+INTERIM_STATUSES = frozenset(range(100, 200)) - {101}
+MAX_INTERIM_RESPONSES = 8
+
+
+class ResponseState(Enum):
+    """How far the response has been read."""
+
+    HEAD = "head"  # the head has not been read to its end
+    CONTENT = "content"
+    COMPLETE = "complete"
+    MALFORMED = "malformed"  # can't be read, or larger than accepted; never completes
+
+
+HEAD = ResponseState.HEAD
+CONTENT = ResponseState.CONTENT
+COMPLETE = ResponseState.COMPLETE
+MALFORMED = ResponseState.MALFORMED
+
+
+class ResponseReader:
+    """One connection's responses: `feed` it bytes, then look at `state` and the fields.
+
+    `chunks` holds the content of a 200 that nobody has taken yet; the content of any
+    other response is counted in `size` and dropped. `length` is -1 where the response
+    does not state it. `keep_alive` tells, once the response is complete, whether the
+    connection can carry another request: not after bytes beyond the response's end, which
+    would pass for a response to the next request.
+    """
+
+    __slots__ = (
+        "_chunked", "_closes", "_head_size", "_interim", "_parser", "chunks", "content_type",
+        "keep_alive", "length", "load_report", "not_processed", "size", "state", "status",
+    )  # fmt: skip
+
+    def __init__(self) -> None:
+        self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
+        self.reset()
+
+    def reset(self) -> None:
+        """Begin with the response to a new request."""
+        self._interim = 0
+        self._begin_response()
+
+    def _begin_response(self) -> None:
+        self.state = HEAD
+        self.status = 0
+        self.length = -1
+        self.size = 0
+        self.chunks: list[bytes] = []
+        self.content_type = b""
+        self.load_report = b""
+        self.not_processed = False
+        self.keep_alive = False
+        self._head_size = 0
+        self._chunked = False
+        self._closes = False
+
+    def close(self) -> None:
+        """Drop what has been read.
+
+        The parser refers back to its reader. Left in a ring, each closed connection would
+        stay in memory until the garbage collector comes by.
+        """
+        self._parser = None
+        self.chunks = []
+
+    def feed(self, data: bytes) -> None:
+        """Read the next bytes; `state` and the fields follow."""
+        parser = self._parser
+        if parser is None:
+            return
+        if self.state is HEAD:
+            self._head_size += len(data)
+        try:
+            parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self.keep_alive = False
+            if self.state is not COMPLETE:
+                self.state = MALFORMED
+        if self.state is HEAD and self._head_size > MAX_HEAD_BYTES:
+            self.state = MALFORMED
+
+    def feed_eof(self) -> bool:
+        """The backend has ended its sending; True where that completes the response.
+
+        It does for a response with neither a length nor chunks (RFC 9112, section 6.3).
+        """
+        if self.state is not CONTENT or self.length >= 0 or self._chunked:
+            return False
+        self.state = COMPLETE
+        return True
+
+    def take_chunks(self) -> list[bytes]:
+        """The content read since the last call."""
+        chunks, self.chunks = self.chunks, []
+        return chunks
+
+    # ---- callbacks of the parser ----------------------------------------
+
+    def on_message_begin(self) -> None:
+        """Another response begins."""
+        if self.state is COMPLETE:
+            self.keep_alive = False
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One field of the head, or of the trailers, which are ignored."""
+        if self.state is not HEAD:
+            return
+        name = name.lower()
+        value = value.strip(b" \t")  # no part of the value (RFC 9110, section 5.5)
+        if name == b"content-length":
+            self.length = int(value) if value.isdigit() else -1
+        elif name == b"content-type":
+            self.content_type = value
+        elif name == b"transfer-encoding":
+            self._chunked = True
+        elif name == b"connection":
+            self._closes = b"close" in (option.strip() for option in value.lower().split(b","))
+        elif name == b"x-not-processed":
+            self.not_processed = value == b"1"
+        elif name == b"x-server-load":
+            self.load_report = value
+
+    def on_headers_complete(self) -> None:
+        """The head has been read."""
+        parser = self._parser
+        if self.state is COMPLETE or parser is None:
+            return
+        self.status = parser.get_status_code()
+        self.state = CONTENT
+        # Without a length and without chunks the response ends with its connection. Unless
+        # the backend has announced that end, it can't be told from a broken connection:
+        # the client would get a truncated response as a complete one.
+        unbounded = self.length < 0 and not self._chunked and not self._closes
+        if self.status == OK_STATUS and (unbounded or self.length > MAX_MESSAGE_BYTES):
+            self.state = MALFORMED
+
+    def on_body(self, body: bytes) -> None:
+        """The next bytes of the content."""
+        if self.state is COMPLETE:
+            self.keep_alive = False
+            return
+        self.size += len(body)
+        if self.status != OK_STATUS:
+            # Clients get the status alone: the content is of no use to anybody.
+            if self.size > STREAMING_THRESHOLD_BYTES:
+                self.state = MALFORMED
+        elif self.size > MAX_MESSAGE_BYTES:
+            self.state = MALFORMED
+        else:
+            self.chunks.append(body)
+
+    def on_message_complete(self) -> None:
+        """The response has been read to its end; an interim one is followed by another."""
+        parser = self._parser
+        if self.state is COMPLETE or parser is None:
+            return
+        if self.status in INTERIM_STATUSES and self._interim < MAX_INTERIM_RESPONSES:
+            self._interim += 1
+            self._begin_response()
+            return
+        if self.state is MALFORMED:
+            return
+        self.keep_alive = parser.should_keep_alive()
+        self.state = COMPLETE
--- /dev/null
+++ b/tests/proxy/upstream/test_response_reader.py
@@ -0,0 +1,141 @@
+"""The response reader alone: bytes in, a state and the fields out."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.proxy.flow_control import MAX_MESSAGE_BYTES, STREAMING_THRESHOLD_BYTES
+from loadbalancer.proxy.upstream.response_reader import (
+    COMPLETE,
+    CONTENT,
+    HEAD,
+    MALFORMED,
+    MAX_HEAD_BYTES,
+    MAX_INTERIM_RESPONSES,
+    ResponseReader,
+    ResponseState,
+)
+
+OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+
+def read(data: bytes) -> ResponseReader:
+    """A reader that has been fed these bytes at once."""
+    reader = ResponseReader()
+    reader.feed(data)
+    return reader
+
+
+def test_a_complete_response_leaves_its_fields_and_the_connection_open() -> None:
+    reader = read(
+        b"HTTP/1.1 200 OK\r\nContent-Length: \t2 \r\nContent-Type: text/plain\r\n"
+        b"X-Server-Load: rif=3\r\n\r\nok"
+    )
+    assert reader.state is COMPLETE
+    assert (reader.status, reader.length, reader.size) == (200, 2, 2)
+    assert (reader.content_type, reader.load_report) == (b"text/plain", b"rif=3")
+    assert reader.keep_alive
+    assert reader.take_chunks() == [b"ok"]
+    assert reader.take_chunks() == []
+
+
+@pytest.mark.parametrize(
+    ("data", "state"),
+    [
+        (b"", HEAD),
+        (b"HTTP/1.1 200 OK\r\nContent-", HEAD),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", CONTENT),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", CONTENT),
+        (OK, COMPLETE),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", COMPLETE),
+        (b"HTTP/1.1 200 OK\r\nConnection: keep-alive, Close\r\n\r\nok", CONTENT),
+        (b"HTTP/1.1 200 OK\r\n\r\nok", MALFORMED),  # its end would be any broken connection's
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_MESSAGE_BYTES + 1), MALFORMED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MAX_MESSAGE_BYTES, CONTENT),
+        (b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * MAX_HEAD_BYTES, MALFORMED),
+        (b"\x8a\x00noise\r\n\r\n", MALFORMED),
+    ],
+)
+def test_state_after(data: bytes, state: ResponseState) -> None:
+    assert read(data).state is state
+
+
+def test_one_byte_at_a_time_reads_the_same() -> None:
+    reader = ResponseReader()
+    for byte in OK:
+        assert reader.state is not COMPLETE
+        reader.feed(bytes([byte]))
+    assert reader.state is COMPLETE
+    assert b"".join(reader.take_chunks()) == b"ok"
+
+
+@pytest.mark.parametrize("behind", [b"\x8a\x00noise", OK, b"HTTP/1.1 408 Requ"])
+def test_bytes_behind_a_response_are_no_part_of_it_and_end_the_connection(behind: bytes) -> None:
+    """They would pass for a response to the next request on this connection."""
+    reader = read(OK + behind)
+    assert reader.state is COMPLETE
+    assert reader.take_chunks() == [b"ok"]
+    assert not reader.keep_alive
+
+
+def test_interim_responses_are_skipped() -> None:
+    early = b"HTTP/1.1 103 Early Hints\r\nX-Server-Load: rif=9\r\n\r\n"
+    reader = read(early * MAX_INTERIM_RESPONSES + OK)
+    assert (reader.state, reader.status, reader.load_report) == (COMPLETE, 200, b"")
+    assert reader.keep_alive
+
+
+def test_more_interim_responses_than_accepted_are_taken_for_the_final_one() -> None:
+    reader = read(b"HTTP/1.1 103 Early Hints\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1))
+    assert (reader.state, reader.status) == (COMPLETE, 103)
+
+
+def test_a_switch_of_protocols_is_a_response_behind_which_nothing_follows() -> None:
+    reader = read(b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: h2c\r\n\r\n")
+    assert (reader.state, reader.status) == (COMPLETE, 101)
+    assert not reader.keep_alive
+
+
+def test_the_content_of_an_error_is_counted_and_dropped() -> None:
+    size = STREAMING_THRESHOLD_BYTES
+    head = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: %d\r\n\r\n"
+    reader = read(head % size + b"e" * size)
+    assert (reader.state, reader.status, reader.size) == (COMPLETE, 503, size)
+    assert reader.not_processed
+    assert reader.take_chunks() == []
+    assert read(head % (size + 1) + b"e" * (size + 1)).state is MALFORMED
+
+
+@pytest.mark.parametrize(
+    ("head", "completes"),
+    [
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", True),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", False),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n", False),
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n", False),
+        (b"HTTP/1.1 500 Oops\r\n\r\n", True),
+    ],
+)
+def test_the_end_of_sending_completes_only_what_has_no_other_end(
+    head: bytes, completes: bool
+) -> None:
+    """A response with a length or chunks that ends early is truncated, not complete."""
+    reader = read(head + b"ok")
+    assert reader.feed_eof() is completes
+    assert (reader.state is COMPLETE) is completes
+    assert not reader.keep_alive
+
+
+def test_a_reset_reader_retains_nothing_of_the_last_response() -> None:
+    reader = read(b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+    reader.reset()
+    assert (reader.state, reader.status, reader.not_processed) == (HEAD, 0, False)
+    reader.feed(OK)
+    assert (reader.state, reader.status, reader.length) == (COMPLETE, 200, 2)
+
+
+def test_a_closed_reader_reads_no_more() -> None:
+    reader = ResponseReader()
+    reader.close()
+    reader.feed(OK)
+    assert reader.state is HEAD
