--- a/tests/control/machine/conftest.py
+++ b/tests/control/machine/conftest.py
@@ -1,4 +1,4 @@
-"""Control machines that the tests of this folder share."""
+"""Control machines that the tests of a module share."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 from tests.control_machines import Machines, three
 
 
-@pytest.fixture(scope="session")
+@pytest.fixture(scope="module")
 def region(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Machines]:
-    """Three machines for all tests here; a test that ends one starts it again."""
+    """Three machines, anew for each module: its tests share their services.
+
+    A test that ends a machine starts it again.
+    """
     with three(tmp_path_factory.mktemp("scale")) as machines:
         yield machines
