--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -7,6 +7,7 @@
 import errno
 import json
 import logging
+import random
 import socket
 import threading
 from collections.abc import Callable, Iterator
@@ -36,15 +37,23 @@
 )
 NAMES = ("east-a", "east-b", "east-c")
 START_ATTEMPTS = 5
+MIN_PORT, MAX_PORT = 12_000, 32_000  # the kernel's range for connections begins at 32,768
 
 
 def free_ports(count: int) -> list[int]:
-    """So many ports that are free by now."""
-    with contextlib.ExitStack() as stack:
-        socks = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for sock in socks:
-            sock.bind(("127.0.0.1", 0))
-        return [sock.getsockname()[1] for sock in socks]
+    """So many ports that are free by now, below those that outgoing connections get.
+
+    A port of the kernel's own range may go to another process's connection while a machine that
+    listened on it is down: the machine could not start again.
+    """
+    ports: list[int] = []
+    while len(ports) < count:
+        port = random.randrange(MIN_PORT, MAX_PORT)
+        with socket.socket() as sock, contextlib.suppress(OSError):
+            sock.bind(("127.0.0.1", port))
+            if port not in ports:
+                ports.append(port)
+    return ports
 
 
 def write_file(folder: Path, top: str = "") -> Path:
