--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -47,7 +47,7 @@
     slack = min(request.objective_at, request.deadline) - now - int(c.latency)
     request.wait_until = now + max(int(slack * WAIT_PART), 0)
     if state.quota:
-        request.deferred = _over_quota(state, now, request.tenant) or request.deferred
+        request.deferred = _exceeds_quota(state, now, request.tenant) or request.deferred
     retry_after = state.settings.max_retry_after
     if retry and c.spec.late_weight <= 0 and retry_after > c.latency_objective:
         # Asked to stay away for longer than its objective, it is late by its first try.
@@ -87,7 +87,7 @@
     return max(deadline - remaining, 0)
 
 
-def _over_quota(state: BalancerState, now: int, tenant: int) -> bool:
+def _exceeds_quota(state: BalancerState, now: int, tenant: int) -> bool:
     """Whether a tenant's request exceeds this node's part of its quota; if not it is charged."""
     if not 0 <= tenant < len(state.quota):
         raise ValueError(f"unknown tenant {tenant}")
@@ -95,9 +95,9 @@
     burst = max(rate * SECOND, 1.0)
     credit = min(burst, state.credit[tenant] + rate * (now - state.credit_at[tenant]))
     state.credit_at[tenant] = now
-    over = credit < 1.0
-    state.credit[tenant] = credit if over else credit - 1.0
-    return over and rate > 0
+    exceeded = credit < 1.0
+    state.credit[tenant] = credit if exceeded else credit - 1.0
+    return exceeded and rate > 0
 
 
 def enqueue(state: BalancerState, request: Request, front: bool) -> None:
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -18,10 +18,10 @@
 
 
 class SlotRanks(Protocol):
-    """Slots divided among the nodes that are alive; see loadbalancer.core.gossip.slots."""
+    """Slots divided among the nodes that are alive; see `core.gossip.slot_allocation`."""
 
-    def cap(self, backend: int, deal: int, depth: int, servers: int) -> int:
-        """The cap of the node whose rank at this endpoint is `deal`, of `depth` slots.
+    def cap(self, backend: int, rank: int, depth: int, servers: int) -> int:
+        """The cap of the node whose rank at this endpoint is `rank`, of `depth` slots.
 
         `servers` is how many endpoints of its zone are listed as ready.
         """
@@ -36,7 +36,7 @@
     def sending(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
-        """An attempt is sent: its time-out, and whether the usual patience bounds it."""
+        """An attempt is sent: its time-out, and whether the usual early end bounds it."""
 
     def attempt_ended(
         self,
--- a/loadbalancer/core/balancing/request_policy_state.py
+++ b/loadbalancer/core/balancing/request_policy_state.py
@@ -10,7 +10,7 @@
 class RouteState:
     """What is counted for one route and class, however often its policy is replaced."""
 
-    __slots__ = ("answers", "budget", "budgets", "hedges", "node", "patient", "policy")
+    __slots__ = ("answers", "budget", "budgets", "hedges", "node", "ends_early", "policy")
 
     def __init__(self, policy: Policy, node: RetryBudget, now: int) -> None:
         self.node = node
@@ -24,7 +24,7 @@
         self.policy = policy
         # Ended early, a request whose time-outs are not tried again would only be lost.
         retried = policy.retry_on is None or Condition.TIMEOUT in policy.retry_on
-        self.patient = retried and not policy.attempt_timeout
+        self.ends_early = retried and not policy.attempt_timeout
         if policy.budget is None:
             self.budget = None
         elif self.budget is None:
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -9,7 +9,7 @@
   RETRY_BURST saved up. An attempt that came back at once has cost little and is
   charged by its duration; one that never executed costs nothing.
 - An attempt ends at its client's deadline, or just before the objective where late
-  answers are of no use; one that may be repeated ends earlier, after PATIENCE mean
+  answers are of no use; one that may be repeated ends earlier, after EARLY_LATENCIES mean
   latencies, while the budget has credit.
 
 Times are nanoseconds.
@@ -23,8 +23,8 @@
 from loadbalancer.core.balancing.state import RETRY_BURST, BalancerState
 
 OBJECTIVE_MARGIN = 0.03  # of the objective, that an attempt ends before it
-PATIENCE = 5.0  # mean latencies that an attempt is given which may be repeated ...
-PATIENCE_PART = 1.0  # ... and at least this part of its objective
+EARLY_LATENCIES = 5.0  # mean latencies that an attempt is given which may be repeated ...
+EARLY_OBJECTIVE_PART = 1.0  # ... and at least this part of its objective
 RETRY_PART = 0.1  # retries after executed attempts allowed per first attempt
 MIN_TIMEOUT_NS = MS
 # Outcomes after which an attempt has certainly not executed.
@@ -67,16 +67,16 @@
     attempts = len(request.attempts)
     if not attempts:
         state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
-    patient = True
+    bounded = True
     if request.policy_state is not None and state.policies is not None:
-        timeout, patient = state.policies.sending(now, request, request.policy_state, timeout)
+        timeout, bounded = state.policies.sending(now, request, request.policy_state, timeout)
     if (
-        patient
+        bounded
         and request.effect == PURE
         and attempts + 1 < max_attempts(request)
         and state.retry_credit >= 1.0
     ):
-        limit = max(PATIENCE * c.latency, PATIENCE_PART * c.latency_objective)
+        limit = max(EARLY_LATENCIES * c.latency, EARLY_OBJECTIVE_PART * c.latency_objective)
         timeout = min(timeout, int(limit))
     return timeout
 
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -73,9 +73,9 @@
     def sending(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
-        """An attempt is sent: its time-out, and whether the usual patience bounds it.
+        """An attempt is sent: its time-out, and whether the usual early end bounds it.
 
-        Patience does not where the route says how long an attempt may take, nor
+        The early end does not where the route says how long an attempt may take, nor
         where time-outs are not tried again.
         """
         policy, route = policy_state.policy, policy_state.state
@@ -87,7 +87,7 @@
             if 0 < after < timeout:
                 policy_state.due = now + after
                 self._state.wake(policy_state.due, request)
-        return timeout, route.patient
+        return timeout, route.ends_early
 
     def attempt_ended(
         self,
