--- a/loadbalancer/cli/check.py
+++ b/loadbalancer/cli/check.py
@@ -39,10 +39,10 @@
         from loadbalancer.sources.consul.file import decode as decode_consul
 
         return Result(None, decode_consul(raw, lines)[1], [])
-    if "tier" in raw or "seats" in raw:
-        from loadbalancer.gossip_transport.file import decode as decode_fleet
+    if not raw.keys().isdisjoint(("tier", "slots", "seats")):
+        from loadbalancer.gossip_transport import file as fleet_file
 
-        return Result(None, decode_fleet(raw, lines)[1], [])
+        return Result(None, fleet_file.decode(raw, lines)[1], fleet_file.warnings(raw, lines))
     if "machine" in raw or "regions" in raw:
         from loadbalancer.control.machine.file import decode as decode_scale
 
