--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -104,7 +104,7 @@
     w.start_all()
     w.run(20 * SECOND, w.current)
     w.run(w.now + 2 * SECOND)
-    reads = [n for n, f in w.nodes.items() if f.shared_list is not None and f.shared_list.reads]
+    reads = [n for n, f in w.nodes.items() if f.shared_list is not None and f.shared_list.polls]
     first = reads[0] if reads else 0
     before = w.service.counts["lines"]
     for _ in range(starts):
--- /dev/null
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -0,0 +1,141 @@
+"""Sends deltas of the list in pieces: down a tree from the reader, and to nodes that ask.
+
+A reader's update goes down a tree over the alive nodes that begins at the reader, in pieces that
+each node passes on as they come, so that no node sends more than FANOUT copies.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, deque
+from random import Random
+
+from loadbalancer.core.endpoints.list_pieces import Piece, PieceAssembler, piece_count
+from loadbalancer.core.endpoints.list_replica import ListReplica
+from loadbalancer.core.endpoints.list_versions import ListVersion, PackedDelta
+from loadbalancer.core.gossip.membership import Membership
+from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
+from loadbalancer.core.gossip.token_bucket import TokenBucket
+
+PIECE_HEAD_BYTES = 88  # of a PIECE message beside its body, at most (checked by a test)
+FANOUT = 4  # children of a node in the tree
+NO_TREE = -1  # as the root of a piece that is not passed on
+PIECES_PER_S = 250  # that a node sends: each node accepts NODE_DATAGRAMS of one
+BURST = 64
+MAX_QUEUED = 8192  # pieces; past it they are dropped, and asked for
+BUSY_QUEUED = 200  # pieces in the queue from which on other nodes' requests are ignored
+PACKINGS_PER_S = 10  # each takes milliseconds, whoever asks from whatever version
+MAX_REQUESTED = 16  # pieces of one request
+
+
+class DeltaSender:
+    """The queue of pieces, and its rate."""
+
+    def __init__(
+        self, members: Membership, nodes: int, datagram: int, random: Random, now: int
+    ) -> None:
+        self.counters: Counter[str] = Counter()
+        self.piece_bytes = datagram - PIECE_HEAD_BYTES
+        self._members = members
+        self._nodes = nodes
+        self._random = random
+        self._queue: deque[Outgoing] = deque()
+        self._rate = TokenBucket(PIECES_PER_S, BURST, now)
+        self._packings = TokenBucket(PACKINGS_PER_S, PACKINGS_PER_S, now)
+
+    @property
+    def busy(self) -> bool:
+        """Whether pieces wait for the rate."""
+        return bool(self._queue)
+
+    def may_send(self, now: int) -> bool:
+        """Take one message from the rate, where it allows one."""
+        return self._rate.take(now)
+
+    def flush(self, now: int) -> list[Outgoing]:
+        """The pieces that the rate allows now."""
+        out = []
+        while self._queue and self._rate.take(now):
+            out.append(self._queue.popleft())
+        self.counters["pieces sent"] += len(out)
+        return out
+
+    # ---- down the tree -------------------------------------------------------------
+
+    def children(self, root: int) -> list[int]:
+        """The nodes that this one passes pieces on to in a root's tree.
+
+        The children of a dead child are among them.
+        """
+        found: list[int] = []
+        places = [(self._members.me - root) % self._nodes]
+        while places and len(found) < FANOUT * FANOUT:
+            first = FANOUT * places.pop() + 1
+            for place in range(first, min(first + FANOUT, self._nodes)):
+                node = (root + place) % self._nodes
+                if self._members.is_alive(node):
+                    found.append(node)
+                else:
+                    places.append(place)
+        return found
+
+    def push(self, packed: PackedDelta) -> None:
+        """Send a delta of this reader's own down its tree."""
+        root = self._members.me
+        total, children = piece_count(packed, self.piece_bytes), self.children(root)
+        for number in range(total):
+            for child in children:
+                self._queue_number(child, packed, number, total, root)
+
+    def pass_on(self, piece: Piece, body: bytes) -> None:
+        """Pass a piece on to this node's children."""
+        if 0 <= piece.root < self._nodes:
+            for child in self.children(piece.root):
+                self._queue_piece(child, piece, body)
+
+    # ---- answers -------------------------------------------------------------------
+
+    def answer(
+        self, now: int, request: Message, replica: ListReplica, assembler: PieceAssembler
+    ) -> None:
+        """Queue what a WANT asks for and this node has, as far as the rate allows."""
+        version, checksum = ListVersion(*request.digest[:3]), request.digest[3]
+        numbers = request.digest[4:]
+        if len(self._queue) > BUSY_QUEUED:
+            self.counters["asked while busy"] += 1
+            return
+        packed = replica.cached(checksum) if checksum else None
+        if packed is None:
+            sent = self._answer_in_part(request.origin, checksum, numbers, assembler)
+            unread = not replica.version.epoch
+            if sent or unread or version >= replica.version or not self._packings.take(now):
+                return
+            packed, numbers = replica.delta_since(version), ()
+        total = piece_count(packed, self.piece_bytes)
+        start = self._random.randrange(total)
+        wanted = [number for number in numbers if 0 <= number < total][:MAX_REQUESTED]
+        for number in wanted or [(start + i) % total for i in range(total)]:
+            self._queue_number(request.origin, packed, number, total, NO_TREE)
+
+    def _answer_in_part(
+        self, to: int, checksum: int, numbers: tuple[int, ...], assembler: PieceAssembler
+    ) -> bool:
+        """Send the pieces that this node has of an incomplete delta; whether there were any.
+
+        Under loss only the reader has a complete delta at first.
+        """
+        found = [part for n in numbers if (part := assembler.part(checksum, n)) is not None]
+        for piece, body in found[:MAX_REQUESTED]:
+            self._queue_piece(to, piece._replace(root=NO_TREE), body)
+        return bool(found)
+
+    def _queue_number(
+        self, to: int, packed: PackedDelta, number: int, total: int, root: int
+    ) -> None:
+        body = packed.data[number * self.piece_bytes : (number + 1) * self.piece_bytes]
+        piece = Piece(*packed.target, packed.base, total, number, packed.checksum, root)
+        self._queue_piece(to, piece, body)
+
+    def _queue_piece(self, to: int, piece: Piece, body: bytes) -> None:
+        if len(self._queue) < MAX_QUEUED:
+            message = self._members.message(Kind.PIECE, digest=tuple(piece), body=body)
+            self._queue.append(Outgoing(to, message))
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -1,9 +1,10 @@
-"""Which nodes read the list for all, from the readers' own words and silence.
+"""Which nodes read the list for all, decided at each node from the readers' records.
 
-Any node can work out the order: by rendezvous over the living, those who were turned away of
-late behind all others. The first `count` read. The others step in, group after group, where no
-reader has given a sign: a view that is wrong costs a call more and never leaves the fleet
-without a reader. What may be called at all after failures is paced for the fleet as a whole.
+Every node can work out the order: by rendezvous hashing over the alive nodes, those whose calls
+failed recently behind all others. The first `count` read. The others step in, group after group,
+where no reader has given a sign: a wrong view of the members costs an extra call, and never leaves
+the fleet without a reader. After failures the calls of the whole fleet are paced. Times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -12,152 +13,166 @@
 from zlib import crc32
 
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.list_versions import NOTHING, Version, version_of
+from loadbalancer.core.endpoints.list_versions import NO_VERSION, ListVersion, version_of
 from loadbalancer.core.gossip.messages import ReaderRecord, ReaderState, record_checksum
 from loadbalancer.core.gossip.records import MERGE_RULES, StoredRecord, join
 
-FAILED_FOR = 5 * SECOND  # who was turned away stands behind the others
-PAUSE = 250 * MS  # after a failure, for the fleet; doubled with each node that has failed
-PAUSE_MOST = 4 * SECOND
-FIRST_STEP = 2 * SECOND  # without a sign while nobody has read yet, until the next group asks
-STALE = 12 * SECOND  # the same once the list has been read: six watches of a reader
-ABSENT = 60 * SECOND  # who gave no sign when it was to read is passed over
-DISTRUST = 60 * SECOND  # of who names versions that nobody has
+FAILED_NS = 5 * SECOND  # how long a node whose call failed ranks behind the others
+PAUSE_NS = 250 * MS  # of the fleet after a failure; doubled with each node whose call failed
+MAX_PAUSE_NS = 4 * SECOND
+MAX_PAUSE_DOUBLINGS = 8
+FIRST_STEP_NS = 2 * SECOND  # without a sign while nobody has read yet, until the next group reads
+STALE_NS = 12 * SECOND  # the same once the list has been read: six watches of a reader
+ABSENT_NS = 60 * SECOND  # how long a node that was to read and gave no sign is passed over
+DISTRUST_NS = 60 * SECOND  # of a node that names versions which nobody has
 
 
-def rank(node: int) -> int:
-    """Rendezvous of the one list: the lower, the sooner a node reads it."""
+def reader_rank(node: int) -> int:
+    """Rendezvous hash of the one list: the nodes with the lowest ranks read it."""
     return crc32(b"list %d" % node)
 
 
-class Readers:
-    """What is known of all readers, this node's own word among it."""
+class ListReaders:
+    """The records of all readers, this node's own included, and the order in which nodes read."""
 
     def __init__(self, me: int, nodes: int, count: int, now: int) -> None:
         self.me = me
         self.count = count
-        order = sorted(range(nodes), key=rank)
-        self._order, self._ahead = order, order[: order.index(me)]
-        self.held: dict[int, StoredRecord[ReaderRecord]] = {}  # each born when the service said so
-        self._began = now
+        self._order = sorted(range(nodes), key=reader_rank)
+        self._preceding = self._order[: self._order.index(me)]
+        self.records: dict[
+            int, StoredRecord[ReaderRecord]
+        ] = {}  # written when the service answered
+        self._started_at = now
         self._number = 0
-        self._distrusted: dict[int, int] = {}
-        self._absent: dict[int, int] = {}  # whose turn it was and who gave no sign
+        self._distrusted_until: dict[int, int] = {}
+        self._absent_until: dict[int, int] = {}  # nodes that were to read and gave no sign
 
-    # ---- words ---------------------------------------------------------------
+    # ---- records ---------------------------------------------------------------
 
-    def say(self, now: int, incarnation: int, how: ReaderState, version: Version) -> None:
-        """This node's own word on how its reading stands."""
+    def announce(
+        self, now: int, incarnation: int, state: ReaderState, version: ListVersion
+    ) -> None:
+        """Write this node's own record."""
         self._number += 1
-        word = ReaderRecord(self.me, incarnation, self._number, how, *version, 0)
-        self.held[self.me] = StoredRecord(word, now)
+        record = ReaderRecord(self.me, incarnation, self._number, state, *version, 0)
+        self.records[self.me] = StoredRecord(record, now)
 
-    def merge(self, now: int, reading: ReaderRecord) -> bool:
-        """Take in another's word: its writer's later one wins, and only its writer's."""
-        if reading.node == self.me or reading.age >= MERGE_RULES[ReaderRecord].ttl_ns:
+    def merge(self, now: int, record: ReaderRecord) -> bool:
+        """Merge another reader's record; whether it changed what is stored."""
+        if record.node == self.me or record.age >= MERGE_RULES[ReaderRecord].ttl_ns:
             return False
-        self.held[reading.node], news = join(self.held.get(reading.node), now, reading)
-        if news:
-            self._absent.pop(reading.node, None)
-        return news
+        self.records[record.node], changed = join(self.records.get(record.node), now, record)
+        if changed:
+            self._absent_until.pop(record.node, None)
+        return changed
 
     def get(self, now: int, node: int) -> ReaderRecord | None:
-        """A word with its age as of now."""
-        held = self.held.get(node)
-        return None if held is None else held.with_age(now)
+        """A reader's record with its age as of now."""
+        stored = self.records.get(node)
+        return None if stored is None else stored.with_age(now)
 
-    def all(self, now: int) -> list[ReaderRecord]:
-        return [held.with_age(now) for held in self.held.values()]
+    def all_records(self, now: int) -> list[ReaderRecord]:
+        """All records with their ages as of now."""
+        return [stored.with_age(now) for stored in self.records.values()]
 
     def digest(self) -> int:
+        """A checksum of all records, independent of their order."""
         total = 0
-        for reading, _ in self.held.values():
-            total ^= record_checksum(reading)
+        for record, _ in self.records.values():
+            total ^= record_checksum(record)
         return total
 
     def expire(self, now: int) -> None:
-        """Forget what is too old to tell anything."""
-        counts = MERGE_RULES[ReaderRecord].ttl_ns
-        self.held = {n: h for n, h in self.held.items() if now - h.written_at < counts}
-        self._distrusted = {n: u for n, u in self._distrusted.items() if now < u}
-        self._absent = {n: u for n, u in self._absent.items() if now < u}
+        """Remove what is too old."""
+        ttl_ns = MERGE_RULES[ReaderRecord].ttl_ns
+        self.records = {n: r for n, r in self.records.items() if now - r.written_at < ttl_ns}
+        self._distrusted_until = {n: t for n, t in self._distrusted_until.items() if now < t}
+        self._absent_until = {n: t for n, t in self._absent_until.items() if now < t}
 
-    # ---- what it comes to ----------------------------------------------------
+    # ---- who reads ----------------------------------------------------------------
 
-    def chosen(self, now: int, living: Callable[[int], bool], reads: bool) -> bool:
-        """Whether this node is to read by now; `reads`: it does already.
+    def is_chosen(self, now: int, is_alive: Callable[[int], bool], polls: bool) -> bool:
+        """Whether this node is to read now; `polls`: it does already.
 
-        Steps in for those whose turn it is and who gave no sign, and passes them over from then.
+        Where those whose turn it is have given no sign, it passes them over and steps in.
         """
         failed = {
-            n: born
-            for n, (word, born) in self.held.items()
-            if word.state == ReaderState.FAILED and now - born < FAILED_FOR
+            node: failed_at
+            for node, (record, failed_at) in self.records.items()
+            if record.state == ReaderState.FAILED and now - failed_at < FAILED_NS
         }
-        if failed and not reads:
-            pause = min(PAUSE << min(len(failed) - 1, 8), PAUSE_MOST)
-            if now - max(failed.values()) < pause:
+        if failed and not polls:
+            doublings = min(len(failed) - 1, MAX_PAUSE_DOUBLINGS)
+            if now - max(failed.values()) < min(PAUSE_NS << doublings, MAX_PAUSE_NS):
                 return False
         if self.me in failed:
-            return self._last_resort(failed, living)
-        silence, step = self._silence(now), self._step()
-        ahead = self.before(lambda n: n not in failed and n not in self._absent and living(n))
-        group = len(ahead) // self.count
-        if group and silence > group * step:
-            # They live and do not read: of an earlier program, or their words don't reach us.
-            # Left in the order, those who step in would hear one another and both leave.
-            self._absent |= dict.fromkeys(ahead, now + ABSENT)
+            return self._is_last_resort(failed, is_alive)
+        preceding = self.preceding(
+            lambda n: n not in failed and n not in self._absent_until and is_alive(n)
+        )
+        group = len(preceding) // self.count
+        if group and self._silence(now) > group * self._step():
+            # They are alive and do not read: of an earlier version, or cut off from this node.
+            # Were they not passed over, nodes that step in would see each other and all stop.
+            self._absent_until |= dict.fromkeys(preceding, now + ABSENT_NS)
             return True
         return group == 0
 
-    def before(self, counts: Callable[[int], bool]) -> list[int]:
-        """Of those that count the ones that come before this node."""
-        return [n for n in self._ahead if counts(n)]
+    def preceding(self, counts: Callable[[int], bool]) -> list[int]:
+        """The nodes in the order before this one that count."""
+        return [node for node in self._preceding if counts(node)]
 
-    def _last_resort(self, failed: dict[int, int], living: Callable[[int], bool]) -> bool:
-        """Where all have failed: whether this node is of those whose failure is longest ago."""
-        if any(n not in failed and living(n) for n in self._order):
+    def _is_last_resort(self, failed: dict[int, int], is_alive: Callable[[int], bool]) -> bool:
+        """Where all have failed: whether this node's failure is among the longest ago."""
+        if any(node not in failed and is_alive(node) for node in self._order):
             return False
-        before = sum(born < failed[self.me] and living(n) for n, born in failed.items())
-        return before < self.count
+        own = failed[self.me]
+        earlier = sum(failed_at < own and is_alive(node) for node, failed_at in failed.items())
+        return earlier < self.count
 
     def _silence(self, now: int) -> int:
-        """Since another gave a sign that it reads."""
+        """How long ago another node gave the last sign that it reads."""
         signs = [
-            born
-            for n, (word, born) in self.held.items()
-            if n != self.me and word.state != ReaderState.FAILED
+            written_at
+            for node, (record, written_at) in self.records.items()
+            if node != self.me and record.state != ReaderState.FAILED
         ]
-        return now - max(signs, default=self._began)
+        return now - max(signs, default=self._started_at)
 
     def _step(self) -> int:
-        read = any(word.state == ReaderState.READ for word, _ in self.held.values())
-        return STALE if read else FIRST_STEP
+        """How long a silence makes a further group read."""
+        read = any(record.state == ReaderState.READ for record, _ in self.records.values())
+        return STALE_NS if read else FIRST_STEP_NS
 
-    def ahead(self, now: int) -> int:
-        """How many readers that gave a sign of late go before this one, where two have news."""
-        own = rank(self.me)
+    def active_preceding(self, now: int) -> int:
+        """How many readers with a recent record precede this node, where several have updates."""
+        own = reader_rank(self.me)
         return sum(
-            rank(n) < own and word.state == ReaderState.READ and now - born < STALE
-            for n, (word, born) in self.held.items()
+            reader_rank(node) < own
+            and record.state == ReaderState.READ
+            and now - written_at < STALE_NS
+            for node, (record, written_at) in self.records.items()
         )
 
-    def best(self) -> Version:
-        """The latest version that a reader has been told."""
-        return max((v for v, _ in self._named()), default=NOTHING)
+    # ---- versions ----------------------------------------------------------------
+
+    def latest_version(self) -> ListVersion:
+        """The latest version that a trusted reader has."""
+        return max((version for version, _ in self._versions()), default=NO_VERSION)
 
-    def named(self, version: Version) -> list[int]:
-        """The readers that have that one."""
-        return [n for v, n in self._named() if v == version]
+    def nodes_with(self, version: ListVersion) -> list[int]:
+        """The trusted readers that have that version."""
+        return [node for found, node in self._versions() if found == version]
 
-    def distrust(self, now: int, version: Version) -> None:
-        """Nobody has what these readers name: they are not gone by for a while."""
-        for node in self.named(version):
-            self._distrusted[node] = now + DISTRUST
+    def distrust(self, now: int, version: ListVersion) -> None:
+        """Nobody has this version: the readers that name it are ignored for a while."""
+        for node in self.nodes_with(version):
+            self._distrusted_until[node] = now + DISTRUST_NS
 
-    def _named(self) -> list[tuple[Version, int]]:
+    def _versions(self) -> list[tuple[ListVersion, int]]:
         return [
-            (version_of(word), n)
-            for n, (word, _) in self.held.items()
-            if word.state == ReaderState.READ and n not in self._distrusted
+            (version_of(record), node)
+            for node, (record, _) in self.records.items()
+            if record.state == ReaderState.READ and node not in self._distrusted_until
         ]
--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -109,7 +109,7 @@
             return list(self._records.in_part(now, part))
         records: list[Record] = list(self._members.not_alive())
         if self._shared_list is not None:
-            records += self._shared_list.readers.all(now)
+            records += self._shared_list.readers.all_records(now)
         return records
 
     # ---- time ----------------------------------------------------------------
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -97,7 +97,7 @@
     ) -> None:
         """The list service has answered this node, which reads for others."""
         assert self.shared_list is not None
-        self.shared_list.read(now, rev, rows, complete)
+        self.shared_list.on_answer(now, rev, rows, complete)
         self._updates.send_soon(now)
 
     def leave(self) -> list[Outgoing]:
@@ -221,9 +221,9 @@
         if shared_list is None:
             return []
         shared_list.caught_up = self.caught_up
-        out = shared_list.turn(now)
-        if shared_list.said:
-            shared_list.said = False
+        out = shared_list.tick(now)
+        if shared_list.role.record_changed:
+            shared_list.role.record_changed = False
             self._updates.add(RecordKey(READER, self.members.me))
             self._updates.gossip_pending = True
         return out
--- a/loadbalancer/core/gossip/membership.py
+++ b/loadbalancer/core/gossip/membership.py
@@ -123,9 +123,10 @@
         subject: int = -1,
         digest: tuple[int, ...] = (),
         records: tuple[Record, ...] = (),
+        body: bytes = b"",
     ) -> Message:
         """A message from this member in its present incarnation."""
-        return Message(kind, self.me, self.incarnation, serial, subject, digest, records)
+        return Message(kind, self.me, self.incarnation, serial, subject, digest, records, body)
 
     # ---- messages and records -------------------------------------------------
 
--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -99,14 +99,14 @@
     DONE = 5  # all records that differ have been sent
     LEASE_REQUEST = 6  # asks for slots under a lease
     LEASE_GRANT = 7  # the classes of servers granted, one bit each, as `subject`
-    PIECE = 8  # a piece of a step between two versions of the list (`endpoints/list_versions.py`)
+    PIECE = 8  # a piece of a delta between two versions of the list (`list_pieces.py`)
     WANT = 9  # the version the sender has, and the pieces it lacks
 
 
 class Message(NamedTuple):
     """One datagram. `subject` is the member that a PING_REQUEST or an ACK is about.
 
-    A PIECE or WANT has its numbers in `digest`, in the order of `endpoints/list_versions.py`.
+    A PIECE or WANT has its numbers in `digest`, in the order of `endpoints/list_pieces.py`.
     """
 
     kind: Kind
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -7,7 +7,7 @@
 import time
 from typing import TYPE_CHECKING, Any, Protocol
 
-from loadbalancer.core.endpoints.shared_list import Taken
+from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.sources.discovery import Discovery, ListError
 
@@ -37,13 +37,13 @@
     }
 
 
-def answer_of(update: Taken) -> dict[str, Any]:
+def answer_of(update: ListUpdate) -> dict[str, Any]:
     """An update of the shared list as an answer of discovery."""
     targets = [
         {"uid": uid, "state": REMOVED} if row is None else json.loads(row)
         for uid, row in update.rows.items()
     ]
-    return {"rev": update.rev, "all": update.whole, "targets": targets}
+    return {"rev": update.rev, "all": update.complete, "targets": targets}
 
 
 class ListSharing:
@@ -63,7 +63,7 @@
         self._refused = False  # whether the last update could not be used
         rows = {uid: row for uid, row in rows_of(known).items() if row is not None}
         if rows:
-            self._shared_list.copy.begin(known["rev"], rows)
+            self._shared_list.replica.begin(known["rev"], rows)
 
     def update(self, now: int, connected: bool) -> None:
         """After each turn and message: start or stop polling, and apply what others have read.
@@ -74,11 +74,11 @@
         """
         shared_list = self._shared_list
         if not connected:
-            shared_list.alone(now)
-        if shared_list.reads != self._polls:
-            self._polls = shared_list.reads
+            shared_list.on_unconnected(now)
+        if shared_list.polls != self._polls:
+            self._polls = shared_list.polls
             self._switch_polling()
-        updates, shared_list.news = shared_list.news, []
+        updates, shared_list.updates = shared_list.updates, []
         for update in updates:
             self._apply(update)
 
@@ -90,10 +90,10 @@
             logger.info("leaves the list to others")
             self._discovery.close()
 
-    def _apply(self, update: Taken) -> None:
+    def _apply(self, update: ListUpdate) -> None:
         if self._refused:
             # The rows of the refused update are missing: all rows are needed from here on.
-            update = Taken(update.rev, dict(self._shared_list.copy.rows), True)
+            update = ListUpdate(update.rev, dict(self._shared_list.replica.rows), True)
         try:
             self._discovery.passed(answer_of(update))
             self._refused = False
@@ -105,11 +105,11 @@
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
-        return self._shared_list.reads
+        return self._shared_list.polls
 
     def unread(self) -> bool:
         """Whether the list in hand is from the configuration, and no node has read it."""
-        return not self._shared_list.copy.version.epoch
+        return not self._shared_list.replica.version.epoch
 
     def read(self, raw: dict[str, Any]) -> None:
         """The list service has answered this node."""
@@ -117,4 +117,4 @@
 
     def failed(self, older: bool) -> None:
         """A call of this node failed, or (`older`) answered with an older version."""
-        self._shared_list.failed(time.monotonic_ns(), older)
+        self._shared_list.on_failure(time.monotonic_ns(), older)
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -21,7 +21,7 @@
 from loadbalancer.core.endpoints.poll_backoff import Caller, failure_of
 from loadbalancer.core.endpoints.poll_timing import HOLD, LATE
 from loadbalancer.core.endpoints.revisions import Lag, Revisions
-from loadbalancer.core.endpoints.shared_list import Taken
+from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
 from simulation.gossip_world import World
@@ -181,19 +181,19 @@
     def begin(self) -> None:
         shared = self._fleet.shared_list
         if shared is not None and self.rows:
-            shared.copy.begin(self.rev, self.rows)
+            shared.replica.begin(self.rev, self.rows)
         self._told(Update.CACHED, self.rows)
 
     def watch(self) -> None:
         shared = self._fleet.shared_list
-        if self._watching or not self._alive() or (shared is not None and not shared.reads):
+        if self._watching or not self._alive() or (shared is not None and not shared.polls):
             return
         if self.world.now < self._not_before:
             due, self._not_before = self._not_before, 0
             self.world.later(due, self.watch)
             return
         self._watching = True
-        unread = shared is not None and not shared.copy.version.epoch
+        unread = shared is not None and not shared.replica.version.epoch
         if unread:
             self.lag.trust()
         self._next(-1 if unread else self.rev, 0)
@@ -224,7 +224,7 @@
             self._watching = False
             self._calls += 1
             if shared is not None:
-                shared.failed(now, answer is not None)
+                shared.on_failure(now, answer is not None)
             failure = failure_of(took, self._limit, True, answer is not None)
             pause = self._caller.failed(failure, took, len(self.rows))
             self._not_before = self.world.now + pause
@@ -232,33 +232,33 @@
             return
         if not self._waits:
             self._caller.answered(took)
-        taken = Taken(*answer)
+        taken = ListUpdate(*answer)
         if shared is not None:
             self._fleet.on_list_read(now, *taken)
             self.world.poke(self.node)
         self._take(taken)
         self._next(self.rev, HOLD)
 
-    def _take(self, taken: Taken) -> None:
-        before = {} if taken.whole else self.rows
+    def _take(self, taken: ListUpdate) -> None:
+        before = {} if taken.complete else self.rows
         merged = dict[str, str | None](before) | dict(taken.rows)
         self.rows = {u: r for u, r in merged.items() if r is not None}
         self.rev = taken.rev
-        self._told(Update.FULL if taken.whole else Update.DELTA, taken.rows)
+        self._told(Update.FULL if taken.complete else Update.DELTA, taken.rows)
 
     def after(self) -> None:
         """What `loadbalancer/gossip_transport/shared_list.py` does after each turn and word."""
         shared = self._fleet.shared_list
         if shared is None or not self._alive():
             return
-        if shared.reads != self._reads:
-            self._reads = shared.reads
+        if shared.polls != self._reads:
+            self._reads = shared.polls
             if self._reads:
                 self.watch()
             else:
                 self._watching = False
                 self.service.forget(self)
-        news, shared.news = shared.news, []
+        news, shared.updates = shared.updates, []
         for taken in news:
             self.lag = Lag()
             self._take(taken)
--- /dev/null
+++ b/tests/core/endpoints/test_list_pieces.py
@@ -0,0 +1,81 @@
+"""Pieces of deltas: assembly, validity, and their size on the wire."""
+
+from __future__ import annotations
+
+from random import Random
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from loadbalancer.core.endpoints.delta_sender import PIECE_HEAD_BYTES
+from loadbalancer.core.endpoints.list_pieces import Piece, PieceAssembler
+from loadbalancer.core.endpoints.list_versions import (
+    FULL_LIST,
+    ListDelta,
+    ListVersion,
+    PackedDelta,
+    pack,
+    unpack,
+)
+from loadbalancer.core.gossip.messages import (
+    Kind,
+    Message,
+)
+from loadbalancer.gossip_transport.codec import decode, encode
+from tests.core.endpoints.list_history import history
+
+
+@settings(max_examples=60, deadline=None, derandomize=True)
+@given(st.integers(0, 10**6))
+def test_pieces_in_any_order_duplicated_or_mixed_make_one_delta_or_none(seed: int) -> None:
+    draw = Random(seed)
+    versions = history(seed, 4)
+    packings = [
+        pack(ListDelta(FULL_LIST, ListVersion(1, i + 1, 0), rows))
+        for i, rows in enumerate(versions)
+    ]
+    pieces = [
+        (
+            Piece(*p.target, p.base, -(-len(p.data) // 40), n, p.checksum, -1),
+            p.data[n * 40 : n * 40 + 40],
+        )
+        for p in packings
+        for n in range(-(-len(p.data) // 40))
+    ]
+    damaged = [(p._replace(rev=p.rev + 1), body) for p, body in draw.sample(pieces, 3)]
+    damaged += [(p, body[:-1] + b"?") for p, body in draw.sample(pieces, 2)]
+    received = pieces + draw.sample(pieces, len(pieces) // 2) + damaged
+    draw.shuffle(received)
+    assembler, complete = PieceAssembler(40), 0
+    for now, (piece, body) in enumerate(received):
+        packed = assembler.add(now, piece, body)
+        if isinstance(packed, PackedDelta):
+            delta = unpack(packed)
+            # A damaged piece that came before the right one makes the checksum wrong: no delta.
+            assert delta is None or delta.rows == versions[packed.target.rev - 1]
+            complete += delta is not None
+        assert len(assembler.partial) <= 8
+    assert complete >= 1
+
+
+def test_pieces_fit_their_datagram_whatever_their_numbers() -> None:
+    largest = (1 << 63) - 1
+    piece = Piece(largest, largest, largest, largest, 4096, 4095, (1 << 32) - 1, 999)
+    body = bytes(256 - PIECE_HEAD_BYTES)
+    message = Message(Kind.PIECE, 999, (1 << 48) - 1, digest=tuple(piece), body=body)
+    data = encode(message, 7)
+    assert len(data) <= 256
+    assert decode(data, 7) == message
+    missing = (largest, largest, largest, (1 << 32) - 1, *range(4000, 4016))
+    assert len(encode(Message(Kind.WANT, 999, (1 << 48) - 1, digest=missing), 7)) <= 256
+
+
+def test_pieces_with_numbers_out_of_range_are_refused() -> None:
+    assembler = PieceAssembler(40)
+    valid = Piece(1, 1, 0, FULL_LIST, 2, 0, 9, -1)
+    invalid = [valid._replace(number=2), valid._replace(total=30_000), valid._replace(rev=-1)]
+    invalid += [valid._replace(base=-2), valid._replace(number=-1), valid._replace(epoch=0)]
+    invalid += [valid._replace(base=1 << 63)]
+    assert all(assembler.add(0, p, b"x") is False for p in invalid)
+    assert assembler.add(0, valid, b"x" * 41) is False
+    assert assembler.add(0, valid, b"") is False
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -23,16 +23,16 @@
 from loadbalancer.core import Balancer, Effect, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core import learned_state as legacy
 from loadbalancer.core.balancing.model import MS, SECOND
+from loadbalancer.core.endpoints.list_pieces import Piece
 from loadbalancer.core.endpoints.list_versions import (
-    NOTHING,
-    Packed,
-    Piece,
-    Step,
-    mark_of,
+    NO_VERSION,
+    ListDelta,
+    PackedDelta,
     pack,
+    row_checksum,
     unpack,
 )
-from loadbalancer.core.endpoints.shared_list import Taken
+from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
     Kind,
@@ -72,6 +72,7 @@
     "listed": {},
     "observation": {"full": "rejections"},
     "reading": {"how": "state", "mark": "checksum"},
+    "piece": {"mark": "checksum", "check": "delta_checksum"},
 }
 CLASSES = (
     RequestClass("pure", 200 * MS, 1000 * MS, Effect.PURE),
@@ -129,15 +130,26 @@
 # ---- gossip ----------------------------------------------------------------------
 
 
+def _fields(name: str, plain: Plain) -> dict[str, Any]:
+    """Values by the names of fields, from values by the wire's words."""
+    return {FIELDS[name].get(word, word): value for word, value in plain.items()}
+
+
+def _words(name: str, fields: dict[str, Any]) -> dict[str, Any]:
+    """The other way round."""
+    words = {field: word for word, field in FIELDS[name].items()}
+    return {words.get(field, field): value for field, value in fields.items()}
+
+
 def _message(plain: Plain) -> Message:
     records = []
     for row in plain["records"]:
-        fields = FIELDS[row["is"]]
-        figures = {fields.get(name, name): value for name, value in row.items() if name != "is"}
+        figures = _fields(row["is"], row)
+        del figures["is"]
         if "age_ms" in figures:
             figures["age"] = figures.pop("age_ms") * MS
         records.append(RECORDS[row["is"]](**figures))
-    digest = Piece(**plain["piece"]) if "piece" in plain else plain["digest"]
+    digest = Piece(**_fields("piece", plain["piece"])) if "piece" in plain else plain["digest"]
     return Message(
         Kind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
         plain["subject"], tuple(digest), tuple(records), bytes.fromhex(plain["body"]),
@@ -158,9 +170,7 @@
     records = []
     for record in message.records:
         name = next(name for name, made in RECORDS.items() if isinstance(record, made))
-        words = {field: word for word, field in FIELDS[name].items()}
-        figures: dict[str, Any] = {"is": name}
-        figures |= {words.get(field, field): v for field, v in record._asdict().items()}
+        figures: dict[str, Any] = {"is": name} | _words(name, record._asdict())
         if "age" in figures:
             figures["age_ms"] = figures.pop("age") // MS
         records.append(figures)
@@ -170,7 +180,7 @@
         "records": records, "body": message.body.hex(),
     }  # fmt: skip
     if message.kind == Kind.PIECE:
-        return plain | {"piece": Piece(*message.digest)._asdict()}
+        return plain | {"piece": _words("piece", Piece(*message.digest)._asdict())}
     return plain | {"digest": list(message.digest)}
 
 
@@ -178,22 +188,22 @@
 
 
 def _encode_step(plain: Plain) -> bytes:
-    packed = pack(Step(-1, NOTHING, plain))
-    assert packed.check == crc32(packed.data)
+    packed = pack(ListDelta(-1, NO_VERSION, plain))
+    assert packed.checksum == crc32(packed.data)
     return packed.data
 
 
 def _decode_step(data: bytes) -> Plain:
-    step = unpack(Packed(-1, NOTHING, crc32(data), data))
+    step = unpack(PackedDelta(-1, NO_VERSION, crc32(data), data))
     return {"refused": "no step"} if step is None else dict(step.rows)
 
 
 def _encode_mark(plain: Plain) -> bytes:
-    return struct.pack(">Q", mark_of(plain["uid"], plain["row"]))
+    return struct.pack(">Q", row_checksum(plain["uid"], plain["row"]))
 
 
 def _encode_rows(plain: Plain) -> bytes:
-    return json.dumps(answer_of(Taken(plain["rev"], plain["rows"], plain["all"]))).encode()
+    return json.dumps(answer_of(ListUpdate(plain["rev"], plain["rows"], plain["all"]))).encode()
 
 
 def _decode_rows(data: bytes) -> Plain:
