--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -47,7 +47,7 @@
         self._saturated = False
         self._peaks = [0, 0]  # requests in flight at most, in this window and the one before
         self._window_ends_at = 0
-        balancer.slot_ranks = self.slots
+        balancer.set_slot_ranks(self.slots)
 
     def _is_alive_at(self, place: int) -> bool:
         """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
@@ -185,5 +185,5 @@
         if update.draining:
             balancer.on_members(now, Update.REPORTED, update.draining)
         elif update.reallocate:
-            balancer.recap()
+            balancer.update_caps()
         balancer.dispatch(now)
