--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.balancing.dispatch import send
 from loadbalancer.core.balancing.endpoint_selection import pick, pick_for
 from loadbalancer.core.balancing.model import Effect, Outcome
-from loadbalancer.core.balancing.records import RequestState
+from loadbalancer.core.balancing.records import AttemptState, RequestState
 from loadbalancer.core.balancing.request_policy_state import RequestPolicyState, RouteState
 from loadbalancer.core.balancing.retry_budget import RetryBudget
 from loadbalancer.core.routes.table import BudgetSpec, Policy, condition
@@ -73,9 +73,9 @@
     def sending(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
-        """An attempt is sent: its time-out, and whether the usual patience bounds it.
+        """An attempt is sent: its time-out, and whether the usual early end bounds it.
 
-        Patience does not where the route says how long an attempt may take, nor
+        The early end does not where the route says how long an attempt may take, nor
         where time-outs are not tried again.
         """
         policy, route = policy_state.policy, policy_state.state
@@ -87,7 +87,7 @@
             if 0 < after < timeout:
                 policy_state.due = now + after
                 self._state.wake(policy_state.due, request)
-        return timeout, route.patient
+        return timeout, route.ends_early
 
     def attempt_ended(
         self,
@@ -149,7 +149,7 @@
     def cancel(self, request: Request, first: int) -> None:
         """Cancel a request's open attempts from this number on."""
         for number, attempt in enumerate(request.attempts):
-            if attempt.open and number >= first:
+            if attempt.state is not AttemptState.ENDED and number >= first:
                 self._state.actions.cancel(request.id, number)
 
     def ended(self, policy_state: RequestPolicyState) -> None:
