--- a/tests/proxy/upstream/test_backends.py
+++ b/tests/proxy/upstream/test_backends.py
@@ -27,11 +27,11 @@
 
 
 @contextmanager
-def behind(tmp_path: Path, **over: Any) -> Iterator[tuple[socket.socket, Running]]:
+def behind(tmp_path: Path, **options: Any) -> Iterator[tuple[socket.socket, Running]]:
     """A node with one backend."""
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, **over) as n:
+        with node(tmp_path, known, **options) as n:
             yield backend, n
 
 
@@ -111,19 +111,19 @@
             assert peer.ends() == b""
 
 
-def test_an_answer_is_served_only_when_it_is_whole(tmp_path: Path) -> None:
+def test_a_response_is_served_only_when_it_is_complete(tmp_path: Path) -> None:
     """Its parts come in three writes; what breaks off is not begun."""
-    whole = answer(b"y" * 60_000)
+    message = answer(b"y" * 60_000)
     with behind(tmp_path) as (backend, n):
         client = n.connect()
         client.send(request("/credit", b"x", rid="a1"))
         peer = accept(backend)
         peer.message()
-        for part in (whole[:30], whole[30:40_000], whole[40_000:]):
+        for part in (message[:30], message[30:40_000], message[40_000:]):
             peer.send(part)
         assert client.message()[2] == b"y" * 60_000
         reaches(client, peer, "a2")
-        peer.send(whole[:40_000])
+        peer.send(message[:40_000])
         peer.close()
         assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
 
@@ -163,16 +163,16 @@
         pass
 
 
-def test_a_backend_that_no_dial_reaches_is_left_out(tmp_path: Path) -> None:
+def test_a_backend_that_no_connection_reaches_is_ejected(tmp_path: Path) -> None:
     """Its machine has vanished: dials hang for longer than any attempt may take."""
     aims = {"target": 150_000_000, "deadline": 500_000_000, "effect": "pure"}
     settings = {"classes": [{"name": "balance", **aims}, {"name": "credit", **aims}]}
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
-        held = [socket.socket() for _ in range(4)]  # nobody accepts: the next dials hang
+        queued = [socket.socket() for _ in range(4)]  # nobody accepts: the next dials hang
         try:
-            for sock in held:
+            for sock in queued:
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
             with listen() as silent, ThreadingHTTPServer(("127.0.0.1", 0), Serves) as server:
@@ -190,11 +190,13 @@
                     n.says("out: connection failed")
                 server.shutdown()
         finally:
-            for sock in held:
+            for sock in queued:
                 sock.close()
 
 
-def test_a_request_that_breaks_off_before_its_last_byte_goes_elsewhere(tmp_path: Path) -> None:
+def test_a_request_that_breaks_off_before_its_last_byte_is_sent_again(
+    tmp_path: Path,
+) -> None:
     """A connection that is reset as an unsafe request comes: what never ran is no failure."""
     with behind(tmp_path) as (backend, n):
         client = n.connect()
@@ -203,8 +205,8 @@
         peer.message()
         peer.send(answer(b"served"))
         assert client.message()[2] == b"served"
-        whole = request("/credit", b"y" * 1000, rid="a2")
-        client.send(whole)
+        message = request("/credit", b"y" * 1000, rid="a2")
+        client.send(message)
         peer.sock.recv(100)
         peer.reset()  # with the rest unread
         peer = accept(backend)
--- a/tests/proxy/upstream/test_long_messages.py
+++ b/tests/proxy/upstream/test_long_messages.py
@@ -329,7 +329,7 @@
         assert len(peer.ends()) < SIZE
 
 
-def test_a_length_over_the_most_is_refused_before_its_body(tmp_path: Path) -> None:
+def test_a_length_over_the_maximum_is_refused_before_its_body(tmp_path: Path) -> None:
     with behind(tmp_path) as (n, _backend):
         client = n.connect()
         client.send(request("/credit", b"", Content_Length=str((32 << 20) + 1)))
@@ -386,11 +386,11 @@
 def test_a_long_answer_teaches_the_time_of_its_first_bytes() -> None:
     one, _ = build(count=1)
     two, _ = build(count=1)
-    for balancer, taken in ((one, 9 * SECOND), (two, 5 * MS)):
+    for balancer, elapsed in ((one, 9 * SECOND), (two, 5 * MS)):
         balancer.on_request(0, 1, 0, 900 * MS)
         if balancer is one:
             balancer.on_response_started(5 * MS, 1, 0, 5 * MS)
-        balancer.on_outcome(taken, 1, 0, Outcome.OK, taken, True)
+        balancer.on_outcome(elapsed, 1, 0, Outcome.OK, elapsed, True)
     assert one.classes[0].latency == two.classes[0].latency
 
 
--- a/tests/proxy/upstream/test_pool.py
+++ b/tests/proxy/upstream/test_pool.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("endpoints", [{}, {1: Address("127.0.0.1", 8002)}])
-def test_a_connection_to_an_address_that_is_no_longer_listed_is_not_taken_back(
+def test_a_connection_to_an_address_that_is_no_longer_listed_is_closed(
     host: Host, pool: ConnectionPool, endpoints: dict[int, Address]
 ) -> None:
     host.endpoints.clear()
--- a/tests/proxy/upstream/test_response_reader.py
+++ b/tests/proxy/upstream/test_response_reader.py
@@ -85,7 +85,7 @@
     assert reader.keep_alive
 
 
-def test_more_interim_responses_than_accepted_are_taken_for_the_final_one() -> None:
+def test_more_interim_responses_than_accepted_count_as_the_final_one() -> None:
     reader = read(b"HTTP/1.1 103 Early Hints\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1))
     assert (reader.state, reader.status) == (COMPLETE, 103)
 
