--- a/benchmarks/scale/capacity/control.py
+++ b/benchmarks/scale/capacity/control.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.capacity.load import MICROSECONDS, Load
 from benchmarks.scale.capacity.row import Mechanism, Role, Row, Situation, Slopes, Standing, Unit
 from benchmarks.scale.capacity.target import CHANGE_ROWS, NETWORK, RACK, Range, Target, ranged
-from loadbalancer.core.endpoints.revisions import KEPT
+from loadbalancer.core.endpoints.revisions import MAX_CHANGES
 
 SERVERS_MEASURED = 270  # of every proxy in the measured cases
 
@@ -157,10 +157,11 @@
             target.in_force_s, STORE, Standing.MODEL),
         row(Situation.SPLIT, "rows in one log that the other region missed",
             "(restarts x rows + changes x rows) of an hour, against the log's 4,096",
-            load.rows_in_an_hour, Unit.COUNT, KEPT, REVISIONS, Standing.MODEL),
+            load.rows_in_an_hour, Unit.COUNT, MAX_CHANGES, REVISIONS, Standing.MODEL),
         row(Situation.SPLIT, "rows in one service's log",
             "(restarts x rows + changes x rows) of an hour / 4,500 services",
-            load.rows_in_an_hour / target.services, Unit.COUNT, KEPT, REVISIONS, Standing.MODEL),
+            load.rows_in_an_hour / target.services, Unit.COUNT, MAX_CHANGES, REVISIONS,
+            Standing.MODEL),
     ]  # fmt: skip
 
 
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -161,11 +161,11 @@
     """A call that goes on to a further version with so many rows changed."""
     made = versions(2_000)
     some = {uid: "{}" for uid in list(made.rows)[:changed]}
-    return lambda: made.move(made.rev + 1, some)
+    return lambda: made.advance(made.rev + 1, some)
 
 
 def moved(changed: int) -> Revisions[str]:
     """A list whose last versions changed so many rows in all."""
     made = versions(2_000)
-    made.move(made.rev + 1, {uid: "{}" for uid in list(made.rows)[:changed]})
+    made.advance(made.rev + 1, {uid: "{}" for uid in list(made.rows)[:changed]})
     return made
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -14,7 +14,7 @@
 from loadbalancer.control.xds.pool_inputs import PoolInput
 from loadbalancer.core import Balancer, Listing, State, Update
 from loadbalancer.core.balancing.model import SECOND, ServerView
-from loadbalancer.core.endpoints.attempt_evidence import alive
+from loadbalancer.core.endpoints.attempt_evidence import is_alive
 from loadbalancer.core.xds.drains import AssignmentInUse, DrainReport, DrainTracker, GroupKey
 from loadbalancer.core.xds.load_reports import LoadReportAggregator
 from loadbalancer.core.xds.plan import Plan, make_plan
@@ -91,7 +91,7 @@
 
     def _is_alive(self, backend: int) -> bool | None:
         """What the proxies' load reports say of a server; None for nothing."""
-        return alive(self.balancer, time.monotonic_ns(), backend)
+        return is_alive(self.balancer, time.monotonic_ns(), backend)
 
     def start(self) -> None:
         """Begin with the list that is known, and follow it from then on.
--- a/loadbalancer/core/balancing/list_updates.py
+++ b/loadbalancer/core/balancing/list_updates.py
@@ -13,7 +13,7 @@
 from loadbalancer.core.balancing.model import MS, Listing, Settings, State, Timer, Update
 from loadbalancer.core.balancing.records import Endpoint
 from loadbalancer.core.balancing.state import BalancerState
-from loadbalancer.core.endpoints.poll_timing import terms
+from loadbalancer.core.endpoints.poll_timing import poll_timings
 
 FIRST_POLL_PART = 4  # one in so many of `poll_within` is the most that first polls are spread over
 FIRST_POLL_SPREAD_NS = 100 * MS  # for each node
@@ -37,8 +37,8 @@
     """A list call has failed: the next one comes after a random pause."""
     state.polling = False
     state.log(now, "list call failed")
-    pause = terms(state.settings)
-    due = now + state.random.randint(pause.pause_least, pause.pause_most)
+    pause = poll_timings(state.settings)
+    due = now + state.random.randint(pause.min_pause, pause.max_pause)
     state.actions.set_timer(Timer.LIST, due)
 
 
--- a/loadbalancer/core/endpoints/attempt_evidence.py
+++ b/loadbalancer/core/endpoints/attempt_evidence.py
@@ -1,8 +1,8 @@
-"""What a Balancer's own attempts say of a server, for whoever merges lists; decides nothing.
+"""What a Balancer's own attempts show of a server, for sources that merge lists; decides nothing.
 
-A source of members may be wrong; the servers' own behaviour is not. The Balancer knows
-which servers it left alone as silent or unreachable, and which answered lately. Where it
-may not leave more servers alone (never more than half of all), the strikes still tell.
+A source of members may be wrong; the servers' own behaviour is not. The Balancer knows which
+servers it has ejected as silent or unreachable, and which answered recently. Where it may eject
+no further server (never more than half of all), the consecutive failures still show it.
 """
 
 from __future__ import annotations
@@ -11,20 +11,19 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES
 
-ANSWERED = 5 * SECOND  # for so long an answer says that a server is alive
+RECENT_ANSWER_NS = 5 * SECOND  # how long an answer shows that a server is alive
 
 
-def alive(balancer: Balancer, now: int, backend: int) -> bool | None:
-    """True: it answered within ANSWERED. False: it is silent or unreachable. None: unknown.
+def is_alive(balancer: Balancer, now: int, backend: int) -> bool | None:
+    """True: it answered recently. False: it is silent or unreachable. None: unknown.
 
-    Times in nanoseconds. Could do harm if one lost connection made a server dead: it
-    takes MAX_SILENT_FAILURES failures in a row with no answer between.
+    `now` in nanoseconds. One lost connection does not make a server dead: that takes
+    MAX_SILENT_FAILURES consecutive failures with no answer between.
     """
-    b = balancer.endpoints.get(backend)
-    if b is None:
+    endpoint = balancer.endpoints.get(backend)
+    if endpoint is None:
         return None
-    if b.consecutive_failures >= MAX_SILENT_FAILURES or b.ejected_until:
+    if endpoint.consecutive_failures >= MAX_SILENT_FAILURES or endpoint.ejected_until:
         return False
-    if b.last_seen and now - b.last_seen <= ANSWERED and not b.consecutive_failures:
-        return True
-    return None
+    answered_recently = endpoint.last_seen and now - endpoint.last_seen <= RECENT_ANSWER_NS
+    return True if answered_recently and not endpoint.consecutive_failures else None
--- a/loadbalancer/core/endpoints/list_replica.py
+++ b/loadbalancer/core/endpoints/list_replica.py
@@ -142,5 +142,5 @@
         if target.epoch != self.version.epoch:
             rows, self._list = self._list.rows, Revisions(target.rev)
             self._list.rows = rows
-        self._list.move(target.rev, changed)
+        self._list.advance(target.rev, changed)
         self.version = target
--- a/loadbalancer/core/endpoints/poll_backoff.py
+++ b/loadbalancer/core/endpoints/poll_backoff.py
@@ -1,27 +1,27 @@
-"""A caller of the list service: how long its call may wait, and when the next one may begin.
+"""Polls of the list service after failures: how long a call may wait, when the next one begins.
 
 Retries of a whole fleet must not keep the service busy with calls that nobody waits for any
-more. Two cases are told apart:
+more. Two cases are distinguished:
 
-- Without a list a node can send nothing, and no term binds it: it waits for the service's own
-  word, an answer or a refusal, and gives a call up only after PATIENT.
-- With a list the terms of `asking.py` hold. After SUSPECT failures in a row that a service with
-  too many callers may give (a refusal after a wait, no answer in time) its load is suspected:
-  then the node waits for the service's own word too. The suspicion ends with an answer within
-  ANSWER_AIM. It never begins where all nodes' whole lists together are LEAST_LINES * ANSWER_AIM
-  lines or fewer, as these could have been answered in time.
+- Without a list a node can send nothing, and no limit of `poll_timing.py` applies: it waits for
+  the service's own answer or refusal, and gives a call up only after FIRST_LIST_TIMEOUT_NS.
+- With a list those limits apply. After OVERLOAD_FAILURES consecutive failures that a service with
+  too many callers may give (a refusal after a wait, no answer in time) an overload is suspected:
+  then the node waits for the service's own answer too. The suspicion ends with an answer within
+  EXPECTED_ANSWER_NS. It never begins where the complete lists of all nodes together are no more
+  lines than MIN_LINES_PER_S gives in EXPECTED_ANSWER_NS, as these could have been answered.
 
-While a call waits longer than ANSWER the host opens a connection now and then and closes it
-again (`probe_every`): a service that is cut off, and not slow, shows by that. Such a probe asks
-for nothing and is no work.
+While a call waits longer than ANSWER_TIMEOUT_NS the host opens a connection now and then and
+closes it again (`probe_interval`): this shows a service that is cut off, and not slow. Such a
+probe requests nothing and is no work.
 
 Pauses after failures are drawn evenly from 0 to a bound (full jitter). With N callers a bound of
-2 * N / FLEET_CALLS means FLEET_CALLS a second of all of them, which is less than LEAST_LINES:
-a call costs a line at least. A service that refused at once has done no work: there the bound
-grows from PAUSE_MOST on, twofold each time, and for a node with a list only as far as a change
-is still in hand TOLD after the service is back.
+2 * N / FLEET_CALLS_PER_S means FLEET_CALLS_PER_S of all of them, which is less than
+MIN_LINES_PER_S: a call costs a line at least. A service that refused at once has done no work:
+there the bound grows from MAX_PAUSE_NS on, twofold each time, and for a node with a list only as
+far as a change is still in hand MAX_NOTIFICATION_NS after the service is back.
 
-Source: full jitter and capped exponential back-off as in "Exponential Backoff And Jitter" (AWS
+Source: full jitter and capped exponential backoff as in "Exponential Backoff And Jitter" (AWS
 Architecture Blog, 2015); a retry storm that outlives its cause is a metastable failure (Bronson
 et al., HotOS 2021).
 """
@@ -32,127 +32,140 @@
 from random import Random
 
 from loadbalancer.core.balancing.model import MS, SECOND, Settings
-from loadbalancer.core.endpoints.poll_timing import ANSWER_AIM, PAUSE_MOST, TOLD, terms
-
-SUSPECT = 2  # failures in a row, from which on the service's load is suspected
-QUICK = 2  # failures in a row that a node with a list answers with the shortest pauses
-LEAST_LINES = 200  # a second: what the slowest list service that is planned for gives
-FLEET_CALLS = 125  # a second: what all callers may ask after failures
-BUSY_AFTER = SECOND  # a refusal that took so long had waited in the service's queue
-PATIENT = 30 * SECOND  # for the service's own word; doubled with each call given up in a row
-PATIENT_DOUBLINGS = 4
-WITHOUT_LIST = 2 * SECOND  # bound of a pause of a node without a list, in a small fleet
-SLACK = 500 * MS  # of a pause that has to fit into TOLD
-PROBE_LEAST = SECOND
+from loadbalancer.core.endpoints.poll_timing import (
+    EXPECTED_ANSWER_NS,
+    MAX_NOTIFICATION_NS,
+    MAX_PAUSE_NS,
+    poll_timings,
+)
+
+OVERLOAD_FAILURES = 2  # consecutive failures from which on an overload is suspected
+QUICK_FAILURES = 2  # consecutive failures that a node with a list follows with the least pauses
+MIN_LINES_PER_S = 200  # of the slowest list service that is planned for
+FLEET_CALLS_PER_S = 125  # of all callers together after failures
+QUEUED_AFTER_NS = SECOND  # a refusal that took so long had waited in the service's queue
+FIRST_LIST_TIMEOUT_NS = 30 * SECOND  # doubled with each call given up in a row
+MAX_TIMEOUT_DOUBLINGS = 4
+MAX_PAUSE_DOUBLINGS = 16
+FIRST_LIST_PAUSE_NS = 2 * SECOND  # bound of a pause of a node without a list, in a small fleet
+PAUSE_MARGIN_NS = 500 * MS  # of a pause that has to fit into MAX_NOTIFICATION_NS
+MIN_PROBE_INTERVAL_NS = SECOND
 READERS = 2  # callers, where a few nodes read the list for all
 
 
-class Failure(Enum):
+class PollFailure(Enum):
     """How a call ended that gave no list."""
 
-    UNREACHED = auto()  # refused at once, reset at once, or no connection came up
-    TURNED_AWAY = auto()  # refused or reset after a wait
-    GIVEN_UP = auto()  # taken up, and no word within the call's limit
-    UNUSABLE = auto()  # answered with what can't be gone by
+    UNREACHABLE = auto()  # refused at once, reset at once, or no connection
+    REJECTED = auto()  # refused or reset after a wait
+    TIMED_OUT = auto()  # accepted, and no answer within the call's limit
+    UNUSABLE = auto()  # answered with a list that can't be used
 
 
-def failure_of(took: int, limit: int, connected: bool, answered: bool) -> Failure:
-    """What a failed call says of the service; spans in ns."""
+def classify_failure(elapsed: int, limit: int, connected: bool, answered: bool) -> PollFailure:
+    """What a failed call shows of the service; spans in ns."""
     if answered:
-        return Failure.UNUSABLE
+        return PollFailure.UNUSABLE
     if not connected:
-        return Failure.UNREACHED
-    if took >= limit:
-        return Failure.GIVEN_UP
-    return Failure.TURNED_AWAY if took >= BUSY_AFTER else Failure.UNREACHED
+        return PollFailure.UNREACHABLE
+    if elapsed >= limit:
+        return PollFailure.TIMED_OUT
+    return PollFailure.REJECTED if elapsed >= QUEUED_AFTER_NS else PollFailure.UNREACHABLE
 
 
-def fleet_bound(callers: int) -> int:
-    """The bound of a pause in ns with which so many callers ask FLEET_CALLS times a second."""
-    return 2 * callers * SECOND // FLEET_CALLS
+def fleet_pause_bound(callers: int) -> int:
+    """The bound of a pause, ns, with which so many callers make FLEET_CALLS_PER_S calls."""
+    return 2 * callers * SECOND // FLEET_CALLS_PER_S
 
 
-class Caller:
-    """One node's calls: failures in a row, and what follows from them. Pure; seeded."""
+class PollBackoff:
+    """One node's consecutive failures, and what follows from them. Pure; seeded."""
 
-    __slots__ = ("_callers", "_given_up", "_loaded", "_random", "_shared", "_terms", "failures",
-                 "paced")  # fmt: skip
+    __slots__ = (
+        "_callers", "_overload_failures", "_random", "_shared", "_timed_out", "_timings",
+        "failures", "paced",
+    )  # fmt: skip
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._random = random
         self._shared = False
-        self.go_by(settings)
+        self.configure(settings)
         self.reset()
 
-    def go_by(self, settings: Settings) -> None:
-        """Other settings from here on."""
-        self._terms = terms(settings)
+    def configure(self, settings: Settings) -> None:
+        """Use other settings from here on."""
+        self._timings = poll_timings(settings)
         self._callers = settings.nodes
         self.paced = settings.poll  # an agent on the node's own machine answers at no cost
 
     def share(self) -> None:
-        """A few nodes read for all: the fleet paces its calls itself (`fleet/readers.py`)."""
+        """A few nodes read for all: the fleet paces its calls itself (`list_readers.py`)."""
         self._shared = True
 
     def reset(self) -> None:
         """Forget all failures, as they were another service's."""
         self.failures = 0
-        self._loaded = 0  # failures in a row that too many callers may cause
-        self._given_up = 0
-
-    def suspects_load(self, rows: int) -> bool:
-        """Whether failures so far may come from the service's load, with so many rows in hand."""
-        in_time = self._asking() * rows * SECOND <= LEAST_LINES * ANSWER_AIM
-        return self.paced and self._loaded >= SUSPECT and not in_time
-
-    def limit(self, rows: int) -> int:
-        """How long the answer to a question may take, in ns; `rows` in hand, 0 for no list."""
-        if not self.paced or (rows and not self.suspects_load(rows)):
-            return self._terms.answer
-        return PATIENT << min(self._given_up, PATIENT_DOUBLINGS)
-
-    def probe_every(self) -> int:
-        """Between two probes of a call that waits longer than usual, in ns."""
-        return max(PROBE_LEAST, fleet_bound(self._asking()) // 2)
-
-    def answered(self, took: int) -> None:
-        """A list, or word that nothing has changed, was in hand after so many ns."""
-        self.failures = self._given_up = 0
-        if took <= ANSWER_AIM:
-            self._loaded = 0
-
-    def failed(self, failure: Failure, took: int, rows: int) -> int:
-        """Count a failed call that took so many ns; the least pause until the next one, in ns."""
+        self._overload_failures = 0  # consecutive failures that too many callers may cause
+        self._timed_out = 0
+
+    def suspects_overload(self, rows: int) -> bool:
+        """Whether the failures may come from an overload, with so many rows in hand."""
+        lines_in_time = MIN_LINES_PER_S * EXPECTED_ANSWER_NS
+        in_time = self._active_callers() * rows * SECOND <= lines_in_time
+        return self.paced and self._overload_failures >= OVERLOAD_FAILURES and not in_time
+
+    def answer_timeout(self, rows: int) -> int:
+        """How long an answer may take, ns; `rows` in hand, 0 for no list."""
+        if not self.paced or (rows and not self.suspects_overload(rows)):
+            return self._timings.answer_timeout
+        return FIRST_LIST_TIMEOUT_NS << min(self._timed_out, MAX_TIMEOUT_DOUBLINGS)
+
+    def probe_interval(self) -> int:
+        """Between two probes of a call that waits longer than usual, ns."""
+        return max(MIN_PROBE_INTERVAL_NS, fleet_pause_bound(self._active_callers()) // 2)
+
+    def on_answer(self, elapsed: int) -> None:
+        """A list, or the answer that nothing has changed, came after so many ns."""
+        self.failures = self._timed_out = 0
+        if elapsed <= EXPECTED_ANSWER_NS:
+            self._overload_failures = 0
+
+    def on_failure(self, failure: PollFailure, elapsed: int, rows: int) -> int:
+        """Count a failed call that took so many ns; the least pause until the next one, ns."""
         self.failures += 1
-        if failure in (Failure.TURNED_AWAY, Failure.GIVEN_UP):
-            self._loaded += 1
-        if failure == Failure.GIVEN_UP and took >= PATIENT:
-            self._given_up += 1
+        if failure in (PollFailure.REJECTED, PollFailure.TIMED_OUT):
+            self._overload_failures += 1
+        if failure == PollFailure.TIMED_OUT and elapsed >= FIRST_LIST_TIMEOUT_NS:
+            self._timed_out += 1
         if not self.paced or self._shared:
             return 0
-        bound = self._bound_with(failure, took, rows) if rows else self._bound_without(failure)
+        if rows:
+            bound = self._bound_with_list(failure, elapsed, rows)
+        else:
+            bound = self._bound_without_list(failure)
         return self._random.randrange(bound + 1)
 
-    def _bound_with(self, failure: Failure, took: int, rows: int) -> int:
+    def _bound_with_list(self, failure: PollFailure, elapsed: int, rows: int) -> int:
         """0 stands for the host's usual pause."""
-        if failure == Failure.UNUSABLE or self.failures <= QUICK:
+        if failure == PollFailure.UNUSABLE or self.failures <= QUICK_FAILURES:
             return 0
-        fleet = max(PAUSE_MOST, fleet_bound(self._callers))
-        if failure == Failure.UNREACHED:
-            in_term = max(PAUSE_MOST, TOLD - ANSWER_AIM - SLACK - took)
-            return min(self._doubled(PAUSE_MOST, self.failures - QUICK), fleet, in_term)
-        return fleet if self.suspects_load(rows) else 0
-
-    def _bound_without(self, failure: Failure) -> int:
-        fleet = fleet_bound(self._callers)
-        waited = failure in (Failure.TURNED_AWAY, Failure.GIVEN_UP)
-        first = max(PAUSE_MOST, fleet) if waited else PAUSE_MOST
-        return min(self._doubled(first, self.failures - 1), max(WITHOUT_LIST, fleet))
-
-    def _asking(self) -> int:
+        fleet = max(MAX_PAUSE_NS, fleet_pause_bound(self._callers))
+        if failure == PollFailure.UNREACHABLE:
+            remaining = MAX_NOTIFICATION_NS - EXPECTED_ANSWER_NS - PAUSE_MARGIN_NS - elapsed
+            doubled = _doubled(MAX_PAUSE_NS, self.failures - QUICK_FAILURES)
+            return min(doubled, fleet, max(MAX_PAUSE_NS, remaining))
+        return fleet if self.suspects_overload(rows) else 0
+
+    def _bound_without_list(self, failure: PollFailure) -> int:
+        fleet = fleet_pause_bound(self._callers)
+        waited = failure in (PollFailure.REJECTED, PollFailure.TIMED_OUT)
+        first = max(MAX_PAUSE_NS, fleet) if waited else MAX_PAUSE_NS
+        return min(_doubled(first, self.failures - 1), max(FIRST_LIST_PAUSE_NS, fleet))
+
+    def _active_callers(self) -> int:
         """How many nodes call the service."""
         return READERS if self._shared else self._callers
 
-    @staticmethod
-    def _doubled(first: int, times: int) -> int:
-        return first << min(times, 16)
+
+def _doubled(first: int, times: int) -> int:
+    return first << min(times, MAX_PAUSE_DOUBLINGS)
--- a/loadbalancer/core/endpoints/poll_timing.py
+++ b/loadbalancer/core/endpoints/poll_timing.py
@@ -1,32 +1,33 @@
-"""How the list of servers is asked for: how long a call may wait, and how soon the next one comes.
-
-Where discovery is asked, whatever else is allowed, a change counts as told TOLD after discovery
-had it and could be reached. The worst case is a watch that falls silent as it begins, with a
-change at once. What passes until the change is in hand, all of it counted from that moment:
-
-    HOLD + LATE       the watch is given up                                    3.5 s
-    an answer at once what has changed since, asked for with no wait           ANSWER_AIM, 2 s
-                                                                       together 5.5 s of TOLD
-
-The other one is a service that returns just after a call has begun. One that nobody takes up
-is given up after CONNECT; one that is taken up and not answered, after ANSWER:
-
-    ANSWER            the call is given up                                     3.5 s
-    PAUSE_MOST        until the next one                                       0.5 s
-    an answer at once                                                          ANSWER_AIM, 2 s
-                                                                       together 6.0 s of TOLD
-
-ANSWER is longer than ANSWER_AIM for a service with too many callers: it turns a call away once
-that has waited a few seconds, and calls given up sooner would keep it busy with answers that
-nobody takes. The load: a node's watch ends every HOLD, with an answer that carries no line
-where nothing has changed; while the service is down each node calls once in PAUSE_LEAST to
-PAUSE_MOST where it refuses, and once in CONNECT and more where it is silent. What failures in a
-row change in this, and what holds for a node without a list, stands in `caller.py`.
-
-Where lists are pushed, the agent's state counts from the moment that it has it, and an agent on
-the node's own machine answers at no cost: there every span is a part of the drain's grace, so
-that a change the agent has is in hand before the grace is over, even where a call had begun
-just before the agent could tell.
+"""How the list of servers is polled: how long a call may wait, and how soon the next one begins.
+
+Where discovery is polled, a change counts as notified MAX_NOTIFICATION_NS after discovery had it
+and could be reached, whatever else is allowed. The worst case is a watch that falls silent as it
+begins, with a change at once. Until the change is in hand pass, counted from that moment:
+
+    HOLD_NS + HOLD_MARGIN_NS   the watch is given up                                     3.5 s
+    an answer at once          what has changed since, polled without a wait             2 s
+                               (EXPECTED_ANSWER_NS)                            together  5.5 s
+
+The other case is a service that returns just after a call has begun. A call that is not accepted
+is given up after CONNECT_TIMEOUT_NS, one that is not answered after ANSWER_TIMEOUT_NS:
+
+    ANSWER_TIMEOUT_NS          the call is given up                                      3.5 s
+    MAX_PAUSE_NS               until the next one                                        0.5 s
+    an answer at once          EXPECTED_ANSWER_NS                                        2 s
+                               together MAX_NOTIFICATION_NS                              6.0 s
+
+ANSWER_TIMEOUT_NS is longer than EXPECTED_ANSWER_NS for a service with too many callers: it rejects
+a call that has waited a few seconds, and calls given up sooner would keep it busy with answers
+that nobody reads. The load: a node's watch ends every HOLD_NS, with an answer without a line
+where nothing has changed; while the service is down each node calls once in MIN_PAUSE_NS to
+MAX_PAUSE_NS where it refuses, and once in CONNECT_TIMEOUT_NS and more where it is silent. What
+consecutive failures change in this, and what holds for a node without a list, is in
+`poll_backoff.py`.
+
+Where lists are pushed, the agent's state counts from the moment that the agent has it, and an
+agent on the node's own machine answers at no cost: there every span is a part of the drain's
+grace, so that a change the agent has is in hand before the grace ends, even where a call had
+begun just before the agent could be reached.
 """
 
 from __future__ import annotations
@@ -35,45 +36,47 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND, Settings
 
-TOLD = 6 * SECOND
-HOLD = 2 * SECOND
-LATE = 1500 * MS
-CONNECT = SECOND
-ANSWER = 3500 * MS
-ANSWER_AIM = 2 * SECOND
-PAUSE_LEAST = 200 * MS
-PAUSE_MOST = 500 * MS
-LEAST = 10 * MS  # of any span, where the grace is hardly any
+MAX_NOTIFICATION_NS = 6 * SECOND
+HOLD_NS = 2 * SECOND
+HOLD_MARGIN_NS = 1500 * MS
+CONNECT_TIMEOUT_NS = SECOND
+ANSWER_TIMEOUT_NS = 3500 * MS
+EXPECTED_ANSWER_NS = 2 * SECOND
+MIN_PAUSE_NS = 200 * MS
+MAX_PAUSE_NS = 500 * MS
+MIN_SPAN_NS = 10 * MS  # of any span, where the grace is very short
 
 
-class Terms(NamedTuple):
+class PollTimings(NamedTuple):
     """Spans in nanoseconds."""
 
-    hold: int  # that a watch may wait for news
-    late: int  # beyond it, until the watch is given up as silent
-    connect: int  # for a connection to come up
-    answer: int  # for an answer that is due at once
-    pause_least: int  # between a failed call and the next one
-    pause_most: int
+    hold: int  # how long a watch may wait for a change
+    hold_margin: int  # beyond it, until the watch is given up as silent
+    connect_timeout: int
+    answer_timeout: int  # for an answer that is due at once
+    min_pause: int  # between a failed call and the next one
+    max_pause: int
 
 
-ASKED = Terms(HOLD, LATE, CONNECT, ANSWER, PAUSE_LEAST, PAUSE_MOST)
+POLLED = PollTimings(
+    HOLD_NS, HOLD_MARGIN_NS, CONNECT_TIMEOUT_NS, ANSWER_TIMEOUT_NS, MIN_PAUSE_NS, MAX_PAUSE_NS
+)
 
 
-def terms(settings: Settings) -> Terms:
+def poll_timings(settings: Settings) -> PollTimings:
     """The spans for these settings."""
     if settings.poll:
-        return ASKED
+        return POLLED
     grace = settings.drain_grace
 
-    def part(most: int, of: int) -> int:
-        return max(min(most, grace // of), LEAST)
+    def part(maximum: int, divisor: int) -> int:
+        return max(min(maximum, grace // divisor), MIN_SPAN_NS)
 
-    return Terms(
-        part(HOLD, 2),
-        part(LATE, 8),
-        part(CONNECT, 8),
-        part(ANSWER, 4),
-        part(PAUSE_LEAST, 32),
-        part(PAUSE_MOST, 16),
+    return PollTimings(
+        part(HOLD_NS, 2),
+        part(HOLD_MARGIN_NS, 8),
+        part(CONNECT_TIMEOUT_NS, 8),
+        part(ANSWER_TIMEOUT_NS, 4),
+        part(MIN_PAUSE_NS, 32),
+        part(MAX_PAUSE_NS, 16),
     )
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -89,11 +89,11 @@
         # Here and not above: without its file the node is as small as ever.
         from pathlib import Path
 
-        from loadbalancer.core.endpoints.attempt_evidence import alive
+        from loadbalancer.core.endpoints.attempt_evidence import is_alive
         from loadbalancer.sources.consul.source import ConsulMembers
 
         def answers(backend: int) -> bool | None:
-            return alive(self.balancer, time.monotonic_ns(), backend)
+            return is_alive(self.balancer, time.monotonic_ns(), backend)
 
         return ConsulMembers(Path(config.consul), config, self.members_told, self.log, answers)
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -14,9 +14,9 @@
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.poll_backoff import Caller, Failure, failure_of
-from loadbalancer.core.endpoints.poll_timing import terms
-from loadbalancer.core.endpoints.revisions import Lag
+from loadbalancer.core.endpoints.poll_backoff import PollBackoff, PollFailure, classify_failure
+from loadbalancer.core.endpoints.poll_timing import poll_timings
+from loadbalancer.core.endpoints.revisions import OlderAnswerFilter
 from loadbalancer.core.errors import ProtocolError
 from loadbalancer.sources.http_get import Answer, Call, Probe
 
@@ -144,8 +144,8 @@
 
     old_after = 30_000_000_000  # ns without a word: a watch is answered within seconds
 
-    __slots__ = ("_address", "_anew", "_asked_at", "_call", "_caller", "_lag", "_limit",
-                 "_not_before", "_probe", "_readers", "_resting", "_retry", "_terms", "_told",
+    __slots__ = ("_address", "_anew", "_asked_at", "_call", "_backoff", "_older_answers", "_limit",
+                 "_not_before", "_probe", "_readers", "_resting", "_retry", "_timings", "_told",
                  "_waits", "_word", "log", "pass_on", "roster")  # fmt: skip
 
     def __init__(
@@ -156,13 +156,13 @@
     ) -> None:
         self._address = config.discovery
         self._told = told
-        self._terms = terms(config.settings)
-        self._lag = Lag()
+        self._timings = poll_timings(config.settings)
+        self._older_answers = OlderAnswerFilter()
         # What is in hand may be another service's, or have a gap: no changes, but the whole
         # list is asked for, until one has been taken.
         self._anew = False
         self._call: Call | None = None
-        self._caller = Caller(config.settings, Random(config.seed))
+        self._backoff = PollBackoff(config.settings, Random(config.seed))
         self._asked_at = self._limit = 0  # of the call that is out, in ns
         self._not_before = 0  # monotonic ns: the next call after a failure
         self._retry: asyncio.TimerHandle | None = None  # until then
@@ -183,7 +183,7 @@
     @readers.setter
     def readers(self, readers: ListReaders) -> None:
         self._readers = readers
-        self._caller.share()
+        self._backoff.share()
 
     def known(self, raw: Any) -> list[Listing]:
         """The list from the configuration; ListError where it is malformed."""
@@ -225,14 +225,14 @@
         list comes first is taken. Would do harm if that list were older than
         ours, for as long as the next change takes to come.
         """
-        self._terms = terms(settings)
-        self._caller.go_by(settings)
+        self._timings = poll_timings(settings)
+        self._backoff.configure(settings)
         if address == self._address:
             return
         self.log(f"discovery is at {address} now")
         self._address = address
         self._drop_call()
-        self._caller.reset()
+        self._backoff.reset()
         self._not_before = 0
         self._trust()
         if not self._resting and self._may_ask():
@@ -246,7 +246,7 @@
         """Ask nothing while another process of this node watches for both, and is heard."""
         self._resting = True
         self._drop_call()
-        self._hear_by(self._terms.hold + self._terms.late)
+        self._hear_by(self._timings.hold + self._timings.hold_margin)
 
     def go_on(self) -> None:
         """That process has gone, or fallen silent: watch again, from the version in hand."""
@@ -257,13 +257,13 @@
     def hear(self, body: bytes) -> None:
         """An answer that another process of this node was given."""
         if self._resting:
-            self._hear_by(self._terms.hold + self._terms.late)
+            self._hear_by(self._timings.hold + self._timings.hold_margin)
         self._take(body, False)
 
     def passed(self, raw: dict[str, Any]) -> None:
         """The list as another node has read it; ListError where it can't be used."""
         update, rows, endpoints = self.roster.read(raw)
-        self._lag = Lag()
+        self._older_answers = OlderAnswerFilter()
         stale = self.roster.apply(raw["rev"], update, rows, endpoints)
         if self.pass_on is not None:
             self.pass_on(json.dumps(raw).encode())
@@ -279,7 +279,7 @@
     def _trust(self) -> None:
         """What is in hand may be another service's: the next whole list is right."""
         self._anew = True
-        self._lag.trust()
+        self._older_answers.accept_next()
 
     def _hear_by(self, span: int) -> None:
         """Watch again unless the other process is heard within this span; 0 for no limit."""
@@ -312,18 +312,26 @@
     def _ask(self, wait: int) -> None:
         """Ask for what has changed, waiting for it so many ns, or for the whole list."""
         assert self._call is None
-        spans = self._terms
+        timings = self._timings
         self._waits = wait > 0 and not self._anew
         target = LIST
         if not self._anew:
             target += f"?from={self.roster.rev}&hold_ms={max(wait // MS, 1)}"
-        limit = wait + spans.late if self._waits else self._caller.limit(self._rows())
+        limit = (
+            wait + timings.hold_margin
+            if self._waits
+            else self._backoff.answer_timeout(self._rows())
+        )
         self._asked_at, self._limit = time.monotonic_ns(), limit
         self._call = Call(
-            self._address, target, limit / SECOND, self._answered, connect=spans.connect / SECOND
+            self._address,
+            target,
+            limit / SECOND,
+            self._answered,
+            connect=timings.connect_timeout / SECOND,
         )
-        if not self._waits and limit > spans.answer:
-            self._probe_in(spans.answer)
+        if not self._waits and limit > timings.answer_timeout:
+            self._probe_in(timings.answer_timeout)
 
     def _rows(self) -> int:
         return len(self.roster.endpoints)
@@ -334,21 +342,21 @@
 
     def _send_probe(self) -> None:
         """A service that no connection reaches any more will not answer the call that is out."""
-        self._probe = Probe(self._address, self._terms.connect / SECOND, self._probed)
+        self._probe = Probe(self._address, self._timings.connect_timeout / SECOND, self._probed)
 
     def _probed(self, reached: bool) -> None:
         if reached:
-            self._probe_in(self._caller.probe_every())
+            self._probe_in(self._backoff.probe_interval())
             return
         self.log("discovery is out of reach: the call that waits for it is given up")
         self._drop_call()
-        self._fail(Failure.UNREACHED)
+        self._fail(PollFailure.UNREACHABLE)
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: PollFailure) -> None:
         """Count a failed call; the host asks to watch again."""
         now = time.monotonic_ns()
         took = now - self._asked_at
-        self._not_before = now + self._caller.failed(failure, took, self._rows())
+        self._not_before = now + self._backoff.on_failure(failure, took, self._rows())
         self._told(Update.FAILED, [], [])
 
     def _answered(self, answer: Answer | None) -> None:
@@ -364,15 +372,15 @@
         body = answer.body if answer is not None and answer.status == 200 else None
         if self._take(body):
             if not self._waits:
-                self._caller.answered(took)
+                self._backoff.on_answer(took)
             # At once: after 200 ms discovery would count it as a new watch, and
             # what changed in between as told late. Whoever was told may have ended this.
             if self._call is None and not self._resting and self._may_ask():
-                self._ask(self._terms.hold)
+                self._ask(self._timings.hold)
         else:
             connected = call is not None and call.connected
             in_queue = 0 if self._waits else took  # a watch waits for news
-            self._fail(failure_of(in_queue, self._limit, connected, body is not None))
+            self._fail(classify_failure(in_queue, self._limit, connected, body is not None))
 
     def _take(self, body: bytes | None, own: bool = True) -> bool:
         """Pass on an answer, to us or not; False where it failed and the list in hand stays."""
@@ -385,14 +393,14 @@
             rev, whole = raw["rev"], update == Update.FULL
             if self._anew and not whole:
                 raise ListError("it has changes alone where the whole list is needed")
-            if not self._lag.takes(rev, whole, roster.rev):
+            if not self._older_answers.accepts(rev, whole, roster.rev):
                 self._anew = True  # changes of another count would never fit ours
                 raise ListError(f"version {rev} is older than {roster.rev}")
         except (ListError, ValueError, RecursionError) as err:
             if body is not None:
                 self.log(f"discovery answer not used: {err}")
             if self.readers is not None and own:
-                self.readers.failed(raw is not None and self._lag.older > 0)
+                self.readers.failed(raw is not None and self._older_answers.older > 0)
             return False
         self._anew = False
         stale = roster.apply(rev, update, rows, endpoints)
--- a/simulation/list_callers.py
+++ b/simulation/list_callers.py
@@ -1,6 +1,6 @@
 """Callers of one list service and nothing else: what a whole fleet's calls come to.
 
-Each caller goes by the product's own `Caller` and asks the pauses of a Balancer beside it; the
+Each caller goes by the product's own `PollBackoff` and asks the pauses of a Balancer beside it; the
 service works through calls in turn, so many lines a second, turns away who has waited too long,
 and works on for callers that have given up. Thousands of callers in seconds of real time, which
 `simulation/list_world.py` with its whole nodes is too slow for.
@@ -23,8 +23,8 @@
 
 from loadbalancer.core import RequestClass, Settings
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.poll_backoff import QUICK, Caller, failure_of
-from loadbalancer.core.endpoints.poll_timing import CONNECT, PAUSE_LEAST, PAUSE_MOST
+from loadbalancer.core.endpoints.poll_backoff import QUICK_FAILURES, PollBackoff, classify_failure
+from loadbalancer.core.endpoints.poll_timing import CONNECT_TIMEOUT_NS, MAX_PAUSE_NS, MIN_PAUSE_NS
 from simulation.digest import Digest
 from simulation.seeds import run
 
@@ -55,7 +55,7 @@
         self.plan, self.rows, self.lines = plan, rows, lines
         self.random = Random(seed)
         settings = Settings((CLASS,), nodes=nodes, poll=True)
-        self.callers = [Caller(settings, Random(seed * 1_000_003 + n)) for n in range(nodes)]
+        self.callers = [PollBackoff(settings, Random(seed * 1_000_003 + n)) for n in range(nodes)]
         self.done_at: dict[int, int] = {}
         self.calls: Counter[int] = Counter()  # by second
         self.counts: Counter[str] = Counter()
@@ -89,12 +89,12 @@
         number, began = self._number[node], self.now
         self.calls[began // SECOND] += 1
         self.counts["calls"] += 1
-        limit = self.callers[node].limit(self.rows)
+        limit = self.callers[node].answer_timeout(self.rows)
         if self.digest is not None:
             self.digest.add(began, node, number, limit)
         plan = self.plan
         if began < plan.silent_until:
-            self._later(began + CONNECT, self._failed, node, number, began, limit, False)
+            self._later(began + CONNECT_TIMEOUT_NS, self._failed, node, number, began, limit, False)
             return
         if began < plan.refuses_until:
             self._later(began + TRIP, self._failed, node, number, began, limit, True)
@@ -115,7 +115,7 @@
             self.counts["lines for nobody"] += self.lines
             return
         self._number[node] += 1
-        self.callers[node].answered(self.now - began)
+        self.callers[node].on_answer(self.now - began)
         self.done_at[node] = self.now
         if self.digest is not None:
             self.digest.add(self.now, node, number)
@@ -125,9 +125,9 @@
             return
         self._number[node] += 1  # whatever still comes is for nobody
         took = self.now - began
-        failure = failure_of(took, limit, connected, False)
-        pause = self.callers[node].failed(failure, took, self.rows)
-        host = self.random.randint(PAUSE_LEAST, PAUSE_MOST)
+        failure = classify_failure(took, limit, connected, False)
+        pause = self.callers[node].on_failure(failure, took, self.rows)
+        host = self.random.randint(MIN_PAUSE_NS, MAX_PAUSE_NS)
         if self.digest is not None:
             self.digest.add(self.now, node, number, took, connected, pause, host)
         self._later(self.now + max(pause, host), self._ask, node)
@@ -151,7 +151,7 @@
     world = CallWorld(nodes, rows, lines, plan, SPREAD, seed, digest)
     needed = nodes * lines / plan.lines
     # With an old list the quick first rounds are given up: what the queue took in comes on top.
-    wasted = QUICK * (plan.patience / SECOND + 2) if rows else 0.0
+    wasted = QUICK_FAILURES * (plan.patience / SECOND + 2) if rows else 0.0
     back = max(plan.refuses_until, plan.silent_until) / SECOND
     within = back + 1.1 * needed + wasted
     if not world.run(int(within * SECOND)):
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -17,9 +17,9 @@
 
 from loadbalancer.core import Balancer, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND, Timer
-from loadbalancer.core.endpoints.poll_backoff import Caller, failure_of
-from loadbalancer.core.endpoints.poll_timing import HOLD, LATE
-from loadbalancer.core.endpoints.revisions import Lag, Revisions
+from loadbalancer.core.endpoints.poll_backoff import PollBackoff, classify_failure
+from loadbalancer.core.endpoints.poll_timing import HOLD_MARGIN_NS, HOLD_NS
+from loadbalancer.core.endpoints.revisions import OlderAnswerFilter, Revisions
 from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
@@ -96,7 +96,7 @@
         if rev:
             had, self.list = self.list.rows, Revisions(rev - 1)
             self.list.rows = had
-        self.list.move(self.list.rev + 1, rows)
+        self.list.advance(self.list.rev + 1, rows)
         waiting, self._watching = self._watching, []
         for asked in waiting:
             self._serve(asked)
@@ -161,14 +161,14 @@
         """`told`: the update and its rows, as the host is to hear them."""
         self.world, self.node, self.service = world, node, service
         self.rev, self.rows = known
-        self.lag = Lag()
+        self.lag = OlderAnswerFilter()
         self._told = told
         self._watching = False
         self._waits = False  # the call that is out is a watch
         self._calls = 0
         self._reads = False
         self._fleet = world.nodes[node]
-        self._caller = Caller(settings, Random(world.random.getrandbits(32)))
+        self._caller = PollBackoff(settings, Random(world.random.getrandbits(32)))
         if self._fleet.shared_list is not None:
             self._caller.share()
         self._asked_at = self._limit = 0  # of the call that is out
@@ -194,14 +194,14 @@
         self._watching = True
         unread = shared is not None and not shared.replica.version.epoch
         if unread:
-            self.lag.trust()
+            self.lag.accept_next()
         self._next(-1 if unread else self.rev, 0)
 
     def _next(self, since: int, hold: int) -> None:
         self._calls += 1
         self._waits = hold > 0
         asked = Asked(self, self._calls, since, hold)
-        limit = hold + LATE if hold else self._caller.limit(len(self.rows))
+        limit = hold + HOLD_MARGIN_NS if hold else self._caller.answer_timeout(len(self.rows))
         self._asked_at, self._limit = self.world.now, limit
         self.world.later(self.world.now + TRIP, self.service.call, asked)
         self.world.later(self.world.now + limit, self.answered, self._calls, None)
@@ -219,24 +219,24 @@
             self._next(self.rev, 0)
             return
         took = 0 if self._waits else self.world.now - self._asked_at
-        if answer is None or not self.lag.takes(answer[0], answer[2], self.rev):
+        if answer is None or not self.lag.accepts(answer[0], answer[2], self.rev):
             self._watching = False
             self._calls += 1
             if shared is not None:
                 shared.on_failure(now, answer is not None)
-            failure = failure_of(took, self._limit, True, answer is not None)
-            pause = self._caller.failed(failure, took, len(self.rows))
+            failure = classify_failure(took, self._limit, True, answer is not None)
+            pause = self._caller.on_failure(failure, took, len(self.rows))
             self._not_before = self.world.now + pause
             self._told(Update.FAILED, {})
             return
         if not self._waits:
-            self._caller.answered(took)
+            self._caller.on_answer(took)
         taken = ListUpdate(*answer)
         if shared is not None:
             self._fleet.on_list_read(now, *taken)
             self.world.poke(self.node)
         self._take(taken)
-        self._next(self.rev, HOLD)
+        self._next(self.rev, HOLD_NS)
 
     def _take(self, taken: ListUpdate) -> None:
         before = {} if taken.complete else self.rows
@@ -259,7 +259,7 @@
                 self.service.forget(self)
         news, shared.updates = shared.updates, []
         for taken in news:
-            self.lag = Lag()
+            self.lag = OlderAnswerFilter()
             self._take(taken)
 
 
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -11,9 +11,9 @@
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES, answered
-from loadbalancer.core.endpoints.attempt_evidence import alive
+from loadbalancer.core.endpoints.attempt_evidence import is_alive
 from loadbalancer.core.endpoints.merged_list import Health, Member, Members, Rules, Source, Word
-from loadbalancer.core.endpoints.revisions import KEPT, Revisions
+from loadbalancer.core.endpoints.revisions import MAX_CHANGES, Revisions
 from tests.recording_host import build
 
 MINUTE = 60 * SECOND
@@ -293,13 +293,13 @@
 
 def test_a_server_is_alive_or_dead_by_a_balancers_own_attempts() -> None:
     balancer, _ = build(count=2)
-    assert alive(balancer, SECOND, 100) is None and alive(balancer, SECOND, 9) is None
+    assert is_alive(balancer, SECOND, 100) is None and is_alive(balancer, SECOND, 9) is None
     b = balancer.endpoints[100]
     answered(SECOND, b)
-    assert alive(balancer, 2 * SECOND, 100) is True
-    assert alive(balancer, 7 * SECOND, 100) is None  # too long ago
+    assert is_alive(balancer, 2 * SECOND, 100) is True
+    assert is_alive(balancer, 7 * SECOND, 100) is None  # too long ago
     b.consecutive_failures = MAX_SILENT_FAILURES
-    assert alive(balancer, 2 * SECOND, 100) is False
+    assert is_alive(balancer, 2 * SECOND, 100) is False
 
 
 def test_a_holder_of_a_version_is_told_what_changed_or_all() -> None:
@@ -309,7 +309,7 @@
     assert r.replace({"a": 3}) and r.since(101) == ({"a": 3, "b": None}, False)
     for unknown in (0, 99, 103):
         assert r.since(unknown) == ({"a": 3}, True)
-    for i in range(KEPT):
+    for i in range(MAX_CHANGES):
         r.replace({"a": 4 + i})
-    assert r.since(102) == ({"a": 3 + KEPT}, False)
+    assert r.since(102) == ({"a": 3 + MAX_CHANGES}, False)
     assert r.since(101)[1]  # not remembered any more
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -9,18 +9,18 @@
 
 from loadbalancer.core import Settings
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints import poll_timing as asking
+from loadbalancer.core.endpoints import poll_timing as timing
 from loadbalancer.core.endpoints.poll_backoff import (
-    FLEET_CALLS,
-    LEAST_LINES,
-    PATIENT,
-    QUICK,
-    SUSPECT,
-    WITHOUT_LIST,
-    Caller,
-    Failure,
-    failure_of,
-    fleet_bound,
+    FIRST_LIST_PAUSE_NS,
+    FIRST_LIST_TIMEOUT_NS,
+    FLEET_CALLS_PER_S,
+    MIN_LINES_PER_S,
+    OVERLOAD_FAILURES,
+    QUICK_FAILURES,
+    PollBackoff,
+    PollFailure,
+    classify_failure,
+    fleet_pause_bound,
 )
 from simulation.list_callers import CallWorld, ServicePlan
 from simulation.list_world import ListWorld
@@ -28,112 +28,122 @@
 
 ROWS = 200
 FLEETS = [40, 200, 7800]
-SPREAD = 2500 * MS  # of first calls, as the settings' usual time for asking has it
-
-
-def caller(nodes: int = 40, ask: bool = True) -> Caller:
-    return Caller(Settings((PURE,), nodes=nodes, poll=ask), Random(1))
-
-
-def loaded(nodes: int, failure: Failure = Failure.TURNED_AWAY) -> Caller:
-    """One that holds a list and suspects the service's load."""
-    c = caller(nodes)
-    for _ in range(SUSPECT):
-        c.failed(failure, asking.ANSWER, ROWS)
-    assert c.suspects_load(ROWS)
-    return c
-
-
-def test_a_failed_call_says_how_it_ended() -> None:
-    limit = asking.ANSWER
-    assert failure_of(MS, limit, False, False) == Failure.UNREACHED
-    assert failure_of(MS, limit, True, False) == Failure.UNREACHED
-    assert failure_of(3 * SECOND, limit, True, False) == Failure.TURNED_AWAY
-    assert failure_of(limit, limit, True, False) == Failure.GIVEN_UP
-    assert failure_of(MS, limit, True, True) == Failure.UNUSABLE
-
-
-def test_without_a_list_a_call_waits_for_the_service_s_own_word() -> None:
-    c = caller()
-    assert c.limit(0) == PATIENT and c.limit(ROWS) == asking.ANSWER
-    c.failed(Failure.GIVEN_UP, PATIENT, 0)
-    assert c.limit(0) == 2 * PATIENT
-    assert caller(ask=False).limit(0) < asking.ANSWER  # an agent answers at no cost
-
-
-@pytest.mark.parametrize("failure", Failure)
-def test_with_a_list_the_first_failures_change_nothing(failure: Failure) -> None:
-    c = caller(7800)
-    for number in range(QUICK):
-        assert c.limit(ROWS) == asking.ANSWER
-        pause = c.failed(failure, asking.ANSWER, ROWS)
-        if number < QUICK - 1 or failure in (Failure.UNREACHED, Failure.UNUSABLE):
+SPREAD = 2500 * MS  # of first calls, as by default in the settings
+
+
+def new_backoff(nodes: int = 40, poll: bool = True) -> PollBackoff:
+    return PollBackoff(Settings((PURE,), nodes=nodes, poll=poll), Random(1))
+
+
+def overloaded(nodes: int, failure: PollFailure = PollFailure.REJECTED) -> PollBackoff:
+    """The backoff of a node with a list that suspects an overload of the service."""
+    backoff = new_backoff(nodes)
+    for _ in range(OVERLOAD_FAILURES):
+        backoff.on_failure(failure, timing.ANSWER_TIMEOUT_NS, ROWS)
+    assert backoff.suspects_overload(ROWS)
+    return backoff
+
+
+def test_a_failed_call_is_classified_by_how_it_ended() -> None:
+    limit = timing.ANSWER_TIMEOUT_NS
+    assert classify_failure(MS, limit, False, False) == PollFailure.UNREACHABLE
+    assert classify_failure(MS, limit, True, False) == PollFailure.UNREACHABLE
+    assert classify_failure(3 * SECOND, limit, True, False) == PollFailure.REJECTED
+    assert classify_failure(limit, limit, True, False) == PollFailure.TIMED_OUT
+    assert classify_failure(MS, limit, True, True) == PollFailure.UNUSABLE
+
+
+def test_without_a_list_a_call_waits_for_the_service_s_own_answer() -> None:
+    backoff = new_backoff()
+    assert backoff.answer_timeout(0) == FIRST_LIST_TIMEOUT_NS
+    assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
+    backoff.on_failure(PollFailure.TIMED_OUT, FIRST_LIST_TIMEOUT_NS, 0)
+    assert backoff.answer_timeout(0) == 2 * FIRST_LIST_TIMEOUT_NS
+    assert (
+        new_backoff(poll=False).answer_timeout(0) < timing.ANSWER_TIMEOUT_NS
+    )  # an agent answers at no cost
+
+
+@pytest.mark.parametrize("failure", PollFailure)
+def test_with_a_list_the_first_failures_change_nothing(failure: PollFailure) -> None:
+    backoff = new_backoff(7800)
+    for number in range(QUICK_FAILURES):
+        assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
+        pause = backoff.on_failure(failure, timing.ANSWER_TIMEOUT_NS, ROWS)
+        if number < QUICK_FAILURES - 1 or failure in (
+            PollFailure.UNREACHABLE,
+            PollFailure.UNUSABLE,
+        ):
             assert pause == 0
 
 
-def test_answers_that_can_t_be_used_are_asked_for_again_as_ever() -> None:
-    c = caller(7800)
-    assert {c.failed(Failure.UNUSABLE, MS, ROWS) for _ in range(50)} == {0}
-    assert c.limit(ROWS) == asking.ANSWER
+def test_after_unusable_answers_polls_go_on_at_the_usual_pace() -> None:
+    backoff = new_backoff(7800)
+    assert {backoff.on_failure(PollFailure.UNUSABLE, MS, ROWS) for _ in range(50)} == {0}
+    assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
 
 
-def test_the_suspicion_of_load_ends_with_an_answer_in_time_alone() -> None:
-    c = loaded(40)
-    assert c.limit(ROWS) == PATIENT
-    c.answered(asking.ANSWER_AIM + 1)
-    assert c.suspects_load(ROWS)
-    c.answered(asking.ANSWER_AIM)
-    assert not c.suspects_load(ROWS) and c.limit(ROWS) == asking.ANSWER
+def test_the_suspicion_of_an_overload_ends_only_with_an_answer_in_time() -> None:
+    backoff = overloaded(40)
+    assert backoff.answer_timeout(ROWS) == FIRST_LIST_TIMEOUT_NS
+    backoff.on_answer(timing.EXPECTED_ANSWER_NS + 1)
+    assert backoff.suspects_overload(ROWS)
+    backoff.on_answer(timing.EXPECTED_ANSWER_NS)
+    assert not backoff.suspects_overload(ROWS)
+    assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
 
 
-def test_where_all_whole_lists_could_be_given_in_time_no_load_is_suspected() -> None:
-    """A handful of nodes: what is silent there is silent, and the quick terms go on."""
-    rows = LEAST_LINES * asking.ANSWER_AIM // SECOND // 5
-    c = caller(5)
+def test_where_all_complete_lists_fit_into_the_time_no_overload_is_suspected() -> None:
+    """With a few nodes a silent service is down, not overloaded, and polls stay quick."""
+    rows = MIN_LINES_PER_S * timing.EXPECTED_ANSWER_NS // SECOND // 5
+    backoff = new_backoff(5)
     for _ in range(30):
-        assert c.failed(Failure.GIVEN_UP, asking.ANSWER, rows) == 0
-        assert c.limit(rows) == asking.ANSWER
-        assert c.failed(Failure.UNREACHED, MS, rows) <= asking.PAUSE_MOST
+        assert backoff.on_failure(PollFailure.TIMED_OUT, timing.ANSWER_TIMEOUT_NS, rows) == 0
+        assert backoff.answer_timeout(rows) == timing.ANSWER_TIMEOUT_NS
+        assert backoff.on_failure(PollFailure.UNREACHABLE, MS, rows) <= timing.MAX_PAUSE_NS
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
-@pytest.mark.parametrize("took", [0, asking.CONNECT])
+@pytest.mark.parametrize("took", [0, timing.CONNECT_TIMEOUT_NS])
 def test_a_change_is_in_hand_six_seconds_after_an_outage(nodes: int, took: int) -> None:
     """The call that failed had begun just before the service came back."""
-    c = caller(nodes)
-    pauses = [c.failed(Failure.UNREACHED, took, ROWS) for _ in range(300)]
-    longest = max(asking.PAUSE_MOST, *pauses)
-    assert took + longest + asking.ANSWER_AIM <= asking.TOLD
-    if nodes >= 200:  # and it is not the shortest any more
-        assert longest > 4 * asking.PAUSE_MOST
+    backoff = new_backoff(nodes)
+    pauses = [backoff.on_failure(PollFailure.UNREACHABLE, took, ROWS) for _ in range(300)]
+    longest = max(timing.MAX_PAUSE_NS, *pauses)
+    assert took + longest + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
+    if nodes >= 200:  # and no longer the shortest
+        assert longest > 4 * timing.MAX_PAUSE_NS
 
 
 @pytest.mark.parametrize("nodes", [40, 200])
 def test_after_a_refusal_under_load_a_change_is_in_hand_six_seconds_later(nodes: int) -> None:
-    c = loaded(nodes)
-    pauses = [c.failed(Failure.TURNED_AWAY, 3 * SECOND, ROWS) for _ in range(300)]
-    assert max(asking.PAUSE_MOST, *pauses) + asking.ANSWER_AIM <= asking.TOLD
+    backoff = overloaded(nodes)
+    pauses = [backoff.on_failure(PollFailure.REJECTED, 3 * SECOND, ROWS) for _ in range(300)]
+    assert (
+        max(timing.MAX_PAUSE_NS, *pauses) + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
+    )
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
 @pytest.mark.parametrize("rows", [0, ROWS])
-def test_all_nodes_together_ask_less_than_the_service_can_answer(nodes: int, rows: int) -> None:
-    """The mean of what they ask, and its peak where all began at once: e times half of it."""
-    c = loaded(nodes)
-    pauses = [c.failed(Failure.TURNED_AWAY, 3 * SECOND, rows) for _ in range(4000)]
-    host = (asking.PAUSE_LEAST + asking.PAUSE_MOST) / 2
+def test_all_nodes_together_poll_less_than_the_service_can_answer(nodes: int, rows: int) -> None:
+    """The mean of their calls, and its peak where all begin at once: e times half of it."""
+    backoff = overloaded(nodes)
+    pauses = [backoff.on_failure(PollFailure.REJECTED, 3 * SECOND, rows) for _ in range(4000)]
+    host = (timing.MIN_PAUSE_NS + timing.MAX_PAUSE_NS) / 2
     mean = max(sum(pauses) / len(pauses), host)
-    assert nodes * SECOND / mean <= 1.05 * FLEET_CALLS
-    assert math.e * nodes * SECOND / fleet_bound(nodes) < LEAST_LINES
-    assert max(pauses) <= max(WITHOUT_LIST, fleet_bound(nodes))
+    assert nodes * SECOND / mean <= 1.05 * FLEET_CALLS_PER_S
+    assert math.e * nodes * SECOND / fleet_pause_bound(nodes) < MIN_LINES_PER_S
+    assert max(pauses) <= max(FIRST_LIST_PAUSE_NS, fleet_pause_bound(nodes))
 
 
-def test_an_agent_and_a_few_readers_are_asked_as_ever() -> None:
-    agent, reader = caller(7800, ask=False), caller(7800)
+def test_agents_and_shared_lists_are_polled_at_the_usual_pace() -> None:
+    agent, reader = new_backoff(7800, poll=False), new_backoff(7800)
     reader.share()
-    for c in (agent, reader):
-        assert {c.failed(Failure.UNREACHED, MS, 0) for _ in range(20)} == {0}
-    assert reader.probe_every() == SECOND and caller(7800).probe_every() > 60 * SECOND
+    for backoff in (agent, reader):
+        assert {backoff.on_failure(PollFailure.UNREACHABLE, MS, 0) for _ in range(20)} == {0}
+    assert reader.probe_interval() == SECOND
+    assert new_backoff(7800).probe_interval() > 60 * SECOND
 
 
 # ---- the sum of all calls, calls given up counted as work ------------------------
@@ -155,8 +165,8 @@
 ) -> None:
     world = CallWorld(nodes, 0, servers, plan, SPREAD)
     needed = nodes * servers / plan.lines
-    back = max(plan.refuses_until, plan.silent_until) / SECOND
-    assert world.run(int((back + 1.1 * needed) * SECOND))
+    returns_at_s = max(plan.refuses_until, plan.silent_until) / SECOND
+    assert world.run(int((returns_at_s + 1.1 * needed) * SECOND))
     assert world.counts["lines for nobody"] == 0
     assert world.counts["lines"] == nodes * servers
 
@@ -168,16 +178,16 @@
     world = CallWorld(7800, rows, 270, plan, SPREAD)
     world.run(150 * SECOND)
     settled = SPREAD // SECOND + 2 * 5 + 3
-    assert max(world.calls[s] for s in range(settled, 150)) < LEAST_LINES
+    assert max(world.calls[s] for s in range(settled, 150)) < MIN_LINES_PER_S
     # With a list, calls of the quick first rounds are given up: what the queue took in, once each.
-    most = QUICK * plan.lines * (plan.patience / SECOND + 2) if rows else 0
-    assert world.counts["lines for nobody"] <= most
+    max_wasted = QUICK_FAILURES * plan.lines * (plan.patience / SECOND + 2) if rows else 0
+    assert world.counts["lines for nobody"] <= max_wasted
 
 
 @pytest.mark.parametrize(("nodes", "lines"), [(40, 100), (200, 270)])
 def test_a_fleet_with_an_old_list_gets_the_new_one_without_a_storm(nodes: int, lines: int) -> None:
     world = CallWorld(nodes, lines, lines, ServicePlan(), SPREAD)
-    wasted = QUICK * 200 * 7  # lines: what the queue takes in during the quick rounds
+    wasted = QUICK_FAILURES * 200 * 7  # lines: what the queue takes in during the quick rounds
     assert world.run((nodes * lines + wasted) * SECOND // 200)
     assert world.counts["lines for nobody"] <= wasted
 
@@ -189,11 +199,11 @@
         ServicePlan(silent_until=20 * SECOND),
     ):
         world = CallWorld(200, 270, 1, plan, SPREAD)
-        assert world.run(20 * SECOND + asking.TOLD)
+        assert world.run(20 * SECOND + timing.MAX_NOTIFICATION_NS)
 
 
 def test_two_hundred_cold_nodes_of_the_world_all_have_the_list_in_time() -> None:
-    """Whole nodes' own Balancers say when to ask; each for itself, 270 rows of 200 a second."""
+    """Whole nodes' own Balancers say when to poll; each for itself, 270 rows of 200 a second."""
     world = ListWorld(200, 270, 1, 0)
     world.service.patience = 5 * SECOND
     world.start_all()
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -1,6 +1,6 @@
-"""The list of servers is asked for in time: silent watches, broken ones, moved services.
+"""The list of servers is polled in time: silent watches, broken ones, moved services.
 
-Peers force each order: what the node asks next is awaited, never slept for.
+Peers force each order: the node's next call is awaited, never slept for.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from loadbalancer.config.node import load
 from loadbalancer.core import Settings
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints import poll_timing as asking
-from loadbalancer.core.endpoints.poll_timing import terms
+from loadbalancer.core.endpoints import poll_timing as timing
+from loadbalancer.core.endpoints.poll_timing import poll_timings
 from loadbalancer.sources.discovery import ListError, Roster
 from tests.harness import (
     Peer,
@@ -37,21 +37,32 @@
 
 
 def test_a_change_is_in_hand_six_seconds_after_discovery_had_it() -> None:
-    t = terms(Settings((PURE,), poll=True))
-    assert t.hold + t.late + asking.ANSWER_AIM <= asking.TOLD
-    assert max(t.answer, t.connect) + t.pause_most + asking.ANSWER_AIM <= asking.TOLD
+    timings = poll_timings(Settings((PURE,), poll=True))
+    assert (
+        timings.hold + timings.hold_margin + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
+    )
+    assert (
+        max(timings.answer_timeout, timings.connect_timeout)
+        + timings.max_pause
+        + timing.EXPECTED_ANSWER_NS
+        <= timing.MAX_NOTIFICATION_NS
+    )
 
 
 @pytest.mark.parametrize("grace", [500 * MS, SECOND, 2 * SECOND, 60 * SECOND])
 def test_what_an_agent_has_is_in_hand_within_the_grace(grace: int) -> None:
-    t = terms(Settings((PURE,), poll=False, drain_grace=grace))
-    for silent in (t.hold + t.late, t.answer + t.pause_most, t.connect + t.pause_most):
-        assert silent + t.connect < grace
-    assert terms(Settings((PURE,), poll=False, drain_grace=0)).pause_least > 0  # no busy loop
+    timings = poll_timings(Settings((PURE,), poll=False, drain_grace=grace))
+    for silent in (
+        timings.hold + timings.hold_margin,
+        timings.answer_timeout + timings.max_pause,
+        timings.connect_timeout + timings.max_pause,
+    ):
+        assert silent + timings.connect_timeout < grace
+    assert poll_timings(Settings((PURE,), poll=False, drain_grace=0)).min_pause > 0  # no busy loop
 
 
-class Asked:
-    """Discovery, one call after another, answered by hand."""
+class ScriptedDiscovery:
+    """Discovery, one call after another, answered by the test."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -60,110 +71,115 @@
         peer = accept(self.sock)
         return peer, peer.message()[0]
 
-    def answers(self, question: str, *targets: dict[str, object], rev: int, whole: bool) -> None:
-        """The next call asks this, and gets that."""
+    def answers(self, query: str, *targets: dict[str, object], rev: int, whole: bool) -> None:
+        """The next call has this query, and gets these targets."""
         peer, line = self.call()
-        assert question in line, line
+        assert query in line, line
         peer.send(answer(json.dumps(roster(*targets, rev=rev, whole=whole)).encode()))
         peer.close()
 
 
-def test_a_silent_watch_is_given_up_and_what_it_missed_asked_for_at_once(tmp_path: Path) -> None:
+def test_a_silent_watch_is_given_up_and_what_it_missed_is_polled_at_once(tmp_path: Path) -> None:
     with listen() as discovery, listen() as first, listen() as second:
         rows = [target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((first, second))]
         with node(tmp_path, roster(*rows, rev=7), discovery.getsockname()[1]) as n:
-            asked = Asked(discovery)
-            asked.answers("from=7&hold_ms=1 ", rev=7, whole=False)
-            watch, line = asked.call()
+            scripted = ScriptedDiscovery(discovery)
+            scripted.answers("from=7&hold_ms=1 ", rev=7, whole=False)
+            watch, line = scripted.call()
             began = time.monotonic()
-            assert f"from=7&hold_ms={asking.HOLD // MS} " in line
-            leaves = rows[0] | {"state": "leaving"}  # the silent watch never tells of it
-            asked.answers("from=7&hold_ms=1 ", leaves, rev=8, whole=False)
-            assert time.monotonic() - began < asking.TOLD / SECOND
+            assert f"from=7&hold_ms={timing.HOLD_NS // MS} " in line
+            leaves = rows[0] | {"state": "leaving"}  # the silent watch never reports it
+            scripted.answers("from=7&hold_ms=1 ", leaves, rev=8, whole=False)
+            assert time.monotonic() - began < timing.MAX_NOTIFICATION_NS / SECOND
             assert watch.ends() == b""
-            _held, line = asked.call()
+            _watch, line = scripted.call()
             assert "from=8" in line
             for _ in range(3):
                 served_by(n, second)
             assert n.stop() == 0
 
 
-def test_a_watch_that_breaks_is_made_good_at_once(tmp_path: Path) -> None:
+def test_a_broken_watch_is_replaced_at_once(tmp_path: Path) -> None:
     with listen() as discovery, listen() as backend:
         row = target("s-1", backend.getsockname()[1])
         with node(tmp_path, roster(row, rev=7), discovery.getsockname()[1]) as n:
-            asked = Asked(discovery)
-            asked.answers("from=7&hold_ms=1 ", rev=7, whole=False)
-            watch, _ = asked.call()
+            scripted = ScriptedDiscovery(discovery)
+            scripted.answers("from=7&hold_ms=1 ", rev=7, whole=False)
+            watch, _ = scripted.call()
             watch.reset()
-            asked.answers("from=7&hold_ms=1 ", rev=9, whole=False)
-            assert "from=9" in asked.call()[1]
+            scripted.answers("from=7&hold_ms=1 ", rev=9, whole=False)
+            assert "from=9" in scripted.call()[1]
             assert n.stop() == 0
 
 
-def test_the_agent_of_pushed_lists_is_asked_from_the_first_moment_and_after_its_silence(
+def test_the_agent_of_pushed_lists_is_polled_at_the_start_and_after_a_silence(
     tmp_path: Path,
 ) -> None:
     with listen() as agent, listen() as first, listen() as second:
         rows = [target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((first, second))]
-        over = {"registry_mode": "push"}
+        overrides = {"registry_mode": "push"}
         port = agent.getsockname()[1]
-        with node(tmp_path, roster(*rows, rev=7), port, settings=over) as n:
-            asked = Asked(agent)
-            silent, line = asked.call()
+        with node(tmp_path, roster(*rows, rev=7), port, settings=overrides) as n:
+            scripted = ScriptedDiscovery(agent)
+            silent, line = scripted.call()
             assert "from=7" in line
-            again, line = asked.call()  # with no answer to the first one: silent while it is down
-            assert "from=7" in line and silent.ends() == b""
+            again, line = (
+                scripted.call()
+            )  # with no answer to the first one: silent while it is down
+            assert "from=7" in line
+            assert silent.ends() == b""
             again.send(answer(json.dumps(roster(rows[1], rev=9)).encode()))
-            assert "from=9" in asked.call()[1]
+            assert "from=9" in scripted.call()[1]
             for _ in range(3):
                 served_by(n, second)
             assert n.stop() == 0
 
 
-def test_after_a_move_changes_alone_are_never_taken_for_the_list(tmp_path: Path) -> None:
-    """The first call to the new address breaks: the old one's version means nothing there."""
-    with listen() as old, listen() as new, listen() as gone, listen() as backend:
-        rows = [target("s-1", gone.getsockname()[1]), target("s-2", backend.getsockname()[1])]
+def test_after_a_move_changes_alone_are_never_used_as_the_list(tmp_path: Path) -> None:
+    """The first call to the new address breaks: the old one's version is unknown there."""
+    with listen() as old, listen() as new, listen() as removed, listen() as backend:
+        rows = [target("s-1", removed.getsockname()[1]), target("s-2", backend.getsockname()[1])]
         with node(tmp_path, roster(rows[0], rev=41), old.getsockname()[1]) as n:
-            first, _ = Asked(old).call()
+            first, _ = ScriptedDiscovery(old).call()
             raw = json.loads((tmp_path / "config.json").read_text())
             raw["discovery"] = f"127.0.0.1:{new.getsockname()[1]}"
             replace_config(tmp_path, json.dumps(raw))
             n.process.send_signal(signal.SIGHUP)
-            asked = Asked(new)
-            broken, line = asked.call()
-            assert line == LIST and first.ends() == b""
+            scripted = ScriptedDiscovery(new)
+            broken, line = scripted.call()
+            assert line == LIST
+            assert first.ends() == b""
             broken.reset()
-            asked.answers(LIST, rev=50, whole=False)  # not what was asked: no list to go by
-            asked.answers(LIST, rows[1], rev=3, whole=True)
-            assert "from=3" in asked.call()[1]
+            scripted.answers(LIST, rev=50, whole=False)  # not the complete list that was requested
+            scripted.answers(LIST, rows[1], rev=3, whole=True)
+            assert "from=3" in scripted.call()[1]
             served_by(n, backend)
             assert n.stop() == 0
 
 
-def test_changes_of_a_service_that_counts_anew_are_answered_by_asking_for_all(
+def test_changes_under_restarted_numbers_lead_to_a_poll_of_the_complete_list(
     tmp_path: Path,
 ) -> None:
-    with listen() as discovery, listen() as gone, listen() as backend:
-        rows = [target("s-1", gone.getsockname()[1]), target("s-2", backend.getsockname()[1])]
+    with listen() as discovery, listen() as removed, listen() as backend:
+        rows = [target("s-1", removed.getsockname()[1]), target("s-2", backend.getsockname()[1])]
         with node(tmp_path, roster(rows[0], rev=41), discovery.getsockname()[1]) as n:
-            asked = Asked(discovery)
-            asked.answers("from=41&hold_ms=1 ", rev=3, whole=False)
+            scripted = ScriptedDiscovery(discovery)
+            scripted.answers("from=41&hold_ms=1 ", rev=3, whole=False)
             began = time.monotonic()
-            while True:  # an old list is refused a few times: it may be a replica that lags
-                peer, line = asked.call()
+            while True:  # an older list is refused a few times: a replica may lag
+                peer, line = scripted.call()
                 if line != LIST:
                     break
                 peer.send(answer(json.dumps(roster(rows[1], rev=3)).encode()))
                 peer.close()
-            assert "from=3" in line and time.monotonic() - began < asking.TOLD / SECOND
+            assert "from=3" in line
+            assert time.monotonic() - began < timing.MAX_NOTIFICATION_NS / SECOND
             served_by(n, backend)
             assert n.stop() == 0
 
 
-def row(**over: object) -> dict[str, object]:
-    return target("s-1", 1) | over
+def row(**fields: object) -> dict[str, object]:
+    return target("s-1", 1) | fields
 
 
 @pytest.mark.parametrize(
@@ -180,39 +196,40 @@
         roster(row(boot_ms="soon"), rev=8),
     ],
 )
-def test_a_list_that_can_not_be_gone_by_is_refused_whole(
-    tmp_path: Path, raw: dict[str, object]
-) -> None:
-    held = Roster(load(config(tmp_path, roster(), 1)))
+def test_a_malformed_list_is_refused_as_a_whole(tmp_path: Path, raw: dict[str, object]) -> None:
+    current = Roster(load(config(tmp_path, roster(), 1)))
     with pytest.raises(ListError):
-        held.read(raw)
-    assert held.endpoints == {} and held.rev == 0
+        current.read(raw)
+    assert current.endpoints == {}
+    assert current.rev == 0
 
 
 def test_a_list_with_a_line_twice_nulls_and_odd_keys_is_used(tmp_path: Path) -> None:
-    held = Roster(load(config(tmp_path, roster(), 1)))
+    current = Roster(load(config(tmp_path, roster(), 1)))
     odd = row(az=None, pod_group=None, boot_ms=None, capacity_hint=None, colour="red")
-    _, rows, endpoints = held.read(roster(odd, odd, rev=8))
-    assert {r.backend for r in rows} == set(endpoints) and len(endpoints) == 1
-    assert rows[0].rating == 1.0 and rows[0].boot == 0
+    _, rows, endpoints = current.read(roster(odd, odd, rev=8))
+    assert {r.backend for r in rows} == set(endpoints)
+    assert len(endpoints) == 1
+    assert rows[0].rating == 1.0
+    assert rows[0].boot == 0
 
 
-def test_a_list_not_used_leaves_the_one_in_hand_and_is_asked_for_again(tmp_path: Path) -> None:
+def test_a_list_that_is_not_used_leaves_the_present_one_and_is_polled_again(tmp_path: Path) -> None:
     with listen() as discovery, listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]), rev=7)
         with node(tmp_path, known, discovery.getsockname()[1]) as n:
-            asked = Asked(discovery)
+            scripted = ScriptedDiscovery(discovery)
             deep = b"[" * 100_000 + b"]" * 100_000
             for bad in (b"", b'{"rev": 8', deep, b'{"rev": 8, "all": true}'):
-                peer, line = asked.call()
+                peer, line = scripted.call()
                 assert "from=7" in line
                 peer.send(answer(bad))
                 peer.close()
             served_by(n, backend)
             spaced = json.dumps(roster(known["targets"][0], rev=9), indent=4)  # type: ignore[index]
-            peer, _ = asked.call()
+            peer, _ = scripted.call()
             peer.send(answer(spaced.encode()))
-            assert "from=9" in asked.call()[1]
+            assert "from=9" in scripted.call()[1]
             assert n.stop() == 0
 
 
@@ -223,19 +240,20 @@
 ) -> None:
     with listen() as discovery, listen() as backend:
         row = target("s-1", backend.getsockname()[1])
-        gone = target("s-0", 1)
-        held = {"full": roster(row, rev=7), "old": roster(gone, rev=2), "empty": roster(rev=0)}
-        with node(tmp_path, held[known], discovery.getsockname()[1]) as n:
+        removed = target("s-0", 1)
+        lists = {"full": roster(row, rev=7), "old": roster(removed, rev=2), "empty": roster(rev=0)}
+        with node(tmp_path, lists[known], discovery.getsockname()[1]) as n:
             assert n.ready() == (known != "empty")  # whatever the service does
-            peer, _ = Asked(discovery).call()
+            peer, _ = ScriptedDiscovery(discovery).call()
             if service == "down":
                 peer.reset()
-                peer, _ = Asked(discovery).call()
+                peer, _ = ScriptedDiscovery(discovery).call()
             if service != "up":
                 assert n.ready() == (known != "empty")
             peer.send(answer(json.dumps(roster(row, rev=9)).encode()))
-            watch, line = Asked(discovery).call()
-            assert "from=9" in line and n.ready()
+            watch, line = ScriptedDiscovery(discovery).call()
+            assert "from=9" in line
+            assert n.ready()
             served_by(n, backend)
             watch.close()
             assert n.stop() == 0
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -619,7 +619,7 @@
     async def serve() -> None:
         with _clocks():
             relay = ListRelay(file, lambda _text: None, 1)
-        relay.revisions.rev = relay.revisions._floor = plain["first_rev"]
+        relay.revisions.rev = relay.revisions._first_known = plain["first_rev"]
         for members in plain["lists"]:
             told: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -64,7 +64,7 @@
             began = time.monotonic()
             probe = accept(discovery)  # comes once the quick term is over, and asks for nothing
             assert probe.ends() == b""
-            assert time.monotonic() - began >= 0.9 * asking.ANSWER / SECOND
+            assert time.monotonic() - began >= 0.9 * asking.ANSWER_TIMEOUT_NS / SECOND
             probe.close()
             peer.send(answer(_body(roster(row, rev=9))))
             assert "from=9" in accept(discovery).message()[0]
