--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,7 +26,7 @@
 from fakes.load import Clients
 from fakes.tier import Tier, tier, wait_until
 from loadbalancer.core.balancing.model import SECOND, State
-from loadbalancer.sources.discovery import backend_id
+from loadbalancer.sources.endpoint_list import backend_id
 from simulation.gossip_world import World
 from simulation.service_world import Service, trouble
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,7 +1,7 @@
 """Many hollow nodes in one process: all of a node but its request traffic.
 
 Each has its own `Holder`, its own subscriber with its own connections, and for each service that
-it holds its own list in hand (`Roster`) and its own `Balancer` with its cycle timer. A few probes
+it holds its own list (`EndpointList`) and its own `Balancer` with its cycle timer. A few probes
 stand for requests: the Balancer chooses a backend, which answers at once.
 
     python -m benchmarks.scale.hollow < ORDERS
@@ -42,7 +42,7 @@
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.limits import HolderLimits
 from loadbalancer.core.subscription.updates import UpdateResult
-from loadbalancer.sources.discovery import Roster, backend_id
+from loadbalancer.sources.endpoint_list import EndpointList, backend_id
 
 ZONES = tuple(zone for zones in REGIONS.values() for zone in zones)
 PROBE_S = 5.0  # between two probes of one node
@@ -156,7 +156,7 @@
     def __init__(self, node: HollowNode, service: str) -> None:
         process = node.process
         config = cast(Config, SimpleNamespace(zones=ZONES, kinds=("m2",)))
-        self.roster = Roster(config)
+        self.roster = EndpointList(config)
         self.actions = Actions(process, node.name, process.plan.stretch)
         settings = process.settings(service, node.zone)
         self.balancer = Balancer(settings, node.seed, self.actions)
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -21,7 +21,7 @@
 from loadbalancer.core.endpoints.revisions import Revisions
 from loadbalancer.core.routes.file import decode
 from loadbalancer.core.routes.table import Table
-from loadbalancer.sources.discovery import Roster
+from loadbalancer.sources.endpoint_list import EndpointList
 
 ROUTES_A_SERVICE = 31  # 140,000 routes in 4,500 services
 
@@ -102,8 +102,8 @@
     raws = {n: json.loads(text) for n, text in texts.items()}
     settings = config()
 
-    def taken(raw: Any) -> Roster:
-        roster = Roster(settings)
+    def taken(raw: Any) -> EndpointList:
+        roster = EndpointList(settings)
         roster.apply(raw["rev"], *roster.read(raw))
         return roster
 
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -45,7 +45,7 @@
 from loadbalancer.proxy.downstream.listener import Listener  # noqa: E402
 from loadbalancer.proxy.host import LOG_LINES, Node  # noqa: E402
 from loadbalancer.proxy.lifecycle import TICK, Service  # noqa: E402
-from loadbalancer.sources.discovery import ListError  # noqa: E402
+from loadbalancer.sources.endpoint_list import ListError  # noqa: E402
 
 if TYPE_CHECKING:
     from loadbalancer.upgrade.handover import Predecessor, Successor
--- a/loadbalancer/cli/members.py
+++ b/loadbalancer/cli/members.py
@@ -23,7 +23,7 @@
 from loadbalancer.core.endpoints.merged_list import Member, Members
 from loadbalancer.sources.consul.file import ConsulError, ConsulFile, read_consul
 from loadbalancer.sources.consul.merge import MergedList, open_reader
-from loadbalancer.sources.http_get import Answer, Call
+from loadbalancer.sources.http_get import HttpGet, Response
 
 CALL_TIMEOUT_S = 5.0
 OK = 200
@@ -111,9 +111,9 @@
     reader = open_reader(file, lambda *_: None, _log, 0)
     found = []
     for datacentre in file.datacentres:
-        done: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
+        done: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         target = f"{path}?dc={quote(datacentre, safe='')}&stale{query}"
-        Call(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, reader.headers, reader.tls)
+        HttpGet(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, reader.headers, reader.tls)
         answer = await done
         if answer is not None and answer.status == OK:
             # An agent that answers with something else counts as one that did not answer.
--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -27,7 +27,7 @@
 from loadbalancer.core.endpoints.revisions import Revisions
 from loadbalancer.sources.consul.file import ConsulFile
 from loadbalancer.sources.consul.merge import MergedList
-from loadbalancer.sources.watchers import Query, Watcher, gone_row
+from loadbalancer.sources.watchers import Query, Watcher, removed_row
 
 MAX_WATCHERS = 1024
 OK = 200
@@ -66,7 +66,7 @@
 class ListRelay:
     """The list by version, and the watchers that wait for its next one."""
 
-    most_watchers = MAX_WATCHERS
+    max_connections = MAX_WATCHERS
 
     def __init__(self, file: ConsulFile, log: Callable[[str], None], seed: int) -> None:
         self.merged = MergedList(file, self._publish, log, seed)
@@ -83,24 +83,24 @@
     def answer(self, version: int) -> bytes:
         """Discovery's answer to a watcher that has this version, 0 for none."""
         changed, is_full = self.revisions.since(version)
-        rows = [gone_row(uid) if row is None else row for uid, row in changed.items()]
+        rows = [removed_row(uid) if row is None else row for uid, row in changed.items()]
         return json.dumps({"rev": self.revisions.rev, "all": is_full, "targets": rows}).encode()
 
-    def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
-        """Answer now where the list has changed or no wait is wanted, else within `hold` s."""
+    def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
+        """Answer now where the list has changed or no wait is wanted, else within `hold_s`."""
         del query  # a relay has one list for all
-        if since == self.revisions.rev and hold > 0:
+        if since == self.revisions.rev and hold_s > 0:
             loop = asyncio.get_running_loop()
-            timeout = loop.call_later(hold, self._answer_wait, watcher)
+            timeout = loop.call_later(hold_s, self._answer_wait, watcher)
             self._waits[watcher] = Wait(since, timeout)
         else:
             watcher.reply(OK, self.answer(since))
 
-    def waits(self, watcher: Watcher) -> bool:
+    def is_waiting(self, watcher: Watcher) -> bool:
         """Whether a watcher has no answer yet."""
         return watcher in self._waits
 
-    def forget(self, watcher: Watcher) -> None:
+    def cancel(self, watcher: Watcher) -> None:
         """Answer a watcher no more."""
         wait = self._waits.pop(watcher, None)
         if wait is not None:
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -25,7 +25,7 @@
     """The platform's list, with one service's backends, as of the region's accepted changes."""
 
     def __init__(self, log: ChangeLog, service: str, max_watchers: int) -> None:
-        self.most_watchers = max_watchers  # the name that `watchers.Host` gives it
+        self.max_connections = max_watchers
         self.connections = 0
         self.service = service
         self.region = log.region
@@ -38,17 +38,17 @@
         """Whether there is a log: before, an empty list would empty the node's pool."""
         return self._log.position > START
 
-    def waits(self, caller: Watcher) -> bool:
+    def is_waiting(self, caller: Watcher) -> bool:
         """Whether the connection's last poll has no answer yet."""
         return caller in self._waiting
 
-    def forget(self, caller: Watcher) -> None:
+    def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
         poll = self._waiting.pop(caller, None)
         if poll is not None:
             poll.timer.cancel()
 
-    def asked(
+    def on_list_request(
         self,
         watcher: Watcher,
         since: int,
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -26,7 +26,7 @@
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import Change, Delta, Position, Row, Snapshot, Update
 from loadbalancer.core.errors import ProtocolError
-from loadbalancer.sources.watchers import gone_row
+from loadbalancer.sources.watchers import removed_row
 
 STATE_DRAINING = "leaving"
 STATE_REMOVED = "left"
@@ -91,7 +91,7 @@
 ) -> bytes:
     """The platform's own answer, for a node that knows of no services."""
     targets = [row.body for row in rows]
-    targets += [body_of(gone_row(uid)) for uid in removed]
+    targets += [body_of(removed_row(uid)) for uid in removed]
     return _head(version, complete, targets).encode() + b"}"
 
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -26,7 +26,7 @@
     Wait,
 )
 from loadbalancer.core.subscription.publisher import Publisher
-from loadbalancer.sources.http_get import whole_number
+from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import Query, Watcher
 
 MAX_HEAD_BYTES = 64 << 10  # of a poll: it may name the services of a node
@@ -40,7 +40,7 @@
 class SubscriberConnection(Watcher):
     """One connection of a node that knows of services."""
 
-    most_bytes = MAX_HEAD_BYTES
+    max_request_bytes = MAX_HEAD_BYTES
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         max_watchers: int,
     ) -> None:
         """`addresses` are those for subscribers, by machine."""
-        self.most_watchers = max_watchers  # the name that `watchers.Host` gives it
+        self.max_connections = max_watchers
         self.connections = 0
         self.counts: Counter[str] = Counter()
         self._nodes = nodes
@@ -84,18 +84,18 @@
         """Whether polls are answered: always, each with what there is for it."""
         return True
 
-    def waits(self, caller: Watcher) -> bool:
+    def is_waiting(self, caller: Watcher) -> bool:
         """Whether the connection's last poll has no answer yet."""
         return caller in self._waiting
 
-    def forget(self, caller: Watcher) -> None:
+    def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
         request = self._stop_waiting(caller)
         if request is not None:
             self._publisher.cancel(request.node, request.region)
             self._nodes.on_response(time.monotonic_ns(), request.node)
 
-    def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
+    def on_list_request(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
         """A poll: the version that the node has, and for how many seconds it may wait."""
         now = time.monotonic_ns()
         try:
@@ -151,7 +151,7 @@
         """Take note of what the poll reports of the node itself."""
         self._nodes.on_poll(now, request.node)
         if "serving" in query:
-            generation = whole_number(query.get("generation", ["0"])[0])
+            generation = parse_decimal(query.get("generation", ["0"])[0])
             if generation is None:
                 raise InvalidInputError("generation: [range] no whole number")
             self._nodes.on_report(request.node, _names(query["serving"][0]), generation)
--- a/loadbalancer/control/machine/operator_calls.py
+++ b/loadbalancer/control/machine/operator_calls.py
@@ -14,8 +14,8 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
-from loadbalancer.sources.http_get import whole_number
-from loadbalancer.sources.watchers import MAX_HEAD, Caller, Query
+from loadbalancer.sources.http_get import parse_decimal
+from loadbalancer.sources.watchers import MAX_REQUEST_BYTES, Query, ServerConnection
 
 MAX_CALLERS = 64
 
@@ -38,7 +38,7 @@
 class OperatorHost:
     """What all operators' connections to one machine share."""
 
-    most_watchers = MAX_CALLERS
+    max_connections = MAX_CALLERS
 
     def __init__(self, machine: OperatedMachine, max_change_bytes: int) -> None:
         """`max_change_bytes` bounds the body of one POST /changes."""
@@ -47,11 +47,11 @@
         self.max_change_bytes = max_change_bytes
         self._waiting: set[OperatorConnection] = set()
 
-    def waits(self, caller: OperatorConnection) -> bool:
+    def is_waiting(self, caller: OperatorConnection) -> bool:
         """Whether the connection's last call has no answer yet."""
         return caller in self._waiting
 
-    def forget(self, caller: OperatorConnection) -> None:
+    def cancel(self, caller: OperatorConnection) -> None:
         """The connection's call needs no answer any more."""
         self._waiting.discard(caller)
 
@@ -67,28 +67,28 @@
         self.machine.submit(body, reply)
 
 
-class OperatorConnection(Caller):
+class OperatorConnection(ServerConnection):
     """One operator's connection."""
 
     host: OperatorHost
 
     def __init__(self, host: OperatorHost) -> None:
         super().__init__(host)
-        self.most_bytes = MAX_HEAD + host.max_change_bytes
+        self.max_request_bytes = MAX_REQUEST_BYTES + host.max_change_bytes
         self._body = b""
 
     def on_body(self, body: bytes) -> None:
         """Collect a part of the call's body; its size is bounded with the head's."""
         self._body += body
 
-    def question(self, method: bytes, path: str, query: Query) -> None:
+    def on_request(self, method: bytes, path: str, query: Query) -> None:
         """Answer a complete call."""
         body, self._body = self._body, b""
         if (method, path) == (b"POST", "/changes"):
             self.host.submit(self, body)
         elif method != b"GET":
             text = b"GET /status, GET /log and POST /changes are there"
-            self.give_up(HTTPStatus.METHOD_NOT_ALLOWED, text)
+            self.reject(HTTPStatus.METHOD_NOT_ALLOWED, text)
         elif path == "/status":
             self.reply(HTTPStatus.OK, json.dumps(self.host.machine.status()).encode())
         elif path == "/log":
@@ -97,7 +97,7 @@
             self.reply(HTTPStatus.NOT_FOUND, b"there are /status, /log and /changes")
 
     def _log(self, query: Query) -> None:
-        version = whole_number(query.get("from", ["0"])[0])
+        version = parse_decimal(query.get("from", ["0"])[0])
         if version is None:
             self.reply(HTTPStatus.BAD_REQUEST, b"from is a whole number")
             return
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -23,8 +23,8 @@
 from loadbalancer.core.assignment.model import START, InvalidInputError, Update
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
-from loadbalancer.sources.http_get import Answer, Call
-from loadbalancer.sources.watchers import LIST
+from loadbalancer.sources.endpoint_list import LIST_PATH
+from loadbalancer.sources.http_get import HttpGet, Response
 
 MAX_SERVICES = 2048  # that one answer may name
 MAX_PAUSE_S = 60.0
@@ -54,7 +54,7 @@
     """The polls of one region's log."""
 
     machine: int  # index of the one that is polled
-    call: Call | None = None
+    call: HttpGet | None = None
     timer: asyncio.TimerHandle | None = None
     failures: int = 0  # in a row
     redirect: Address | None = None  # where the last answer sent it
@@ -126,18 +126,22 @@
         self.counts.sent += HEAD_BYTES + len(target) + len(str(address))
         self.counts.events["questions"] += 1
 
-        def on_answer(answer: Answer | None) -> None:
+        def on_answer(answer: Response | None) -> None:
             self._on_answer(region, answer)
 
-        state.call = Call(
-            address, target, timing.hold_s + timing.margin_s, on_answer, connect=timing.connect_s
+        state.call = HttpGet(
+            address,
+            target,
+            timing.hold_s + timing.margin_s,
+            on_answer,
+            connect_timeout_s=timing.connect_s,
         )
 
     def _target(self, region: str, state: _Region) -> str:
         """The request target: path and query."""
         position = START if state.snapshot else self.holder.position(region)
         parts = [
-            f"{LIST}?from={version_of(position)}",
+            f"{LIST_PATH}?from={version_of(position)}",
             f"hold_ms={int(self._timing.hold_s * 1000)}",
             f"node={quote(self.holder.name)}",
             f"region={quote(region)}",
@@ -161,7 +165,7 @@
 
     # ---- answers ------------------------------------------------------------
 
-    def _on_answer(self, region: str, answer: Answer | None) -> None:
+    def _on_answer(self, region: str, answer: Response | None) -> None:
         state = self._regions[region]
         state.call = None
         if answer is None or answer.status != HTTPStatus.OK:
@@ -263,7 +267,7 @@
     return ",".join(quote(name) for name in sorted(names))
 
 
-def _size(answer: Answer) -> int:
+def _size(answer: Response) -> int:
     """About how many bytes the answer took on the wire."""
     fields = sum(len(name) + len(value) + HEADER_BYTES for name, value in answer.headers.items())
     return ANSWER_BYTES + fields + len(answer.body)
--- a/loadbalancer/control/xds/member_file.py
+++ b/loadbalancer/control/xds/member_file.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Update
-from loadbalancer.sources.discovery import ListError, Roster
+from loadbalancer.sources.endpoint_list import EndpointList, ListError
 
 POLL_INTERVAL_S = 0.5
 MAX_FILE_BYTES = 16 << 20
@@ -34,9 +34,9 @@
     may be: what is no JSON then is rejected, and read again once it changes again.
     """
 
-    old_after = 0  # never: a file that has not changed is valid
+    stale_after_ns = 0  # never: a file that has not changed is valid
 
-    __slots__ = ("_handle", "_logger", "_on_update", "_path", "_stamp", "roster")
+    __slots__ = ("_handle", "_logger", "_on_update", "_path", "_stamp", "endpoint_list")
 
     def __init__(
         self,
@@ -50,9 +50,9 @@
         self._stamp: FileStamp | None = None
         self._handle: asyncio.TimerHandle | None = None
         self._logger = logger
-        self.roster = Roster(config)
+        self.endpoint_list = EndpointList(config)
 
-    def known(self, _raw: Any) -> list[Listing]:
+    def load_configured(self, _raw: Any) -> list[Listing]:
         """The list as it is in the file.
 
         Raises:
@@ -108,5 +108,5 @@
             raise ListError(f"no JSON: {err}") from None
         if not isinstance(raw, dict):
             raise ListError("no JSON object")
-        update, rows, endpoints = self.roster.read(raw | {"rev": 1, "all": True})
-        return update, rows, self.roster.apply(1, update, rows, endpoints)
+        update, rows, endpoints = self.endpoint_list.read(raw | {"rev": 1, "all": True})
+        return update, rows, self.endpoint_list.apply(1, update, rows, endpoints)
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -84,10 +84,10 @@
     def _make_members(self, source: PoolInput) -> Members:
         config, pool = source.config, source.pool
         if pool.consul is not None:
-            return ConsulMembers(pool.consul, config, self._on_update, self.log, self._is_alive)
+            return ConsulMembers(pool.consul, config, self._on_update, self._log, self._is_alive)
         if pool.members is not None:
             return FileMembers(pool.members, config, self._on_update, self._log)
-        return Discovery(polling(config), self._on_update, self.log)
+        return Discovery(polling(config), self._on_update, self._log)
 
     def _is_alive(self, backend: int) -> bool | None:
         """What the proxies' load reports say of a server; None for nothing."""
@@ -100,7 +100,7 @@
             ListError: the list can't be used.
             OSError: the list can't be read.
         """
-        rows = self.members.known(self.config.known)
+        rows = self.members.load_configured(self.config.known)
         now = time.monotonic_ns()
         self.confirmed_at = now
         self.balancer.start(now)
@@ -150,7 +150,7 @@
             self._views = views
             self._addresses = {
                 backend: (address.host, address.port)
-                for backend, address in self.members.roster.endpoints.items()
+                for backend, address in self.members.endpoint_list.endpoints.items()
             }
             self._backends = {address: backend for backend, address in self._addresses.items()}
 
@@ -164,7 +164,7 @@
         age = now - self.confirmed_at
         if not self.balancer.view(now):
             return f"{self.name}: list is empty"
-        if 0 < self.members.old_after <= age:
+        if 0 < self.members.stale_after_ns <= age:
             return f"{self.name}: not heard of for {age // SECOND} s"
         return ""
 
--- a/loadbalancer/control/xds/server.py
+++ b/loadbalancer/control/xds/server.py
@@ -19,7 +19,7 @@
 from loadbalancer.control.xds.pool_inputs import read_inputs
 from loadbalancer.control.xds.service import ControlService
 from loadbalancer.sources.consul.file import ConsulError
-from loadbalancer.sources.discovery import ListError
+from loadbalancer.sources.endpoint_list import ListError
 
 logger = logging.getLogger(__name__)
 
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -9,7 +9,8 @@
 
 from loadbalancer.core.endpoints.shared_list import Taken
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.sources.discovery import Discovery, ListError
+from loadbalancer.sources.discovery import Discovery
+from loadbalancer.sources.endpoint_list import ListError
 
 if TYPE_CHECKING:
     from loadbalancer.sources.consul.source import ConsulMembers
@@ -95,7 +96,7 @@
             # The rows of the refused update are missing: all rows are needed from here on.
             update = Taken(update.rev, dict(self._shared_list.copy.rows), True)
         try:
-            self._discovery.passed(answer_of(update))
+            self._discovery.apply_shared(answer_of(update))
             self._refused = False
         except (ListError, ValueError, RecursionError) as err:
             self._refused = True
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -214,7 +214,7 @@
         now = time.monotonic_ns()
         if update == Update.FAILED:
             return rows
-        roster = self._host.discovery.roster
+        roster = self._host.discovery.endpoint_list
         servers = [(row.backend, roster.boot_ms(row.backend), row.state) for row in rows]
         complete = update in (Update.FULL, Update.CACHED)
         self.node.on_local_list(now, roster.rev, servers, complete)
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -85,7 +85,7 @@
     def _members(self) -> Discovery | ConsulMembers:
         config = self.config
         if not config.consul:
-            return Discovery(config, self.members_told, self.log)
+            return Discovery(config, self.members_told)
         # Here and not above: without its file the node is as small as ever.
         from pathlib import Path
 
@@ -95,7 +95,7 @@
         def answers(backend: int) -> bool | None:
             return alive(self.balancer, time.monotonic_ns(), backend)
 
-        return ConsulMembers(Path(config.consul), config, self.members_told, self.log, answers)
+        return ConsulMembers(Path(config.consul), config, self.members_told, alive=answers)
 
     def start(self, left: Inheritance | None = None) -> None:
         """Begin from the list in the configuration; ListError if it is malformed.
@@ -103,7 +103,7 @@
         A predecessor's list goes before that one, with what it had learned, and is
         watched at once: the two processes are to have one watch.
         """
-        rows = self.discovery.known(self.config.known)
+        rows = self.discovery.load_configured(self.config.known)
         if left is not None and left.members and isinstance(self.discovery, Discovery):
             rows = self.discovery.inherit(left)
         self._meet_peers()
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -31,7 +31,7 @@
     """Where the host's list of backends comes from."""
 
     @property
-    def roster(self) -> Listed: ...
+    def endpoint_list(self) -> Listed: ...
 
 
 class ListReaders(Protocol):
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -636,7 +636,7 @@
 
     def send(self, attempt: Attempt) -> None:
         backend = attempt.backend
-        address = self.node.discovery.roster.endpoints.get(backend)
+        address = self.node.discovery.endpoint_list.endpoints.get(backend)
         if address is None:
             self.node.conclude(attempt, Outcome.CONNECT_FAILED)
             return
@@ -673,7 +673,7 @@
 
     def put(self, conn: BackendConnection) -> None:
         """Keep a connection for the next attempt, unless its backend has moved or left."""
-        if self.node.discovery.roster.endpoints.get(conn.backend) != conn.address:
+        if self.node.discovery.endpoint_list.endpoints.get(conn.backend) != conn.address:
             conn.abandon()
             return
         conn.idle_since = time.monotonic_ns()
--- a/loadbalancer/sources/consul/reader.py
+++ b/loadbalancer/sources/consul/reader.py
@@ -24,7 +24,7 @@
 from loadbalancer.core.endpoints.shards import Question, Ration, Rounds, expression
 from loadbalancer.sources.consul.file import ConsulError, ConsulFile, read_token, source_name
 from loadbalancer.sources.consul.rows import Fields, RowError, rows
-from loadbalancer.sources.http_get import Answer, Call, whole_number
+from loadbalancer.sources.http_get import HttpGet, Response, parse_decimal
 
 WAIT_S = 55  # a blocking call's
 CALL_S = 10.0  # for an answer, beyond the time it may block
@@ -102,10 +102,10 @@
         self._failures = 0
         self._said = ""
         self._round: dict[str, Word] = {}  # the newest word on each server of this round
-        self._calls: set[Call] = set()
+        self._calls: set[HttpGet] = set()
         self._timers: set[asyncio.TimerHandle] = set()
         self._pause: asyncio.TimerHandle | None = None
-        self._blocked: tuple[Call, int] | None = None  # the watch that is out, and its agent
+        self._blocked: tuple[HttpGet, int] | None = None  # the watch that is out, and its agent
         self._again = False  # something changed while a round was under way
 
     def start(self) -> None:
@@ -128,7 +128,9 @@
         self._timers.add(timer)
         return timer
 
-    def _get(self, query: str, wait: float, done: Callable[[Answer | None, int], None]) -> Call:
+    def _get(
+        self, query: str, wait: float, done: Callable[[Response | None, int], None]
+    ) -> HttpGet:
         """Ask the present agent; `done` gets the answer and which agent it was."""
         file = self._reader.file
         tried = self.agent
@@ -137,17 +139,17 @@
         mode = CONSISTENCY[file.consistency]
         target = f"{path}?dc={quote(self._dc, safe='')}{mode}{query}"
 
-        def ended(answer: Answer | None) -> None:
+        def ended(answer: Response | None) -> None:
             self._calls.discard(call)
             done(answer, tried)
 
-        call = Call(agent, target, wait, ended, self._reader.headers, self._reader.tls)
+        call = HttpGet(agent, target, wait, ended, self._reader.headers, self._reader.tls)
         self._calls.add(call)
         return call
 
     # ---- failures ------------------------------------------------------
 
-    def _wrong(self, answer: Answer | None) -> str:
+    def _wrong(self, answer: Response | None) -> str:
         """Why an answer can't be used, "" where it can."""
         if answer is None:
             return "no whole answer"
@@ -156,7 +158,7 @@
         if answer.headers.get("x-consul-knownleader", "true") != "true":
             return "its servers know no leader"
         said = answer.headers.get("x-consul-lastcontact", "0")
-        contact = whole_number(said)
+        contact = parse_decimal(said)
         if contact is None or contact > self._reader.file.fresh * 1000:
             return f"its word is {said[:20]} ms old"
         return ""
@@ -205,14 +207,14 @@
         tried = self.agent
         self._blocked = (self._get(query, wait, self._watched), tried)
 
-    def _watched(self, answer: Answer | None, tried: int) -> None:
+    def _watched(self, answer: Response | None, tried: int) -> None:
         self._blocked = None
         why = self._wrong(answer)
         if why or answer is None:
             self.failed(why, tried, self._watch)
             return
         self._worked()
-        index = whole_number(answer.headers.get("x-consul-index", "0")) or 0
+        index = parse_decimal(answer.headers.get("x-consul-index", "0")) or 0
         if index != self._index:
             # An index that went back is another catalogue's: all is asked anew.
             self._index = 0 if index < self._index else index
@@ -245,7 +247,7 @@
         query = f"&filter={quote(asked, safe='')}"
         self._get(query, CALL_S, lambda *got: self._answered(question, *got))
 
-    def _answered(self, question: Question, answer: Answer | None, tried: int) -> None:
+    def _answered(self, question: Question, answer: Response | None, tried: int) -> None:
         now = time.monotonic_ns()
         why = self._wrong(answer)
         found: list[tuple[Word, str]] = []
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 import time
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -16,7 +17,10 @@
     read_consul,
 )
 from loadbalancer.sources.consul.merge import PLATFORM, MergedList
-from loadbalancer.sources.discovery import Discovery, Roster, backend_id
+from loadbalancer.sources.discovery import Discovery, SourceLogger
+from loadbalancer.sources.endpoint_list import EndpointList, backend_id
+
+logger = logging.getLogger(__name__)
 
 SAID = 5  # servers that are named in one line of the log
 
@@ -24,18 +28,18 @@
 
 
 class ConsulMembers:
-    """What a host asks of a source: a roster, and to be told of changes.
+    """What a host asks of a source: a endpoint_list, and to be told of changes.
 
     `alive`: what the host's own attempts say of a backend. With the platform's list as
     one more source a server is known by its address, which both name: its id is then the
     same at every node, whichever was heard of first.
     """
 
-    old_after = 120 * SECOND  # a whole round and the pause before it take over 30 s
+    stale_after_ns = 120 * SECOND  # a whole round and the pause before it take over 30 s
 
     __slots__ = (
         "_alive", "_config", "_ids", "_merged", "_platform", "_started", "_states", "_told",
-        "_zones", "log", "pass_on", "roster",
+        "_zones", "log", "forward", "endpoint_list",
     )  # fmt: skip
 
     def __init__(
@@ -43,9 +47,10 @@
         path: Path,
         config: Config,
         told: Callable[[Update, list[Listing], list[int]], None],
-        log: Callable[[str], None],
+        list_logger: SourceLogger | None = None,
         alive: Callable[[int], bool | None] = lambda _backend: None,
     ) -> None:
+        self.log = (list_logger or logger).info
         file = read_consul(str(path))
         self._config = config
         self._zones = {name: i for i, name in enumerate(config.zones)}
@@ -54,30 +59,29 @@
         self._ids: dict[str, int] = {}
         self._states: Mapping[str, State] = {}
         self._merged = MergedList(
-            file, self._tell, log, config.seed, config.settings.drain_grace, self._answers
+            file, self._tell, self.log, config.seed, config.settings.drain_grace, self._answers
         )
         self._platform: Discovery | None = None
         if file.platform:
-            self._platform = Discovery(config, self._platform_told, log)
+            self._platform = Discovery(config, self._platform_told, list_logger)
         self._started = False
-        self.log = log
-        self.pass_on: Callable[[bytes], None] | None = None  # Consul's rows are not passed on
-        self.roster = Roster(config)
+        self.forward: Callable[[bytes], None] | None = None  # Consul's rows are not passed on
+        self.endpoint_list = EndpointList(config)
 
     def _answers(self, uid: str) -> bool | None:
         backend = self._ids.get(uid)
         return None if backend is None else self._alive(backend)
 
-    def known(self, raw: Any) -> list[Listing]:
+    def load_configured(self, raw: Any) -> list[Listing]:
         """The last known list of the configuration, until Consul has answered once."""
         if self._platform is not None:
-            rows = self._platform.known(raw)
+            rows = self._platform.load_configured(raw)
             self._merged.members.told(time.monotonic_ns(), PLATFORM, self._words(rows), True)
             listed, addresses = self._rows()
-            self.roster.apply(0, Update.FULL, listed, addresses)
+            self.endpoint_list.apply(0, Update.FULL, listed, addresses)
             return listed
-        update, rows, endpoints = self.roster.read(raw)
-        self.roster.apply(0, update, rows, endpoints)
+        update, rows, endpoints = self.endpoint_list.read(raw)
+        self.endpoint_list.apply(0, update, rows, endpoints)
         return rows
 
     def watch(self) -> None:
@@ -93,13 +97,13 @@
         if self._platform is not None:
             self._platform.move(address, settings)
 
-    def rest(self) -> None:
+    def suspend(self) -> None:
         """Another process of this node reads for itself; this one goes on until it ends."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """It never rested."""
 
-    def hear(self, body: bytes) -> None:
+    def on_forwarded(self, body: bytes) -> None:
         """Nothing is heard from that process: its rows are its own reader's."""
 
     def close(self) -> None:
@@ -118,7 +122,7 @@
 
     def _words(self, rows: list[Listing]) -> list[Word]:
         """The platform's lines as words; one that has left has no address any more."""
-        endpoints = self._platform.roster.endpoints if self._platform is not None else {}
+        endpoints = self._platform.endpoint_list.endpoints if self._platform is not None else {}
         zones = self._config.zones
         out = []
         for row in rows:
@@ -135,7 +139,7 @@
 
     def _tell(self) -> None:
         rows, endpoints = self._rows()
-        stale = self.roster.apply(0, Update.FULL, rows, endpoints)
+        stale = self.endpoint_list.apply(0, Update.FULL, rows, endpoints)
         self._told(Update.FULL, rows, stale)
 
     def _rows(self) -> tuple[list[Listing], dict[int, Address]]:
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -1,179 +1,89 @@
-"""Discovery: the list of backends, whole or watched for changes."""
+"""The client of the discovery service: polls the endpoint list, then watches it for changes.
+
+One call is out at a time, and only its answer is used: whatever takes its place (another address,
+another process that watches, the end) drops it first. `loadbalancer/core/endpoints/poll_timing.py`
+says how long each call may take; `loadbalancer/core/endpoints/poll_backoff.py` says what failures
+in a row change in that.
+
+Source: the platform's protocol, "Discovery": a poll without `from` is answered with the complete
+list; with `from` and `hold_ms` it is a watch (long poll), answered with a delta as soon as there
+is one, and within `hold_ms`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
+import logging
 import time
 from collections.abc import Callable
-from hashlib import blake2b
+from http import HTTPStatus
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from loadbalancer.config.address import Address, parse_address
+from loadbalancer.config.address import Address
 from loadbalancer.config.node import Config
-from loadbalancer.core import Listing, Settings, State, Update
+from loadbalancer.core import Listing, Settings, Update
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.poll_backoff import Caller, Failure, failure_of
 from loadbalancer.core.endpoints.poll_timing import terms
 from loadbalancer.core.endpoints.revisions import Lag
-from loadbalancer.core.errors import ProtocolError
-from loadbalancer.sources.http_get import Answer, Call, Probe
+from loadbalancer.sources.endpoint_list import LIST_PATH, DecodedList, EndpointList, ListError
+from loadbalancer.sources.http_get import HttpGet, Probe, Response
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.ports import ListReaders
     from loadbalancer.upgrade.handed_state import Inheritance
 
-LIST = "/registry/instances"
-STATES = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
-
-
-class ListError(ProtocolError, ValueError):
-    """A list that can't be used."""
-
+logger = logging.getLogger(__name__)
 
-def backend_id(uid: str) -> int:
-    """A number for a uid, the same at every node: the deal of slots sorts by it."""
-    return int.from_bytes(blake2b(uid.encode(), digest_size=8).digest(), "big")
-
-
-class Roster:
-    """The list in hand: its version, the endpoints, and what tells a restart."""
-
-    __slots__ = ("_boots", "_kinds", "_zones", "endpoints", "rev")
-
-    def __init__(self, config: Config) -> None:
-        self._zones = {name: i for i, name in enumerate(config.zones)}
-        self._kinds = {name: i for i, name in enumerate(config.kinds)}
-        # boot_ms is wall clock: each value is converted once. Converted again with
-        # every list it would differ by some nanoseconds and look like a restart.
-        self._boots: dict[int, tuple[int, int]] = {}
-        self.endpoints: dict[int, Address] = {}
-        self.rev = 0
-
-    def read(self, raw: Any) -> tuple[Update, list[Listing], dict[int, Address]]:
-        """Check an answer and convert it; nothing in hand changes yet."""
-        try:
-            rev, whole, targets = raw["rev"], raw["all"], raw["targets"]
-            if type(rev) is not int or not isinstance(whole, bool) or type(targets) is not list:
-                raise ListError("rev, all or targets is of the wrong type")
-            rows: list[Listing] = []
-            endpoints: dict[int, Address] = {}
-            seen: dict[str, Any] = {}
-            for target in targets:
-                uid = target["uid"]
-                if not isinstance(uid, str) or not uid:
-                    raise ListError(f"{uid!r} is no uid")
-                if seen.setdefault(uid, target) != target:
-                    raise ListError(f"{uid} stands twice, with different words")
-                backend = backend_id(uid)
-                state = STATES[target["state"]]
-                if state != State.GONE:
-                    endpoints[backend] = parse_address(target["endpoint"])
-                rows.append(
-                    Listing(
-                        backend,
-                        state,
-                        self._zones.get(target.get("az"), 0),
-                        int(target.get("pod_group") or 0),
-                        self._kinds.get(target.get("model"), 0),
-                        self._boot(backend, int(target.get("boot_ms") or 0)),
-                        float(target.get("capacity_hint") or 1.0),
-                    )
-                )
-        except (KeyError, TypeError, ValueError, OverflowError) as err:
-            raise ListError(f"{type(err).__name__}: {err}") from None
-        return Update.FULL if whole else Update.DELTA, rows, endpoints
-
-    def _boot(self, backend: int, boot_ms: int) -> int:
-        if boot_ms <= 0:
-            return 0
-        known = self._boots.get(backend)
-        if known is not None and known[0] == boot_ms:
-            return known[1]
-        age = max(time.time_ns() - boot_ms * 1_000_000, 0)
-        boot = (time.monotonic_ns() - age) or 1
-        self._boots[backend] = (boot_ms, boot)
-        return boot
-
-    def boot_ms(self, backend: int) -> int:
-        """What discovery last gave as this backend's start, 0 where it gave none."""
-        return self._boots.get(backend, (0, 0))[0]
-
-    def inherit(self, left: Inheritance) -> list[Listing]:
-        """A predecessor's list in place of whatever is in hand."""
-        self.endpoints = {m.listing.backend: m.address for m in left.members}
-        self._boots = {
-            m.listing.backend: (m.boot_ms, m.listing.boot) for m in left.members if m.boot_ms > 0
-        }
-        self.rev = left.rev
-        return [m.listing for m in left.members]
-
-    def apply(
-        self, rev: int, update: Update, rows: list[Listing], endpoints: dict[int, Address]
-    ) -> list[int]:
-        """Take a list over; returns the backends whose connections are of no more use."""
-        stale = []
-        for row in rows:
-            old = self.endpoints.get(row.backend)
-            new = endpoints.get(row.backend)
-            if old is not None and (old != new or row.state != State.READY):
-                stale.append(row.backend)
-            if new is None:
-                self.endpoints.pop(row.backend, None)
-                self._boots.pop(row.backend, None)
-            else:
-                self.endpoints[row.backend] = new
-        if update == Update.FULL:
-            for backend in [b for b in self.endpoints if b not in endpoints]:
-                stale.append(backend)
-                del self.endpoints[backend]
-                self._boots.pop(backend, None)
-        self.rev = rev
-        return stale
+SourceLogger = logging.Logger | logging.LoggerAdapter[logging.Logger]
+OnUpdate = Callable[[Update, list[Listing], list[int]], None]
 
 
 class Discovery:
-    """Carries out watch; `told` gets each update and what it made stale.
+    """Keeps one endpoint list up to date.
 
-    One call is out at a time, and its answer alone may be used: whatever takes its place
-    (another address, another process that watches, the end) drops it first. How long each
-    may take, and why, stands in loadbalancer/core/endpoints/poll_timing.py; what failures in a row
-    change in that, in loadbalancer/core/endpoints/poll_backoff.py.
+    Args:
+        config: the node's settings.
+        on_update: called with each update, its listings, and the backends whose connections it
+            made stale; with `Update.FAILED` and nothing else after a failed call.
+        list_logger: where log lines go, for a caller that marks its own; None for this module's.
     """
 
-    old_after = 30_000_000_000  # ns without a word: a watch is answered within seconds
+    stale_after_ns = 30 * SECOND  # without an answer: a watch is answered within seconds
 
-    __slots__ = ("_address", "_anew", "_asked_at", "_call", "_caller", "_lag", "_limit",
-                 "_not_before", "_probe", "_readers", "_resting", "_retry", "_terms", "_told",
-                 "_waits", "_word", "log", "pass_on", "roster")  # fmt: skip
+    __slots__ = ("_address", "_backoff", "_call", "_is_watch", "_lag", "_limit_ns", "_logger",
+                 "_needs_full", "_on_update", "_polled_at_ns", "_probe", "_readers",
+                 "_retry_at_ns", "_retry_timer", "_silence_timer", "_suspended", "_terms",
+                 "endpoint_list", "forward")  # fmt: skip
 
     def __init__(
-        self,
-        config: Config,
-        told: Callable[[Update, list[Listing], list[int]], None],
-        log: Callable[[str], None],
+        self, config: Config, on_update: OnUpdate, list_logger: SourceLogger | None = None
     ) -> None:
         self._address = config.discovery
-        self._told = told
+        self._on_update = on_update
+        self._logger = list_logger or logger
         self._terms = terms(config.settings)
         self._lag = Lag()
-        # What is in hand may be another service's, or have a gap: no changes, but the whole
-        # list is asked for, until one has been taken.
-        self._anew = False
-        self._call: Call | None = None
-        self._caller = Caller(config.settings, Random(config.seed))
-        self._asked_at = self._limit = 0  # of the call that is out, in ns
-        self._not_before = 0  # monotonic ns: the next call after a failure
-        self._retry: asyncio.TimerHandle | None = None  # until then
-        self._probe: Probe | asyncio.TimerHandle | None = None  # beside a call that waits long
-        self._waits = False  # the call that is out is a watch, not a question with no wait
-        self._resting = False  # another process of this node watches for both
-        self._word: asyncio.TimerHandle | None = None  # until that one has to be heard
-        self.log = log
-        self.pass_on: Callable[[bytes], None] | None = None  # each answer that was used
+        # The present list may be another service's, or lack a change: no delta is of use, and the
+        # complete list is polled for until one has been applied.
+        self._needs_full = False
+        self._call: HttpGet | None = None
+        self._is_watch = False  # whether the call that is out is a watch, not a poll
+        self._backoff = Caller(config.settings, Random(config.seed))
+        self._polled_at_ns = 0  # when the call that is out began
+        self._limit_ns = 0  # how long it may take
+        self._retry_at_ns = 0  # monotonic: the next call after a failure
+        self._retry_timer: asyncio.TimerHandle | None = None  # until then
+        # Beside a poll that waits long: the probe that is out, or the timer of the next one.
+        self._probe: Probe | asyncio.TimerHandle | None = None
+        self._suspended = False  # another process of this node watches for both
+        self._silence_timer: asyncio.TimerHandle | None = None  # until that one must be heard
+        # Called with the body of each answer that was applied.
+        self.forward: Callable[[bytes], None] | None = None
         self._readers: ListReaders | None = None
-        self.roster = Roster(config)
+        self.endpoint_list = EndpointList(config)
 
     @property
     def readers(self) -> ListReaders | None:
@@ -183,222 +93,276 @@
     @readers.setter
     def readers(self, readers: ListReaders) -> None:
         self._readers = readers
-        self._caller.share()
+        self._backoff.share()
+
+    # ---- what the host calls -----------------------------------------------------
+
+    def load_configured(self, raw: Any) -> list[Listing]:
+        """Apply the list from the configuration; returns its listings.
 
-    def known(self, raw: Any) -> list[Listing]:
-        """The list from the configuration; ListError where it is malformed."""
+        Raises:
+            ListError: it is malformed.
+        """
         try:
-            update, rows, endpoints = self.roster.read(raw)
+            decoded = self.endpoint_list.read(raw)
         except ListError as err:
             raise ListError(f"known: {err}") from None
-        self.roster.apply(raw["rev"], update, rows, endpoints)
-        return rows
+        self.endpoint_list.apply(raw["rev"], *decoded)
+        return decoded.listings
+
+    def inherit(self, inherited: Inheritance) -> list[Listing]:
+        """Apply the list as the process before this one had it; returns its listings."""
+        return self.endpoint_list.inherit(inherited)
 
     def watch(self) -> None:
-        """Ask what has changed since the version in hand, then wait for more until a call fails.
+        """Poll for changes since the present version, then watch until a call fails.
 
-        After failures in a row the first call begins only when the caller's pause is over.
+        After failures in a row the first call begins only when the backoff has passed.
         """
-        if self._call is not None or self._retry is not None:
+        if self._call is not None or self._retry_timer is not None:
             return
-        if self._resting or not self._may_ask():
+        if self._suspended or not self._may_poll():
             return
-        pause = self._not_before - time.monotonic_ns()
-        if pause > 0:
+        backoff_ns = self._retry_at_ns - time.monotonic_ns()
+        if backoff_ns > 0:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_later(pause / SECOND, self._pause_over)
+            self._retry_timer = loop.call_later(backoff_ns / SECOND, self._on_backoff_passed)
             return
         if self.readers is not None and self.readers.unread():
-            self._trust()
-        self._ask(0)
-
-    def _pause_over(self) -> None:
-        self._retry = None
-        self._not_before = 0
-        self.watch()
+            self._expect_full()
+        self._send(0)
 
     def move(self, address: Address, settings: Settings) -> None:
-        """Ask at another address from now on, first for the whole list, then for changes.
+        """Use other settings, and another address: poll there for the complete list, then watch.
 
-        Guards against a watch that goes on at an address about to close, and
-        against a new service that counts its versions from anew: whatever whole
-        list comes first is taken. Would do harm if that list were older than
-        ours, for as long as the next change takes to come.
+        Guards against a watch that goes on at an address about to close, and against a new
+        service whose versions begin again from a low number, so that each of its lists would
+        look older than the present one: the first complete list is applied whatever its version.
+        Does harm if that list is older than the present one, until the next change arrives.
         """
         self._terms = terms(settings)
-        self._caller.go_by(settings)
+        self._backoff.go_by(settings)
         if address == self._address:
             return
-        self.log(f"discovery is at {address} now")
+        self._logger.info("discovery is at %s now", address)
         self._address = address
         self._drop_call()
-        self._caller.reset()
-        self._not_before = 0
-        self._trust()
-        if not self._resting and self._may_ask():
-            self._ask(0)
+        self._backoff.reset()
+        self._retry_at_ns = 0
+        self._expect_full()
+        if not self._suspended and self._may_poll():
+            self._send(0)
 
     def close(self) -> None:
+        """Watch no longer; `watch` begins again."""
         self._drop_call()
-        self._hear_by(0)
+        self._await_peer(0)
 
-    def rest(self) -> None:
-        """Ask nothing while another process of this node watches for both, and is heard."""
-        self._resting = True
+    # ---- the other process of this node --------------------------------------------
+
+    def suspend(self) -> None:
+        """Send nothing while another process of this node watches for both, and is heard."""
+        self._suspended = True
         self._drop_call()
-        self._hear_by(self._terms.hold + self._terms.late)
+        self._await_peer(self._terms.hold + self._terms.late)
 
-    def go_on(self) -> None:
-        """That process has gone, or fallen silent: watch again, from the version in hand."""
-        self._hear_by(0)
-        self._resting = False
+    def resume(self) -> None:
+        """Watch again from the present version: that process has ended, or fell silent."""
+        self._await_peer(0)
+        self._suspended = False
         self.watch()
 
-    def hear(self, body: bytes) -> None:
-        """An answer that another process of this node was given."""
-        if self._resting:
-            self._hear_by(self._terms.hold + self._terms.late)
-        self._take(body, False)
+    def on_forwarded(self, body: bytes) -> None:
+        """Use an answer that another process of this node received."""
+        if self._suspended:
+            self._await_peer(self._terms.hold + self._terms.late)
+        self._apply_answer(body, own=False)
+
+    def _await_peer(self, limit_ns: int) -> None:
+        """Watch again unless the other process is heard within this time; 0 for no limit."""
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+            self._silence_timer = None
+        if limit_ns:
+            loop = asyncio.get_running_loop()
+            self._silence_timer = loop.call_later(limit_ns / SECOND, self._on_peer_silent)
+
+    def _on_peer_silent(self) -> None:
+        self._logger.info("the other process forwards no list: polling again")
+        self.resume()
+
+    # ---- nodes that read the list for all ---------------------------------------------
 
-    def passed(self, raw: dict[str, Any]) -> None:
-        """The list as another node has read it; ListError where it can't be used."""
-        update, rows, endpoints = self.roster.read(raw)
+    def apply_shared(self, raw: dict[str, Any]) -> None:
+        """Apply the list as another node has read it.
+
+        Raises:
+            ListError: it can't be used.
+        """
+        decoded = self.endpoint_list.read(raw)
         self._lag = Lag()
-        stale = self.roster.apply(raw["rev"], update, rows, endpoints)
-        if self.pass_on is not None:
-            self.pass_on(json.dumps(raw).encode())
-        self._told(update, rows, stale)
+        stale = self.endpoint_list.apply(raw["rev"], *decoded)
+        if self.forward is not None:
+            self.forward(json.dumps(raw).encode())
+        self._on_update(decoded.update, decoded.listings, stale)
 
-    def _may_ask(self) -> bool:
+    def _may_poll(self) -> bool:
         return self.readers is None or self.readers.may_poll()
 
-    def inherit(self, left: Inheritance) -> list[Listing]:
-        """The list as the process before this one had it."""
-        return self.roster.inherit(left)
+    # ---- calls -------------------------------------------------------------------------
 
-    def _trust(self) -> None:
-        """What is in hand may be another service's: the next whole list is right."""
-        self._anew = True
+    def _expect_full(self) -> None:
+        """The present list may be another service's: the next complete one is right."""
+        self._needs_full = True
         self._lag.trust()
 
-    def _hear_by(self, span: int) -> None:
-        """Watch again unless the other process is heard within this span; 0 for no limit."""
-        if self._word is not None:
-            self._word.cancel()
-            self._word = None
-        if span:
-            self._word = asyncio.get_running_loop().call_later(span / SECOND, self._unheard)
+    def _send(self, hold_ns: int) -> None:
+        """Poll for the complete list where it is needed, else for changes.
+
+        Args:
+            hold_ns: how long the service may wait for a change: 0 for a poll, else a watch.
+        """
+        assert self._call is None
+        spans = self._terms
+        self._is_watch = hold_ns > 0 and not self._needs_full
+        target = LIST_PATH
+        if not self._needs_full:
+            target += f"?from={self.endpoint_list.rev}&hold_ms={max(hold_ns // MS, 1)}"
+        if self._is_watch:
+            limit_ns = hold_ns + spans.late
+        else:
+            limit_ns = self._backoff.limit(self._endpoint_count())
+        self._polled_at_ns, self._limit_ns = time.monotonic_ns(), limit_ns
+        self._call = HttpGet(
+            self._address,
+            target,
+            limit_ns / SECOND,
+            self._on_response,
+            connect_timeout_s=spans.connect / SECOND,
+        )
+        if not self._is_watch and limit_ns > spans.answer:
+            self._schedule_probe(spans.answer)
 
-    def _unheard(self) -> None:
-        self.log("the other process passes no list on: asking again")
-        self.go_on()
+    def _endpoint_count(self) -> int:
+        return len(self.endpoint_list.endpoints)
 
     def _drop_call(self) -> None:
         call, self._call = self._call, None
         if call is not None:
             call.drop()
         self._drop_probe()
-        if self._retry is not None:
-            self._retry.cancel()
-            self._retry = None
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
 
-    def _drop_probe(self) -> None:
-        probe, self._probe = self._probe, None
-        if isinstance(probe, Probe):
-            probe.drop()
-        elif probe is not None:
-            probe.cancel()
+    def _on_backoff_passed(self) -> None:
+        self._retry_timer = None
+        self._retry_at_ns = 0
+        self.watch()
 
-    def _ask(self, wait: int) -> None:
-        """Ask for what has changed, waiting for it so many ns, or for the whole list."""
-        assert self._call is None
-        spans = self._terms
-        self._waits = wait > 0 and not self._anew
-        target = LIST
-        if not self._anew:
-            target += f"?from={self.roster.rev}&hold_ms={max(wait // MS, 1)}"
-        limit = wait + spans.late if self._waits else self._caller.limit(self._rows())
-        self._asked_at, self._limit = time.monotonic_ns(), limit
-        self._call = Call(
-            self._address, target, limit / SECOND, self._answered, connect=spans.connect / SECOND
-        )
-        if not self._waits and limit > spans.answer:
-            self._probe_in(spans.answer)
+    def _fail(self, failure: Failure) -> None:
+        """Count a failed call; the host calls `watch` again."""
+        now = time.monotonic_ns()
+        elapsed_ns = now - self._polled_at_ns
+        backoff_ns = self._backoff.failed(failure, elapsed_ns, self._endpoint_count())
+        self._retry_at_ns = now + backoff_ns
+        self._on_update(Update.FAILED, [], [])
 
-    def _rows(self) -> int:
-        return len(self.roster.endpoints)
+    def _on_response(self, response: Response | None) -> None:
+        call, self._call = self._call, None
+        self._drop_probe()
+        elapsed_ns = time.monotonic_ns() - self._polled_at_ns
+        if response is None and self._is_watch:
+            # A silent or broken watch may have missed a change: that is polled for at once, and
+            # only where the poll fails too the backoff begins.
+            self._logger.info("the watch of the list ended without an answer: polling for changes")
+            self._send(0)
+            return
+        is_ok = response is not None and response.status == HTTPStatus.OK
+        body = response.body if response is not None and is_ok else None
+        if self._apply_answer(body):
+            if not self._is_watch:
+                self._backoff.answered(elapsed_ns)
+            # At once: after 200 ms discovery would count it as a new watch, and a change in
+            # between as delivered late. The update's receiver may have closed or suspended this.
+            if self._call is None and not self._suspended and self._may_poll():
+                self._send(self._terms.hold)
+        else:
+            connected = call is not None and call.connected
+            queued_ns = 0 if self._is_watch else elapsed_ns  # a watch waits for a change
+            self._fail(failure_of(queued_ns, self._limit_ns, connected, body is not None))
+
+    # ---- probes of a service that is slow ------------------------------------------------
 
-    def _probe_in(self, span: int) -> None:
+    def _schedule_probe(self, delay_ns: int) -> None:
         loop = asyncio.get_running_loop()
-        self._probe = loop.call_later(span / SECOND, self._send_probe)
+        self._probe = loop.call_later(delay_ns / SECOND, self._send_probe)
 
     def _send_probe(self) -> None:
-        """A service that no connection reaches any more will not answer the call that is out."""
-        self._probe = Probe(self._address, self._terms.connect / SECOND, self._probed)
+        """Open a connection: a service that none reaches will not answer the call that is out."""
+        self._probe = Probe(self._address, self._terms.connect / SECOND, self._on_probe_result)
 
-    def _probed(self, reached: bool) -> None:
+    def _on_probe_result(self, reached: bool) -> None:
         if reached:
-            self._probe_in(self._caller.probe_every())
+            self._schedule_probe(self._backoff.probe_every())
             return
-        self.log("discovery is out of reach: the call that waits for it is given up")
+        self._logger.info("discovery is out of reach: the call that waits for it is given up")
         self._drop_call()
         self._fail(Failure.UNREACHED)
 
-    def _fail(self, failure: Failure) -> None:
-        """Count a failed call; the host asks to watch again."""
-        now = time.monotonic_ns()
-        took = now - self._asked_at
-        self._not_before = now + self._caller.failed(failure, took, self._rows())
-        self._told(Update.FAILED, [], [])
+    def _drop_probe(self) -> None:
+        probe, self._probe = self._probe, None
+        if isinstance(probe, Probe):
+            probe.drop()
+        elif probe is not None:
+            probe.cancel()
 
-    def _answered(self, answer: Answer | None) -> None:
-        call, self._call = self._call, None
-        self._drop_probe()
-        took = time.monotonic_ns() - self._asked_at
-        if answer is None and self._waits:
-            # The watch fell silent or broke: what it may have missed is asked for at once.
-            # Only where that fails too is the service given a pause.
-            self.log("the watch of the list ended without an answer: asking what it missed")
-            self._ask(0)
-            return
-        body = answer.body if answer is not None and answer.status == 200 else None
-        if self._take(body):
-            if not self._waits:
-                self._caller.answered(took)
-            # At once: after 200 ms discovery would count it as a new watch, and
-            # what changed in between as told late. Whoever was told may have ended this.
-            if self._call is None and not self._resting and self._may_ask():
-                self._ask(self._terms.hold)
-        else:
-            connected = call is not None and call.connected
-            in_queue = 0 if self._waits else took  # a watch waits for news
-            self._fail(failure_of(in_queue, self._limit, connected, body is not None))
+    # ---- answers --------------------------------------------------------------------------
+
+    def _apply_answer(self, body: bytes | None, *, own: bool = True) -> bool:
+        """Apply an answer and report it; False where the present list stays.
 
-    def _take(self, body: bytes | None, own: bool = True) -> bool:
-        """Pass on an answer, to us or not; False where it failed and the list in hand stays."""
-        roster, raw = self.roster, None
+        Args:
+            body: the answer's body, None for a call that failed.
+            own: whether this process made the call.
+        """
+        raw: Any = None
         try:
-            raw = None if body is None else json.loads(body)
-            if raw is None:
-                raise ListError("the call failed")
-            update, rows, endpoints = roster.read(raw)
-            rev, whole = raw["rev"], update == Update.FULL
-            if self._anew and not whole:
-                raise ListError("it has changes alone where the whole list is needed")
-            if not self._lag.takes(rev, whole, roster.rev):
-                self._anew = True  # changes of another count would never fit ours
-                raise ListError(f"version {rev} is older than {roster.rev}")
+            raw = _parse(body)
+            decoded = self._check(raw)
         except (ListError, ValueError, RecursionError) as err:
             if body is not None:
-                self.log(f"discovery answer not used: {err}")
+                self._logger.info("discovery answer not used: %s", err)
             if self.readers is not None and own:
                 self.readers.failed(raw is not None and self._lag.older > 0)
             return False
-        self._anew = False
-        stale = roster.apply(rev, update, rows, endpoints)
-        if self.pass_on is not None and body is not None:
-            self.pass_on(body)
+        self._needs_full = False
+        stale = self.endpoint_list.apply(raw["rev"], *decoded)
+        if self.forward is not None and body is not None:
+            self.forward(body)
         if self.readers is not None and own:
             self.readers.read(raw)
-        self._told(update, rows, stale)
+        self._on_update(decoded.update, decoded.listings, stale)
         return True
+
+    def _check(self, raw: Any) -> DecodedList:
+        """Decode an answer, and compare its version with the present list's.
+
+        Raises:
+            ListError: it is malformed, a delta where the complete list is needed, or older.
+        """
+        decoded = self.endpoint_list.read(raw)
+        rev, is_full = raw["rev"], decoded.update == Update.FULL
+        if self._needs_full and not is_full:
+            raise ListError("it has changes alone where the whole list is needed")
+        if not self._lag.takes(rev, is_full, self.endpoint_list.rev):
+            self._needs_full = True  # deltas of a service that counts differently never fit
+            raise ListError(f"version {rev} is older than {self.endpoint_list.rev}")
+        return decoded
+
+
+def _parse(body: bytes | None) -> Any:
+    raw = None if body is None else json.loads(body)
+    if raw is None:
+        raise ListError("the call failed")
+    return raw
--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 GET to a service beside the node's own work."""
+"""One HTTP/1.1 GET request to a service that the node itself depends on, such as discovery."""
 
 from __future__ import annotations
 
@@ -12,49 +12,58 @@
 
 from loadbalancer.config.address import Address
 
-MAX_ANSWER = 16 << 20  # bytes of head and body
+MAX_RESPONSE_BYTES = 16 << 20  # header fields and body
+MAX_DIGITS = 18  # of a number in a header field or query: it fits in 64 bits
 
 
-def whole_number(text: str) -> int | None:
-    """A peer's decimal number of at most 18 digits, None for anything else.
+def parse_decimal(text: str) -> int | None:
+    """A peer's decimal number of at most MAX_DIGITS digits, None for anything else.
 
-    Guards against digits that are none of ASCII's and against more than int() takes.
+    Guards against digits outside ASCII, which isdigit() and int() accept, and against numbers
+    so long that int() raises.
     """
-    return int(text) if text.isascii() and text.isdigit() and len(text) <= 18 else None
+    is_decimal = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
+    return int(text) if is_decimal else None
 
 
-class Answer(NamedTuple):
-    """A whole answer; header names in lower case."""
+class Response(NamedTuple):
+    """A complete response; names of header fields are in lower case."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
 
-class Call(asyncio.Protocol):
-    """One GET on a connection of its own; `done` gets the answer, or None, once.
+class HttpGet(asyncio.Protocol):
+    """One GET request on a connection of its own.
 
-    `headers` go out as they are; `tls` wraps the connection. Bounded in size, and in time by
-    `wait` seconds in all and `connect`, where that is given, for the connection to come up.
+    Args:
+        address: of the service.
+        target: the request target, with its query.
+        timeout_s: seconds for the whole exchange.
+        on_done: called once, with the response, or with None where none came in full.
+        headers: further header fields, sent as they are.
+        tls: wraps the connection; None for plain TCP.
+        connect_timeout_s: seconds for the connection to come up.
     """
 
     __slots__ = (
-        "_body", "_done", "_end_at", "_handle", "_head", "_headers", "_parser", "_size", "_task",
-        "_tls", "_transport", "connected",
+        "_body", "_deadline", "_head", "_headers", "_on_done", "_parser", "_size", "_task",
+        "_timer", "_tls", "_transport", "connected",
     )  # fmt: skip
 
     def __init__(
         self,
         address: Address,
         target: str,
-        wait: float,
-        done: Callable[[Answer | None], None],
+        timeout_s: float,
+        on_done: Callable[[Response | None], None],
         headers: Mapping[str, str] | None = None,
         tls: ssl.SSLContext | None = None,
-        connect: float = math.inf,
+        connect_timeout_s: float = math.inf,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self._done: Callable[[Answer | None], None] | None = done
+        self._on_done: Callable[[Response | None], None] | None = on_done
         more = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
         self._head = f"GET {target} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n{more}\r\n"
         self._tls = tls
@@ -64,8 +73,8 @@
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self.connected = False  # whether the connection has come up
-        self._end_at = loop.time() + wait
-        self._handle = loop.call_later(min(wait, connect), self.end, None)
+        self._deadline = loop.time() + timeout_s
+        self._timer = loop.call_later(min(timeout_s, connect_timeout_s), self._finish, None)
         self._task = loop.create_task(self._connect(address))
 
     async def _connect(self, address: Address) -> None:
@@ -73,59 +82,74 @@
         try:
             await loop.create_connection(lambda: self, address.host, address.port, ssl=self._tls)
         except OSError:
-            self.end(None)
+            self._finish(None)
+
+    # ---- asyncio ----------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request."""
         self._transport = cast(asyncio.Transport, transport)
         self.connected = True
-        if self._done is None:
+        if self._on_done is None:
             self._transport.abort()
         else:
-            self._handle.cancel()
-            self._handle = asyncio.get_running_loop().call_at(self._end_at, self.end, None)
+            self._timer.cancel()
+            loop = asyncio.get_running_loop()
+            self._timer = loop.call_at(self._deadline, self._finish, None)
             self._transport.write(self._head.encode())
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of the response."""
         if self._parser is None:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.end(None)
+            self._finish(None)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Give up on a response that has not come in full."""
+        del exc
+        self._finish(None)
+
+    # ---- httptools ----------------------------------------------------------------
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._size += len(name) + len(value)
-        if self._size > MAX_ANSWER:
-            self.end(None)
-            return
+        """Store a header field."""
+        self._count(len(name) + len(value))
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Store a part of the body."""
         self._body.append(body)
-        self._size += len(body)
-        if self._size > MAX_ANSWER:
-            self.end(None)
+        self._count(len(body))
 
     def on_message_complete(self) -> None:
+        """Hand over the response."""
         parser = self._parser
         if parser is not None:
-            self.end(Answer(parser.get_status_code(), self._headers, b"".join(self._body)))
+            status = parser.get_status_code()
+            self._finish(Response(status, self._headers, b"".join(self._body)))
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.end(None)
+    def _count(self, size: int) -> None:
+        self._size += size
+        if self._size > MAX_RESPONSE_BYTES:
+            self._finish(None)
+
+    # ---- the end --------------------------------------------------------------------
 
-    def end(self, answer: Answer | None) -> None:
-        """Hand over what came, once, and let go of the connection."""
-        done = self._done
-        if done is not None:
+    def _finish(self, response: Response | None) -> None:
+        """Report the response, once, and close the connection."""
+        on_done = self._on_done
+        if on_done is not None:
             self.drop()
-            done(answer)
+            on_done(response)
 
     def drop(self) -> None:
-        """Let go of the connection and tell nobody."""
-        self._done = None
+        """Close the connection and report nothing."""
+        self._on_done = None
         self._parser = None
-        self._handle.cancel()
+        self._timer.cancel()
         if self._transport is not None:
             self._transport.abort()
         else:
@@ -133,15 +157,20 @@
 
 
 class Probe(asyncio.Protocol):
-    """One connection that is opened and closed with nothing asked; `done` is told once whether
-    it came up within `connect` seconds."""
+    """One connection that is opened and closed with no request on it.
+
+    Args:
+        address: of the service.
+        timeout_s: seconds for the connection to come up.
+        on_done: called once, with whether it came up in time.
+    """
 
-    __slots__ = ("_done", "_handle", "_task")
+    __slots__ = ("_on_done", "_task", "_timer")
 
-    def __init__(self, address: Address, connect: float, done: Callable[[bool], None]) -> None:
+    def __init__(self, address: Address, timeout_s: float, on_done: Callable[[bool], None]) -> None:
         loop = asyncio.get_running_loop()
-        self._done: Callable[[bool], None] | None = done
-        self._handle = loop.call_later(connect, self._end, False)
+        self._on_done: Callable[[bool], None] | None = on_done
+        self._timer = loop.call_later(timeout_s, self._finish, False)
         self._task = loop.create_task(self._connect(address))
 
     async def _connect(self, address: Address) -> None:
@@ -149,24 +178,25 @@
         try:
             await loop.create_connection(lambda: self, address.host, address.port)
         except OSError:
-            self._end(False)
+            self._finish(False)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Close the connection at once: it has come up."""
         cast(asyncio.Transport, transport).abort()
-        self._end(True)
+        self._finish(True)
 
-    def _end(self, reached: bool) -> None:
-        done = self._done
-        if done is not None:
-            self._forget()
-            done(reached)
+    def _finish(self, reached: bool) -> None:
+        on_done = self._on_done
+        if on_done is not None:
+            self._stop()
+            on_done(reached)
 
     def drop(self) -> None:
-        """Give it up and tell nobody."""
-        if self._done is not None:
-            self._forget()
+        """Give it up and report nothing."""
+        if self._on_done is not None:
+            self._stop()
             self._task.cancel()
 
-    def _forget(self) -> None:
-        self._done = None
-        self._handle.cancel()
+    def _stop(self) -> None:
+        self._on_done = None
+        self._timer.cancel()
--- a/loadbalancer/sources/watchers.py
+++ b/loadbalancer/sources/watchers.py
@@ -1,7 +1,8 @@
-"""Connections of callers that ask one question at a time, bounded in size and time.
+"""The server's side of polls and watches (long polls): connections, bounded in size and time.
 
-A `Watcher` asks for a list in the platform's discovery form, and waits for its next version.
-What is answered, and when, is the host's to say.
+A connection carries one request at a time. A `Watcher` polls for an endpoint list in the
+platform's discovery form, and may wait for its next version; its host decides what is answered,
+and when.
 
 Source: the platform's protocol, "Discovery".
 """
@@ -9,120 +10,147 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 from typing import Any, Protocol, cast
 from urllib.parse import parse_qs, urlsplit
 
 import httptools
 
-from loadbalancer.sources.http_get import whole_number
+from loadbalancer.sources.endpoint_list import LIST_PATH
+from loadbalancer.sources.http_get import parse_decimal
 
-LIST = "/registry/instances"
-MAX_HOLD_S = 60.0
-MAX_HEAD = 8 << 10  # bytes of a request
-IDLE_S = 75.0  # for a connection with nothing asked
-GONE = {"state": "left", "endpoint": "", "az": "", "model": "", "pod_group": 0,
-        "capacity_hint": 1.0, "boot_ms": 0}  # fmt: skip
+READY_PATH = "/health/ready"
+MAX_HOLD_S = 60.0  # that a watch may wait
+MAX_REQUEST_BYTES = 8 << 10
+IDLE_TIMEOUT_S = 75.0  # for a connection with no request
+MS_PER_S = 1000
+# The fields of a removed server's row beside its uid.
+REMOVED_FIELDS = {"state": "left", "endpoint": "", "az": "", "model": "", "pod_group": 0,
+                  "capacity_hint": 1.0, "boot_ms": 0}  # fmt: skip
 
 Query = dict[str, list[str]]
 
 
-class Host(Protocol):
-    """Whoever answers: it replies on the connection, now or later."""
+class ConnectionHost(Protocol):
+    """Whoever answers requests: it replies on the connection, at once or later."""
 
-    most_watchers: int
+    max_connections: int
     connections: int
 
-    def waits(self, caller: Any) -> bool:
-        """Whether its last question has no answer yet."""
+    def is_waiting(self, connection: Any) -> bool:
+        """Whether the connection's last request has no response yet."""
 
-    def forget(self, caller: Any) -> None:
-        """Its question needs no answer any more."""
+    def cancel(self, connection: Any) -> None:
+        """The connection's request needs no response any more."""
 
 
-class ListHost(Host, Protocol):
-    """Whoever has the list."""
+class ListHost(ConnectionHost, Protocol):
+    """Whoever serves the endpoint list."""
 
     def ready(self) -> bool:
-        """Whether there is a whole list."""
+        """Whether there is a complete list."""
 
-    def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
-        """A question: the version held, 0 for none, and how many seconds news may take."""
+    def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
+        """A poll or a watch.
 
+        Args:
+            watcher: the connection.
+            since: the version that the caller has, 0 for none.
+            hold_s: seconds that it waits for a newer one, 0 for a poll.
+            query: all of the request's query.
+        """
 
-def gone_row(uid: str) -> dict[str, Any]:
-    """What the list says of a server that has gone."""
-    return {"uid": uid} | GONE
 
+def removed_row(uid: str) -> dict[str, Any]:
+    """The row of a delta for a server that was removed."""
+    return {"uid": uid} | REMOVED_FIELDS
 
-class Caller(asyncio.Protocol):
-    """One connection: one question at a time, bounded in size and time."""
 
-    most_bytes = MAX_HEAD  # of one question
+class ServerConnection(asyncio.Protocol):
+    """One connection: one request at a time, bounded in size and time."""
 
-    def __init__(self, host: Host) -> None:
+    max_request_bytes = MAX_REQUEST_BYTES
+
+    def __init__(self, host: ConnectionHost) -> None:
         self.host = host
         self.parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._size = 0
         self._target = b""
-        self._idle: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
+
+    # ---- asyncio ----------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for a request; past the host's limit the connection is refused."""
         self._transport = cast(asyncio.Transport, transport)
         self.host.connections += 1
-        if self.host.connections > self.host.most_watchers:
-            self.reply(503, b"too many watchers")
+        if self.host.connections > self.host.max_connections:
+            self.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"too many watchers")
             self._transport.close()
-        self._rest()
+        self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the request that has no response yet."""
+        del exc
         self.host.connections -= 1
-        self.host.forget(self)
-        if self._idle is not None:
-            self._idle.cancel()
-
-    def _rest(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        if self._transport is not None:
-            loop = asyncio.get_running_loop()
-            self._idle = loop.call_later(IDLE_S, self._transport.abort)
+        self.host.cancel(self)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Parse a part of a request."""
         self._size += len(data)
-        if self._size > self.most_bytes:
-            self.give_up(400, b"too large")
+        if self._size > self.max_request_bytes:
+            self.reject(HTTPStatus.BAD_REQUEST, b"too large")
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError:
-            raise  # a fault of ours: the loop tells it, and ends the connection
+            raise  # a fault in this program: the loop reports it, and ends the connection
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.give_up(400, b"no HTTP/1.1 request")
+            self.reject(HTTPStatus.BAD_REQUEST, b"no HTTP/1.1 request")
+
+    def _restart_idle_timer(self) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        if self._transport is not None:
+            loop = asyncio.get_running_loop()
+            self._idle_timer = loop.call_later(IDLE_TIMEOUT_S, self._transport.abort)
+
+    # ---- httptools ----------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
+        """Store a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
+        """Pass the request on."""
         target, self._target, self._size = self._target, b"", 0
-        self._rest()
-        if self.host.waits(self):
-            self.give_up(400, b"a second question before the first's answer")
+        self._restart_idle_timer()
+        if self.host.is_waiting(self):
+            self.reject(HTTPStatus.BAD_REQUEST, b"a second question before the first's answer")
             return
         parts = urlsplit(target.decode("latin-1"))
-        self.question(self.parser.get_method(), parts.path, parse_qs(parts.query))
+        self.on_request(self.parser.get_method(), parts.path, parse_qs(parts.query))
 
-    def question(self, method: bytes, path: str, query: Query) -> None:
-        """A whole question has come."""
+    def on_request(self, method: bytes, path: str, query: Query) -> None:
+        """A complete request has come."""
         raise NotImplementedError
 
+    # ---- responses ------------------------------------------------------------------
+
     def reply(self, status: int, body: bytes) -> None:
-        """Answer the question; nothing where the connection is on its way out."""
+        """Respond to the request; nothing where the connection is closing."""
         if self._transport is None or self._transport.is_closing():
             return
-        kind = "application/json" if status == 200 else "text/plain"
-        head = f"HTTP/1.1 {status} -\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
-        # One that does not read: its answers are not kept for it.
+        content_type = "application/json" if status == HTTPStatus.OK else "text/plain"
+        head = (
+            f"HTTP/1.1 {int(status)} -\r\n"
+            f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
+        )
+        # Responses to a caller that reads none would pile up in memory: the second one that
+        # finds the first still unsent ends the connection.
         if self._transport.get_write_buffer_size() > 0:
             self._transport.abort()
             return
@@ -131,19 +159,19 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection without a word."""
+        """End the connection without a response."""
         if self._transport is not None:
             self._transport.abort()
 
-    def give_up(self, status: int, why: bytes) -> None:
-        """Answer, and end the connection."""
-        self.host.forget(self)
-        self.reply(status, why)
+    def reject(self, status: int, reason: bytes) -> None:
+        """Respond, and end the connection."""
+        self.host.cancel(self)
+        self.reply(status, reason)
         if self._transport is not None:
             self._transport.close()
 
 
-class Watcher(Caller):
+class Watcher(ServerConnection):
     """One node's connection."""
 
     host: ListHost
@@ -151,21 +179,23 @@
     def __init__(self, host: ListHost) -> None:
         super().__init__(host)
 
-    def question(self, method: bytes, path: str, query: Query) -> None:
+    def on_request(self, method: bytes, path: str, query: Query) -> None:
+        """Route a request: the list, or whether there is one."""
         if method != b"GET":
-            self.give_up(405, b"GET only")
-        elif path == "/health/ready":
-            self.reply(200 if self.host.ready() else 503, b"")
-        elif path != LIST:
-            self.reply(404, b"")
+            self.reject(HTTPStatus.METHOD_NOT_ALLOWED, b"GET only")
+        elif path == READY_PATH:
+            self.reply(HTTPStatus.OK if self.host.ready() else HTTPStatus.SERVICE_UNAVAILABLE, b"")
+        elif path != LIST_PATH:
+            self.reply(HTTPStatus.NOT_FOUND, b"")
         elif not self.host.ready():
-            self.reply(503, b"no whole list yet")
+            self.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"no whole list yet")
         else:
-            self._asked(query)
+            self._on_list_request(query)
 
-    def _asked(self, query: Query) -> None:
-        since, hold = (whole_number(query.get(k, ["0"])[0]) for k in ("from", "hold_ms"))
-        if since is None or hold is None:
-            self.reply(400, b"from and hold_ms are whole numbers")
+    def _on_list_request(self, query: Query) -> None:
+        since, hold_ms = (parse_decimal(query.get(key, ["0"])[0]) for key in ("from", "hold_ms"))
+        if since is None or hold_ms is None:
+            self.reply(HTTPStatus.BAD_REQUEST, b"from and hold_ms are whole numbers")
             return
-        self.host.asked(self, since, min(hold / 1000, MAX_HOLD_S), query)
+        hold_s = min(hold_ms / MS_PER_S, MAX_HOLD_S)
+        self.host.on_list_request(self, since, hold_s, query)
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -31,7 +31,7 @@
 def write(node: Leaving, standby: bool) -> dict[str, Any]:
     """All of it, as JSON can carry it; spans are nanoseconds before now."""
     now = time.monotonic_ns()
-    roster = node.discovery.roster
+    roster = node.discovery.endpoint_list
     rows = []
     for b in node.balancer.endpoints.values():
         address = roster.endpoints.get(b.id)
--- a/loadbalancer/upgrade/handover.py
+++ b/loadbalancer/upgrade/handover.py
@@ -144,7 +144,7 @@
         if "serving" in frame:
             self._relieve()
         elif "news" in frame:
-            self.host.node.discovery.hear(str(frame["news"]).encode())
+            self.host.node.discovery.on_forwarded(str(frame["news"]).encode())
         elif "reload" in frame:
             self.host.reload(passed_on=True)
         elif "standby" in frame:
@@ -158,7 +158,7 @@
         host.listener.hold_back()
         host.service.relieve(time.monotonic_ns())
         self.close()
-        node.discovery.rest()
+        node.discovery.suspend()
         if node.peers is not None:
             node.peers.close(leaving=False)  # one writer: the successor speaks from here on
         self._kept = PredecessorShare()
@@ -213,7 +213,7 @@
             return
         host.node.log("upgrade: the successor has gone; serving again")
         host.listener.accept_again()
-        host.node.discovery.go_on()
+        host.node.discovery.resume()
         self.open()
 
 
@@ -272,7 +272,7 @@
             return
         self._left = SuccessorShare()
         self._yielded = self.host.loop.create_future()
-        self.host.node.discovery.pass_on = self._news
+        self.host.node.discovery.forward = self._news
         link.send({"serving": True})
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._yielded, YIELD_S)
@@ -312,5 +312,5 @@
         if self._left is not None:
             self._left = None
             self.host.node.log("upgrade: the predecessor has gone")
-        self.host.node.discovery.pass_on = None
+        self.host.node.discovery.forward = None
         self.host.node.be_whole()
--- a/tests/control/machine/test_version.py
+++ b/tests/control/machine/test_version.py
@@ -14,7 +14,7 @@
     version_of,
 )
 from loadbalancer.core.assignment.model import START, InvalidInputError, Position
-from loadbalancer.sources.http_get import whole_number
+from loadbalancer.sources.http_get import parse_decimal
 
 POSITIONS = st.builds(
     Position,
@@ -33,7 +33,7 @@
     assert version_of(START) == 0
     highest = version_of(Position(MAX_EPOCH, MAX_REVISION))
     assert highest == MAX_VERSION
-    assert whole_number(str(highest)) == highest
+    assert parse_decimal(str(highest)) == highest
 
 
 @pytest.mark.parametrize("version", [-1, MAX_VERSION + 1])
--- a/tests/control/xds/test_pools.py
+++ b/tests/control/xds/test_pools.py
@@ -165,7 +165,7 @@
         pool = Pool(read_inputs(config)[0], 0, lambda: None, lambda _pool: None)
         pool.start()
         assert pool.stale_list() == ""
-        pool.confirmed_at -= Discovery.old_after
+        pool.confirmed_at -= Discovery.stale_after_ns
         assert pool.stale_list() == "topup: not heard of for 30 s"
         assert pool.has_servers()
         assert len(pool.accepting()) == 1
--- a/tests/core/endpoints/test_list_versions.py
+++ b/tests/core/endpoints/test_list_versions.py
@@ -21,8 +21,9 @@
 from loadbalancer.config.node import Config, load
 from loadbalancer.core import Listing, Update
 from loadbalancer.sources import discovery
-from loadbalancer.sources.discovery import Discovery, backend_id
-from loadbalancer.sources.http_get import Answer
+from loadbalancer.sources.discovery import Discovery
+from loadbalancer.sources.endpoint_list import backend_id
+from loadbalancer.sources.http_get import Response
 from tests.harness import config, roster, target
 
 STATES = ("active", "leaving", "left")
@@ -63,8 +64,8 @@
     out: ClassVar[list[FakeCall]] = []
 
     def __init__(
-        self, address: Address, asked: str, _wait: float, done: Callable[[Answer | None], None],
-        connect: float = 0.0,
+        self, address: Address, asked: str, _wait: float, done: Callable[[Response | None], None],
+        connect_timeout_s: float = 0.0,
     ) -> None:  # fmt: skip
         self.address, self.asked, self.done = address, asked, done
         self.connected = True
@@ -74,15 +75,15 @@
     def drop(self) -> None:
         self.dropped = True
 
-    def end(self, answer: Answer | None) -> None:
+    def end(self, answer: Response | None) -> None:
         if self in FakeCall.out:
             FakeCall.out.remove(self)
             if not self.dropped:
                 self.done(answer)
 
 
-def body(raw: dict[str, Any]) -> Answer:
-    return Answer(200, {}, json.dumps(raw).encode())
+def body(raw: dict[str, Any]) -> Response:
+    return Response(200, {}, json.dumps(raw).encode())
 
 
 EVENTS = st.lists(
@@ -109,7 +110,7 @@
     settings_of_node: Config, events: list[tuple[str, int]]
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(discovery, "Call", FakeCall)
+        patch.setattr(discovery, "HttpGet", FakeCall)
         asyncio.run(play(settings_of_node, events))
 
 
@@ -127,7 +128,7 @@
             if row.state.name != "GONE":
                 held[row.backend] = row.state.name
 
-    d = Discovery(conf, tell, lambda text: None)
+    d = Discovery(conf, tell)
     service = Service(100)
     moves = 0
     taken = False  # anything of the service in charge
@@ -150,9 +151,9 @@
             service, taken = Service(1 + value % 300), False
             d.move(Address("127.0.0.1", 1000 + moves), conf.settings)
         elif kind == "rest":
-            d.rest()
+            d.suspend()
         elif kind == "go on":
-            d.go_on()
+            d.resume()
         elif kind == "late" and gone:  # of a call that something else has taken the place of
             before = dict(held)
             gone.pop().end(body(roster(target("s-9", 9), rev=9_999)))
@@ -177,11 +178,11 @@
         elif call is not None and kind == "break":
             call.end(None)
         elif call is not None and kind == "status":
-            call.end(Answer(503, {}, b""))
+            call.end(Response(503, {}, b""))
         if told and told[-1] == Update.FAILED:
             d.watch()  # the Balancer's timer
-            if d._retry is not None:  # the pause after failures in a row, over at once
-                d._retry.cancel()
-                d._pause_over()
+            if d._retry_timer is not None:  # the pause after failures in a row, over at once
+                d._retry_timer.cancel()
+                d._on_backoff_passed()
     d.close()
     assert all(c.dropped for c in FakeCall.out)
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -18,7 +18,7 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints import poll_timing as asking
 from loadbalancer.core.endpoints.poll_timing import terms
-from loadbalancer.sources.discovery import ListError, Roster
+from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from tests.harness import (
     Peer,
     accept,
@@ -183,14 +183,14 @@
 def test_a_list_that_can_not_be_gone_by_is_refused_whole(
     tmp_path: Path, raw: dict[str, object]
 ) -> None:
-    held = Roster(load(config(tmp_path, roster(), 1)))
+    held = EndpointList(load(config(tmp_path, roster(), 1)))
     with pytest.raises(ListError):
         held.read(raw)
     assert held.endpoints == {} and held.rev == 0
 
 
 def test_a_list_with_a_line_twice_nulls_and_odd_keys_is_used(tmp_path: Path) -> None:
-    held = Roster(load(config(tmp_path, roster(), 1)))
+    held = EndpointList(load(config(tmp_path, roster(), 1)))
     odd = row(az=None, pod_group=None, boot_ms=None, capacity_hint=None, colour="red")
     _, rows, endpoints = held.read(roster(odd, odd, rev=8))
     assert {r.backend for r in rows} == set(endpoints) and len(endpoints) == 1
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -67,7 +67,7 @@
 from loadbalancer.core.xds.plan import make_plan
 from loadbalancer.core.xds.snapshot import Resource, ResourceType
 from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies
-from loadbalancer.sources.http_get import Call as OutgoingCall
+from loadbalancer.sources.http_get import HttpGet as OutgoingCall
 
 REFUSED = (ValueError, ScaleFileError)
 
@@ -363,9 +363,9 @@
 
 def _read_question(data: bytes) -> Any:
     asked: list[Any] = []
-    host: Any = mock.Mock(most_watchers=1, connections=0)
-    host.waits.return_value = False
-    host.asked = lambda _, *rest: asked.append(rest)
+    host: Any = mock.Mock(max_connections=1, connections=0)
+    host.is_waiting.return_value = False
+    host.on_list_request = lambda _, *rest: asked.append(rest)
     connection = SubscriberConnection(host)
     connection.data_received(data)
     ((since, hold, query),) = asked
@@ -389,7 +389,7 @@
 
 def _write_http_answer(plain: Any) -> bytes:
     sent: list[bytes] = []
-    connection = SubscriberConnection(mock.Mock(most_watchers=1, connections=0))
+    connection = SubscriberConnection(mock.Mock(max_connections=1, connections=0))
     transport: Any = mock.Mock(write=sent.append)
     transport.is_closing.return_value = False
     transport.get_write_buffer_size.return_value = 0
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -60,7 +60,8 @@
 from loadbalancer.sources.consul.file import ConsulFile
 from loadbalancer.sources.consul.reader import Reader
 from loadbalancer.sources.consul.rows import Fields, RowError, words
-from loadbalancer.sources.discovery import Discovery, ListError, Roster
+from loadbalancer.sources.discovery import Discovery
+from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from loadbalancer.sources.watchers import Watcher
 from loadbalancer.upgrade import handed_state as handed
 from loadbalancer.upgrade import handover as handing
@@ -291,7 +292,7 @@
         ):
             asyncio.run(_begin(side, made, transport))
     elif says in ("serving", "news"):
-        heir = Successor(_process(discovery=SimpleNamespace(pass_on=None)))
+        heir = Successor(_process(discovery=SimpleNamespace(forward=None)))
         heir._link = made
         if says == "news":
             heir._news(plain["answer"].encode())
@@ -337,7 +338,7 @@
         divide=lambda _part: None,
         lend_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
         discovery=SimpleNamespace(
-            hear=lambda body: heard.update(says="news", answer=body.decode())
+            on_forwarded=lambda body: heard.update(says="news", answer=body.decode())
         ),
     )
     host.reload = lambda passed_on: heard.update(says="reload")
@@ -383,7 +384,7 @@
         endpoints={m["server"]: Address(m["host"], m["port"]) for m in plain["members"]},
         boot_ms=boots.__getitem__,
     )
-    node: Any = SimpleNamespace(balancer=balancer, discovery=SimpleNamespace(roster=roster))
+    node: Any = SimpleNamespace(balancer=balancer, discovery=SimpleNamespace(endpoint_list=roster))
     with _clocks():
         return json.dumps(handed.write(node, plain["standby"])).encode()
 
@@ -532,8 +533,8 @@
     """The call for what has changed since `from`, or for the whole list where it has none."""
 
     async def ask() -> bytes:
-        discovery = Discovery(_node_config(), lambda *_: None, lambda _text: None)
-        discovery.roster.rev = plain["from"] or 0
+        discovery = Discovery(_node_config(), lambda *_: None)
+        discovery.endpoint_list.rev = plain["from"] or 0
         address = parse_address(plain["address"])
         if plain["from"] is None:  # its service has moved
             found = await _called(lambda: discovery.move(address, SETTINGS))
@@ -559,8 +560,8 @@
         got.update({"from": since, "hold_ms": round(hold * 1000)})
 
     host: Any = SimpleNamespace(
-        most_watchers=1, connections=0, waits=lambda _c: False, forget=lambda _c: None,
-        ready=lambda: True, asked=asked,
+        max_connections=1, connections=0, is_waiting=lambda _c: False, cancel=lambda _c: None,
+        ready=lambda: True, on_list_request=asked,
     )  # fmt: skip
     transport: Any = _Transport()
 
@@ -582,7 +583,7 @@
 def _decode_listing(data: bytes) -> Plain:
     """An answer of discovery's as a node reads it."""
     raw = json.loads(data)
-    roster = Roster(_node_config())
+    roster = EndpointList(_node_config())
     try:
         with _clocks():
             update, rows, endpoints = roster.read(raw)
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -24,7 +24,7 @@
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
 from loadbalancer.gossip_transport.codec import decode, encode, fleet_number
-from loadbalancer.sources.discovery import backend_id
+from loadbalancer.sources.endpoint_list import backend_id
 from tests.harness import answer, listen, node, request, roster
 from tests.harness import target as listed_target
 
--- a/tests/sources/consul/test_consul.py
+++ b/tests/sources/consul/test_consul.py
@@ -300,4 +300,4 @@
 
 
 def test_a_list_that_is_read_in_rounds_is_not_called_old_between_them() -> None:
-    assert ConsulMembers.old_after > 2 * ROUND_S * SECOND
+    assert ConsulMembers.stale_after_ns > 2 * ROUND_S * SECOND
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Real nodes with nothing before a list service that is slow, down, or asked by too many.
+"""Real nodes with nothing before a list service that is slow, down, or polled by too many.
 
 The case of docs/design/cold-start.md at a smaller size: a whole list takes the service less than a
 node waits for an answer at most, all of them take much longer.
@@ -18,7 +18,7 @@
 from fakes.fleet import Process, backends, started
 from fakes.tier import tier
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.endpoints import poll_timing as asking
+from loadbalancer.core.endpoints import poll_timing
 from tests.harness import accept, answer, listen, node, roster, served_by
 from tests.harness import target as listed
 from tests.sources.test_cold_start import EMPTY
@@ -39,19 +39,19 @@
 def test_a_cold_fleet_has_its_lists_as_soon_as_the_service_can_give_them(
     servers: list[Process],
 ) -> None:
-    """Without words between nodes each asks for itself; nobody gives a call up."""
-    how = {"words": False, "settings": {"registry_mode": "ask"}, "over": lambda _node: EMPTY}
+    """Without gossip each node polls for itself: none gives a call up before its answer comes."""
+    options = {"words": False, "settings": {"registry_mode": "ask"}, "over": lambda _node: EMPTY}
     command = ("-m", "fakes.discovery", "--lines", str(LINES))
     with started(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
-        with tier(NODES, [], discovery=discovery.address, **how) as t:
+        with tier(NODES, [], discovery=discovery.address, **options) as cluster:
             began = time.monotonic()
-            while not all(p.ready() for p in t.nodes.values()):
+            while not all(p.ready() for p in cluster.nodes.values()):
                 assert time.monotonic() - began < 1.1 * NEEDED_S + BESIDE_S
                 time.sleep(0.05)
-            books = discovery.call("GET", "/standin/state")
-            assert books["whole"] == NODES  # each list given was one that its node still awaited
+            counters = discovery.call("GET", "/standin/state")
+            assert counters["whole"] == NODES  # each list given was one that its node still awaited
 
 
 def test_a_call_of_a_node_with_no_list_outlives_the_quick_terms(tmp_path: Path) -> None:
@@ -64,7 +64,7 @@
             began = time.monotonic()
             probe = accept(discovery)  # comes once the quick term is over, and asks for nothing
             assert probe.ends() == b""
-            assert time.monotonic() - began >= 0.9 * asking.ANSWER / SECOND
+            assert time.monotonic() - began >= 0.9 * poll_timing.ANSWER / SECOND
             probe.close()
             peer.send(answer(_body(roster(row, rev=9))))
             assert "from=9" in accept(discovery).message()[0]
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -46,19 +46,21 @@
     return [target(f"s-{i}", servers[i % 4].address) for i in range(first, first + ROWS)]
 
 
-def listed(t: Tier, node: int) -> dict[str, Any]:
-    found: dict[str, Any] = t.status(node)["list"]
+def listed(cluster: Tier, node: int) -> dict[str, Any]:
+    found: dict[str, Any] = cluster.status(node)["list"]
     return found
 
 
-def all_at(t: Tier, rev: int, count: int = ROWS) -> bool:
-    return all((s := listed(t, n))["rev"] == rev and s["rows"] == count for n in t.nodes)
+def all_at(cluster: Tier, rev: int, count: int = ROWS) -> bool:
+    return all(
+        (s := listed(cluster, n))["rev"] == rev and s["rows"] == count for n in cluster.nodes
+    )
 
 
-def serve(t: Tier, name: str) -> None:
-    assert {request_status(t.nodes[n], f"{name}{n}-{i}") for n in t.nodes for i in range(4)} == {
-        200
-    }
+def serve(cluster: Tier, name: str) -> None:
+    assert {
+        request_status(cluster.nodes[n], f"{name}{n}-{i}") for n in cluster.nodes for i in range(4)
+    } == {200}
 
 
 def test_a_cold_tier_reads_the_list_as_one_whatever_dies(
@@ -66,104 +68,110 @@
 ) -> None:
     """Two calls in three are turned away, links lose a tenth, the readers are killed."""
     discovery.call("POST", "/standin/faults", {"refuse": 0.6})
-    how: dict[str, Any] = {
+    options: dict[str, Any] = {
         "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
         "over": lambda _node: EMPTY,
     }  # fmt: skip
-    with tier(NODES, [], **how) as t:
-        t.order(loss=0.1)
-        assert not any(t.nodes[n].ready() for n in t.nodes if not listed(t, n)["rows"])
-        wait_until(lambda: any(listed(t, n)["rows"] for n in t.nodes))
+    with tier(NODES, [], **options) as cluster:
+        cluster.order(loss=0.1)
+        assert not any(
+            cluster.nodes[n].ready() for n in cluster.nodes if not listed(cluster, n)["rows"]
+        )
+        wait_until(lambda: any(listed(cluster, n)["rows"] for n in cluster.nodes))
         reading: list[int] = []
         while not reading:
-            reading = [n for n in t.nodes if listed(t, n)["reads"]]
-        t.kill(*reading)
+            reading = [n for n in cluster.nodes if listed(cluster, n)["reads"]]
+        cluster.kill(*reading)
         discovery.call("POST", "/standin/faults", {"refuse": 0.3})
-        wait_until(lambda: all_at(t, 2))
-        assert all(p.ready() for p in t.nodes.values())
-        serve(t, "a")
-        t.start(*reading)
-        wait_until(lambda: all_at(t, 2))
-        books = discovery.call("GET", "/standin/state")
+        wait_until(lambda: all_at(cluster, 2))
+        assert all(p.ready() for p in cluster.nodes.values())
+        serve(cluster, "a")
+        cluster.start(*reading)
+        wait_until(lambda: all_at(cluster, 2))
+        counters = discovery.call("GET", "/standin/state")
         # Each for itself would have read NODES whole lists and more.
-        assert books["whole"] <= 6 and max(books["by_second"]) <= 60
+        assert counters["whole"] <= 6
+        assert max(counters["by_second"]) <= 60
         # What changes is read by two and known to all.
         discovery.call("POST", "/standin/targets", rows(servers, 20))
-        wait_until(lambda: all_at(t, 3))
-        serve(t, "b")
+        wait_until(lambda: all_at(cluster, 3))
+        serve(cluster, "b")
 
-        def told() -> bool:
+        def reported() -> bool:
             said = StringIO()
-            run_command(["peers", next(iter(t.nodes.values())).admin], said)
+            run_command(["peers", next(iter(cluster.nodes.values())).admin], said)
             assert f"list: {ROWS} rows, version 3 of epoch 1" in said.getvalue()
             return ": read, version 3 of epoch 1, " in said.getvalue()
 
-        wait_until(told)
+        wait_until(reported)
         after = discovery.call("GET", "/standin/state")
         # Each for itself 40 times NODES; with calls turned away others read it beside the two.
-        assert after["lines"] - books["lines"] < 40 * (NODES - 1)
+        assert after["lines"] - counters["lines"] < 40 * (NODES - 1)
 
 
 def test_the_list_outlives_its_service_and_a_new_count(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
     """A reader stopped and woken, a service that is down, then one that counts from anew."""
-    how: dict[str, Any] = {
+    options: dict[str, Any] = {
         "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
         "over": lambda _node: EMPTY,
     }  # fmt: skip
-    with tier(5, [], **how) as t:
-        wait_until(lambda: all_at(t, 2))
-        reader = next(n for n in t.nodes if listed(t, n)["reads"])
-        t.signal(signal.SIGSTOP, reader)
+    with tier(5, [], **options) as cluster:
+        wait_until(lambda: all_at(cluster, 2))
+        reader = next(n for n in cluster.nodes if listed(cluster, n)["reads"])
+        cluster.signal(signal.SIGSTOP, reader)
         discovery.call("POST", "/standin/targets", rows(servers, 5))
-        others = [n for n in t.nodes if n != reader]
-        wait_until(lambda: all(listed(t, n)["rev"] == 3 for n in others))
-        t.signal(signal.SIGCONT, reader)
-        wait_until(lambda: all_at(t, 3))
-        # Its watch was the service's all along, and its word of old changes nothing.
+        others = [n for n in cluster.nodes if n != reader]
+        wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in others))
+        cluster.signal(signal.SIGCONT, reader)
+        wait_until(lambda: all_at(cluster, 3))
+        # Its watch stayed open at the service, and its old answer changes nothing.
         discovery.call("POST", "/standin/faults", {"status": 503})
         discovery.call("POST", "/standin/targets", rows(servers, 5))  # wakes the watches
-        serve(t, "c")
+        serve(cluster, "c")
         discovery.call("POST", "/standin/faults", {"rev": 1})
         discovery.call("POST", "/standin/targets", rows(servers, 8))
-        wait_until(lambda: all_at(t, 2), 60)
-        epochs = {listed(t, n)["epoch"] for n in t.nodes}
-        assert len(epochs) == 1 and min(epochs) >= 2
-        serve(t, "d")
+        wait_until(lambda: all_at(cluster, 2), 60)
+        epochs = {listed(cluster, n)["epoch"] for n in cluster.nodes}
+        assert len(epochs) == 1
+        assert min(epochs) >= 2
+        serve(cluster, "d")
 
 
-def test_a_side_that_is_cut_off_from_the_list_heals_to_one_picture(
+def test_a_side_that_is_cut_off_from_the_list_heals_to_the_same_list(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
     """Two nodes are told of a drain, and of a server replaced at its address; three are not."""
     old = rows(servers)
-    how: dict[str, Any] = {
+    options: dict[str, Any] = {
         "fleet": fleet, "settings": {"registry_mode": "ask"},
         "over": lambda n: {
             "discovery": discovery.address if n < 2 else "127.0.0.1:1",
             "known": {"rev": 2, "all": True, "targets": old},
         },
     }  # fmt: skip
-    with tier(5, [], **how) as t:
-        t.cut([0, 1], [2, 3, 4])
-        t.agree({0, 1}, [0, 1])
-        t.agree({2, 3, 4}, [2, 3, 4])
+    with tier(5, [], **options) as cluster:
+        cluster.cut([0, 1], [2, 3, 4])
+        cluster.agree({0, 1}, [0, 1])
+        cluster.agree({2, 3, 4}, [2, 3, 4])
         # All names of server 1 drain; one of server 0 gives its address to another name.
         new = [row | ({"state": "leaving"} if i % 4 == 1 else {}) for i, row in enumerate(old)]
         new[0] = target("s-900", servers[0].address)
         discovery.call("POST", "/standin/targets", new)
-        wait_until(lambda: all(listed(t, n)["rev"] == 3 for n in (0, 1)))
-        assert all(listed(t, n)["rev"] == 2 for n in (2, 3, 4))
-        serve(t, "e")
-        t.order(cut=[], loss=0.1)
-        wait_until(lambda: all_at(t, 3))
-        t.agree(set(range(5)))
+        wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in (0, 1)))
+        assert all(listed(cluster, n)["rev"] == 2 for n in (2, 3, 4))
+        serve(cluster, "e")
+        cluster.order(cut=[], loss=0.1)
+        wait_until(lambda: all_at(cluster, 3))
+        cluster.agree(set(range(5)))
         before = received(servers[1])
-        serve(t, "f")
-        serve(t, "g")
+        serve(cluster, "f")
+        serve(cluster, "g")
         assert received(servers[1]) == before
-        assert len({(s["epoch"], s["rev"]) for s in (listed(t, n) for n in t.nodes)}) == 1
+        assert (
+            len({(s["epoch"], s["rev"]) for s in (listed(cluster, n) for n in cluster.nodes)}) == 1
+        )
 
 
 def test_a_new_address_of_the_list_is_asked_by_the_readers_alone(
@@ -174,19 +182,19 @@
     with started(("-m", "fakes.discovery", "--lines", "60")) as second:
         second.call("POST", "/standin/faults", {"rev": 1})
         second.call("POST", "/standin/targets", rows(servers, 7))
-        how: dict[str, Any] = {
+        options: dict[str, Any] = {
             "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
             "over": lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
         }  # fmt: skip
-        with tier(5, [], **how) as t:
-            wait_until(lambda: all_at(t, 2))
+        with tier(5, [], **options) as cluster:
+            wait_until(lambda: all_at(cluster, 2))
             assert discovery.call("GET", "/standin/state")["whole"] <= 3
-            for node in t.nodes:
-                path = Path(t.config(node)["PROXY_CONFIG"])
+            for node in cluster.nodes:
+                path = Path(cluster.config(node)["PROXY_CONFIG"])
                 path.write_text(path.read_text().replace(discovery.address, second.address))
             discovery.call("POST", "/standin/targets", rows(servers, 20))  # version 3
-            wait_until(lambda: all_at(t, 3))
-            t.signal(signal.SIGHUP, *t.nodes)
-            wait_until(lambda: all_at(t, 2) and listed(t, 0)["epoch"] == 2)
+            wait_until(lambda: all_at(cluster, 3))
+            cluster.signal(signal.SIGHUP, *cluster.nodes)
+            wait_until(lambda: all_at(cluster, 2) and listed(cluster, 0)["epoch"] == 2)
             assert second.call("GET", "/standin/state")["asked for all"] <= 2
-            serve(t, "h")
+            serve(cluster, "h")
