--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -25,9 +25,9 @@
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, Update
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.poll_backoff import Caller, Failure, failure_of
-from loadbalancer.core.endpoints.poll_timing import terms
-from loadbalancer.core.endpoints.revisions import Lag
+from loadbalancer.core.endpoints.poll_backoff import PollBackoff, PollFailure, classify_failure
+from loadbalancer.core.endpoints.poll_timing import poll_timings
+from loadbalancer.core.endpoints.revisions import OlderAnswerFilter
 from loadbalancer.sources.endpoint_list import LIST_PATH, DecodedList, EndpointList, ListError
 from loadbalancer.sources.http_get import HttpGet, Probe, Response
 
@@ -53,10 +53,10 @@
 
     stale_after_ns = 30 * SECOND  # without an answer: a watch is answered within seconds
 
-    __slots__ = ("_address", "_backoff", "_call", "_is_watch", "_lag", "_limit_ns", "_logger",
-                 "_needs_full", "_on_update", "_polled_at_ns", "_probe", "_readers",
-                 "_retry_at_ns", "_retry_timer", "_silence_timer", "_suspended", "_terms",
-                 "endpoint_list", "forward")  # fmt: skip
+    __slots__ = ("_address", "_backoff", "_call", "_is_watch", "_limit_ns", "_logger",
+                 "_needs_full", "_older_answers", "_on_update", "_polled_at_ns", "_probe",
+                 "_readers", "_retry_at_ns", "_retry_timer", "_silence_timer", "_suspended",
+                 "_timings", "endpoint_list", "forward")  # fmt: skip
 
     def __init__(
         self, config: Config, on_update: OnUpdate, list_logger: SourceLogger | None = None
@@ -64,14 +64,14 @@
         self._address = config.discovery
         self._on_update = on_update
         self._logger = list_logger or logger
-        self._terms = terms(config.settings)
-        self._lag = Lag()
+        self._timings = poll_timings(config.settings)
+        self._older_answers = OlderAnswerFilter()
         # The present list may be another service's, or lack a change: no delta is of use, and the
         # complete list is polled for until one has been applied.
         self._needs_full = False
         self._call: HttpGet | None = None
         self._is_watch = False  # whether the call that is out is a watch, not a poll
-        self._backoff = Caller(config.settings, Random(config.seed))
+        self._backoff = PollBackoff(config.settings, Random(config.seed))
         self._polled_at_ns = 0  # when the call that is out began
         self._limit_ns = 0  # how long it may take
         self._retry_at_ns = 0  # monotonic: the next call after a failure
@@ -140,8 +140,8 @@
         look older than the present one: the first complete list is applied whatever its version.
         Does harm if that list is older than the present one, until the next change arrives.
         """
-        self._terms = terms(settings)
-        self._backoff.go_by(settings)
+        self._timings = poll_timings(settings)
+        self._backoff.configure(settings)
         if address == self._address:
             return
         self._logger.info("discovery is at %s now", address)
@@ -164,7 +164,7 @@
         """Send nothing while another process of this node watches for both, and is heard."""
         self._suspended = True
         self._drop_call()
-        self._await_peer(self._terms.hold + self._terms.late)
+        self._await_peer(self._timings.hold + self._timings.hold_margin)
 
     def resume(self) -> None:
         """Watch again from the present version: that process has ended, or fell silent."""
@@ -175,7 +175,7 @@
     def on_forwarded(self, body: bytes) -> None:
         """Use an answer that another process of this node received."""
         if self._suspended:
-            self._await_peer(self._terms.hold + self._terms.late)
+            self._await_peer(self._timings.hold + self._timings.hold_margin)
         self._apply_answer(body, own=False)
 
     def _await_peer(self, limit_ns: int) -> None:
@@ -200,7 +200,7 @@
             ListError: it can't be used.
         """
         decoded = self.endpoint_list.read(raw)
-        self._lag = Lag()
+        self._older_answers = OlderAnswerFilter()
         stale = self.endpoint_list.apply(raw["rev"], *decoded)
         if self.forward is not None:
             self.forward(json.dumps(raw).encode())
@@ -214,7 +214,7 @@
     def _expect_full(self) -> None:
         """The present list may be another service's: the next complete one is right."""
         self._needs_full = True
-        self._lag.trust()
+        self._older_answers.accept_next()
 
     def _send(self, hold_ns: int) -> None:
         """Poll for the complete list where it is needed, else for changes.
@@ -223,25 +223,25 @@
             hold_ns: how long the service may wait for a change: 0 for a poll, else a watch.
         """
         assert self._call is None
-        spans = self._terms
+        timings = self._timings
         self._is_watch = hold_ns > 0 and not self._needs_full
         target = LIST_PATH
         if not self._needs_full:
             target += f"?from={self.endpoint_list.rev}&hold_ms={max(hold_ns // MS, 1)}"
         if self._is_watch:
-            limit_ns = hold_ns + spans.late
+            limit_ns = hold_ns + timings.hold_margin
         else:
-            limit_ns = self._backoff.limit(self._endpoint_count())
+            limit_ns = self._backoff.answer_timeout(self._endpoint_count())
         self._polled_at_ns, self._limit_ns = time.monotonic_ns(), limit_ns
         self._call = HttpGet(
             self._address,
             target,
             limit_ns / SECOND,
             self._on_response,
-            connect_timeout_s=spans.connect / SECOND,
+            connect_timeout_s=timings.connect_timeout / SECOND,
         )
-        if not self._is_watch and limit_ns > spans.answer:
-            self._schedule_probe(spans.answer)
+        if not self._is_watch and limit_ns > timings.answer_timeout:
+            self._schedule_probe(timings.answer_timeout)
 
     def _endpoint_count(self) -> int:
         return len(self.endpoint_list.endpoints)
@@ -260,11 +260,11 @@
         self._retry_at_ns = 0
         self.watch()
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: PollFailure) -> None:
         """Count a failed call; the host calls `watch` again."""
         now = time.monotonic_ns()
         elapsed_ns = now - self._polled_at_ns
-        backoff_ns = self._backoff.failed(failure, elapsed_ns, self._endpoint_count())
+        backoff_ns = self._backoff.on_failure(failure, elapsed_ns, self._endpoint_count())
         self._retry_at_ns = now + backoff_ns
         self._on_update(Update.FAILED, [], [])
 
@@ -282,15 +282,15 @@
         body = response.body if response is not None and is_ok else None
         if self._apply_answer(body):
             if not self._is_watch:
-                self._backoff.answered(elapsed_ns)
+                self._backoff.on_answer(elapsed_ns)
             # At once: after 200 ms discovery would count it as a new watch, and a change in
             # between as delivered late. The update's receiver may have closed or suspended this.
             if self._call is None and not self._suspended and self._may_poll():
-                self._send(self._terms.hold)
+                self._send(self._timings.hold)
         else:
             connected = call is not None and call.connected
             queued_ns = 0 if self._is_watch else elapsed_ns  # a watch waits for a change
-            self._fail(failure_of(queued_ns, self._limit_ns, connected, body is not None))
+            self._fail(classify_failure(queued_ns, self._limit_ns, connected, body is not None))
 
     # ---- probes of a service that is slow ------------------------------------------------
 
@@ -300,15 +300,17 @@
 
     def _send_probe(self) -> None:
         """Open a connection: a service that none reaches will not answer the call that is out."""
-        self._probe = Probe(self._address, self._terms.connect / SECOND, self._on_probe_result)
+        self._probe = Probe(
+            self._address, self._timings.connect_timeout / SECOND, self._on_probe_result
+        )
 
     def _on_probe_result(self, reached: bool) -> None:
         if reached:
-            self._schedule_probe(self._backoff.probe_every())
+            self._schedule_probe(self._backoff.probe_interval())
             return
         self._logger.info("discovery is out of reach: the call that waits for it is given up")
         self._drop_call()
-        self._fail(Failure.UNREACHED)
+        self._fail(PollFailure.UNREACHABLE)
 
     def _drop_probe(self) -> None:
         probe, self._probe = self._probe, None
@@ -334,7 +336,7 @@
             if body is not None:
                 self._logger.info("discovery answer not used: %s", err)
             if self.readers is not None and own:
-                self.readers.failed(raw is not None and self._lag.older > 0)
+                self.readers.failed(raw is not None and self._older_answers.older > 0)
             return False
         self._needs_full = False
         stale = self.endpoint_list.apply(raw["rev"], *decoded)
@@ -355,7 +357,7 @@
         rev, is_full = raw["rev"], decoded.update == Update.FULL
         if self._needs_full and not is_full:
             raise ListError("it has changes alone where the whole list is needed")
-        if not self._lag.takes(rev, is_full, self.endpoint_list.rev):
+        if not self._older_answers.accepts(rev, is_full, self.endpoint_list.rev):
             self._needs_full = True  # deltas of a service that counts differently never fit
             raise ListError(f"version {rev} is older than {self.endpoint_list.rev}")
         return decoded
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -17,10 +17,10 @@
 
 from loadbalancer.core import Balancer, Listing, RequestClass, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND, Timer
-from loadbalancer.core.endpoints.poll_backoff import Caller, failure_of
-from loadbalancer.core.endpoints.poll_timing import HOLD, LATE
-from loadbalancer.core.endpoints.revisions import Lag, Revisions
-from loadbalancer.core.endpoints.shared_list import Taken
+from loadbalancer.core.endpoints.poll_backoff import PollBackoff, classify_failure
+from loadbalancer.core.endpoints.poll_timing import HOLD_MARGIN_NS, HOLD_NS
+from loadbalancer.core.endpoints.revisions import OlderAnswerFilter, Revisions
+from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
 from simulation.gossip_world import World
@@ -96,7 +96,7 @@
         if rev:
             had, self.list = self.list.rows, Revisions(rev - 1)
             self.list.rows = had
-        self.list.move(self.list.rev + 1, rows)
+        self.list.advance(self.list.rev + 1, rows)
         waiting, self._watching = self._watching, []
         for asked in waiting:
             self._serve(asked)
@@ -161,14 +161,14 @@
         """`told`: the update and its rows, as the host is to hear them."""
         self.world, self.node, self.service = world, node, service
         self.rev, self.rows = known
-        self.lag = Lag()
+        self.lag = OlderAnswerFilter()
         self._told = told
         self._watching = False
         self._waits = False  # the call that is out is a watch
         self._calls = 0
         self._reads = False
         self._fleet = world.nodes[node]
-        self._caller = Caller(settings, Random(world.random.getrandbits(32)))
+        self._caller = PollBackoff(settings, Random(world.random.getrandbits(32)))
         if self._fleet.shared_list is not None:
             self._caller.share()
         self._asked_at = self._limit = 0  # of the call that is out
@@ -180,28 +180,28 @@
     def begin(self) -> None:
         shared = self._fleet.shared_list
         if shared is not None and self.rows:
-            shared.copy.begin(self.rev, self.rows)
+            shared.replica.begin(self.rev, self.rows)
         self._told(Update.CACHED, self.rows)
 
     def watch(self) -> None:
         shared = self._fleet.shared_list
-        if self._watching or not self._alive() or (shared is not None and not shared.reads):
+        if self._watching or not self._alive() or (shared is not None and not shared.polls):
             return
         if self.world.now < self._not_before:
             due, self._not_before = self._not_before, 0
             self.world.later(due, self.watch)
             return
         self._watching = True
-        unread = shared is not None and not shared.copy.version.epoch
+        unread = shared is not None and not shared.replica.version.epoch
         if unread:
-            self.lag.trust()
+            self.lag.accept_next()
         self._next(-1 if unread else self.rev, 0)
 
     def _next(self, since: int, hold: int) -> None:
         self._calls += 1
         self._waits = hold > 0
         asked = Asked(self, self._calls, since, hold)
-        limit = hold + LATE if hold else self._caller.limit(len(self.rows))
+        limit = hold + HOLD_MARGIN_NS if hold else self._caller.answer_timeout(len(self.rows))
         self._asked_at, self._limit = self.world.now, limit
         self.world.later(self.world.now + TRIP, self.service.call, asked)
         self.world.later(self.world.now + limit, self.answered, self._calls, None)
@@ -219,47 +219,47 @@
             self._next(self.rev, 0)
             return
         took = 0 if self._waits else self.world.now - self._asked_at
-        if answer is None or not self.lag.takes(answer[0], answer[2], self.rev):
+        if answer is None or not self.lag.accepts(answer[0], answer[2], self.rev):
             self._watching = False
             self._calls += 1
             if shared is not None:
-                shared.failed(now, answer is not None)
-            failure = failure_of(took, self._limit, True, answer is not None)
-            pause = self._caller.failed(failure, took, len(self.rows))
+                shared.on_failure(now, answer is not None)
+            failure = classify_failure(took, self._limit, True, answer is not None)
+            pause = self._caller.on_failure(failure, took, len(self.rows))
             self._not_before = self.world.now + pause
             self._told(Update.FAILED, {})
             return
         if not self._waits:
-            self._caller.answered(took)
-        taken = Taken(*answer)
+            self._caller.on_answer(took)
+        taken = ListUpdate(*answer)
         if shared is not None:
             self._fleet.on_list_read(now, *taken)
             self.world.poke(self.node)
         self._take(taken)
-        self._next(self.rev, HOLD)
+        self._next(self.rev, HOLD_NS)
 
-    def _take(self, taken: Taken) -> None:
-        before = {} if taken.whole else self.rows
+    def _take(self, taken: ListUpdate) -> None:
+        before = {} if taken.complete else self.rows
         merged = dict[str, str | None](before) | dict(taken.rows)
         self.rows = {u: r for u, r in merged.items() if r is not None}
         self.rev = taken.rev
-        self._told(Update.FULL if taken.whole else Update.DELTA, taken.rows)
+        self._told(Update.FULL if taken.complete else Update.DELTA, taken.rows)
 
     def after(self) -> None:
         """What `loadbalancer/gossip_transport/shared_list.py` does after each turn and word."""
         shared = self._fleet.shared_list
         if shared is None or not self._alive():
             return
-        if shared.reads != self._reads:
-            self._reads = shared.reads
+        if shared.polls != self._reads:
+            self._reads = shared.polls
             if self._reads:
                 self.watch()
             else:
                 self._watching = False
                 self.service.forget(self)
-        news, shared.news = shared.news, []
+        news, shared.updates = shared.updates, []
         for taken in news:
-            self.lag = Lag()
+            self.lag = OlderAnswerFilter()
             self._take(taken)
 
 
