--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -18,7 +18,7 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints import poll_timing as timing
 from loadbalancer.core.endpoints.poll_timing import poll_timings
-from loadbalancer.sources.discovery import ListError, Roster
+from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from tests.harness import (
     Peer,
     accept,
@@ -197,7 +197,7 @@
     ],
 )
 def test_a_malformed_list_is_refused_as_a_whole(tmp_path: Path, raw: dict[str, object]) -> None:
-    current = Roster(load(config(tmp_path, roster(), 1)))
+    current = EndpointList(load(config(tmp_path, roster(), 1)))
     with pytest.raises(ListError):
         current.read(raw)
     assert current.endpoints == {}
@@ -205,7 +205,7 @@
 
 
 def test_a_list_with_a_line_twice_nulls_and_odd_keys_is_used(tmp_path: Path) -> None:
-    current = Roster(load(config(tmp_path, roster(), 1)))
+    current = EndpointList(load(config(tmp_path, roster(), 1)))
     odd = row(az=None, pod_group=None, boot_ms=None, capacity_hint=None, colour="red")
     _, rows, endpoints = current.read(roster(odd, odd, rev=8))
     assert {r.backend for r in rows} == set(endpoints)
