--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -174,7 +174,7 @@
         )
 
 
-def test_a_new_address_of_the_list_is_asked_by_the_readers_alone(
+def test_a_new_address_of_the_list_is_polled_by_the_readers_alone(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
     """SIGHUP at all nodes; each has another day's list, of a later number than the service's."""
