--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -46,7 +46,7 @@
     def send(self, attempt: Attempt) -> None:
         """Send an attempt (rules 1 to 3); its outcome may be settled before this returns."""
         host, backend = self.host, attempt.backend
-        address = host.discovery.roster.endpoints.get(backend)
+        address = host.discovery.endpoint_list.endpoints.get(backend)
         if address is None:
             host.conclude(attempt, Outcome.CONNECT_FAILED)
             return
@@ -83,7 +83,7 @@
 
     def release(self, conn: BackendConnection) -> None:
         """Take a connection back for the next attempt, by rule 4."""
-        if self.host.discovery.roster.endpoints.get(conn.backend) != conn.address:
+        if self.host.discovery.endpoint_list.endpoints.get(conn.backend) != conn.address:
             conn.abandon()
             return
         conn.idle_since = time.monotonic_ns()
