--- a/loadbalancer/core/endpoints/__init__.py
+++ b/loadbalancer/core/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Members: many sources' words as one list, and how a long list is read."""
+"""The endpoint list: merging several sources, sharing it among nodes, and polling for it."""
--- a/loadbalancer/core/endpoints/attempt_evidence.py
+++ b/loadbalancer/core/endpoints/attempt_evidence.py
@@ -1,8 +1,9 @@
-"""What a Balancer's own attempts show of a server, for sources that merge lists; decides nothing.
+"""What a Balancer's own attempts show of a server, to confirm or refute a source's report.
 
-A source of members may be wrong; the servers' own behaviour is not. The Balancer knows which
-servers it has ejected as silent or unreachable, and which answered recently. Where it may eject
-no further server (never more than half of all), the consecutive failures still show it.
+A source of a list may be wrong, so `merged_list` compares it with the results of attempts. The
+Balancer knows which servers it has ejected as silent or unreachable, and which answered recently.
+Where it may eject no further server (never more than half of all), the consecutive failures still
+show it.
 """
 
 from __future__ import annotations
--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -1,4 +1,4 @@
-"""Sends deltas of the list in pieces: down a tree from the reader, and to nodes that ask.
+"""Sends deltas of the list in pieces: down a tree from the reader, and to nodes on request.
 
 A reader's update goes down a tree over the alive nodes that begins at the reader, in pieces that
 each node passes on as they come, so that no node sends more than FANOUT copies.
@@ -16,14 +16,14 @@
 from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
-PIECE_HEAD_BYTES = 88  # of a PIECE message beside its body, at most (checked by a test)
+PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
 FANOUT = 4  # children of a node in the tree
 NO_TREE = -1  # as the root of a piece that is not passed on
-PIECES_PER_S = 250  # that a node sends: each node accepts NODE_DATAGRAMS of one
-BURST = 64
-MAX_QUEUED = 8192  # pieces; past it they are dropped, and asked for
+PIECES_PER_S = 250  # that a node sends; a receiver accepts NODE_DATAGRAMS from one node
+BURST = 64  # pieces
+MAX_QUEUED = 8192  # pieces; further ones are dropped, and requested by nodes that lack them
 BUSY_QUEUED = 200  # pieces in the queue from which on other nodes' requests are ignored
-PACKINGS_PER_S = 10  # each takes milliseconds, whoever asks from whatever version
+PACKINGS_PER_S = 10  # deltas packed on request: each takes milliseconds
 MAX_REQUESTED = 16  # pieces of one request
 
 
@@ -48,7 +48,7 @@
         return bool(self._queue)
 
     def may_send(self, now: int) -> bool:
-        """Take one message from the rate, where it allows one."""
+        """Whether the rate allows one message; if so it is charged."""
         return self._rate.take(now)
 
     def flush(self, now: int) -> list[Outgoing]:
@@ -97,7 +97,7 @@
     def answer(
         self, now: int, request: Message, replica: ListReplica, assembler: PieceAssembler
     ) -> None:
-        """Queue what a WANT asks for and this node has, as far as the rate allows."""
+        """Queue the pieces that a WANT requests, as far as this node has them and is not busy."""
         version, checksum = ListVersion(*request.digest[:3]), request.digest[3]
         numbers = request.digest[4:]
         if len(self._queue) > BUSY_QUEUED:
@@ -119,9 +119,9 @@
     def _answer_in_part(
         self, to: int, checksum: int, numbers: tuple[int, ...], assembler: PieceAssembler
     ) -> bool:
-        """Send the pieces that this node has of an incomplete delta; whether there were any.
+        """Queue the pieces that this node has of an incomplete delta; whether there were any.
 
-        Under loss only the reader has a complete delta at first.
+        Under packet loss only the reader has a complete delta at first.
         """
         found = [part for n in numbers if (part := assembler.part(checksum, n)) is not None]
         for piece, body in found[:MAX_REQUESTED]:
--- a/loadbalancer/core/endpoints/list_pieces.py
+++ b/loadbalancer/core/endpoints/list_pieces.py
@@ -12,7 +12,7 @@
 )
 from loadbalancer.core.gossip.messages import MAX_INTEGER
 
-MAX_PARTIAL_DELTAS = 8  # at once: past it the one whose last piece came first is dropped
+MAX_PARTIAL_DELTAS = 8  # at once; beyond it the one longest without a new piece is dropped
 
 
 class Piece(NamedTuple):
@@ -21,7 +21,7 @@
     epoch: int  # of the version that the delta leads to, as `rev` and `checksum`
     rev: int
     checksum: int
-    base: int
+    base: int  # as of a ListDelta
     total: int  # pieces of the delta
     number: int  # of this one, from 0
     delta_checksum: int  # of the packed delta: pieces of two packings are never joined
@@ -46,7 +46,7 @@
     def __init__(self, first: Piece, now: int) -> None:
         self.first = first
         self.parts: dict[int, bytes] = {}
-        self.received_at = now  # the last piece that was new
+        self.received_at = now  # when the last new piece came
 
     def missing(self) -> list[int]:
         """The numbers of the pieces that have not been received."""
@@ -61,9 +61,9 @@
         self.partial: dict[tuple[ListVersion, int, int], PartialDelta] = {}
 
     def add(self, now: int, piece: Piece, body: bytes) -> PackedDelta | None | bool:
-        """Add a piece: the delta once it is complete, None before, False for an unusable piece.
+        """Add a piece; returns the delta once it is complete, and None before.
 
-        Unusable is a piece that is not valid or that has been received already.
+        Returns False for a piece that is invalid or has been received already.
         """
         if not self.is_valid(piece, body):
             return False
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -1,10 +1,10 @@
-"""Which nodes read the list for all, decided at each node from the readers' records.
+"""Which nodes are list readers, decided at each node from the readers' records.
 
-Every node can work out the order: by rendezvous hashing over the alive nodes, those whose calls
-failed recently behind all others. The first `count` read. The others step in, group after group,
-where no reader has given a sign: a wrong view of the members costs an extra call, and never leaves
-the fleet without a reader. After failures the calls of the whole fleet are paced. Times are in
-nanoseconds.
+Every node computes the same order: by rendezvous hashing over the alive nodes, those whose calls
+failed recently last. The first `count` are readers. Where no reader's record has been renewed, the
+others step in, in groups of `count`: a wrong view of the members costs an extra call, and never
+leaves the fleet without a reader. After failures the calls of all nodes together are paced. Times
+are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 PAUSE_NS = 250 * MS  # of the fleet after a failure; doubled with each node whose call failed
 MAX_PAUSE_NS = 4 * SECOND
 MAX_PAUSE_DOUBLINGS = 8
-FIRST_STEP_NS = 2 * SECOND  # without a sign while nobody has read yet, until the next group reads
+FIRST_STEP_NS = 2 * SECOND  # silence of the readers after which the next group steps in, at first
 STALE_NS = 12 * SECOND  # the same once the list has been read: six watches of a reader
-ABSENT_NS = 60 * SECOND  # how long a node that was to read and gave no sign is passed over
-DISTRUST_NS = 60 * SECOND  # of a node that names versions which nobody has
+ABSENT_NS = 60 * SECOND  # how long a node that should read, and was silent, is passed over
+DISTRUST_NS = 60 * SECOND  # how long a node that named a version which nobody has is ignored
 
 
 def reader_rank(node: int) -> int:
@@ -40,13 +40,12 @@
         self.count = count
         self._order = sorted(range(nodes), key=reader_rank)
         self._preceding = self._order[: self._order.index(me)]
-        self.records: dict[
-            int, StoredRecord[ReaderRecord]
-        ] = {}  # written when the service answered
+        # By node; written when the list service answered.
+        self.records: dict[int, StoredRecord[ReaderRecord]] = {}
         self._started_at = now
         self._number = 0
         self._distrusted_until: dict[int, int] = {}
-        self._absent_until: dict[int, int] = {}  # nodes that were to read and gave no sign
+        self._absent_until: dict[int, int] = {}  # nodes that should read and were silent
 
     # ---- records ---------------------------------------------------------------
 
@@ -84,7 +83,7 @@
         return total
 
     def expire(self, now: int) -> None:
-        """Remove what is too old."""
+        """Remove expired records, and the marks of distrusted and absent nodes."""
         ttl_ns = MERGE_RULES[ReaderRecord].ttl_ns
         self.records = {n: r for n, r in self.records.items() if now - r.written_at < ttl_ns}
         self._distrusted_until = {n: t for n, t in self._distrusted_until.items() if now < t}
@@ -93,9 +92,9 @@
     # ---- who reads ----------------------------------------------------------------
 
     def is_chosen(self, now: int, is_alive: Callable[[int], bool], polls: bool) -> bool:
-        """Whether this node is to read now; `polls`: it does already.
+        """Whether this node is to be a reader now; `polls`: it is one already.
 
-        Where those whose turn it is have given no sign, it passes them over and steps in.
+        It steps in where the nodes that precede it have been silent, and passes them over.
         """
         failed = {
             node: failed_at
@@ -113,8 +112,8 @@
         )
         group = len(preceding) // self.count
         if group and self._silence(now) > group * self._step():
-            # They are alive and do not read: of an earlier version, or cut off from this node.
-            # Were they not passed over, nodes that step in would see each other and all stop.
+            # They are alive and do not read: they run an earlier release, or are cut off from this
+            # node. Unless they are passed over, nodes that step in would end each other's turn.
             self._absent_until |= dict.fromkeys(preceding, now + ABSENT_NS)
             return True
         return group == 0
@@ -124,7 +123,7 @@
         return [node for node in self._preceding if counts(node)]
 
     def _is_last_resort(self, failed: dict[int, int], is_alive: Callable[[int], bool]) -> bool:
-        """Where all have failed: whether this node's failure is among the longest ago."""
+        """Where all calls failed: whether this node is among the `count` that failed first."""
         if any(node not in failed and is_alive(node) for node in self._order):
             return False
         own = failed[self.me]
@@ -132,7 +131,7 @@
         return earlier < self.count
 
     def _silence(self, now: int) -> int:
-        """How long ago another node gave the last sign that it reads."""
+        """How long ago the last record of another reader was written, ns."""
         signs = [
             written_at
             for node, (record, written_at) in self.records.items()
@@ -141,12 +140,12 @@
         return now - max(signs, default=self._started_at)
 
     def _step(self) -> int:
-        """How long a silence makes a further group read."""
+        """The silence, ns, after which a further group of nodes reads."""
         read = any(record.state == ReaderState.READ for record, _ in self.records.values())
         return STALE_NS if read else FIRST_STEP_NS
 
     def active_preceding(self, now: int) -> int:
-        """How many readers with a recent record precede this node, where several have updates."""
+        """How many readers with a recent record precede this node: their pushes come first."""
         own = reader_rank(self.me)
         return sum(
             reader_rank(node) < own
@@ -166,7 +165,7 @@
         return [node for found, node in self._versions() if found == version]
 
     def distrust(self, now: int, version: ListVersion) -> None:
-        """Nobody has this version: the readers that name it are ignored for a while."""
+        """No node sends this version: ignore the readers that name it for DISTRUST_NS."""
         for node in self.nodes_with(version):
             self._distrusted_until[node] = now + DISTRUST_NS
 
--- a/loadbalancer/core/endpoints/list_repair.py
+++ b/loadbalancer/core/endpoints/list_repair.py
@@ -1,4 +1,4 @@
-"""Asks other nodes for a version of the list that is known of and does not arrive."""
+"""Requests missing pieces from other nodes, for a version of the list that does not arrive."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import Kind, Outgoing
 
-REQUEST_AFTER_NS = 200 * MS  # without a piece, until what is missing is asked for
-GIVE_UP_NS = 5 * SECOND  # without a piece of a version that is named: nobody has it
-ARRIVAL_NS = 2 * SECOND  # for pieces to arrive at a node that is to read, while others have them
-OTHER_CANDIDATES = 3  # nodes asked as often as a reader is, each
+REQUEST_AFTER_NS = 200 * MS  # without a new piece, until the missing ones are requested
+GIVE_UP_NS = 5 * SECOND  # without a new piece: no node seems to have the version
+ARRIVAL_NS = 2 * SECOND  # how long a node waits for a known version before it polls itself
+OTHER_CANDIDATES = 3  # random nodes among which, and one reader, a request's target is drawn
 
 
 class ListRepair:
-    """Whether this node lacks a version that a reader has, and what it asks for."""
+    """Whether this node lacks a version that a reader has, and what it requests."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._assembler = assembler
         self._random = random
         self._counters = counters
-        self._behind_since: int | None = None  # a later version is known of
+        self._behind_since: int | None = None  # since when a later version is known
         self._last_piece_at = now
 
     def on_piece(self, now: int) -> None:
@@ -46,7 +46,7 @@
         self._last_piece_at = now
 
     def reset(self) -> None:
-        """There is nothing to ask for."""
+        """Nothing is missing."""
         self._behind_since = None
 
     def may_arrive(self, now: int) -> bool:
@@ -69,7 +69,7 @@
         if not REQUEST_AFTER_NS <= waited <= GIVE_UP_NS or not self._sender.may_send(now):
             return []
         wanted = self._wanted(latest, NO_VERSION if need_full_list else version)
-        # Mostly other nodes than readers, which are few: they would be asked by all.
+        # Mostly nodes that are not readers: those are few, and would get all nodes' requests.
         reader = self._random.choice(self._readers.nodes_with(latest))
         candidates = [*self._members.sample(OTHER_CANDIDATES), reader]
         self._counters["asked for what is missing"] += 1
@@ -77,7 +77,7 @@
         return [Outgoing(self._random.choice(candidates), message)]
 
     def _wanted(self, latest: ListVersion, version: ListVersion) -> tuple[int, ...]:
-        """The numbers of a WANT: our version, and missing pieces of a delta to the latest one."""
+        """The numbers of a WANT: this node's version, and missing pieces of the latest delta."""
         partial = self._assembler.latest()
         if partial is None or partial.first.target < latest:
             return (*version, 0)
--- a/loadbalancer/core/endpoints/list_replica.py
+++ b/loadbalancer/core/endpoints/list_replica.py
@@ -21,7 +21,7 @@
 )
 from loadbalancer.core.endpoints.revisions import Revisions
 
-FULL_LIST_PART = 2  # where one row in so many has changed, all rows are sent: a delta saves little
+FULL_LIST_PART = 2  # from one changed row in so many on, all rows are sent instead of a delta
 MAX_CACHED_DELTAS = 8
 
 
@@ -39,14 +39,14 @@
         return self._list.rows
 
     def begin(self, rev: int, rows: Mapping[str, str]) -> None:
-        """Start from the list of the configuration, which may be old: its epoch is 0."""
+        """Start from the list in the configuration, which may be old: its epoch is 0."""
         self._advance(ListVersion(0, rev, self._checksum_with(rows)), rows)
 
     def read(self, rev: int, rows: Mapping[str, str | None], complete: bool) -> ListDelta | None:
-        """Take the list service's own answer, which precedes any version; the delta to it.
+        """Apply the list service's answer, which overrides the present version.
 
-        None where nothing has changed. Where the service names an earlier version, or other rows
-        for the same one, it has restarted its numbers: a new epoch begins.
+        Returns the delta to it, None where nothing has changed. Where the service names an earlier
+        version, or other rows for the same one, it has restarted its numbers: a new epoch begins.
         """
         old, before = self.version, dict(self.rows)
         changed = self._changed_rows(rows, complete)
@@ -65,7 +65,7 @@
     def fits(self, delta: ListDelta | PackedDelta) -> bool:
         """Whether a delta leads from this version, or any, to a later one.
 
-        Also from a list that was not read, by its number: the checksum decides.
+        A list that was not read counts by its `rev`: `apply` then verifies the checksum.
         """
         ours, target = self.version, delta.target
         leads_on = delta.base <= ours.rev and ours.epoch in (0, target.epoch)
@@ -78,7 +78,7 @@
         return sum(row is None and uid in self.rows for uid, row in delta.rows.items())
 
     def apply(self, delta: ListDelta) -> Mapping[str, str | None] | None:
-        """Apply a delta that `fits`: the rows that change, None for a wrong checksum.
+        """Apply a delta that `fits`; returns the rows that change, None for a wrong checksum.
 
         The checksum may be wrong without a fault: a row that changed after the delta's base and
         changed back is not in the delta, and a replica of a version in between has the other row.
@@ -90,7 +90,7 @@
         return changed
 
     def delta_since(self, version: ListVersion) -> PackedDelta:
-        """What a node that has that version lacks."""
+        """The packed delta for a node that has that version."""
         base, rows = FULL_LIST, dict[str, str | None](self.rows)
         if version.epoch == self.version.epoch and version.rev < self.version.rev:
             changed, complete = self._list.since(version.rev)
@@ -111,7 +111,7 @@
         return next((p for p in self._cache.values() if p.checksum == checksum), None)
 
     def cache(self, packed: PackedDelta) -> None:
-        """Cache a packed delta for nodes that ask for pieces of it."""
+        """Cache a packed delta for nodes that request pieces of it."""
         self._cache[packed.base, packed.target] = packed
         self._cache.move_to_end((packed.base, packed.target))
         if len(self._cache) > MAX_CACHED_DELTAS:
@@ -138,7 +138,7 @@
         return checksum
 
     def _advance(self, target: ListVersion, changed: Mapping[str, str | None]) -> None:
-        """Go on to a version; earlier changes are remembered within an epoch alone."""
+        """Change to a version; the changes before it are remembered only within its epoch."""
         if target.epoch != self.version.epoch:
             rows, self._list = self._list.rows, Revisions(target.rev)
             self._list.rows = rows
--- a/loadbalancer/core/endpoints/list_versions.py
+++ b/loadbalancer/core/endpoints/list_versions.py
@@ -4,7 +4,7 @@
 rows in any order, and `epoch` is raised by a reader to whom the service has answered with restarted
 numbers. It is 0 for a list that nobody has read, from a configuration: whatever its number is, it
 may be old, and precedes every list that was read. Versions are ordered as tuples, so of any two
-that differ all nodes keep the same one and none goes back. A delta has the rows that differ
+versions all nodes retain the same one, and none goes back. A delta has the rows that differ
 between two versions.
 """
 
@@ -20,7 +20,7 @@
 
 FULL_LIST = -1  # as a delta's base: it has all rows
 MAX_DELTA_BYTES = 1 << 20  # packed: some 40,000 rows
-MAX_COMPRESSION = 16  # of rows to packed bytes, so that few bytes can't cost much memory
+MAX_COMPRESSION = 16  # ratio of unpacked to packed bytes: bounds the memory for received bytes
 CHECKSUM_BYTES = 8
 
 
@@ -61,7 +61,7 @@
     """One row's part of a version's checksum, which is the exclusive or of all rows' parts."""
     text = f"{uid}\n{row}".encode()
     digest = blake2b(text, digest_size=CHECKSUM_BYTES).digest()
-    return int.from_bytes(digest, "big") >> 1  # within the integers of the wire
+    return int.from_bytes(digest, "big") >> 1  # to 63 bits: MAX_INTEGER of gossip messages
 
 
 def pack(delta: ListDelta) -> PackedDelta:
@@ -69,7 +69,7 @@
     text = json.dumps(dict(sorted(delta.rows.items())), separators=(",", ":")).encode()
     data = zlib.compress(text, 9)
     if len(text) > MAX_COMPRESSION * len(data):
-        data = zlib.compress(text, 0)  # `unpack` would refuse it
+        data = zlib.compress(text, 0)  # uncompressed: `unpack` rejects a higher ratio
     return PackedDelta(delta.base, delta.target, zlib.crc32(data), data)
 
 
--- a/loadbalancer/core/endpoints/poll_backoff.py
+++ b/loadbalancer/core/endpoints/poll_backoff.py
@@ -1,7 +1,7 @@
-"""Polls of the list service after failures: how long a call may wait, when the next one begins.
+"""Polls of the list service after failures: timeouts of calls, and pauses between them.
 
-Retries of a whole fleet must not keep the service busy with calls that nobody waits for any
-more. Two cases are distinguished:
+The retries of a fleet must not keep the service busy with calls that have been given up
+already. Two cases are distinguished:
 
 - Without a list a node can send nothing, and no limit of `poll_timing.py` applies: it waits for
   the service's own answer or refusal, and gives a call up only after FIRST_LIST_TIMEOUT_NS.
@@ -40,17 +40,17 @@
 )
 
 OVERLOAD_FAILURES = 2  # consecutive failures from which on an overload is suspected
-QUICK_FAILURES = 2  # consecutive failures that a node with a list follows with the least pauses
+QUICK_FAILURES = 2  # consecutive failures after which a node with a list begins to back off
 MIN_LINES_PER_S = 200  # of the slowest list service that is planned for
 FLEET_CALLS_PER_S = 125  # of all callers together after failures
 QUEUED_AFTER_NS = SECOND  # a refusal that took so long had waited in the service's queue
-FIRST_LIST_TIMEOUT_NS = 30 * SECOND  # doubled with each call given up in a row
+FIRST_LIST_TIMEOUT_NS = 30 * SECOND  # doubled with each consecutive call that was given up
 MAX_TIMEOUT_DOUBLINGS = 4
 MAX_PAUSE_DOUBLINGS = 16
 FIRST_LIST_PAUSE_NS = 2 * SECOND  # bound of a pause of a node without a list, in a small fleet
 PAUSE_MARGIN_NS = 500 * MS  # of a pause that has to fit into MAX_NOTIFICATION_NS
 MIN_PROBE_INTERVAL_NS = SECOND
-READERS = 2  # callers, where a few nodes read the list for all
+READERS = 2  # callers assumed where list readers poll for all nodes
 
 
 class PollFailure(Enum):
@@ -79,7 +79,7 @@
 
 
 class PollBackoff:
-    """One node's consecutive failures, and what follows from them. Pure; seeded."""
+    """One node's consecutive failures, and its timeouts and pauses. No I/O; seeded random."""
 
     __slots__ = (
         "_callers", "_overload_failures", "_random", "_shared", "_timed_out", "_timings",
@@ -99,23 +99,23 @@
         self.paced = settings.poll  # an agent on the node's own machine answers at no cost
 
     def share(self) -> None:
-        """A few nodes read for all: the fleet paces its calls itself (`list_readers.py`)."""
+        """The fleet has list readers, which pace their calls themselves (`list_readers.py`)."""
         self._shared = True
 
     def reset(self) -> None:
-        """Forget all failures, as they were another service's."""
+        """Forget all failures: another list service is polled from now on."""
         self.failures = 0
         self._overload_failures = 0  # consecutive failures that too many callers may cause
         self._timed_out = 0
 
     def suspects_overload(self, rows: int) -> bool:
-        """Whether the failures may come from an overload, with so many rows in hand."""
+        """Whether the failures may come from an overload, with so many rows in the list."""
         lines_in_time = MIN_LINES_PER_S * EXPECTED_ANSWER_NS
         in_time = self._active_callers() * rows * SECOND <= lines_in_time
         return self.paced and self._overload_failures >= OVERLOAD_FAILURES and not in_time
 
     def answer_timeout(self, rows: int) -> int:
-        """How long an answer may take, ns; `rows` in hand, 0 for no list."""
+        """How long an answer may take, ns; `rows` of this node's list, 0 for none."""
         if not self.paced or (rows and not self.suspects_overload(rows)):
             return self._timings.answer_timeout
         return FIRST_LIST_TIMEOUT_NS << min(self._timed_out, MAX_TIMEOUT_DOUBLINGS)
@@ -146,7 +146,7 @@
         return self._random.randrange(bound + 1)
 
     def _bound_with_list(self, failure: PollFailure, elapsed: int, rows: int) -> int:
-        """0 stands for the host's usual pause."""
+        """The bound of a pause, ns, of a node with a list; 0 for the host's usual pause."""
         if failure == PollFailure.UNUSABLE or self.failures <= QUICK_FAILURES:
             return 0
         fleet = max(MAX_PAUSE_NS, fleet_pause_bound(self._callers))
@@ -157,6 +157,7 @@
         return fleet if self.suspects_overload(rows) else 0
 
     def _bound_without_list(self, failure: PollFailure) -> int:
+        """The bound of a pause, ns, of a node without a list."""
         fleet = fleet_pause_bound(self._callers)
         waited = failure in (PollFailure.REJECTED, PollFailure.TIMED_OUT)
         first = max(MAX_PAUSE_NS, fleet) if waited else MAX_PAUSE_NS
--- a/loadbalancer/core/endpoints/poll_timing.py
+++ b/loadbalancer/core/endpoints/poll_timing.py
@@ -1,8 +1,8 @@
-"""How the list of servers is polled: how long a call may wait, and how soon the next one begins.
+"""Timeouts and pauses of polls of the endpoint list.
 
-Where discovery is polled, a change counts as notified MAX_NOTIFICATION_NS after discovery had it
-and could be reached, whatever else is allowed. The worst case is a watch that falls silent as it
-begins, with a change at once. Until the change is in hand pass, counted from that moment:
+Where discovery is polled, this node must have a change at most MAX_NOTIFICATION_NS after
+discovery had it and could be reached. The worst case is a watch that becomes silent as it
+begins, while the list changes. From that moment until this node has the change:
 
     HOLD_NS + HOLD_MARGIN_NS   the watch is given up                                     3.5 s
     an answer at once          what has changed since, polled without a wait             2 s
@@ -19,15 +19,15 @@
 ANSWER_TIMEOUT_NS is longer than EXPECTED_ANSWER_NS for a service with too many callers: it rejects
 a call that has waited a few seconds, and calls given up sooner would keep it busy with answers
 that nobody reads. The load: a node's watch ends every HOLD_NS, with an answer without a line
-where nothing has changed; while the service is down each node calls once in MIN_PAUSE_NS to
-MAX_PAUSE_NS where it refuses, and once in CONNECT_TIMEOUT_NS and more where it is silent. What
-consecutive failures change in this, and what holds for a node without a list, is in
-`poll_backoff.py`.
+where nothing has changed. While the service is down each node calls once in MIN_PAUSE_NS to
+MAX_PAUSE_NS where connections are refused, and once in CONNECT_TIMEOUT_NS or more where they
+time out. `poll_backoff.py` has what differs after consecutive failures, and for a node without a
+list.
 
 Where lists are pushed, the agent's state counts from the moment that the agent has it, and an
-agent on the node's own machine answers at no cost: there every span is a part of the drain's
-grace, so that a change the agent has is in hand before the grace ends, even where a call had
-begun just before the agent could be reached.
+agent on the node's own machine answers at no cost: there every span is a part of the drain
+grace period, so that this node has the agent's change before the grace period ends, even where a
+call had begun just before the agent could be reached.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 EXPECTED_ANSWER_NS = 2 * SECOND
 MIN_PAUSE_NS = 200 * MS
 MAX_PAUSE_NS = 500 * MS
-MIN_SPAN_NS = 10 * MS  # of any span, where the grace is very short
+MIN_SPAN_NS = 10 * MS  # of any span, where the grace period is very short
 
 
 class PollTimings(NamedTuple):
--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -1,4 +1,4 @@
-"""Whether this node polls the list service for the fleet, and its own reader record.
+"""Whether this node polls the list service for the fleet; maintains its own reader record.
 
 Times are in nanoseconds.
 """
@@ -11,9 +11,9 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import ReaderState
 
-ANNOUNCE_INTERVAL_NS = SECOND // 2  # that the list was read, however often it changes
-SIGN_INTERVAL_NS = SECOND  # while the list service has not answered yet
-FIRST_ANSWER_NS = 10 * SECOND  # how long a call that has begun goes on, whoever else is to read
+ANNOUNCE_INTERVAL_NS = SECOND // 2  # at least, between records of answers of the list service
+SIGN_INTERVAL_NS = SECOND  # between records while the list service has not answered yet
+FIRST_ANSWER_NS = 10 * SECOND  # how long a first call may go on after others have become readers
 
 
 class PollingRole:
@@ -28,8 +28,8 @@
         self._read_unannounced = False
 
     def on_answer(self, now: int, version: ListVersion) -> None:
-        """The list service has answered this node, which has this version now."""
-        self._read_unannounced = True  # until the next turn, or a little later
+        """The list service has answered this node, which now has `version`."""
+        self._read_unannounced = True  # until `update` announces it
         own = self._readers.records.get(self._members.me)
         if own is None or own.record.state != ReaderState.READ:
             self._announce(now, ReaderState.READ, version)
@@ -51,15 +51,15 @@
         Args:
             now: ns.
             version: the version that this node has.
-            defer: other nodes may have the list for this one, which does not begin meanwhile.
-            must_poll: this node needs an answer of the list service itself.
+            defer: other nodes may still send the list, so this node does not begin to poll.
+            must_poll: this node needs an answer to its own poll.
         """
         members, readers = self._members, self._readers
         own = readers.records.get(members.me)
         record_age = now if own is None else now - own.written_at
         polling = own is not None and own.record.state == ReaderState.POLLING
         chosen = readers.is_chosen(now, members.is_alive, self.polls)
-        # A call that has begun is left to end: the service has spent its cost already.
+        # A call that has begun goes on: most of its cost to the service is spent already.
         begun = self.polls and polling and now - self._polls_since < FIRST_ANSWER_NS
         deferred = defer and not self.polls
         polls = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
@@ -73,5 +73,5 @@
         self.polls = polls
 
     def update_unconnected(self, now: int) -> None:
-        """Poll, once no messages can be expected: this node takes no part in the gossip."""
+        """Without a connection to the gossip: poll once no messages have come for a while."""
         self.polls = self._members.hears_nobody(now)
--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -1,9 +1,9 @@
-"""A list's versions: what has changed since any of the last ones, or all of it; pure.
+"""Versions of a list, and the rows that have changed since a recent version; no I/O.
 
-For passing one list on to many watchers: each requests what has changed since the version it has.
-Versions only grow. Either this counts them, from a number that the host gives (its wall clock, so
-that they grow across restarts too), or they come with the rows (`advance`). A version that never
-was is answered with the complete list.
+Serves one list to many watchers: each requests what has changed since the version that it has.
+Versions only increase. Either `replace` counts them, from a first number that the host gives (its
+wall clock, so that they increase across restarts too), or they come with the rows (`advance`). A
+request with an unknown version is answered with the complete list.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-MAX_CHANGES = 4096  # that are remembered
-MAX_OLDER_ANSWERS = 6  # in a row, before an older list is accepted: 1 to 3 s
+MAX_CHANGES = 4096  # changed rows that are remembered
+MAX_OLDER_ANSWERS = 6  # consecutive ones from which an older list is accepted: 1 to 3 s
 
 Row = TypeVar("Row")
 
@@ -30,7 +30,7 @@
         self._changes: deque[tuple[int, str]] = deque()
 
     def replace(self, rows: Mapping[str, Row]) -> bool:
-        """Take a complete list; one version more, and True, where anything differs."""
+        """Apply a complete list; where it differs the version is raised by 1, and True returned."""
         changed = [u for u in sorted({*rows, *self.rows}) if rows.get(u) != self.rows.get(u)]
         if not changed:
             return False
@@ -38,7 +38,7 @@
         return True
 
     def advance(self, rev: int, changed: Mapping[str, Row | None]) -> None:
-        """Go on to a later version, with the rows that differ in it, None for a removed one."""
+        """Change to a later version, with the rows that differ in it, None for a removed one."""
         self.rev = rev
         for uid, row in changed.items():
             if row is None:
@@ -62,7 +62,7 @@
 
 
 class OlderAnswerFilter:
-    """What to make of answers of a version older than the present one.
+    """Whether to accept answers with a version older than the present one.
 
     A replica that lags must not restore removed servers. A service that repeats an older version
     has restarted its numbers: then its list is accepted.
@@ -71,10 +71,10 @@
     __slots__ = ("older",)
 
     def __init__(self) -> None:
-        self.older = 0  # such answers in a row
+        self.older = 0  # consecutive older answers
 
     def accepts(self, rev: int, complete: bool, present_rev: int) -> bool:
-        """Whether an answer of version `rev` is to be used, where `present_rev` is in hand."""
+        """Whether an answer of version `rev` is to be used, where this node has `present_rev`."""
         self.older = self.older + 1 if rev < present_rev else 0
         accepted = not self.older or (complete and self.older >= MAX_OLDER_ANSWERS)
         if accepted:
@@ -82,5 +82,5 @@
         return accepted
 
     def accept_next(self) -> None:
-        """Accept the next complete list: the one in hand may be another service's."""
+        """Accept the next complete list: the present one may be of another list service."""
         self.older = MAX_OLDER_ANSWERS
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -1,7 +1,7 @@
-"""The list that a few nodes read and all pass on: one node's part in it.
+"""One node's part in the shared list, which a few readers poll and all nodes pass on.
 
-Readers poll the list service and push deltas (`delta_sender.py`); what is lost on the way is asked
-for (`list_repair.py`); which nodes read is decided by `list_readers.py` and `polling_role.py`.
+Readers poll the list service and push deltas (`delta_sender.py`); lost pieces are requested again
+(`list_repair.py`); which nodes read is decided by `list_readers.py` and `polling_role.py`.
 Sans-I/O like all of the gossip; times are in nanoseconds.
 """
 
@@ -22,11 +22,11 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, ReaderState
 
-PUSH_DELAY_NS = 300 * MS  # of each further reader's push, mostly made needless by the first one's
-MAX_WAITING_DELTAS = 8  # complete ones that do not fit yet
+PUSH_DELAY_NS = 300 * MS  # of each further reader's push, which the first one's may cancel
+MAX_WAITING_DELTAS = 8  # complete deltas that do not fit yet
 MAX_REMOVED_PART = 2  # a delta that removes more than one row in so many ...
-REMOVAL_WITNESSES = 2  # ... is applied once so many readers name its version, or by our own reading
-REMOVAL_STEP_NS = FIRST_STEP_NS  # one node after another reads for itself where they do not
+REMOVAL_WITNESSES = 2  # ... needs so many readers that name its version, or this node's own poll
+REMOVAL_STEP_NS = FIRST_STEP_NS  # between two nodes' polls to confirm a removal
 WANT_NUMBERS = 4  # of a WANT at least: a version and a checksum
 REPORTED_STATES = {  # the words of `/peers`
     ReaderState.POLLING: "asking",
@@ -56,7 +56,7 @@
     def __init__(
         self, members: Membership, nodes: int, count: int, datagram: int, seed: int, now: int
     ) -> None:
-        """Of `nodes` nodes `count` read the list; messages have `datagram` bytes at most."""
+        """`count` of `nodes` nodes are readers; messages have at most `datagram` bytes."""
         random = Random(seed)
         self.replica = ListReplica()
         self.readers = ListReaders(members.me, nodes, count, now)
@@ -73,7 +73,7 @@
         )
         self._waiting: list[PackedDelta] = []
         self._push: PendingPush | None = None
-        self._need_full_list = False  # a delta did not lead from our rows to its checksum
+        self._need_full_list = False  # a delta applied to this node's rows had a wrong checksum
         self._removal_since: int | None = None  # a delta waits for a second reader
 
     @property
@@ -104,7 +104,7 @@
         self.role.on_failure(now, older, self.replica.version)
 
     def on_unconnected(self, now: int) -> None:
-        """No messages come or go: this node polls once nobody else can be expected to."""
+        """Not connected to the gossip: this node polls itself after a while without messages."""
         self.role.update_unconnected(now)
 
     # ---- messages ------------------------------------------------------------------
@@ -121,7 +121,7 @@
 
     def _on_piece(self, now: int, piece: Piece, body: bytes) -> None:
         if self._push is not None and piece.target >= self._push.packed.target:
-            self._push = None  # another reader's push is under way already
+            self._push = None  # another reader pushes this version, or a later one
         if piece.target <= self.replica.version:
             self.counters["pieces of what is known"] += 1
             return
@@ -139,7 +139,7 @@
     # ---- deltas ----------------------------------------------------------------------
 
     def _apply_waiting(self, now: int) -> None:
-        """Apply the deltas that fit, the latest first; one may make others fit, or needless."""
+        """Apply the deltas that fit, latest first; one may make others fit, or obsolete."""
         progress = True
         while progress:
             fitting = [packed for packed in self._waiting if self.replica.fits(packed)]
@@ -162,8 +162,8 @@
         return True
 
     def _apply(self, delta: ListDelta) -> None:
-        # A list that was not read need not be what the host has in each row: after an upgrade
-        # the host has rows of its predecessor.
+        # With a list from the configuration (epoch 0) the host's rows may differ from the
+        # replica's: after an upgrade the host has its predecessor's. So it gets all rows.
         complete = delta.base == FULL_LIST or not self.replica.version.epoch
         changed = self.replica.apply(delta)
         if changed is None:
@@ -178,8 +178,8 @@
     def _is_unconfirmed_removal(self, now: int, delta: ListDelta) -> bool:
         """Whether a delta removes so much that it needs a second reader.
 
-        Guards against one faulty reader that takes most servers from all nodes: it would leave
-        them without servers, which the list service still has.
+        Guards against one faulty reader that removes most servers at all nodes, while the list
+        service still has them.
         """
         if self.replica.removed_by(delta) * MAX_REMOVED_PART <= len(self.replica.rows):
             return False
@@ -196,7 +196,7 @@
     def tick(self, now: int) -> list[Outgoing]:
         """The messages to send now; decides whether this node polls."""
         self.readers.expire(now)
-        self._apply_waiting(now)  # a second reader may have named what waits
+        self._apply_waiting(now)  # a second reader may have confirmed a removal
         requests = self._request_missing(now)
         defer = not self.caught_up or self._repair.may_arrive(now)
         self.role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
@@ -212,7 +212,7 @@
         return self._repair.requests(now, self.replica.version, self._need_full_list)
 
     def _must_confirm_removal(self, now: int) -> bool:
-        """Whether it is this node's turn to poll, as no second reader confirms a removal."""
+        """Whether it is this node's turn to poll, as no second reader has confirmed a removal."""
         if self._removal_since is None:
             return False
         preceding = len(self.readers.preceding(self._members.is_alive))
