--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -1,8 +1,8 @@
 """Serves the list merged from Consul to nodes, in the platform's discovery protocol.
 
-One reader uses Consul's capacity for all, however many nodes there are: they poll here, with
-watches, as they would poll discovery (`PROXY_DISCOVERY`). A relay that is down costs nothing but
-updates: nodes go on with the list they have, as with discovery. Two rules follow from a restart:
+Only this process polls Consul, however many nodes there are: they poll here, with
+watches, as they would poll discovery (`PROXY_DISCOVERY`). While a relay is down, only updates are
+missing: nodes go on with the list they have, as with discovery. Two rules follow from a restart:
 
 - Versions grow with the wall clock. If they began anew, a node would ask for changes since a
   version that stands for another list.
@@ -87,7 +87,7 @@
         return json.dumps({"rev": self.revisions.rev, "all": is_full, "targets": rows}).encode()
 
     def asked(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
-        """Answer now where the list has changed or no wait is wanted, else within `hold` s."""
+        """Answer now where the list has changed or `hold` is 0, else within `hold` seconds."""
         del query  # a relay has one list for all
         if since == self.revisions.rev and hold > 0:
             loop = asyncio.get_running_loop()
@@ -101,7 +101,7 @@
         return watcher in self._waits
 
     def forget(self, watcher: Watcher) -> None:
-        """Answer a watcher no more."""
+        """Cancel a watcher's wait: it gets no answer any more."""
         wait = self._waits.pop(watcher, None)
         if wait is not None:
             wait.timeout.cancel()
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -36,8 +36,8 @@
 MAX_REGIONS, MAX_ZONES = 8, 16
 MAX_MACHINES, MAX_NODES, MAX_SERVICES, MAX_BOUND = 32, 20_000, 20_000, 256
 DEFAULT_CAPACITY, MAX_CAPACITY = 64, 20_000  # services of a node
-MAX_BACKENDS, MAX_SEED = 100_000, (1 << 63) - 1
-MAX_PER_ZONE, MAX_SHARERS = 64, 20_000
+MAX_BACKENDS, MAX_SEED = 100_000, (1 << 63) - 1  # backends of a service; a signed 64-bit integer
+MAX_PER_ZONE, MAX_SHARERS = 64, 20_000  # nodes that hold one service
 MAX_NAME_LENGTH = 128  # characters
 LOOPBACK = "write 127.0.0.1, or plain_network = true where strangers can't reach it"
 
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -1,4 +1,4 @@
-"""Values and tables of the control machines' file, without what they mean.
+"""Reading values and tables of the control machines' file; `file` knows what they mean.
 
 A value that can't be used becomes a fault of its table, which names the line and the rule, and is
 read as its default or as empty, so that all faults of a file are found at once.
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_form.py
@@ -2,7 +2,7 @@
 
 The platform's list answers {"rev", "all", "targets"}. A subscriber that names itself is given
 keys beside these: `changes` says which service each run of targets belongs to, and the node's
-assignment stands next to it. A reader of the plain list passes them over.
+assignment stands next to it. A reader of the plain list ignores them.
 
 The keys of the form, and what they mean here:
 
@@ -96,8 +96,9 @@
 
 
 def _head(version: int, complete: bool, targets: Iterable[str]) -> str:
-    all_ = "true" if complete else "false"
-    return f'{{"rev":{version},"all":{all_},"targets":[{",".join(targets)}]'
+    """The keys of the plain list, without the closing brace: further keys may follow."""
+    flag = "true" if complete else "false"
+    return f'{{"rev":{version},"all":{flag},"targets":[{",".join(targets)}]'
 
 
 def encode(update: Update, assignment: NodeAssignment | None) -> bytes:
@@ -113,14 +114,14 @@
                 len(change.removed), change.deleted, change.complete,
             ]
         )  # fmt: skip
-    more: dict[str, Any] = {"region": update.region, "changes": changes}
+    extension: dict[str, Any] = {"region": update.region, "changes": changes}
     if isinstance(update, Delta):
-        more["from"] = version_of(update.base)
+        extension["from"] = version_of(update.base)
     if assignment is not None:
-        more |= _assignment_keys(assignment)
-    text = json.dumps(more, separators=(",", ":"))
+        extension |= _assignment_keys(assignment)
+    text = json.dumps(extension, separators=(",", ":"))
     head = _head(version_of(update.position), isinstance(update, Snapshot), targets)
-    return (head + "," + text[1:]).encode()
+    return (head + "," + text[1:]).encode()  # without the brace that opens `text`
 
 
 def _changes(update: Update) -> Iterable[Change]:
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -1,7 +1,8 @@
 """One control machine: the decisions of `loadbalancer.core`, and the sockets around them.
 
 It listens for the other machines, for subscribers (nodes), for nodes of one service each, and for
-operators. Twenty times a second the replicated log's time passes, once a second the nodes'.
+operators. The replicated log is ticked twenty times a second, the registry of
+nodes once a second.
 """
 
 from __future__ import annotations
@@ -46,6 +47,7 @@
 MAX_BOUND_WATCHERS = 1024  # connections to one bound listener
 ACCEPT_BACKLOG = 4096  # connections that wait to be accepted, on a listener of the machine
 BOUND_ACCEPT_BACKLOG = 100  # the same on a bound listener
+SEED_BYTES = 8  # of the replica's seed, which must differ at each start
 MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
 
 logger = logging.getLogger(__name__)
@@ -75,7 +77,7 @@
         self.counts: Counter[str] = Counter()
         specs = [one.spec for one in file.machines]
         self.logs = {name: ChangeLog(name, MAX_LOG_CHANGES, MAX_LOG_BYTES) for name in file.regions}
-        seed = int.from_bytes(os.urandom(8), "big")
+        seed = int.from_bytes(os.urandom(SEED_BYTES), "big")
         self.replica = Replica(spec, specs, self.logs, seed, now, timing)
         rate = file.limits.snapshot_rate
         limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
@@ -96,7 +98,7 @@
         self.streams = self._peer_streams()
         services = [name for name, home in self.nodes.regions.items() if home == spec.region]
         self._loader = LogLoader(
-            self.replica, spec.region, services, file.backends, self._carry_out
+            self.replica, spec.region, services, file.backends, self._process_output
         )
         self._live_machines = frozenset(one.spec.name for one in file.machines)
         self._servers: list[asyncio.Server] = []
@@ -156,7 +158,7 @@
             yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
-        """End everything at once: the other machines have all that is committed."""
+        """End all streams and listeners at once: a majority has all that is committed."""
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
@@ -168,7 +170,7 @@
     def _tick_replica(self) -> None:
         self.replica.on_tick(time.monotonic_ns())
         self._loader.start_if_needed()
-        self._carry_out()
+        self._process_output()
 
     def _tick_nodes(self) -> None:
         now = time.monotonic_ns()
@@ -215,9 +217,9 @@
 
     def _on_log_message(self, now: int, sender: str, message: Message) -> None:
         self.replica.on_message(now, sender, message)
-        self._carry_out()
+        self._process_output()
 
-    def _carry_out(self) -> None:
+    def _process_output(self) -> None:
         """Publish what the replica has committed, and send its messages."""
         for region in self.replica.restored():
             self.node_requests.wake(region, self.publisher.on_restored(region))
@@ -231,7 +233,7 @@
             self.streams.send(recipient, message)
 
     def _update_bound(self, region: str, service: str) -> None:
-        """A service of a region has changed; "" for all of its services."""
+        """Notify bound listeners of a change of a region's service, "" for all of its services."""
         for _, bound in self.bound:
             if bound.region == region and service in ("", bound.service):
                 bound.on_change()
@@ -241,7 +243,7 @@
     def submit(self, body: bytes, reply: Reply) -> None:
         """Propose the changes in a body; `reply` is called once."""
         self.submissions.submit(body, reply)
-        self._carry_out()
+        self._process_output()
 
     def log_after(self, region: str, version: int) -> tuple[int, bytes]:
         """HTTP status and body: committed changes after a version, about LOG_ANSWER_BYTES."""
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -148,7 +148,7 @@
         return PollRequest(node, region, position_of(since), current, redirected, deadline)
 
     def _on_poll(self, now: int, request: PollRequest, query: Query) -> None:
-        """Take note of what the poll reports of the node itself."""
+        """Record that the node polls here, and the services that it reports as serving."""
         self._nodes.on_poll(now, request.node)
         if "serving" in query:
             generation = whole_number(query.get("generation", ["0"])[0])
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -26,7 +26,7 @@
 MAX_TICK_GAP = 3 * SECOND  # between two ticks; after a longer one this machine was stopped
 NODE_TIMEOUT = 10 * SECOND  # nodes of a lost machine find another within this
 SETTLE_TIME = 2 * SECOND  # without a further loss or return, before services move
-MAX_SETTLE_TIME = 15 * SECOND
+MAX_SETTLE_TIME = 15 * SECOND  # from the first loss or return, however many follow
 REPORTS_PER_MESSAGE = 512
 # Ticks and grants come once a second: one may be late or lost.
 RELEASE_RULES = ReleaseRules(lease_duration=2500 * MS, max_pause=2500 * MS)
@@ -197,8 +197,8 @@
     def _is_settled(self, now: int) -> bool:
         """Whether losses and returns have paused for long enough to move services.
 
-        A rack or a zone goes and comes over some seconds. An assignment in the midst of that would
-        move services which the next one moves again.
+        A rack or a zone fails and returns over some seconds. An assignment in the midst of that
+        would move services which the next one moves again.
         """
         paused = now - self._last_change >= SETTLE_TIME
         return paused or now - self._unsettled_since >= MAX_SETTLE_TIME
@@ -237,7 +237,7 @@
 
 
 def _same(sent: NodeAssignment, assignment: NodeAssignment) -> bool:
-    """Whether they differ in nothing but their generation."""
+    """Whether they are equal apart from their generation."""
     return sent.wanted == assignment.wanted and sent.releasable == assignment.releasable
 
 
--- a/loadbalancer/control/machine/process.py
+++ b/loadbalancer/control/machine/process.py
@@ -1,4 +1,4 @@
-"""The process of one control machine: from the file's name to the end by a signal."""
+"""The process of one control machine: it reads the file, and serves until a signal ends it."""
 
 from __future__ import annotations
 
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -1,9 +1,9 @@
-"""Streams between control machines: each dials every other, and only sends on what it dialled.
+"""Streams between control machines: each dials every other, and sends only on streams it dialled.
 
 A frame is its length in four bytes and a message by `codec`. The first frame is a `Hello` with the
 sender's name and the digest of its file; a stream of another fleet, or of a machine that the file
-does not name, is closed. Bytes that wait for a machine that does not read are bounded: past the
-bound its stream is closed and dialled again, and it is sent the full state anew.
+does not name, is closed. The bytes buffered for a machine that does not read are bounded: past
+the bound its stream is closed and dialled again, and the full state is sent again.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self, listen: Address) -> int:
-        """Listen, and keep dialling the others; returns the port.
+        """Listen, and begin to dial the others; returns the port.
 
         Raises:
             OSError: the address can't be listened on.
@@ -78,7 +78,7 @@
             self._server.close()
 
     def accepts(self, hello: Hello) -> bool:
-        """Whether such a first frame is one of the other machines'."""
+        """Whether a first frame is of another machine of the same fleet."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
     def send(self, machine: str, message: Any) -> None:
@@ -102,7 +102,7 @@
             self.send(machine, message)
 
     async def _dial(self, machine: str, address: Address) -> None:
-        """Keep a stream to this machine."""
+        """Maintain a stream to this machine: dial again whenever it ends."""
         loop = asyncio.get_running_loop()
         while True:
             ended: asyncio.Future[None] = loop.create_future()
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -89,7 +89,7 @@
         submission.timer = loop.call_later(COMMIT_TIMEOUT_S, self._on_timeout, submission)
 
     def on_committed(self, region: str, change: Change) -> None:
-        """A change is committed; the call that it was the last of is answered."""
+        """A change is committed; its call is answered once all of its changes are."""
         if region != self._region:
             return
         submission = self._pending.get(change.position)
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -1,8 +1,8 @@
-"""One node's polls of the control machines: what it holds follows what is accepted.
+"""One node's polls of the control machines: its services follow the accepted changes.
 
-One poll is out for each region. It is answered with an update, with a pause, or with a redirect to
-another machine; where a machine falls silent, the next one is polled. `Holder` decides what is
-applied.
+One poll is pending for each region. It is answered with an update, with a pause, or with a redirect
+to another machine; where a machine does not answer, the next one is polled. `Holder` decides what
+is applied.
 """
 
 from __future__ import annotations
@@ -28,8 +28,13 @@
 
 MAX_SERVICES = 2048  # that one answer may name
 MAX_PAUSE_S = 60.0
-STAY_S = 5.0  # longer than machines take to notice that one of them is lost
+# For so long a node requests an answer from the machine that it polls instead of a redirect: longer
+# than machines take to detect that one of them is lost.
+STAY_S = 5.0
 MAX_DOUBLINGS = 8  # of the pause before a retry
+# Factors by which pauses vary at random, so that nodes do not poll in step.
+RETRY_JITTER = (0.5, 1.0)
+PAUSE_JITTER = (1.0, 1.1)  # never earlier than the machine requested
 HEAD_BYTES = 48  # of a poll's head beside its target
 ANSWER_BYTES = 24  # of an answer's head beside its fields
 HEADER_BYTES = 4  # of a header field beside its name and value
@@ -68,7 +73,7 @@
 class Counts:
     """What one subscriber has done."""
 
-    sent: int = 0  # bytes, HTTP's and what it carries
+    sent: int = 0  # bytes, HTTP heads included
     received: int = 0
     events: Counter[str] = field(default_factory=Counter)
 
@@ -188,7 +193,7 @@
         state.first_poll, state.reported = True, None
         pause = min(timing.retry_s * 2 ** min(state.failures, MAX_DOUBLINGS), timing.max_retry_s)
         state.failures += 1
-        self._poll_later(region, pause * self._random.uniform(0.5, 1.0))
+        self._poll_later(region, pause * self._random.uniform(*RETRY_JITTER))
 
     def _on_response(self, region: str, state: _Region, response: PollResponse) -> None:
         state.failures = 0
@@ -206,7 +211,7 @@
             self._on_released(released)
         pause = min(response.pause_ms / 1000, MAX_PAUSE_S)
         if pause:
-            pause *= self._random.uniform(1.0, 1.1)
+            pause *= self._random.uniform(*PAUSE_JITTER)
         self._poll_later(region, pause)
 
     def _move(self, region: str, state: _Region, address: Address) -> None:
--- a/loadbalancer/control/xds/client_status.py
+++ b/loadbalancer/control/xds/client_status.py
@@ -49,7 +49,7 @@
         self._report_counts = report_counts
 
     def handler(self) -> Any:
-        """For grpc.aio's server: one answer a call, or one for each message of a stream."""
+        """The gRPC method handler: one answer a call, or one for each message of a stream."""
 
         async def fetch(request: Any, context: Any) -> Any:
             del context
--- a/loadbalancer/control/xds/discovery_service.py
+++ b/loadbalancer/control/xds/discovery_service.py
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
-# For each type: its service, and the word in the names of the methods.
+# For each type: its service, and the noun in the names of its methods (StreamClusters, ...).
 SERVICES_BY_TYPE = {
     ResourceType.CLUSTER: ("cluster.v3.ClusterDiscoveryService", "Clusters"),
     ResourceType.ENDPOINTS: ("endpoint.v3.EndpointDiscoveryService", "Endpoints"),
@@ -58,7 +58,7 @@
         self._open = 0  # streams that have begun, also those without a request yet
 
     def handlers(self) -> tuple[Any, ...]:
-        """For grpc.aio's server: the aggregated service, and one for each type."""
+        """The gRPC method handlers of the aggregated service, and of one for each type."""
         by_type = (
             self._handler(f"envoy.service.{name}", methods, resource_type)
             for resource_type, (name, methods) in SERVICES_BY_TYPE.items()
--- a/loadbalancer/control/xds/file.py
+++ b/loadbalancer/control/xds/file.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlConfig:
-    """The whole file. Relative paths start at the file's own folder.
+    """The decoded file. Relative paths start at the file's own folder.
 
     Attributes:
         listen: where the service listens.
@@ -148,8 +148,8 @@
         top.fault("pool", "too-many", f"over {MAX_POOLS} pools", "start another control service")
     out = []
     names: set[str] = set()
-    for i, table in enumerate(tables):
-        pool = top.sub(table, "pool", i)
+    for number, table in enumerate(tables):
+        pool = top.sub(table, "pool", number)
         pool.known(SECTIONS["pool"])
         name = pool.text("name")
         if name in names:
@@ -181,7 +181,9 @@
         return None
     node_ids: dict[str, tuple[str, ...]] = {}
     for name, patterns in nodes.items():
-        valid = isinstance(patterns, list) and all(isinstance(p, str) and p for p in patterns)
+        valid = isinstance(patterns, list) and all(
+            isinstance(pattern, str) and pattern for pattern in patterns
+        )
         if not valid or not patterns:
             wrong = f"{name!r} has no list of node ids"
             table.sub(nodes, "nodes").fault(name, "bad-value", wrong, 'write ["p-*"]')
--- a/loadbalancer/control/xds/load_reports.py
+++ b/loadbalancer/control/xds/load_reports.py
@@ -68,7 +68,7 @@
         self._logged: set[tuple[str, str]] = set()
 
     def handler(self) -> Any:
-        """For grpc.aio's server."""
+        """The gRPC method handler, to add to the grpc.aio server."""
         method = grpc.stream_stream_rpc_method_handler(
             self._serve,
             lrs_pb2.LoadStatsRequest.FromString,
--- a/loadbalancer/control/xds/pool_inputs.py
+++ b/loadbalancer/control/xds/pool_inputs.py
@@ -31,7 +31,7 @@
         config = load({"PROXY_CONFIG": str(pool.config), "PROXY_LISTEN": str(control.listen)})
         result = check_file(str(pool.routes), config.settings)
         if result.table is None:
-            raise ControlFileError("\n".join(f"{pool.routes}:{f}" for f in result.faults))
+            raise ControlFileError("\n".join(f"{pool.routes}:{fault}" for fault in result.faults))
         for service in result.table.services:
             _claim_names(owners, pool, service)
         out.append(PoolInput(pool, config, result.table))
--- a/loadbalancer/control/xds/proxies.py
+++ b/loadbalancer/control/xds/proxies.py
@@ -47,7 +47,7 @@
         self._streams.discard(stream)
 
     def has_capacity_for(self, group: ProxyGroup) -> bool:
-        """Whether a proxy of this group does not exceed the number of groups."""
+        """Whether a proxy of this group may connect without exceeding `MAX_GROUPS`."""
         return group in self._histories or len(self._histories) < MAX_GROUPS
 
     def open_session(self, group: ProxyGroup, incremental: bool) -> Session:
@@ -88,7 +88,8 @@
         for stream in self._streams:
             by_node.setdefault(stream.identity.node_id, Counter())[stream.only] += 1
         return sum(
-            streams[None] + max((n for only, n in streams.items() if only is not None), default=0)
+            streams[None]
+            + max((count for only, count in streams.items() if only is not None), default=0)
             for streams in by_node.values()
         )
 
--- a/loadbalancer/control/xds/resource_messages.py
+++ b/loadbalancer/control/xds/resource_messages.py
@@ -88,8 +88,8 @@
     out = circuit_breaker_pb2.CircuitBreakers.Thresholds()
     out.max_requests.value = plan.max_requests
     if plan.retry_budget is not None:
-        # Envoy knows a part of the active requests and a count, no rate. With a count of 0 no
-        # request of a service with little traffic could be retried.
+        # Envoy's budget is a percentage of active requests and a minimum count, not a rate. With
+        # a minimum of 0 no request of a service with little traffic could be retried.
         out.retry_budget.budget_percent.value = 100.0 * plan.retry_budget.part
         out.retry_budget.min_retry_concurrency.value = max(int(plan.retry_budget.floor), 1)
     return out
@@ -219,7 +219,7 @@
     if policy.attempt_timeout and not kind.proxyless:
         retry.per_try_timeout.CopyFrom(_duration(policy.attempt_timeout))
     if plan.hedge_after:
-        # At its timeout a try goes on beside the next one, and the first answer is used.
+        # At its timeout an attempt continues beside the next one; the first response is used.
         retry.per_try_timeout.CopyFrom(_duration(plan.hedge_after))
         out.hedge_policy.hedge_on_per_try_timeout = True
     if policy.backoff_base:
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -1,7 +1,7 @@
 """The control service: one Balancer a pool, its decisions served to other proxies over xDS.
 
 The list of servers comes by the node's own discovery, from Consul or from a file, routes and
-classes from the routes file. A reload reads the routes, and where discovery is, again.
+classes from the routes file. A reload reads the routes and discovery's address again.
 """
 
 from __future__ import annotations
@@ -29,10 +29,11 @@
 
 logger = logging.getLogger(__name__)
 
-PUBLISH_PAUSE_S = 0.05  # after a publication changes are gathered for this long ...
-PUBLISH_PAUSE_FACTOR = 2.0  # ... and for so many times as long as that one took
+# After a publication, changes are collected for the longer of two times before the next one.
+PUBLISH_PAUSE_S = 0.05
+PUBLISH_PAUSE_FACTOR = 2.0  # times the duration of that publication: bounds its share of the CPU
 ASSESS_INTERVAL_S = 1.0  # between assessments of the load reports
-PUSH_FRACTION = 0.4  # of a drain's grace, after which no answer is waited for
+PUSH_FRACTION = 0.4  # of a drain's grace; then endpoints are sent without waiting for answers
 TIMER_MARGIN_S = 0.002  # a timer may fire some nanoseconds before its time
 MAX_LOGGED_PROXIES = 10  # names in one log line
 
--- a/loadbalancer/control/xds/stream.py
+++ b/loadbalancer/control/xds/stream.py
@@ -67,10 +67,10 @@
         self._changed.set()
 
     def push_endpoints(self) -> None:
-        """Send the newest endpoints now, whatever was not answered or not even written.
+        """Send the newest endpoints now, in place of those not acknowledged or not yet written.
 
-        A proxy has never seen what is unsent here: that is dropped, so that one which reads
-        slowly gets the newest right behind what is in its buffers.
+        Unsent responses were never seen by the proxy and are dropped, so that a proxy which reads
+        slowly gets the newest directly after what is in its buffers.
         """
         self.enqueue(self.session.push_endpoints())
 
--- a/loadbalancer/control/xds/wire.py
+++ b/loadbalancer/control/xds/wire.py
@@ -22,6 +22,7 @@
 
 MAX_SHARED = 256  # joined responses that are cached for the next proxy
 LENGTH_DELIMITED = 2  # protobuf wire type
+WIRE_TYPE_BITS = 3  # low bits of a field's tag, below its number
 VARINT_BITS = 7
 VARINT_MORE = 0x80
 
@@ -88,7 +89,9 @@
 
 def encode_field(number: int, body: bytes) -> bytes:
     """A length-delimited field."""
-    return encode_varint(number << 3 | LENGTH_DELIMITED) + encode_varint(len(body)) + body
+    return (
+        encode_varint(number << WIRE_TYPE_BITS | LENGTH_DELIMITED) + encode_varint(len(body)) + body
+    )
 
 
 class ResponseEncoder:
--- a/loadbalancer/core/assignment/assigner.py
+++ b/loadbalancer/core/assignment/assigner.py
@@ -11,8 +11,9 @@
 A dead node's services, and these alone, go to the next living nodes of their own order that have
 capacity, in the same zone. Nothing depends on the order in which nodes died: the assignment is made
 from the base each time. So the loss of a node changes the holders only of services that it
-held, and its return gives the earlier bytes. The exception: where a substitute is full because
-of others' loss, the service that is later in the order of placement goes one further.
+held, and its return restores the earlier assignment exactly. The exception: where a substitute is
+full because other nodes died as well, the service that is later in the order of placement goes to
+the next node of its own order.
 
 How many nodes of a zone hold a service: enough for the rate that the zone sees once any one
 of the service's other zones is lost, so that a lost zone moves nothing: its share falls on
--- a/loadbalancer/core/assignment/base_assignment.py
+++ b/loadbalancer/core/assignment/base_assignment.py
@@ -1,4 +1,4 @@
-"""The assignment while every registered node lives; losses are worked out from it."""
+"""The assignment while every registered node lives; `reassignment` starts from it."""
 
 from __future__ import annotations
 
@@ -121,4 +121,5 @@
     Sizes are compared by powers of two, so that a small change of a rate keeps the order.
     """
     size = -int(spec.rate).bit_length()
+    # "deal" is the salt of this hash; another would change every assignment.
     return spec.name not in on_every_node, size, hash64(f"deal\0{spec.name}"), spec.name
--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -14,8 +14,8 @@
 the service comes back to it, only a report as of that generation or a later one counts. So reports
 may come twice, late and in any order.
 
-Nothing of this has to outlive its process: a machine that starts anew learns from the nodes'
-reports who serves what, and releases nobody before it knows enough of those who serve.
+This state need not survive a restart: a machine that starts anew learns from the nodes' reports who
+serves what, and releases no node before enough others are known to serve.
 """
 
 from __future__ import annotations
@@ -120,7 +120,7 @@
             InvalidInputError: there is no such node.
         """
         self._check(node)
-        if not self._counts(node, service, generation):
+        if not self._report_counts(node, service, generation):
             return False
         if service not in self._assigned_to.get(node, ()):
             if node in self._releasable.get(service, ()):
@@ -181,7 +181,7 @@
 
     # ---- which reports count ------------------------------------------------
 
-    def _counts(self, node: str, service: str, generation: int | None) -> bool:
+    def _report_counts(self, node: str, service: str, generation: int | None) -> bool:
         if generation is None:
             return True
         first = self._counts_from.get(node, {}).get(service, 0)
@@ -229,6 +229,7 @@
                 self._revoke_release(node, service)
         for node in sorted(retained):
             serves = node in self._serving.get(service, ())
+            # Without this node one more is missing if it serves (`serves` adds 0 or 1).
             if tally.missing(node) + serves <= 0 and self._release(node, service) and serves:
                 tally.remove(node)
 
--- a/loadbalancer/core/assignment/model.py
+++ b/loadbalancer/core/assignment/model.py
@@ -24,7 +24,7 @@
 class Position(NamedTuple):
     """A place in one region's log. Positions are ordered; a log's never go back.
 
-    `epoch` grows by one with each new leader of the region (a term, in Raft's words), and
+    `epoch` grows by one with each new leader of the region (Raft's term), and
     `revision` by one with each change that the leader accepts. Revisions go on across epochs.
     """
 
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -3,7 +3,8 @@
 Each control machine's `Handover` sees other nodes serve while links fail, so that two machines
 could let the last two holders of a service release it. Only the leader of a service's home region
 decides: once it has led for a while, it sends grants to all machines, and a grant lasts for a
-short time. It is a lease (Gray and Cheriton, 1989) on not serving, timed by the receiver's clock.
+short time. It is a lease (Gray and Cheriton, 1989) that permits a node to stop serving, timed by
+the receiver's clock.
 
 Pure: time is given in nanoseconds, no I/O.
 """
--- a/loadbalancer/core/assignment/rules.py
+++ b/loadbalancer/core/assignment/rules.py
@@ -24,7 +24,7 @@
     """
 
     min_per_zone: int = 2  # holders in each zone that a service's clients come in
-    max_sharers: int = 12  # nodes that share one service's backends: 15 connections, and a margin
+    max_sharers: int = 12  # nodes that share a service; below the 15 connections of a backend
     node_rate: float = 400.0  # requests a second that a node may take, where it states none
     load_factor: float = 1.25  # of the mean number of services a node, that one may hold
     max_share: float = 0.5  # of a node's rate, that one service may take
--- a/loadbalancer/core/assignment/substitutes.py
+++ b/loadbalancer/core/assignment/substitutes.py
@@ -2,8 +2,8 @@
 
 A walk of the whole order costs the zone's size for each service once most of its nodes are dead or
 full. So the walk ends after the probes (see `zones.Zone.probed`): the remaining order is ranked for
-those nodes only that can still take the service's rate, and these are kept sorted by what they can
-take. The nodes that are chosen are the same as by a walk of the whole order.
+those nodes only that can still take the service's rate, and these are maintained in order of the
+rate that they can take. The nodes that are chosen are the same as by a walk of the whole order.
 """
 
 from __future__ import annotations
--- a/loadbalancer/core/assignment/zones.py
+++ b/loadbalancer/core/assignment/zones.py
@@ -12,7 +12,7 @@
 
 POINTS_PER_HASH = 8
 RING_HASHES = 2  # of a node, POINTS_PER_HASH points each: evens out the arcs of the ring
-PROBE_HASHES = 8  # of a service, as many probes each, before all other nodes follow by rank
+PROBE_HASHES = 8  # of a service, POINTS_PER_HASH probes each, before all other nodes follow by rank
 HASH_BYTES = 8
 MASK64 = (1 << 64) - 1
 
@@ -71,7 +71,8 @@
 class ZoneLoads:
     """What the nodes of one zone hold, and how much more they may.
 
-    A copy of `base` costs nothing of the zone's size: it stores only what differs.
+    With a `base` it is a copy that stores only what differs: its cost does not follow the
+    zone's size.
     """
 
     def __init__(self, zone: Zone, base: ZoneLoads | None = None) -> None:
--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -1,9 +1,10 @@
 """One region's committed changes: the current rows of every service and a bounded log.
 
 A subscriber resumes from its position with the changes of its own services. The log is compacted
-by number and by bytes, and how far back it reaches is known for each service: one that has not
-changed since a subscriber's position needs no log at all. Cost follows the subscriber's services
-and their changes, never the region's size.
+once it exceeds a number of changes or of bytes. How far back it reaches is tracked for each
+service, so that a subscriber can resume from a position that precedes the log as long as its own
+services have not changed since. Cost follows the subscriber's services and their changes, never the
+region's size.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 def rows_size(service: str, rows: Iterable[Row]) -> int:
-    """Bytes of a service with these rows on the wire, about."""
+    """The approximate size in bytes of a service with these rows on the wire."""
     return (
         CHANGE_OVERHEAD
         + len(service)
@@ -40,7 +41,7 @@
 
 
 def change_size(change: Change) -> int:
-    """Bytes of a change on the wire, about."""
+    """The approximate size in bytes of a change on the wire."""
     removed = sum(len(uid) + ROW_OVERHEAD for uid in change.removed)
     return rows_size(change.service, change.rows) + removed
 
@@ -74,6 +75,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Logged:
+    """A change in the log, and its size in bytes."""
+
     change: Change
     size: int
 
@@ -82,7 +85,7 @@
     """The services of one region as of `position`, and the changes that led there."""
 
     def __init__(self, region: str, max_changes: int, max_bytes: int) -> None:
-        """Keep at most `max_changes` changes of `max_bytes` bytes together.
+        """Retain at most `max_changes` changes, of at most `max_bytes` bytes in total.
 
         Raises:
             InvalidInputError: a bound is not positive.
@@ -95,7 +98,7 @@
         self.reset()
 
     def reset(self, history: Position = START) -> None:
-        """Forget all: a new history follows.
+        """Discard all services and changes: a new history begins.
 
         Args:
             history: the epoch in which it was begun, and the revision before its first change.
@@ -122,6 +125,7 @@
             InvalidInputError: the change does not follow the log's position directly.
         """
         epoch, revision = change.position
+        # Epochs of changes begin at 1: 0 is that of `START` and of a log that has no change yet.
         if revision != self.position.revision + 1 or epoch < max(self.position.epoch, 1):
             raise InvalidInputError(
                 f"change log of {self.region}: {change.position} does not follow {self.position}"
@@ -175,7 +179,7 @@
                 )
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Replace all by another machine's snapshot.
+        """Replace all services by another machine's snapshot, and discard the logged changes.
 
         Raises:
             InvalidInputError: the snapshot is older than the log.
@@ -191,6 +195,7 @@
         self._rows = dict(snapshot.rows)
         self._sizes = {name: rows_size(name, rows.values()) for name, rows in self._rows.items()}
         self._last_changed = dict(snapshot.last_changed)
+        # No change up to the snapshot is logged: count each service's last one as compacted.
         self._compacted = {
             name: self._last_changed.get(name, snapshot.position.revision) for name in snapshot.rows
         }
@@ -200,7 +205,7 @@
     # ---- reading ----------------------------------------------------------
 
     def log_snapshot(self) -> LogSnapshot:
-        """The region as of now, unaffected by later changes. Cost: an entry a service."""
+        """The region as of now, unaffected by later changes. Cost is linear in its services."""
         return LogSnapshot(
             self.position, dict(self._rows), dict(self._last_changed), self._last_deletion,
             tuple(self._epoch_starts), self.history,
@@ -208,6 +213,7 @@
 
     def contains(self, position: Position) -> bool:
         """Whether the log's history went through this position."""
+        # An uncommitted entry of an older epoch can have a higher revision than the log.
         if position > self.position or position.revision > self.position.revision:
             return False
         return self._logged_epoch(position.revision) == position.epoch
@@ -273,7 +279,7 @@
         return Snapshot(self.region, self.position, found)
 
     def size(self, services: Iterable[str]) -> int:
-        """Bytes of all rows of these services, about."""
+        """The approximate size in bytes of all rows of these services."""
         return sum(self._sizes.get(name, CHANGE_OVERHEAD) for name in services)
 
     def rows(self, service: str) -> Rows | None:
--- a/loadbalancer/core/replicated_log/election.py
+++ b/loadbalancer/core/replicated_log/election.py
@@ -36,7 +36,7 @@
         self._request_votes(self._ballot(state.current_term + 1, pre_vote=True))
 
     def start(self, now: int, term: int, reload: bool = False, transfer: bool = False) -> None:
-        """Begin an election in `term`; a recovering member stays one until it has won."""
+        """Begin an election in `term`; a reload leaves the member RECOVERING until it has won."""
         state = self._state
         state.reset_election_timer(now)
         state.current_term, state.voted_for, state.leader = term, state.name, ""
@@ -80,6 +80,7 @@
         state = self._state
         if response.current_term <= state.current_term:
             return
+        # Also where the term is not entered: a new history must begin in a term above it.
         state.highest_reported = highest(state.highest_reported, Position(response.current_term, 0))
         if state.role is not Role.RECOVERING and response.current_term <= MAX_TERM:
             state.observe_term(now, response.current_term)
@@ -111,7 +112,7 @@
         )
 
     def _grants(self, now: int, sender: str, request: RequestVote) -> bool:
-        """Whether the candidate's log is up to date, no leader is heard, and the vote is free."""
+        """Whether its log is up to date, no leader is heard, and no other member has the vote."""
         state = self._state
         own = state.log.history, state.log.last
         if state.role is Role.RECOVERING or (request.history, request.last_log) < own:
@@ -127,7 +128,7 @@
         """Whether the log counts as lost here too.
 
         A member that still has a log agrees only after `reload_wait_ns` without a leader: before
-        that, the log's own group may elect one, and a reload would throw committed changes away.
+        that, the log's own group may elect one, and a reload would discard committed changes.
         """
         state = self._state
         if request.term <= max(state.current_term, state.highest_reported.epoch):
--- a/loadbalancer/core/replicated_log/fetch_server.py
+++ b/loadbalancer/core/replicated_log/fetch_server.py
@@ -1,4 +1,4 @@
-"""Answers learners' fetches of one region's log: changes, chunks of a snapshot, or a hold."""
+"""Answers learners' fetches of one region's log: changes, chunks of a snapshot, or a long poll."""
 
 from __future__ import annotations
 
@@ -18,15 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
+    """A fetch that waits for new changes."""
+
     fetch: Fetch
-    deadline: int  # answered without changes then
+    deadline: int  # in nanoseconds; answered without changes then
 
 
 class FetchServer:
     """Answers learners of one region's log."""
 
     def __init__(self, log: ChangeLog, hold_ns: int, max_bytes: int) -> None:
-        """Hold a fetch for `hold_ns` while there is nothing new; answer with `max_bytes`."""
+        """A fetch waits up to `hold_ns` for new changes; an answer has about `max_bytes`."""
         self._log = log
         self._hold_ns = hold_ns
         self._max_bytes = max_bytes
@@ -35,7 +37,7 @@
         self._latest: list[InstallSnapshot] = []  # the last snapshot that was made
 
     def on_fetch(self, now: int, sender: str, fetch: Fetch) -> Response | None:
-        """The answer, or None where the fetch is held. One fetch a learner is held."""
+        """The answer; None where the fetch waits, in place of an earlier one of this learner."""
         answer = self._answer(sender, fetch)
         if answer is None:
             self._pending[sender] = _Pending(fetch, now + self._hold_ns)
@@ -44,7 +46,7 @@
         return answer
 
     def on_log_advanced(self) -> list[tuple[str, Response]]:
-        """The log has moved: answers to the fetches that were held."""
+        """The log has new changes: answers to the fetches that waited for them."""
         answers = []
         for sender, pending in list(self._pending.items()):
             if (answer := self._answer(sender, pending.fetch)) is not None:
@@ -53,7 +55,7 @@
         return answers
 
     def on_tick(self, now: int) -> list[tuple[str, FetchResponse]]:
-        """Answers without changes to fetches that were held long enough."""
+        """Answers without changes to the fetches that have reached their deadline."""
         due = [(sender, one) for sender, one in self._pending.items() if one.deadline <= now]
         for sender, _ in due:
             del self._pending[sender]
@@ -84,7 +86,7 @@
         return replace(chunk, request_id=fetch.request_id)
 
     def _snapshot(self) -> list[InstallSnapshot]:
-        """The log's snapshot in chunks; made once for all who fetch it while it does not move."""
+        """The log's snapshot in chunks; shared by all learners until the log changes."""
         if not self._latest or self._latest[0].position != self._log.position:
             self._latest = snapshot_chunks(self._log, self._max_bytes)
         return self._latest
--- a/loadbalancer/core/replicated_log/follower.py
+++ b/loadbalancer/core/replicated_log/follower.py
@@ -23,8 +23,9 @@
             state.counts["older epochs"] += 1
             self._respond(sender, False, state.log.commit_index)
             return
-        own_term = state.role is Role.LEADER and request.term == state.current_term
-        if request.term > MAX_TERM or own_term:
+        # A term has one leader: where this member is that, no other can send in the same term.
+        from_second_leader = state.role is Role.LEADER and request.term == state.current_term
+        if request.term > MAX_TERM or from_second_leader:
             state.counts["nonsense epochs"] += 1
             return
         self._follow(now, sender, request)
--- a/loadbalancer/core/replicated_log/leader.py
+++ b/loadbalancer/core/replicated_log/leader.py
@@ -15,8 +15,10 @@
 from loadbalancer.core.replicated_log.raft_log import no_op
 from loadbalancer.core.replicated_log.state import RaftState
 
-PROBES_PER_HEARTBEAT = 4  # to a follower whose log's end is searched for, at most
-MAX_UNANSWERED = 1024  # entries sent to a follower that it has not answered for
+PROBES_PER_HEARTBEAT = 4  # at most, to a follower whose last matching index is not known yet
+MAX_UNANSWERED = 1024  # entries in flight to one follower: sent, and not yet answered
+# A follower counts as unreachable after the longest election timeout that a member can draw.
+QUORUM_TIMEOUT_FACTOR = 2  # times `Timing.election_timeout_ns`
 
 
 @dataclass(slots=True)
@@ -27,7 +29,7 @@
     answered_index: int  # up to which the follower has answered
     contact_at: int  # when it last answered as a voting member
     match_index: int = 0
-    probing: bool = False  # one message at a time, until it is known where its log ends
+    probing: bool = False  # one message at a time, until its last matching index is known
     probed_at: int = 0  # when the last of these was sent
     needs_snapshot: bool = False  # the leader's log does not reach back to it
 
@@ -59,9 +61,9 @@
     def on_tick(self, now: int) -> None:
         """Step down without a quorum; otherwise send heartbeats when they are due."""
         state = self._state
-        limit = 2 * state.timing.election_timeout_ns
-        recent = sum(now - one.contact_at < limit for one in self._progress.values())
-        if recent + 1 < state.majority:
+        timeout = QUORUM_TIMEOUT_FACTOR * state.timing.election_timeout_ns
+        reachable = sum(now - one.contact_at < timeout for one in self._progress.values())
+        if reachable + 1 < state.majority:  # one more: this member itself
             state.counts["quorum lost"] += 1
             state.become_follower(now, state.current_term, "")
         elif now >= self._heartbeat_at:
@@ -86,8 +88,9 @@
         if not self.needs_load():
             return
         state = self._state
-        begun = {entry.service for entry in state.log.uncommitted}
-        for service in sorted(begun - services.keys()):
+        # An earlier leader's unfinished load may have appended services that the source lacks now.
+        appended = {entry.service for entry in state.log.uncommitted}
+        for service in sorted(appended - services.keys()):
             state.append(Change(START, service, deleted=True, complete=True))
         for service, rows in services.items():
             state.append(Change(START, service, tuple(rows), complete=True))
@@ -96,10 +99,11 @@
         self._replicate()
 
     def needs_new_history(self, now: int, reported: Position) -> bool:
-        """Whether a subscriber is ahead of the log, and a history above it is to be begun.
+        """Whether a new history must begin, as a subscriber is ahead of the log.
 
-        Its position is of a history that was lost: it would refuse all changes of this one as
-        older than its own. Histories begin `new_history_interval_ns` apart at least.
+        Its position is of a history that was lost: it would ignore all changes of this one as
+        older than its own. Histories begin at least `new_history_interval_ns` apart: a call that
+        returns True starts that interval, and the caller must begin the history.
         """
         state = self._state
         last = state.log.last
@@ -123,7 +127,7 @@
                 self._send_append(other, progress, ())
 
     def _replicate(self) -> None:
-        """Send each follower the entries that it was not sent yet, as far as it keeps up."""
+        """Send each follower its next entries, up to `MAX_UNANSWERED` in flight."""
         for other, progress in self._progress.items():
             self._replicate_to(other, progress)
 
@@ -165,7 +169,7 @@
         )  # fmt: skip
 
     def on_response(self, now: int, sender: str, response: AppendEntriesResponse) -> None:
-        """Take note of what a follower has, and send what it lacks."""
+        """Update a follower's progress, and send the entries that it lacks."""
         state = self._state
         if response.term > state.current_term and state.role is not Role.RECOVERING:
             if response.term <= MAX_TERM:
@@ -193,10 +197,10 @@
         self._replicate_to(sender, progress)
 
     def _back_up(self, now: int, other: str, progress: _Progress, index: int) -> None:
-        """Decrement nextIndex (paper, section 5.3), at once to what the follower named.
+        """Decrement nextIndex (paper, section 5.3) to the index that the follower returned.
 
-        Refusals that come close together are answered by one probe: if the answers to many
-        messages, late or doubled, each caused as many again, their number would grow on its own.
+        Rejections within a fraction of a heartbeat cause one probe together. If each of many late
+        or duplicate ones caused a message of its own, messages would multiply.
         """
         state = self._state
         last = max(progress.match_index, min(index, state.log.last.revision))
@@ -208,14 +212,14 @@
             self._probe(now, other, progress)
 
     def _probe(self, now: int, other: str, progress: _Progress) -> None:
-        """Send one message of entries, from where the follower's log is thought to end."""
+        """Send one message of entries, from nextIndex."""
         progress.probed_at = now
         self._send_append(other, progress, self._entries_from(progress.next_index) or ())
 
     # ---- commit ----------------------------------------------------------
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has, if its last entry is of the current term (5.4.2)."""
+        """Commit what a majority has, if it ends in the current term (paper, section 5.4.2)."""
         state = self._state
         matches = [state.log.last.revision, *(one.match_index for one in self._progress.values())]
         index = sorted(matches)[-state.majority]
--- a/loadbalancer/core/replicated_log/learner.py
+++ b/loadbalancer/core/replicated_log/learner.py
@@ -1,9 +1,10 @@
 """A learner: it follows a region's committed changes without a vote in its group.
 
-A learner fetches from one machine at a time; a machine without new changes holds the fetch for a
-while. After each answer without new changes, and after each timeout, the next machine is asked, so
-that a machine that is cut off delays nobody. A learner whose position the log no longer reaches
-fetches a snapshot in chunks, and installs it once it has them all.
+A learner fetches from one machine at a time; a machine without new changes answers after a
+while (a long poll). After each answer without new changes, and after each timeout, the learner
+turns to the next machine, so that one that is cut off does not delay it for long. A learner whose
+position the log no longer reaches fetches a snapshot in chunks, and installs it once it has them
+all.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
     """Fetches one region's committed changes."""
 
     def __init__(self, log: ChangeLog, sources: Sequence[str], fetch_timeout_ns: int) -> None:
-        """`sources` are asked in turn; each has `fetch_timeout_ns` to answer."""
+        """`sources` are polled in turn; each has `fetch_timeout_ns` to answer."""
         self.counts: Counter[str] = Counter()
         self._log = log
         self._sources = tuple(sources)
         self._fetch_timeout_ns = fetch_timeout_ns
         self._highest_reported = START
-        self._source = 0  # number of the source asked, counted on without end
+        self._source = 0  # only grows; its index in `_sources` is this modulo their number
         self._request_id = 0
         self._pending: Fetch | None = None
         self._deadline = 0  # of the pending fetch
@@ -42,7 +43,7 @@
         self._highest_reported = highest(self._highest_reported, position)
 
     def poll(self, now: int) -> tuple[str, Fetch] | None:
-        """The machine to ask now, and the fetch; None while an answer is waited for."""
+        """The next fetch and the machine to send it to; None while one is pending."""
         if not self._sources:
             return None
         if self._pending is not None:
@@ -78,7 +79,7 @@
         position = self._log.position
         newer = [one for one in response.changes if one.position.revision > position.revision]
         if not newer or newer[0].position.revision != position.revision + 1:
-            self._next_source()
+            self._next_source()  # it has nothing newer, or its log begins beyond this one
             return ()
         for before, after in pairwise(newer):
             if (
--- a/loadbalancer/core/replicated_log/messages.py
+++ b/loadbalancer/core/replicated_log/messages.py
@@ -61,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """A learner asks a machine for committed changes after `position`; the answer may be held."""
+    """A learner asks a machine for committed changes after `position`; it may be a long poll."""
 
     region: str
     position: Position
     request_id: int  # repeated in the answer
-    highest_reported: Position = START  # the highest epoch and revision the sender was told of
-    snapshot: Position | None = None  # of the snapshot whose next chunk is asked for
+    highest_reported: Position = START  # highest epoch and revision reported to the sender
+    snapshot: Position | None = None  # of the snapshot whose next chunk is requested
     chunk: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FetchResponse:
-    """Committed changes after the position asked for."""
+    """Committed changes after the position of the `Fetch`."""
 
     region: str
     request_id: int
@@ -125,7 +125,7 @@
     recovering: bool  # the sender has lost its own log too
     term: int
     last_log: Position  # its last entry, committed or not
-    highest_reported: Position  # the highest epoch and revision that it was told of
+    highest_reported: Position  # the highest epoch and revision reported to it
 
 
 RaftMessage = (
--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -2,9 +2,9 @@
 
 An entry is applied to the `ChangeLog` when it is committed, so that `lastApplied` of the paper is
 always the commit index. A log that a majority has lost begins a new history: in the term of the
-leader that loads it, and from a higher index. Entries of a load are kept apart until the entry
-that ends it is committed; then they replace the whole `ChangeLog` at once. A leader's first entry
-of its term, and the last one of a load, has no service.
+leader that loads it, and from a higher index. Entries of a load are not applied until the entry
+that ends it is committed; then they replace the content of the `ChangeLog` at once. A leader's
+first entry of its term, and the last one of a load, has no service.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
         return {name: tuple((log.rows(name) or {}).values()) for name in log.services()}
 
     def begin_history(self, history: Position) -> None:
-        """Begin to load a new history; the change log keeps the old one until the load ends."""
+        """Begin to load a new history; the change log serves the old one until the load ends."""
         self.history = history
         self.loading = True
         self._base = Position(0, history.revision)
@@ -184,7 +184,7 @@
             self._rebase()
 
     def _rebase(self) -> None:
-        """Keep those uncommitted entries that follow the change log's new position."""
+        """Retain those uncommitted entries that follow the change log's new position."""
         position = self._change_log.position
         follows = self.position_at(position.revision) == position
         count = position.revision - self._base.revision
--- a/loadbalancer/core/replicated_log/recovery.py
+++ b/loadbalancer/core/replicated_log/recovery.py
@@ -17,9 +17,13 @@
 from loadbalancer.core.replicated_log.model import Role, highest
 from loadbalancer.core.replicated_log.state import RaftState
 
+FRESH_FACTOR = 2  # times the minimum election timeout: a response older than that is disregarded
+
 
 @dataclass(frozen=True, slots=True)
 class _Received:
+    """A member's last response, and when it came, in nanoseconds."""
+
     response: RecoveryResponse
     at: int
 
@@ -52,7 +56,7 @@
         fresh = [
             one.response
             for one in self._received.values()
-            if now - one.at < 2 * timing.election_timeout_ns
+            if now - one.at < FRESH_FACTOR * timing.election_timeout_ns
         ]
         if sum(not response.recovering for response in fresh) >= state.majority:
             return False
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -36,7 +36,7 @@
 
 
 class Outcome(Enum):
-    """What became of a proposal; the values are words of the operators' HTTP answers."""
+    """What became of a proposal; the values appear in the HTTP answers to operators."""
 
     PROPOSED = "proposed"  # in the leader's log; committed once `committed` gives it
     NOT_LEADER = "not leader"
@@ -98,11 +98,11 @@
         }
 
     def _sources(self, region: str, name: str) -> list[str]:
-        """The region's own machines first; machines begin with different ones, to share load."""
+        """The region's own machines first, rotated by this machine's name to spread the load."""
         home = [other for other, where in self._machines.items() if where == region]
         away = [other for other, where in self._machines.items() if where != region]
-        turn = sum(name.encode()) % len(home) if home else 0
-        return home[turn:] + home[:turn] + away
+        offset = sum(name.encode()) % len(home) if home else 0
+        return home[offset:] + home[:offset] + away
 
     # ---- state -----------------------------------------------------------
 
--- a/loadbalancer/core/replicated_log/state.py
+++ b/loadbalancer/core/replicated_log/state.py
@@ -15,8 +15,8 @@
 from loadbalancer.core.replicated_log.model import Role, Timing, highest, is_plausible
 from loadbalancer.core.replicated_log.raft_log import RaftLog
 
-TERM_STRIDE = 256  # a new history's term is in the next block of these above all known ones
-INDEX_STRIDE = 1_000_000  # its first index likewise: 45 days of 22,000 changes
+TERM_STRIDE = 256  # a new history's term is in the next block of this size above all known terms
+INDEX_STRIDE = 1_000_000  # its first index likewise: a block is 45 days at 22,000 changes a day
 NONCE_BITS = 48
 
 Outbox = list[tuple[str, Message]]  # recipient and message, in the order of sending
@@ -97,12 +97,12 @@
         self.reset_election_timer(now)
 
     def reset_election_timer(self, now: int) -> None:
-        """Draw the next election timeout, from one to two times the least (paper, 5.2)."""
-        least = self.timing.election_timeout_ns
-        self.election_at = now + least + self._random.randrange(least)
+        """Draw the next election timeout, from one to two times the minimum (paper, 5.2)."""
+        minimum = self.timing.election_timeout_ns
+        self.election_at = now + minimum + self._random.randrange(minimum)
 
     def hears_leader(self, now: int) -> bool:
-        """Whether a leader was heard within the least election timeout (paper, section 6)."""
+        """Whether a leader was heard within the minimum election timeout (paper, section 6)."""
         return now - self.leader_contact_at < self.timing.election_timeout_ns
 
     # ---- log -------------------------------------------------------------
@@ -130,7 +130,11 @@
         return True
 
     def new_history_term(self) -> int:
-        """A term above all known ones, which no other member chooses."""
+        """A term above all known ones, which no other member chooses.
+
+        Each block of `TERM_STRIDE` terms is divided among the members, so that two members which
+        begin a history at the same time choose different terms.
+        """
         known = max(self.current_term, self.highest_reported.epoch, self.log.last.epoch)
         members = len(self.others) + 1
         drawn = self._random.randrange(TERM_STRIDE // members)
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -1,4 +1,7 @@
-"""The node's side: what is assigned is held, as of a position in each region's log.
+"""The node's side of subscriptions: the services it holds, as of a position in each region's log.
+
+To hold a service is to have its backends and follow their changes. "Control" is the control machine
+that the node polls.
 
 Positions never go back: an update of an older epoch or revision changes nothing, one that does
 not follow the present position asks for another. Of an update each service's change is applied
@@ -6,14 +9,14 @@
 removed or are draining, and nothing new is added. Without any message of control the node serves
 on with what it holds, and `age` shows for how long.
 
-A service that moves away is held, followed and served until control has said that it may be
-released and no request of it is in flight. Where requests of it never pause, it is closed to new
-ones once `drain_timeout` has passed.
+A service that moves away remains held and served until control permits its release and no request
+of it is in flight. Where its requests never pause, it is closed to new ones once `drain_timeout`
+has passed.
 
 A host polls control with the `Subscription` of each region: control sends the changes of its
-current services, and the others completely. A delta says nothing of services that were not current
-when it was asked for, so the host hands the answer over together with the subscription that it
-answers: what has become current meanwhile has to come completely again.
+current services, and the others completely. A delta does not cover services that were not current
+in the poll, so the host passes the answer on together with the subscription that it answers: a
+service that has become current meanwhile must be sent completely again.
 """
 
 from __future__ import annotations
@@ -136,7 +139,7 @@
         )
 
     def current(self, region: str) -> frozenset[str]:
-        """Those of `subscription` of which changes are enough: the others have to come complete.
+        """The services of `subscription` for which deltas suffice; the others must come completely.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -154,7 +157,7 @@
         return self.subscription(region) - self.current(region)
 
     def position(self, region: str) -> Position:
-        """As of where a region's services are held.
+        """The position in the region's log up to which its services are held.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -219,7 +222,7 @@
     def on_update(
         self, now: int, update: Update, request: Subscription | None = None
     ) -> UpdateResult:
-        """Apply an update as a whole, or nothing of it; see `UpdateStatus`.
+        """Apply an update, or ignore all of it; a service over the bound takes removals alone.
 
         `request` is the subscription that it answers; None where no service was added or dropped
         since that was made, as where the host polls once at a time.
--- a/loadbalancer/core/subscription/limits.py
+++ b/loadbalancer/core/subscription/limits.py
@@ -24,7 +24,7 @@
         InvalidInputError: a figure is out of its range.
     """
 
-    max_services: int = 64  # held or about to be
+    max_services: int = 64  # that are held, or wait for their first complete change
     max_bytes: int = 48 << 20  # of rows and what goes with them
     max_unknown_names: int = 256  # that clients asked for and that are remembered
     queries_per_s: float = 4.0  # of unknown services
--- a/loadbalancer/core/subscription/pacing.py
+++ b/loadbalancer/core/subscription/pacing.py
@@ -26,12 +26,12 @@
         if rate < 1 or burst < 1:
             raise InvalidInputError("snapshot pace: rate and burst must be at least 1 byte")
         self._rate = rate
-        self._burst = burst * SECOND // rate  # nanoseconds
-        self._next = 0  # the time after all reserved bytes, at the given rate
-        self._reservations: dict[Key, int] = {}  # times
+        self._burst_ns = burst * SECOND // rate  # the time in which the burst is sent at the rate
+        self._next = 0  # the first time that is not reserved yet, in nanoseconds
+        self._reservations: dict[Key, int] = {}  # the reserved times, in nanoseconds
 
     def wait(self, now: int, key: Key, size: int) -> int:
-        """Nanoseconds until `size` bytes may go; 0 uses the reservation up."""
+        """Nanoseconds until `size` bytes may go; 0 means now, and consumes the reservation."""
         time = self._reservations.get(key)
         if time is None or now > time + RESERVATION_TTL:
             time = self._reservations[key] = self._reserve(now, size)
@@ -49,6 +49,6 @@
         self._reservations.pop(key, None)
 
     def _reserve(self, now: int, size: int) -> int:
-        time = max(self._next, now - self._burst)
+        time = max(self._next, now - self._burst_ns)
         self._next = time + size * SECOND // self._rate
         return time
--- a/loadbalancer/core/subscription/service_table.py
+++ b/loadbalancer/core/subscription/service_table.py
@@ -1,7 +1,7 @@
 """The services that a node holds, with their rows, within a bound on bytes.
 
 A service whose new rows exceed the bound is refused: its rows shrink by those that are removed or
-draining, nothing is added, and it takes new rows only as a whole, once there is enough space.
+draining, nothing is added, and it takes new rows only by a complete change, once that fits.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         self._limits = limits
         self._services: dict[str, ServiceState] = {}
         self._by_region: dict[str, set[str]] = {region: set() for region in regions}
-        self._refused: dict[str, int] = {}  # and the bytes that they would need
+        self._refused: dict[str, int] = {}  # services, with the bytes that each would need
         self._dropped: dict[str, None] = {}  # since `released` was last called, in order
 
     def __contains__(self, name: str) -> bool:
@@ -133,7 +133,7 @@
             self.drop(name)
 
     def drop(self, name: str) -> None:
-        """Hold a service no more."""
+        """Remove a service."""
         service = self._services.pop(name)
         self._by_region[service.region].discard(name)
         self._refused.pop(name, None)
--- a/loadbalancer/core/subscription/subscribers.py
+++ b/loadbalancer/core/subscription/subscribers.py
@@ -15,7 +15,7 @@
     """What is known here of one node's subscription to one region's log."""
 
     services: frozenset[str] = frozenset()
-    position: Position = START  # that the last update sent from here takes it to
+    position: Position = START  # after the last update that was sent from here
     sent: frozenset[str] = frozenset()  # the services that are current there after that
     waiting: bool = False
 
--- a/loadbalancer/core/subscription/unknown_services.py
+++ b/loadbalancer/core/subscription/unknown_services.py
@@ -35,6 +35,7 @@
             return None
         limits = self._limits
         if self._bucket is None:
+            # A burst of a second's queries, at least 1: less than one token would permit none.
             self._bucket = TokenBucket(limits.queries_per_s, max(limits.queries_per_s, 1.0), now)
         queried = self._queried.get(service)
         if queried is not None and now - queried < limits.query_interval:
--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -38,12 +38,12 @@
 
 
 class Subscription(NamedTuple):
-    """What control is asked for of one region, and answers with an update."""
+    """A node's poll for one region; a control machine answers it with an update."""
 
     region: str
     position: Position
     services: frozenset[str]  # to be sent: all that are wanted or still held
-    current: frozenset[str]  # those of which changes are enough: the others have to come complete
+    current: frozenset[str]  # those for which deltas suffice: the others must come completely
 
 
 def is_valid(delta: Delta) -> bool:
--- a/loadbalancer/core/xds/endpoint_plan.py
+++ b/loadbalancer/core/xds/endpoint_plan.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """Endpoints of one zone; for a proxyless client one endpoint, told apart by `sub_zone`."""
+    """Endpoints of one zone; for a proxyless client one endpoint, identified by `sub_zone`."""
 
     zone: str
     sub_zone: str
@@ -67,7 +67,7 @@
         else:
             out.append(_zone_locality(in_zone, addresses, name, priority, target))
     # Priorities must have no gaps, and a zone without a usable server leaves one.
-    ranks = {priority: i for i, priority in enumerate(sorted({row.priority for row in out}))}
+    ranks = {priority: rank for rank, priority in enumerate(sorted({row.priority for row in out}))}
     return [replace(row, priority=ranks[row.priority]) for row in out]
 
 
--- a/loadbalancer/core/xds/load_reports.py
+++ b/loadbalancer/core/xds/load_reports.py
@@ -34,6 +34,7 @@
 FAILING_FRACTION = 0.5  # of a server's answers
 FLEET_FAILING_FRACTION = 0.25  # of all answers; above it the fault is not one server's
 NEGLIGIBLE_REQUESTS = 0.01  # decayed sums below it are dropped
+MIN_RATIO = 1e-9  # avoids a division by a ratio of 0
 MAX_REQUESTS_PER_S = 1_000_000  # of one server at one proxy
 MAX_IN_FLIGHT = 100_000
 MAX_ENDPOINTS = 10_000  # in one report
@@ -164,8 +165,9 @@
     def open_stream(self, now: int, proxy: str) -> int:
         """Begin a stream of a proxy; returns its number, 0 where there are too many proxies.
 
-        Only the newest stream of a proxy counts. A second one of the same id, a twin's or an
-        old connection's that has not ended yet, would count the same requests twice.
+        Only the newest stream of a proxy counts. A second one of the same id, of a
+        misconfigured proxy or of an old connection that has not ended yet, would count the same
+        requests twice.
         """
         self._streams += 1
         known = self._reporters.get(proxy)
@@ -292,9 +294,10 @@
         ratio = min(max(_latency_ratio(total, usual), low), high)
         return Assessment(backend, ratio, _fails(total) and not fleet_fails)
     without_one = [total.minus(part) for part in parts]
+    # The mildest is the one nearest to 1, whether above or below it.
     ratio = min(
         (_latency_ratio(sums, usual) for sums in without_one),
-        key=lambda ratio: max(ratio, 1.0 / max(ratio, 1e-9)),
+        key=lambda ratio: max(ratio, 1.0 / max(ratio, MIN_RATIO)),
     )
     return Assessment(backend, ratio, all(map(_fails, without_one)) and not fleet_fails)
 
--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -124,7 +124,8 @@
     """
     policies = [policy for route in service.routes for policy in route.policies.values()]
     budgets = [policy.budget for policy in policies if policy.budget is not None]
-    hedged = [p.copy.most for p in policies if p.copy is not None and p.copy.after]
+    copies = [policy.copy for policy in policies if policy.copy is not None]
+    hedged = [copy.most for copy in copies if copy.after]
     part = min((*(budget.part for budget in budgets), *hedged), default=node.part)
     floor = min((budget.floor for budget in budgets), default=node.floor)
     return BudgetSpec(min(part, node.part), min(floor, node.floor) / (1 << share_shift))
