--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -1,8 +1,7 @@
 """One control machine: the decisions of `loadbalancer.core`, and the sockets around them.
 
 It listens for the other machines, for subscribers (nodes), for nodes of one service each, and for
-operators. The replicated log is ticked twenty times a second, the registry of
-nodes once a second.
+operators. The replicated log is ticked twenty times a second, the registry of nodes once a second.
 """
 
 from __future__ import annotations
--- a/loadbalancer/core/assignment/presence.py
+++ b/loadbalancer/core/assignment/presence.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.core.balancing.model import SECOND
 
-MACHINE_TIMEOUT = 3 * SECOND  # without a message of a machine, its updates are forgotten
+MACHINE_TIMEOUT = 3 * SECOND  # without a message of a machine, its updates are discarded
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/core/replicated_log/election.py
+++ b/loadbalancer/core/replicated_log/election.py
@@ -60,7 +60,7 @@
             state.send(other, ballot)
 
     def on_response(self, now: int, sender: str, response: RequestVoteResponse) -> None:
-        """Count a vote; with a majority the pre-vote becomes an election, or is won."""
+        """Count a vote; with a majority, a pre-vote starts an election, and an election is won."""
         state, ballot = self._state, self._state.ballot
         if not response.vote_granted:
             self._on_refusal(now, response)
--- a/loadbalancer/core/replicated_log/learner.py
+++ b/loadbalancer/core/replicated_log/learner.py
@@ -27,7 +27,7 @@
 
     def __init__(self, log: ChangeLog, sources: Sequence[str], fetch_timeout_ns: int) -> None:
         """`sources` are polled in turn; each has `fetch_timeout_ns` to answer."""
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # by names that are part of GET /status
         self._log = log
         self._sources = tuple(sources)
         self._fetch_timeout_ns = fetch_timeout_ns
--- a/loadbalancer/core/replicated_log/state.py
+++ b/loadbalancer/core/replicated_log/state.py
@@ -53,7 +53,7 @@
         timing: Timing,
         outbox: Outbox,
     ) -> None:
-        self.counts: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()  # by names that are part of GET /status
         self.region = membership.region
         self.name = membership.name
         self.others = membership.others
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -76,7 +76,7 @@
     ) -> tuple[str, ...]:
         """Follow an assignment: services with their regions, and what may be released.
 
-        A service that is in neither is retained, if it has been held at all. One that was not
+        A service that is in neither is retained if its rows have ever come. One that was not
         wanted and is again has to come completely: control may not have followed it meanwhile.
         Returns the services that exceed a bound and are not held for it: to be tried again when
         something was released.
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -41,7 +41,7 @@
     unpaced_bytes: int = 16 * 1024  # of newly assigned services, that go with changes at once
     max_services: int = 1024  # that one subscription may name
     max_epochs_ahead: int = 1_000_000  # a position further ahead of the log is refused
-    max_revision: int = 1 << 40
+    max_revision: int = 1 << 40  # of a position; a higher one is refused
 
 
 class Publisher:
@@ -68,14 +68,14 @@
     # ---- nodes and machines -------------------------------------------------
 
     def on_nodes(self, nodes: Mapping[str, str]) -> None:
-        """All registered nodes with their regions, living or not."""
+        """Replace the registered nodes, living or not; `nodes` gives their regions."""
         self._placement = Placement(nodes, self._machines)
         for node, region in list(self._subscribers):
             if node not in nodes:
                 self._forget(node, region)
 
     def on_living(self, living: Iterable[str]) -> tuple[Key, ...]:
-        """The control machines that live.
+        """Replace the set of living control machines.
 
         Returns the waiting (node, region) pairs that belong to another machine now and are to be
         answered again.
@@ -159,10 +159,10 @@
         return None
 
     def _behind(self, node: str, redirected: bool) -> Answer:
-        """The subscriber is ahead of this machine's log: it is sent to another, with nothing.
+        """The subscriber is ahead of this machine's log: it is redirected without an update.
 
-        One that was redirected here already waits a little instead: the next machine may be behind
-        as well, and two such machines would send it to and fro.
+        One that was redirected here already has to retry after a delay instead: the next machine
+        may be behind as well, and two such machines would redirect it to each other in a loop.
         """
         self.counts["behind a subscriber"] += 1
         others = self._placement.others(node, self._living - {self._name})
@@ -196,7 +196,7 @@
         if complete and (delay := self._delay(now, key, log.size(complete))):
             until = now + delay
             if not_logged:
-                # Its position must not move past changes that it would not get.
+                # A delta would move its position past changes that it does not contain.
                 return Wait(until)
             complete = frozenset()
         delta = log.since(position, current - not_logged)
@@ -212,7 +212,7 @@
         return self._send(subscriber, update, size + log.size(complete), current | complete)
 
     def _delay(self, now: int, key: Key, size: int) -> int:
-        """How long until services may go completely: a few go at once, but count."""
+        """Nanoseconds until services may be sent completely: a few at once, yet counted."""
         if size <= self._limits.unpaced_bytes:
             self._pacer.spend(now, size)
             return 0
--- a/loadbalancer/core/xds/ads_order.py
+++ b/loadbalancer/core/xds/ads_order.py
@@ -1,9 +1,9 @@
 """Which resources a proxy is to have next, so that it never refers to one it lacks.
 
 The order is that of ADS: clusters, then their endpoints, then the route configurations that
-refer to the clusters; removals come last. It does not rest on remembering which step a change
-has reached. At every event, what the proxy has acknowledged is compared with the snapshot, so
-that a broken stream, a NACK or a newer snapshot in the middle of a change needs no special case.
+refer to the clusters; removals come last. No progress of a change is stored: at every
+event, what the proxy has acknowledged is compared with the snapshot, so that a broken stream, a
+NACK or a newer snapshot in the middle of a change needs no special case.
 
 Source: the xDS protocol, v3, "eventual consistency considerations".
 """
--- a/loadbalancer/core/xds/drains.py
+++ b/loadbalancer/core/xds/drains.py
@@ -44,7 +44,7 @@
         # Servers that take new work in each assignment.
         self._accepting: dict[tuple[GroupKey, str], frozenset[int]] = {}
         self._draining: frozenset[int] = frozenset()
-        self._due: dict[int, int] = {}
+        self._due: dict[int, int] = {}  # when each drain is reported, by server
 
     def update_draining(self, now: int, draining: Iterable[int], grace: int) -> list[int]:
         """Follow the list of servers that drain; returns those that begin to, in order."""
--- a/loadbalancer/core/xds/load_reports.py
+++ b/loadbalancer/core/xds/load_reports.py
@@ -255,8 +255,8 @@
         with_answers = [sums for sums in by_proxy if sums.finished > 0]
         if not with_answers:
             return []
-        # The lower median of the proxies is what is usual. With a mean, one proxy that
-        # exaggerates would set the measure for all servers.
+        # The reference is the lower median of the proxies. With a mean, one proxy that reports
+        # too much would set the reference for all servers.
         usual = median_low(sums.in_flight / sums.finished for sums in with_answers)
         error_rate = median_low(sums.errors / sums.finished for sums in with_answers)
         by_backend: dict[int, list[LoadSums]] = {}
