--- a/tests/proxy/upstream/test_pool.py
+++ b/tests/proxy/upstream/test_pool.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.endpoints = {1: HOME}
-        self.discovery = SimpleNamespace(roster=SimpleNamespace(endpoints=self.endpoints))
+        self.discovery = SimpleNamespace(endpoint_list=SimpleNamespace(endpoints=self.endpoints))
         self.config = SimpleNamespace(idle_close=10 * SECOND_NS)
         self.concluded: list[Outcome] = []
 
