--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -99,12 +99,21 @@
             self._timer = self.host.loop.call_later(limit, self._fail, Outcome.ERROR)
 
     def eof_received(self) -> bool:
-        """The backend has ended its sending, which may complete the response."""
-        if self.attempt is not None and self.reader.feed_eof():
-            if self._state is STREAMING:
-                self._forward()
-            else:
-                self._respond()
+        """The backend has ended its sending: its response is complete, or never will be.
+
+        Failure: the loop goes on writing what it buffers of a request after this end. The
+        backend could receive the request's last byte while the attempt counts as one that
+        can't have executed, and its client is told that a retry is harmless. Closing at
+        once drops what is not written.
+        """
+        if self.attempt is None:
+            return False
+        if not self.reader.feed_eof():
+            self._fail(Outcome.RESET)
+        elif self._state is STREAMING:
+            self._forward()
+        else:
+            self._respond()
         return False
 
     def _respond(self) -> None:
