--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 from typing import TYPE_CHECKING, Protocol, cast
 
@@ -188,6 +189,8 @@
         self._pieces = ()
         self._stop_timer()
         if self.transport is not None:
+            if not self.request_written:
+                self._stop_sending(self.transport)
             # No orderly close, which would wait for bytes that nobody will read.
             self.transport.abort()
         elif self._task is not None and not self._loop_owns_socket:
@@ -195,6 +198,17 @@
             # while the loop still uses its number: then connection_made aborts it.
             self._task.cancel()
 
+    def _stop_sending(self, transport: asyncio.Transport) -> None:
+        """Make sure that what the loop still buffers of a request never leaves.
+
+        Failure: an aborted transport closes its socket only in the loop's next iteration.
+        Until then the loop may write its buffer out, so that the backend receives the last
+        byte of a request that counts as never executed, and its client sends it again.
+        """
+        if self._sock is not None and transport.get_write_buffer_size():
+            with contextlib.suppress(OSError):
+                self._sock.shutdown(socket.SHUT_WR)
+
     def _release_descriptor(self) -> None:
         if self._state is not CLOSED:
             self._state = CLOSED
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -7,14 +7,17 @@
 
 from __future__ import annotations
 
+import asyncio
 import contextlib
 import socket
+import threading
 import time
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any, cast
 
 import pytest
+import uvloop
 
 from loadbalancer.config.address import Address
 from loadbalancer.core import Outcome
@@ -77,6 +80,9 @@
         self.written = b""
         self.aborted = False
 
+    def get_write_buffer_size(self) -> int:
+        return len(self.written)
+
     def set_write_buffer_limits(self, high: int) -> None:
         assert high == 0
 
@@ -94,6 +100,8 @@
 class Host:
     """A host that lets every attempt begin, and notes how attempts end."""
 
+    freed: Any = staticmethod(lambda: None)
+
     def __init__(self) -> None:
         self.concluded: list[Outcome] = []
         self.loop = SimpleNamespace(call_later=lambda *_: SimpleNamespace(cancel=lambda: None))
@@ -137,3 +145,71 @@
     assert transport.written == written
     assert transport.aborted
     assert host.concluded == [Outcome.CONNECT_FAILED]
+
+
+class Reader(threading.Thread):
+    """A backend that reads one connection to its end, from the moment that it is told to."""
+
+    def __init__(self, listener: socket.socket) -> None:
+        super().__init__()
+        self.listener = listener
+        self.begin = threading.Event()
+        self.received = 0
+
+    def run(self) -> None:
+        peer, _ = self.listener.accept()
+        with peer, contextlib.suppress(ConnectionError):
+            self.begin.wait(LIMIT)
+            while data := peer.recv(65536):
+                self.received += len(data)
+
+
+async def abandon_within_one_turn(listener: socket.socket, reader: Reader) -> tuple[bool, int]:
+    """Abandon an upload in the turn in which its backend has just read all but its end.
+
+    Returns what `abandon` says, and how many bytes the request has.
+    """
+    host = Host()
+    loop = asyncio.get_running_loop()
+    host.loop = cast(Any, loop)
+    closed = asyncio.Event()
+    pool = SimpleNamespace(host=host, pending={}, count=1, remove=lambda _: None)
+    host.freed = closed.set
+    connection = BackendConnection(
+        cast(Any, pool), 1, Address("127.0.0.1", listener.getsockname()[1])
+    )
+    sock = socket.create_connection(listener.getsockname())
+    sock.setblocking(False)
+    connection._sock = sock
+    source = SimpleNamespace(pause_flow=lambda: None, resume_flow=lambda: None)
+    flow = Flow(BufferBudget(128), cast(Any, source))
+    outgoing = SimpleNamespace(head=b"", flow=flow, chunked=False, body=[], unsafe=True)
+    connection.attempt = Attempt(cast(Any, outgoing), 0, 1, time.monotonic_ns())
+    transport, _ = await loop.create_connection(lambda: connection, sock=sock)
+    size = 0
+    while not transport.get_write_buffer_size():
+        flow.push(SHORT_BODY * 50)
+        size += len(SHORT_BODY) * 50
+    flow.finish()
+    reader.begin.set()
+    while reader.received < size - len(SHORT_BODY) * 50:
+        time.sleep(0.01)  # the loop is late
+    written = connection.abandon()
+    await closed.wait()
+    return written, size
+
+
+def test_an_abandoned_upload_gets_no_further() -> None:
+    """An attempt is given up while the end of its body waits for the kernel.
+
+    The loop is late, the backend has read meanwhile, so that the kernel accepts bytes again:
+    the rest would leave before the aborted connection is closed.
+    """
+    with slow_backend() as listener:
+        reader = Reader(listener)
+        reader.start()
+        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+            written, size = runner.run(abandon_within_one_turn(listener, reader))
+        reader.join(LIMIT)
+        assert not written
+        assert reader.received < size
