--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_hostile.py
@@ -19,6 +19,13 @@
 from tests.harness import roster, target, until
 
 HEALTHY, DRAINING = 1, 3  # core.v3.HealthStatus
+# What every proxy of the one pool holds in the end, by type.
+ALL_RESOURCES = {
+    "cluster": {"topup"},
+    "endpoints": {"topup"},
+    "listener": {"main"},
+    "routes": {"wharfspread"},
+}
 BOTH_VARIANTS = pytest.mark.parametrize("variant", ["whole", "incremental"])
 
 
@@ -57,18 +64,41 @@
 def wait_until_applied(
     process: Process, servers: dict[str, int], *except_for: str, only: bool = False
 ) -> None:
+    """Wait until every proxy has applied these servers and holds all resources.
+
+    On a new stream a listener and its routes may come after the endpoints: a proxy that has
+    connected a moment ago can have all servers and no routes yet.
+    """
     answer = order(process, do="wait", service="topup", servers=servers, but=except_for, only=only)
     assert answer == {"missing": []}
+    until(lambda: not incomplete_proxies(process, *except_for))
 
 
-def consistent_states(process: Process, *except_for: str) -> dict[str, Any]:
-    """All proxies' states; each was consistent at every moment."""
+def states_without_error(process: Process) -> dict[str, Any]:
+    """All proxies' states; each was consistent after every message so far."""
     states: dict[str, Any] = order(process, do="state")
     assert {n: s["wrong"] for n, s in states.items() if s["wrong"]} == {}
+    return states
+
+
+def resource_names(state: dict[str, Any]) -> dict[str, set[str]]:
+    """The names of what a proxy holds, by type."""
+    return {kind: set(held) for kind, held in state["held"].items()}
+
+
+def incomplete_proxies(process: Process, *except_for: str) -> dict[str, Any]:
+    """What those proxies hold that do not hold all resources yet, by proxy."""
+    states = states_without_error(process)
+    held = {n: resource_names(s) for n, s in states.items() if n not in except_for}
+    return {n: names for n, names in held.items() if names != ALL_RESOURCES}
+
+
+def consistent_states(process: Process, *except_for: str) -> dict[str, Any]:
+    """All proxies' states; each was consistent at every moment and holds all resources."""
+    states = states_without_error(process)
     for name, state in states.items():
         if name not in except_for:
-            assert set(state["held"]["cluster"]) == {"topup"}, name
-            assert set(state["held"]["routes"]) == {"wharfspread"}, name
+            assert resource_names(state) == ALL_RESOURCES, name
     return states
 
 
