--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -46,9 +46,12 @@
 from loadbalancer.proxy.host import LOG_LINES, Node  # noqa: E402
 from loadbalancer.proxy.lifecycle import TICK, Service  # noqa: E402
 from loadbalancer.sources.endpoint_list import ListError  # noqa: E402
+from loadbalancer.upgrade.messages import Reload, SetStandby  # noqa: E402
 
 if TYPE_CHECKING:
-    from loadbalancer.upgrade.handover import Predecessor, Successor
+    from loadbalancer.upgrade.messages import Message
+    from loadbalancer.upgrade.predecessor import Predecessor
+    from loadbalancer.upgrade.successor import Successor
 
 # For the port, where a process holds it that neither hands it over nor shares it.
 SHARE_S = 15.0
@@ -110,7 +113,8 @@
             self.node.start()
             return self.listener.listen(self.config.listen)
         # Here and not above: without a second address the node is as small as ever.
-        from loadbalancer.upgrade.handover import Predecessor, Successor
+        from loadbalancer.upgrade.predecessor import Predecessor
+        from loadbalancer.upgrade.successor import Successor
 
         successor = self.successor = Successor(self)
         await successor.find()
@@ -146,7 +150,7 @@
         Two processes that are one node take it over together, whichever was told.
         """
         if not passed_on:
-            self.pass_on({"reload": True})
+            self.pass_on(Reload())
         try:
             config = reload(os.environ, self.config)
             self.node.take_over(config)
@@ -169,12 +173,12 @@
         port = Admin(self.loop, routes, self.node.log).listen(address)
         self.node.log(f"calls at {address.host}:{port}")
 
-    def pass_on(self, frame: dict[str, bool]) -> None:
+    def pass_on(self, message: Message) -> None:
         """Tell the other process of this node, where there is one."""
         if self.successor is not None:
-            self.successor.pass_on(frame)
+            self.successor.pass_on(message)
         if self.predecessor is not None:
-            self.predecessor.pass_on(frame)
+            self.predecessor.pass_on(message)
 
     def status(self) -> Reply:
         state = self.service
@@ -193,12 +197,12 @@
 
     def standby(self) -> Reply:
         """Send clients away; a stop does so too, and the answer is the same."""
-        self.pass_on({"standby": True})
+        self.pass_on(SetStandby(on=True))
         self.set_standby(True)
         return Reply(200, "standby")
 
     def active(self) -> Reply:
-        self.pass_on({"standby": False})
+        self.pass_on(SetStandby(on=False))
         self.set_standby(False)
         if self.service.stopping and not self.service.relieved:
             return Reply(409, "stopping: this process takes no clients any more")
--- a/loadbalancer/upgrade/__init__.py
+++ b/loadbalancer/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""One process succeeding another at the same addresses, the two being one node meanwhile."""
+"""Handing over from one process to the next at the same addresses; both are one node meanwhile."""
--- /dev/null
+++ b/loadbalancer/upgrade/drain.py
@@ -0,0 +1,56 @@
+"""A relieved process's share of the node, which shrinks as its clients leave."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+from loadbalancer.core.process_pair import EndpointUse, PredecessorShare, endpoint_use
+from loadbalancer.upgrade.messages import RetainedCapacity
+
+if TYPE_CHECKING:
+    from loadbalancer.proxy.host import Node
+
+
+class Drain:
+    """What a predecessor still uses of the node's slots, idle connections and descriptors.
+
+    Failure: the two processes together would send an endpoint more than the node's limit, or
+    open more descriptors than the node may. So each figure is only ever lowered, and lowered
+    here before the successor learns of it: a message that is late leaves some unused.
+    """
+
+    def __init__(self, node: Node) -> None:
+        self._node = node
+        self._share = PredecessorShare()
+        self._initial_clients = max(node.clients, 1)
+        self._initial_idle = node.upstream.idle_count()
+        self._lent_descriptors = 0
+        self.need = 1.0  # the part of the clients that is left
+
+    def begin(self) -> RetainedCapacity:
+        """Divide the node's slots; what this process retains of them."""
+        retained = self._share.begin(self._endpoint_use())
+        self._node.divide(self._share)
+        return self.report(retained)
+
+    def advance(self) -> RetainedCapacity:
+        """Release what the clients that have left no longer need."""
+        node = self._node
+        self.need = min(self.need, node.clients / self._initial_clients)
+        changed = self._share.release(self._endpoint_use(), self.need)
+        node.upstream.trim(int(self._initial_idle * self.need))
+        node.divide(self._share)
+        return self.report(changed)
+
+    def report(self, slots: dict[int, int]) -> RetainedCapacity:
+        """The message that says so, with these slots; lends the spare descriptors first."""
+        node = self._node
+        self._lent_descriptors = max(self._lent_descriptors, node.spare_descriptors())
+        node.lend_descriptors(self._lent_descriptors)
+        return RetainedCapacity(
+            slots, node.descriptors(), tuple(node.labels), drained=self.need == 0
+        )
+
+    def _endpoint_use(self) -> list[EndpointUse]:
+        return endpoint_use(self._node.balancer, time.monotonic_ns())
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -1,4 +1,8 @@
-"""What a process leaves its successor: the list in hand, what was learned, its standby."""
+"""What a process hands its successor: the endpoint list, what was learned, its standby.
+
+The data are as JSON can carry them. Times are spans before the moment of writing, so that the
+two processes need no common clock.
+"""
 
 from __future__ import annotations
 
@@ -8,63 +12,93 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.core import Listing, State, learned_state
+from loadbalancer.core.errors import ProtocolError
 
 if TYPE_CHECKING:
+    from loadbalancer.core.balancing.records import Endpoint
     from loadbalancer.proxy.ports import Leaving
 
+NO_BOOT = -1  # in place of an age: the endpoint's start is not known
+
+# Keys of the handed state.
+VERSION, ENDPOINTS, LEARNED, STANDBY = "rev", "members", "learned", "standby"
+
+
+class HandedStateError(ProtocolError, ValueError):
+    """Malformed data; also a ValueError, as for any unsuitable value."""
+
 
-class Heirloom(NamedTuple):
-    """One backend of the list."""
+class InheritedEndpoint(NamedTuple):
+    """One endpoint of the list."""
 
     listing: Listing
     address: Address
-    boot_ms: int  # as discovery gave it, so that its next word is not taken for a restart
+    boot_ms: int  # Unix time as discovery gave it, to compare with its next list
 
 
 class Inheritance(NamedTuple):
-    rev: int
-    members: tuple[Heirloom, ...]
+    """What a predecessor handed over."""
+
+    rev: int  # the list's version
+    members: tuple[InheritedEndpoint, ...]
     learned: learned_state.LearnedState
     standby: bool
 
 
-def write(node: Leaving, standby: bool) -> dict[str, Any]:
-    """All of it, as JSON can carry it; spans are nanoseconds before now."""
+def export(node: Leaving, standby: bool) -> dict[str, Any]:
+    """What this node hands over, as data for JSON."""
     now = time.monotonic_ns()
-    roster = node.discovery.endpoint_list
+    endpoint_list = node.discovery.endpoint_list
     rows = []
-    for b in node.balancer.endpoints.values():
-        address = roster.endpoints.get(b.id)
-        if address is not None and b.state != State.GONE:
-            age = max(now - b.boot, 0) if b.boot else -1
+    for endpoint in node.balancer.endpoints.values():
+        address = endpoint_list.endpoints.get(endpoint.id)
+        if address is not None and endpoint.state != State.GONE:
             rows.append(
-                [b.id, int(b.state), b.zone, b.cell, b.kind, age, b.rating, *address,
-                 roster.boot_ms(b.id)]
-            )  # fmt: skip
+                _export_endpoint(endpoint, address, endpoint_list.boot_ms(endpoint.id), now)
+            )
     return {
-        "rev": roster.rev,
-        "members": rows,
-        "learned": learned_state.export(node.balancer, now),
-        "standby": standby,
+        VERSION: endpoint_list.rev,
+        ENDPOINTS: rows,
+        LEARNED: learned_state.export(node.balancer, now),
+        STANDBY: standby,
     }
 
 
-def read(raw: Any, now: int) -> Inheritance:
-    """Check it whole; ValueError where it is of another form."""
+def parse(raw: Any, now: int) -> Inheritance:
+    """Check exported data; `now` is the monotonic clock's time in nanoseconds.
+
+    Raises:
+        HandedStateError: any of it is malformed.
+    """
     try:
-        members = tuple(_heirloom(row, now) for row in raw["members"])
-        learned = learned_state.parse(raw["learned"])
-        return Inheritance(int(raw["rev"]), members, learned, bool(raw["standby"]))
-    except (KeyError, TypeError, OverflowError) as err:
-        raise ValueError(f"not what a process leaves: {err}") from None
+        members = tuple(_parse_endpoint(row, now) for row in raw[ENDPOINTS])
+        learned = learned_state.parse(raw[LEARNED])
+        return Inheritance(int(raw[VERSION]), members, learned, bool(raw[STANDBY]))
+    except (KeyError, TypeError, ValueError, OverflowError) as err:
+        raise HandedStateError(f"not what a process hands over: {err}") from None
+
+
+def _export_endpoint(endpoint: Endpoint, address: Address, boot_ms: int, now: int) -> list[Any]:
+    age = max(now - endpoint.boot, 0) if endpoint.boot else NO_BOOT
+    return [
+        endpoint.id,
+        int(endpoint.state),
+        endpoint.zone,
+        endpoint.cell,
+        endpoint.kind,
+        age,
+        endpoint.rating,
+        *address,
+        boot_ms,
+    ]
 
 
-def _heirloom(row: Any, now: int) -> Heirloom:
+def _parse_endpoint(row: Any, now: int) -> InheritedEndpoint:
     backend, state, zone, cell, kind, age, rating, host, port, boot_ms = row
     if not math.isfinite(rating):
-        raise ValueError(f"{rating!r} is no rating")
-    boot = 0 if age < 0 else max(now - int(age), 1)
+        raise HandedStateError(f"{rating!r} is no rating")
+    boot = 0 if age < 0 else max(now - int(age), 1)  # 0 stands for an unknown start
     listing = Listing(
         int(backend), State(state), int(zone), int(cell), int(kind), boot, float(rating)
     )
-    return Heirloom(listing, Address(str(host), int(port)), int(boot_ms))
+    return InheritedEndpoint(listing, Address(str(host), int(port)), int(boot_ms))
--- /dev/null
+++ b/loadbalancer/upgrade/ports.py
@@ -0,0 +1,26 @@
+"""What an upgrade asks of the process that it is of."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from loadbalancer.proxy.downstream.listener import Listener
+    from loadbalancer.proxy.host import Node
+    from loadbalancer.proxy.lifecycle import Service
+
+
+class Process(Protocol):
+    """A running node with its listener and its lifecycle."""
+
+    loop: asyncio.AbstractEventLoop
+    node: Node
+    listener: Listener
+    service: Service
+
+    def reload(self, passed_on: bool = False) -> None:
+        """Read the configuration again; `passed_on`: the other process asked for it."""
+
+    def set_standby(self, on: bool) -> None:
+        """Begin or end a standby."""
--- /dev/null
+++ b/loadbalancer/upgrade/predecessor.py
@@ -0,0 +1,199 @@
+"""The running process's side of an upgrade: it hands over to a successor, then drains.
+
+                  HELLO of a successor                Serving
+           Sole ------------------------> HandingOver ---------> Draining
+             ^                                 |                     |
+             +-------- the link closes --------+---------------------+
+
+What the two processes may use meanwhile is decided in `core/process_pair`; what readiness,
+answers and idle connections do while this one drains, in `proxy/lifecycle`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import time
+from typing import TYPE_CHECKING
+
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.proxy.lifecycle import TICK
+from loadbalancer.proxy.sockets import release_socket
+from loadbalancer.upgrade import handed_state
+from loadbalancer.upgrade.drain import Drain
+from loadbalancer.upgrade.greeting import GreetingError, send_listener
+from loadbalancer.upgrade.link import Link
+from loadbalancer.upgrade.messages import (
+    HandedState,
+    ListUpdate,
+    Message,
+    Reload,
+    Serving,
+    SetStandby,
+)
+from loadbalancer.upgrade.upgrade_listener import UpgradeListener
+
+if TYPE_CHECKING:
+    from loadbalancer.upgrade.ports import Process
+
+logger = logging.getLogger(__name__)
+
+TICK_S = TICK / SECOND
+
+
+class Sole:
+    """No successor has connected: this process is the whole node."""
+
+    __slots__ = ()
+
+
+class HandingOver:
+    """A successor has the listening socket and starts; this process serves as before."""
+
+    __slots__ = ("link", "start")
+
+    def __init__(self, link: Link) -> None:
+        self.link = link
+        self.start: asyncio.Task[None] | None = None  # the loop itself holds no task
+
+
+class Draining:
+    """The successor serves; this process serves the clients that it still has."""
+
+    __slots__ = ("drain", "link", "timer")
+
+    def __init__(self, link: Link, drain: Drain) -> None:
+        self.link = link
+        self.drain = drain
+        self.timer: asyncio.TimerHandle | None = None
+
+
+class Predecessor:
+    """Waits for a successor and hands over to it.
+
+    Failure: the successor ends at any point, by a crash or a faulty configuration. Its link
+    closes, and this process is the whole node again, with the listening socket that it kept.
+    """
+
+    def __init__(self, process: Process) -> None:
+        self._process = process
+        self._state: Sole | HandingOver | Draining = Sole()
+        self._upgrade_listener = UpgradeListener(
+            process.loop, process.node.config.listen, self._is_sole, self._hand_over
+        )
+
+    @property
+    def relieved(self) -> bool:
+        """Whether a successor serves the clients' address."""
+        return isinstance(self._state, Draining)
+
+    def open(self) -> None:
+        """Let a successor find this process from now on."""
+        self._upgrade_listener.open()
+
+    def close(self) -> None:
+        """Let no further successor find this process."""
+        self._upgrade_listener.close()
+
+    def pass_on(self, message: Message) -> None:
+        """Send a message to the successor, where there is one that serves.
+
+        One that still starts reads the configuration by itself, and is handed the standby.
+        """
+        if isinstance(self._state, Draining):
+            self._state.link.send(message)
+
+    # ---- handing over ------------------------------------------------------
+
+    def _is_sole(self) -> bool:
+        return isinstance(self._state, Sole)
+
+    def _hand_over(self, caller: socket.socket) -> None:
+        """Give a successor the listening socket and begin to talk to it.
+
+        Raises:
+            OSError: it can't be given, or another successor has it.
+        """
+        listener = self._process.listener.sock
+        if listener is None:
+            raise GreetingError("this process listens no longer")
+        if not self._is_sole():
+            raise GreetingError("another successor has come first")
+        send_listener(caller, listener)
+        link = Link(self._on_message, self._on_closed)
+        self._state = state = HandingOver(link)
+        state.start = self._process.loop.create_task(self._start_link(link, caller))
+
+    async def _start_link(self, link: Link, caller: socket.socket) -> None:
+        try:
+            transport, _ = await self._process.loop.connect_accepted_socket(lambda: link, caller)
+            release_socket(transport, caller)
+        except OSError:
+            link.close()
+            return
+        logger.info("upgrade: a successor has come")
+        state = handed_state.export(self._process.node, self._process.service.standby)
+        link.send(HandedState(state))
+
+    def _on_message(self, message: Message) -> None:
+        match message:
+            case Serving():
+                self._relieve()
+            case ListUpdate(body):
+                self._process.node.discovery.on_forwarded(body)
+            case Reload():
+                self._process.reload(passed_on=True)
+            case SetStandby(on):
+                self._process.set_standby(on)
+
+    # ---- draining ----------------------------------------------------------
+
+    def _relieve(self) -> None:
+        """Accept nothing more and begin to drain: the successor serves."""
+        if not isinstance(self._state, HandingOver):
+            return
+        process, node = self._process, self._process.node
+        process.listener.hold_back()
+        process.service.relieve(time.monotonic_ns())
+        self.close()
+        node.discovery.suspend()
+        if node.peers is not None:
+            # One process gossips for the node: two writers of one node's records would
+            # contradict each other at all the others.
+            node.peers.close(leaving=False)
+        state = Draining(self._state.link, Drain(node))
+        retained = state.drain.begin()
+        self._state = state
+        logger.info("upgrade: the successor serves; %d connections to empty", node.clients)
+        state.link.send(retained)
+        self._advance(state)
+
+    def _advance(self, state: Draining) -> None:
+        """Close idle clients, release what is no longer needed, and say so; then once a TICK."""
+        self._process.listener.send_away(time.monotonic_ns())
+        state.link.send(state.drain.advance())
+        state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
+
+    # ---- the successor has gone ----------------------------------------------
+
+    def _on_closed(self) -> None:
+        state, self._state = self._state, Sole()
+        if not isinstance(state, Draining):
+            logger.info("upgrade: the successor left before it served")
+            return
+        if state.timer is not None:
+            state.timer.cancel()
+        self._resume()
+
+    def _resume(self) -> None:
+        """Be the whole node again; a process that stops does not accept again."""
+        process = self._process
+        process.service.take_back()
+        process.node.be_whole()
+        if process.service.stopping:
+            return
+        logger.info("upgrade: the successor has gone; serving again")
+        process.listener.accept_again()
+        process.node.discovery.resume()
+        self.open()
--- a/loadbalancer/upgrade/socket_path.py
+++ b/loadbalancer/upgrade/socket_path.py
@@ -1,8 +1,6 @@
-"""Where two processes of one node find each other: a Unix socket in the temporary folder.
+"""The Unix socket at which a new process finds the running one.
 
-What lies at the path is never trusted for being there. A socket nobody listens on
-is replaced, one of another user's process is passed over, and whoever no longer
-owns the path leaves it alone.
+Its path follows from the listening address alone, so that both processes compute the same.
 """
 
 from __future__ import annotations
@@ -12,36 +10,53 @@
 import socket
 import stat
 import struct
+from collections.abc import Iterator
 from hashlib import blake2b
 
 from loadbalancer.config.address import Address
 
-BACKLOG = 4
-PEER = struct.Struct("3i")  # pid, uid, gid
+BACKLOG = 4  # connections that wait to be accepted
+SOCKET_MODE = 0o600
+DIGEST_BYTES = 8
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
-def path_for(listen: Address) -> str:
-    """The path of whoever serves this address.
+def socket_path(listen: Address) -> str:
+    """The path for the processes that serve this address.
 
-    Without tempfile and pathlib, which take a tenth of a node's whole start.
+    Built without tempfile and pathlib: their imports would delay every start of a node.
     """
-    name = blake2b(str(listen).encode(), digest_size=8).hexdigest()
+    name = blake2b(str(listen).encode(), digest_size=DIGEST_BYTES).hexdigest()
     return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"windrelay-{name}.sock")
 
 
-class Place:
-    """The path, and whether this process's own socket is the one there."""
+class UpgradeSocket:
+    """The socket at one path, for the process that connects and for the one that listens.
 
-    __slots__ = ("_inode", "_path", "sock")
+    The folder is open to every user, so that anything may be at the path. Guards:
+
+    * A file or folder of another program: nothing is connected to; `listen` replaces a file.
+    * A socket left by a process that was killed: the connection is refused, and `listen`
+      replaces it.
+    * A socket of another user, who would be given this node's clients: the peer's credentials
+      are checked before anything is sent.
+    * A socket that a successor has put there since: `close` compares inodes and leaves it.
+    """
+
+    __slots__ = ("_inode", "_path", "listener")
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._inode = 0
-        self.sock: socket.socket | None = None
+        self.listener: socket.socket | None = None  # None while this process does not listen
 
     def connect(self, timeout: float) -> socket.socket | None:
-        """A connection to whoever listens there, None where nobody does."""
-        with contextlib.suppress(OSError), _short(self._path) as path:
+        """Connect to the process that listens at the path, None where there is none.
+
+        Args:
+            timeout: of the connection and of each later call on it, in seconds.
+        """
+        with contextlib.suppress(OSError), _short_path(self._path) as path:
             if not stat.S_ISSOCK(os.lstat(path).st_mode):
                 return None
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -51,58 +66,70 @@
             except OSError:
                 sock.close()
                 return None
-            if trusted(sock):
+            if is_same_user(sock):
                 return sock
             sock.close()
         return None
 
-    def claim(self) -> None:
-        """Listen there from now on, in place of whoever did; OSError where it can't be."""
+    def listen(self) -> socket.socket:
+        """Listen at the path, in place of any process that did; returns the listening socket.
+
+        Raises:
+            OSError: the socket can't be made there.
+        """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            with _short(self._path) as path:
-                own = f"{path}.{os.getpid()}"
-                with contextlib.suppress(FileNotFoundError):
-                    os.unlink(own)
-                sock.bind(own)
-                os.chmod(own, 0o600)
-                sock.listen(BACKLOG)
-                # In one step: at no moment does the path lead nowhere.
-                os.rename(own, path)
-                self._inode = os.lstat(path).st_ino
+            with _short_path(self._path) as path:
+                self._bind(sock, path)
         except OSError:
             sock.close()
             raise
-        self.sock = sock
-
-    def leave(self) -> None:
-        """Listen no more; the path goes too, unless it is another's by now."""
-        if self.sock is None:
+        self.listener = sock
+        return sock
+
+    def _bind(self, sock: socket.socket, path: str) -> None:
+        """Bind under a name of this process's own, then rename.
+
+        Failure: a process that starts between an unlink and a bind would find no socket and
+        share the port instead of taking over. The rename leaves no such moment.
+        """
+        own_path = f"{path}.{os.getpid()}"
+        with contextlib.suppress(FileNotFoundError):
+            os.unlink(own_path)
+        sock.bind(own_path)
+        os.chmod(own_path, SOCKET_MODE)
+        sock.listen(BACKLOG)
+        os.rename(own_path, path)
+        self._inode = os.lstat(path).st_ino
+
+    def close(self) -> None:
+        """Stop listening, and remove the socket's file if it is still this process's own."""
+        if self.listener is None:
             return
-        self.sock.close()
-        self.sock = None
-        with contextlib.suppress(OSError), _short(self._path) as path:
+        self.listener.close()
+        self.listener = None
+        with contextlib.suppress(OSError), _short_path(self._path) as path:
             if os.lstat(path).st_ino == self._inode:
                 os.unlink(path)
 
 
-def trusted(sock: socket.socket) -> bool:
-    """Whether the process at the other end is the same user's."""
-    _, uid, _ = PEER.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
+def is_same_user(sock: socket.socket) -> bool:
+    """Whether the process at the other end runs as this one's user."""
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    _pid, uid, _gid = PEER_CREDENTIALS.unpack(credentials)
     return bool(uid == os.getuid())
 
 
-class _short:
-    """The path by way of its folder's descriptor: a Unix address holds 107 bytes only."""
+@contextlib.contextmanager
+def _short_path(path: str) -> Iterator[str]:
+    """The same path by way of its folder's descriptor, for the block.
 
-    def __init__(self, path: str) -> None:
-        self._path = path
-        self._folder = -1
-
-    def __enter__(self) -> str:
-        folder, name = os.path.split(self._path)
-        self._folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-        return f"/proc/self/fd/{self._folder}/{name}"
-
-    def __exit__(self, *_: object) -> None:
-        os.close(self._folder)
+    Failure: a Unix socket's address holds 107 bytes. With a longer TMPDIR neither process
+    could bind or connect, and every upgrade would share the port without a handover.
+    """
+    folder, name = os.path.split(path)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    try:
+        yield f"/proc/self/fd/{descriptor}/{name}"
+    finally:
+        os.close(descriptor)
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -50,7 +50,6 @@
     ReaderRecord,
 )
 from loadbalancer.core.gossip.slot_leases import Grant, Lease
-from loadbalancer.core.process_pair import SuccessorShare
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
@@ -64,9 +63,14 @@
 from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from loadbalancer.sources.watchers import Watcher
 from loadbalancer.upgrade import handed_state as handed
-from loadbalancer.upgrade import handover as handing
-from loadbalancer.upgrade.handover import Predecessor, Successor
-from loadbalancer.upgrade.link import Link, be_greeted, greet
+from loadbalancer.upgrade import predecessor as predecessor_module
+from loadbalancer.upgrade.codec import FrameReader, MessageError, encode_frame
+from loadbalancer.upgrade.drain import Drain
+from loadbalancer.upgrade.greeting import request_listener, send_listener
+from loadbalancer.upgrade.link import Link
+from loadbalancer.upgrade.messages import Message as PairMessage
+from loadbalancer.upgrade.predecessor import Predecessor
+from loadbalancer.upgrade.successor import AwaitingState, Sharing, Starting, Successor
 
 Plain = Any
 
@@ -227,10 +231,10 @@
     ours, theirs = socket.socketpair()
     with ours, theirs, socket.socket() as listener:
         if plain["from"] == "predecessor":
-            greet(ours, listener)
+            send_listener(ours, listener)
         else:
-            greet(theirs, listener)
-            be_greeted(ours).close()
+            send_listener(theirs, listener)
+            request_listener(ours).close()
         data, fds, _, _ = socket.recv_fds(theirs, 100, 1)
         for fd in fds:
             socket.close(fd)
@@ -243,37 +247,40 @@
     with ours, theirs, socket.socket() as listener:
         socket.send_fds(theirs, [data], [listener.fileno()])
         try:
-            be_greeted(ours).close()
+            request_listener(ours).close()
         except ConnectionError:
             return {"refused": "another hello"}
         return {"from": "predecessor"}
 
 
-def _link(told: Callable[[dict[str, Any]], None] = lambda _frame: None) -> tuple[Link, _Transport]:
+def _link(heard: Callable[[PairMessage], None] = lambda _message: None) -> tuple[Link, _Transport]:
     transport: Any = _Transport()
-    made = Link(told, lambda: None)
+    made = Link(heard, lambda: None)
     made.connection_made(transport)
     return made, transport
 
 
 def _encode_frame(plain: Plain) -> bytes:
-    made, transport = _link()
-    made.send(plain)
-    return transport.written
+    return encode_frame(plain)
 
 
 def _decode_frame(data: bytes) -> Plain:
-    told: list[Any] = []
-    made, _ = _link(told.append)
-    for at in range(len(data)):  # however it is cut
-        made.data_received(data[at : at + 1])
-    return told[0] if told else {"refused": "no frame"}
+    frames = FrameReader()
+    read: list[Plain] = []
+    try:
+        for at in range(len(data)):  # however it is cut
+            frames.feed(data[at : at + 1])
+            frame = frames.next_frame()
+            read += [] if frame is None else [frame]
+    except MessageError:
+        return {"refused": "no frame"}
+    return read[0] if read else {"refused": "no frame"}
 
 
 def _process(**more: Any) -> Any:
     """A process with just what the two sides of an upgrade ask of it."""
     node = SimpleNamespace(config=SimpleNamespace(listen=Address("127.0.0.1", 8080)), **more)
-    return SimpleNamespace(node=node)
+    return SimpleNamespace(node=node, loop=None)
 
 
 def _encode_word(plain: Plain) -> bytes:
@@ -282,30 +289,30 @@
     says = plain["says"]
     if says == "keeps":
         labels = {label.encode("latin-1"): None for label in plain["labels"]}  # in this order
-        side = Predecessor(
-            _process(
-                labels=labels,
-                descriptors=lambda: plain["descriptors"],
-                spare_descriptors=lambda: 0,
-                lend_descriptors=lambda _count: None,
-            )
+        node: Any = SimpleNamespace(
+            clients=1,
+            upstream=SimpleNamespace(idle_count=lambda: 0),
+            labels=labels,
+            descriptors=lambda: plain["descriptors"],
+            spare_descriptors=lambda: 0,
+            lend_descriptors=lambda _count: None,
         )
-        side._link = made
-        side._need = 0.0 if plain["empty"] else 1.0
-        side._tell({int(server): slots for server, slots in plain["keeps"].items()})
+        drain = Drain(node)
+        drain.need = 0.0 if plain["empty"] else 1.0
+        made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
     elif says == "state":
-        side = Predecessor(_process(log=lambda _text: None))
-        side.host.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
+        side = Predecessor(_process())
+        side._process.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
-            mock.patch.object(handing, "write", lambda *_: plain["state"]),
-            mock.patch.object(handing, "release_socket"),
+            mock.patch.object(handed, "export", lambda *_: plain["state"]),
+            mock.patch.object(predecessor_module, "release_socket"),
         ):
             asyncio.run(_begin(side, made, transport))
     elif says in ("serving", "news"):
         heir = Successor(_process(discovery=SimpleNamespace(forward=None)))
-        heir._link = made
+        heir._state = Starting(made)
         if says == "news":
-            heir._news(plain["answer"].encode())
+            heir._forward_list(plain["answer"].encode())
         else:
             asyncio.run(_serve(heir))
     else:
@@ -328,12 +335,12 @@
     async def connected(*_: Any) -> tuple[_Transport, Link]:
         return transport, made
 
-    side.host.loop = SimpleNamespace(connect_accepted_socket=connected)
-    await side._begin(made, None)
+    side._process.loop = SimpleNamespace(connect_accepted_socket=connected)
+    await side._start_link(made, None)
 
 
 async def _serve(heir: Any) -> None:
-    heir.host.loop = asyncio.get_running_loop()
+    heir._process.loop = asyncio.get_running_loop()
     await heir.serve()
 
 
@@ -354,20 +361,24 @@
     host.reload = lambda passed_on: heard.update(says="reload")
     host.set_standby = lambda on: heard.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
-    left = heir._left = SuccessorShare()
     awaited: Any = SimpleNamespace(
         done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
     )
-    heir._state = awaited
+    reported: Any = SimpleNamespace(done=lambda: True)
     with (
         mock.patch.object(elder, "_relieve", lambda: heard.update(says="serving")),
-        mock.patch.object(handing, "read", lambda raw, _now: raw),
+        mock.patch.object(handed, "parse", lambda raw, _now: raw),
     ):
-        _link(heir._told)[0].data_received(data)
+        made, _ = _link(heir._on_message)
+        heir._state = AwaitingState(made, awaited)
+        made.data_received(data)
+        if not heard:
+            sharing = heir._state = Sharing(made, reported)
+            made.data_received(data)
         if not heard:
-            _link(elder._told)[0].data_received(data)
+            _link(elder._on_message)[0].data_received(data)
     if heard["says"] == "keeps":
-        heard["keeps"] = {str(server): slots for server, slots in left.retained.items()}
+        heard["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
         heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
     return heard
 
@@ -396,12 +407,12 @@
     )
     node: Any = SimpleNamespace(balancer=balancer, discovery=SimpleNamespace(endpoint_list=roster))
     with _clocks():
-        return json.dumps(handed.write(node, plain["standby"])).encode()
+        return json.dumps(handed.export(node, plain["standby"])).encode()
 
 
 def _decode_state(data: bytes) -> Plain:
     try:
-        left = handed.read(json.loads(data), NOW)
+        left = handed.parse(json.loads(data), NOW)
     except ValueError:
         return {"refused": "not what a process leaves"}
     members = []
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -12,7 +12,7 @@
 import pytest
 
 from loadbalancer.config.address import Address
-from loadbalancer.upgrade import socket_path as place
+from loadbalancer.upgrade.socket_path import UpgradeSocket, socket_path
 from tests.harness import (
     LIMIT,
     LONG_MS,
@@ -125,8 +125,8 @@
 
 def test_a_successor_that_dies_before_its_yes_changes_nothing(tmp_path: Path) -> None:
     with listen() as backend, started(environ(tmp_path, backend)) as old:
-        path = tmp_path / os.path.basename(place.path_for(Address("127.0.0.1", 0)))
-        caller = place.Place(str(path)).connect(LIMIT)
+        path = tmp_path / os.path.basename(socket_path(Address("127.0.0.1", 0)))
+        caller = UpgradeSocket(str(path)).connect(LIMIT)
         assert caller is not None
         caller.sendall(b"windrelay upgrade    1\n")
         data, fds, _, _ = socket.recv_fds(caller, 100, 1)
@@ -142,8 +142,8 @@
 @pytest.mark.parametrize("words", [b"", b"GET / HTTP/1.1\r\n\r\n", b"windrelay upgrade   99\n"])
 def test_what_is_no_successor_costs_only_itself(tmp_path: Path, words: bytes) -> None:
     with listen() as backend, started(environ(tmp_path, backend)) as old:
-        path = tmp_path / os.path.basename(place.path_for(Address("127.0.0.1", 0)))
-        callers = [place.Place(str(path)).connect(LIMIT) for _ in range(4)]
+        path = tmp_path / os.path.basename(socket_path(Address("127.0.0.1", 0)))
+        callers = [UpgradeSocket(str(path)).connect(LIMIT) for _ in range(4)]
         for caller in callers:
             assert caller is not None
             caller.sendall(words)
@@ -161,9 +161,9 @@
 
 def test_frames_of_another_form_end_the_link_and_nothing_else(tmp_path: Path) -> None:
     with listen() as backend, started(environ(tmp_path, backend)) as old:
-        path = tmp_path / os.path.basename(place.path_for(Address("127.0.0.1", 0)))
+        path = tmp_path / os.path.basename(socket_path(Address("127.0.0.1", 0)))
         for frame in (b"\xff\xff\xff\xff", b"\0\0\0\2[]", b"\0\0\0\1{", b'\0\0\0\12{"news":1}'):
-            caller = place.Place(str(path)).connect(LIMIT)
+            caller = UpgradeSocket(str(path)).connect(LIMIT)
             assert caller is not None
             caller.sendall(b"windrelay upgrade    1\n" + frame)
             until(lambda c=caller: _ended(c))
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize("left", ["file", "folder", "socket"])
 def test_leftovers_in_the_temporary_folder_stop_no_start(tmp_path: Path, left: str) -> None:
-    path = tmp_path / os.path.basename(place.path_for(Address("127.0.0.1", 0)))
+    path = tmp_path / os.path.basename(socket_path(Address("127.0.0.1", 0)))
     if left == "file":
         path.write_text("of another program")
     elif left == "folder":
@@ -230,8 +230,8 @@
 ) -> None:
     """The socket was handed on: what comes between the two waits in its queue."""
     with listen() as backend, started(environ(tmp_path, backend)) as old:
-        path = tmp_path / os.path.basename(place.path_for(Address("127.0.0.1", 0)))
-        caller = place.Place(str(path)).connect(LIMIT)
+        path = tmp_path / os.path.basename(socket_path(Address("127.0.0.1", 0)))
+        caller = UpgradeSocket(str(path)).connect(LIMIT)
         assert caller is not None
         caller.sendall(b"windrelay upgrade    1\n")
         _, fds, _, _ = socket.recv_fds(caller, 100, 1)
