--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -39,6 +39,7 @@
 QUICK = ((5, 20), (21, 270))
 CHANGES = 10
 PROCESSES = 5  # that the proxies are spread over
+VARIANTS = {"whole": "sotw", "incremental": "incremental"}  # of a result: of the protocol
 
 
 def address(number: int) -> str:
@@ -82,7 +83,8 @@
         out = []
         for i in range(0, count, share):
             words = ("-m", "fakes.xds_proxy", at, "--count", str(min(share, count - i)),
-                     "--variant", variant, "--id", f"p{i}", "--light", "--again")  # fmt: skip
+                     "--variant", VARIANTS[variant], "--id", f"p{i}", "--light",
+                     "--reconnect")  # fmt: skip
             out.append(stack.enter_context(started(words)))
         for process in out:
             say(process, do="connect")
--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_hostile.py
@@ -26,7 +26,7 @@
     "listener": {"main"},
     "routes": {"wharfspread"},
 }
-BOTH_VARIANTS = pytest.mark.parametrize("variant", ["whole", "incremental"])
+BOTH_VARIANTS = pytest.mark.parametrize("variant", ["sotw", "incremental"])
 
 
 def order(process: Process, **fields: Any) -> Any:
@@ -69,7 +69,9 @@
     On a new stream a listener and its routes may come after the endpoints: a proxy that has
     connected a moment ago can have all servers and no routes yet.
     """
-    answer = order(process, do="wait", service="topup", servers=servers, but=except_for, only=only)
+    answer = order(
+        process, do="wait", service="topup", servers=servers, exempt=except_for, exactly=only
+    )
     assert answer == {"missing": []}
     until(lambda: not incomplete_proxies(process, *except_for))
 
@@ -77,13 +79,13 @@
 def states_without_error(process: Process) -> dict[str, Any]:
     """All proxies' states; each was consistent after every message so far."""
     states: dict[str, Any] = order(process, do="state")
-    assert {n: s["wrong"] for n, s in states.items() if s["wrong"]} == {}
+    assert {n: s["violations"] for n, s in states.items() if s["violations"]} == {}
     return states
 
 
 def resource_names(state: dict[str, Any]) -> dict[str, set[str]]:
     """The names of what a proxy holds, by type."""
-    return {kind: set(held) for kind, held in state["held"].items()}
+    return {kind: set(held) for kind, held in state["versions"].items()}
 
 
 def incomplete_proxies(process: Process, *except_for: str) -> dict[str, Any]:
@@ -104,7 +106,7 @@
 
 def end_status(process: Process, name: str) -> str:
     """The status its last stream ended with, "" while it is open."""
-    return str(order(process, do="state")[name]["ended"])
+    return str(order(process, do="state")[name]["end_status"])
 
 
 def recorded_versions(process: Process) -> dict[str, dict[str, str]]:
@@ -126,12 +128,12 @@
         wait_until_applied(proxies, endpoints_of(target_list(5, 40)), only=True)
         states = consistent_states(proxies)
         records = recorded_versions(process)
-        versions = {s["held"]["endpoints"]["topup"] for s in states.values()}
+        versions = {s["versions"]["endpoints"]["topup"] for s in states.values()}
         assert len(versions) == 1
         if variant == "incremental":
             for name, state in states.items():
                 assert records[name]["ClusterLoadAssignment"] in versions
-                assert records[name]["Cluster"] == state["held"]["cluster"]["topup"]
+                assert records[name]["Cluster"] == state["versions"]["cluster"]["topup"]
 
 
 FAULTS: list[dict[str, Any]] = [
@@ -141,11 +143,11 @@
     {"nack": "endpoints"},
     {"nack": "listener"},
     {"nack": "routes"},
-    {"stale": True},
-    {"invent": True},
-    {"wrong": True},
+    {"stale_nonce": True},
+    {"invented_nonce": True},
+    {"unknown_type": True},
     {"flood": 1000},
-    {"deaf": True},
+    {"stops_reading": True},
 ]
 
 
@@ -160,7 +162,11 @@
     count = len(FAULTS) + 3
     names = [f"p-{i}" for i in range(1, len(FAULTS) + 1)]
     # A stale or invented nonce is no answer: the valid one, after it, counts.
-    faulty = [n for n, f in zip(names, FAULTS, strict=True) if not f.keys() & {"stale", "invent"}]
+    faulty = [
+        n
+        for n, f in zip(names, FAULTS, strict=True)
+        if not f.keys() & {"stale_nonce", "invented_nonce"}
+    ]
     with (
         service_and_discovery(tmp_path, target_list(1, 10)) as (process, discovery),
         scripted_proxies(process.address, count, variant) as proxies,
@@ -173,15 +179,17 @@
             discovery.call("POST", "/standin/targets", target_list(first, 10))
             wait_until_applied(proxies, endpoints_of(target_list(first, 10)), *faulty, only=True)
             # It is none of those waited for, and may receive the change later.
-            until(lambda n=change: consistent_states(proxies, *faulty)[rejecting]["refused"] >= n)
+            until(
+                lambda n=change: consistent_states(proxies, *faulty)[rejecting]["rejections"] >= n
+            )
         names_by_fault = {str(FAULTS[names.index(n)]): n for n in names}
         # Which status they see depends on whether their own writes fail first. The status that
         # the service gives is tested in test_stream.py.
-        for cause in ("{'wrong': True}", "{'flood': 1000}"):
+        for cause in ("{'unknown_type': True}", "{'flood': 1000}"):
             until(lambda name=names_by_fault[cause]: end_status(proxies, name) not in ("", "OK"))
         # Without its fault, the rejecting one accepts what it rejected as soon as it changes.
         assert (
-            consistent_states(proxies, *faulty)[rejecting]["refused"] == 2
+            consistent_states(proxies, *faulty)[rejecting]["rejections"] == 2
         )  # once a change, and not again and again
         order(proxies, do="fault", proxy=rejecting, fault={})
         discovery.call("POST", "/standin/targets", target_list(8, 10))
@@ -204,7 +212,7 @@
     with (
         service_and_discovery(tmp_path, target_list(1, 5)) as (process, discovery),
         started(("-m", "fakes.relay", process.address)) as relay,
-        scripted_proxies(relay.address, 1, variant, "--again") as one,
+        scripted_proxies(relay.address, 1, variant, "--reconnect") as one,
     ):
         for turn, cut in enumerate(range(0, 3600, 90)):
             order(relay, cut=cut, drop=True)  # the next connection is cut there
@@ -217,7 +225,7 @@
 def test_two_proxies_of_one_id_are_both_served(tmp_path: Path, variant: str) -> None:
     with (
         service_and_discovery(tmp_path, target_list(1, 5)) as (process, discovery),
-        scripted_proxies(process.address, 2, variant, "--twins") as both,
+        scripted_proxies(process.address, 2, variant, "--same-id") as both,
     ):
         wait_until_applied(both, endpoints_of(target_list(1, 5)), only=True)
         discovery.call("POST", "/standin/targets", target_list(3, 5))
@@ -262,7 +270,7 @@
     rows = target_list(1, 10)
     with (
         service_and_discovery(tmp_path, rows) as (process, discovery),
-        scripted_proxies(process.address, 3, "whole") as proxies,
+        scripted_proxies(process.address, 3, "sotw") as proxies,
     ):
         wait_until_applied(proxies, endpoints_of(rows), only=True)
         for i in range(2):
@@ -277,7 +285,7 @@
     """The whole list is replaced in ten steps without a pause; in each two proxies reconnect."""
     with (
         service_and_discovery(tmp_path, target_list(1, 270)) as (process, discovery),
-        scripted_proxies(process.address, 11, "whole") as proxies,
+        scripted_proxies(process.address, 11, "sotw") as proxies,
         scripted_proxies(process.address, 10, "incremental", "--id", "q") as other,
     ):
         for step in range(1, 11):
