--- a/benchmarks/bare_streams.py
+++ b/benchmarks/bare_streams.py
@@ -3,12 +3,14 @@
     python -m benchmarks.bare_streams
 
 Takes every discovery stream. A line on standard input names a file of one answer's
-bytes without its nonce: it is written to every stream as it is, nonce added.
+bytes without its nonce: it is written to every stream as it is, nonce added. The answer to
+each line, an empty one too, is a JSON object with the number of streams.
 """
 
 from __future__ import annotations
 
 import asyncio
+import json
 import sys
 from collections.abc import AsyncIterator
 from pathlib import Path
@@ -55,7 +57,7 @@
     while line := await reader.readline():
         if line.strip():
             await streams.send(Path(line.decode().strip()).read_bytes())
-        print(len(streams.contexts), flush=True)
+        print(json.dumps({"streams": len(streams.contexts)}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -183,7 +183,7 @@
         started(("-m", "benchmarks.bare_streams")) as process,
         crowd(process.address, count, "whole") as proxies,
     ):
-        while int(process.say("")) < count:
+        while json.loads(process.say(""))["streams"] < count:
             time.sleep(0.05)
 
         def change(i: int) -> float:
