--- a/fakes/links.py
+++ b/fakes/links.py
@@ -1,13 +1,17 @@
-"""The network between nodes: one process that passes every word on, or does not.
+"""The network between nodes: one process that passes every datagram on, or does not.
 
     python -m fakes.links --seed 1 PORT...
 
-The ports are where the nodes listen, by their numbers. It says in one JSON line, behind
-"listening on", where each node finds each other one: every directed pair is a socket of its
-own, so every link can be cut, slowed or spoilt alone. Told by JSON lines on standard input:
-{"loss": part, "delay_ms": n, "jitter_ms": n, "double": part, "broken": part} hold for all
-links, {"cut": [[from, to], ...]} replaces what is cut, {"books": true} asks for the words
-and bytes that each node was sent so far, by kind of fate. Each line is answered by one.
+The ports are where the nodes listen, by their numbers. Its first line says behind "listening
+on", as JSON, at which address each node finds each other one: every directed pair has a socket
+of its own, so that every link can be cut, slowed or made to corrupt alone.
+
+A command is a JSON object on one line, and so is its answer:
+
+    {"loss": part, "delay_ms": n, "jitter_ms": n, "double": part, "broken": part}   all links
+    {"cut": [[from, to], ...]}   these links pass nothing, all others do
+    {"books": true}              by node: the datagrams ("words") and bytes that it was sent, and
+                                 how many were lost or broken on their way to it
 """
 
 from __future__ import annotations
@@ -22,92 +26,112 @@
 from random import Random
 from typing import Any
 
-MOST_WAITING = 20_000  # delayed words held: past it they are lost, and counted
+MAX_DELAYED = 20_000  # datagrams; past that they are lost, and counted so
+MAX_DATAGRAM_BYTES = 2048
+DATAGRAMS_A_TURN = 64  # read from one socket in one turn of the loop
+MAX_COMMAND_BYTES = 1 << 20
+
+Pair = tuple[int, int]  # sender and receiver
 
 
 class Links:
-    """All directed pairs; what becomes of a word is drawn in the order that words come."""
+    """All directed pairs; a datagram's fate is drawn in the order in which they come."""
 
     def __init__(self, ports: list[int], seed: int) -> None:
-        self.ports = ports
-        self.random = Random(seed)
-        self.loss = self.delay = self.jitter = self.double = self.broken = 0.0
-        self.cut: set[tuple[int, int]] = set()
-        self.books: list[Counter[str]] = [Counter() for _ in ports]
-        self.waiting = 0
-        self.fronts: dict[tuple[int, int], socket.socket] = {}
-        for pair in ((a, b) for a in range(len(ports)) for b in range(len(ports)) if a != b):
-            sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.setblocking(False)
-            sock.bind(("127.0.0.1", 0))
-            self.fronts[pair] = sock
+        self._ports = ports
+        self._random = Random(seed)
+        self._loss = 0.0
+        self._delay_ms = 0.0
+        self._jitter_ms = 0.0
+        self._double = 0.0
+        self._broken = 0.0
+        self._cut: set[Pair] = set()
+        self._counters: list[Counter[str]] = [Counter() for _ in ports]  # by receiver
+        self._delayed = 0
+        nodes = range(len(ports))
+        pairs = [(a, b) for a in nodes for b in nodes if a != b]
+        self._sockets = {pair: _open_socket() for pair in pairs}
 
     def addresses(self) -> list[list[str]]:
-        """By node: where it finds each of the others, itself where it listens."""
+        """By node: where it finds each of the others; for itself, where it listens."""
+        nodes = range(len(self._ports))
+        return [[f"127.0.0.1:{self._port(a, b)}" for b in nodes] for a in nodes]
 
-        def one(a: int, b: int) -> str:
-            port = self.ports[a] if a == b else self.fronts[a, b].getsockname()[1]
-            return f"127.0.0.1:{port}"
-
-        count = range(len(self.ports))
-        return [[one(a, b) for b in count] for a in count]
+    def _port(self, sender: int, receiver: int) -> int:
+        if sender == receiver:
+            return self._ports[sender]
+        return int(self._sockets[sender, receiver].getsockname()[1])
 
     def open(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop = loop
-        for pair, sock in self.fronts.items():
-            loop.add_reader(sock, self.read, pair, sock)
-
-    def read(self, pair: tuple[int, int], sock: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # a node that has gone refuses what it is sent
-            for _ in range(64):
-                data = sock.recv(2048)
-                self.pass_on(pair, data)
-
-    def pass_on(self, pair: tuple[int, int], data: bytes) -> None:
-        books = self.books[pair[1]]
-        if pair in self.cut or self.random.random() < self.loss:
-            books["lost"] += 1
+        """Pass datagrams on from now on."""
+        self._loop = loop
+        for pair, sock in self._sockets.items():
+            loop.add_reader(sock, self._read, pair, sock)
+
+    def _read(self, pair: Pair, sock: socket.socket) -> None:
+        with contextlib.suppress(OSError):  # nothing to read; or a node that ended refused some
+            for _ in range(DATAGRAMS_A_TURN):
+                self._pass_on(pair, sock.recv(MAX_DATAGRAM_BYTES))
+
+    def _pass_on(self, pair: Pair, data: bytes) -> None:
+        counters = self._counters[pair[1]]
+        if pair in self._cut or self._random.random() < self._loss:
+            counters["lost"] += 1
             return
-        if self.random.random() < self.broken:
-            at = self.random.randrange(len(data))
-            data = data[:at] + bytes([data[at] ^ 1 << self.random.randrange(8)]) + data[at + 1 :]
-            books["broken"] += 1
-        for _ in range(2 if self.random.random() < self.double else 1):
-            wait = self.delay + self.random.random() * self.jitter
-            if not wait:
-                self.deliver(pair, data)
-            elif self.waiting < MOST_WAITING:
-                self.waiting += 1
-                self.loop.call_later(wait / 1000, self.deliver_late, pair, data)
+        if self._random.random() < self._broken:
+            data = self._corrupted(data)
+            counters["broken"] += 1
+        for _ in range(2 if self._random.random() < self._double else 1):
+            delay_ms = self._delay_ms + self._random.random() * self._jitter_ms
+            if not delay_ms:
+                self._deliver(pair, data)
+            elif self._delayed < MAX_DELAYED:
+                self._delayed += 1
+                self._loop.call_later(delay_ms / 1000, self._deliver_delayed, pair, data)
             else:
-                books["lost"] += 1
-
-    def deliver_late(self, pair: tuple[int, int], data: bytes) -> None:
-        self.waiting -= 1
-        self.deliver(pair, data)
-
-    def deliver(self, pair: tuple[int, int], data: bytes) -> None:
-        """From the address that the receiver knows its sender by."""
-        source, target = pair
-        books = self.books[target]
-        books["words"] += 1
-        books["bytes"] += len(data)
+                counters["lost"] += 1
+
+    def _corrupted(self, data: bytes) -> bytes:
+        """The same bytes with one bit flipped."""
+        position = self._random.randrange(len(data))
+        flipped = data[position] ^ 1 << self._random.randrange(8)
+        return data[:position] + bytes([flipped]) + data[position + 1 :]
+
+    def _deliver_delayed(self, pair: Pair, data: bytes) -> None:
+        self._delayed -= 1
+        self._deliver(pair, data)
+
+    def _deliver(self, pair: Pair, data: bytes) -> None:
+        """Send from the address at which the receiver finds the sender."""
+        sender, receiver = pair
+        counters = self._counters[receiver]
+        counters["words"] += 1
+        counters["bytes"] += len(data)
         with contextlib.suppress(OSError):
-            self.fronts[target, source].sendto(data, ("127.0.0.1", self.ports[target]))
+            self._sockets[receiver, sender].sendto(data, ("127.0.0.1", self._ports[receiver]))
+
+    def obey(self, command: dict[str, Any]) -> object:
+        """Carry out one command; its answer."""
+        self._loss = float(command.get("loss", self._loss))
+        self._delay_ms = float(command.get("delay_ms", self._delay_ms))
+        self._jitter_ms = float(command.get("jitter_ms", self._jitter_ms))
+        self._double = float(command.get("double", self._double))
+        self._broken = float(command.get("broken", self._broken))
+        if "cut" in command:
+            self._cut = {(int(sender), int(receiver)) for sender, receiver in command["cut"]}
+        return [dict(counters) for counters in self._counters] if command.get("books") else {}
+
 
-    def obey(self, order: dict[str, Any]) -> object:
-        self.loss = float(order.get("loss", self.loss))
-        self.delay = float(order.get("delay_ms", self.delay))
-        self.jitter = float(order.get("jitter_ms", self.jitter))
-        self.double = float(order.get("double", self.double))
-        self.broken = float(order.get("broken", self.broken))
-        if "cut" in order:
-            self.cut = {(int(a), int(b)) for a, b in order["cut"]}
-        return [dict(b) for b in self.books] if order.get("books") else {}
+def _open_socket() -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.bind(("127.0.0.1", 0))
+    return sock
 
 
 async def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Pass datagrams on and carry out commands until standard input ends."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("ports", nargs="+", type=int)
     args = parser.parse_args()
@@ -115,7 +139,7 @@
     loop = asyncio.get_running_loop()
     links.open(loop)
     print(f"listening on {json.dumps(links.addresses(), separators=(',', ':'))}", flush=True)
-    reader = asyncio.StreamReader(limit=1 << 20)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         print(json.dumps(links.obey(json.loads(line))), flush=True)
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -17,29 +17,35 @@
 
 from fakes.web import split_address
 
-CHUNK = 16384
+CHUNK_BYTES = 16384
+# A small window: what a slow reader does not take waits at the sender, not here.
+TARGET_WINDOW_BYTES = 4096
 
 
 class Relay:
+    """Passes the bytes of each connection on, both ways."""
+
     def __init__(self, target: tuple[str, int]) -> None:
-        self.target = target
-        self.cut: int | None = None
-        self.rate = 0
-        self.writers: set[asyncio.StreamWriter] = set()
+        self._target = target
+        self._cut_next_after: int | None = None
+        self._rate = 0
+        self._writers: set[asyncio.StreamWriter] = set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        left, self.cut = self.cut, None
+        """Relay one connection until either side ends it."""
+        cut_after, self._cut_next_after = self._cut_next_after, None
         try:
-            # A small window: a slow reader's bytes wait at the sender, not here.
-            back, out = await asyncio.open_connection(*self.target, limit=4096)
+            from_target, to_target = await asyncio.open_connection(
+                *self._target, limit=TARGET_WINDOW_BYTES
+            )
         except OSError:
             writer.close()
             return
-        both = {writer, out}
-        self.writers |= both
+        writers = {writer, to_target}
+        self._writers |= writers
         tasks = [
-            asyncio.create_task(self._up(reader, out)),
-            asyncio.create_task(self._down(back, writer, left)),
+            asyncio.create_task(self._pass_to_target(reader, to_target)),
+            asyncio.create_task(self._pass_to_client(from_target, writer, cut_after)),
         ]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -47,40 +53,45 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            self.writers -= both
-            for w in both:
-                w.transport.abort()
+            self._writers -= writers
+            for either in writers:
+                either.transport.abort()
 
-    async def _up(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while data := await reader.read(CHUNK):
+    async def _pass_to_target(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        while data := await reader.read(CHUNK_BYTES):
             writer.write(data)
             await writer.drain()
 
-    async def _down(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, left: int | None
+    async def _pass_to_client(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, cut_after: int | None
     ) -> None:
-        if left == 0:
+        remaining = cut_after
+        if remaining == 0:
             return
-        while data := await reader.read(self.rate or CHUNK):
-            if left is not None:
-                data = data[:left]
-                left -= len(data)
+        while data := await reader.read(self._rate or CHUNK_BYTES):
+            if remaining is not None:
+                data = data[:remaining]
+                remaining -= len(data)
             writer.write(data)
             await writer.drain()
-            if left == 0:
+            if remaining == 0:
                 return
-            if self.rate:
-                await asyncio.sleep(len(data) / self.rate)
+            if self._rate:
+                await asyncio.sleep(len(data) / self._rate)
 
-    def obey(self, order: dict[str, int]) -> None:
-        self.cut = order.get("cut", self.cut)
-        self.rate = order.get("rate", self.rate)
-        if order.get("drop"):
-            for w in self.writers:
-                w.transport.abort()
+    def obey(self, command: dict[str, int]) -> None:
+        """Carry out one command."""
+        self._cut_next_after = command.get("cut", self._cut_next_after)
+        self._rate = command.get("rate", self._rate)
+        if command.get("drop"):
+            for writer in self._writers:
+                writer.transport.abort()
 
 
 async def main() -> None:
+    """Relay connections and carry out commands until standard input ends."""
     relay = Relay(split_address(sys.argv[1]))
     server = await asyncio.start_server(relay.serve, "127.0.0.1", 0)
     print(f"listening on 127.0.0.1:{server.sockets[0].getsockname()[1]}", flush=True)
--- a/fakes/web.py
+++ b/fakes/web.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for stand-ins: one request at a time on a connection."""
+"""A small HTTP/1.1 server for the fakes: one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass, field
 
-MAX_BODY = 1 << 20
+MAX_HEAD_BYTES = 1 << 16
+MAX_BODY_BYTES = 1 << 20
+ENDLESS_CHUNK = b"1000\r\n" + b" " * 0x1000 + b"\r\n"
 
 
 @dataclass(slots=True)
@@ -24,66 +26,52 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An answer. `reset` ends the connection with a reset in its place, `silent` never answers.
-
-    `cut`: the connection ends after so many bytes of the body; `rate`: bytes a second;
-    `endless`: the body goes on for ever.
-    """
+    """An answer, or what happens in its place."""
 
     status: int = 200
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
-    reset: bool = False
-    silent: bool = False
-    cut: int | None = None
-    rate: int = 0
-    endless: bool = False
+    reset: bool = False  # the connection is reset in place of an answer
+    silent: bool = False  # there is never an answer
+    cut: int | None = None  # the connection ends after so many bytes of the body
+    rate: int = 0  # bytes of the body a second, 0 for no limit
+    endless: bool = False  # the body never ends
+
+    @property
+    def is_faulty(self) -> bool:
+        """Whether the body is not sent at once and complete."""
+        return self.cut is not None or self.rate > 0 or self.endless
 
 
 Handler = Callable[[Asked], Awaitable[Reply]]
 
 
-async def _read(reader: asyncio.StreamReader) -> Asked:
-    head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    method, target, _version = head[0].split(" ")
-    headers = {}
-    for line in head[1:-2]:
-        name, _, value = line.partition(":")
-        headers[name.strip().lower()] = value.strip()
-    size = int(headers.get("content-length", "0"))
-    if size > MAX_BODY:
-        raise ValueError("the body is too large")
-    body = await reader.readexactly(size) if size else b""
-    path, _, query = target.partition("?")
-    return Asked(method, path, query, headers, body)
+async def serve(handler: Handler, host: str, port: int) -> asyncio.Server:
+    """Listen; the first line on standard output names the address."""
 
+    async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await _serve_connection(handler, reader, writer)
 
-async def _spoilt(writer: asyncio.StreamWriter, head: str, reply: Reply) -> None:
-    """An answer that is cut, slow or without an end; the connection is over with it."""
-    if reply.endless:
-        head = re.sub(r"Content-Length: \d+", "Transfer-Encoding: chunked", head)
-        writer.write(head.encode())
-        while True:
-            writer.write(b"1000\r\n" + b" " * 0x1000 + b"\r\n")
-            await writer.drain()
-    writer.write(head.encode())
-    body = reply.body if reply.cut is None else reply.body[: reply.cut]
-    step = reply.rate or len(body) or 1
-    for at in range(0, len(body), step):
-        writer.write(body[at : at + step])
-        await writer.drain()
-        if reply.rate:
-            await asyncio.sleep(1.0)
-    if reply.cut is not None:
-        writer.transport.abort()
+    server = await asyncio.start_server(connected, host, port, limit=MAX_HEAD_BYTES)
+    address = server.sockets[0].getsockname()
+    print(f"listening on {address[0]}:{address[1]}", flush=True)
+    return server
 
 
-async def _serve(
+def split_address(text: str) -> tuple[str, int]:
+    """Host and port of "host:port"; a fake listens at loopback addresses only."""
+    host, _, port = text.rpartition(":")
+    if not host.startswith("127."):
+        raise SystemExit(f"{text}: fakes listen on 127.0.0.0/8 only")
+    return host, int(port)
+
+
+async def _serve_connection(
     handler: Handler, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     try:
         while True:
-            asked = await _read(reader)
+            asked = await _read_request(reader)
             reply = await handler(asked)
             if reply.silent:
                 await reader.read()
@@ -91,37 +79,59 @@
             if reply.reset:
                 writer.transport.abort()
                 return
-            extra = "".join(f"{k}: {v}\r\n" for k, v in reply.headers.items())
-            head = f"HTTP/1.1 {reply.status} -\r\nContent-Length: {len(reply.body)}\r\n{extra}\r\n"
-            if reply.cut is not None or reply.rate or reply.endless:
-                await _spoilt(writer, head, reply)
+            if reply.is_faulty:
+                await _send_faulty(writer, reply)
                 return
-            writer.write(head.encode() + reply.body)
+            writer.write(_head(reply).encode() + reply.body)
             await writer.drain()
             if asked.headers.get("connection", "").lower() == "close":
                 return
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError, OSError):
-        return  # gone, or not HTTP: this connection is over
+        return  # the peer has closed, or does not speak HTTP
     finally:
         with contextlib.suppress(OSError, RuntimeError):
             writer.close()
 
 
-async def serve(handler: Handler, host: str, port: int) -> asyncio.Server:
-    """Listen; the first line on standard output names the address."""
+async def _read_request(reader: asyncio.StreamReader) -> Asked:
+    lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
+    method, target, _version = lines[0].split(" ")
+    headers = {}
+    for line in lines[1:-2]:
+        name, _, value = line.partition(":")
+        headers[name.strip().lower()] = value.strip()
+    size = int(headers.get("content-length", "0"))
+    if size > MAX_BODY_BYTES:
+        raise ValueError("the body is too large")
+    body = await reader.readexactly(size) if size else b""
+    path, _, query = target.partition("?")
+    return Asked(method, path, query, headers, body)
 
-    async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await _serve(handler, reader, writer)
 
-    server = await asyncio.start_server(connected, host, port, limit=1 << 16)
-    address = server.sockets[0].getsockname()
-    print(f"listening on {address[0]}:{address[1]}", flush=True)
-    return server
+def _head(reply: Reply) -> str:
+    headers = "".join(f"{name}: {value}\r\n" for name, value in reply.headers.items())
+    return f"HTTP/1.1 {reply.status} -\r\nContent-Length: {len(reply.body)}\r\n{headers}\r\n"
 
 
-def split_address(text: str) -> tuple[str, int]:
-    """ "host:port"; only loopback addresses."""
-    host, _, port = text.rpartition(":")
-    if not host.startswith("127."):
-        raise SystemExit(f"{text}: stand-ins listen on 127.0.0.0/8 only")
-    return host, int(port)
+async def _send_faulty(writer: asyncio.StreamWriter, reply: Reply) -> None:
+    """Send an answer that is cut, slow or endless; the connection ends with it."""
+    if reply.endless:
+        await _send_endless(writer, _head(reply))
+    writer.write(_head(reply).encode())
+    body = reply.body if reply.cut is None else reply.body[: reply.cut]
+    step = reply.rate or len(body) or 1
+    for position in range(0, len(body), step):
+        writer.write(body[position : position + step])
+        await writer.drain()
+        if reply.rate:
+            await asyncio.sleep(1.0)
+    if reply.cut is not None:
+        writer.transport.abort()
+
+
+async def _send_endless(writer: asyncio.StreamWriter, head: str) -> None:
+    """Send chunks until the peer closes, which is an OSError here."""
+    writer.write(re.sub(r"Content-Length: \d+", "Transfer-Encoding: chunked", head).encode())
+    while True:
+        writer.write(ENDLESS_CHUNK)
+        await writer.drain()
--- a/fakes/xds_client.py
+++ b/fakes/xds_client.py
@@ -2,8 +2,8 @@
 
     GRPC_XDS_BOOTSTRAP_CONFIG=... python -m fakes.xds_client xds:///app.svc
 
-Each line on standard input is `METHOD COUNT`; the answer is one JSON object, calls by
-who answered them or by the status they failed with.
+Each line on standard input is `METHOD COUNT`; the answer is one JSON object: the number of
+calls by the server that answered them, or by the status with which they failed.
 """
 
 from __future__ import annotations
@@ -18,18 +18,20 @@
 
 
 def main() -> None:
+    """Make the calls that standard input asks for."""
     channel = grpc.insecure_channel(sys.argv[1])
     print("listening on nothing", flush=True)
     for line in sys.stdin:
         method, count = line.split()
         call = channel.unary_unary(method)
-        seen: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         for _ in range(int(count)):
             try:
-                seen[call(b"", timeout=DEADLINE_S, wait_for_ready=True).decode()] += 1
+                server = call(b"", timeout=DEADLINE_S, wait_for_ready=True).decode()
+                outcomes[server] += 1
             except grpc.RpcError as err:
-                seen[err.code().name] += 1
-        print(json.dumps(seen), flush=True)
+                outcomes[err.code().name] += 1
+        print(json.dumps(outcomes), flush=True)
 
 
 if __name__ == "__main__":
