--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -145,7 +145,7 @@
         """Announce that this process serves, and wait for what the predecessor retains.
 
         Failure: without that wait both would use all slots of an endpoint for a moment. The
-        wait is bounded, for the clients' requests are queued meanwhile.
+        wait is bounded, for clients' connections are accepted by nobody meanwhile.
         """
         if not isinstance(self._state, Starting):
             return
