--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -33,10 +33,12 @@
 from benchmarks.stats import spread
 from fakes.fleet import Process, started
 from loadbalancer.config.address import parse_address
-from loadbalancer.core.endpoints.merged_list import Health, Members, Word
-from loadbalancer.sources.consul.file import MARGIN, ConsulFile
-from loadbalancer.sources.consul.merge import sources
-from loadbalancer.sources.consul.reader import Reader
+from loadbalancer.core.endpoints.merged_list import MergedList
+from loadbalancer.core.endpoints.server_report import Health, ServerReport
+from loadbalancer.sources.consul.credentials import Credentials
+from loadbalancer.sources.consul.file import MARGIN, Consistency, ConsulFile
+from loadbalancer.sources.consul.list_updater import sources_of
+from loadbalancer.sources.consul.reader import ConsulReader
 
 READERS = 21
 LINES = 200
@@ -49,14 +51,14 @@
 class Player:
     """One reader and its merged list; `dead` is what its users found out."""
 
-    members: Members
-    reader: Reader
+    members: MergedList
+    reader: ConsulReader
     dead: set[str]
     seen: dict[str, tuple[Health, float]] = field(default_factory=dict)
 
-    def told(self, source: str, words: list[Word], whole: bool) -> None:
+    def told(self, source: str, words: list[ServerReport], whole: bool) -> None:
         now = time.monotonic()
-        self.members.told(time.monotonic_ns(), source, words, whole)
+        self.members.update(time.monotonic_ns(), source, words, whole)
         for w in words:
             old = self.seen.get(w.uid)
             if old is None or old[0] != w.health:
@@ -65,15 +67,22 @@
 
 def player(agent: Process, share: int, seed: int) -> Player:
     file = ConsulFile(
-        (parse_address(agent.address),), "topup", {"dc1": "east"}, None, None, share, "stale", 600
+        (parse_address(agent.address),),
+        "topup",
+        {"dc1": "east"},
+        None,
+        None,
+        share,
+        Consistency.STALE,
+        600,
     )
 
-    def told(source: str, words: list[Word], whole: bool) -> None:
+    def told(source: str, words: list[ServerReport], whole: bool) -> None:
         made.told(source, words, whole)
 
     dead: set[str] = set()
-    members = Members(sources(file), alive=lambda uid: False if uid in dead else None)
-    made = Player(members, Reader(file, "", told, lambda _text: None, seed), dead)
+    members = MergedList(sources_of(file), is_alive=lambda uid: False if uid in dead else None)
+    made = Player(members, ConsulReader(file, Credentials(), told, seed), dead)
     return made
 
 
@@ -105,7 +114,7 @@
     cpu = time.process_time()
     for p in players:
         p.reader.start()
-    whole = await until(lambda: all(p.reader.rounds() for p in players), first)
+    whole = await until(lambda: all(p.reader.completed_rounds() for p in players), first)
     first_s = time.monotonic() - began
     random = Random(seed)
     before = await call(agent, "GET", "/standin/lines")
@@ -158,7 +167,7 @@
     await call(agent, "POST", "/standin/status", {f"topup-{count - 1}": "critical"})
 
     def out() -> bool:
-        return all(any(m.uid == uid and m.state != 1 for m in p.members.members()) for p in players)
+        return all(any(m.uid == uid and m.state != 1 for m in p.members.servers()) for p in players)
 
     return time.monotonic() - began if await until(out, DEATH_S) else None
 
--- a/benchmarks/scale/capacity/control.py
+++ b/benchmarks/scale/capacity/control.py
@@ -27,7 +27,7 @@
 )
 REVISIONS = Mechanism(
     "Revisions, a snapshot past its log",
-    "loadbalancer/core/endpoints/revisions.py, tests/core/endpoints/test_merged_list.py",
+    "loadbalancer/core/endpoints/revisions.py, tests/core/endpoints/test_revisions.py",
 )
 
 
--- a/loadbalancer/cli/members.py
+++ b/loadbalancer/cli/members.py
@@ -17,12 +17,15 @@
 from typing import Any, TextIO
 from urllib.parse import quote
 
+from loadbalancer import logs
 from loadbalancer.config.address import parse_address
 from loadbalancer.control.consul_relay import serve
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.endpoints.merged_list import Member, Members
+from loadbalancer.core.endpoints.merged_list import MergedList
+from loadbalancer.core.endpoints.merged_server import ListedServer
+from loadbalancer.sources.consul.credentials import open_credentials
 from loadbalancer.sources.consul.file import ConsulError, ConsulFile, read_consul
-from loadbalancer.sources.consul.merge import MergedList, open_reader
+from loadbalancer.sources.consul.list_updater import ListUpdater
 from loadbalancer.sources.http_get import HttpGet, Response
 
 CALL_TIMEOUT_S = 5.0
@@ -41,23 +44,25 @@
 
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
     """Print the list, or serve it; 2 for a bad file, 1 where Consul did not answer in time."""
+    logs.configure("")
     try:
         file = read_consul(arguments.file)
         if arguments.why:
             return _print_checks(file, arguments.why, out)
         if arguments.serve:
             return _serve_nodes(file, arguments.serve)
-        members, complete = asyncio.run(_read_once(file, arguments.seconds))
+        merged_list, complete = asyncio.run(_read_once(file, arguments.seconds))
     except ConsulError as err:
         print(err, file=sys.stderr)
         return 2
     now = time.monotonic_ns()
-    for member in members.members():
-        print(_member_line(member, now), file=out)
+    servers = merged_list.servers()
+    for server in servers:
+        print(_server_line(server, now), file=out)
     if not complete:
         print(f"members: no whole list within {arguments.seconds:g} s", file=sys.stderr)
         return 1
-    if not members.members():
+    if not servers:
         similar = asyncio.run(_similar_names(file))
         hint = f"; the catalogue has {', '.join(similar)}" if similar else ""
         print(f"members: no server of {file.service!r} is listed{hint}", file=sys.stderr)
@@ -65,38 +70,34 @@
     return 0
 
 
-def _log(text: str) -> None:
-    print(text, file=sys.stderr, flush=True)
-
-
-async def _read_once(file: ConsulFile, timeout_s: float) -> tuple[Members, bool]:
+async def _read_once(file: ConsulFile, timeout_s: float) -> tuple[MergedList, bool]:
     """One complete round of every datacentre; False where it did not end in time."""
     done = asyncio.Event()
-    merged = MergedList(file, done.set, _log, time.time_ns())
-    merged.start()
+    updater = ListUpdater(file, done.set, time.time_ns())
+    updater.start()
     try:
         await asyncio.wait_for(done.wait(), timeout_s)
     except TimeoutError:
-        return merged.members, False
+        return updater.merged_list, False
     finally:
-        merged.close()
-    return merged.members, True
+        updater.close()
+    return updater.merged_list, True
 
 
-def _member_line(member: Member, now: int) -> str:
+def _server_line(server: ListedServer, now: int) -> str:
     """One server: where it is, its state and why, and what each source reports since when."""
     reports = ", ".join(
-        f"{source} {health.name.lower()} for {(now - since) // SECOND} s"
-        for source, health, since in member.words
+        f"{report.source} {report.health.name.lower()} for {(now - report.since) // SECOND} s"
+        for report in server.reports
     )
-    state = member.state.name.lower()
-    return f"{member.uid} {member.host}:{member.port} {state} ({member.why}): {reports}"
+    state = server.state.name.lower()
+    return f"{server.uid} {server.host}:{server.port} {state} ({server.reason}): {reports}"
 
 
 def _serve_nodes(file: ConsulFile, listen: str) -> int:
     """Serve nodes until a signal ends it; 2 where the address can't be used."""
     try:
-        asyncio.run(serve(file, parse_address(listen), _log, time.time_ns()))
+        asyncio.run(serve(file, parse_address(listen), time.time_ns()))
     except (OSError, ValueError) as err:
         print(f"members: --serve: {err}", file=sys.stderr)
         return 2
@@ -108,12 +109,13 @@
 
 async def _query(file: ConsulFile, path: str, query: str = "") -> list[Any]:
     """One GET to the first agent for every datacentre; the answers that can be read."""
-    reader = open_reader(file, lambda *_: None, _log, 0)
+    credentials = open_credentials(file)
+    headers, tls = credentials.headers, credentials.tls
     found = []
-    for datacentre in file.datacentres:
+    for datacentre in file.zones_by_datacentre:
         done: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         target = f"{path}?dc={quote(datacentre, safe='')}&stale{query}"
-        HttpGet(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, reader.headers, reader.tls)
+        HttpGet(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, headers, tls)
         answer = await done
         if answer is not None and answer.status == OK:
             # An agent that answers with something else counts as one that did not answer.
--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -17,16 +17,16 @@
 import asyncio
 import json
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Any, NamedTuple
 
 from loadbalancer.config.address import Address
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import MS
-from loadbalancer.core.endpoints.merged_list import Member
+from loadbalancer.core.endpoints.merged_server import ListedServer
 from loadbalancer.core.endpoints.revisions import Revisions
 from loadbalancer.sources.consul.file import ConsulFile
-from loadbalancer.sources.consul.merge import MergedList
+from loadbalancer.sources.consul.list_updater import ListUpdater
 from loadbalancer.sources.watchers import Query, Watcher, removed_row
 
 MAX_WATCHERS = 1024
@@ -37,22 +37,22 @@
 Row = Mapping[str, Any]
 
 
-def discovery_row(member: Member, wall_offset: int) -> Row:
+def discovery_row(server: ListedServer, wall_offset: int) -> Row:
     """One server in discovery's form.
 
     Args:
-        member: the server.
+        server: in the merged list.
         wall_offset: Unix time less the monotonic clock's, in nanoseconds.
     """
     return {
-        "uid": member.uid,
-        "endpoint": str(Address(member.host, member.port)),
-        "az": member.zone,
+        "uid": server.uid,
+        "endpoint": str(Address(server.host, server.port)),
+        "az": server.zone,
         "model": "",
-        "pod_group": member.cell,
-        "state": STATE_NAMES[member.state],
-        "capacity_hint": member.weight,
-        "boot_ms": (member.boot + wall_offset) // MS if member.boot else 0,
+        "pod_group": server.cell,
+        "state": STATE_NAMES[server.state],
+        "capacity_hint": server.weight,
+        "boot_ms": (server.boot + wall_offset) // MS if server.boot else 0,
     }
 
 
@@ -68,8 +68,8 @@
 
     max_connections = MAX_WATCHERS
 
-    def __init__(self, file: ConsulFile, log: Callable[[str], None], seed: int) -> None:
-        self.merged = MergedList(file, self._publish, log, seed)
+    def __init__(self, file: ConsulFile, seed: int) -> None:
+        self.updater = ListUpdater(file, self._publish, seed)
         self.revisions: Revisions[Row] = Revisions(time.time_ns() // MS)
         self.connections = 0
         self._waits: dict[Watcher, Wait] = {}
@@ -78,7 +78,7 @@
 
     def ready(self) -> bool:
         """Whether the list is complete."""
-        return self.merged.members.complete()
+        return self.updater.merged_list.is_complete()
 
     def answer(self, version: int) -> bytes:
         """Discovery's answer to a watcher that has this version, 0 for none."""
@@ -114,26 +114,26 @@
 
     def _publish(self) -> None:
         """Take the merged list as the next version, and answer all watchers that wait for it."""
-        members = [member for member in self.merged.members.members() if member.state != State.GONE]
-        rows = {member.uid: discovery_row(member, self._wall_offset) for member in members}
+        servers = [s for s in self.updater.merged_list.servers() if s.state != State.GONE]
+        rows = {server.uid: discovery_row(server, self._wall_offset) for server in servers}
         if self.revisions.replace(rows):
             for watcher in [*self._waits]:
                 self._answer_wait(watcher)
 
 
-async def serve(file: ConsulFile, listen: Address, log: Callable[[str], None], seed: int) -> None:
+async def serve(file: ConsulFile, listen: Address, seed: int) -> None:
     """Serve the list at `listen` until cancelled.
 
     Raises:
         OSError: the address can't be listened at.
     """
-    relay = ListRelay(file, log, seed)
+    relay = ListRelay(file, seed)
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: Watcher(relay), listen.host, listen.port)
     port = server.sockets[0].getsockname()[1]
     print(f"listening on {listen.host}:{port}", flush=True)
-    relay.merged.start()
+    relay.updater.start()
     try:
         await server.serve_forever()
     finally:
-        relay.merged.close()
+        relay.updater.close()
--- /dev/null
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -0,0 +1,92 @@
+"""All servers of the merged list, by id and by address."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from loadbalancer.core.balancing.model import State
+from loadbalancer.core.endpoints.merged_server import MergedServer
+from loadbalancer.core.endpoints.server_report import Address
+
+
+class ServerTable:
+    """The servers, and which of them have to be reassessed.
+
+    Attributes:
+        servers: by id.
+        to_reassess: ids of servers with new reports. A long list comes in many small answers:
+            only servers that may change are reassessed.
+        changes: how many times a listed server has changed.
+    """
+
+    __slots__ = ("_counted_at", "_pool_size", "_uids_by_address", "changes", "servers",
+                 "to_reassess")  # fmt: skip
+
+    def __init__(self) -> None:
+        self.servers: dict[str, MergedServer] = {}
+        self.to_reassess: set[str] = set()
+        self.changes = 0
+        self._uids_by_address: dict[Address, str] = {}  # of the server listed at an address
+        # The pool's size is counted once for each value of `changes`.
+        self._counted_at = 0
+        self._pool_size = 0
+
+    def get_or_create(self, uid: str) -> MergedServer:
+        """The server of an id, a new one where it is unknown."""
+        server = self.servers.get(uid)
+        if server is None:
+            server = self.servers[uid] = MergedServer(uid)
+        return server
+
+    # ---- addresses -------------------------------------------------------
+
+    def listed_at(self, address: Address) -> MergedServer | None:
+        """The server that is listed at an address."""
+        uid = self._uids_by_address.get(address)
+        return None if uid is None else self.servers[uid]
+
+    def list_at(self, address: Address, server: MergedServer) -> None:
+        """List a server at an address."""
+        server.address = address
+        self._uids_by_address[address] = server.uid
+
+    def release_address(self, server: MergedServer) -> None:
+        """The server is not listed at its address any more."""
+        if self._uids_by_address.get(server.address) == server.uid:
+            del self._uids_by_address[server.address]
+
+    # ---- states ----------------------------------------------------------
+
+    def set_state(
+        self, now: int, server: MergedServer, state: State, weight: float, reason: str
+    ) -> None:
+        """Set a server's state; a change of state or weight counts in `changes`."""
+        server.reason = reason
+        server.is_unconfirmed = server.is_unconfirmed and state != State.GONE
+        if state != server.state:
+            server.since = now
+        if (state, weight) != (server.state, server.weight):
+            server.state, server.weight = state, weight
+            self.changes += 1
+
+    def pool_size(self) -> int:
+        """Servers that are ready, and those drained on health checks alone."""
+        if self._counted_at != self.changes:
+            self._pool_size = sum(
+                server.state == State.READY or server.is_unconfirmed
+                for server in self.servers.values()
+            )
+            self._counted_at = self.changes
+        return self._pool_size
+
+    def unconfirmed_count(self) -> int:
+        """Servers drained on health checks alone."""
+        return sum(server.is_unconfirmed for server in self.servers.values())
+
+    def remove_gone(self, among: Iterable[str]) -> set[str]:
+        """Remove servers that no source reports any more; returns their ids."""
+        present = [self.servers[uid] for uid in among if uid in self.servers]
+        gone = {server.uid for server in present if server.is_gone()}
+        for uid in gone:
+            self.release_address(self.servers.pop(uid))
+        return gone
--- a/loadbalancer/logs.py
+++ b/loadbalancer/logs.py
@@ -16,7 +16,7 @@
 
 
 class LineHandler(logging.Handler):
-    """Writes each record as `prefix: message`.
+    """Writes each record as `prefix: message`, or the message alone where the prefix is empty.
 
     A log that nobody reads any more, or not fast enough, raises OSError on a non-blocking
     standard error. The line is lost then: a log must stop no request.
@@ -24,14 +24,14 @@
 
     def __init__(self, prefix: str, stream: TextIO | None = None) -> None:
         super().__init__()
-        self._prefix = prefix
+        self._prefix = f"{prefix}: " if prefix else ""
         self._stream = stream
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line, or lose it."""
         stream = self._stream or sys.stderr
         try:
-            print(f"{self._prefix}: {record.getMessage()}", file=stream, flush=True)
+            print(f"{self._prefix}{record.getMessage()}", file=stream, flush=True)
         except OSError:
             return
 
@@ -62,7 +62,7 @@
     Called once a process; a second call replaces the first.
 
     Args:
-        prefix: who speaks: the node's name, or the sub-command's.
+        prefix: who speaks: the node's name, or the sub-command's; "" for nobody.
         lines_per_second: lines past this number in a second are dropped; None for no limit.
     """
     handler = LineHandler(prefix)
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -95,7 +95,7 @@
         def answers(backend: int) -> bool | None:
             return is_alive(self.balancer, time.monotonic_ns(), backend)
 
-        return ConsulMembers(Path(config.consul), config, self.members_told, alive=answers)
+        return ConsulMembers(Path(config.consul), config, self.members_told, is_alive=answers)
 
     def start(self, left: Inheritance | None = None) -> None:
         """Begin from the list in the configuration; ListError if it is malformed.
--- a/loadbalancer/sources/consul/file.py
+++ b/loadbalancer/sources/consul/file.py
@@ -1,14 +1,24 @@
-"""deploy/consul.toml, decoded in one place."""
+"""Reads deploy/consul.toml. The file's words are mapped to this program's terms here alone.
+
+| key           | field of `ConsulFile`                    |
+|---------------|------------------------------------------|
+| datacentres   | zones_by_datacentre                      |
+| lines/readers | lines_per_second, one reader's part      |
+| fresh         | max_age_s                                |
+| read          | api                                      |
+| platform      | merges_platform_list                     |
+
+All other keys are fields by the same name.
+"""
 
 from __future__ import annotations
 
-import os
 import re
-import stat
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from enum import Enum
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 from loadbalancer.config import toml_section as section
 from loadbalancer.config.address import Address
@@ -21,103 +31,114 @@
     "version", "agents", "service", "datacentres", "token_file", "ca_file", "lines", "readers",
     "consistency", "fresh", "tags", "read", "shard_by", "zone_meta", "platform",
 )  # fmt: skip
-CONSISTENCY = ("stale", "default", "consistent")
-READS = ("health", "catalog")
 SHARD_BY = ("id", "node", "address")
-_META = re.compile(r"meta\.[A-Za-z0-9_-]{1,128}")
-_TAG = re.compile(r"[A-Za-z0-9._:=/-]{1,255}")
-MARGIN = 0.95  # of the ceiling, shared out: clocks of two services never agree
+META_PREFIX = "meta."  # before a key of a server's meta in `shard_by`
+DEFAULT_LINES = 200  # a second, of all readers
+MAX_COUNT = 1_000_000
 MAX_AGENTS = 16
-MAX_TOKEN = 4096  # bytes
+MARGIN = 0.95  # part of the lines that is shared out: clocks of two services never agree
+_META = re.compile(r"meta\.[A-Za-z0-9_-]{1,128}")
 _SECONDS = re.compile(r"(\d{1,5})s")
-_TOKEN = re.compile(r"[!-~]+")
+_TAG = re.compile(r"[A-Za-z0-9._:=/-]{1,255}")
 
 
 class ConsulError(SourceError):
     """A consul file, or the token it names, that can't be used; one fault a line."""
 
 
+class Consistency(Enum):
+    """Which of Consul's servers may answer. Source: Consul HTTP API, "Consistency modes"."""
+
+    STALE = "stale"
+    DEFAULT = "default"
+    CONSISTENT = "consistent"
+
+
+class ServiceApi(Enum):
+    """The API that servers are read from; the catalogue has no health checks."""
+
+    HEALTH = "health"
+    CATALOG = "catalog"
+
+
+Choice = TypeVar("Choice", Consistency, ServiceApi)
+
+
 @dataclass(frozen=True, slots=True)
 class ConsulFile:
-    """`datacentres`: zones by datacentre; `share`: lines a second of this reader.
-
-    `read`: health, or catalog where no checks are wanted. `shard_by`: the field whose last
-    characters tell servers apart. `platform`: the platform's list is one more source.
+    """The contents of a consul file.
+
+    Attributes:
+        agents: tried in turn.
+        service: its name in Consul.
+        zones_by_datacentre: the datacentres to read, and the zone of each one's servers.
+        token_file: has the token that requests carry.
+        ca_file: certificates of the authorities to trust; None for plain TCP.
+        lines_per_second: lines that this reader may request.
+        consistency: of each request.
+        max_age_s: how old Consul's answer may be.
+        tags: a server has all of them.
+        api: where servers are read from.
+        shard_by: the field whose last characters tell servers apart: id, node, address or
+            meta.NAME.
+        zone_meta: of a server's meta, the key that names its zone; "" for none.
+        merges_platform_list: whether the platform's list is one more source.
     """
 
     agents: tuple[Address, ...]
     service: str
-    datacentres: Mapping[str, str]
+    zones_by_datacentre: Mapping[str, str]
     token_file: Path | None
     ca_file: Path | None
-    share: int
-    consistency: str
-    fresh: int  # seconds
-    tags: tuple[str, ...] = ()  # a server has all of them
-    read: str = "health"
+    lines_per_second: int
+    consistency: Consistency
+    max_age_s: int
+    tags: tuple[str, ...] = ()
+    api: ServiceApi = ServiceApi.HEALTH
     shard_by: str = "id"
-    zone_meta: str = ""  # of a server's meta, the key that names its zone
-    platform: bool = False
+    zone_meta: str = ""
+    merges_platform_list: bool = False
+
+
+def source_name(datacentre: str) -> str:
+    """The name of a datacentre as a source of the merged list."""
+    return f"consul:{datacentre}"
 
 
 def read_consul(path: str) -> ConsulFile:
-    """Read and decode it; ConsulError with every fault and its line."""
+    """Read and decode a file.
+
+    Raises:
+        ConsulError: with every fault and its line.
+    """
     return section.read_file(path, decode, ConsulError)
 
 
 def decode(
     raw: dict[str, Any], lines: Mapping[Key, int], folder: Path = Path()
 ) -> tuple[ConsulFile | None, list[Fault]]:
-    """The decoded file, or its faults in the file's order."""
+    """The decoded file, or None and its faults in the file's order."""
     top = section.top_of(raw, lines, folder, KEYS)
-    agents = _agents(top)
-    service = top.text("service")
-    fresh = _SECONDS.fullmatch(top.text("fresh", "60s"))
-    if fresh is None:
-        top.fault("fresh", "bad-value", "no whole seconds", 'write "60s"')
-    ceiling, readers = _count(top, "lines", 200), _count(top, "readers", 1)
-    share = int(ceiling * MARGIN) // max(readers, 1)
-    if ceiling and readers and share < 1:
-        wrong = f"{readers} readers of {ceiling} lines a second have less than one each"
-        top.fault("readers", "thin-share", wrong, "let fewer read, and pass the list on")
-    zones = raw.get("datacentres", {"dc1": ""})
-    good = isinstance(zones, dict) and zones and all(isinstance(z, str) for z in zones.values())
-    if not good:
-        top.fault("datacentres", "bad-value", "no zones by datacentre", 'write { dc1 = "east" }')
-    consistency = _one_of(top, "consistency", CONSISTENCY)
-    read_from = _one_of(top, "read", READS)
-    shard_by = top.text("shard_by", "id")
-    if shard_by not in SHARD_BY and not _META.fullmatch(shard_by):
-        top.fault("shard_by", "bad-value", f"{shard_by!r} is no field", _fields())
-    tags = raw.get("tags", [])
-    if not isinstance(tags, list) or not all(
-        isinstance(t, str) and _TAG.fullmatch(t) for t in tags
-    ):
-        top.fault("tags", "bad-value", "no list of plain tags", 'write ["retail"]')
-    zone_meta = top.text("zone_meta") if "zone_meta" in raw else ""
-    platform = raw.get("platform", False)
-    if not isinstance(platform, bool):
-        top.fault("platform", "bad-value", "platform is no boolean", "write true or false")
-    if top.faults or fresh is None:
-        return None, sorted(top.faults)
-    token = top.path("token_file") if "token_file" in raw else None
-    ca = top.path("ca_file") if "ca_file" in raw else None
     found = ConsulFile(
-        agents, service, zones, token, ca, share, consistency, int(fresh[1]),
-        tuple(tags), read_from, shard_by, zone_meta, platform,
-    )  # fmt: skip
-    return found, []
-
-
-def _fields() -> str:
-    return f"write one of {', '.join(SHARD_BY)} or meta.NAME"
-
-
-def _one_of(top: Section, key: str, words: tuple[str, ...]) -> str:
-    value = top.text(key, words[0])
-    if value and value not in words:
-        top.fault(key, "bad-value", f"{key} is {value!r}", f"write one of {', '.join(words)}")
-    return value
+        agents=_agents(top),
+        service=top.text("service"),
+        zones_by_datacentre=_zones(top),
+        token_file=None,
+        ca_file=None,
+        lines_per_second=_lines_per_second(top),
+        consistency=_choice(top, "consistency", Consistency.STALE),
+        max_age_s=_max_age_s(top),
+        tags=_tags(top),
+        api=_choice(top, "read", ServiceApi.HEALTH),
+        shard_by=_shard_by(top),
+        zone_meta=top.text("zone_meta") if "zone_meta" in raw else "",
+        merges_platform_list=_flag(top, "platform"),
+    )
+    if top.faults:
+        return None, sorted(top.faults)
+    token_file = top.path("token_file") if "token_file" in raw else None
+    ca_file = top.path("ca_file") if "ca_file" in raw else None
+    return replace(found, token_file=token_file, ca_file=ca_file), []
 
 
 def _agents(top: Section) -> tuple[Address, ...]:
@@ -128,33 +149,72 @@
         )
         return ()
     found = (top.sub({"agents": row}).address("agents") for row in rows)
-    return tuple(a for a in found if a is not None)
+    return tuple(address for address in found if address is not None)
+
+
+def _zones(top: Section) -> Mapping[str, str]:
+    zones = top.raw.get("datacentres", {"dc1": ""})
+    if isinstance(zones, dict) and zones and all(isinstance(z, str) for z in zones.values()):
+        return zones
+    top.fault("datacentres", "bad-value", "no zones by datacentre", 'write { dc1 = "east" }')
+    return {}
+
+
+def _lines_per_second(top: Section) -> int:
+    """One reader's part of the lines, less a margin."""
+    lines, readers = _count(top, "lines", DEFAULT_LINES), _count(top, "readers", 1)
+    part = int(lines * MARGIN) // max(readers, 1)
+    if lines and readers and part < 1:
+        wrong = f"{readers} readers of {lines} lines a second have less than one each"
+        top.fault("readers", "thin-share", wrong, "let fewer read, and pass the list on")
+    return part
 
 
 def _count(top: Section, key: str, default: int) -> int:
+    """A number from 1 on; a fault and 0 otherwise."""
     value = top.raw.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= 1_000_000:
+    if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= MAX_COUNT:
         top.fault(key, "bad-value", f"{key} is no number from 1 on", f"write {default}")
         return 0
     return int(value)
 
 
-def source_name(datacentre: str) -> str:
-    """What a datacentre is called as a source of the merged list."""
-    return f"consul:{datacentre}"
+def _choice(top: Section, key: str, default: Choice) -> Choice:
+    """One of an enumeration's values, which the file names as they are."""
+    text = top.text(key, default.value)
+    choices = {str(choice.value): choice for choice in type(default)}
+    if text and text not in choices:
+        top.fault(key, "bad-value", f"{key} is {text!r}", f"write one of {', '.join(choices)}")
+    return choices.get(text, default)
+
+
+def _max_age_s(top: Section) -> int:
+    seconds = _SECONDS.fullmatch(top.text("fresh", "60s"))
+    if seconds is None:
+        top.fault("fresh", "bad-value", "no whole seconds", 'write "60s"')
+        return 0
+    return int(seconds[1])
 
 
-def read_token(path: Path) -> str:
-    """The token in a file that only its owner can read; ConsulError names the path, never it."""
-    try:
-        with open(path, "rb") as file:
-            mode = os.fstat(file.fileno()).st_mode
-            data = file.read(MAX_TOKEN + 1)
-    except OSError as err:
-        raise ConsulError(f"{path}: [token-file] can't be read: {err.strerror}") from None
-    if mode & (stat.S_IRWXG | stat.S_IRWXO):
-        raise ConsulError(f"{path}: [token-file] others than its owner may use it; chmod 600")
-    token = data.decode("latin-1").strip()
-    if len(data) > MAX_TOKEN or _TOKEN.fullmatch(token) is None:
-        raise ConsulError(f"{path}: [token-file] holds no token of printable characters")
-    return token
+def _tags(top: Section) -> tuple[str, ...]:
+    tags = top.raw.get("tags", [])
+    if isinstance(tags, list) and all(isinstance(t, str) and _TAG.fullmatch(t) for t in tags):
+        return tuple(tags)
+    top.fault("tags", "bad-value", "no list of plain tags", 'write ["retail"]')
+    return ()
+
+
+def _shard_by(top: Section) -> str:
+    field = top.text("shard_by", "id")
+    if field not in SHARD_BY and not _META.fullmatch(field):
+        right = f"write one of {', '.join(SHARD_BY)} or {META_PREFIX}NAME"
+        top.fault("shard_by", "bad-value", f"{field!r} is no field", right)
+    return field
+
+
+def _flag(top: Section, key: str) -> bool:
+    value = top.raw.get(key, False)
+    if not isinstance(value, bool):
+        top.fault(key, "bad-value", f"{key} is no boolean", "write true or false")
+        return False
+    return value
--- a/loadbalancer/sources/consul/rows.py
+++ b/loadbalancer/sources/consul/rows.py
@@ -1,4 +1,4 @@
-"""Rows of Consul's health and catalogue end points as words on servers.
+"""Decodes the rows of Consul's health and catalogue APIs into reports of servers.
 
 Source: Consul HTTP API, "Health": GET /v1/health/service/:service answers with an array of
 {Node, Service, Checks}; an empty Service.Address stands for the node's. "Catalog": GET
@@ -11,13 +11,16 @@
 
 import json
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
-from loadbalancer.core.endpoints.merged_list import Health, Word
-from loadbalancer.core.errors import ProtocolError
+from loadbalancer.core.endpoints.server_report import Health, ServerReport
+from loadbalancer.sources.consul.agent_response import ResponseError
+from loadbalancer.sources.consul.file import META_PREFIX, ServiceApi
 
 MAX_ROWS = 100_000
-MAINTENANCE = ("_service_maintenance:", "_node_maintenance")
+MAX_PORT = 65_535
+MAX_WEIGHT = 65_535
+MAINTENANCE = ("_service_maintenance:", "_node_maintenance")  # how ids of such checks begin
 HEALTH = {
     "passing": Health.PASSING,
     "warning": Health.WARNING,
@@ -26,74 +29,95 @@
 }
 
 
-class RowError(ProtocolError, ValueError):
-    """An answer that can't be used; the text says where and why."""
+class RowError(ResponseError, ValueError):
+    """Rows that can't be used; the text says where and why."""
+
+
+class DecodedRow(NamedTuple):
+    """One server, and its value of the field that shards are told apart by."""
+
+    report: ServerReport
+    key: str
 
 
 @dataclass(frozen=True, slots=True)
-class Fields:
-    """An end point, and what its filters call the fields that are asked about.
+class RowFormat:
+    """An API, and what its filters call the fields.
 
-    `shard_by` as in the file: id, node, address or meta.NAME. `zone_meta`: the key of a
-    server's meta that names its zone, "" for none.
+    Attributes:
+        api: where the rows come from.
+        shard_by: as in the file: id, node, address or meta.NAME.
+        zone_meta: the key of a server's meta that names its zone, "" for none.
     """
 
-    catalog: bool = False
+    api: ServiceApi = ServiceApi.HEALTH
     shard_by: str = "id"
     zone_meta: str = ""
 
+    @property
+    def is_catalog(self) -> bool:
+        """Whether rows are the catalogue's, without checks."""
+        return self.api is ServiceApi.CATALOG
+
     @property
     def path(self) -> str:
-        return "/v1/catalog/service/" if self.catalog else "/v1/health/service/"
+        """The request path, without the service."""
+        return "/v1/catalog/service/" if self.is_catalog else "/v1/health/service/"
 
     @property
-    def id(self) -> str:
-        return "ServiceID" if self.catalog else "Service.ID"
+    def id_selector(self) -> str:
+        """The filter's name of a server's id."""
+        return "ServiceID" if self.is_catalog else "Service.ID"
 
     @property
-    def tags(self) -> str:
-        return "ServiceTags" if self.catalog else "Service.Tags"
+    def tags_selector(self) -> str:
+        """The filter's name of a server's tags."""
+        return "ServiceTags" if self.is_catalog else "Service.Tags"
 
     @property
-    def key(self) -> str:
-        """The selector of the field by which a list is read in shards."""
+    def key_selector(self) -> str:
+        """The filter's name of the field by which a list is read in shards."""
         if self.shard_by == "id":
-            return self.id
+            return self.id_selector
         if self.shard_by == "node":
-            return "Node" if self.catalog else "Node.Node"
+            return "Node" if self.is_catalog else "Node.Node"
         if self.shard_by == "address":
-            return "ServiceAddress" if self.catalog else "Service.Address"
-        return f"{'ServiceMeta' if self.catalog else 'Service.Meta'}.{self.shard_by[5:]}"
+            return "ServiceAddress" if self.is_catalog else "Service.Address"
+        meta = "ServiceMeta" if self.is_catalog else "Service.Meta"
+        return f"{meta}.{self.shard_by.removeprefix(META_PREFIX)}"
 
 
-HEALTH_FIELDS = Fields()
+HEALTH_FORMAT = RowFormat()
 
 
-def words(body: bytes, zone: str, fields: Fields = HEALTH_FIELDS) -> list[Word]:
-    """Every server of an answer; RowError where any row can't be used, and then none is."""
-    return [word for word, _ in rows(body, zone, fields)]
+def decode_rows(body: bytes, zone: str, row_format: RowFormat = HEALTH_FORMAT) -> list[DecodedRow]:
+    """Every server of an answer; `zone` is of those that name none.
 
-
-def rows(body: bytes, zone: str, fields: Fields) -> list[tuple[Word, str]]:
-    """As `words`, each with its value of the field that shards are told apart by."""
+    Raises:
+        RowError: any row can't be used; then none is.
+    """
     try:
-        found = json.loads(body)
+        rows = json.loads(body)
     except (ValueError, RecursionError) as err:
         raise RowError(f"no JSON: {err}") from None
-    if not isinstance(found, list) or len(found) > MAX_ROWS:
+    if not isinstance(rows, list) or len(rows) > MAX_ROWS:
         raise RowError(f"no list of at most {MAX_ROWS} rows")
-    out = []
-    for i, row in enumerate(found):
+    decoded = []
+    for number, row in enumerate(rows):
         try:
-            if fields.catalog:
-                row = _as_health(row)
-            out.append((_word(row, zone, fields.zone_meta), _key(row, fields.shard_by)))
+            decoded.append(_decode_row(row, zone, row_format))
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            raise RowError(f"row {i}: {type(err).__name__}: {err}") from None
-    return out
+            raise RowError(f"row {number}: {type(err).__name__}: {err}") from None
+    return decoded
+
+
+def _decode_row(row: Any, zone: str, row_format: RowFormat) -> DecodedRow:
+    health_row = _as_health_row(row) if row_format.is_catalog else row
+    report = _decode_report(health_row, zone, row_format.zone_meta)
+    return DecodedRow(report, _decode_key(health_row, row_format.shard_by))
 
 
-def _as_health(row: Any) -> dict[str, Any]:
+def _as_health_row(row: Any) -> dict[str, Any]:
     """A catalogue's flat row in the form of a health one, with no checks."""
     return {
         "Node": {"Node": row["Node"], "Address": row["Address"]},
@@ -105,7 +129,7 @@
     }  # fmt: skip
 
 
-def _key(row: Any, shard_by: str) -> str:
+def _decode_key(row: Any, shard_by: str) -> str:
     service = row["Service"]
     if shard_by == "id":
         return str(service["ID"])
@@ -113,28 +137,29 @@
         return str(row["Node"]["Node"])
     if shard_by == "address":
         return str(service["Address"])
-    return str((service.get("Meta") or {}).get(shard_by[5:], ""))
+    return str((service.get("Meta") or {}).get(shard_by.removeprefix(META_PREFIX), ""))
 
 
-def _word(row: Any, zone: str, zone_meta: str) -> Word:
+def _decode_report(row: Any, zone: str, zone_meta: str) -> ServerReport:
     service, node = row["Service"], row["Node"]
     host = service["Address"] or node["Address"]
     port = service["Port"]
     if not isinstance(host, str) or not host:
         raise ValueError("neither the service nor its node has an address")
-    if isinstance(port, bool) or not isinstance(port, int) or not 0 < port < 65536:
+    if isinstance(port, bool) or not isinstance(port, int) or not 0 < port <= MAX_PORT:
         raise ValueError(f"port {port!r}")
-    health = max((_health(c) for c in row["Checks"] or ()), default=Health.PASSING)
+    health = max((_decode_health(c) for c in row["Checks"] or ()), default=Health.PASSING)
     weights = service.get("Weights") or {}
     weight = weights.get("Warning" if health == Health.WARNING else "Passing", 1)
-    if isinstance(weight, bool) or not isinstance(weight, int) or not 0 <= weight <= 65535:
+    if isinstance(weight, bool) or not isinstance(weight, int) or not 0 <= weight <= MAX_WEIGHT:
         raise ValueError(f"weight {weight!r}")
-    # An id is its agent's own: two nodes may use the same.
-    zone = str((service.get("Meta") or {}).get(zone_meta) or zone)
-    return Word(f"{node['Node']}/{service['ID']}", host, port, zone, health, float(weight))
+    # An id is unique only at its agent: two nodes may use the same.
+    uid = f"{node['Node']}/{service['ID']}"
+    own_zone = str((service.get("Meta") or {}).get(zone_meta) or zone)
+    return ServerReport(uid, host, port, own_zone, health, float(weight))
 
 
-def _health(check: Any) -> Health:
+def _decode_health(check: Any) -> Health:
     if str(check["CheckID"]).startswith(MAINTENANCE):
         return Health.MAINTENANCE
     return HEALTH[check["Status"]]
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -1,4 +1,4 @@
-"""A list of servers from Consul, merged by `core.endpoints.merged_list`, for a node or a pool."""
+"""An endpoint list from Consul, merged by `core.endpoints.merged_list`, for a node or a pool."""
 
 from __future__ import annotations
 
@@ -12,168 +12,192 @@
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, State, Update
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.endpoints.merged_list import Health, Member, Word
-from loadbalancer.sources.consul.file import (
-    read_consul,
-)
-from loadbalancer.sources.consul.merge import PLATFORM, MergedList
-from loadbalancer.sources.discovery import Discovery, SourceLogger
+from loadbalancer.core.endpoints.merged_server import ListedServer
+from loadbalancer.core.endpoints.server_report import Health, ServerReport
+from loadbalancer.sources.consul.file import read_consul
+from loadbalancer.sources.consul.list_updater import PLATFORM, ListUpdater
+from loadbalancer.sources.discovery import Discovery, OnUpdate, SourceLogger
 from loadbalancer.sources.endpoint_list import EndpointList, backend_id
 
+MAX_LOGGED_SERVERS = 5  # that are named in one line of the log
+HEALTH = {State.READY: Health.PASSING, State.DRAINING: Health.MAINTENANCE, State.GONE: Health.GONE}
+
 logger = logging.getLogger(__name__)
 
-SAID = 5  # servers that are named in one line of the log
 
-HEALTH = {State.READY: Health.PASSING, State.DRAINING: Health.MAINTENANCE, State.GONE: Health.GONE}
+class ConsulMembers:
+    """An endpoint list that is kept up to date from Consul, in the form of `Discovery`.
 
+    With the platform's list as one more source a server is identified by its address, which both
+    name: its id is then the same at every node, whichever source reported it first.
 
-class ConsulMembers:
-    """What a host asks of a source: a endpoint_list, and to be told of changes.
+    Args:
+        path: of the consul file.
+        config: the node's settings.
+        on_update: called with each update, its listings, and the backends whose connections it
+            made stale.
+        list_logger: where log lines go, for a caller that marks its own; None for this module's.
+        is_alive: what the host's own attempts show of a backend, None for nothing.
 
-    `alive`: what the host's own attempts say of a backend. With the platform's list as
-    one more source a server is known by its address, which both name: its id is then the
-    same at every node, whichever was heard of first.
+    Raises:
+        ConsulError: the file can't be used.
     """
 
-    stale_after_ns = 120 * SECOND  # a whole round and the pause before it take over 30 s
+    stale_after_ns = 120 * SECOND  # a complete round and the pause before it take over 30 s
 
     __slots__ = (
-        "_alive", "_config", "_ids", "_merged", "_platform", "_started", "_states", "_told",
-        "_zones", "log", "forward", "endpoint_list",
+        "_backends", "_config", "_is_alive", "_logger", "_on_update", "_platform", "_started",
+        "_states", "_updater", "_zones", "endpoint_list", "forward",
     )  # fmt: skip
 
     def __init__(
         self,
         path: Path,
         config: Config,
-        told: Callable[[Update, list[Listing], list[int]], None],
+        on_update: OnUpdate,
         list_logger: SourceLogger | None = None,
-        alive: Callable[[int], bool | None] = lambda _backend: None,
+        is_alive: Callable[[int], bool | None] = lambda _backend: None,
     ) -> None:
-        self.log = (list_logger or logger).info
         file = read_consul(str(path))
         self._config = config
-        self._zones = {name: i for i, name in enumerate(config.zones)}
-        self._told = told
-        self._alive = alive
-        self._ids: dict[str, int] = {}
-        self._states: Mapping[str, State] = {}
-        self._merged = MergedList(
-            file, self._tell, self.log, config.seed, config.settings.drain_grace, self._answers
-        )
+        self._zones = {name: number for number, name in enumerate(config.zones)}
+        self._on_update = on_update
+        self._logger = list_logger or logger
+        self._is_alive = is_alive
+        self._backends: dict[str, int] = {}  # by a server's id
+        self._states: Mapping[str, State] = {}  # of the listed servers as last logged
+        self._updater = ListUpdater(
+            file, self._publish, config.seed, config.settings.drain_grace, self._is_server_alive,
+            list_logger,
+        )  # fmt: skip
         self._platform: Discovery | None = None
-        if file.platform:
-            self._platform = Discovery(config, self._platform_told, list_logger)
+        if file.merges_platform_list:
+            self._platform = Discovery(config, self._on_platform_update, list_logger)
         self._started = False
         self.forward: Callable[[bytes], None] | None = None  # Consul's rows are not passed on
         self.endpoint_list = EndpointList(config)
 
-    def _answers(self, uid: str) -> bool | None:
-        backend = self._ids.get(uid)
-        return None if backend is None else self._alive(backend)
+    # ---- what the host calls -----------------------------------------------------
 
     def load_configured(self, raw: Any) -> list[Listing]:
-        """The last known list of the configuration, until Consul has answered once."""
+        """Apply the last known list of the configuration, until Consul has answered once."""
         if self._platform is not None:
-            rows = self._platform.load_configured(raw)
-            self._merged.members.told(time.monotonic_ns(), PLATFORM, self._words(rows), True)
-            listed, addresses = self._rows()
-            self.endpoint_list.apply(0, Update.FULL, listed, addresses)
-            return listed
-        update, rows, endpoints = self.endpoint_list.read(raw)
-        self.endpoint_list.apply(0, update, rows, endpoints)
-        return rows
+            reports = self._reports(self._platform.load_configured(raw))
+            self._updater.merged_list.update(time.monotonic_ns(), PLATFORM, reports, True)
+            listings, addresses = self._listings()
+            self.endpoint_list.apply(0, Update.FULL, listings, addresses)
+            return listings
+        update, listings, addresses = self.endpoint_list.read(raw)
+        self.endpoint_list.apply(0, update, listings, addresses)
+        return listings
 
     def watch(self) -> None:
-        """Read from now on; asked again it goes on as it does."""
+        """Read from now on; a further call changes nothing."""
         if self._platform is not None:
             self._platform.watch()
         if not self._started:
             self._started = True
-            self._merged.start()
+            self._updater.start()
 
     def move(self, address: Address, settings: Settings) -> None:
-        """The platform's list is elsewhere now."""
+        """Read the platform's list at another address, with other settings."""
         if self._platform is not None:
             self._platform.move(address, settings)
 
     def suspend(self) -> None:
-        """Another process of this node reads for itself; this one goes on until it ends."""
+        """Do nothing: another process of this node reads for itself, and this one goes on."""
 
     def resume(self) -> None:
-        """It never rested."""
+        """Do nothing: it was never suspended."""
 
     def on_forwarded(self, body: bytes) -> None:
-        """Nothing is heard from that process: its rows are its own reader's."""
+        """Ignore a list from the other process of this node."""
 
     def close(self) -> None:
-        self._merged.close()
+        """Drop all requests and timers."""
+        self._updater.close()
         if self._platform is not None:
             self._platform.close()
 
-    # ---- what the sources say --------------------------------------------
+    def _is_server_alive(self, uid: str) -> bool | None:
+        backend = self._backends.get(uid)
+        return None if backend is None else self._is_alive(backend)
+
+    # ---- the platform's list -----------------------------------------------------
 
-    def _platform_told(self, update: Update, rows: list[Listing], _stale: list[int]) -> None:
+    def _on_platform_update(
+        self, update: Update, listings: list[Listing], stale: list[int]
+    ) -> None:
+        del stale  # the merged list finds them anew
         if update == Update.FAILED:
-            self._told(update, [], [])
+            self._on_update(update, [], [])
             return
-        if not self._merged.told(PLATFORM, self._words(rows), update == Update.FULL):
-            self._tell()  # also where nothing changed: whoever asked has its answer
+        reports = self._reports(listings)
+        if not self._updater.update(PLATFORM, reports, update == Update.FULL):
+            self._publish()  # also where nothing has changed: the host awaits an answer
 
-    def _words(self, rows: list[Listing]) -> list[Word]:
-        """The platform's lines as words; one that has left has no address any more."""
-        endpoints = self._platform.endpoint_list.endpoints if self._platform is not None else {}
+    def _reports(self, listings: list[Listing]) -> list[ServerReport]:
+        """The platform's listings as reports; a removed server has no address any more."""
+        addresses = self._platform.endpoint_list.endpoints if self._platform is not None else {}
         zones = self._config.zones
-        out = []
-        for row in rows:
-            host, port = endpoints.get(row.backend, ("", 0))
-            zone = zones[row.zone] if row.zone < len(zones) else ""
-            health = HEALTH[row.state]
-            out.append(
-                Word(str(row.backend), host, port, zone, health, row.rating, row.boot, row.cell,
-                     row.kind)
+        reports = []
+        for listing in listings:
+            host, port = addresses.get(listing.backend, ("", 0))
+            zone = zones[listing.zone] if listing.zone < len(zones) else ""
+            report = ServerReport(
+                str(listing.backend), host, port, zone, HEALTH[listing.state], listing.rating,
+                listing.boot, listing.cell, listing.kind,
             )  # fmt: skip
-        return out
-
-    # ---- what is told on ---------------------------------------------------
-
-    def _tell(self) -> None:
-        rows, endpoints = self._rows()
-        stale = self.endpoint_list.apply(0, Update.FULL, rows, endpoints)
-        self._told(Update.FULL, rows, stale)
-
-    def _rows(self) -> tuple[list[Listing], dict[int, Address]]:
-        all_of = self._merged.members.members()
-        self._say(all_of)
-        members = [m for m in all_of if m.state != State.GONE]
-        self._ids = {m.uid: self._id(m) for m in members}
-        rows = [self._listing(m) for m in members]
-        return rows, {self._id(m): Address(m.host, m.port) for m in members}
+            reports.append(report)
+        return reports
+
+    # ---- the merged list ---------------------------------------------------------
+
+    def _publish(self) -> None:
+        listings, addresses = self._listings()
+        stale = self.endpoint_list.apply(0, Update.FULL, listings, addresses)
+        self._on_update(Update.FULL, listings, stale)
+
+    def _listings(self) -> tuple[list[Listing], dict[int, Address]]:
+        """The listed servers, and their addresses by backend."""
+        servers = self._updater.merged_list.servers()
+        self._log_changes(servers)
+        listed = [server for server in servers if server.state != State.GONE]
+        self._backends = {server.uid: self._backend(server) for server in listed}
+        listings = [self._listing(server) for server in listed]
+        return listings, {self._backend(s): Address(s.host, s.port) for s in listed}
+
+    def _backend(self, server: ListedServer) -> int:
+        if self._platform is not None:
+            return backend_id(f"{server.host}:{server.port}")
+        return backend_id(server.uid)
 
-    def _id(self, m: Member) -> int:
-        return backend_id(f"{m.host}:{m.port}" if self._platform is not None else m.uid)
+    def _listing(self, server: ListedServer) -> Listing:
+        zone = self._zones.get(server.zone, 0)
+        return Listing(
+            self._backend(server), server.state, zone, server.cell, server.kind, server.boot,
+            server.weight,
+        )  # fmt: skip
 
-    def _listing(self, m: Member) -> Listing:
-        zone = self._zones.get(m.zone, 0)
-        return Listing(self._id(m), m.state, zone, m.cell, m.kind, m.boot, m.weight)
+    # ---- the log -----------------------------------------------------------------
 
-    def _say(self, members: list[Member]) -> None:
-        """Log who came in and who went out, and why."""
-        states = {m.uid: m.state for m in members if m.state != State.GONE}
+    def _log_changes(self, servers: list[ListedServer]) -> None:
+        """Log which servers became ready and which are so no longer, and why."""
+        states = {server.uid: server.state for server in servers if server.state != State.GONE}
         if self._states:
-            came = [m for m in members if (m.state == State.READY) and self._was(m) != State.READY]
-            went = [m for m in members if m.state != State.READY and self._was(m) == State.READY]
-            self._say_some("in", came)
-            self._say_some("out", went)
+            ready = {uid for uid, state in self._states.items() if state == State.READY}
+            self._log_some(
+                "in", [s for s in servers if s.state == State.READY and s.uid not in ready]
+            )
+            self._log_some("out", [s for s in servers if s.state != State.READY and s.uid in ready])
         elif states and self._started:
-            self.log(f"{len(states)} servers listed")
+            self._logger.info("%d servers listed", len(states))
         self._states = states
 
-    def _was(self, m: Member) -> State:
-        return self._states.get(m.uid, State.GONE)
-
-    def _say_some(self, what: str, members: list[Member]) -> None:
-        if members:
-            some = "; ".join(f"{m.uid} ({m.why})" for m in members[:SAID])
-            more = f" and {len(members) - SAID} more" if len(members) > SAID else ""
-            self.log(f"servers {what}: {some}{more}")
+    def _log_some(self, direction: str, servers: list[ListedServer]) -> None:
+        if not servers:
+            return
+        named = "; ".join(f"{s.uid} ({s.reason})" for s in servers[:MAX_LOGGED_SERVERS])
+        omitted = len(servers) - MAX_LOGGED_SERVERS
+        more = f" and {omitted} more" if omitted > 0 else ""
+        self._logger.info("servers %s: %s%s", direction, named, more)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,11 +11,11 @@
 LONG_MODULES = (
     "tests.benchmarks.test_scale_run",
     "tests.sources.test_cold_start",
-    "tests.sources.consul.test_consul_hard",
+    "tests.sources.consul.test_reader",
     "tests.core.endpoints.test_merged_list",
     "tests.gossip_transport.test_transport",
     "tests.core.gossip.test_fleet_service",
-    "tests.sources.consul.test_consul",
+    "tests.sources.consul.test_control_service",
 )
 
 
--- /dev/null
+++ b/tests/core/endpoints/test_merged_identity.py
@@ -0,0 +1,121 @@
+"""Which reports are of one server, which source decides, and when a server starts cold."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core import State
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.merged_list import MergedList
+from loadbalancer.core.endpoints.server_report import Health, ServerReport, Source
+from tests.core.endpoints.reported_pool import (
+    CONSUL,
+    LIST,
+    pool,
+    pool_list,
+    ready,
+    report,
+    server,
+)
+
+
+def list_reports() -> list[ServerReport]:
+    """Servers 1 to 4 under the platform's ids of them."""
+    return [report(number, uid=f"uid-{number}") for number in range(1, 5)]
+
+
+@pytest.fixture
+def merged_of_two() -> MergedList:
+    """Servers 1 to 4, reported by the platform's list and by Consul."""
+    merged = MergedList([CONSUL, LIST])
+    merged.update(0, "list", list_reports(), complete=True)
+    merged.update(0, "consul", pool(4), complete=True)
+    return merged
+
+
+# ---- addresses -------------------------------------------------------------
+
+
+def test_a_new_id_at_the_same_address_replaces_the_old_one_and_starts_cold() -> None:
+    merged = pool_list(10)
+    reports = [*pool(9), report(10, uid="s-new")]
+    merged.update(5 * SECOND, "consul", reports, complete=True)
+    new = server(merged, "s-new")
+    assert (new.state, new.boot) == (State.READY, 5 * SECOND)
+    assert "s-10" not in ready(merged)
+    merged.update(6 * SECOND, "consul", reports, complete=True)
+    assert server(merged, "s-new").boot == 5 * SECOND
+
+
+def test_the_same_id_at_a_new_address_is_another_process() -> None:
+    merged = pool_list(10)
+    moved = report(10, port=9999)
+    merged.update(5 * SECOND, "consul", [*pool(9), moved], complete=True)
+    listed = server(merged, "s-10")
+    assert (listed.port, listed.boot, listed.state) == (9999, 5 * SECOND, State.READY)
+    # Its old address is free for another server.
+    merged.update(6 * SECOND, "consul", [*pool(9), moved, report(11, port=9010)], complete=True)
+    other = server(merged, "s-11")
+    assert (other.state, other.boot) == (State.READY, 0)
+
+
+def test_two_ids_of_one_source_at_one_address_are_one_process() -> None:
+    merged = pool_list(3)
+    reports = [*pool(3), report(9, port=9001)]
+    merged.update(SECOND, "consul", reports, complete=True)
+    assert len(ready(merged)) == 3
+    assert server(merged, "s-9").reason == "the same address as s-1"
+    # The first is deregistered: the second takes its place.
+    merged.update(2 * SECOND, "consul", reports[1:], complete=True)
+    assert ready(merged) == {"s-2", "s-3", "s-9"}
+
+
+def test_a_server_found_dead_starts_cold_when_it_is_back() -> None:
+    dead = {"s-1"}
+    merged = pool_list(10, is_alive=lambda uid: uid not in dead)
+    merged.update(SECOND, "consul", pool(10, 1), complete=True)
+    assert server(merged, "s-1").state == State.DRAINING
+    dead.clear()
+    merged.update(9 * SECOND, "consul", pool(10), complete=True)
+    back = server(merged, "s-1")
+    assert (back.state, back.boot) == (State.READY, 9 * SECOND)
+
+
+# ---- several sources -------------------------------------------------------
+
+
+def test_reports_of_two_sources_with_one_address_are_of_one_server(
+    merged_of_two: MergedList,
+) -> None:
+    assert ready(merged_of_two) == {f"uid-{number}" for number in range(1, 5)}
+    sources = {found.source for found in server(merged_of_two, "uid-1").reports}
+    assert sources == {"consul", "list"}
+
+
+def test_the_source_of_higher_rank_decides_while_its_report_is_fresh(
+    merged_of_two: MergedList,
+) -> None:
+    """Consul reports a server critical, and then nothing more; the list goes on reporting it."""
+    merged_of_two.update(SECOND, "consul", pool(4, 2), complete=True)
+    assert server(merged_of_two, "uid-2").state == State.DRAINING
+    merged_of_two.update(8 * SECOND, "list", list_reports(), complete=True)
+    assert server(merged_of_two, "uid-2").state == State.DRAINING
+    merged_of_two.update(20 * SECOND, "list", list_reports(), complete=True)
+    assert server(merged_of_two, "uid-2").state == State.READY
+
+
+def test_an_authoritative_source_drains_at_once_whatever_others_report() -> None:
+    merged = MergedList([CONSUL, Source("platform", 0, is_authoritative=True)])
+    merged.update(0, "platform", pool(10), complete=True)
+    merged.update(0, "consul", pool(10), complete=True)
+    orders = pool(10, *range(1, 9), health=Health.MAINTENANCE)
+    merged.update(SECOND, "platform", orders, complete=False)
+    assert ready(merged) == {"s-9", "s-10"}
+    assert server(merged, "s-1").reason == "maintenance, as ordered"
+
+
+def test_the_list_is_complete_once_all_sources_of_one_rank_are() -> None:
+    merged = MergedList([CONSUL, Source("platform", 0, is_authoritative=True)])
+    assert not merged.is_complete()
+    merged.update(0, "platform", pool(10), complete=True)
+    assert merged.is_complete()
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -57,9 +57,11 @@
 from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.lifecycle import Service
-from loadbalancer.sources.consul.file import ConsulFile
-from loadbalancer.sources.consul.reader import Reader
-from loadbalancer.sources.consul.rows import Fields, RowError, words
+from loadbalancer.sources.consul.credentials import Credentials
+from loadbalancer.sources.consul.datacentre_reader import DatacentreReader
+from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
+from loadbalancer.sources.consul.reader import ConsulReader
+from loadbalancer.sources.consul.rows import RowError, RowFormat, decode_rows
 from loadbalancer.sources.discovery import Discovery
 from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from loadbalancer.sources.watchers import Watcher
@@ -615,20 +617,20 @@
 def _encode_relayed(plain: Plain) -> bytes:
     """The list as it is served on: what changed after `since`, with its head."""
     transport: Any = _Transport()
-    file = ConsulFile((), "shop", {}, None, None, 1, "stale", 60)
+    file = ConsulFile((), "shop", {}, None, None, 1, Consistency.STALE, 60)
 
     async def serve() -> None:
         with _clocks():
-            relay = ListRelay(file, lambda _text: None, 1)
+            relay = ListRelay(file, 1)
         relay.revisions.rev = relay.revisions._first_known = plain["first_rev"]
         for members in plain["lists"]:
             told: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
                 for m in members
             ]
-            relay.merged = SimpleNamespace(  # type: ignore[assignment]
-                members=SimpleNamespace(
-                    members=lambda told=told: told, complete=lambda: plain["complete"]
+            relay.updater = SimpleNamespace(  # type: ignore[assignment]
+                merged_list=SimpleNamespace(
+                    servers=lambda told=told: told, is_complete=lambda: plain["complete"]
                 )
             )
             relay._publish()
@@ -649,19 +651,20 @@
     """
     file = ConsulFile(
         (parse_address(plain["agent"]),), plain["service"], {plain["datacentre"]: ""}, None, None,
-        plain["lines"], plain["consistency"], 60, tuple(plain["tags"]), plain["read"],
-        plain["shard_by"],
+        plain["lines"], Consistency(plain["consistency"]), 60, tuple(plain["tags"]),
+        ServiceApi(plain["read"]), plain["shard_by"],
     )  # fmt: skip
 
     async def ask() -> bytes:
         # Under the same clock as its calls: a machine that is up for longer than NOW would
         # have it begin later than they come.
         with mock.patch("time.monotonic_ns", lambda: NOW):
-            reader = Reader(file, plain["token"], lambda *_: None, lambda _text: None, 1)
-        center = reader.centers[0]
+            reader = ConsulReader(file, Credentials(plain["token"]), lambda *_: None, 1)
+        datacentre = reader.datacentres[0]
         sent = b""
         for at, step in enumerate(plain["calls"]):
-            what = center._watch if step["is"] == "watch" else center._ask
+            is_watch = step["is"] == "watch"
+            what = datacentre._send_watch if is_watch else datacentre._send_query
             with mock.patch("time.monotonic_ns", lambda at=at: NOW + 2 * at * SECOND):
                 found = await _called(what)
             sent += found[0][1]
@@ -670,7 +673,8 @@
             answer = f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
             with (
                 mock.patch("time.monotonic_ns", lambda at=at: NOW + 2 * at * SECOND),
-                mock.patch.object(center, "_ask"),  # the next one comes with its own step
+                # The next one comes with its own step.
+                mock.patch.object(DatacentreReader, "_send_query"),
             ):
                 found[0][0].data_received(answer)
         reader.close()
@@ -682,7 +686,8 @@
 def _decode_servers(data: bytes, catalog: bool) -> Plain:
     """An answer of Consul's as a reader takes it."""
     try:
-        found = words(data, "east", Fields(catalog, zone_meta="zone"))
+        api = ServiceApi.CATALOG if catalog else ServiceApi.HEALTH
+        found = decode_rows(data, "east", RowFormat(api, zone_meta="zone"))
     except RowError:
         return {"refused": "rows that can't be used"}
     return [
@@ -690,7 +695,7 @@
             "uid": w.uid, "host": w.host, "port": w.port, "zone": w.zone,
             "health": w.health.name.lower(), "weight": w.weight,
         }
-        for w in found
+        for w, _key in found
     ]  # fmt: skip
 
 
--- /dev/null
+++ b/tests/sources/consul/conftest.py
@@ -0,0 +1,23 @@
+"""Fixtures of the tests with a fake Consul."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+import pytest
+
+from fakes.fleet import Process, started
+
+
+@pytest.fixture
+def agent() -> Iterator[Process]:
+    """A fake Consul agent without a server."""
+    with started(("-m", "fakes.consul")) as process:
+        yield process
+
+
+@pytest.fixture
+def second_agent() -> Iterator[Process]:
+    """Another one, which shares nothing with the first."""
+    with started(("-m", "fakes.consul")) as process:
+        yield process
--- /dev/null
+++ b/tests/sources/consul/test_file.py
@@ -0,0 +1,86 @@
+"""The consul file, and the token that it names."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.sources.consul.credentials import read_token
+from loadbalancer.sources.consul.datacentre_reader import ROUND_INTERVAL_S
+from loadbalancer.sources.consul.file import ConsulError, read_consul
+from loadbalancer.sources.consul.source import ConsulMembers
+from tests.sources.consul.support import write_file
+
+AGENT = "127.0.0.1:8500"
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "line", "rule"),
+    [
+        ("version = 1", "version = 2", 1, "version"),
+        ('agents = ["127.0.0.1:8500"]', "agents = []", 2, "missing-key"),
+        ('agents = ["127.0.0.1:8500"]', 'agents = ["here"]', 2, "bad-value"),
+        ('service = "topup"', "service = 5", 3, "missing-key"),
+        ('{ dc1 = "east" }', "5", 4, "bad-value"),
+        ('fresh = "5s"', 'fresh = "soon"', 5, "bad-value"),
+        ('fresh = "5s"', "readers = 500", 5, "thin-share"),
+        ('fresh = "5s"', "lines = 0", 5, "bad-value"),
+        ('fresh = "5s"', "odd = 1", 5, "unknown-key"),
+        ('fresh = "5s"', 'consistency = "odd"', 5, "bad-value"),
+        ('fresh = "5s"', 'read = "odd"', 5, "bad-value"),
+        ('fresh = "5s"', 'shard_by = "odd"', 5, "bad-value"),
+        ('fresh = "5s"', 'tags = ["odd tag"]', 5, "bad-value"),
+        ('fresh = "5s"', "platform = 1", 5, "bad-value"),
+    ],
+)
+def test_a_fault_in_the_file_is_named(
+    tmp_path: Path, old: str, new: str, line: int, rule: str
+) -> None:
+    path = write_file(tmp_path, AGENT)
+    path.write_text(path.read_text().replace(old, new))
+    with pytest.raises(ConsulError) as caught:
+        read_consul(str(path))
+    assert f"{path}:{line}: [{rule}]" in str(caught.value)
+
+
+def test_each_reader_gets_its_part_of_the_lines_less_a_margin(tmp_path: Path) -> None:
+    path = write_file(tmp_path, AGENT, more="readers = 21\n")
+    assert read_consul(str(path)).lines_per_second == 9
+
+
+def test_a_list_is_not_stale_between_two_rounds() -> None:
+    assert ConsulMembers.stale_after_ns > 2 * ROUND_INTERVAL_S * SECOND
+
+
+# ---- the token -------------------------------------------------------------
+
+
+@pytest.fixture
+def token_file(tmp_path: Path) -> Path:
+    """A file that only its owner can read."""
+    path = tmp_path / "token"
+    path.touch(0o600)
+    return path
+
+
+def test_a_token_is_read(token_file: Path) -> None:
+    token_file.write_text("s3cret\n")
+    assert read_token(token_file) == "s3cret"
+
+
+def test_a_token_that_others_may_read_is_rejected_and_not_shown(token_file: Path) -> None:
+    token_file.write_text("s3cret\n")
+    token_file.chmod(0o644)
+    with pytest.raises(ConsulError, match="chmod 600") as caught:
+        read_token(token_file)
+    assert "s3cret" not in str(caught.value)
+
+
+def test_a_token_with_a_line_break_is_rejected_and_not_shown(token_file: Path) -> None:
+    """It would add a header field to each request."""
+    token_file.write_text("two\r\nHeader: x")
+    with pytest.raises(ConsulError, match="no token") as caught:
+        read_token(token_file)
+    assert "Header" not in str(caught.value)
--- /dev/null
+++ b/tests/sources/consul/test_node.py
@@ -0,0 +1,173 @@
+"""A node that reads its servers from Consul, under load where that matters."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import time
+from collections.abc import Callable, Iterator, Set
+from pathlib import Path
+from typing import Any
+
+from fakes.fleet import SETTINGS, Process, backends, started
+from fakes.fleet import node as fleet_node
+from fakes.load import Clients, play
+from tests.harness import LIMIT, Running, node, request, roster, target, until
+from tests.sources.consul.support import service_row, set_status, write_file
+
+OK_ALONE = frozenset({200})
+OK_OR_SHED = frozenset({200, 503})
+TICKS_PER_SECOND = 100  # of /proc/PID/stat
+
+
+def port_of(process: Process) -> int:
+    return int(process.address.rpartition(":")[2])
+
+
+def rows_of(servers: list[Process]) -> list[dict[str, Any]]:
+    """The servers as Consul's rows, t-1 first."""
+    return [service_row(number, Port=port_of(s)) for number, s in enumerate(servers, 1)]
+
+
+@contextlib.contextmanager
+def node_on(
+    tmp_path: Path,
+    agent: str,
+    more: str = "",
+    known: dict[str, object] | None = None,
+    **settings: Any,
+) -> Iterator[Running]:
+    """A node that reads from this agent; `more` are lines of its consul file."""
+    path = write_file(tmp_path, agent, more=more)
+    with node(tmp_path, known or roster(), consul=str(path), **settings) as running:
+        yield running
+
+
+def status_of(running: Running, request_id: str) -> int:
+    """The status that one request is answered with."""
+    peer = running.connect()
+    peer.send(request(rid=request_id))
+    return int(peer.message()[0].split()[1])
+
+
+def cpu_s(running: Running) -> float:
+    """CPU time that the node has used."""
+    fields = Path(f"/proc/{running.process.pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
+
+
+class LoadedNode:
+    """A node under a load of safe requests, and its log."""
+
+    def __init__(self, process: Process) -> None:
+        self.process = process
+        self._sent = 0
+
+    def logged(self, text: str) -> int:
+        """How many times the log has a text."""
+        return self.process.heard.count(text)
+
+    def send_until(self, condition: Callable[[], bool]) -> None:
+        """Send requests until then; those that meet servers that have just died may be shed."""
+        end = time.monotonic() + LIMIT
+        while not condition():
+            assert time.monotonic() < end, self.process.heard
+            self.send(20, OK_OR_SHED)
+
+    def send(self, count: int, allowed: Set[int] = OK_ALONE) -> None:
+        """Send so many requests; they get these statuses and no others."""
+        clients = Clients(self.process.address, 1)
+        clients.count = self._sent  # ids go on
+        asyncio.run(play(clients, 400.0, count, credit_part=0.0))
+        self._sent = clients.count
+        assert set(clients.seen["balance"].statuses) <= allowed
+
+
+@contextlib.contextmanager
+def loaded_node(tmp_path: Path, agent: Process, servers: int) -> Iterator[LoadedNode]:
+    """A node that has listed so many servers."""
+    path = write_file(tmp_path, agent.address)
+    # At most five servers are killed, and a request may meet each of them before any is drained.
+    limits = SETTINGS["limits"] | {"max_attempts": 6}
+    with fleet_node([], consul=str(path), settings={"limits": limits}) as process:
+        process.read_on()
+        until(lambda: f"{servers} servers listed" in process.heard)
+        yield LoadedNode(process)
+
+
+def test_a_node_serves_from_consuls_list(tmp_path: Path, agent: Process) -> None:
+    with backends(2, 1.0) as servers:
+        agent.call("PUT", "/standin/services", rows_of(servers))
+        with node_on(tmp_path, agent.address) as running:
+            running.says("2 servers listed")
+            assert status_of(running, "a1") == 200
+            agent.call("PUT", "/standin/services", rows_of(servers)[:1])
+            running.says("servers out: node-t-2/t-2 (gone)")
+            assert status_of(running, "a2") == 200
+
+
+def test_half_the_servers_that_die_are_drained_at_once(tmp_path: Path, agent: Process) -> None:
+    """Five of ten servers are killed, and their checks fail.
+
+    The node's own attempts confirm it, so that neither the rate limit nor the limit of unconfirmed
+    departures holds them in the list.
+    """
+    with backends(10, 1.0) as servers:
+        agent.call("PUT", "/standin/services", rows_of(servers))
+        with loaded_node(tmp_path, agent, 10) as loaded:
+            loaded.send(100)
+            for server in servers[5:]:
+                server.popen.kill()
+            set_status(agent, *(f"t-{number}" for number in range(6, 11)), status="critical")
+            confirmed, by_checks = "and its own answers agree", "(critical)"
+            loaded.send_until(lambda: loaded.logged(confirmed) + loaded.logged(by_checks) >= 5)
+            assert loaded.logged(confirmed) >= 3
+            loaded.send(100)
+
+
+def test_wrong_checks_of_half_the_servers_drain_a_quarter_at_most(
+    tmp_path: Path, agent: Process
+) -> None:
+    """The checks of four out of eight servers fail, by a fault of the checks: all answer."""
+    with backends(8, 1.0) as servers:
+        agent.call("PUT", "/standin/services", rows_of(servers))
+        with loaded_node(tmp_path, agent, 8) as loaded:
+            loaded.send(50)
+            set_status(agent, *(f"t-{number}" for number in range(5, 9)), status="critical")
+            loaded.send_until(lambda: loaded.logged("(critical)") >= 1)
+            loaded.send(400)
+            assert loaded.logged("(critical)") <= 2
+            assert not loaded.logged("own answers agree")
+
+
+def test_without_an_agent_a_node_goes_on_with_the_last_known_list(tmp_path: Path) -> None:
+    """No agent can be reached. The node serves, and waits between its requests to agents."""
+    with backends(1, 1.0) as servers:
+        known = roster(target("s-1", port_of(servers[0])))
+        with node_on(tmp_path, "127.0.0.1:1", known=known) as running:
+            running.says("the list stands")
+            assert status_of(running, "b1") == 200
+            before = cpu_s(running)
+            until(lambda: status_of(running, f"c{time.monotonic_ns():x}") == 200)
+            assert cpu_s(running) - before < 1.0
+
+
+def test_drains_of_the_platforms_list_are_orders(tmp_path: Path, agent: Process) -> None:
+    """Consul has two servers, the platform's list three, and drains the two of Consul."""
+    with backends(3, 1.0) as servers, started(("-m", "fakes.discovery")) as discovery:
+        rows = [target(f"s-{number}", port_of(s)) for number, s in enumerate(servers, 1)]
+        discovery.call("POST", "/standin/targets", rows)
+        agent.call("PUT", "/standin/services", rows_of(servers)[:2])
+        with node_on(
+            tmp_path, agent.address, "platform = true\n", roster(*rows),
+            discovery=port_of(discovery),
+        ) as running:  # fmt: skip
+            assert status_of(running, "d1") == 200
+            rows[0]["state"] = "leaving"
+            rows[1]["state"] = "leaving"
+            discovery.call("POST", "/standin/targets", rows)
+            running.says("maintenance, as ordered")
+            for number in range(20):
+                assert status_of(running, f"e{number}") == 200
+            third = servers[2].call("GET", "/standin/state")
+            assert third["received"] >= 20
