--- a/tests/sources/test_discovery_list.py
+++ b/tests/sources/test_discovery_list.py
@@ -1,8 +1,8 @@
-"""The list in hand under random orders of answers, breaks, moves and restarts of the service.
+"""The endpoint list under random sequences of answers, failures, moves and service restarts.
 
-Discovery's calls are held by the test, which answers them as a service would that is sometimes
-late, lags, breaks or counts anew; what is in hand must always be a list that the service in
-charge has had, and never go back.
+The test holds discovery's calls and answers them as a list service would that is sometimes late,
+lags behind, fails or restarts its versions. The applied list must always be one that the present
+service has had, and never an earlier one than before.
 """
 
 from __future__ import annotations
@@ -10,8 +10,9 @@
 import asyncio
 import json
 from collections.abc import Callable
+from enum import Enum
 from pathlib import Path
-from typing import Any, ClassVar
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -19,170 +20,249 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.config.node import Config, load
-from loadbalancer.core import Listing, Update
+from loadbalancer.core import Listing, State, Update
 from loadbalancer.sources import discovery
 from loadbalancer.sources.discovery import Discovery
 from loadbalancer.sources.endpoint_list import backend_id
 from loadbalancer.sources.http_get import Response
 from tests.harness import config, roster, target
 
-STATES = ("active", "leaving", "left")
+WIRE_STATES = ("active", "leaving", "left")
+STATES = {"active": State.READY, "leaving": State.DRAINING}
+SERVERS = 5
+MAX_LAG = 2  # versions that a lagging answer is behind
+FIRST_VERSION = 100
 
 
-class Service:
-    """Versions of one list; each rev's whole list is kept, as what may rightly be in hand."""
+class Event(Enum):
+    """What may happen next."""
 
-    def __init__(self, first: int) -> None:
-        self.rev = first
-        self.rows: dict[str, str] = {"s-0": "active"}
-        self.changed: list[tuple[int, str, str]] = []
-        self.had = {first: dict(self.rows)}
+    ANSWER = "the service answers the call that is out"
+    LAGGING_ANSWER = "it answers as of an earlier version"
+    CHANGE = "a server of the list changes"
+    BREAK = "the call ends without a response"
+    ERROR_STATUS = "the call gets an error status"
+    RESTART = "the service restarts its versions, at a lower or a higher number"
+    MOVE = "discovery is at another address, with another service"
+    SUSPEND = "another process of the node watches for both"
+    RESUME = "it does so no longer"
+    LATE_ANSWER = "a call that a move has dropped is answered"
+
+
+FREQUENT = [Event.ANSWER, Event.ANSWER, Event.CHANGE]
+EVENTS = st.lists(
+    st.tuples(st.sampled_from([*FREQUENT, *Event]), st.integers(0, 10_000)), max_size=60
+)
+
+
+class ListService:
+    """The versions of one list.
+
+    Attributes:
+        rev: the present version.
+        lists: states by server, of each version.
+    """
+
+    def __init__(self, first_rev: int) -> None:
+        self.rev = first_rev
+        self.lists: dict[int, dict[str, str]] = {first_rev: {"s-0": "active"}}
+        self._changes: list[tuple[int, str, str]] = []  # (version, server, state)
 
     def change(self, value: int) -> None:
-        uid, state = f"s-{value % 5}", STATES[value // 5 % 3]
-        self.rev += 1
-        self.rows.pop(uid, None)
+        """A new version, in which one server has another state."""
+        uid = f"s-{value % SERVERS}"
+        state = WIRE_STATES[value // SERVERS % len(WIRE_STATES)]
+        rows = {name: old for name, old in self.lists[self.rev].items() if name != uid}
         if state != "left":
-            self.rows[uid] = state
-        self.changed.append((self.rev, uid, state))
-        self.had[self.rev] = dict(self.rows)
-
-    def answer(self, asked: str, lag: int) -> dict[str, Any]:
-        """To this question, as of so many versions ago."""
-        rev = max(self.rev - lag, min(self.had))
-        since = int(asked.partition("from=")[2].partition("&")[0] or -1)
-        if since in self.had and since <= rev:
-            seen = [(u, s) for r, u, s in self.changed if since < r <= rev]
-            rows = [target(u, 9, s) for u, s in seen]
-            return roster(*rows, rev=rev, whole=False)
-        return roster(*(target(u, 9, s) for u, s in self.had[rev].items()), rev=rev)
+            rows[uid] = state
+        self.rev += 1
+        self.lists[self.rev] = rows
+        self._changes.append((self.rev, uid, state))
 
+    def answer(self, path: str, lag: int) -> dict[str, Any]:
+        """The answer to a request, as of `lag` versions ago."""
+        rev = max(self.rev - lag, min(self.lists))
+        since = int(path.partition("from=")[2].partition("&")[0] or -1)
+        if since in self.lists and since <= rev:
+            changes = [(uid, state) for at, uid, state in self._changes if since < at <= rev]
+            rows = [target(uid, 9, state) for uid, state in changes]
+            return roster(*rows, rev=rev, whole=False)
+        rows = [target(uid, 9, state) for uid, state in self.lists[rev].items()]
+        return roster(*rows, rev=rev)
 
-class FakeCall:
-    """Holds what was asked; drop() ends it for good."""
 
-    out: ClassVar[list[FakeCall]] = []
+class HeldCall:
+    """A request whose response the test decides on; none is delivered after `drop`."""
 
-    def __init__(
-        self, address: Address, asked: str, _wait: float, done: Callable[[Response | None], None],
-        connect_timeout_s: float = 0.0,
-    ) -> None:  # fmt: skip
-        self.address, self.asked, self.done = address, asked, done
+    def __init__(self, path: str, on_done: Callable[[Response | None], None]) -> None:
+        self.path = path
         self.connected = True
         self.dropped = False
-        FakeCall.out.append(self)
+        self._on_done = on_done
 
     def drop(self) -> None:
         self.dropped = True
 
-    def end(self, answer: Response | None) -> None:
-        if self in FakeCall.out:
-            FakeCall.out.remove(self)
-            if not self.dropped:
-                self.done(answer)
+    def end(self, response: Response | None) -> None:
+        if not self.dropped:
+            self._on_done(response)
 
 
-def body(raw: dict[str, Any]) -> Response:
+def response_of(raw: dict[str, Any]) -> Response:
     return Response(200, {}, json.dumps(raw).encode())
 
 
-EVENTS = st.lists(
-    st.tuples(
-        st.sampled_from(
-            ["answer", "answer", "answer", "change", "change", "break", "status", "lag", "anew",
-             "move", "rest", "go on", "late"]
-        ),
-        st.integers(0, 10_000),
-    ),
-    max_size=60,
-)  # fmt: skip
+class Scenario:
+    """Discovery, the service that it polls, and the list that it has applied."""
+
+    def __init__(self, node_config: Config) -> None:
+        self._config = node_config
+        self._calls: list[HeldCall] = []  # without a response
+        self._dropped_by_move: list[HeldCall] = []
+        self._updates: list[Update] = []  # of the present event
+        self._states: dict[int, State] = {}  # the applied list, by backend
+        self._service = ListService(FIRST_VERSION)
+        self._moves = 0
+        self._has_full_list = False  # of the present service
+        self._newest_rev = 0
+        self._discovery = Discovery(node_config, self._on_update)
+
+    def open_call(
+        self,
+        _address: Address,
+        path: str,
+        _timeout_s: float,
+        on_done: Callable[[Response | None], None],
+        connect_timeout_s: float = 0.0,
+    ) -> HeldCall:
+        """In place of `HttpGet`."""
+        del connect_timeout_s
+        call = HeldCall(path, on_done)
+        self._calls.append(call)
+        return call
+
+    async def run(self, events: list[tuple[Event, int]]) -> None:
+        """Apply the events in their order, and check the list after each."""
+        self._discovery.watch()
+        for event, value in events:
+            self._updates.clear()
+            self._apply(event, value, self._present_call())
+            if self._updates and self._updates[-1] == Update.FAILED:
+                self._watch_again()
+        self._discovery.close()
+        assert all(call.dropped for call in self._calls)
+
+    def _on_update(self, update: Update, listings: list[Listing], _stale: list[int]) -> None:
+        self._updates.append(update)
+        if update == Update.FULL:
+            self._states.clear()
+        for listing in listings:
+            self._states.pop(listing.backend, None)
+            if listing.state != State.GONE:
+                self._states[listing.backend] = listing.state
+
+    def _present_call(self) -> HeldCall | None:
+        """The call whose answer may be used: at most one."""
+        present = [call for call in self._calls if not call.dropped]
+        assert len(present) <= 1
+        return present[0] if present else None
+
+    def _watch_again(self) -> None:
+        """The Balancer's timer has expired, and so has the backoff."""
+        self._discovery.watch()
+        timer = self._discovery._retry_timer
+        if timer is not None:
+            timer.cancel()
+            self._discovery._on_backoff_passed()
+
+    # ---- events ----------------------------------------------------------
+
+    def _apply(self, event: Event, value: int, call: HeldCall | None) -> None:
+        match event:
+            case Event.CHANGE:
+                self._service.change(value)
+            case Event.RESTART:
+                self._restart_service((1, 5_000)[value % 2] + value)
+            case Event.MOVE:
+                self._move(value, call)
+            case Event.SUSPEND:
+                self._discovery.suspend()
+            case Event.RESUME:
+                self._discovery.resume()
+            case Event.LATE_ANSWER:
+                self._answer_late()
+            case _ if call is not None:
+                self._end_call(event, value, call)
+
+    def _restart_service(self, first_rev: int) -> None:
+        self._service = ListService(first_rev)
+        self._has_full_list = False
+
+    def _move(self, value: int, call: HeldCall | None) -> None:
+        self._moves += 1
+        if call is not None:
+            self._dropped_by_move.append(call)
+        self._restart_service(1 + value % 300)
+        self._discovery.move(Address("127.0.0.1", 1000 + self._moves), self._config.settings)
+
+    def _answer_late(self) -> None:
+        if not self._dropped_by_move:
+            return
+        before = dict(self._states)
+        call = self._dropped_by_move.pop()
+        self._end(call, response_of(roster(target("s-9", 9), rev=9_999)))
+        assert self._states == before
+
+    def _end_call(self, event: Event, value: int, call: HeldCall) -> None:
+        if event is Event.BREAK:
+            self._end(call, None)
+        elif event is Event.ERROR_STATUS:
+            self._end(call, Response(503, {}, b""))
+        else:
+            lag = value % (MAX_LAG + 1) if event is Event.LAGGING_ANSWER else 0
+            raw = self._service.answer(call.path, lag)
+            self._end(call, response_of(raw))
+            if self._updates and self._updates[-1] != Update.FAILED:
+                self._check_applied(raw["rev"], raw["all"])
+
+    def _end(self, call: HeldCall, response: Response | None) -> None:
+        if call in self._calls:
+            self._calls.remove(call)
+            call.end(response)
+
+    # ---- checks ----------------------------------------------------------
+
+    def _check_applied(self, rev: int, is_full: bool) -> None:
+        """The applied list is the service's of this version, and not an earlier one.
+
+        A service that restarts its versions in the middle of a watch can't be told from one that
+        goes on where its changes fit: until a full list of it has been applied, a delta is not
+        checked.
+        """
+        if not is_full and not self._has_full_list:
+            return
+        rows = self._service.lists[rev]
+        assert self._states == {backend_id(uid): STATES[state] for uid, state in rows.items()}
+        assert not self._has_full_list or rev >= self._newest_rev
+        self._has_full_list = True
+        self._newest_rev = rev
 
 
 @pytest.fixture(scope="module")
-def settings_of_node(tmp_path_factory: pytest.TempPathFactory) -> Config:
-    where: Path = tmp_path_factory.mktemp("list")
-    return load(config(where, roster(), 1))
+def node_config(tmp_path_factory: pytest.TempPathFactory) -> Config:
+    folder: Path = tmp_path_factory.mktemp("list")
+    return load(config(folder, roster(), 1))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(EVENTS)
-def test_what_is_in_hand_is_a_list_of_the_service_in_charge(
-    settings_of_node: Config, events: list[tuple[str, int]]
+def test_the_applied_list_is_one_of_the_present_service(
+    node_config: Config, events: list[tuple[Event, int]]
 ) -> None:
-    with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(discovery, "HttpGet", FakeCall)
-        asyncio.run(play(settings_of_node, events))
-
+    async def run() -> None:
+        scenario = Scenario(node_config)
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(discovery, "HttpGet", scenario.open_call)
+            await scenario.run(events)
 
-async def play(conf: Config, events: list[tuple[str, int]]) -> None:
-    FakeCall.out = []
-    told: list[Update] = []
-    held: dict[int, str] = {}
-
-    def tell(update: Update, rows: list[Listing], _stale: list[int]) -> None:
-        told.append(update)
-        if update == Update.FULL:
-            held.clear()
-        for row in rows:
-            held.pop(row.backend, None)
-            if row.state.name != "GONE":
-                held[row.backend] = row.state.name
-
-    d = Discovery(conf, tell)
-    service = Service(100)
-    moves = 0
-    taken = False  # anything of the service in charge
-    newest = 0
-    gone: list[FakeCall] = []
-    d.watch()
-    for kind, value in events:
-        live = [c for c in FakeCall.out if not c.dropped]
-        assert len(live) <= 1  # one call's answer may be used
-        told.clear()
-        call = live[0] if live else None
-        if kind == "change":
-            service.change(value)
-        elif kind == "anew":  # it restarts, and counts from a lower number or a higher one
-            service = Service((1, 5_000)[value % 2] + value)
-            taken = False
-        elif kind == "move":
-            moves += 1
-            gone += live
-            service, taken = Service(1 + value % 300), False
-            d.move(Address("127.0.0.1", 1000 + moves), conf.settings)
-        elif kind == "rest":
-            d.suspend()
-        elif kind == "go on":
-            d.resume()
-        elif kind == "late" and gone:  # of a call that something else has taken the place of
-            before = dict(held)
-            gone.pop().end(body(roster(target("s-9", 9), rev=9_999)))
-            assert held == before
-        elif call is not None and kind in ("answer", "lag"):
-            raw = service.answer(call.asked, value % 3 if kind == "lag" else 0)
-            call.end(body(raw))
-            if told and told[-1] != Update.FAILED:
-                right = {
-                    backend_id(u): "READY" if s == "active" else "DRAINING"
-                    for u, s in service.had[raw["rev"]].items()
-                }
-                # A service that counts anew in the middle of a version can't be told from
-                # one that goes on, where its changes fit: the whole list was never asked for.
-                if raw["all"]:
-                    assert held == right
-                    assert not taken or raw["rev"] >= newest
-                    taken, newest = True, raw["rev"]
-                elif taken:
-                    assert held == right and raw["rev"] >= newest
-                    newest = raw["rev"]
-        elif call is not None and kind == "break":
-            call.end(None)
-        elif call is not None and kind == "status":
-            call.end(Response(503, {}, b""))
-        if told and told[-1] == Update.FAILED:
-            d.watch()  # the Balancer's timer
-            if d._retry_timer is not None:  # the pause after failures in a row, over at once
-                d._retry_timer.cancel()
-                d._on_backoff_passed()
-    d.close()
-    assert all(c.dropped for c in FakeCall.out)
+    asyncio.run(run())
