--- a/tests/sources/test_discovery_list.py
+++ b/tests/sources/test_discovery_list.py
@@ -125,6 +125,7 @@
         self._moves = 0
         self._has_full_list = False  # of the present service
         self._newest_rev = 0
+        self._awaits_first_list = False  # since a move
         self._discovery = Discovery(node_config, self._on_update)
 
     def open_call(
@@ -203,6 +204,7 @@
         if call is not None:
             self._dropped_by_move.append(call)
         self._restart_service(1 + value % 300)
+        self._awaits_first_list = True
         self._discovery.move(Address("127.0.0.1", 1000 + self._moves), self._config.settings)
 
     def _answer_late(self) -> None:
@@ -222,6 +224,10 @@
             lag = value % (MAX_LAG + 1) if event is Event.LAGGING_ANSWER else 0
             raw = self._service.answer(call.path, lag)
             self._end(call, response_of(raw))
+            if self._awaits_first_list:
+                # Its version may be lower than those of the service before it.
+                assert self._updates == [Update.FULL]
+                self._awaits_first_list = False
             if self._updates and self._updates[-1] != Update.FAILED:
                 self._check_applied(raw["rev"], raw["all"])
 
