--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -105,15 +105,16 @@
         if since == self.list.rev:
             hold = min(int(query.get("hold_ms", ["0"])[0]), 60_000) / 1000
             if not await self._newer(since, hold):
-                return self._answer(False, [])
+                return self._answer(self.list.rev, False, [])
         changed, whole = self.list.since(since)
+        rev = self.list.rev  # of these rows: the list may change while the call waits its turn
         self.books["whole asked"] += whole
         if not await self._in_turn(max(len(changed), 1)):
             self.books["turned away"] += 1
             return Reply(503)
         self.books["whole"] += whole
         rows = [row or {"uid": uid, "state": "left"} for uid, row in changed.items()]
-        return self._answer(whole, rows)
+        return self._answer(rev, whole, rows)
 
     async def _newer(self, since: int, hold: float) -> bool:
         async with self.changed:
@@ -139,8 +140,8 @@
             await asyncio.sleep(self._free - now)
         return True
 
-    def _answer(self, whole: bool, targets: list[dict[str, Any]]) -> Reply:
-        body = {"rev": self.list.rev, "all": whole, "targets": targets}
+    def _answer(self, rev: int, whole: bool, targets: list[dict[str, Any]]) -> Reply:
+        body = {"rev": rev, "all": whole, "targets": targets}
         return Reply(200, json.dumps(body).encode())
 
 
