--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -11,9 +11,13 @@
 from typing import Any
 
 from loadbalancer.config.address import Address, parse_address
-from loadbalancer.config.settings import SettingsError, settings_from_json, without_nulls
+from loadbalancer.config.settings import (
+    NodeSettings,
+    SettingsError,
+    settings_from_json,
+    without_nulls,
+)
 from loadbalancer.config.value_types import check_types
-from loadbalancer.core import Settings
 from loadbalancer.core.errors import ConfigurationError
 
 DEFAULT_MEMORY_MB = 128
@@ -43,7 +47,7 @@
     memory_mb: int
     sockets: int
     known: dict[str, Any]
-    settings: Settings
+    settings: NodeSettings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     idle_close: int
@@ -156,7 +160,7 @@
             _collect_keys(f"{prefix}{key}.", inner, found)
 
 
-def _check(settings: Settings) -> None:
+def _check(settings: NodeSettings) -> None:
     """Refuse what would make a node of no use, or break a rule: ValueError names the key."""
     if settings.max_attempts < 1:
         raise ValueError("limits.max_attempts must be over 0")
--- a/loadbalancer/config/settings.py
+++ b/loadbalancer/config/settings.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import json
+from dataclasses import dataclass
 from typing import Any
 
 from loadbalancer.core.balancing.model import (
@@ -20,7 +21,7 @@
     Tenant,
 )
 
-__all__ = ["SettingsError", "settings_from_json", "without_nulls"]
+__all__ = ["NodeSettings", "SettingsError", "settings_from_json", "without_nulls"]
 
 EFFECTS = {"pure": Effect.PURE, "token": Effect.TOKEN, "side_effect": Effect.SIDE_EFFECT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
@@ -35,7 +36,22 @@
 DEFAULT_TICK_NS = 1_000_000
 
 
-def settings_from_json(text: bytes) -> Settings:
+@dataclass(frozen=True, slots=True)
+class NodeSettings(Settings):
+    """A node's settings, with the values that are accepted and checked but that no decision reads.
+
+    A bad one is refused like any other, and a reload that changes one takes the settings as new.
+    """
+
+    answer_slack: int = 0  # nanoseconds
+    can_probe: bool = False
+    tick: int = DEFAULT_TICK_NS
+    worst_class: float = 0.0
+    cross_zone_price: float = 0.0
+    rated: bool = False  # the endpoint list carries weights
+
+
+def settings_from_json(text: bytes) -> NodeSettings:
     """Decode the settings object.
 
     Raises:
@@ -66,13 +82,13 @@
     return {key: clean(value) for key, value in raw.items() if value is not None}
 
 
-def _settings(raw: dict[str, Any]) -> Settings:
+def _settings(raw: dict[str, Any]) -> NodeSettings:
     rules, limits = raw["rules"], raw.get("limits", {})
     goal, prices = raw.get("goal", {}), raw.get("prices", {})
     load_info = raw.get("load_info", {})
     classes = tuple(_request_class(i, spec) for i, spec in enumerate(raw["classes"]))
     tenants = tuple(_tenant(i, spec) for i, spec in enumerate(raw.get("realms", [])))
-    return Settings(
+    return NodeSettings(
         node=int(raw.get("me", 0)),
         nodes=int(raw["balancers"]),
         zone=int(raw.get("my_zone", 0)),
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -151,18 +151,12 @@
     cold: int = 10 * SECOND  # from its start until it has all of it
     fall_multiple: float = 3.0  # of its present capacity, that it may be sent ...
     fall: int = 2 * SECOND  # ... within this time
-    answer_slack: int = 0
     max_attempts: int = 1
     hedging: bool = False
     can_cancel: bool = False
-    can_probe: bool = False
     max_retry_after: int = 0
     marks_retry: bool = False  # clients mark further tries
     connect_timeout: int = 250 * MS
-    tick: int = MS
-    worst_class: float = 0.0
-    cross_zone_price: float = 0.0
-    rated: bool = False
 
     def __post_init__(self) -> None:
         """Raise SettingsError where a value can't be used."""
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 import json
+from pathlib import Path
 
 import pytest
 
+from loadbalancer.config.node import ConfigError, load
 from loadbalancer.config.settings import SettingsError, settings_from_json, without_nulls
 from loadbalancer.core import Effect, RequestClass, Scope, Tenant
+from tests.harness import config, roster
 
 MINIMAL = {"balancers": 2, "classes": [{"target": 1, "deadline": 2, "effect": "pure"}], "rules": {}}
 
@@ -79,3 +82,48 @@
 def test_nulls_count_as_absent_at_every_depth() -> None:
     raw = {"a": None, "b": {"c": None, "d": [1, {"e": None}]}}
     assert without_nulls(raw) == {"b": {"d": [1, {}]}}
+
+
+# ---- values that no decision reads ------------------------------------------
+
+UNUSED = [
+    ({"tick": 5}, "tick", 5),
+    ({"rules": {"grace_to_answer": 12}}, "answer_slack", 12),
+    ({"limits": {"probes": True}}, "can_probe", True),
+    ({"goal": {"worst_class": 0.1}}, "worst_class", 0.1),
+    ({"prices": {"cross_zone": 0.2}}, "cross_zone_price", 0.2),
+    ({"weights": "rough"}, "rated", True),
+]
+
+
+@pytest.mark.parametrize(("change", "name", "value"), UNUSED)
+def test_a_value_that_no_decision_reads_is_accepted_and_makes_other_settings(
+    change: dict[str, object], name: str, value: object
+) -> None:
+    """A reload that changes only such a value takes the settings as new, and logs it."""
+    before = settings_from_json(json.dumps(MINIMAL).encode())
+    after = settings_from_json(json.dumps(MINIMAL | change).encode())
+    assert getattr(after, name) == value
+    assert after != before
+    assert settings_from_json(json.dumps(MINIMAL | change).encode()) == after
+
+
+@pytest.mark.parametrize(
+    ("change", "message"),
+    [
+        ({"tick": "soon"}, "settings.tick must be a number, not 'soon'"),
+        ({"rules": {"grace_to_answer": []}}, "settings.rules.grace_to_answer must be a number"),
+        ({"rules": {"grace_to_answer": -1}}, "answer_slack must not be under 0"),
+        ({"goal": {"worst_class": "x"}}, "settings hold an unusable value: could not convert"),
+        ({"goal": 7}, "settings.goal must be an object, not 7"),
+        ({"prices": {"cross_zone": "x"}}, "settings hold an unusable value: could not convert"),
+        ({"prices": []}, r"settings.prices must be an object, not \[\]"),
+    ],
+)
+def test_a_bad_value_that_no_decision_reads_is_refused_by_place_and_rule(
+    tmp_path: Path, change: dict[str, object], message: str
+) -> None:
+    environ = config(tmp_path, roster(), 1, settings=change)
+    with pytest.raises(ConfigError, match=message) as caught:
+        load(environ)
+    assert environ["PROXY_CONFIG"] in str(caught.value)
