--- a/loadbalancer/core/replicated_log/leader.py
+++ b/loadbalancer/core/replicated_log/leader.py
@@ -102,19 +102,20 @@
         """Whether a new history must begin, as a subscriber is ahead of the log.
 
         Its position is of a history that was lost: it would ignore all changes of this one as
-        older than its own. Histories begin at least `new_history_interval_ns` apart: a call that
-        returns True starts that interval, and the caller must begin the history.
+        older than its own. Histories begin at least `new_history_interval_ns` apart, by
+        `on_new_history`.
         """
         state = self._state
         last = state.log.last
         ahead = reported.epoch > state.current_term or reported.revision > last.revision
         settled = state.role is Role.LEADER and state.log.has_committed_in(state.current_term)
         due = now - self._new_history_at >= state.timing.new_history_interval_ns
-        if not (ahead and settled and due):
-            return False
-        state.counts["histories begun above a report"] += 1
+        return ahead and settled and due
+
+    def on_new_history(self, now: int) -> None:
+        """A new history begins, as `needs_new_history` said; the next one has to wait."""
+        self._state.counts["histories begun above a report"] += 1
         self._new_history_at = now
-        return True
 
     # ---- log replication -------------------------------------------------
 
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -126,6 +126,7 @@
         """Somebody has this position of the region's log."""
         state = self.state
         if state.note_reported(position) and self._leader.needs_new_history(now, position):
+            self._leader.on_new_history(now)
             self._election.start(now, state.new_history_term(), transfer=True)
 
     def on_message(self, now: int, sender: str, message: RaftMessage) -> None:
--- a/loadbalancer/core/xds/session.py
+++ b/loadbalancer/core/xds/session.py
@@ -214,14 +214,20 @@
 
     def _next_response(self, subscription: Subscription) -> DiscoveryResponse | None:
         desired = self._desired(subscription)
-        if subscription.allows_partial_responses:
-            return self._partial_response(subscription, desired)
-        return self._full_response(subscription, desired)
+        if not subscription.allows_partial_responses:
+            return self._full_response(subscription, desired)
+        if not self._incremental:
+            # This variant has no message for a removal of endpoints or routes.
+            subscription.forget(subscription.lost(desired))
+        return self._partial_response(subscription, desired)
 
     def _full_response(
         self, subscription: Subscription, desired: ResourcesByName
     ) -> DiscoveryResponse | None:
-        """A response that lists every resource: one that it lacks is removed."""
+        """A response that lists every resource: one that it lacks is removed.
+
+        None where the proxy has them, or has rejected all that it lacks.
+        """
         resources = {name: found for name, found in desired.items() if found is not None}
         acked = subscription.acked_resources()
         if resources == acked and not subscription.unanswered:
@@ -235,29 +241,11 @@
     def _partial_response(
         self, subscription: Subscription, desired: ResourcesByName
     ) -> DiscoveryResponse | None:
-        """A response that holds only what changes."""
-        changed = {
-            name: found
-            for name, found in desired.items()
-            if found is not None
-            and found != subscription.acked.get(name)
-            and subscription.nacked.get(name) != found.version
-        }
-        lost = {name for name in subscription.acked_resources() if desired.get(name) is None}
-        if not self._incremental:
-            # This variant has no message for a removal of endpoints or routes.
-            subscription.acked = {
-                name: found for name, found in subscription.acked.items() if name not in lost
-            }
-        resources = subscription.sendable(changed)
+        """A response that holds only what changes, None where nothing does."""
+        resources = subscription.sendable(subscription.changed(desired))
         removed: list[str] = []
         if self._incremental:
-            absent = {
-                name
-                for name, found in desired.items()
-                if found is None and name not in subscription.acked
-            }
-            removed = sorted(lost | absent)
+            removed = sorted(subscription.lost(desired) | subscription.absent(desired))
         must_answer = subscription.unanswered and self._incremental and subscription.wildcard
         if not resources and not removed and not must_answer:
             return None
--- a/loadbalancer/core/xds/subscription.py
+++ b/loadbalancer/core/xds/subscription.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Collection, Mapping
 
 from loadbalancer.core.xds.messages import (
     ClientResourceStatus,
@@ -170,6 +170,28 @@
                     out.setdefault(name, set()).add(found.version)
         return out
 
+    def changed(self, desired: ResourcesByName) -> dict[str, Resource]:
+        """The desired resources that the proxy does not have, but for versions it rejected."""
+        return {
+            name: found
+            for name, found in desired.items()
+            if found is not None
+            and found != self.acked.get(name)
+            and self.nacked.get(name) != found.version
+        }
+
+    def lost(self, desired: ResourcesByName) -> set[str]:
+        """Names of resources that the proxy has and is not to have any more."""
+        return {name for name in self.acked_resources() if desired.get(name) is None}
+
+    def absent(self, desired: ResourcesByName) -> set[str]:
+        """Names that do not exist, which the proxy does not know yet."""
+        return {name for name, found in desired.items() if found is None and name not in self.acked}
+
+    def forget(self, names: Collection[str]) -> None:
+        """Count these resources as ones that the proxy does not have."""
+        self.acked = {name: found for name, found in self.acked.items() if name not in names}
+
     def sendable(self, changed: Mapping[str, Resource]) -> dict[str, Resource]:
         """Those of the changed resources that may share the next response."""
         trusted = {name: found for name, found in changed.items() if name not in self.suspects}
