--- a/loadbalancer/core/balancing/concurrency_limit.py
+++ b/loadbalancer/core/balancing/concurrency_limit.py
@@ -15,6 +15,7 @@
 
 from loadbalancer.core.balancing.class_weights import DECAY
 from loadbalancer.core.balancing.latency import FEW_SAMPLES
+from loadbalancer.core.balancing.records import ClassState
 from loadbalancer.core.balancing.state import BalancerState
 
 MIN_LIMIT = 1.0  # requests in flight at one endpoint
@@ -35,7 +36,10 @@
 
 def adjust(state: BalancerState, now: int) -> None:
     """Cut, raise or leave the limit, by the outcomes counted since the last cycle."""
-    crowding, judged = _worst_crowding(state)
+    for request_class in state.classes:
+        _update_base_latency(request_class)
+    crowding = _worst_crowding(state)
+    judged = any(samples >= MIN_SAMPLES for samples in state.crowding_samples)
     cut = False
     if state.outcomes:
         if _must_cut(state, crowding):
@@ -52,24 +56,28 @@
     _carry_samples(state, cut)
 
 
-def _worst_crowding(state: BalancerState) -> tuple[float, bool]:
-    """The highest crowding of all classes, at least 0, and whether any class was judged."""
+def _update_base_latency(request_class: ClassState) -> None:
+    """Follow the class's uncrowded latency: its lowest one, that grows slowly."""
+    if request_class.latency_samples <= FEW_SAMPLES:
+        return
+    if request_class.base_latency:
+        grown = request_class.base_latency * BASE_GROWTH
+        request_class.base_latency = min(grown, request_class.latency)
+    else:
+        request_class.base_latency = request_class.latency
+
+
+def _worst_crowding(state: BalancerState) -> float:
+    """The highest crowding of all classes that have MIN_SAMPLES, at least 0."""
     worst = 0.0
-    judged = False
     for number, samples in enumerate(state.crowding_samples):
-        judged = judged or samples >= MIN_SAMPLES
         request_class = state.classes[number]
-        if request_class.latency_samples > FEW_SAMPLES:
-            base = min(request_class.base_latency * BASE_GROWTH, request_class.latency)
-            request_class.base_latency = (
-                base if request_class.base_latency else request_class.latency
-            )
         # Without a base latency, half an objective on idle endpoints would count as crowding.
         if samples >= MIN_SAMPLES and request_class.base_latency:
             # Only the time beyond the latency on idle endpoints is crowding.
             base = min(request_class.base_latency / request_class.latency_objective, MAX_BASE_PART)
             worst = max(worst, (state.crowding_sum[number] / samples - base) / (1.0 - base))
-    return worst, judged
+    return worst
 
 
 def _must_cut(state: BalancerState, crowding: float) -> bool:
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -10,7 +10,7 @@
 from loadbalancer.core.balancing import final_answer, rotation, slow_start
 from loadbalancer.core.balancing.endpoint_selection import pick, pick_for
 from loadbalancer.core.balancing.records import Attempt, AttemptState, Endpoint, Request
-from loadbalancer.core.balancing.retries import attempt_timeout, may_resend
+from loadbalancer.core.balancing.retries import attempt_timeout, earn_credit, may_resend
 from loadbalancer.core.balancing.scheduling import next_request
 from loadbalancer.core.balancing.state import BalancerState
 
@@ -42,6 +42,8 @@
 
 def send(state: BalancerState, now: int, request: Request, endpoint: Endpoint) -> None:
     """Send a request's next attempt to an endpoint."""
+    if not request.attempts:
+        earn_credit(state)
     timeout = attempt_timeout(state, now, request)
     request.attempts.append(Attempt(endpoint, now))
     request.in_flight += 1
--- a/loadbalancer/core/balancing/endpoint_selection.py
+++ b/loadbalancer/core/balancing/endpoint_selection.py
@@ -10,10 +10,9 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.balancing import rotation
 from loadbalancer.core.balancing.endpoint_caps import FRESH_NS
 from loadbalancer.core.balancing.model import Effect, Scope, State
-from loadbalancer.core.balancing.outlier_detection import silence_limit
+from loadbalancer.core.balancing.outlier_detection import mark_unresponsive, silence_limit
 from loadbalancer.core.balancing.records import Endpoint, Request
 from loadbalancer.core.balancing.state import BalancerState
 
@@ -24,19 +23,19 @@
 
 
 def pick(state: BalancerState, now: int) -> Endpoint | None:
-    """The endpoint in rotation with the fewest requests in flight, None where none is."""
+    """The endpoint in rotation with the fewest requests in flight, None where none is.
+
+    Those found silent on the way are marked unresponsive, which takes them out of rotation.
+    """
     for pool in (state.local, state.remote):
         for bucket in pool:
             while bucket:
                 best = _least_loaded(state, now, bucket)
-                if best.in_flight > best.transferring and now - best.silent_since > silence_limit(
-                    state
-                ):
-                    # It has free slots but does not answer: a further request would time out too.
-                    best.unresponsive = True
-                    rotation.update(state, best)
-                    continue
-                return best
+                waiting = best.in_flight > best.transferring
+                if not waiting or now - best.silent_since <= silence_limit(state):
+                    return best
+                # It has free slots but does not answer: a further request would time out too.
+                mark_unresponsive(state, best)
     return None
 
 
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -44,7 +44,7 @@
 
 
 def silence_limit(state: BalancerState) -> float:
-    """How long an endpoint with requests in flight may be silent."""
+    """How long an endpoint with requests in flight may be silent, in nanoseconds."""
     return SILENCE_LATENCIES * max(c.latency for c in state.classes)
 
 
@@ -129,6 +129,12 @@
         back_off(state, now, request_class, endpoint, failures - 1)
 
 
+def mark_unresponsive(state: BalancerState, endpoint: Endpoint) -> None:
+    """Take an endpoint that does not answer out of rotation, until it does or is probed."""
+    endpoint.unresponsive = True
+    rotation.update(state, endpoint)
+
+
 def answered(now: int, endpoint: Endpoint) -> None:
     """Any answer, also a bad one, shows that an endpoint is alive."""
     endpoint.last_seen = endpoint.silent_since = now
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -57,24 +57,26 @@
     return now < executed.sent + request.repeat_window
 
 
+def earn_credit(state: BalancerState) -> None:
+    """Earn a first attempt's part of a retry."""
+    state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
+
+
 def attempt_timeout(state: BalancerState, now: int, request: Request) -> int:
-    """How long the request's next attempt may take; earns the first one's retry credit."""
+    """How long the request's next attempt may take, in nanoseconds."""
     c = request.request_class
     end = request.deadline
     if c.spec.late_weight <= 0:
         margin = int(c.latency_objective * OBJECTIVE_MARGIN)
         end = min(end, request.objective_at - margin)
     timeout = max(end - now, MIN_TIMEOUT_NS)
-    attempts = len(request.attempts)
-    if not attempts:
-        state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
     bounded = True
     if request.policy_state is not None and state.policies is not None:
         timeout, bounded = state.policies.sending(now, request, request.policy_state, timeout)
     if (
         bounded
         and request.effect == PURE
-        and attempts + 1 < max_attempts(request)
+        and len(request.attempts) + 1 < max_attempts(request)
         and state.retry_credit >= 1.0
     ):
         limit = max(EARLY_LATENCIES * c.latency, EARLY_OBJECTIVE_PART * c.latency_objective)
