--- a/loadbalancer/config/settings.py
+++ b/loadbalancer/config/settings.py
@@ -45,7 +45,7 @@
 
     answer_slack: int = 0  # nanoseconds
     can_probe: bool = False
-    tick: int = DEFAULT_TICK_NS
+    tick: int = DEFAULT_TICK_NS  # nanoseconds
     worst_class: float = 0.0
     cross_zone_price: float = 0.0
     rated: bool = False  # the endpoint list carries weights
--- a/loadbalancer/core/assignment/liveness.py
+++ b/loadbalancer/core/assignment/liveness.py
@@ -21,7 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessRules:
-    """Times in nanoseconds.
+    """When a node counts as dead, and when it counts as back.
+
+    Attributes:
+        timeout: nanoseconds without a heartbeat after which a node counts as dead.
+        recovery_time: nanoseconds of heartbeats after which it counts as back, after one death.
+        max_recovery_time: nanoseconds that the doubled recovery time does not exceed.
+        flap_memory: nanoseconds; a death so long after the last one counts as the first.
 
     Raises:
         InvalidInputError: a time is out of its range.
@@ -30,7 +36,7 @@
     timeout: int = 3 * SECOND
     recovery_time: int = 5 * SECOND
     max_recovery_time: int = 300 * SECOND
-    flap_memory: int = 600 * SECOND  # a death so long after the last one counts as the first
+    flap_memory: int = 600 * SECOND
 
     def __post_init__(self) -> None:
         if not self.timeout > 0:
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -21,16 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRules:
-    """Times in nanoseconds, and the bound of one grant.
+    """The times of grants, and the bound of one.
+
+    Attributes:
+        leadership_delay: nanoseconds of leading after which a leader knows what its predecessors
+            granted, and grants itself.
+        lease_duration: nanoseconds that a grant is valid, from its arrival.
+        max_pause: nanoseconds between two ticks; after a longer pause the machine was stopped.
+        max_pairs: pairs of node and service in one grant.
 
     Raises:
         InvalidInputError: one of them is not positive.
     """
 
-    leadership_delay: int = 5 * SECOND  # by then a leader knows what its predecessors granted
-    lease_duration: int = 1500 * MS  # of a grant, from its arrival
-    max_pause: int = 200 * MS  # between two ticks; after a longer one the machine was stopped
-    max_pairs: int = 65_536  # of node and service in one grant
+    leadership_delay: int = 5 * SECOND
+    lease_duration: int = 1500 * MS
+    max_pause: int = 200 * MS
+    max_pairs: int = 65_536
 
     def __post_init__(self) -> None:
         figures = (self.leadership_delay, self.lease_duration, self.max_pause, self.max_pairs)
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -110,18 +110,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A request class and its rules; times in nanoseconds."""
+    """A request class and its rules.
+
+    Attributes:
+        latency_objective: nanoseconds from a request's arrival to its answer.
+        deadline: the longest that its clients wait, in nanoseconds.
+        effect: what a second execution of a request does.
+        scope: which endpoints know a request's key once it has executed.
+        repeat_window: nanoseconds after a send for which endpoints know its key.
+        priority_weight: the cost of missing the objective.
+        late_weight: the value of an answer after the objective; 0: none.
+        stream: its answers are streams; no decision reads it.
+        objective_stretch: nanoseconds of objective per nanosecond of stated work.
+    """
 
     name: str
     latency_objective: int
-    deadline: int  # the longest that its clients wait
+    deadline: int
     effect: Effect = Effect.PURE
     scope: Scope = Scope.ALL
-    repeat_window: int = 0  # how long after a send endpoints know its key
-    priority_weight: float = 1.0  # the cost of missing the objective
-    late_weight: float = 0.0  # the value of an answer after the objective; 0: none
+    repeat_window: int = 0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     stream: bool = False
-    objective_stretch: float = 0.0  # nanoseconds of objective per nanosecond of stated work
+    objective_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,27 +147,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is given at its start; times in nanoseconds."""
+    """What a node is given at its start.
+
+    Attributes:
+        node: this node's number, below `nodes`.
+        zone: the number of its zone, below `zones`.
+        load_columns: names of the figures in endpoints' load reports.
+        poll: the Balancer requests the list, which is otherwise pushed.
+        poll_within: nanoseconds; all nodes' first polls are spread over a part of it.
+        drain_grace: nanoseconds from the start of an endpoint's drain until every node must have
+            stopped sending to it.
+        cold_from: part of its capacity that an endpoint starts with.
+        cold: nanoseconds from an endpoint's start until it has all of its capacity.
+        fall_multiple: multiple of its present capacity that a cold endpoint may be sent ...
+        fall: ... within this many nanoseconds.
+        max_attempts: attempts of one request.
+        hedging: a second attempt may be sent while the first one is in flight.
+        can_cancel: endpoints can be asked to end an attempt.
+        max_retry_after: the longest that clients may be asked to wait, ns; 0: they are not asked.
+        marks_retry: clients mark further tries.
+        connect_timeout: nanoseconds until a connection must be up.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    node: int = 0  # this node's number
+    node: int = 0
     nodes: int = 1
     zone: int = 0
     zones: int = 1
-    load_columns: tuple[str, ...] = ()  # of the load reports in endpoints' answers
-    poll: bool = False  # the Balancer requests the list, which is otherwise pushed
+    load_columns: tuple[str, ...] = ()
+    poll: bool = False
     poll_within: int = 10 * SECOND
     drain_grace: int = SECOND
-    cold_from: float = 0.1  # part of its capacity that an endpoint starts with
-    cold: int = 10 * SECOND  # from its start until it has all of it
-    fall_multiple: float = 3.0  # of its present capacity, that it may be sent ...
-    fall: int = 2 * SECOND  # ... within this time
+    cold_from: float = 0.1
+    cold: int = 10 * SECOND
+    fall_multiple: float = 3.0
+    fall: int = 2 * SECOND
     max_attempts: int = 1
     hedging: bool = False
     can_cancel: bool = False
     max_retry_after: int = 0
-    marks_retry: bool = False  # clients mark further tries
+    marks_retry: bool = False
     connect_timeout: int = 250 * MS
 
     def __post_init__(self) -> None:
--- a/loadbalancer/core/subscription/limits.py
+++ b/loadbalancer/core/subscription/limits.py
@@ -18,18 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderLimits:
-    """Bounds of one node; times in nanoseconds.
+    """Bounds of one node.
+
+    Attributes:
+        max_services: services that are held, or wait for their first complete change.
+        max_bytes: bytes of rows and what goes with them.
+        max_unknown_names: names of services that clients asked for and that are remembered.
+        queries_per_s: queries of unknown services, a second.
+        query_interval: nanoseconds until one name is queried again.
+        drain_timeout: nanoseconds from when a service is releasable until it is closed.
 
     Raises:
         InvalidInputError: a figure is out of its range.
     """
 
-    max_services: int = 64  # that are held, or wait for their first complete change
-    max_bytes: int = 48 << 20  # of rows and what goes with them
-    max_unknown_names: int = 256  # that clients asked for and that are remembered
-    queries_per_s: float = 4.0  # of unknown services
-    query_interval: int = 10 * SECOND  # until one name is queried again
-    drain_timeout: int = 30 * SECOND  # from when a service is releasable until it is closed
+    max_services: int = 64
+    max_bytes: int = 48 << 20
+    max_unknown_names: int = 256
+    queries_per_s: float = 4.0
+    query_interval: int = 10 * SECOND
+    drain_timeout: int = 30 * SECOND
 
     def __post_init__(self) -> None:
         if not 1 <= self.max_services <= MAX_SERVICES:
