--- a/loadbalancer/control/xds/encoder.py
+++ b/loadbalancer/control/xds/encoder.py
@@ -29,28 +29,27 @@
     return bytes(wrapped.SerializeToString(deterministic=True))
 
 
+def _serialised(name: str, body: message.Message, references: Sequence[str] = ()) -> Resource:
+    return make_resource(name, _packed(body), references)
+
+
 def stub_cluster(name: str) -> Resource:
     """A cluster of which only the name is known, for a proxy that has one this service lacks."""
-    return make_resource(name, _packed(messages.eds_cluster(name)), [name])
+    return _serialised(name, messages.eds_cluster(name), [name])
 
 
 class Encoder:
-    """Snapshots of one group of proxies; what has not changed is not serialised again.
+    """Snapshots of one group of proxies; what has not changed is not serialised again."""
 
-    `listen` is where an Envoy is to listen. `serialised_bytes` counts the resources that were
-    built anew.
-    """
-
-    __slots__ = ("_endpoints", "_kind", "_listen", "_snapshot", "_without_endpoints",
-                 "serialised_bytes")  # fmt: skip
+    __slots__ = ("_endpoints", "_kind", "_listen", "_snapshot", "_without_endpoints")
 
     def __init__(self, kind: ProxyKind, listen: tuple[str, int]) -> None:
+        """`listen` is where an Envoy is to listen."""
         self._kind = kind
         self._listen = listen
         self._endpoints: dict[str, tuple[tuple[Locality, ...], Resource]] = {}
         self._without_endpoints: tuple[Plan, ...] = ()
         self._snapshot: Snapshot | None = None
-        self.serialised_bytes = 0
 
     def build(self, plans: Sequence[Plan]) -> Snapshot:
         """The snapshot of these plans; the same object where nothing has changed."""
@@ -78,25 +77,16 @@
         if old is not None and old[0] == plan.localities:
             return old[1]
         body = messages.cluster_load_assignment(plan.service, plan.localities)
-        made = self._serialise(plan.service, body)
+        made = _serialised(plan.service, body)
         if old is not None and old[1] == made:
             made = old[1]
         self._endpoints[plan.service] = (plan.localities, made)
         return made
 
-    def _serialise(
-        self, name: str, body: message.Message, references: Sequence[str] = ()
-    ) -> Resource:
-        out = make_resource(name, _packed(body), references)
-        self.serialised_bytes += len(out.body)
-        return out
-
     def _other_resources(self, plans: Sequence[Plan]) -> Resources:
         """Clusters, routes and listeners."""
         clusters = [
-            self._serialise(
-                plan.service, messages.cluster(plan, self._kind.proxyless), [plan.service]
-            )
+            _serialised(plan.service, messages.cluster(plan, self._kind.proxyless), [plan.service])
             for plan in plans
         ]
         if self._kind.proxyless:
@@ -104,9 +94,9 @@
         else:
             services = [plan.service for plan in plans]
             body = messages.route_configuration(messages.ROUTES_NAME, plans, self._kind)
-            routes = [self._serialise(messages.ROUTES_NAME, body, services)]
+            routes = [_serialised(messages.ROUTES_NAME, body, services)]
             listener = messages.socket_listener(self._listen)
-            listeners = [self._serialise(messages.LISTENER_NAME, listener, [messages.ROUTES_NAME])]
+            listeners = [_serialised(messages.LISTENER_NAME, listener, [messages.ROUTES_NAME])]
         return {
             ResourceType.CLUSTER: clusters,
             ResourceType.ROUTES: routes,
@@ -118,9 +108,9 @@
         routes, listeners = [], []
         for plan in plans:
             body = messages.route_configuration(plan.service, [plan], self._kind, ["*"])
-            routes.append(self._serialise(plan.service, body, [plan.service]))
+            routes.append(_serialised(plan.service, body, [plan.service]))
             for host in plan.hosts:
                 if "*" not in host:
                     listener = messages.api_listener(host, plan.service)
-                    listeners.append(self._serialise(host, listener, [plan.service]))
+                    listeners.append(_serialised(host, listener, [plan.service]))
         return routes, listeners
--- a/loadbalancer/core/assignment/assigner.py
+++ b/loadbalancer/core/assignment/assigner.py
@@ -35,20 +35,6 @@
 from loadbalancer.core.assignment.validation import check_nodes, check_services
 
 
-def assign(
-    nodes: Sequence[NodeSpec],
-    alive: Collection[str],
-    services: Sequence[ServiceSpec],
-    rules: AssignmentRules,
-) -> Assignment:
-    """Assign services to nodes; an `Assigner` costs less for further sets of living nodes.
-
-    Raises:
-        InvalidInputError: as `Assigner` and `Assigner.with_alive` do.
-    """
-    return Assigner(nodes, services, rules).with_alive(alive)
-
-
 class Assigner:
     """The base assignment, made once, and the assignment for any set of living nodes.
 
--- a/loadbalancer/core/assignment/validation.py
+++ b/loadbalancer/core/assignment/validation.py
@@ -5,11 +5,10 @@
 from collections.abc import Iterable, Mapping, Sequence
 from math import isfinite
 
-from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec, NodeSpec, ServiceSpec
+from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec, ServiceSpec
 
 MAX_NODES = 20_000
 MAX_SERVICES = 20_000
-MAX_MACHINES = 64
 MAX_CAPACITY = 20_000  # services a node
 MAX_BACKENDS = 200_000  # backends a service
 MAX_RATE = 1e9  # requests a second
@@ -57,36 +56,6 @@
         _check_range(place, "backends", service.backends, 0, MAX_BACKENDS)
 
 
-def check_machines(machines: Sequence[MachineSpec], nodes: Sequence[NodeSpec]) -> None:
-    """Refuse a table of control machines that does not fit these nodes.
-
-    Raises:
-        InvalidInputError: a name twice, a region or zone that no node is in, or a zone of
-            another region.
-    """
-    _check_count("machines", len(machines), MAX_MACHINES)
-    _check_names("machine", (machine.name for machine in machines))
-    region_of = {node.zone: node.region for node in nodes}
-    for machine in machines:
-        place = f"machine {machine.name!r}"
-        _check_known(place, "region", machine.region, set(region_of.values()))
-        _check_known(place, "zone", machine.zone, region_of)
-        if region_of[machine.zone] != machine.region:
-            raise InvalidInputError(
-                f"{place}: zone {machine.zone!r} is in region {region_of[machine.zone]!r}, "
-                f"not in {machine.region!r}"
-            )
-
-
-def check_machine_known(name: str, machines: Iterable[MachineSpec]) -> None:
-    """Refuse the name of a machine that the table does not have.
-
-    Raises:
-        InvalidInputError: there is no such machine.
-    """
-    _check_known("control", "machine", name, {machine.name for machine in machines})
-
-
 def _check_count(what: str, count: int, maximum: int) -> None:
     if not 1 <= count <= maximum:
         raise InvalidInputError(f"{what}: {count} of them, must be 1 to {maximum}")
--- a/loadbalancer/core/xds/session.py
+++ b/loadbalancer/core/xds/session.py
@@ -6,14 +6,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable
 
 from loadbalancer.core.xds.ads_order import desired_resources
 from loadbalancer.core.xds.history import History, cluster_names_of, make_version_info
 from loadbalancer.core.xds.messages import (
     DiscoveryRequest,
     DiscoveryResponse,
-    Nack,
     ResourceStatus,
     SubscriptionError,
 )
@@ -158,15 +157,6 @@
 
     # ---- queries -------------------------------------------------------
 
-    @property
-    def nacks(self) -> Mapping[ResourceType, Nack]:
-        """The last rejection of each type that is not mended yet."""
-        return {
-            resource_type: subscription.nack
-            for resource_type, subscription in self._subscriptions.items()
-            if subscription.nack is not None
-        }
-
     def settled(self) -> bool:
         """Whether no response is pending and none is left to send."""
         pending = (subscription.pending for subscription in self._subscriptions.values())
--- a/tests/core/assignment/fleets.py
+++ b/tests/core/assignment/fleets.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
+from collections.abc import Collection, Sequence
 from functools import cache
 
 from benchmarks.assignment import make_nodes, make_services
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.assignment import Assignment
-from loadbalancer.core.assignment.model import NodeSpec
+from loadbalancer.core.assignment.model import NodeSpec, ServiceSpec
 from loadbalancer.core.assignment.rules import AssignmentRules
 
 RULES = AssignmentRules()
@@ -18,6 +18,16 @@
     return frozenset(node.name for node in nodes)
 
 
+def assign(
+    nodes: Sequence[NodeSpec],
+    alive: Collection[str],
+    services: Sequence[ServiceSpec],
+    rules: AssignmentRules,
+) -> Assignment:
+    """One assignment; an `Assigner` costs less for further sets of living nodes."""
+    return Assigner(nodes, services, rules).with_alive(alive)
+
+
 def moved(before: Assignment, after: Assignment) -> set[str]:
     """The services whose holders differ."""
     return {name for name in before.holders if before.holders[name] != after.holders.get(name)}
--- a/tests/core/assignment/test_assignment.py
+++ b/tests/core/assignment/test_assignment.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.assignment import ZONES, make_nodes, make_services
-from loadbalancer.core.assignment.assigner import Assigner, assign
+from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.assignment import Constraint, UnmetConstraint
 from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec, ServiceSpec
 from loadbalancer.core.assignment.rules import AssignmentRules
@@ -27,6 +27,7 @@
     SMALL_NODES,
     SMALL_SERVICES,
     assert_consistent,
+    assign,
     full,
     full_assignment,
     moved,
@@ -154,8 +155,7 @@
 
 DIGEST = "f7c424c62355d80d42f41210f56c4229"  # of the program below: other hashing gives another
 PROGRAM = """
-from loadbalancer.core.assignment.assigner import assign
-from tests.core.assignment.fleets import RULES, SMALL_NODES, SMALL_SERVICES, names
+from tests.core.assignment.fleets import RULES, SMALL_NODES, SMALL_SERVICES, assign, names
 alive = names(SMALL_NODES) - {"east-1-0003", "west-2-0001"}
 print(assign(SMALL_NODES, alive, SMALL_SERVICES, RULES).digest)
 """
--- a/tests/core/assignment/test_validation.py
+++ b/tests/core/assignment/test_validation.py
@@ -9,12 +9,10 @@
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.model import (
     InvalidInputError,
-    MachineSpec,
     NodeSpec,
     ServiceSpec,
 )
-from loadbalancer.core.assignment.validation import check_machine_known, check_machines
-from tests.core.assignment.fleets import RULES, SMALL_NODES
+from tests.core.assignment.fleets import RULES
 
 NODE = NodeSpec("n", "east", "east-1", 4)
 SERVICE = ServiceSpec("s", "east", ("east-1",), 1.0, 1)
@@ -78,27 +76,3 @@
     with pytest.raises(InvalidInputError) as caught:
         Assigner(nodes, services, RULES)
     assert str(caught.value) == message
-
-
-@pytest.mark.parametrize(
-    ("machine", "message"),
-    [
-        (MachineSpec("m", "north", "east-1"), "machine 'm': unknown region 'north'"),
-        (MachineSpec("m", "east", "east-9"), "machine 'm': unknown zone 'east-9'"),
-        (MachineSpec("m", "east", "west-1"), "machine 'm': zone 'west-1' is in region 'west'"),
-    ],
-)
-def test_machines_that_do_not_fit_are_refused(machine: MachineSpec, message: str) -> None:
-    with pytest.raises(InvalidInputError) as caught:
-        check_machines([machine], SMALL_NODES)
-    assert str(caught.value).startswith(message)
-
-
-def test_machines_of_one_name_or_of_none_are_refused() -> None:
-    machine = MachineSpec("m", "east", "east-1")
-    check_machines([machine], SMALL_NODES)
-    with pytest.raises(InvalidInputError, match="machine 'm': named twice, a name must be unique"):
-        check_machines([machine, machine], SMALL_NODES)
-    with pytest.raises(InvalidInputError, match="unknown machine 'x', must be one of m"):
-        check_machine_known("x", [machine])
-    check_machine_known("m", [machine])
--- a/tests/core/xds/test_plan.py
+++ b/tests/core/xds/test_plan.py
@@ -10,9 +10,10 @@
 import pytest
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.route.v3 import route_pb2
-from google.protobuf import any_pb2
+from google.protobuf import any_pb2, message
 
 from loadbalancer.config.toml_file import parse
+from loadbalancer.control.xds import encoder as encoder_module
 from loadbalancer.control.xds.encoder import Encoder
 from loadbalancer.core import Effect, RequestClass, Settings, State
 from loadbalancer.core.balancing.model import SECOND, ServerView
@@ -229,15 +230,25 @@
     assert not planned(server(1), text=wild).unsupported
 
 
-def test_what_has_not_changed_is_not_serialised_again() -> None:
+def test_what_has_not_changed_is_not_serialised_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    sizes: list[int] = []
+    pack = encoder_module._packed
+
+    def counting_pack(body: message.Message) -> bytes:
+        packed = pack(body)
+        sizes.append(len(packed))
+        return packed
+
+    monkeypatch.setattr(encoder_module, "_packed", counting_pack)
     view = [server(i) for i in range(1, 271)]
     encoder = Encoder(ProxyKind.ENVOY, LISTEN)
     first = encoder.build([planned(*view)])
     assert encoder.build([planned(*view)]) is first
-    before = encoder.serialised_bytes
+    assert len(sizes) == sum(len(first.of_type(kind)) for kind in ResourceType)
+    sizes.clear()
     second = encoder.build([planned(*view[:-1], server(270, state=State.DRAINING))])
     (endpoints,) = second.of_type(ResourceType.ENDPOINTS).values()
-    assert encoder.serialised_bytes - before == len(endpoints.body)
+    assert sizes == [len(endpoints.body)]
 
 
 # ---- a cold server before many proxies ---------------------------------
--- a/tests/core/xds/test_session.py
+++ b/tests/core/xds/test_session.py
@@ -10,6 +10,7 @@
 from loadbalancer.core.xds.messages import (
     ClientResourceStatus,
     DiscoveryRequest,
+    Nack,
     SubscriptionError,
 )
 from loadbalancer.core.xds.session import Session
@@ -34,6 +35,15 @@
 BOTH_SUBSCRIPTIONS = pytest.mark.parametrize("wildcard", [False, True])
 
 
+def nacks_of(session: Session) -> dict[ResourceType, Nack]:
+    """The last rejection of each type that is not mended yet."""
+    return {
+        resource_type: subscription.nack
+        for resource_type, subscription in session._subscriptions.items()
+        if subscription.nack is not None
+    }
+
+
 def changed_in_all(snapshot: Snapshot) -> Snapshot:
     """The same references with another content of every resource."""
     return make_snapshot(
@@ -139,14 +149,14 @@
     while proxy.inbox:
         proxy.receive(nack=proxy.inbox[0].resource_type is ROUTES)
     assert "r" not in proxy.versions[ROUTES]
-    nack = proxy.session.nacks[ROUTES]
+    nack = nacks_of(proxy.session)[ROUTES]
     assert nack.error_detail == NACK_REASON
     assert set(nack.versions) == {"r"}
     assert not proxy.session.update(snapshot_of({"a": 1}))
     proxy.update(snapshot_of({"a": 1, "b": 1}))
     proxy.receive_all()
     assert "r" in proxy.versions[ROUTES]
-    assert not proxy.session.nacks
+    assert not nacks_of(proxy.session)
 
 
 def test_each_resource_has_the_status_of_the_proxys_last_answer() -> None:
@@ -188,7 +198,7 @@
     assert not proxy.inbox
     has = proxy.versions[CLUSTER]
     assert {n for n, found in clusters.items() if has[n] == found.version} == {"c-a", "c-c"}
-    assert proxy.session.nacks[CLUSTER].versions == {"c-b": bad}
+    assert nacks_of(proxy.session)[CLUSTER].versions == {"c-b": bad}
 
 
 def test_a_slow_proxy_has_one_pending_response_of_a_type_and_then_the_newest() -> None:
@@ -212,13 +222,13 @@
     for nonce in ("0", "999", "x"):
         answer = DiscoveryRequest(CLUSTER, response_nonce=nonce, error_detail="no")
         assert not session.request(answer)
-    assert not session.nacks
+    assert not nacks_of(session)
     assert not session.acked_versions(CLUSTER)
     session.request(DiscoveryRequest(CLUSTER, response_nonce=response.nonce))
     assert session.acked_versions(CLUSTER).keys() == {"c-a"}
     late = DiscoveryRequest(CLUSTER, response_nonce=response.nonce, error_detail="no")
     session.request(late)
-    assert not session.nacks  # answered already
+    assert not nacks_of(session)  # answered already
 
 
 def test_a_name_that_does_not_exist_is_reported_as_removed() -> None:
