--- a/tests/proxy/upstream/test_long_messages.py
+++ b/tests/proxy/upstream/test_long_messages.py
@@ -5,29 +5,12 @@
 import contextlib
 import socket
 import threading
-from collections.abc import Iterator
-from pathlib import Path
 
 import pytest
 
-from loadbalancer.core import Outcome
-from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.balancing.rotation import MAX_TRANSFERRING
 from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES
-from tests.harness import Peer, Running, accept, answer, listen, node, request, roster, target
-from tests.recording_host import build
-
-SIZE = 3_000_000
-LONG = bytes(range(256)) * (SIZE // 256)
-
-
-@contextlib.contextmanager
-def behind(tmp_path: Path, memory_mb: int = 128) -> Iterator[tuple[Running, socket.socket]]:
-    with listen() as backend:
-        known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, limits={"memory_mb": memory_mb}) as n:
-            yield n, backend
-            assert n.stop() == 0
+from tests.harness import Peer, answer, request
+from tests.proxy.upstream.proxied import LONG, SIZE, Proxied
 
 
 def body(peer: Peer) -> tuple[str, dict[str, str], bytes]:
@@ -75,342 +58,220 @@
 
 
 @pytest.mark.parametrize("way", ["length", "chunked", "expect"])
-def test_a_long_body_goes_on_unchanged(tmp_path: Path, way: str) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        if way == "chunked":
-            head = request("/credit", b"", Content_Length="", Transfer_Encoding="chunked")
-            thread = sending(client, head + chunked(LONG))
-        elif way == "expect":
-            client.send(
-                request("/credit", b"", Content_Length=str(len(LONG)), Expect="100-continue")
-            )
-            assert client.message()[0] == "HTTP/1.1 100 Continue"
-            thread = sending(client, LONG)
-        else:
-            thread = sending(client, request("/credit", LONG))
-        peer = accept(backend)
-        line, headers, got = body(peer)
-        assert line == "POST /credit HTTP/1.1"
-        assert headers["x-request-id"] == "9b1f03aa5c7e2d41"
-        assert got == LONG
-        peer.send(answer(b"done"))
-        assert client.message()[2] == b"done"
-        thread.join()
-        client.send(request())  # the connections are kept, both of them
-        peer.message()
-        peer.send(answer(b"next"))
-        assert client.message()[2] == b"next"
+def test_a_long_body_goes_on_unchanged(proxied: Proxied, client: Peer, way: str) -> None:
+    if way == "chunked":
+        head = request("/credit", b"", Content_Length="", Transfer_Encoding="chunked")
+        thread = sending(client, head + chunked(LONG))
+    elif way == "expect":
+        client.send(request("/credit", b"", Content_Length=str(len(LONG)), Expect="100-continue"))
+        assert client.message()[0] == "HTTP/1.1 100 Continue"
+        thread = sending(client, LONG)
+    else:
+        thread = sending(client, request("/credit", LONG))
+    peer = proxied.accept()
+    line, headers, got = body(peer)
+    assert line == "POST /credit HTTP/1.1"
+    assert headers["x-request-id"] == "9b1f03aa5c7e2d41"
+    assert got == LONG
+    peer.send(answer(b"done"))
+    assert client.message()[2] == b"done"
+    thread.join()
+    client.send(request())  # the connections are kept, both of them
+    peer.message()
+    peer.send(answer(b"next"))
+    assert client.message()[2] == b"next"
 
 
 @pytest.mark.parametrize("way", ["length", "chunked", "close"])
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
-def test_a_long_answer_goes_on_unchanged(tmp_path: Path, way: str, version: str) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
-        peer = accept(backend)
-        peer.message()
-        if way == "length":
-            thread = sending(peer, answer(LONG))
-        elif way == "chunked":
-            head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            thread = sending(peer, head + chunked(LONG))
-        else:
-            peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-            thread = sending(peer, LONG, close=True)
-        if version == "1.0":
-            head, _, got = client.ends().partition(b"\r\n\r\n")
-            assert b"chunked" not in head
-        else:
-            _, _, got = body(client)
-        thread.join()
-        assert got == LONG
-
-
-def test_a_slow_answer_without_a_length_goes_on_before_it_ends(tmp_path: Path) -> None:
+def test_a_long_answer_goes_on_unchanged(
+    proxied: Proxied, client: Peer, way: str, version: str
+) -> None:
+    peer = proxied.forward(client, request().replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
+    if way == "length":
+        thread = sending(peer, answer(LONG))
+    elif way == "chunked":
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        thread = sending(peer, head + chunked(LONG))
+    else:
+        peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+        thread = sending(peer, LONG, close=True)
+    if version == "1.0":
+        head, _, got = client.ends().partition(b"\r\n\r\n")
+        assert b"chunked" not in head
+    else:
+        _, _, got = body(client)
+    thread.join()
+    assert got == LONG
+
+
+def test_a_slow_answer_without_a_length_goes_on_before_it_ends(
+    proxied: Proxied, client: Peer
+) -> None:
     """Far under 64 KiB, but it might become longer: its first bytes do not wait for that."""
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        sent = 0
-        client.sock.settimeout(0.01)
-        while not client.buffer:
-            peer.send(b"1\r\nx\r\n")
-            sent += 1
-            assert sent < 1000
-            with contextlib.suppress(TimeoutError):
-                client.more()
-        client.sock.settimeout(20.0)
-        peer.send(b"0\r\n\r\n")
-        assert body(client)[2] == b"x" * sent
-
-
-def test_pieces_of_one_byte_in_both_directions(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        for byte in request("/credit", b"slow"):
-            client.send(bytes([byte]))
-        peer = accept(backend)
-        assert peer.message()[2] == b"slow"
-        for byte in answer(b"as slow"):
-            peer.send(bytes([byte]))
-        assert client.message()[2] == b"as slow"
-
-
-def test_white_space_around_a_value_is_none_of_it(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request(X_Timeout_Ms="1500 \t", X_Priority_Class=" balance "))
-        peer = accept(backend)
-        peer.message()
-        peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: \t2 \r\n\r\nok")
-        assert client.message()[2] == b"ok"
-
-
-def test_requests_behind_one_another_are_answered_in_turn(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        long = request("/credit", LONG, rid="a3")
-        first = request(rid="a1") + request("/credit", b"x", rid="a2")
-        thread = sending(client, first + long + request(rid="a4"))
-        peer = accept(backend)
-        for rid in ("a1", "a2", "a3", "a4"):
-            _, headers, _ = peer.message()
-            assert headers["x-request-id"] == rid
-            peer.send(answer(rid.encode()))
-        for rid in ("a1", "a2", "a3", "a4"):
-            assert client.message()[2] == rid.encode()
-        thread.join()
-
-
-def test_a_continue_that_waits_behind_an_answer_stands_nowhere_in_it(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        asks = request("/credit", b"", rid="a2", Content_Length="4", Expect="100-continue")
-        client.send(request(rid="a1") + asks)
-        peer = accept(backend)
-        assert peer.message()[1]["x-request-id"] == "a1"
-        peer.send(answer(b"first"))
-        line, _, got = client.message()
-        assert (line, got) == ("HTTP/1.1 200 OK", b"first")
-        client.send(b"body")
-        assert peer.message()[2] == b"body"
-        peer.send(answer(b"second"))
-        assert client.message()[2] == b"second"
-
-
-def test_an_answer_that_breaks_off_is_cut_and_not_replaced(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
-        while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
-            assert client.more()
-        peer.reset()
-        got = client.ends()
-        assert got.count(b"HTTP/1.1") == 1
-        assert len(got) < SIZE
-        again = n.connect()
-        again.send(request(rid="next"))
-        other = accept(backend)
-        assert other.message()[1]["x-request-id"] == "next"
-        other.send(answer(b"served"))
-        assert again.message()[2] == b"served"
+    peer = proxied.forward(client, request())
+    peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    sent = 0
+    client.sock.settimeout(0.01)
+    while not client.buffer:
+        peer.send(b"1\r\nx\r\n")
+        sent += 1
+        assert sent < 1000
+        with contextlib.suppress(TimeoutError):
+            client.more()
+    client.sock.settimeout(20.0)
+    peer.send(b"0\r\n\r\n")
+    assert body(client)[2] == b"x" * sent
+
+
+def test_pieces_of_one_byte_in_both_directions(proxied: Proxied, client: Peer) -> None:
+    for byte in request("/credit", b"slow"):
+        client.send(bytes([byte]))
+    peer = proxied.accept()
+    assert peer.message()[2] == b"slow"
+    for byte in answer(b"as slow"):
+        peer.send(bytes([byte]))
+    assert client.message()[2] == b"as slow"
+
+
+def test_white_space_around_a_value_is_none_of_it(proxied: Proxied, client: Peer) -> None:
+    peer = proxied.forward(client, request(X_Timeout_Ms="1500 \t", X_Priority_Class=" balance "))
+    peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: \t2 \r\n\r\nok")
+    assert client.message()[2] == b"ok"
+
+
+def test_requests_behind_one_another_are_answered_in_turn(proxied: Proxied, client: Peer) -> None:
+    long = request("/credit", LONG, rid="a3")
+    first = request(rid="a1") + request("/credit", b"x", rid="a2")
+    thread = sending(client, first + long + request(rid="a4"))
+    peer = proxied.accept()
+    for rid in ("a1", "a2", "a3", "a4"):
+        _, headers, _ = peer.message()
+        assert headers["x-request-id"] == rid
+        peer.send(answer(rid.encode()))
+    for rid in ("a1", "a2", "a3", "a4"):
+        assert client.message()[2] == rid.encode()
+    thread.join()
+
+
+def test_a_continue_that_waits_behind_an_answer_stands_nowhere_in_it(
+    proxied: Proxied, client: Peer
+) -> None:
+    asks = request("/credit", b"", rid="a2", Content_Length="4", Expect="100-continue")
+    client.send(request(rid="a1") + asks)
+    peer = proxied.accept()
+    assert peer.message()[1]["x-request-id"] == "a1"
+    peer.send(answer(b"first"))
+    line, _, got = client.message()
+    assert (line, got) == ("HTTP/1.1 200 OK", b"first")
+    client.send(b"body")
+    assert peer.message()[2] == b"body"
+    peer.send(answer(b"second"))
+    assert client.message()[2] == b"second"
+
+
+def test_an_answer_that_breaks_off_is_cut_and_not_replaced(proxied: Proxied, client: Peer) -> None:
+    peer = proxied.begin_response(client)
+    peer.reset()
+    got = client.ends()
+    assert got.count(b"HTTP/1.1") == 1
+    assert len(got) < SIZE
+    proxied.assert_next_request_is_served()
 
 
 @pytest.mark.parametrize("way", ["stalls", "ends early"])
 def test_an_answer_that_stalls_or_ends_early_is_cut_so_that_it_shows(
-    tmp_path: Path, way: str
+    proxied: Proxied, client: Peer, way: str
 ) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        peer.send(answer(LONG)[: 3 * STREAMING_THRESHOLD_BYTES])
-        if way == "ends early":
-            peer.sock.shutdown(socket.SHUT_WR)
-        got = client.ends()
-        assert got.startswith(b"HTTP/1.1 200")
-        assert len(got) < SIZE
+    peer = proxied.forward(client, request())
+    peer.send(answer(LONG)[: 3 * STREAMING_THRESHOLD_BYTES])
+    if way == "ends early":
+        peer.sock.shutdown(socket.SHUT_WR)
+    got = client.ends()
+    assert got.startswith(b"HTTP/1.1 200")
+    assert len(got) < SIZE
 
 
 @pytest.mark.parametrize("way", ["resets", "answers"])
 def test_a_long_body_whose_server_goes_is_refused_while_it_can_not_have_run(
-    tmp_path: Path, way: str
+    proxied: Proxied, client: Peer, way: str
 ) -> None:
     """Its bytes are held no more: it goes to nobody else. An early answer is not one to it."""
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
-        peer = accept(backend)
-        while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
-            assert peer.more()
-        if way == "resets":
-            peer.reset()
-        else:
-            peer.send(answer(b"", "503 Service Unavailable", "X-Not-Processed: 1"))
-        line, headers, _ = client.message()
-        assert line == "HTTP/1.1 503 Service Unavailable"
-        assert headers["connection"] == "close"
-        client.close()
-        if way == "answers":
-            return  # the only server rests after that
-        again = n.connect()
-        again.send(request(rid="next"))
-        other = accept(backend)
-        assert other.message()[1]["x-request-id"] == "next"
-        other.send(answer(b"served"))
-        assert again.message()[2] == b"served"
-
-
-def test_a_long_body_that_may_have_run_is_failed(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        thread = sending(client, request("/credit", LONG))
-        peer = accept(backend)
-        assert peer.message()[2] == LONG
+    peer = proxied.begin_upload(client)
+    if way == "resets":
         peer.reset()
-        assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
-        thread.join()
+    else:
+        peer.send(answer(b"", "503 Service Unavailable", "X-Not-Processed: 1"))
+    line, headers, _ = client.message()
+    assert line == "HTTP/1.1 503 Service Unavailable"
+    assert headers["connection"] == "close"
+    client.close()
+    if way == "answers":
+        return  # the only server rests after that
+    proxied.assert_next_request_is_served()
+
+
+def test_a_long_body_that_may_have_run_is_failed(proxied: Proxied, client: Peer) -> None:
+    thread = sending(client, request("/credit", LONG))
+    peer = proxied.accept()
+    assert peer.message()[2] == LONG
+    peer.reset()
+    assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
+    thread.join()
+
+
+def test_noise_behind_a_long_answer_puts_nothing_into_it(proxied: Proxied, client: Peer) -> None:
+    peer = proxied.begin_response(client)
+    client.send(b"\x8a\xff\r\n\r\n")
+    got = client.ends()
+    assert got.count(b"HTTP/1.1") == 1
+    assert len(got) < SIZE
+    assert peer.ends() == b""
+
+
+def test_a_body_that_is_cut_off_frees_its_server_at_once(proxied: Proxied, client: Peer) -> None:
+    peer = proxied.begin_upload(client)
+    client.sock.shutdown(socket.SHUT_WR)
+    assert len(peer.ends()) < SIZE
+    assert client.ends() == b""  # not the 408 of a body that is waited for
 
 
-def test_noise_behind_a_long_answer_puts_nothing_into_it(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
-        while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
-            assert client.more()
-        client.send(b"\x8a\xff\r\n\r\n")
-        got = client.ends()
-        assert got.count(b"HTTP/1.1") == 1
-        assert len(got) < SIZE
-        assert peer.ends() == b""
-
-
-def test_a_body_that_is_cut_off_frees_its_server_at_once(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
-        peer = accept(backend)
-        while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
-            assert peer.more()
-        client.sock.shutdown(socket.SHUT_WR)
-        assert len(peer.ends()) < SIZE
-        assert client.ends() == b""  # not the 408 of a body that is waited for
+@pytest.mark.parametrize("when", ["body", "answer"])
+def test_a_client_that_leaves_in_the_middle_frees_its_server(
+    proxied: Proxied, client: Peer, when: str
+) -> None:
+    begin = {"body": proxied.begin_upload, "answer": proxied.begin_response}
+    peer = begin[when](client)
+    client.reset()
+    assert len(peer.ends()) < SIZE
 
 
-@pytest.mark.parametrize("when", ["body", "answer"])
-def test_a_client_that_leaves_in_the_middle_frees_its_server(tmp_path: Path, when: str) -> None:
-    with behind(tmp_path) as (n, backend):
-        client = n.connect()
-        if when == "body":
-            client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
-            peer = accept(backend)
-            while len(peer.buffer) < STREAMING_THRESHOLD_BYTES:
-                assert peer.more()
-        else:
-            client.send(request())
-            peer = accept(backend)
-            peer.message()
-            peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
-            while len(client.buffer) < STREAMING_THRESHOLD_BYTES:
-                assert client.more()
-        client.reset()
-        assert len(peer.ends()) < SIZE
-
-
-def test_a_length_over_the_maximum_is_refused_before_its_body(tmp_path: Path) -> None:
-    with behind(tmp_path) as (n, _backend):
-        client = n.connect()
-        client.send(request("/credit", b"", Content_Length=str((32 << 20) + 1)))
-        assert client.message()[0] == "HTTP/1.1 413 Content Too Large"
-
-
-def test_more_than_memory_holds_passes_and_small_requests_are_served_beside(tmp_path: Path) -> None:
+def test_a_length_over_the_maximum_is_refused_before_its_body(client: Peer) -> None:
+    client.send(request("/credit", b"", Content_Length=str((32 << 20) + 1)))
+    assert client.message()[0] == "HTTP/1.1 413 Content Too Large"
+
+
+@pytest.mark.parametrize("proxied", [48], indirect=True)
+def test_more_than_memory_holds_passes_and_small_requests_are_served_beside(
+    proxied: Proxied,
+) -> None:
     """8 answers of 9 MB that nobody reads yet, at 48 MB: then each comes whole."""
-    with behind(tmp_path, memory_mb=48) as (n, backend):
-        clients: list[Peer] = []
-        threads: list[threading.Thread] = []
-        for i in range(8):
-            client = n.connect()
-            client.send(request(rid=f"long{i}", timeout=2000))
-            peer = accept(backend)
-            peer.message()
-            while not client.buffer:
-                if not threads or len(threads) == i:
-                    threads.append(sending(peer, answer(LONG * 3)))
-                assert client.more()
-            clients.append(client)
-        small = n.connect()
-        small.send(request(rid="small"))
-        peer = accept(backend)
-        peer.message()
-        peer.send(answer(b"served"))
-        assert small.message()[2] == b"served"
-        assert n.resident_mb() < 48
-        for client in clients:
-            assert client.message()[2] == LONG * 3
-        for thread in threads:
-            thread.join()
-
-
-# ---- decisions ----------------------------------------------------------------
-
-
-def test_attempts_that_only_move_bytes_leave_slots_to_others_within_a_bound() -> None:
-    balancer, host = build(count=1)
-    balancer.on_request(0, 1, 0, 900 * MS)
-    cap = balancer.endpoints[100].cap
-    for rid in range(2, 60):
-        balancer.on_response_started(rid, rid - 1, 0, 5 * MS)
-        balancer.on_request(rid, rid, 0, 900 * MS)
-    assert len(host.named("send")) == cap + MAX_TRANSFERRING
-    balancer.on_outcome(100, 1, 0, Outcome.OK, SECOND, True)
-    assert (
-        balancer.endpoints[100].transferring
-        == balancer.state.transferring
-        == MAX_TRANSFERRING + cap - 1
-    )
-
-
-def test_a_long_answer_teaches_the_time_of_its_first_bytes() -> None:
-    one, _ = build(count=1)
-    two, _ = build(count=1)
-    for balancer, elapsed in ((one, 9 * SECOND), (two, 5 * MS)):
-        balancer.on_request(0, 1, 0, 900 * MS)
-        if balancer is one:
-            balancer.on_response_started(5 * MS, 1, 0, 5 * MS)
-        balancer.on_outcome(elapsed, 1, 0, Outcome.OK, elapsed, True)
-    assert one.classes[0].latency == two.classes[0].latency
-
-
-def test_what_was_spent_is_never_sent_again_and_refused_only_if_it_never_ran() -> None:
-    for outcome, said in ((Outcome.CONNECT_FAILED, "refuse"), (Outcome.RESET, "fail")):
-        balancer, host = build()
-        balancer.on_request(0, 1, 1, 900 * MS)
-        balancer.on_body_started(1, 1, 0)
-        balancer.on_outcome(2, 1, 0, outcome, 1, False)
-        assert len(host.named("send")) == 1
-        assert host.named(said) == [(said, 1)]
-        assert balancer.state.transferring == 0
-
-
-def test_an_upload_is_no_silence_of_its_server() -> None:
-    balancer, host = build(count=1)
-    balancer.on_request(0, 1, 1, 900 * MS)
-    balancer.on_body_started(1, 1, 0)
-    balancer.on_request(20 * SECOND, 2, 0, 900 * MS)
-    assert len(host.named("send")) == 2
-    balancer.on_body_sent(20 * SECOND, 1, 0)
-    assert balancer.state.transferring == 0
-    assert balancer.endpoints[100].silent_since == 20 * SECOND
+    clients: list[Peer] = []
+    threads: list[threading.Thread] = []
+    for i in range(8):
+        client = proxied.connect()
+        peer = proxied.forward(client, request(rid=f"long{i}", timeout=2000))
+        while not client.buffer:
+            if not threads or len(threads) == i:
+                threads.append(sending(peer, answer(LONG * 3)))
+            assert client.more()
+        clients.append(client)
+    small = proxied.connect()
+    peer = proxied.forward(small, request(rid="small"))
+    peer.send(answer(b"served"))
+    assert small.message()[2] == b"served"
+    assert proxied.running.resident_mb() < 48
+    for client in clients:
+        assert client.message()[2] == LONG * 3
+    for thread in threads:
+        thread.join()
