--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -3,6 +3,9 @@
 One poll is pending for each region. It is answered with an update, with a pause, or with a redirect
 to another machine; where a machine does not answer, the next one is polled. `Holder` decides what
 is applied.
+
+Its hosts are the scale benchmark's nodes; no process of this package has one. A proxy polls the
+plain list of a bound listener instead (`bound_list`).
 """
 
 from __future__ import annotations
--- a/loadbalancer/core/gossip/failure_detector.py
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -176,17 +176,16 @@
             dead = [node for node in members.peers if not members.is_alive(node)]
             if dead:
                 return self._random.choice(dead)
-        for _ in range(len(members.peers) + 1):
-            if not self._ring:
-                self._ring = members.alive_peers()
-                self._random.shuffle(self._ring)
-                if not self._ring:
-                    peers = list(members.peers)
-                    return self._random.choice(peers) if peers else None
+        while self._ring:
             node = self._ring.pop()
             if members.is_alive(node):
                 return node
-        return None
+        self._ring = members.alive_peers()
+        self._random.shuffle(self._ring)
+        if self._ring:
+            return self._ring.pop()
+        peers = list(members.peers)
+        return self._random.choice(peers) if peers else None
 
     def _next_serial(self) -> int:
         self._serial += 1
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -17,6 +17,8 @@
 current services, and the others completely. A delta does not cover services that were not current
 in the poll, so the host passes the answer on together with the subscription that it answers: a
 service that has become current meanwhile must be sent completely again.
+
+Its hosts are the simulation's and the scale benchmark's nodes; no process of this package has one.
 """
 
 from __future__ import annotations
