--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -259,10 +259,6 @@
         """Never called: there are no requests."""
         _unexpected("cancel", request, attempt)
 
-    def probe(self, backend: int) -> None:
-        """Never called: only proxies reach the servers."""
-        _unexpected("probe", backend)
-
     def set_timer(self, token: int, due: int) -> None:
         """Call the Balancer's timer at `due`, monotonic nanoseconds."""
         delay_s = max(due - time.monotonic_ns(), 0) / SECOND
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -219,9 +219,6 @@
     def set_timer(self, token: int, due: int) -> None:
         """Report `on_timer` with this Timer at `due`."""
 
-    def probe(self, backend: int) -> None:
-        """Probe an endpoint."""
-
     def watch(self) -> None:
         """Poll the endpoint list."""
 
--- a/loadbalancer/simulator/actions.py
+++ b/loadbalancer/simulator/actions.py
@@ -13,7 +13,6 @@
 _FAIL = struct.Struct(">BII").pack
 _CANCEL = struct.Struct(">BIIH").pack
 _SET_TIMER = struct.Struct(">BIQQ").pack
-_PROBE = struct.Struct(">BII").pack
 _TEXT = struct.Struct(">BIH").pack
 _WATCH = struct.Struct(">BIB").pack
 
@@ -21,15 +20,8 @@
 SEND, REJECT, FAIL, CANCEL = (
     int(code) for code in (ActionCode.SEND, ActionCode.REJECT, ActionCode.FAIL, ActionCode.CANCEL)
 )
-SET_TIMER, PROBE, LOG, FAULT, WATCH = (
-    int(code)
-    for code in (
-        ActionCode.SET_TIMER,
-        ActionCode.PROBE,
-        ActionCode.LOG,
-        ActionCode.FAULT,
-        ActionCode.WATCH,
-    )
+SET_TIMER, LOG, FAULT, WATCH = (
+    int(code) for code in (ActionCode.SET_TIMER, ActionCode.LOG, ActionCode.FAULT, ActionCode.WATCH)
 )
 
 
@@ -62,10 +54,6 @@
         """Set a timer for a time in nanoseconds."""
         self._reply.append(_SET_TIMER(SET_TIMER, self._instance, token, due))
 
-    def probe(self, backend: int) -> None:
-        """Probe a backend."""
-        self._reply.append(_PROBE(PROBE, self._instance, backend))
-
     def watch(self) -> None:
         """Watch the endpoint list."""
         self._reply.append(_WATCH(WATCH, self._instance, 1))
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -192,14 +192,15 @@
                 _report_fault(instance.actions, err)
         return end + wire_format.FLOAT_BYTES * int(figures)
 
-    def _on_probe_outcome(self, now: int, body: bytes, at: int) -> int:
+    def _on_probe_outcome(self, _now: int, body: bytes, at: int) -> int:
+        """Skip a health check's outcome: the decisions request none."""
         layout = wire_format.PROBE_OUTCOME
-        _, number, backend, duration, code, figures = layout.unpack_from(body, at)
+        _, _number, _backend, _duration, code, figures = layout.unpack_from(body, at)
         _check_outcome(code)
-        end = at + layout.size
-        load = struct.unpack_from(f">{figures}f", body, end)
-        self._call(number, Balancer.on_probe, now, backend, code, duration, load)
-        return end + wire_format.FLOAT_BYTES * int(figures)
+        end: int = at + layout.size + wire_format.FLOAT_BYTES * figures
+        if end > len(body):
+            raise WireError("a record is cut short")
+        return end
 
     def _on_peer_message(self, _now: int, body: bytes, at: int) -> int:
         """Skip a message of another instance: none is sent on the simulator."""
--- a/loadbalancer/simulator/wire_format.py
+++ b/loadbalancer/simulator/wire_format.py
@@ -33,14 +33,13 @@
 
 
 class ActionCode(IntEnum):
-    """Records that are sent to it."""
+    """Records that are sent to it; of the interface's others the decisions call for none."""
 
     SEND = 16  # SUBMIT_TO
     REJECT = 17  # TURN_AWAY
     FAIL = 18  # DROP_REQUEST
     CANCEL = 19  # WITHDRAW
     SET_TIMER = 20  # SCHEDULE
-    PROBE = 21  # HEALTH_CHECK
     LOG = 24  # EMIT
     FAULT = 25  # BUG
     WATCH = 26  # WATCH
--- a/tests/recording_host.py
+++ b/tests/recording_host.py
@@ -29,9 +29,6 @@
     def set_timer(self, token: int, due: int) -> None:
         self.calls.append(("timer", token, due))
 
-    def probe(self, backend: int) -> None:
-        self.calls.append(("probe", backend))
-
     def watch(self) -> None:
         self.calls.append(("watch",))
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -44,6 +44,7 @@
 )
 OK = bytes.fromhex("16 00000003 5d3a91c4 03124a07 01 0000 00000000011a49a0 01 00")
 STOP = bytes.fromhex("13 00000003")
+PROBED = bytes.fromhex("19 00000003 2c9011f2 0000000000155cc0 01 00")
 
 
 def frame(*records: bytes, seq: int = 1, now: int = 8_411_168_656) -> bytes:
@@ -98,10 +99,10 @@
     left = bytes.fromhex("14 00000003 0e6f2b19")
     timer = bytes.fromhex("10 00000003 000000000000004d")
     stranger = bytes.fromhex("10 00000009 000000000000004d")
-    probed = bytes.fromhex("19 00000003 2c9011f2 0000000000155cc0 01 00")
+    reporting = PROBED[:-1] + b"\2" + bytes(8)
     note = bytes.fromhex("1a 00000003 00000002 0004 68692037")
     started = bytes.fromhex("15 00000003 5d3a91c4 0000 03124a07 00000000008d24d0")
-    every = (OK, left, timer, stranger, probed, note, started)
+    every = (OK, left, timer, stranger, PROBED, reporting, note, started)
     assert records(replies(frame(hello(), catalog(1), MEMBERS) + frame(*every, seq=2))[1]) == []
 
 
@@ -116,6 +117,8 @@
         frame(hello(settings={"classes": []})),
         frame(hello(settings=[1])),
         frame(catalog(1)[:-3]),
+        frame(PROBED[:-1] + b"\3"),  # figures that are not there
+        frame(PROBED[:-2] + b"\0\0"),  # no outcome has this code
     ],
 )
 def test_malformed_input_is_named(data: bytes) -> None:
