--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -171,8 +171,16 @@
     for request_class in settings.classes:
         if request_class.repeat_window < 0:
             raise ValueError(f"class {request_class.name!r}: repeat_window must not be under 0")
-    for key in ("ask_within", "drain_grace", "cold", "fall", "answer_slack", "connect_timeout"):
-        if getattr(settings, "poll_within" if key == "ask_within" else key) < 0:
+    spans_ns = {
+        "ask_within": settings.poll_within,
+        "drain_grace": settings.drain_grace,
+        "cold": settings.cold,
+        "fall": settings.fall,
+        "answer_slack": settings.answer_slack,
+        "connect_timeout": settings.connect_timeout,
+    }
+    for key, span in spans_ns.items():
+        if span < 0:
             raise ValueError(f"{key} must not be under 0")
 
 
--- a/loadbalancer/core/balancing/final_answer.py
+++ b/loadbalancer/core/balancing/final_answer.py
@@ -42,7 +42,7 @@
     if request.effect == Effect.PURE:
         return True
     if request.in_flight:
-        return False
+        return False  # that attempt may execute yet: the client's next try would be the second
     executed = request.first_executed
     if executed is None:
         return True
