--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -11,9 +11,13 @@
 from typing import Any
 
 from loadbalancer.config.address import Address, parse_address
-from loadbalancer.config.settings import SettingsError, settings_from_json, without_nulls
+from loadbalancer.config.settings import (
+    NodeSettings,
+    SettingsError,
+    settings_from_json,
+    without_nulls,
+)
 from loadbalancer.config.value_types import check_types
-from loadbalancer.core import Settings
 from loadbalancer.core.errors import ConfigurationError
 
 DEFAULT_MEMORY_MB = 128
@@ -43,7 +47,7 @@
     memory_mb: int
     sockets: int
     known: dict[str, Any]
-    settings: Settings
+    settings: NodeSettings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     idle_close: int
@@ -156,7 +160,7 @@
             _collect_keys(f"{prefix}{key}.", inner, found)
 
 
-def _check(settings: Settings) -> None:
+def _check(settings: NodeSettings) -> None:
     """Refuse what would make a node of no use, or break a rule: ValueError names the key."""
     if settings.max_attempts < 1:
         raise ValueError("limits.max_attempts must be over 0")
@@ -167,8 +171,16 @@
     for request_class in settings.classes:
         if request_class.repeat_window < 0:
             raise ValueError(f"class {request_class.name!r}: repeat_window must not be under 0")
-    for key in ("ask_within", "drain_grace", "cold", "fall", "answer_slack", "connect_timeout"):
-        if getattr(settings, "poll_within" if key == "ask_within" else key) < 0:
+    spans_ns = {
+        "ask_within": settings.poll_within,
+        "drain_grace": settings.drain_grace,
+        "cold": settings.cold,
+        "fall": settings.fall,
+        "answer_slack": settings.answer_slack,
+        "connect_timeout": settings.connect_timeout,
+    }
+    for key, span in spans_ns.items():
+        if span < 0:
             raise ValueError(f"{key} must not be under 0")
 
 
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -44,7 +44,7 @@
 
 
 def silence_limit(state: BalancerState) -> float:
-    """How long an endpoint with requests in flight may be silent."""
+    """How long an endpoint with requests in flight may be silent, in nanoseconds."""
     return SILENCE_LATENCIES * max(c.latency for c in state.classes)
 
 
@@ -123,12 +123,18 @@
     failures = endpoint.consecutive_failures
     silent = failures >= MAX_SILENT_FAILURES and now - endpoint.silent_since >= duration
     if silent or (lost and failures >= MAX_LOST_FAILURES):
-        eject(state, now, endpoint, lost, outcome == CONNECT_FAILED)
+        eject(state, now, endpoint, lost=lost, restarted=outcome == CONNECT_FAILED)
     elif lost:
         # A short back-off after random failures; it grows where all connections fail.
         back_off(state, now, request_class, endpoint, failures - 1)
 
 
+def mark_unresponsive(state: BalancerState, endpoint: Endpoint) -> None:
+    """Take an endpoint that does not answer out of rotation, until it does or is probed."""
+    endpoint.unresponsive = True
+    rotation.update(state, endpoint)
+
+
 def answered(now: int, endpoint: Endpoint) -> None:
     """Any answer, also a bad one, shows that an endpoint is alive."""
     endpoint.last_seen = endpoint.silent_since = now
@@ -201,7 +207,7 @@
     bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
     endpoint.latency_ratio += REPORT_GAIN * (bounded - endpoint.latency_ratio)
     if failing:
-        eject(state, now, endpoint, True, False)
+        eject(state, now, endpoint, lost=True, restarted=False)
 
 
 def on_peer_report(
@@ -220,7 +226,7 @@
     if reported == ReportedState.FULL:
         back_off(state, now, state.classes[0], endpoint, 1)
     elif reported == ReportedState.SILENT:
-        eject(state, now, endpoint, True, restarted)
+        eject(state, now, endpoint, lost=True, restarted=restarted)
         if endpoint.ejected_until and not endpoint.consecutive_failures:
             # The nodes whose attempts failed probe it for all: here it stays ejected until they
             # report.
