--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -40,16 +40,18 @@
 from loadbalancer.config.node import Config, ConfigError, load, reload  # noqa: E402
 from loadbalancer.core.balancing.model import SECOND  # noqa: E402
 from loadbalancer.errors import RoutesError, SourceError  # noqa: E402
+from loadbalancer.proxy import reload as configuration  # noqa: E402
 from loadbalancer.proxy.admin import Admin, Reply, Route  # noqa: E402
 from loadbalancer.proxy.downstream.connection import SWEEP_S  # noqa: E402
 from loadbalancer.proxy.downstream.listener import Listener  # noqa: E402
-from loadbalancer.proxy.host import LOG_LINES, Node  # noqa: E402
+from loadbalancer.proxy.host import Node  # noqa: E402
 from loadbalancer.proxy.lifecycle import TICK, Service  # noqa: E402
 from loadbalancer.sources.endpoint_list import ListError  # noqa: E402
 
 if TYPE_CHECKING:
     from loadbalancer.upgrade.handover import Predecessor, Successor
 
+LOG_LINES = 20  # a second
 # For the port, where a process holds it that neither hands it over nor shares it.
 SHARE_S = 15.0
 SHARE_EVERY_S = 0.05
@@ -67,9 +69,8 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
-        self.node = Node(config, loop)
+        self.node = Node(config, loop, self.listed)
         self.service = Service()
-        self.node.usable = self.listed
         self.listener = Listener(self.node, self.service)
         self.ended = loop.create_future()
         self.give_up_at = 0.0
@@ -106,7 +107,7 @@
         """Listen, taking over from a running process where there is one; returns the port."""
         admin = self.config.admin
         if admin is None:
-            self.node.route(self.config.routes)
+            configuration.apply_routes(self.node, self.config.routes)
             self.node.start()
             return self.listener.listen(self.config.listen)
         # Here and not above: without a second address the node is as small as ever.
@@ -116,7 +117,7 @@
         await successor.find()
         self.answer_calls(admin)
         left = await successor.meet()
-        self.node.route(self.config.routes)
+        configuration.apply_routes(self.node, self.config.routes)
         self.node.start(left)
         if left is not None and left.standby:
             self.set_standby(True)
@@ -149,7 +150,7 @@
             self.pass_on({"reload": True})
         try:
             config = reload(os.environ, self.config)
-            self.node.take_over(config)
+            configuration.apply_configuration(self.node, config)
         except (ConfigError, RoutesError) as err:
             self.node.log(f"reload: {err}; going on as before")
             return
@@ -238,7 +239,7 @@
         self.node.log("stopping")
         if self.node.peers is not None:
             self.node.peers.close(leaving=not self.service.relieved)
-        self.node.tell_routes()
+        configuration.log_route_counters(self.node)
         longest = max(c.spec.deadline for c in self.node.balancer.classes) / 1e9
         self.give_up_at = self.loop.time() + longest + KILL_S - LAST_CALL_S
         self.loop.call_later(ACCEPT_S, self.close)
--- /dev/null
+++ b/loadbalancer/proxy/attempts.py
@@ -0,0 +1,192 @@
+"""Attempts as a host makes them: sent, given up, and how their long messages get on."""
+
+from __future__ import annotations
+
+import logging
+import time
+from abc import ABC
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from loadbalancer.core import Outcome
+from loadbalancer.core.balancing.model import MS
+from loadbalancer.proxy.balancer_events import BalancerEvents
+from loadbalancer.proxy.exchange import Attempt, Request
+
+if TYPE_CHECKING:
+    from loadbalancer.proxy.upstream.pool import ConnectionPool
+
+logger = logging.getLogger(__name__)
+
+# A request that is older than this is sent only if its client still has its side open.
+HALF_CLOSE_CHECK_AGE_NS = 50 * MS
+# A connection that is not established after this fraction of the connect timeout counts
+# against its backend where its attempt times out first.
+CONNECT_TIMEOUT_FRACTION = 4
+# So long after its deadline a request that the Balancer has given no answer is failed.
+BACKSTOP_NS = 10 * MS
+
+
+class AttemptHost(BalancerEvents, ABC):
+    """Makes the attempts that the Balancer asks for."""
+
+    upstream: ConnectionPool
+
+    # ---- actions of the Balancer -----------------------------------------
+
+    def send(self, request: int, backend: int, timeout: int) -> None:
+        """Send a request's next attempt; `timeout` in nanoseconds, 0 for the request's own."""
+        open_request = self.requests.get(request)
+        if open_request is None:
+            logger.info("send for request %d, which is not open", request)
+            return
+        now = self.now
+        attempt = Attempt(open_request, len(open_request.attempts), backend, now)
+        open_request.attempts.append(attempt)
+        open_request.open_attempts += 1
+        remaining = open_request.deadline - now
+        limit = min(timeout, remaining) if timeout else remaining
+        if now - open_request.arrived > HALF_CLOSE_CHECK_AGE_NS or attempt.number:
+            self._check_half_closed(open_request)
+        if (
+            open_request.ended
+            or open_request.half_closed
+            or remaining <= 0
+            or len(open_request.attempts) > open_request.max_attempts
+        ):
+            self.conclude(attempt, Outcome.MOOT)
+        elif limit <= 0:
+            self.conclude(attempt, Outcome.TIMEOUT)
+        else:
+            attempt.limit = limit
+            self._timers.add(now + limit, attempt)
+            self.upstream.send(attempt)
+
+    def cancel(self, request: int, attempt: int) -> None:
+        """Cancel an attempt; nothing where it is settled or not known."""
+        open_request = self.requests.get(request)
+        if open_request is not None and 0 <= attempt < len(open_request.attempts):
+            self.give_up(open_request.attempts[attempt], Outcome.CANCELLED)
+
+    def probe(self, backend: int) -> None:
+        """Check a backend's health."""
+        now = self.now
+        attempt = Attempt(None, 0, backend, now)
+        attempt.limit = 2 * self.config.settings.connect_timeout
+        self._timers.add(now + attempt.limit, attempt)
+        self.upstream.send(attempt)
+
+    # ---- before the first byte -------------------------------------------
+
+    def may_begin(self, attempt: Attempt) -> bool:
+        """Whether an attempt may write its first byte, now that its connection is established.
+
+        Failure: while it connected, its client has left or the Balancer has given it up. A
+        backend would run a request that nobody waits for, or run it a second time.
+        """
+        request = attempt.request
+        if request is None:
+            return True
+        self._check_half_closed(request)
+        if request.half_closed:
+            return False
+        return self.balancer.may_begin(time.monotonic_ns(), request.id, attempt.number)
+
+    def _check_half_closed(self, request: Request) -> None:
+        """Learn whether a request's client has ended its sending.
+
+        The client's socket is asked: the event loop may have the end still to report.
+        """
+        if not request.half_closed and request.client is not None:
+            request.half_closed = request.client.has_half_closed()
+
+    # ---- giving up ---------------------------------------------------------
+
+    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Close an attempt's connection and settle it, unless it is settled.
+
+        Where the request's last byte never left this process the attempt has not been
+        executed, whatever `outcome` says. Everywhere else it may have been.
+        """
+        if attempt.closed:
+            return
+        connection = attempt.connection
+        if connection is not None and not connection.abandon():
+            outcome = self._outcome_unwritten(attempt, outcome)
+        self.conclude(attempt, outcome)
+
+    def _outcome_unwritten(self, attempt: Attempt, outcome: Outcome) -> Outcome:
+        """The outcome of an attempt that is given up with its request not written.
+
+        Failure: a machine that has vanished never answers a connect. Where attempts time
+        out before the connect does, nothing else shows that the backend is gone. A short
+        wait may be this process's own lateness, and does not count against the backend.
+        """
+        waited = self.now - attempt.sent
+        is_long = waited * CONNECT_TIMEOUT_FRACTION >= self.config.settings.connect_timeout
+        return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and is_long else Outcome.MOOT
+
+    def give_up_unwritten(self, request: Request) -> None:
+        """Give up those of a request's attempts that no backend can have begun."""
+        for attempt in list(request.attempts):
+            if self.is_unwritten(attempt):
+                self.give_up(attempt, Outcome.CANCELLED)
+
+    def is_unwritten(self, attempt: Attempt) -> bool:
+        """Whether an attempt's request has a short body that has not been written to its end.
+
+        A long body is never counted as unwritten here, whatever of it has left.
+        """
+        request = attempt.request
+        if attempt.closed or request is None or request.flow is not None:
+            return False
+        return attempt.connection is None or not attempt.connection.request_written
+
+    def withdraw(self, backends: Sequence[int]) -> None:
+        """Give up what waits for a connection to these backends to be established."""
+        for attempt in self.upstream.connecting(backends):
+            self.give_up(attempt, Outcome.CANCELLED)
+
+    # ---- long messages -------------------------------------------------------
+
+    def uploading(self, attempt: Attempt) -> None:
+        """The first bytes of a long body are about to be written: it can't be sent again."""
+        assert attempt.request is not None
+        self.moves(self.balancer.on_body_started, attempt.request.id, attempt.number)
+
+    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
+        """A long body has been read from its client to the end, or written to a backend.
+
+        Until the first, neither the request's timeout nor its attempts' run: the time is
+        the client's. Until the second it is the backend's that takes the bytes slowly.
+
+        Args:
+            request: the body's request.
+            attempt: the attempt that has written it; None where it has been read.
+        """
+        now = time.monotonic_ns()
+        if attempt is None:
+            self._restart_deadline(request, now)
+            return
+        attempt.limit = max(request.deadline - now, 0)
+        attempt.sent = now
+        self._timers.add(request.deadline, attempt)
+        self.moves(self.balancer.on_body_sent, request.id, attempt.number)
+
+    def _restart_deadline(self, request: Request, now: int) -> None:
+        request.deadline = now + request.timeout
+        self._timers.add(request.deadline + BACKSTOP_NS, request)
+        for attempt in request.attempts:
+            if not attempt.closed:
+                attempt.limit = request.deadline - attempt.sent
+                self._timers.add(request.deadline, attempt)
+        self._timers.arm()
+
+    def started(self, attempt: Attempt) -> None:
+        """A long response has begun to go to the client: with that its timeout is over."""
+        request = attempt.request
+        assert request is not None
+        request.started = True
+        self.labels.discard(request.label)
+        duration = time.monotonic_ns() - attempt.sent
+        self.moves(self.balancer.on_response_started, request.id, attempt.number, duration)
--- /dev/null
+++ b/loadbalancer/proxy/balancer_events.py
@@ -0,0 +1,149 @@
+"""How events reach a host's Balancer, and the one outcome of each attempt.
+
+A Balancer calls its host's actions while it handles an event, and an action may settle an
+attempt at once, as where no connection can be opened. The Balancer must not be called
+again from within: an outcome is queued, and reported once the event's call has returned.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+import traceback
+from abc import ABC, abstractmethod
+from collections import deque
+from collections.abc import Callable, Sequence
+from typing import TYPE_CHECKING, Any
+
+from loadbalancer.core import Outcome
+from loadbalancer.proxy.flow_control import BufferBudget
+from loadbalancer.proxy.open_requests import BAD_GATEWAY, OpenRequests
+from loadbalancer.proxy.timers import TimerHeap
+
+if TYPE_CHECKING:
+    from loadbalancer.config.node import Config
+    from loadbalancer.core import Balancer
+    from loadbalancer.proxy.exchange import Attempt
+
+logger = logging.getLogger(__name__)
+
+OK = Outcome.OK
+
+
+class BalancerEvents(OpenRequests, ABC):
+    """Brackets each event: `enter`, one call of the Balancer, `leave`.
+
+    A fault of the Balancer's is logged and ends neither the process nor the event's
+    bracket. `now` is the time of the event under way, in monotonic nanoseconds.
+    """
+
+    balancer: Balancer
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(BufferBudget(config.memory_mb))
+        self.config = config
+        self.loop = loop
+        self.now = time.monotonic_ns()
+        self.inside = False  # an event is under way
+        # Attempt, outcome, duration and the backend's load; not reported yet.
+        self._outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
+        self._timers = TimerHeap(loop, self._on_timers_due)
+
+    @abstractmethod
+    def _on_timers_due(self) -> None:
+        """The earliest timer is due."""
+
+    # ---- the bracket of an event -----------------------------------------
+
+    def enter(self) -> int:
+        """Begin an event; returns its time."""
+        self.inside = True
+        self.now = now = time.monotonic_ns()
+        return now
+
+    def leave(self) -> None:
+        """End an event: report the outcomes that it caused, then arm the timer."""
+        if self._outcomes:
+            self._report_outcomes()
+        self.inside = False
+        self._timers.arm()
+
+    def moves(self, event: Callable[..., None], *args: Any) -> None:
+        """Call an event of the Balancer, in a bracket of its own or within the present one."""
+        inside = self.inside
+        now = self.now if inside else self.enter()
+        try:
+            event(now, *args)
+        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+            self._log_fault()
+        if not inside:
+            self.leave()
+
+    def _log_fault(self) -> None:
+        logger.info("the decision module raised: %s", traceback.format_exc(limit=-4))
+
+    # ---- outcomes ----------------------------------------------------------
+
+    def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
+        """Settle an attempt, unless it is settled: the first outcome counts.
+
+        Args:
+            attempt: the attempt; its connection is the caller's to close or to use again.
+            outcome: how it ended.
+            load: the backend's report of its load, by the settings' columns.
+        """
+        if attempt.closed:
+            return
+        attempt.closed = True
+        attempt.connection = None
+        inside = self.inside
+        now = self.now if inside else self.enter()
+        request = attempt.request
+        if request is not None and (outcome == OK or request.started) and not request.ended:
+            self.end(request)
+        self._outcomes.append((attempt, outcome, now - attempt.sent, load))
+        if not inside:
+            self.leave()
+
+    def _report_outcomes(self) -> None:
+        """Report the queued outcomes, and those that reporting them causes."""
+        outcomes = self._outcomes
+        while outcomes:
+            self._report_outcome(*outcomes.popleft())
+
+    def _report_outcome(
+        self, attempt: Attempt, outcome: Outcome, duration: int, load: Sequence[float]
+    ) -> None:
+        request = attempt.request
+        if request is None:
+            self._report_probe(attempt, outcome, duration, load)
+            return
+        try:
+            request.open_attempts -= 1
+            if request.half_closed:
+                self.balancer.on_client_half_closed(self.now, request.id)
+            self.balancer.on_outcome(
+                self.now,
+                request.id,
+                attempt.number,
+                outcome,
+                duration,
+                request.ended,
+                load,
+                attempt.connected,
+            )
+        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+            self._log_fault()
+            # 502 and no rejection: an attempt may have been executed.
+            if not request.open_attempts:
+                self.finish(request, BAD_GATEWAY)
+        self.forget(request)
+
+    def _report_probe(
+        self, attempt: Attempt, outcome: Outcome, duration: int, load: Sequence[float]
+    ) -> None:
+        try:
+            self.balancer.on_probe(self.now, attempt.backend, outcome, duration, load)
+        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+            self._log_fault()
--- /dev/null
+++ b/loadbalancer/proxy/client_events.py
@@ -0,0 +1,110 @@
+"""What connections to clients report to a host: new requests, and clients that leave."""
+
+from __future__ import annotations
+
+import asyncio
+from abc import ABC
+from typing import TYPE_CHECKING
+
+from loadbalancer.core import Outcome
+from loadbalancer.proxy.attempts import BACKSTOP_NS, AttemptHost
+from loadbalancer.proxy.exchange import Request
+from loadbalancer.proxy.open_requests import BAD_GATEWAY
+
+if TYPE_CHECKING:
+    from loadbalancer.config.node import Config
+    from loadbalancer.proxy.exchange import Client, ReceivedRequest
+
+
+class ClientEvents(AttemptHost, ABC):
+    """Admits requests, and ends them where their clients leave."""
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(config, loop)
+        self._last_id = 0
+
+    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
+        """Admit a client's request; None where it has to come again.
+
+        That is where as many are open as the configuration allows, and where new settings
+        have removed its class while it was read.
+
+        Args:
+            client: the connection that it came on; its answer may be given to it at once.
+            incoming: the request.
+            waited: how much of its timeout has passed since it was read, in nanoseconds.
+        """
+        if self.open_count >= self.config.max_open or incoming.cls.number < 0:
+            return None
+        now = self.enter()
+        self._last_id += 1
+        number = self._last_id
+        remaining = incoming.timeout - waited
+        max_attempts = self.config.settings.max_attempts
+        request = Request(number, client, incoming, now, remaining, max_attempts)
+        self.requests[number] = request
+        self.open_count += 1
+        self.labels.add(request.label)
+        self._timers.add(request.deadline + BACKSTOP_NS, request)
+        try:
+            self.balancer.on_request(
+                now,
+                number,
+                incoming.cls.number,
+                remaining,
+                incoming.tenant,
+                incoming.key,
+                incoming.hint,
+                incoming.retried,
+                incoming.policy,
+            )
+        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+            self._log_fault()
+            if not request.open_attempts:
+                self.finish(request, BAD_GATEWAY)
+        self.leave()
+        return request
+
+    def client_gone(self, request: Request) -> None:
+        """A request's client has disconnected: it is owed no answer.
+
+        Attempts that have been written go on to their outcomes. A message that is under way
+        is given up: half of a response that nobody reads, or half of a request that is never
+        completed, would hold its backend's connection.
+        """
+        if request.ended:
+            return
+        self.enter()
+        transferring = request.started or request.receiving
+        self.end(request)
+        self.moves(self.balancer.on_client_disconnected, request.id)
+        if transferring:
+            self._give_up_all(request, Outcome.CANCELLED)
+        else:
+            self.give_up_unwritten(request)
+        self.leave()
+
+    def client_ended(self, request: Request) -> None:
+        """A request's client sends nothing more: it has closed, or waits for this answer.
+
+        Which of the two can't be told. So no attempt begins from here on: without one in
+        flight the request is rejected, and a retry is harmless as nothing was executed. What
+        a backend has already may still answer it.
+        """
+        if request.ended or request.half_closed:
+            return
+        self.enter()
+        request.half_closed = True
+        self.moves(self.balancer.on_client_half_closed, request.id)
+        self.give_up_unwritten(request)
+        self.leave()
+
+    def stalled(self, request: Request) -> None:
+        """A backend accepts no more of a long body: its attempts end, without execution."""
+        self.enter()
+        self._give_up_all(request, Outcome.TIMEOUT)
+        self.leave()
+
+    def _give_up_all(self, request: Request, outcome: Outcome) -> None:
+        for attempt in list(request.attempts):
+            self.give_up(attempt, outcome)
--- /dev/null
+++ b/loadbalancer/proxy/reload.py
@@ -0,0 +1,80 @@
+"""A replaced configuration and routes file at a running node: taken over completely or not.
+
+Open requests retain the policy that they were admitted with, and the retry budgets that it
+counts in. What is not set costs nothing: its modules are imported with the first file.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from loadbalancer.config.node import Config
+    from loadbalancer.proxy.host import Node
+
+logger = logging.getLogger(__name__)
+
+
+def apply_configuration(node: Node, config: Config) -> None:
+    """Use another configuration from now on.
+
+    Raises:
+        RoutesError: its routes file can't be used with its settings; nothing has changed.
+    """
+    if config.routes:
+        from loadbalancer.proxy.routing import Routing
+
+        # Before anything is changed: a fault of the file must not leave the settings replaced.
+        Routing.check(config.routes, config.settings)
+    changed = config.settings != node.config.settings
+    node.config = config
+    if changed:
+        now = node.enter()
+        node.balancer.on_settings(now, config.settings)
+        node.leave()
+        names = ", ".join(spec.name for spec in config.settings.classes)
+        logger.info("new settings: classes %s", names)
+    apply_routes(node, config.routes)
+
+
+def apply_routes(node: Node, path: str) -> None:
+    """Use the routes file at `path` from now on, or none where that is empty.
+
+    Raises:
+        RoutesError: the file can't be used; nothing has changed.
+    """
+    if not path:
+        node.routing = None
+        return
+    from loadbalancer.core.balancing.route_policies import RoutePolicies
+    from loadbalancer.proxy.routing import Routing
+
+    if node.routing is None:
+        node.routing = Routing(path, node.config.settings)
+    else:
+        node.routing.reload(path, node.config.settings)
+    table = node.routing.table
+    if node.policies is None:
+        now = time.monotonic_ns()
+        node.policies = RoutePolicies(node.balancer, node.config.seed, table.node_budget, now)
+        node.balancer.set_policies(node.policies)
+    else:
+        node.policies.replace(table.node_budget, table.names())
+
+
+def log_route_counters(node: Node) -> None:
+    """Log how many requests the routes refused, by reason, and what their policies sent."""
+    if node.routing is None:
+        return
+    for reason, count in sorted(node.routing.refused.items()):
+        logger.info("refused by the routes: %s %d", reason, count)
+    policies = node.policies
+    if policies is not None:
+        logger.info(
+            "by the routes' policies: %d further attempts, %d second copies, %d held back",
+            policies.retries,
+            policies.hedges,
+            policies.unpaid,
+        )
