--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -1,14 +1,16 @@
-"""The second address: one call to a connection, answered whatever the clients do.
+"""The second address: a listener that takes one call on each connection.
 
-Its sockets are its own and few. Each caller is bounded in bytes and time, and the
-oldest that has not finished its call goes when all places are taken, so a caller
-that says nothing costs nobody else. What is answered is not decided here.
+Its sockets are its own and few, and what is asked here is answered whatever the clients do.
+Each caller is bounded in bytes and time, and the oldest that has not completed its call is
+closed when all places are taken: one that sends nothing costs nobody else. What is answered
+is not decided here.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import logging
 import socket
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
@@ -18,145 +20,181 @@
 from loadbalancer.config.address import Address
 from loadbalancer.proxy.sockets import listening_socket
 
-MOST_CALLERS = 8
-MOST_BYTES = 4 << 10  # of one call, head and body
-SHORT_S = 0.1  # before the next accept, where the system is short of descriptors
-CALL_S = 2.0  # for the whole call to come, and then for the caller to leave
+logger = logging.getLogger(__name__)
+
+MAX_CALLERS = 8
+MAX_CALL_BYTES = 4 << 10  # head and body
+CALL_TIMEOUT_S = 2.0  # for the complete call to come, and then for the caller to leave
+ACCEPT_RETRY_S = 0.1  # until the next accept, where the system is short of descriptors
 BACKLOG = 64
-DESCRIPTORS = MOST_CALLERS + 2  # with the listener, and one caller on its way out
+DESCRIPTORS = MAX_CALLERS + 2  # with the listener, and one caller that is being closed
+
+OK = 200
+BAD_REQUEST = 400
+NOT_FOUND = 404
+METHOD_NOT_ALLOWED = 405
+REQUEST_TIMEOUT = 408
+CONFLICT = 409
+CONTENT_TOO_LARGE = 413
+SERVICE_UNAVAILABLE = 503
 
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 503: "Service Unavailable",
-}  # fmt: skip
+    OK: "OK",
+    BAD_REQUEST: "Bad Request",
+    NOT_FOUND: "Not Found",
+    METHOD_NOT_ALLOWED: "Method Not Allowed",
+    REQUEST_TIMEOUT: "Request Timeout",
+    CONFLICT: "Conflict",
+    CONTENT_TOO_LARGE: "Content Too Large",
+    SERVICE_UNAVAILABLE: "Service Unavailable",
+}
 
 
 class Reply(NamedTuple):
-    """A status and one line that says why."""
+    """A status, one line that says why, and with METHOD_NOT_ALLOWED the method to use."""
 
     status: int
     text: str
+    allow: str = ""
 
 
 class Route(NamedTuple):
+    """The one method of a path, and what answers it."""
+
     method: str
     answer: Callable[[], Reply]
 
 
 class Admin:
-    """The listener of the second address and its callers, oldest first."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        routes: Mapping[str, Route],
-        log: Callable[[str], None],
-    ) -> None:
+    """The listener of the second address, and its callers from the oldest to the latest.
+
+    Args:
+        loop: the event loop of the process.
+        routes: the calls that there are, by their paths.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, routes: Mapping[str, Route]) -> None:
         self.loop = loop
         self.routes = routes
-        self.log = log
         self.callers: dict[Caller, None] = {}
         self._sock: socket.socket | None = None
 
     def listen(self, address: Address) -> int:
-        """Take calls at this address; returns the port. OSError where it can't be had."""
+        """Accept calls at this address; returns the port. OSError where it can't be bound."""
         sock = listening_socket(address, BACKLOG)
         self._sock = sock
         self.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
     def _accept(self) -> None:
-        for _ in range(MOST_CALLERS):
-            assert self._sock is not None
+        assert self._sock is not None
+        for _ in range(MAX_CALLERS):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
                 return
             except OSError as err:
-                # The system is short of something, and would say so again at once.
-                self.log(f"second address: accept: {err}")
-                self.loop.remove_reader(self._sock)
-                self.loop.call_later(SHORT_S, self.loop.add_reader, self._sock, self._accept)
+                self._pause_accepting(err)
                 return
-            if len(self.callers) >= MOST_CALLERS:
+            if len(self.callers) >= MAX_CALLERS:
                 next(iter(self.callers)).close()
             sock.setblocking(False)
             self.callers[Caller(self, sock)] = None
 
-    def reply(self, method: str, url: bytes) -> tuple[Reply, str]:
-        """What a call is answered, and the method to allow where it was the wrong one."""
+    def _pause_accepting(self, err: OSError) -> None:
+        """Accept again a moment later.
+
+        Failure: the system is short of descriptors, and the socket stays readable. The loop
+        would try again in each of its turns, with a line of the log for each.
+        """
+        assert self._sock is not None
+        logger.info("second address: accept: %s", err)
+        self.loop.remove_reader(self._sock)
+        self.loop.call_later(ACCEPT_RETRY_S, self.loop.add_reader, self._sock, self._accept)
+
+    def reply(self, method: str, url: bytes) -> Reply:
+        """The answer to a call."""
         path = url.partition(b"?")[0].decode("latin-1")
         route = self.routes.get(path)
         if route is None:
-            return Reply(404, f"no such call; there are {', '.join(self.routes)}"), ""
+            return Reply(NOT_FOUND, f"no such call; there are {', '.join(self.routes)}")
         if route.method != method:
-            return Reply(405, f"{path} takes {route.method}"), route.method
-        return route.answer(), ""
+            return Reply(METHOD_NOT_ALLOWED, f"{path} takes {route.method}", route.method)
+        return route.answer()
 
 
 class Caller:
-    """One connection on the second address."""
+    """One connection on the second address; `on_...` are callbacks of its parser."""
 
-    __slots__ = ("_admin", "_done", "_parser", "_size", "_sock", "_timer", "_url")
+    __slots__ = ("_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_url")
 
     def __init__(self, admin: Admin, sock: socket.socket) -> None:
         self._admin = admin
         self._sock = sock
         self._size = 0
         self._url = b""
-        self._done = False
+        self._answered = False
         self._parser = httptools.HttpRequestParser(self)
         admin.loop.add_reader(sock, self._read)
-        self._timer = admin.loop.call_later(CALL_S, self._expired)
+        self._timer = admin.loop.call_later(CALL_TIMEOUT_S, self._on_timeout)
 
     def _read(self) -> None:
         try:
-            data = self._sock.recv(MOST_BYTES)
+            data = self._sock.recv(MAX_CALL_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
             self.close()
-            return
-        if self._done:
-            return  # what follows the one call is dropped
+        elif not self._answered:  # what follows the one call is dropped
+            self._feed(data)
+
+    def _feed(self, data: bytes) -> None:
         self._size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._answer(Reply(400, "this is no HTTP/1.1 call"))
-        if not self._done and self._size >= MOST_BYTES:
-            self._answer(Reply(413, f"a call has at most {MOST_BYTES} bytes"))
+            self._answer(Reply(BAD_REQUEST, "this is no HTTP/1.1 call"))
+        if not self._answered and self._size >= MAX_CALL_BYTES:
+            text = f"a call has at most {MAX_CALL_BYTES} bytes"
+            self._answer(Reply(CONTENT_TOO_LARGE, text))
 
     def on_url(self, url: bytes) -> None:
+        """A part of the call's target has been read."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        if not self._done:
+        """The call has been read to its end."""
+        if not self._answered:
             method = self._parser.get_method().decode("latin-1")
-            self._answer(*self._admin.reply(method, self._url))
+            self._answer(self._admin.reply(method, self._url))
 
-    def _expired(self) -> None:
-        if not self._done:
-            self._answer(Reply(408, f"a call has to come within {CALL_S:g} s"))
+    def _on_timeout(self) -> None:
+        if not self._answered:
+            text = f"a call has to come within {CALL_TIMEOUT_S:g} s"
+            self._answer(Reply(REQUEST_TIMEOUT, text))
         self.close()
 
-    def _answer(self, reply: Reply, allow: str = "") -> None:
-        """Write the answer, which any socket's buffer holds, and wait for the caller to leave:
-        a close over bytes unread would reset the connection, perhaps before it was read."""
-        self._done = True
-        body = reply.text.encode() + b"\n"
-        more = f"Allow: {allow}\r\n" if allow else ""
+    def _answer(self, reply: Reply) -> None:
+        """Write an answer, which the buffer of any socket holds; the caller closes.
+
+        Failure: a close while bytes of the call are unread resets the connection, and the
+        reset may reach the caller before it has read the answer. So only the sending ends.
+        """
+        self._answered = True
+        content = reply.text.encode() + b"\n"
+        allow = f"Allow: {reply.allow}\r\n" if reply.allow else ""
         head = (
             f"HTTP/1.1 {reply.status} {REASONS[reply.status]}\r\nContent-Type: text/plain\r\n"
-            f"Content-Length: {len(body)}\r\n{more}Connection: close\r\n\r\n"
+            f"Content-Length: {len(content)}\r\n{allow}Connection: close\r\n\r\n"
         )
         with contextlib.suppress(OSError):
-            self._sock.send(head.encode() + body)
+            self._sock.send(head.encode() + content)
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
+        """Close the connection; nothing where it is closed."""
         if self._admin.callers.pop(self, self) is None:
             self._timer.cancel()
             self._admin.loop.remove_reader(self._sock)
--- /dev/null
+++ b/loadbalancer/proxy/admin_calls.py
@@ -0,0 +1,87 @@
+"""The calls on the second address: a node's status, its drain, and its gossip."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import TYPE_CHECKING, Protocol
+
+from loadbalancer.proxy.admin import (
+    CONFLICT,
+    NOT_FOUND,
+    OK,
+    SERVICE_UNAVAILABLE,
+    Admin,
+    Reply,
+    Route,
+)
+
+if TYPE_CHECKING:
+    from loadbalancer.config.address import Address
+    from loadbalancer.proxy.host import Node
+    from loadbalancer.proxy.lifecycle import Service
+
+logger = logging.getLogger(__name__)
+
+
+class ControlledProcess(Protocol):
+    """The process that the calls are about."""
+
+    loop: asyncio.AbstractEventLoop
+    node: Node
+    service: Service
+
+    def pass_on(self, frame: dict[str, bool]) -> None:
+        """Send a frame to the other process of this node, where there is one."""
+
+    def set_standby(self, on: bool) -> None:
+        """Begin or end a drain."""
+
+
+class AdminCalls:
+    """Answers the calls. A drain that a call begins or ends is the whole node's."""
+
+    def __init__(self, process: ControlledProcess) -> None:
+        self._process = process
+
+    def listen(self, address: Address) -> None:
+        """Answer calls at this address; OSError where it can't be bound."""
+        routes = {
+            "/status": Route("GET", self.status),
+            "/standby": Route("POST", self.begin_standby),
+            "/active": Route("POST", self.end_standby),
+            "/peers": Route("GET", self.peers),
+        }
+        port = Admin(self._process.loop, routes).listen(address)
+        logger.info("calls at %s:%d", address.host, port)
+
+    def status(self) -> Reply:
+        """Whether this process serves."""
+        service = self._process.service
+        if service.can_serve:
+            return Reply(OK, "standby" if service.standby else "active")
+        if service.serving and not service.stopping:
+            return Reply(SERVICE_UNAVAILABLE, "no list of servers yet")
+        return Reply(SERVICE_UNAVAILABLE, "stopping" if service.stopping else "not serving yet")
+
+    def peers(self) -> Reply:
+        """What this node knows of the others, as JSON."""
+        peers = self._process.node.peers
+        if peers is None:
+            return Reply(NOT_FOUND, "no gossip between nodes")
+        return Reply(OK, peers.status())
+
+    def begin_standby(self) -> Reply:
+        """Send clients away; a stop does so too, and the answer is the same."""
+        self._process.pass_on({"standby": True})
+        self._process.set_standby(True)
+        return Reply(OK, "standby")
+
+    def end_standby(self) -> Reply:
+        """Take clients again, unless this process stops."""
+        self._process.pass_on({"standby": False})
+        self._process.set_standby(False)
+        service = self._process.service
+        if service.stopping and not service.relieved:
+            return Reply(CONFLICT, "stopping: this process takes no clients any more")
+        return Reply(OK, "active")
--- /dev/null
+++ b/loadbalancer/proxy/process.py
@@ -0,0 +1,221 @@
+"""One node as a process: its start, its signals, and its end.
+
+A node with a second address may have two processes for a while, the older of which hands
+over to the newer one (`upgrade.handover`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import errno
+import gc
+import logging
+import os
+import sys
+import time
+from typing import TYPE_CHECKING
+
+import uvloop
+
+from loadbalancer import early_signals, logs
+from loadbalancer.config.node import Config, ConfigError, load, reload
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.errors import RoutesError, SourceError
+from loadbalancer.proxy.admin_calls import AdminCalls
+from loadbalancer.proxy.downstream.connection import SWEEP_S
+from loadbalancer.proxy.downstream.listener import Listener
+from loadbalancer.proxy.host import Node
+from loadbalancer.proxy.lifecycle import TICK, Service
+from loadbalancer.proxy.reload import apply_configuration, apply_routes
+from loadbalancer.proxy.shutdown import Shutdown
+from loadbalancer.sources.endpoint_list import ListError
+
+if TYPE_CHECKING:
+    from loadbalancer.upgrade.handover import Predecessor, Successor
+
+logger = logging.getLogger(__name__)
+
+LOG_LINES_PER_SECOND = 20  # further ones are dropped
+UNUSABLE_STATUS = 2  # the exit status where the configuration or the address can't be used
+# For a port that another process holds which neither hands it over nor shares it.
+BIND_TIMEOUT_S = 15.0
+BIND_RETRY_S = 0.05
+# Objects allocated before each generation of the garbage collector runs. What the start has
+# made is frozen, and a collection among requests finds little.
+GC_THRESHOLDS = (20_000, 20, 50)
+
+
+class Process:
+    """One process of a node, from its start to its end.
+
+    Raises:
+        SourceError: the file that names the source of endpoints can't be used.
+    """
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+        self.config = config
+        self.loop = loop
+        self.service = Service()
+        self.node = Node(config, loop, self._on_list_usable)
+        self.listener = Listener(self.node, self.service)
+        self._shutdown = Shutdown(
+            loop, self.node, self.listener, self.service, self._close_predecessor
+        )
+        self._drain_timer: asyncio.TimerHandle | None = None
+        # The sides of a handover, where there is a second address: to the process before
+        # this one, and to the one after it.
+        self._successor: Successor | None = None
+        self._predecessor: Predecessor | None = None
+
+    def _on_list_usable(self) -> None:
+        if not self.service.listed:
+            self.service.listed = True
+            logger.info("ready: a list has been taken over")
+
+    # ---- start -------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Serve until a stop has ended.
+
+        Raises:
+            OSError: an address can't be bound.
+            ListError, RoutesError, SourceError: what the configuration names can't be used.
+        """
+        port = await self._begin()
+        for number in early_signals.STOP_SIGNALS:
+            self.loop.add_signal_handler(number, self._shutdown.begin)
+        self.loop.add_signal_handler(early_signals.RELOAD_SIGNAL, self.reload)
+        self.service.serving = True
+        logger.info("listening on %s:%d", self.config.listen.host, port)
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        self.loop.call_later(SWEEP_S, self._sweep)
+        if early_signals.RELOAD_SIGNAL in early_signals.received:
+            self.reload()
+        if not early_signals.received.isdisjoint(early_signals.STOP_SIGNALS):
+            self._shutdown.begin()
+        await self._shutdown.ended
+
+    async def _begin(self) -> int:
+        """Listen, taking over from a running process where there is one; returns the port."""
+        admin = self.config.admin
+        if admin is None:
+            apply_routes(self.node, self.config.routes)
+            self.node.start()
+            return self.listener.listen(self.config.listen)
+        # Imported here: a node without a second address does not pay for the modules.
+        from loadbalancer.upgrade.handover import Predecessor, Successor
+
+        successor = self._successor = Successor(self)
+        await successor.find()
+        AdminCalls(self).listen(admin)
+        left = await successor.meet()
+        apply_routes(self.node, self.config.routes)
+        self.node.start(left)
+        if left is not None and left.standby:
+            self.set_standby(True)
+        await successor.serve()
+        if successor.listener is not None:
+            port = self.listener.adopt(successor.listener)
+        else:
+            port = await self._listen_shared()
+        self._predecessor = Predecessor(self)
+        self._predecessor.open()
+        return port
+
+    async def _listen_shared(self) -> int:
+        """Listen beside a process that can't hand over; wait for one that does not share."""
+        give_up_at_s = self.loop.time() + BIND_TIMEOUT_S
+        while True:
+            try:
+                return self.listener.listen(self.config.listen, shared=True)
+            except OSError as err:
+                if err.errno != errno.EADDRINUSE or self.loop.time() > give_up_at_s:
+                    raise
+            await asyncio.sleep(BIND_RETRY_S)
+
+    def _sweep(self) -> None:
+        self.listener.sweep()
+        self.node.sweep()
+        self.loop.call_later(SWEEP_S, self._sweep)
+
+    def _close_predecessor(self) -> None:
+        if self._predecessor is not None and not self._predecessor.relieved:
+            self._predecessor.close()
+
+    # ---- the other process of this node --------------------------------------
+
+    def pass_on(self, frame: dict[str, bool]) -> None:
+        """Send a frame to the other process of this node, where there is one."""
+        if self._successor is not None:
+            self._successor.pass_on(frame)
+        if self._predecessor is not None:
+            self._predecessor.pass_on(frame)
+
+    # ---- reload and drain ----------------------------------------------------
+
+    def reload(self, passed_on: bool = False) -> None:
+        """Use the configuration's file as it is now; one that can't be used changes nothing.
+
+        Args:
+            passed_on: the other process of this node was signalled, and has passed it on.
+        """
+        if not passed_on:
+            self.pass_on({"reload": True})
+        try:
+            config = reload(os.environ, self.config)
+            apply_configuration(self.node, config)
+        except (ConfigError, RoutesError) as err:
+            logger.info("reload: %s; going on as before", err)
+            return
+        self.config = config
+        self.node.discovery.move(config.discovery, config.settings)
+        logger.info("reloaded the configuration")
+
+    def set_standby(self, on: bool) -> None:
+        """Begin or end a drain, by a call here or at the other process of this node."""
+        if on == self.service.standby:
+            return
+        if not on:
+            logger.info("active: the drain has ended")
+            self.service.end_standby()
+            return
+        logger.info("standby: sending clients away")
+        self.service.begin_standby(time.monotonic_ns())
+        if self._drain_timer is not None:
+            self._drain_timer.cancel()  # of a drain that has only just ended
+        self._drain()
+
+    def _drain(self) -> None:
+        """While clients are sent away, close idle connections at each TICK."""
+        if self.service.standby and not self.service.stopping:
+            self.listener.send_away(time.monotonic_ns())
+            self._drain_timer = self.loop.call_later(TICK / SECOND, self._drain)
+
+
+def run_node() -> int:
+    """Run the node that the environment describes; returns only where it can't start."""
+    try:
+        config = load(os.environ)
+    except ConfigError as err:
+        print(f"loadbalancer: {err}", file=sys.stderr)
+        return UNUSABLE_STATUS
+    logs.configure(config.name, LOG_LINES_PER_SECOND)
+    # Failure: whoever reads the log stops, its pipe is full, and a write waits with the loop.
+    os.set_blocking(sys.stderr.fileno(), False)
+    loop = uvloop.new_event_loop()
+    asyncio.set_event_loop(loop)
+    try:
+        process = Process(config, loop)
+        loop.run_until_complete(process.run())
+    except (ListError, RoutesError, SourceError, OSError) as err:
+        print(f"loadbalancer: {err}", file=sys.stderr)
+        return UNUSABLE_STATUS
+    # What a log that nobody reads still holds must not turn the exit into a failure.
+    with contextlib.suppress(OSError):
+        sys.stderr.flush()
+    # Not by the interpreter's own exit: it takes the loop and each connection apart one by
+    # one, in time that a stop does not have.
+    os._exit(0)
--- /dev/null
+++ b/loadbalancer/proxy/shutdown.py
@@ -0,0 +1,90 @@
+"""The end of a node's process: it accepts for a moment, answers what it has, and exits.
+
+Connections go on coming for 0.4 s after a stop begins, as what is in front of the node
+learns of it late. The node may be killed after the longest deadline of a class and 0.7 s.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.proxy.reload import log_route_counters
+
+if TYPE_CHECKING:
+    from loadbalancer.proxy.downstream.listener import Listener
+    from loadbalancer.proxy.host import Node
+    from loadbalancer.proxy.lifecycle import Service
+
+logger = logging.getLogger(__name__)
+
+ACCEPT_S = 0.5  # from the stop's begin until the listening socket closes
+KILL_MARGIN_S = 0.7  # after the longest deadline the node may be killed
+LAST_ANSWERS_S = 0.12  # before that: to write the last answers, and to exit
+POLL_INTERVAL_S = 0.01
+
+
+class Shutdown:
+    """Stops a node; `ended` is done once nothing is left to wait for.
+
+    Args:
+        loop: the event loop of the process.
+        node: the host.
+        listener: the clients' listener.
+        service: the state that the front is told.
+        before_close: called just before the listening socket closes.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        node: Node,
+        listener: Listener,
+        service: Service,
+        before_close: Callable[[], None],
+    ) -> None:
+        self._loop = loop
+        self._node = node
+        self._listener = listener
+        self._service = service
+        self._before_close = before_close
+        self._fail_all_at_s = 0.0  # on the loop's clock
+        self.ended: asyncio.Future[None] = loop.create_future()
+
+    def begin(self) -> None:
+        """Begin the stop; nothing where it has begun."""
+        if self._service.stopping:
+            return
+        self._service.stopping = True
+        logger.info("stopping")
+        node = self._node
+        if node.peers is not None:
+            node.peers.close(leaving=not self._service.relieved)
+        log_route_counters(node)
+        longest_s = max(c.spec.deadline for c in node.balancer.classes) / SECOND
+        self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_ANSWERS_S
+        self._loop.call_later(ACCEPT_S, self._close)
+
+    def _close(self) -> None:
+        self._before_close()
+        self._listener.stop_accepting()
+        self._wait()
+
+    def _wait(self) -> None:
+        """Look whether all clients have their answers; at the last moment fail the others."""
+        is_late = self._loop.time() >= self._fail_all_at_s
+        if is_late:
+            self._node.fail_all()
+        if is_late or self._listener.finished():
+            self._node.discovery.close()
+            # One more turn of the loop, in which the last answers are written.
+            self._loop.call_later(POLL_INTERVAL_S, self._end)
+        else:
+            self._loop.call_later(POLL_INTERVAL_S, self._wait)
+
+    def _end(self) -> None:
+        if not self.ended.done():
+            self.ended.set_result(None)
--- a/tests/control/machine/test_process.py
+++ b/tests/control/machine/test_process.py
@@ -25,7 +25,7 @@
 
 
 def test_a_plain_node_imports_nothing_of_a_control_machine() -> None:
-    code = "import sys, loadbalancer.proxy.host, loadbalancer.__main__; print(*sys.modules)"
+    code = "import sys, loadbalancer.proxy.host, loadbalancer.proxy.process; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True)
     names = done.stdout.decode().split()
     assert "loadbalancer.proxy.host" in names
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -9,7 +9,6 @@
 import asyncio
 import functools
 import json
-import signal
 import socket
 import struct
 from collections.abc import Callable
@@ -55,7 +54,9 @@
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
 from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
+from loadbalancer.proxy import process
 from loadbalancer.proxy.admin import Admin, Caller
+from loadbalancer.proxy.admin_calls import AdminCalls
 from loadbalancer.proxy.lifecycle import Service
 from loadbalancer.sources.consul.file import ConsulFile
 from loadbalancer.sources.consul.reader import Reader
@@ -313,14 +314,18 @@
             pass_on=made.send,
             set_standby=lambda _on: None,
             service=Service(),
-            node=SimpleNamespace(take_over=_refuse, log=lambda _text: None),
+            node=None,
             config=None,
         )
+        calls = AdminCalls(run)
         if says == "reload":
-            with mock.patch.dict("os.environ", clear=True):  # nothing to read: told all the same
-                _process_class().reload(run)
+            with (
+                mock.patch.dict("os.environ", clear=True),  # nothing to read: told all the same
+                mock.patch.object(process, "apply_configuration", _refuse),
+            ):
+                process.Process.reload(run)  # type: ignore[arg-type]
         else:
-            (_process_class().standby if plain["on"] else _process_class().active)(run)
+            (calls.begin_standby if plain["on"] else calls.end_standby)()
     return transport.written
 
 
@@ -337,7 +342,7 @@
     await heir.serve()
 
 
-def _refuse(_config: object) -> None:
+def _refuse(_node: object, _config: object) -> None:
     raise AssertionError("no configuration was to be read")
 
 
@@ -431,34 +436,19 @@
 # ---- the second address ------------------------------------------------------------------
 
 
-def _process_class() -> Any:
-    """The running node's class. Importing it takes the signals over: they are put back."""
-    numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    before = {number: signal.getsignal(number) for number in numbers}
-    try:
-        from loadbalancer import __main__ as process
-    finally:
-        for number, handler in before.items():
-            signal.signal(number, handler)
-    return process.Run
-
-
 def _encode_reply(plain: Plain) -> bytes:
     """The answer to a call at a node in this state, as the caller gets it."""
-    run_class = _process_class()
     service = Service()
     service.serving, service.listed = plain["serving"], plain["listed"]
     service.stopping = plain["stopping"]
     run: Any = SimpleNamespace(
         service=service,
         loop=SimpleNamespace(add_reader=lambda *_: None, call_later=lambda *_: mock.Mock()),
-        node=SimpleNamespace(log=lambda _text: None, peers=_peers() if plain["gossip"] else None),
+        node=SimpleNamespace(peers=_peers() if plain["gossip"] else None),
         pass_on=lambda _frame: None,
         set_standby=lambda on: service.begin_standby(NOW) if on else service.end_standby(),
     )
     run.set_standby(plain["standby"])
-    for name in ("status", "peers", "standby", "active"):
-        setattr(run, name, functools.partial(getattr(run_class, name), run))
     made: list[Admin] = []
 
     def listen(admin: Admin, _address: Address) -> int:
@@ -466,7 +456,7 @@
         return 9000
 
     with mock.patch.object(Admin, "listen", listen):
-        run_class.answer_calls(run, Address("127.0.0.1", 9000))
+        AdminCalls(run).listen(Address("127.0.0.1", 9000))
     ours, theirs = socket.socketpair()
     with ours, theirs, _clocks():
         ours.sendall(plain["call"].encode())
