--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -30,6 +30,7 @@
     upstream: ConnectionPool
 
     def __init__(self, config: Config) -> None:
+        self.config = config
         self.clients = 0
         self.reserved = RESERVED
         if config.admin is not None:
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -1,47 +1,70 @@
-"""Whether this process serves, sends its clients away, or stops: one state, no I/O, no clock.
+"""Whether a process serves, drains or stops: one state, without I/O or a clock.
 
-Readiness, the end of answers' connections, the second address and the signals all ask
-here. Times are integer nanoseconds of one monotonic clock, given with each call.
+The front's readiness checks, the end of each answer's connection, the second address and the
+signals go by this state. Times are integer nanoseconds of one monotonic clock, given with
+each call.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from loadbalancer.core.balancing.model import MS
 
-TICK = 50 * MS  # how often idle connections are looked at while clients are sent away
-# After the front has had its no, new connections come for 0.2 s more.
-SETTLE = 300 * MS
-UNASKED = 600 * MS  # the same after the call, where no front asks
-# What is used later than 2 s after the call would still hold a fresh request at 4 s.
-EMPTY_BY = 1600 * MS
-# A process that has handed over: the same, while its successor takes new connections.
-RELIEVED_FROM = 200 * MS
-RELIEVED_BY = 2000 * MS
+TICK = 50 * MS  # between two looks at the idle connections while a process drains
+
+# A drain, from the call that begins it.
+EMPTY_BY_NS = 1600 * MS  # what is used more than 2 s later could have a new request at 4 s
+UNCHECKED_FROM_NS = 600 * MS  # connections are closed from here on if the front checks nothing
+# ... and if it does, from so long after its first check that failed: connections go on coming
+# for 0.2 s after that.
+SETTLE_NS = 300 * MS
+
+# A process that has handed over, from the time at which its successor accepts.
+RELIEVED_FROM_NS = 200 * MS
+RELIEVED_BY_NS = 2000 * MS
+
+
+class CloseWindow(NamedTuple):
+    """The time over which a process closes its idle connections."""
+
+    begin: int
+    end: int
 
 
 class Service:
-    """Active, standby, relieved by a successor, or stopping, which alone is for good."""
+    """Active, standby, relieved by a successor, or stopping, which alone is for good.
 
-    __slots__ = ("_no_at", "_relieved_at", "_standby_at", "listed", "serving", "stopping")
+    `listed`: a list with an endpoint to send to has come once, or a complete one without.
+    It stays set: a node that loses its endpoints later rejects requests itself, with a
+    Retry-After. Were it not ready then, the front would take every node out at once, and
+    clients would reach none.
+    """
+
+    __slots__ = ("_refused_at", "_relieved_at", "_standby_at", "listed", "serving", "stopping")
 
     def __init__(self) -> None:
         self.serving = False  # listening
-        # A list with a server to send to has come once, or one by which there is none. For
-        # good: a node that loses its servers later answers for itself, with a Retry-After,
-        # and a front that took every node out at once would leave its clients nobody.
         self.listed = False
         self.stopping = False
+        # Since when, 0 for not.
         self._standby_at = 0
-        self._no_at = 0  # the first no that was given, 0 before
         self._relieved_at = 0
+        self._refused_at = 0  # the first readiness check that failed in this drain
 
     @property
     def standby(self) -> bool:
+        """Whether clients are sent away, by an operator's call."""
         return self._standby_at != 0
 
+    @property
+    def relieved(self) -> bool:
+        """Whether a successor serves the clients' address."""
+        return self._relieved_at != 0
+
     @property
     def can_serve(self) -> bool:
-        """What `GET /status` is told."""
+        """Whether a request would be served; what the second address reports."""
         return self.serving and self.listed and not self.stopping
 
     @property
@@ -49,12 +72,8 @@
         """Whether each answer ends its connection."""
         return self.stopping or self.standby or self.relieved
 
-    @property
-    def relieved(self) -> bool:
-        """Whether a successor serves the clients' address."""
-        return self._relieved_at != 0
-
     def relieve(self, now: int) -> None:
+        """A successor accepts from now on."""
         self._relieved_at = now
 
     def take_back(self) -> None:
@@ -62,41 +81,49 @@
         self._relieved_at = 0
 
     def begin_standby(self, now: int) -> None:
-        """Send clients away. A second call changes nothing, so nothing is put off by it."""
+        """Send clients away; a second call changes nothing, so that it puts nothing off."""
         if not self.standby:
             self._standby_at = now
-            self._no_at = 0
+            self._refused_at = 0
 
     def end_standby(self) -> None:
-        """The end of a drain; a process that stops stays away."""
+        """Take clients again; a process that stops takes none all the same."""
         self._standby_at = 0
 
     def asked_ready(self, now: int) -> bool:
-        """The answer to the front; the first no is remembered."""
+        """The answer to a readiness check of the front; the first that fails is noted.
+
+        A relieved process answers for its successor, as both are one node. Without a list
+        the front has other nodes to send clients to, who would be rejected here.
+        """
         if not self.standby and (self.relieved or not self.stopping):
-            # Relieved, the successor serves, and the two are one node. With no list yet
-            # the front has others to send clients to, who would get a 503 here.
             return self.listed
-        self._no_at = self._no_at or now
+        self._refused_at = self._refused_at or now
         return False
 
     def to_close(self, now: int, idle: int) -> int:
         """How many of so many idle connections to close in this tick.
 
-        Spread over what is left of the time, for each close may cross a request that
-        its client then has to send once more. All once the time is over.
+        They are spread over the time that is left, and all are closed once it is over: each
+        close may cross a request that its client then has to send again.
         """
-        if self.standby:
-            begin = self._no_at + SETTLE if self._no_at else self._standby_at + UNASKED
-            end = self._standby_at + EMPTY_BY
-        elif self.relieved:
-            begin = self._relieved_at + RELIEVED_FROM
-            end = self._relieved_at + RELIEVED_BY
-        else:
+        window = self._close_window()
+        if window is None:
             return idle if self.stopping else 0
-        if now >= end:
+        if now >= window.end:
             return idle
-        if now < begin:
+        if now < window.begin:
             return 0
-        ticks = max((end - now) // TICK, 1)
-        return -(-idle // ticks)
+        ticks = max((window.end - now) // TICK, 1)
+        return -(-idle // ticks)  # rounded up
+
+    def _close_window(self) -> CloseWindow | None:
+        if self.standby:
+            begin = self._standby_at + UNCHECKED_FROM_NS
+            if self._refused_at:
+                begin = self._refused_at + SETTLE_NS
+            return CloseWindow(begin, self._standby_at + EMPTY_BY_NS)
+        if self.relieved:
+            at = self._relieved_at
+            return CloseWindow(at + RELIEVED_FROM_NS, at + RELIEVED_BY_NS)
+        return None
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -1,6 +1,6 @@
-"""What the host's adapters ask of it, and what it asks of them.
+"""What the host's adapters use of it, and what it uses of them, as interfaces.
 
-Below them all: an adapter knows the host by one of these and no adapter knows another.
+Below all of them: an adapter knows the host by one of these, and no adapter knows another.
 """
 
 from __future__ import annotations
@@ -18,42 +18,62 @@
     from loadbalancer.proxy.routing import Routing
 
 
+# ---- the endpoint list -----------------------------------------------------
+
+
 class Listed(Protocol):
-    """The list in hand."""
+    """The present endpoint list: the address of each backend, and the list's version."""
 
     endpoints: dict[int, Address]
     rev: int
 
-    def boot_ms(self, backend: int) -> int: ...
+    def boot_ms(self, backend: int) -> int:
+        """When a backend was started, in milliseconds as its source counts them."""
 
 
 class Source(Protocol):
-    """Where the host's list of backends comes from."""
+    """Where the host's endpoint list comes from."""
 
     @property
-    def endpoint_list(self) -> Listed: ...
+    def endpoint_list(self) -> Listed:
+        """The present list."""
 
 
 class ListReaders(Protocol):
-    """Nodes that read the list for one another: what the one that asks the service tells them."""
+    """Nodes of which a few poll for the list and share it with all."""
+
+    def may_poll(self) -> bool:
+        """Whether this node is one that polls."""
+
+    def unread(self) -> bool:
+        """Whether no node has read a list yet: a complete one is needed."""
+
+    def read(self, raw: dict[str, Any]) -> None:
+        """This node has read an answer of the list's service."""
+
+    def failed(self, older: bool) -> None:
+        """This node's poll has failed; `older`: its answer was older than the present list."""
 
-    def may_poll(self) -> bool: ...
-    def unread(self) -> bool: ...
-    def read(self, raw: dict[str, Any]) -> None: ...
-    def failed(self, older: bool) -> None: ...
+
+# ---- the host ----------------------------------------------------------------
 
 
 class _Host(Protocol):
     config: Config
     loop: asyncio.AbstractEventLoop
     budget: BufferBudget
-    freed: Callable[[], None]
+    freed: Callable[[], None]  # a descriptor has been closed
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Write a line of the log."""
 
 
 class ClientHost(_Host, Protocol):
-    """What adapters to clients ask of the host."""
+    """What connections of clients and their listener use of the host.
+
+    `clients`: descriptors of clients, counted by the listener and the connections. `labels`
+    and `others`: the ids of open requests, here and at the other process of this node.
+    """
 
     clients: int
     labels: set[bytes]
@@ -61,29 +81,58 @@
     balancer: Balancer
     routing: Routing | None
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None: ...
-    def client_gone(self, r: Request) -> None: ...
-    def client_ended(self, r: Request) -> None: ...
-    def uploaded(self, r: Request, a: Attempt | None) -> None: ...
-    def stalled(self, r: Request) -> None: ...
-    def most_clients(self) -> int: ...
-    def room_for_client(self) -> bool: ...
-    def drop_beyond_part(self) -> None: ...
+    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
+        """Admit a request; None where its client has to come again."""
+
+    def client_gone(self, request: Request) -> None:
+        """A request's client has disconnected."""
+
+    def client_ended(self, request: Request) -> None:
+        """A request's client sends nothing more, but may wait for its answer."""
+
+    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
+        """A long body has been read to its end; `attempt` is None."""
+
+    def stalled(self, request: Request) -> None:
+        """A backend accepts no more of a long body."""
+
+    def most_clients(self) -> int:
+        """The most connections of clients."""
+
+    def room_for_client(self) -> bool:
+        """Whether a further client may be accepted."""
+
+    def drop_beyond_part(self) -> None:
+        """Close an idle connection to a backend for a client, if any may go."""
 
 
 class BackendHost(_Host, Protocol):
-    """What adapters to backends ask of the host."""
+    """What the pool and its connections to backends use of the host."""
 
     @property
-    def discovery(self) -> Source: ...
+    def discovery(self) -> Source:
+        """Where the endpoint list comes from."""
+
+    def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
+        """Settle an attempt, with the load that its backend reports."""
+
+    def may_begin(self, attempt: Attempt) -> bool:
+        """Whether an attempt may write its first byte, now that its connection is established."""
+
+    def started(self, attempt: Attempt) -> None:
+        """A long response has begun to go to the client."""
+
+    def uploading(self, attempt: Attempt) -> None:
+        """The first bytes of a long body are about to be written."""
+
+    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
+        """A long body has been written to its end, by this attempt."""
+
+    def finish(self, request: Request, status: int, retry_after: int = 0) -> None:
+        """Give a request its final answer without service; `retry_after` in nanoseconds."""
 
-    def conclude(self, a: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None: ...
-    def may_begin(self, a: Attempt) -> bool: ...
-    def started(self, a: Attempt) -> None: ...
-    def uploading(self, a: Attempt) -> None: ...
-    def uploaded(self, r: Request, a: Attempt | None) -> None: ...
-    def finish(self, r: Request, status: int, retry_after: int = 0) -> None: ...
-    def may_open_upstream(self) -> bool: ...
+    def may_open_upstream(self) -> bool:
+        """Whether one more connection to a backend may be opened."""
 
 
 class Leaving(Protocol):
@@ -92,4 +141,5 @@
     balancer: Balancer
 
     @property
-    def discovery(self) -> Source: ...
+    def discovery(self) -> Source:
+        """Where the endpoint list comes from."""
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -1,14 +1,14 @@
-"""The routes file in force at one node, and the place of each request in it.
+"""The routes file in force at one node, and each request's place in it.
 
-Imported only where a file is set. Matching and rules are loadbalancer.core's; here the
-file is read, taken over whole or not at all, and what falls under no route is
-refused and counted by reason.
+Imported only where a file is set. Matching and rules are in `core.routes`; here the file is
+read, replaced completely or not at all, and a request that no route takes is refused and
+counted by reason.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from loadbalancer.config.routes_file import check_file
 from loadbalancer.core import Settings
@@ -16,15 +16,16 @@
 from loadbalancer.core.routes.table import Policy, Service, Table
 from loadbalancer.errors import BadRequestError, RoutesError
 
-MAX_HOSTS = 1024  # spellings of Host remembered; clients choose them
+MAX_HOSTS = 1024  # spellings of Host that are cached; clients choose them
 
+# Why a request is refused: the keys of the counters in the log.
 UNKNOWN_HOST = "unknown-host"
 UNKNOWN_PATH = "unknown-path"
 DENIED = "denied"
 BAD_TARGET = "bad-target"
 BAD_HOST = "bad-host"
 OTHER_CLASS = "other-class"
-TEXTS = {
+RESPONSES = {
     UNKNOWN_HOST: (404, b"no service here has this host\n"),
     UNKNOWN_PATH: (404, b"no route of this service takes this request\n"),
     DENIED: (403, b"this request is not allowed here\n"),
@@ -44,18 +45,28 @@
     path: bytes
 
 
+class KnownHost(NamedTuple):
+    """What one spelling of a Host stands for."""
+
+    service: Service | None  # None for a host that no service has
+    canonical: bytes
+
+
 class Routing:
-    """Replaced tables are kept by no one: requests hold on to their policy alone."""
+    """The table in force. A replaced one is freed: requests retain only their own policy.
 
-    def __init__(self, path: str, settings: Settings) -> None:
-        self.path = path
-        self.refused: Counter[str] = Counter()
-        self._settings = settings
-        self._hosts: dict[bytes, tuple[Service | None, bytes]] = {}
-        self.table = self._load(path)
+    Args:
+        path: the routes file.
+        settings: the node's settings, whose classes the routes may name.
 
-    def _load(self, path: str) -> Table:
-        return self.check(path, self._settings)
+    Raises:
+        RoutesError: the file can't be used.
+    """
+
+    def __init__(self, path: str, settings: Settings) -> None:
+        self.table = self.check(path, settings)
+        self.refused: Counter[str] = Counter()  # requests by reason
+        self._hosts: dict[bytes, KnownHost] = {}
 
     @staticmethod
     def check(path: str, settings: Settings) -> Table:
@@ -67,14 +78,16 @@
         return result.table
 
     def reload(self, path: str, settings: Settings) -> None:
-        """Take a replaced file over whole; RoutesError where it can't be, with nothing changed."""
+        """Use another file; RoutesError where it can't be used, and nothing has changed."""
         self.table = self.check(path, settings)
-        self._settings = settings
-        self.path = path
         self._hosts.clear()
 
     def place(self, head: Head) -> Policy:
-        """The policy a request falls under; BadRequestError where there is none."""
+        """The policy of the route that takes a request, whose target is made canonical.
+
+        Raises:
+            BadRequestError: no route takes it, or it is not allowed there.
+        """
         fields = head.fields
         host = given = fields.get(b"host", b"")
         path = head.url
@@ -82,50 +95,52 @@
             try:
                 path, query, authority = target(path)
             except FormError:
-                raise self._refuse(BAD_TARGET) from None
+                raise self._refusal(BAD_TARGET) from None
             head.url = path + query
             host = given if authority is None else authority
         head.path = path
         known = self._hosts.get(host)
         if known is None:
-            known = self._learn(host)
+            known = self._resolve_host(host)
         service, canonical = known
         if canonical != given:
             _rewrite_host(head, canonical)
         if service is None:
-            raise self._refuse(UNKNOWN_HOST)
+            raise self._refusal(UNKNOWN_HOST)
         segments = path.split(b"/")
         declared = fields.get(b"x-priority-class")
         first = segments[1]
         route = service.match(path, segments, head.method, first if declared is None else declared)
         if route is None:
-            raise self._refuse(UNKNOWN_PATH)
+            raise self._refusal(UNKNOWN_PATH)
         if route.deny:
-            raise self._refuse(DENIED)
-        # A class is assigned by its route, or stands in the path: never chosen by a
-        # header alone, which would let a client pick the policy it is treated by.
+            raise self._refusal(DENIED)
+        # A class is assigned by its route, or is the path's first segment. The header that
+        # declares one has to agree: by the header alone a client could choose its policy.
         name = first if route.assigned is None else route.assigned
         policy = route.policies.get(name)
         if policy is None:
-            raise self._refuse(UNKNOWN_PATH)
+            raise self._refusal(UNKNOWN_PATH)
         if declared is not None and declared != name:
-            raise self._refuse(OTHER_CLASS)
+            raise self._refusal(OTHER_CLASS)
         return policy
 
-    def _learn(self, raw: bytes) -> tuple[Service | None, bytes]:
+    def _resolve_host(self, raw: bytes) -> KnownHost:
+        """Look a Host up by its canonical form, and cache it as it is spelled."""
         try:
             host, port = canonical_host(raw)
         except FormError:
-            raise self._refuse(BAD_HOST) from None
+            raise self._refusal(BAD_HOST) from None
         if len(self._hosts) >= MAX_HOSTS:
             self._hosts.clear()
-        known = (self.table.service(host), host + b":" + port if port else host)
+        known = KnownHost(self.table.service(host), host + b":" + port if port else host)
         self._hosts[raw] = known
         return known
 
-    def _refuse(self, reason: str) -> BadRequestError:
+    def _refusal(self, reason: str) -> BadRequestError:
+        """Count a refused request; returns the error to raise."""
         self.refused[reason] += 1
-        return BadRequestError(*TEXTS[reason])
+        return BadRequestError(*RESPONSES[reason])
 
 
 def _rewrite_host(head: Head, host: bytes) -> None:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import io
+import subprocess
+import sys
 
 import pytest
 
 from loadbalancer.cli.commands import COMMANDS, main, usage
+from tests.harness import ROOT
 
 
 @pytest.mark.parametrize("name", [command.name for command in COMMANDS])
@@ -53,3 +56,27 @@
     error = capsys.readouterr().err
     assert error.startswith(message)
     assert error.count("\n") == 1
+
+
+# ---- as processes ------------------------------------------------------------
+
+
+def run(*words: str) -> subprocess.CompletedProcess[str]:
+    """Run the program with these arguments to its end."""
+    command = [sys.executable, "-m", "loadbalancer", *words]
+    return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
+
+
+def test_the_demo_ends_with_no_effect_twice() -> None:
+    done = run("demo", "--requests", "60")
+    assert done.returncode == 0, done.stderr
+    assert "without an answer" in done.stdout
+    rows = {line.split()[0]: line.split()[1:] for line in done.stdout.splitlines() if line.strip()}
+    assert int(rows["balance"][0]) + int(rows["credit"][0]) == 60
+    assert sum(int(rows[f"s-{i}"][-1]) for i in range(1, 6)) == 0
+
+
+def test_the_program_with_an_unknown_sub_command_says_which_there_are() -> None:
+    done = run("chekc")
+    assert done.returncode == 2
+    assert "check FILE" in done.stderr
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A descriptor's number that is in use again is not closed for its last owner."""
+"""The descriptors of a node: who may use how many, and who closes them."""
 
 from __future__ import annotations
 
@@ -9,22 +9,109 @@
 import resource
 import socket
 from pathlib import Path
-from typing import cast
+from types import SimpleNamespace
+from typing import Any, cast
 
+import pytest
 import uvloop
 
+from loadbalancer.proxy.descriptors import OVERLAP, RESERVED, DescriptorBudget
 from loadbalancer.proxy.sockets import release_socket
 from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
+SOCKETS = 124  # of the configuration; the budget's own are 100
 
-class Aborts(asyncio.Protocol):
-    """Gives its connection up in the turn that tells of it, as a failed write does."""
+
+class Pool:
+    """A pool of connections to backends, some of which are idle."""
+
+    def __init__(self) -> None:
+        self.count = 0
+        self.idle = 0
+
+    def close_oldest(self) -> bool:
+        """As the pool does: the descriptor is free with the next turn of the loop alone."""
+        if not self.idle:
+            return False
+        self.idle -= 1
+        return True
+
+
+@pytest.fixture
+def pool() -> Pool:
+    return Pool()
+
+
+@pytest.fixture
+def budget(pool: Pool) -> DescriptorBudget:
+    config = cast(Any, SimpleNamespace(sockets=SOCKETS, admin=None))
+    budget = DescriptorBudget(config)
+    budget.upstream = cast(Any, pool)
+    return budget
+
+
+def test_a_quarter_is_for_backends_and_clients_use_less_while_those_use_more(
+    budget: DescriptorBudget, pool: Pool
+) -> None:
+    assert budget.sockets == SOCKETS - RESERVED == 100
+    assert budget.most_clients() == 75
+    pool.count = 40
+    assert budget.most_clients() == 60
+    budget.clients = 59
+    assert budget.room_for_client()
+    budget.clients = 60
+    assert not budget.room_for_client()
+
+
+@pytest.mark.parametrize(("backends", "closed"), [(25, 0), (26, 1)])
+def test_a_client_takes_no_connection_of_the_backends_own_part(
+    budget: DescriptorBudget, pool: Pool, backends: int, closed: int
+) -> None:
+    pool.count = backends
+    pool.idle = 5
+    budget.drop_beyond_part()
+    assert 5 - pool.idle == closed
+
+
+@pytest.mark.parametrize(
+    ("used", "idle", "may_open"),
+    [(99, 0, True), (100, 0, False), (100, 1, True), (100 + OVERLAP, 1, False)],
+)
+def test_at_the_limit_a_connection_to_a_backend_replaces_an_idle_one(
+    budget: DescriptorBudget, pool: Pool, used: int, idle: int, may_open: bool
+) -> None:
+    """Both are open for a turn of the loop, and only so many at a time."""
+    budget.clients = used - 20
+    pool.count = 20
+    pool.idle = idle
+    assert budget.may_open_upstream() == may_open
+
+
+def test_two_processes_of_a_node_use_its_descriptors_once(
+    budget: DescriptorBudget, pool: Pool
+) -> None:
+    budget.clients = 50
+    pool.count = 10
+    assert budget.spare_descriptors() == 100 - 60 - OVERLAP
+    budget.lend_descriptors(budget.spare_descriptors())
+    assert budget.sockets == 60 + OVERLAP
+    assert budget.descriptors() == RESERVED + 60 + OVERLAP
+    budget.clients = 80  # more than its part: accepted before it lent the others
+    assert budget.descriptors() == RESERVED + 90
+
+
+class AbortsAtOnce(asyncio.Protocol):
+    """Aborts its connection in the turn in which it is made, as a first write that fails does."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         cast(asyncio.Transport, transport).abort()
 
 
 def test_a_connection_closed_as_it_comes_up_leaves_its_number_to_the_next() -> None:
+    """Its transport has closed the descriptor, and another connection has the number by then.
+
+    The socket object must not close the number again when it is freed.
+    """
     loop = uvloop.new_event_loop()
     with listen() as server, listen() as other:
 
@@ -32,7 +119,7 @@
             sock = socket.create_connection(server.getsockname())
             sock.setblocking(False)
             number = sock.fileno()
-            transport, _ = await loop.create_connection(Aborts, sock=sock)
+            transport, _ = await loop.create_connection(AbortsAtOnce, sock=sock)
             os.dup2(other.fileno(), number)  # as the next accept would take it
             release_socket(cast(asyncio.BaseTransport, transport), sock)
             return number
--- /dev/null
+++ b/tests/proxy/test_lifecycle.py
@@ -0,0 +1,87 @@
+"""The state of a process alone: readiness, and the idle connections that it closes."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core.balancing.model import MS
+from loadbalancer.proxy.lifecycle import (
+    EMPTY_BY_NS,
+    RELIEVED_BY_NS,
+    RELIEVED_FROM_NS,
+    SETTLE_NS,
+    TICK,
+    UNCHECKED_FROM_NS,
+    Service,
+)
+
+
+@pytest.fixture
+def service() -> Service:
+    """A process that serves."""
+    service = Service()
+    service.listed = True
+    return service
+
+
+def test_idle_connections_are_closed_over_the_time_after_the_first_failed_check(
+    service: Service,
+) -> None:
+    assert service.to_close(0, 5) == 0
+    assert service.asked_ready(5)
+    service.begin_standby(1000 * MS)
+    assert not service.asked_ready(1100 * MS)
+    assert not service.asked_ready(1200 * MS)
+    assert service.to_close(1100 * MS + SETTLE_NS - 1, 100) == 0
+    idle, now = 100, 1100 * MS + SETTLE_NS
+    closed = []
+    while now < 1000 * MS + EMPTY_BY_NS:
+        closed.append(service.to_close(now, idle))
+        idle -= closed[-1]
+        now += TICK
+    assert max(closed) <= 6
+    assert idle == 0
+    assert service.to_close(now, 7) == 7  # what comes after that is closed at once
+
+
+def test_a_drain_without_checks_begins_by_itself_and_a_second_call_does_not_put_it_off(
+    service: Service,
+) -> None:
+    service.begin_standby(1000 * MS)
+    service.begin_standby(1500 * MS)
+    assert service.to_close(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
+    assert service.to_close(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
+    assert service.to_close(1000 * MS + EMPTY_BY_NS, 10) == 10
+
+
+def test_a_drain_that_ends_leaves_a_stop_in_force(service: Service) -> None:
+    service.begin_standby(1000 * MS)
+    service.end_standby()
+    assert service.asked_ready(0)
+    assert service.to_close(9000 * MS, 10) == 0
+    service.stopping = True
+    assert service.closes
+    assert not service.asked_ready(0)
+    assert service.to_close(9000 * MS, 10) == 10
+
+
+def test_a_relieved_process_is_ready_and_closes_its_idle_connections(service: Service) -> None:
+    """Its successor serves, and the two are one node."""
+    service.relieve(1000 * MS)
+    service.stopping = True
+    assert service.asked_ready(1100 * MS)
+    assert service.closes
+    assert service.to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
+    assert service.to_close(1000 * MS + RELIEVED_BY_NS - TICK, 10) == 10
+    service.take_back()
+    assert not service.asked_ready(1200 * MS)
+
+
+def test_without_a_list_a_node_is_not_ready_and_once_it_had_one_it_stays_so() -> None:
+    service = Service()
+    service.serving = True
+    assert not service.can_serve
+    assert not service.asked_ready(5)
+    service.listed = True
+    assert service.can_serve
+    assert service.asked_ready(6)
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -69,7 +69,8 @@
             rows = [target("s-1", backend.getsockname()[1])] * servers
             asked.send(answer(json.dumps(roster(*rows, rev=2)).encode()))
             n.says("ready: a list has been taken over")
-            assert n.ready() and n.call("GET /status")[2] == b"active\n"
+            assert n.ready()
+            assert n.call("GET /status")[2] == b"active\n"
             again = accept(discovery)
             again.message()
             # Its servers leave: for good, or clients would be sent nowhere by all nodes at once.
@@ -130,7 +131,8 @@
         process.kill()
         raise
     assert process.returncode == 2
-    assert says in err and len(err.splitlines()) == 1
+    assert says in err
+    assert len(err.splitlines()) == 1
     assert "config.json" in err  # which file
 
 
@@ -162,3 +164,10 @@
         assert n.process.stderr is not None
         n.process.stderr.close()
         assert n.stop() == 0  # which it logs first
+
+
+def test_a_node_without_a_routes_file_does_not_load_what_reads_one(tmp_path: Path) -> None:
+    """What is off must cost neither memory nor time at the start."""
+    with node(tmp_path, roster()) as n:
+        maps = Path(f"/proc/{n.process.pid}/maps").read_text()
+        assert "tree_sitter" not in maps
--- /dev/null
+++ b/tests/proxy/test_route_files.py
@@ -0,0 +1,105 @@
+"""A node's routes file at its start, and replaced by a reload."""
+
+from __future__ import annotations
+
+import json
+import signal
+from pathlib import Path
+
+from tests.harness import (
+    Running,
+    accept,
+    answer,
+    config,
+    launch,
+    listen,
+    node,
+    request,
+    roster,
+    target,
+)
+from tests.proxy.routed_node import RETRY_ALL, exchange, routed_node, routes_text
+from tests.scripted import Scripted
+
+
+def test_a_bad_file_at_the_start_is_one_line_and_status_2(tmp_path: Path) -> None:
+    path = tmp_path / "routes.toml"
+    path.write_text(routes_text(credit="attempts = 2\natempts = 1"))
+    environ = config(tmp_path, roster(), 1) | {"PROXY_ROUTES": str(path)}
+    process = launch(environ)
+    _, log = process.communicate(timeout=20)
+    assert process.returncode == 2
+    assert log.count("\n") == 1
+    assert f"{path}:9: [never-attempts]" in log
+    assert "(faults: 2)" in log
+
+
+def test_another_kind_of_file_is_refused_with_its_faults(tmp_path: Path) -> None:
+    path = tmp_path / "control.toml"
+    path.write_text('version = 1\nlisten = "127.0.0.1:0"\nconfig = "c"\nroutes = "r"\n')
+    process = launch(config(tmp_path, roster(), 1) | {"PROXY_ROUTES": str(path)})
+    _, log = process.communicate(timeout=20)
+    assert process.returncode == 2
+    assert log.count("\n") == 1
+    assert f"{path}:1: [missing-key]" in log
+
+
+def reload(n: Running, tmp_path: Path, file: str) -> None:
+    new = tmp_path / "routes.new"
+    new.write_text(file)
+    new.rename(tmp_path / "routes.toml")
+    n.process.send_signal(signal.SIGHUP)
+
+
+def test_a_good_file_takes_over_whole_and_requests_keep_their_policy(tmp_path: Path) -> None:
+    """The route of a request that waits to be tried again is taken away under it."""
+    path = tmp_path / "routes.toml"
+    path.write_text(routes_text(f"{RETRY_ALL}\nattempts = 2"))
+    with listen() as backend:
+        known = roster(target("s-1", backend.getsockname()[1]))
+        with node(tmp_path, known, routes=str(path)) as n:
+            client = n.connect()
+            client.send(request(rid="r1"))
+            peer = accept(backend)
+            peer.message()
+            gone = routes_text().replace('prefix = "/balance"', 'prefix = "/saldo"')
+            reload(n, tmp_path, gone)
+            n.says("reloaded the configuration")
+            assert exchange(n, "balance", "r2")[0].split(" ")[1] == "403"
+            peer.send(answer(b"", "500 Oops"))
+            peer.message()  # again, as the file that it came under has it
+            peer.send(answer(b"served"))
+            assert client.message()[2] == b"served"
+
+
+def test_a_bad_file_changes_nothing_and_says_where_and_how_many(tmp_path: Path) -> None:
+    with routed_node(tmp_path, routes_text()) as (n, backend):
+        bad = routes_text(balance='attempts = "3"\nwanted = 5', more="x = 1")
+        reload(n, tmp_path, bad)
+        n.says("[wrong-type]")
+        assert exchange(n, "balance")[1] == b"served"
+        assert exchange(n, "balance", "r2", Host="none.org")[0].split(" ")[1] == "404"
+        reload(n, tmp_path, routes_text().replace("app.svc", "new.svc"))
+        n.says("reloaded the configuration")
+        assert exchange(n, "balance", "r3", Host="new.svc")[1] == b"served"
+        assert exchange(n, "balance", "r4")[0].split(" ")[1] == "404"
+        assert backend.received == {"r1": 1, "r3": 1}
+
+
+def test_a_file_may_come_and_go_with_a_reload(tmp_path: Path) -> None:
+    backend = Scripted()
+    (tmp_path / "routes.toml").write_text(routes_text())
+    try:
+        with node(tmp_path, roster(target("s-1", backend.port))) as n:
+            assert exchange(n, "balance", "r1", Host="none.org")[1] == b"served"
+            plain = json.loads((tmp_path / "config.json").read_text())
+            for routes, status in ((str(tmp_path / "routes.toml"), "404"), ("", "200")):
+                new = tmp_path / "new.json"
+                new.write_text(json.dumps(plain | {"routes": routes}))
+                new.rename(tmp_path / "config.json")
+                n.process.send_signal(signal.SIGHUP)
+                n.says("reloaded the configuration")
+                line, _ = exchange(n, "balance", f"x{status}", Host="none.org")
+                assert line.split(" ")[1] == status
+    finally:
+        backend.close()
--- /dev/null
+++ b/tests/proxy/test_routing.py
@@ -0,0 +1,116 @@
+"""Routing at a real node: hosts and paths that no route takes, and every spelling of them."""
+
+from __future__ import annotations
+
+import signal
+from pathlib import Path
+
+import pytest
+
+from tests.harness import request
+from tests.proxy.routed_node import exchange, routed_node, routes_text
+
+REFUSED = {
+    "host": (b"Host: other.org", b"404"),
+    "host in brackets": (b"Host: [::2]", b"404"),
+    "bad host": (b"Host: a b", b"400"),
+    "suffix itself": (b"Host: svc", b"404"),
+}
+
+
+@pytest.mark.parametrize("name", REFUSED)
+def test_an_unknown_host_is_refused_at_once_and_goes_nowhere(tmp_path: Path, name: str) -> None:
+    line, status = REFUSED[name]
+    with routed_node(tmp_path, routes_text()) as (n, backend):
+        client = n.connect()
+        client.send(request().replace(b"Host: app.svc", line))
+        head, _, body = client.ends().partition(b"\r\n\r\n")
+        assert head.startswith(b"HTTP/1.1 " + status)
+        assert body
+        assert str(backend.port).encode() not in body  # nor anything else of what is behind
+        assert b"topup" not in body
+        assert not backend.received
+
+
+SPELLED = {  # a target, and the status or the path that goes on
+    "/balance/x": "/balance/x",
+    "//balance//x": "/balance/x",
+    "/./balance/../balance/x": "/balance/x",
+    "/%62alance/%78": "/balance/x",
+    "/balance/x?a=/../b%2F": "/balance/x?a=/../b%2F",
+    "http://app.svc/balance/x": "/balance/x",
+    "http://other.org/balance/x": "404",
+    "/credit/../balance/x": "/balance/x",
+    "/balance/../credit/x": "405",
+    "/%63redit/x": "405",
+    "/balance%2Fx": "400",
+    "/balance/..%2Fcredit/x": "400",
+    "/balance/%2e%2e%5Ccredit": "400",
+    "/balance/%00": "400",
+    "/../credit/x": "400",
+    "/balancer": "403",
+    "/balance/" + "x" * 8183: "/balance/" + "x" * 8183,
+    "/balance/" + "x" * 8184: "400",
+    "*": "400",
+}
+
+
+def test_no_spelling_of_a_path_reaches_a_backend_under_another_policy(tmp_path: Path) -> None:
+    with routed_node(tmp_path, routes_text()) as (n, backend):
+        for i, (spelling, expected) in enumerate(SPELLED.items()):
+            client = n.connect()
+            head = request(rid=f"r{i}", X_Priority_Class="").partition(b"\r\n")[2]
+            client.send(b"GET " + spelling.encode() + b" HTTP/1.1\r\n" + head)
+            line, _, _ = client.message()
+            client.close()
+            status = expected if expected.isdigit() else "200"
+            assert line.split(" ")[1] == status, spelling
+            if status == "200":
+                assert backend.paths.pop() == expected
+            assert not backend.paths
+
+
+@pytest.mark.parametrize(
+    ("sent", "goes_on"),
+    [
+        ("App.SVC", "app.svc"),
+        ("app.svc.", "app.svc"),
+        ("app.svc:8080", "app.svc:8080"),
+        ("a.App.svc.:81", "a.app.svc:81"),
+        ("[0:0::1]:80", "[::1]:80"),
+    ],
+)
+def test_every_spelling_of_a_host_is_one(tmp_path: Path, sent: str, goes_on: str) -> None:
+    with routed_node(tmp_path, routes_text()) as (n, backend):
+        assert exchange(n, "balance", Host=sent)[1] == b"served"
+        assert backend.heads[0]["host"] == goes_on
+
+
+def test_a_missing_host_or_another_class_than_the_routes_is_refused(tmp_path: Path) -> None:
+    with routed_node(tmp_path, routes_text()) as (n, backend):
+        assert exchange(n, "balance", Host="")[0].startswith("HTTP/1.1 400")
+        line, _ = exchange(n, "credit", path="/balance/x")
+        assert line.startswith("HTTP/1.1 40")
+        client = n.connect()
+        client.send(request("/balance/x", X_Priority_Class="credit"))
+        assert client.ends().startswith(b"HTTP/1.1 400")
+        assert not backend.received
+
+
+def test_a_route_gives_a_path_of_its_own_to_a_class(tmp_path: Path) -> None:
+    more = '[[service.route]]\nname = "pay"\npath = "/pay/{id}"\nclass = "credit"\n'
+    with routed_node(tmp_path, routes_text(more=more), ("error",) * 4) as (n, backend):
+        line, _ = exchange(n, "credit", path="/pay/77")
+        assert line.split(" ")[1] == "502"
+        assert backend.received == {"r1": 1}
+        assert exchange(n, "balance", path="/pay/77", rid="r2")[0].split(" ")[1] in ("400", "405")
+
+
+def test_refusals_are_counted_by_reason(tmp_path: Path) -> None:
+    with routed_node(tmp_path, routes_text()) as (n, _):
+        for host in ("x.org", "y.org"):
+            exchange(n, "balance", Host=host)
+        exchange(n, "balance", path="/none")
+        n.process.send_signal(signal.SIGTERM)
+        n.says("refused by the routes: denied 1")
+        n.says("refused by the routes: unknown-host 2")
--- /dev/null
+++ b/tests/proxy/test_timers.py
@@ -0,0 +1,96 @@
+"""The heap of timers over a loop that only notes which of its timers is set."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, cast
+
+import pytest
+
+from loadbalancer.proxy.timers import TimerHeap
+
+SECOND_NS = 1_000_000_000
+
+
+class Handle:
+    """A timer of the loop."""
+
+    def __init__(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self.delay_s = delay_s
+        self.callback = callback
+        self.cancelled = False
+
+    def cancel(self) -> None:
+        self.cancelled = True
+
+
+class Loop:
+    """A loop whose timers are called by the test."""
+
+    def __init__(self) -> None:
+        self.handles: list[Handle] = []
+
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> Handle:
+        self.handles.append(Handle(delay_s, callback))
+        return self.handles[-1]
+
+    def armed(self) -> list[float]:
+        """The delays of the timers that are set, rounded to a hundredth of a second."""
+        return [round(handle.delay_s, 2) for handle in self.handles if not handle.cancelled]
+
+
+@pytest.fixture
+def loop() -> Loop:
+    return Loop()
+
+
+@pytest.fixture
+def fired() -> list[str]:
+    return []
+
+
+@pytest.fixture
+def heap(loop: Loop, fired: list[str], monkeypatch: pytest.MonkeyPatch) -> TimerHeap:
+    """An empty heap at the time 100 s."""
+    monkeypatch.setattr("time.monotonic_ns", lambda: 100 * SECOND_NS)
+    return TimerHeap(cast(Any, loop), lambda: fired.append("due"))
+
+
+def test_an_empty_heap_sets_no_timer(heap: TimerHeap, loop: Loop) -> None:
+    heap.arm()
+    assert not loop.handles
+    assert heap.pop_due(1 << 62) is None
+
+
+def test_the_loop_has_one_timer_for_the_earliest_item(heap: TimerHeap, loop: Loop) -> None:
+    for due_s in (107, 103, 105):
+        heap.add(due_s * SECOND_NS, due_s)
+        heap.arm()
+    assert loop.armed() == [3.0]
+    assert len(loop.handles) == 2  # that of 105 s changed nothing
+
+
+def test_a_time_that_has_passed_is_due_at_once(heap: TimerHeap, loop: Loop) -> None:
+    heap.add(90 * SECOND_NS, 1)
+    heap.arm()
+    assert loop.armed() == [0.0]
+
+
+def test_items_come_by_their_times_and_those_of_one_time_in_their_order(heap: TimerHeap) -> None:
+    for due, item in ((30, 3), (20, 1), (20, 2), (40, 4)):
+        heap.add(due, item)
+    popped = [heap.pop_due(30) for _ in range(4)]
+    assert popped == [1, 2, 3, None]
+
+
+def test_once_it_has_fired_the_next_item_sets_it_again(
+    heap: TimerHeap, loop: Loop, fired: list[str]
+) -> None:
+    heap.add(101 * SECOND_NS, 1)
+    heap.add(104 * SECOND_NS, 2)
+    heap.arm()
+    loop.handles.pop().callback()
+    assert fired == ["due"]
+    assert heap.pop_due(102 * SECOND_NS) == 1
+    heap.arm()
+    assert loop.armed() == [4.0]
