--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -99,12 +99,23 @@
             self._timer = self.host.loop.call_later(limit, self._fail, Outcome.ERROR)
 
     def eof_received(self) -> bool:
-        """The backend has ended its sending, which may complete the response."""
-        if self.attempt is not None and self.reader.feed_eof():
+        """The backend has ended its sending, which may complete the response.
+
+        Failure: a part of the request still waits above the kernel, and the backend, which
+        may go on reading, gets it: the event loop closes a transport at its end of file only
+        once it has written what waits. The attempt counts as not executed by then, and an
+        unsafe request that may have run is rejected with a 503. Closed from here, the
+        connection is aborted, and what waits is discarded.
+        """
+        if self.attempt is None:
+            return False
+        if self.reader.feed_eof():
             if self._state is STREAMING:
                 self._forward()
             else:
                 self._respond()
+        elif not self.request_written:
+            self._fail(Outcome.RESET)
         return False
 
     def _respond(self) -> None:
