--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -129,19 +129,10 @@
     def give_up_unwritten(self, request: Request) -> None:
         """Give up those of a request's attempts that no backend can have begun."""
         for attempt in list(request.attempts):
-            if self.is_unwritten(attempt):
+            connection = attempt.connection
+            if connection is None or not connection.request_written:
                 self.give_up(attempt, Outcome.CANCELLED)
 
-    def is_unwritten(self, attempt: Attempt) -> bool:
-        """Whether an attempt's request has a short body that has not been written to its end.
-
-        A long body is never counted as unwritten here, whatever of it has left.
-        """
-        request = attempt.request
-        if attempt.closed or request is None or request.flow is not None:
-            return False
-        return attempt.connection is None or not attempt.connection.request_written
-
     def withdraw(self, backends: Sequence[int]) -> None:
         """Give up what waits for a connection to these backends to be established."""
         for attempt in self.upstream.connecting(backends):
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -68,17 +68,20 @@
     def client_gone(self, request: Request) -> None:
         """A request's client has disconnected: it is owed no answer.
 
-        Attempts that have been written go on to their outcomes. A message that is under way
-        is given up: half of a response that nobody reads, or half of a request that is never
-        completed, would hold its backend's connection.
+        An attempt whose request has been written goes on to its outcome. A message that is
+        under way is given up.
+
+        Failure: half of a response that nobody reads, or half of a request that is never
+        completed, uses a slot and its backend's connection up to the deadline. A long body
+        is discarded with its request, also the part that waits in this process.
         """
         if request.ended:
             return
         self.enter()
-        transferring = request.started or request.receiving
+        streaming = request.started
         self.end(request)
         self.moves(self.balancer.on_client_disconnected, request.id)
-        if transferring:
+        if streaming:
             self._give_up_all(request, Outcome.CANCELLED)
         else:
             self.give_up_unwritten(request)
@@ -96,7 +99,8 @@
         self.enter()
         request.half_closed = True
         self.moves(self.balancer.on_client_half_closed, request.id)
-        self.give_up_unwritten(request)
+        if request.flow is None:  # a long body is under way already
+            self.give_up_unwritten(request)
         self.leave()
 
     def stalled(self, request: Request) -> None:
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -14,6 +14,7 @@
 from loadbalancer.core import Outcome
 from loadbalancer.core.balancing.retries import NOT_EXECUTED
 from loadbalancer.proxy.exchange import Attempt, Request
+from loadbalancer.proxy.flow_control import Flow
 from loadbalancer.proxy.host import Node
 from tests.harness import config, roster, target
 
@@ -251,6 +252,27 @@
     assert request.open_attempts == written
 
 
+@pytest.mark.parametrize(
+    ("leaves", "outcomes"), [(Node.client_gone, [Outcome.MOOT]), (Node.client_ended, [])]
+)
+def test_a_long_body_goes_on_only_where_its_client_may_wait_for_the_answer(
+    node: Node,
+    balancer: Balancer,
+    client: Client,
+    leaves: Callable[[Node, Request], None],
+    outcomes: list[Outcome],
+) -> None:
+    """All of it has been read, and its end waits in this process to be written.
+
+    Where its client is gone that end is discarded: the attempt can never be completed.
+    """
+    request = admit(node, client, attempts=1)
+    flow = request.flow = Flow(node.budget, cast(Any, None))
+    flow.finish()
+    leaves(node, request)
+    assert balancer.outcomes == outcomes
+
+
 @pytest.mark.parametrize(
     ("waited_ns", "outcome"),
     [
--- a/tests/proxy/upstream/test_half_close.py
+++ b/tests/proxy/upstream/test_half_close.py
@@ -83,3 +83,26 @@
             for size in range(held - 2 * PIECE, held + 4 * PIECE, PIECE):
                 got, status = half_close(n, backend, size)
                 assert (got, status) == (size, "502") or (got < size and status == "503")
+
+
+def test_a_long_body_that_waits_in_the_node_ends_with_its_client(tmp_path: Path) -> None:
+    """A client leaves once the node has read its long body, of which the end still waits.
+
+    That end is discarded with the client's request. Its attempt went on nevertheless, to the
+    request's deadline: it used its slot and its backend's connection, and then counted
+    against the backend as one that could not be connected to.
+    """
+    with listen() as backend:
+        backend.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        known = roster(target("s-1", backend.getsockname()[1]))
+        with node(tmp_path, known, settings={"classes": patient_classes()}) as n:
+            held, _ = half_close(n, backend, MANY_BYTES)
+            size = held + 5 * PIECE
+            client = n.connect()
+            client.send(request("/credit/7f3a", b"z" * size, rid="r1", timeout=LONG_MS))
+            peer = accept(backend)
+            wait_until_full(peer.sock)
+            client.reset()
+            time.sleep(SETTLE_S)  # for the node to learn of it
+            got = len(peer.ends())  # far sooner than the deadline, or the test's peers time out
+            assert got < size
