--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -50,7 +50,7 @@
     def discovery(self) -> Discovery | ConsulMembers:
         """Where the list of servers comes from."""
 
-    def moves(self, event: Callable[..., None], *args: Any) -> None:
+    def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
         """Run an event of the Balancer, with the time and these arguments."""
 
 
@@ -131,7 +131,7 @@
         self._sock = None
         update = self.bridge.close(time.monotonic_ns())
         if update is not None:
-            self._host.moves(self.bridge.apply, update)
+            self._host.notify_balancer(self.bridge.apply, update)
 
     def _discard_after_pause(self, now: int) -> None:
         """After a pause of this process, discard what waited in the socket: its age is unknown."""
@@ -185,7 +185,7 @@
         node = self.node
         update = self.bridge.collect(now)
         if update is not None:
-            self._host.moves(self.bridge.apply, update)
+            self._host.notify_balancer(self.bridge.apply, update)
         if self.bridge.alive != self._alive:
             self._alive = self.bridge.alive
             logger.info("%d of %d nodes live", self._alive, len(self._addresses))
--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -143,7 +143,7 @@
     def uploading(self, attempt: Attempt) -> None:
         """The first bytes of a long body are about to be written: it can't be sent again."""
         assert attempt.request is not None
-        self.moves(self.balancer.on_body_started, attempt.request.id, attempt.number)
+        self.notify_balancer(self.balancer.on_body_started, attempt.request.id, attempt.number)
 
     def uploaded(self, request: Request, attempt: Attempt | None) -> None:
         """A long body has been read from its client to the end, or written to a backend.
@@ -162,7 +162,7 @@
         attempt.limit = max(request.deadline - now, 0)
         attempt.sent = now
         self._timers.add(request.deadline, attempt)
-        self.moves(self.balancer.on_body_sent, request.id, attempt.number)
+        self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
 
     def _restart_deadline(self, request: Request, now: int) -> None:
         request.deadline = now + request.timeout
@@ -180,4 +180,5 @@
         request.started = True
         self.labels.discard(request.label)
         duration = time.monotonic_ns() - attempt.sent
-        self.moves(self.balancer.on_response_started, request.id, attempt.number, duration)
+        event = self.balancer.on_response_started
+        self.notify_balancer(event, request.id, attempt.number, duration)
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -69,7 +69,7 @@
         self.inside = False
         self._timers.arm()
 
-    def moves(self, event: Callable[..., None], *args: Any) -> None:
+    def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
         """Call an event of the Balancer, in a bracket of its own or within the present one."""
         inside = self.inside
         now = self.now if inside else self.enter()
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -80,7 +80,7 @@
         self.enter()
         streaming = request.started
         self.end(request)
-        self.moves(self.balancer.on_client_disconnected, request.id)
+        self.notify_balancer(self.balancer.on_client_disconnected, request.id)
         if streaming:
             self._give_up_all(request, Outcome.CANCELLED)
         else:
@@ -98,7 +98,7 @@
             return
         self.enter()
         request.half_closed = True
-        self.moves(self.balancer.on_client_half_closed, request.id)
+        self.notify_balancer(self.balancer.on_client_half_closed, request.id)
         if request.flow is None:  # a long body is under way already
             self.give_up_unwritten(request)
         self.leave()
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -76,7 +76,7 @@
     def _endpoint_source(self) -> Discovery | ConsulMembers:
         config = self.config
         if not config.consul:
-            return Discovery(config, self.members_told)
+            return Discovery(config, self.on_list_update)
         # Imported here: a node without Consul does not pay for the modules.
         from pathlib import Path
 
@@ -86,7 +86,7 @@
         def answers(backend: int) -> bool | None:
             return is_alive(self.balancer, time.monotonic_ns(), backend)
 
-        return ConsulMembers(Path(config.consul), config, self.members_told, alive=answers)
+        return ConsulMembers(Path(config.consul), config, self.on_list_update, alive=answers)
 
     # ---- start -------------------------------------------------------------
 
@@ -136,7 +136,7 @@
 
     # ---- the endpoint list -------------------------------------------------
 
-    def members_told(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
+    def on_list_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
         """The source has an update of the endpoint list, or its poll has failed.
 
         Args:
@@ -149,7 +149,7 @@
         if self.peers is not None:
             rows = self.peers.on_list(update, rows)
         self.enter()
-        self.moves(self.balancer.on_members, update, rows)
+        self.notify_balancer(self.balancer.on_members, update, rows)
         if self.balancer.ready or update == Update.FULL:
             self._on_list_usable()
         self.withdraw(stale)
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -77,4 +77,4 @@
             return
         logger.info("request %d was overdue", request.id)
         self.finish(request, GATEWAY_TIMEOUT)
-        self.moves(self.balancer.on_client_disconnected, request.id)
+        self.notify_balancer(self.balancer.on_client_disconnected, request.id)
