--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -16,7 +16,6 @@
     answer,
     config,
     launch,
-    listen,
     node,
     request,
     roster,
@@ -26,12 +25,6 @@
 ADMIN = "127.0.0.1:0"
 
 
-@pytest.fixture
-def backend() -> Iterator[socket.socket]:
-    with listen() as sock:
-        yield sock
-
-
 @pytest.fixture
 def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
     """A node with a second address and one backend; it stops with status 0."""
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -4,6 +4,7 @@
 
 import json
 import signal
+import socket
 import subprocess
 from pathlib import Path
 from typing import Any
@@ -13,6 +14,7 @@
 from loadbalancer.config.node import ConfigError, load
 from tests.harness import (
     SETTINGS,
+    Running,
     accept,
     answer,
     config,
@@ -25,38 +27,42 @@
 )
 
 
-def test_a_request_passes_through_unchanged_and_connections_are_kept(tmp_path: Path) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
-        client.send(request("/credit/7f3a?x=%20y", b"body", Idempotency_Key="k1", X_Cost="12"))
-        peer = accept(backend)
-        first, headers, body = peer.message()
-        assert first == "POST /credit/7f3a?x=%20y HTTP/1.1"
-        assert headers["x-request-id"] == "9b1f03aa5c7e2d41"
-        assert headers["idempotency-key"] == "k1"
-        assert 0 < int(headers["x-timeout-ms"]) <= 1500
-        assert body == b"body"
-        peer.send(answer(b"served", "200 OK", "Content-Type: text/x"))
-        line, headers, body = client.message()
-        assert (line, body) == ("HTTP/1.1 200 OK", b"served")
-        assert headers["content-type"] == "text/x"
-        client.send(request())
-        assert peer.message()[0] == "GET /balance/7f3a HTTP/1.1"
-        peer.send(answer(b"again"))
-        assert client.message()[2] == b"again"
-
-
-def test_ready_and_a_stop_with_status_0(tmp_path: Path) -> None:
-    with node(tmp_path, roster(target("s-1", 9))) as n:
-        client = n.connect()
-        client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert client.message()[0] == "HTTP/1.1 200 OK"
-        assert n.stop() == 0
+def test_a_request_passes_through_unchanged_and_connections_are_reused(
+    n: Running, backend: socket.socket
+) -> None:
+    client = n.connect()
+    client.send(request("/credit/7f3a?x=%20y", b"body", Idempotency_Key="k1", X_Cost="12"))
+    peer = accept(backend)
+    first, headers, body = peer.message()
+    assert first == "POST /credit/7f3a?x=%20y HTTP/1.1"
+    assert headers["x-request-id"] == "9b1f03aa5c7e2d41"
+    assert headers["idempotency-key"] == "k1"
+    assert 0 < int(headers["x-timeout-ms"]) <= 1500
+    assert body == b"body"
+    peer.send(answer(b"served", "200 OK", "Content-Type: text/x"))
+    line, headers, body = client.message()
+    assert (line, body) == ("HTTP/1.1 200 OK", b"served")
+    assert headers["content-type"] == "text/x"
+    client.send(request())
+    assert peer.message()[0] == "GET /balance/7f3a HTTP/1.1"
+    peer.send(answer(b"again"))
+    assert client.message()[2] == b"again"
+
+
+def test_ready_and_a_stop_with_status_0(n: Running) -> None:
+    client = n.connect()
+    client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+    assert client.message()[0] == "HTTP/1.1 200 OK"
+    assert n.stop() == 0
 
 
 @pytest.mark.parametrize("servers", [1, 0])
-def test_ready_means_that_there_is_a_list_to_go_by(tmp_path: Path, servers: int) -> None:
-    """With none yet the front has others; one that says that there are no servers is one."""
+def test_a_node_is_ready_once_it_has_had_a_usable_list(tmp_path: Path, servers: int) -> None:
+    """A node starts without an endpoint list, and its discovery service answers late.
+
+    Until then the front has other nodes to send clients to. A complete list without servers is
+    usable: there is none to wait for.
+    """
     with listen() as discovery, listen() as backend:
         port = discovery.getsockname()[1]
         settings = {"registry_mode": "ask"}
@@ -73,28 +79,27 @@
             assert n.call("GET /status")[2] == b"active\n"
             again = accept(discovery)
             again.message()
-            # Its servers leave: for good, or clients would be sent nowhere by all nodes at once.
+            # Its servers leave. It stays ready: else the front would take out all nodes at once.
             again.send(answer(json.dumps(roster(rev=3)).encode()))
             accept(discovery).message()
             assert n.ready()
 
 
-def test_a_stop_finishes_what_is_held(tmp_path: Path) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        n.process.send_signal(signal.SIGTERM)
-        late = n.connect()  # the kernel goes on taking connections
-        late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        line, headers, _ = late.message()
-        assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
-        n.process.send_signal(signal.SIGTERM)
-        peer.send(answer(b"served"))
-        line, headers, body = client.message()
-        assert (line, body, headers["connection"]) == ("HTTP/1.1 200 OK", b"served", "close")
-        assert n.process.wait(20) == 0
+def test_a_stop_answers_the_requests_in_flight(n: Running, backend: socket.socket) -> None:
+    client = n.connect()
+    client.send(request())
+    peer = accept(backend)
+    peer.message()
+    n.process.send_signal(signal.SIGTERM)
+    late = n.connect()  # the kernel goes on taking connections
+    late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+    line, headers, _ = late.message()
+    assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
+    n.process.send_signal(signal.SIGTERM)
+    peer.send(answer(b"served"))
+    line, headers, body = client.message()
+    assert (line, body, headers["connection"]) == ("HTTP/1.1 200 OK", b"served", "close")
+    assert n.process.wait(20) == 0
 
 
 @pytest.mark.parametrize(
@@ -144,7 +149,7 @@
         ({"rules": SETTINGS["rules"] | {"drain_grace": -1}}, "drain_grace"),
     ],
 )
-def test_figures_that_can_not_be_lived_by_are_refused_at_the_start(
+def test_settings_that_no_request_could_meet_are_refused_at_the_start(
     tmp_path: Path, change: dict[str, Any], says: str
 ) -> None:
     environ = config(tmp_path, roster(), 1, settings=change)
@@ -152,18 +157,18 @@
         load(environ)
 
 
-def test_null_means_absent(tmp_path: Path) -> None:
+def test_a_null_in_the_settings_means_absent(tmp_path: Path) -> None:
     nulls = {"rules": SETTINGS["rules"] | {"grace_to_answer": None}, "realms": None, "goal": None}
     with_nulls = load(config(tmp_path, roster(), 1, settings=nulls, peers=None, limits=None))
     absent = {"rules": {k: v for k, v in SETTINGS["rules"].items() if k != "grace_to_answer"}}
     assert with_nulls.settings == load(config(tmp_path, roster(), 1, settings=absent)).settings
 
 
-def test_a_log_that_nobody_reads_stops_nothing(tmp_path: Path) -> None:
-    with node(tmp_path, roster()) as n:
-        assert n.process.stderr is not None
-        n.process.stderr.close()
-        assert n.stop() == 0  # which it logs first
+def test_a_log_that_nobody_reads_stops_nothing(n: Running) -> None:
+    """What reads a node's log has ended: each write to the pipe raises an error."""
+    assert n.process.stderr is not None
+    n.process.stderr.close()
+    assert n.stop() == 0  # which it logs first
 
 
 def test_a_node_without_a_routes_file_does_not_load_what_reads_one(tmp_path: Path) -> None:
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -4,21 +4,23 @@
 
 import json
 import signal
+import socket
 from pathlib import Path
 
 import pytest
 
-from tests.harness import accept, answer, listen, node, request, roster, served_by, target
+from tests.harness import Running, accept, answer, listen, node, request, roster, served_by, target
 
 
 def replace_config(tmp_path: Path, text: str) -> None:
+    """Replace the node's configuration by this text, as one step."""
     new = tmp_path / "new.json"
     new.write_text(text)
     new.rename(tmp_path / "config.json")
 
 
 def test_a_reload_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
-    """PROXY_DISCOVERY still names the old one; the list of the new one counts at once."""
+    """PROXY_DISCOVERY still names the old one; the first list of the new one is used at once."""
     with listen() as first, listen() as second, listen() as backend:
         old, new, serves = (s.getsockname()[1] for s in (first, second, backend))
         gone = target("s-1", 1)
@@ -40,19 +42,21 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"discovery": "nowhere"}', '{"settings": {}}'])
-def test_a_reload_of_an_unusable_file_changes_nothing(tmp_path: Path, text: str) -> None:
-    with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        client = n.connect()
-        client.send(request())
-        peer = accept(backend)
-        peer.message()
-        replace_config(tmp_path, text)
-        n.process.send_signal(signal.SIGHUP)
-        n.says("going on as before")
-        peer.send(answer(b"served"))
-        assert client.message()[2] == b"served"
-        client.send(request())
-        peer.message()
-        peer.send(answer(b"again"))
-        assert client.message()[2] == b"again"
-        assert n.stop() == 0
+def test_a_reload_of_an_unusable_file_changes_nothing(
+    tmp_path: Path, n: Running, backend: socket.socket, text: str
+) -> None:
+    """An operator replaces the file by one with a fault while a request is in flight."""
+    client = n.connect()
+    client.send(request())
+    peer = accept(backend)
+    peer.message()
+    replace_config(tmp_path, text)
+    n.process.send_signal(signal.SIGHUP)
+    n.says("going on as before")
+    peer.send(answer(b"served"))
+    assert client.message()[2] == b"served"
+    client.send(request())
+    peer.message()
+    peer.send(answer(b"again"))
+    assert client.message()[2] == b"again"
+    assert n.stop() == 0
