--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -7,6 +7,7 @@
 
 import contextlib
 import json
+import select
 import signal
 import socket
 import subprocess
@@ -114,7 +115,15 @@
 def test_what_waits_for_a_client_that_has_ended_is_refused_at_once_and_never_sent(
     tmp_path: Path, size: int
 ) -> None:
-    """Also where its body is too long to be held, and reading it is paused meanwhile."""
+    """A client sends a request and ends its sending while every slot is in use.
+
+    It may have gone, so its request is refused at once and leaves the queue: the slot that
+    comes free next is another client's. The same where its body is too long to be buffered.
+
+    The later request may take LONG_MS as well: the node may read it before the answer that
+    frees the slot, and with less time than its class's expected latency it would be
+    refused instead of queued.
+    """
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
         with node(tmp_path, known, settings=patient()) as n:
@@ -126,13 +135,16 @@
             ends_sending(waits)
             assert waits.message()[0] == "HTTP/1.1 503 Service Unavailable"
             later = n.connect()
-            later.send(request(rid="later"))
+            later.send(request(rid="later", timeout=LONG_MS))
             client, peer = out[0]
             peer.send(answer(b"served"))
             assert client.message()[2] == b"served"
             assert peer.message()[1]["x-request-id"] == "later"
             peer.send(answer(b"served"))
             assert later.message()[2] == b"served"
+            # No byte of the other request, on these connections or on a further one.
+            assert not select.select([backend, *(p.sock for _, p in out)], (), (), 0)[0]
+            assert not any(p.buffer for _, p in out)
 
 
 @pytest.mark.parametrize("ends", ["half", "close", "reset"])
@@ -182,7 +194,8 @@
             ends_sending(client)
             assert client.message()[0] == "HTTP/1.1 503 Service Unavailable"
             later = n.connect()
-            later.send(request(rid="later"))
+            # The kernel sends a SYN that found the queue full again after a second, then two.
+            later.send(request(rid="later", timeout=LONG_MS))
             assert backend.open().message()[1]["x-request-id"] == "later"
 
 
