--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -1,10 +1,12 @@
-"""The listening socket: accepting clients while there is room, and making room for more."""
+"""The listening socket: accepting clients while there is capacity, and making some for more."""
 
 from __future__ import annotations
 
 import asyncio
+import logging
 import socket
 import time
+from enum import Enum
 from typing import TYPE_CHECKING
 
 from loadbalancer.proxy.downstream.connection import ClientConnection
@@ -16,62 +18,121 @@
     from loadbalancer.proxy.lifecycle import Service
     from loadbalancer.proxy.ports import ClientHost
 
-BACKLOG = 1024
-ACCEPTS = 64  # in one turn of the loop
-PRESSED_S = 0.05  # that an ended connection may linger while others wait for a place ...
-PRESSED_PART = 2  # ... and one in so many places is freed at a time, at the most
+logger = logging.getLogger(__name__)
+
+BACKLOG = 1024  # connections that the kernel holds until they are accepted
+MAX_ACCEPTS = 64  # in one turn of the loop
+# How long, in seconds, a connection may linger after our end while others wait for its place ...
+PRESSED_LINGER_S = 0.05
+MAX_ENDED_PART = 2  # ... and at most one in so many places is freed at a time
+
+
+class ListenerState(Enum):
+    """Whether connections are accepted."""
+
+    NOT_LISTENING = "not listening"  # not yet, or no more
+    ACCEPTING = "accepting"
+    PAUSED = "paused"  # until there is capacity for a client again
+    HELD_BACK = "held back"  # another process accepts from the same socket
+
+
+NOT_LISTENING = ListenerState.NOT_LISTENING
+ACCEPTING = ListenerState.ACCEPTING
+PAUSED = ListenerState.PAUSED
+HELD_BACK = ListenerState.HELD_BACK
 
 
 class Listener:
-    """The listening socket, and the admission of clients."""
+    """The listening socket, and the admission of clients' connections."""
 
-    def __init__(self, node: ClientHost, service: Service) -> None:
-        self.node = node
+    def __init__(self, host: ClientHost, service: Service) -> None:
+        self.host = host
         self.service = service
-        self.registry = ConnectionRegistry(node, service)
-        self._pressed = False
-        self._at_a_time = 1
-        self._paused = False
-        self._held_back = False  # a successor accepts
-        self._tasks: set[asyncio.Task[None]] = set()
+        self.registry = ConnectionRegistry(host, service)
+        self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
-        node.freed = self.freed
+        self._establishing: set[asyncio.Task[None]] = set()
+        self._pressure_check: asyncio.TimerHandle | None = None  # while places are freed
+        self._max_ended = 1  # connections ended at a time
+        host.freed = self.freed
 
     @property
     def sock(self) -> socket.socket | None:
         """The listening socket, None once it is closed."""
         return self._sock
 
+    # ---- begin and end of listening -------------------------------------
+
+    def listen(self, address: Address, shared: bool = False) -> int:
+        """Accept connections at this address; returns the port.
+
+        `shared`: where one process succeeds another and can't be handed its socket.
+        """
+        return self._listen_on(listening_socket(address, BACKLOG, shared))
+
     def adopt(self, sock: socket.socket) -> int:
-        """Take connections from a listening socket that another process made; returns the port."""
+        """Accept connections from a socket that another process made; returns the port."""
         sock.setblocking(False)
+        return self._listen_on(sock)
+
+    def _listen_on(self, sock: socket.socket) -> int:
         self._sock = sock
-        self.node.loop.add_reader(sock, self._accept)
+        self._state = ACCEPTING
+        self.host.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
     def hold_back(self) -> None:
-        """Accept no more; whoever shares the socket gets what waits."""
-        self._held_back = True
+        """Accept no more; whoever shares the socket gets the connections that wait."""
         self._pause()
+        if self._state is PAUSED:
+            self._state = HELD_BACK
 
     def accept_again(self) -> None:
-        """Undo hold_back: the successor has not taken over."""
-        self._held_back = False
+        """Undo `hold_back`: the successor has not taken over."""
+        if self._state is HELD_BACK:
+            self._state = PAUSED
         self.freed()
 
-    def listen(self, address: Address, shared: bool = False) -> int:
-        """Take connections at this address; returns the port.
+    def _pause(self) -> None:
+        if self._state is ACCEPTING:
+            assert self._sock is not None
+            self._state = PAUSED
+            self.host.loop.remove_reader(self._sock)
 
-        `shared`: where one process succeeds another and can't be handed its socket.
+    def stop_accepting(self) -> None:
+        """Accept what the kernel holds for this process, then close the listening socket.
+
+        Failure: the kernel has completed these connections, and their clients may have sent
+        requests on them. Closing the socket would reset them.
         """
-        sock = listening_socket(address, BACKLOG, shared)
-        self._sock = sock
-        self.node.loop.add_reader(sock, self._accept)
-        return int(sock.getsockname()[1])
+        sock = self._sock
+        if sock is None:
+            return
+        if self._state is not HELD_BACK:
+            self.registry.close_idle()
+            for _ in range(BACKLOG // MAX_ACCEPTS):
+                self._accept()
+        self._pause()
+        self._state = NOT_LISTENING
+        self._sock = None
+        sock.close()
+
+    def finished(self) -> bool:
+        """Whether nothing is open, and nothing lies unread, that a stop must wait for."""
+        registry = self.registry
+        if self.service.relieved:
+            registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
+        else:
+            registry.close_idle()
+        if registry.idle or registry.fresh:
+            return False
+        return not self._establishing and registry.finished()
+
+    # ---- accepting --------------------------------------------------------
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if self._sock is None or not self._room():
+        for _ in range(MAX_ACCEPTS):
+            if self._sock is None or not self._has_capacity():
                 return
             try:
                 sock, _address = self._sock.accept()
@@ -79,117 +140,83 @@
                 return
             except ConnectionError:
                 continue
-            except OSError as err:
-                # Descriptors are budgeted, but the system may be short of other
-                # things: the accept loop must outlive that.
-                self.node.log(f"accept: {err}")
+            except OSError as error:
+                # Failure: the system is short of descriptors or memory, though this process
+                # is within its budget. The socket stays readable, so the loop would call
+                # again at once and without end; the next sweep or freed place tries again.
+                logger.info("accept: %s", error)
                 self._pause()
                 return
             sock.setblocking(False)
-            self.node.clients += 1
-            task = self.node.loop.create_task(self._welcome(sock))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
+            self.host.clients += 1
+            task = self.host.loop.create_task(self._establish(sock))
+            self._establishing.add(task)
+            task.add_done_callback(self._establishing.discard)
 
-    async def _welcome(self, sock: socket.socket) -> None:
+    async def _establish(self, sock: socket.socket) -> None:
         conn = ClientConnection(self.registry, sock)
         try:
-            transport, _ = await self.node.loop.connect_accepted_socket(lambda: conn, sock)
+            transport, _ = await self.host.loop.connect_accepted_socket(lambda: conn, sock)
             release_socket(transport, sock)
         except OSError:
             sock.detach()
             if conn not in self.registry.connections:
-                self.node.clients -= 1
+                self.host.clients -= 1
                 self.freed()
 
-    def _room(self) -> bool:
-        """Room for one more; else an idle connection goes, and the next waits its turn."""
-        if self.node.room_for_client():
-            return True
-        self._pause()
-        self._give_way()
-        return False
-
-    def _give_way(self) -> None:
-        """Free a place for who waits to be accepted, and more while that does not do.
-
-        Most clients close as we end their connection. Those that don't are cut off after
-        PRESSED_S, and the more of them there are, the more are ended at a time.
-        """
-        now = self.node.loop.time()
-        registry = self.registry
-        for conn, (since, _) in list(registry.lingering.items()):
-            if now - since < PRESSED_S:
-                break
-            conn.cut_off()
-        while len(registry.lingering) < self._at_a_time:
-            if not registry.drop_oldest(len(self._tasks)):
-                break
-        if not registry.lingering:
-            self.node.drop_beyond_part()
-        if not self._pressed:
-            self._pressed = True
-            self.node.loop.call_later(PRESSED_S, self._press)
-
-    def _wants_room(self) -> bool:
-        """Whether connections may wait that are not accepted for want of room alone."""
-        return self._paused and not self._held_back and self._sock is not None
-
-    def _press(self) -> None:
-        self._pressed = False
-        if self._wants_room():
-            most = max(self.node.most_clients() // PRESSED_PART, 1)
-            self._at_a_time = min(2 * self._at_a_time, most)
-            self._give_way()
-        else:
-            self._at_a_time = 1
-
-    def _pause(self) -> None:
-        if self._sock is not None and not self._paused:
-            self._paused = True
-            self.node.loop.remove_reader(self._sock)
-
     def freed(self) -> None:
-        """A descriptor has come free: accept again."""
-        if self._held_back:
-            return
-        if self._paused and self._sock is not None and self.node.room_for_client():
-            self._paused = False
-            self.node.loop.add_reader(self._sock, self._accept)
+        """A descriptor has been freed: accept again if there is capacity."""
+        sock = self._sock
+        if self._state is PAUSED and sock is not None and self.host.room_for_client():
+            self._state = ACCEPTING
+            self.host.loop.add_reader(sock, self._accept)
 
     def sweep(self) -> None:
-        """One more sweep over all connections, then room for those that wait."""
+        """One more sweep over all connections, then capacity for those that wait."""
         self.registry.sweep()
         self.freed()
-        if self._wants_room():
-            self._give_way()
-
-    # ---- sending clients away, stopping -------------------------------
+        if self._state is PAUSED:
+            self._free_places()
 
     def send_away(self, now: int) -> None:
-        """Close idle connections as the state has it, those that rest longest first."""
+        """Close as many idle connections as `Service` has it, longest idle first; `now` in ns."""
         self.registry.send_away(now)
 
-    def stop_accepting(self) -> None:
-        """Take in what the kernel has accepted for us, then listen no more."""
-        sock = self._sock
-        if sock is None:
-            return
-        if not self._held_back:
-            self.registry.close_resting()
-            for _ in range(BACKLOG // ACCEPTS):
-                self._accept()
+    # ---- freeing places for those that wait ---------------------------------
+
+    def _has_capacity(self) -> bool:
+        """Whether one more client fits; else the next waits until a place is freed."""
+        if self.host.room_for_client():
+            return True
         self._pause()
-        self._sock = None
-        sock.close()
+        self._free_places()
+        return False
 
-    def finished(self) -> bool:
-        """Whether nothing is held, and nothing lies unread, that a stop must wait for."""
-        if self.service.relieved:
-            self.send_away(time.monotonic_ns())  # spread: nobody waits for the place
-        else:
-            self.registry.close_resting()
+    def _free_places(self) -> None:
+        """End an idle connection for a client that waits, and more while that does not do.
+
+        Most clients close as their connection is ended. Those that don't are aborted after
+        PRESSED_LINGER_S, and the more of them there are, the more are ended at a time.
+        """
+        now = self.host.loop.time()
         registry = self.registry
-        if registry.idle or registry.fresh:
-            return False
-        return not self._tasks and registry.finished()
+        for conn, linger in list(registry.lingering.items()):
+            if now - linger.since_s < PRESSED_LINGER_S:
+                break
+            conn.abort_lingering()
+        while len(registry.lingering) < self._max_ended:
+            if not registry.close_oldest(len(self._establishing)):
+                break
+        if not registry.lingering:
+            self.host.drop_beyond_part()
+        if self._pressure_check is None:
+            self._pressure_check = self.host.loop.call_later(PRESSED_LINGER_S, self._check_pressure)
+
+    def _check_pressure(self) -> None:
+        self._pressure_check = None
+        if self._state is PAUSED:
+            max_ended = max(self.host.most_clients() // MAX_ENDED_PART, 1)
+            self._max_ended = min(2 * self._max_ended, max_ended)
+            self._free_places()
+        else:
+            self._max_ended = 1
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -1,163 +1,186 @@
-"""All connections of clients by their state, and which of them go when there is no room."""
+"""All connections of clients, and which of them are closed where there are too many."""
 
 from __future__ import annotations
 
 import asyncio
 from abc import ABC, abstractmethod
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
-from loadbalancer.proxy.downstream.request import HeadChecker
+from loadbalancer.proxy.downstream.head_checker import HeadChecker
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.lifecycle import Service
     from loadbalancer.proxy.ports import ClientHost
 
-REST_SWEEPS = 9  # without a request, after which a connection may be closed for room
-LOOK_S = 0.05  # between looks whether those that are not read from have ended their sending
+MIN_IDLE_SWEEPS = 9  # without a request, after which a connection may be closed for capacity
+PAUSED_CHECK_S = 0.05  # seconds between checks whether paused clients have ended their sending
 FRESH_SWEEPS = 1  # for a new connection's first bytes, while clients are sent away
 FLOOD_PART = 4  # one silent connection in so many is a flood of them
-IDLE_PART = 0.5  # of the room for clients, above which the oldest resting ones go
-REST_PART = 0.2  # of all descriptors, above which an answer ends its connection
+SURPLUS_PART = 0.5  # of the capacity for clients, above which the oldest idle ones are closed
+MAX_IDLE_PART = 0.2  # of all descriptors, above which a response ends its connection
 
 
 class Connection(asyncio.Protocol, ABC):
-    """What the registry asks of one connection."""
+    """What the registry uses of one connection."""
 
     __slots__ = ()
 
     @abstractmethod
-    def age(self) -> int:
-        """Sweeps since it came up, or was last busy."""
+    def idle_sweeps(self) -> int:
+        """Sweeps since it was accepted or last active."""
 
     @abstractmethod
-    def close(self) -> None:
-        """End it at rest."""
+    def can_close(self) -> bool:
+        """Whether it can be closed without harm: nothing is under way in either direction."""
 
     @abstractmethod
-    def cut_off(self) -> None:
-        """Close without the client's end, once its last answer has left."""
+    def close(self) -> None:
+        """End the connection, on which nothing is under way."""
 
     @abstractmethod
-    def finished(self) -> bool:
-        """Whether a stop need not wait for it."""
+    def abort_lingering(self) -> None:
+        """Close without waiting for the client, once its last response has left."""
 
     @abstractmethod
-    def look(self) -> None:
-        """While it is not read from: learn all the same that the client has gone."""
+    def finished(self) -> bool:
+        """Whether a stop of the process need not wait for it."""
 
     @abstractmethod
-    def resting(self) -> bool:
-        """Whether it can be closed without harm: nothing under way either way."""
+    def check_half_close(self) -> None:
+        """Report the client's end of sending, which the loop doesn't while reading is paused."""
 
     @abstractmethod
     def sweep(self, sweep: int) -> None:
-        """Give up a client that has stopped sending or taking bytes."""
+        """Give up a client that has stopped sending or accepting bytes."""
+
+
+class Lingering(NamedTuple):
+    """A connection whose end has begun on this side."""
+
+    since_s: float  # on the loop's clock
+    was_silent: bool  # no byte had ever come on it
 
 
 class ConnectionRegistry:
     """The connections of all clients, and what each of them needs of its surroundings."""
 
-    def __init__(self, node: ClientHost, service: Service) -> None:
-        self.node = node
+    def __init__(self, host: ClientHost, service: Service) -> None:
+        self.host = host
         self.service = service
-        self.heads = HeadChecker(node)
+        self.heads = HeadChecker(host)
         self.connections: set[Connection] = set()
-        # At rest, longest first: those that have asked, and those that never have.
+        # Without an open request, longest first: those that have had one, and those on which
+        # no byte has come yet.
         self.idle: dict[Connection, None] = {}
         self.fresh: dict[Connection, None] = {}
-        # Ended by us: since when, and whether it had never said anything.
-        self.lingering: dict[Connection, tuple[float, bool]] = {}
-        self.unread: dict[Connection, None] = {}  # reading is paused
-        self._looks = False
+        self.lingering: dict[Connection, Lingering] = {}  # longest first
+        self.paused: dict[Connection, None] = {}  # not read from
         self.sweeps = 0
-        self.most_at_rest = int(REST_PART * node.config.sockets)
+        self.max_idle = int(MAX_IDLE_PART * host.config.sockets)
+        self._paused_check: asyncio.TimerHandle | None = None
 
     def sweep(self) -> None:
-        """One more sweep: clients that have stopped sending or taking bytes are given up."""
+        """One more sweep: clients that have stopped sending or accepting bytes are given up."""
         self.sweeps += 1
         for conn in list(self.connections):
             conn.sweep(self.sweeps)
-        self.make_room()
+        self._close_surplus()
 
     def finished(self) -> bool:
         """Whether none holds anything that a stop must wait for."""
         return all(conn.finished() for conn in self.connections)
 
-    def look_after(self, conn: Connection) -> None:
-        """Look at a connection that is not read from, for its client's end."""
-        self.unread[conn] = None
-        if not self._looks:
-            self._looks = True
-            self.node.loop.call_later(LOOK_S, self._look)
-
-    def _look(self) -> None:
-        for conn in list(self.unread):
-            conn.look()
-        self._looks = bool(self.unread)
-        if self._looks:
-            self.node.loop.call_later(LOOK_S, self._look)
-
-    def crowded(self) -> bool:
-        """Whether so many connections rest that a further one is not kept.
-
-        Guards against clients that ask once and keep their connection: closed only
-        after REST_SWEEPS, they held all places for clients while those with a
-        request waited unaccepted, and that looked like refusals with idle backends.
-        An end that comes with the answer crosses no request, so it may come at
-        once. No hysteresis: each end frees one place, and the number at rest stays
-        at the mark. Does harm where more clients than that ask again and again:
-        those beyond it pay a new connection for every request.
+    # ---- connections that are not read from ------------------------------
+
+    def watch_paused(self, conn: Connection) -> None:
+        """Watch for the client's end of sending on a connection that is not read from.
+
+        Failure: the loop reports an end only to who reads. A request would wait in a queue,
+        or be sent, for a client that has gone.
         """
-        return len(self.idle) > self.most_at_rest
+        self.paused[conn] = None
+        if self._paused_check is None:
+            self._schedule_paused_check()
+
+    def _schedule_paused_check(self) -> None:
+        self._paused_check = self.host.loop.call_later(PAUSED_CHECK_S, self._check_paused)
+
+    def _check_paused(self) -> None:
+        for conn in list(self.paused):
+            conn.check_half_close()
+        self._paused_check = None
+        if self.paused:
+            self._schedule_paused_check()
+
+    # ---- capacity ----------------------------------------------------------
+
+    def too_many_idle(self) -> bool:
+        """Whether so many connections are idle that a further one is not kept open.
+
+        Failure: clients that send one request and keep their connection, closed only after
+        MIN_IDLE_SWEEPS, hold all places while those with a request wait unaccepted. It
+        shows as rejections while backends are idle. An end that comes with the response
+        crosses no request, so it may come at once; each end frees one place, so the number
+        of idle ones stays at the limit. Harm: where more clients than that send requests
+        again and again, those beyond it need a new connection for each.
+        """
+        return len(self.idle) > self.max_idle
 
-    def drop_oldest(self, accepting: int) -> bool:
-        """End the client connection that has rested longest; False where none may go.
+    def close_oldest(self, accepting: int) -> bool:
+        """Close the connection that has been idle longest; False where none may be closed.
 
-        Before those that have asked go those that never have, once they had a
-        moment to: hundreds that say nothing must not push out clients that do. But
-        where few are silent the oldest at rest goes at once, or those that ask once
-        and stay would hold all places for seconds each. `accepting`: those that are
-        accepted and not among the connections yet.
+        Those on which nothing ever came go first, once they had a moment to: hundreds of
+        silent ones must not displace clients that send requests. But where few are silent
+        the oldest idle one goes at once, or those that send one request and stay would
+        hold all places for seconds each. `accepting`: how many are accepted and not among
+        the connections yet.
         """
-        # Those just ended count too: with each batch of them gone, a flood would look over.
-        ended = sum(silent for _, silent in self.lingering.values())
+        # Those just ended count too: with each batch of them gone, a flood would seem over.
+        ended = sum(linger.was_silent for linger in self.lingering.values())
         silent = len(self.fresh) + accepting + ended
-        rested = REST_SWEEPS if silent * FLOOD_PART > self.node.clients else 0
-        return self._drop(self.fresh, 1) or self._drop(self.idle, rested)
+        flooded = silent * FLOOD_PART > self.host.clients
+        return self._close_first(self.fresh, 1) or self._close_first(
+            self.idle, MIN_IDLE_SWEEPS if flooded else 0
+        )
 
-    def _drop(self, conns: dict[Connection, None], least: int) -> bool:
+    def _close_first(self, conns: dict[Connection, None], min_sweeps: int) -> bool:
+        """Close the first that can be closed, of those idle for at least so many sweeps."""
         for conn in conns:
-            if conn.age() < least:
+            if conn.idle_sweeps() < min_sweeps:
                 return False
-            if conn.resting():
+            if conn.can_close():
                 conn.close()
                 return True
         return False
 
-    def make_room(self) -> None:
-        """Close the oldest resting connections before there is want of descriptors.
+    def _close_surplus(self) -> None:
+        """Close the oldest idle connections before descriptors run out.
 
-        Guards against clients that keep connections and never ask again: at the
-        limit each new client would wait for one of them to be closed. One that
-        asks just then has to ask once more on a new connection.
+        Failure: clients that keep connections and send nothing on them. At the limit, each
+        new client would wait for one of them to be closed. Harm: a client that sends a
+        request just then has to send it again on a new connection.
         """
-        surplus = self.node.clients - int(IDLE_PART * self.node.most_clients())
-        while surplus > 0 and self._drop(self.idle, REST_SWEEPS):
+        surplus = self.host.clients - int(SURPLUS_PART * self.host.most_clients())
+        while surplus > 0 and self._close_first(self.idle, MIN_IDLE_SWEEPS):
             surplus -= 1
 
+    # ---- sending clients away ------------------------------------------------
+
     def send_away(self, now: int) -> None:
-        """Close idle connections as the state has it, those that rest longest first.
+        """Close as many idle connections as `Service` has it, longest idle first; `now` in ns.
 
-        One on which a request lies unread is no longer idle. One that has only just
-        come up is left its moment: the front's own question is about to be on it.
+        One on which a request lies unread is no longer idle. One that has only just been
+        accepted is left for a moment: its first request, such as a front's readiness check,
+        is about to come.
         """
-        rest = [*self.idle, *(conn for conn in self.fresh if conn.age() > FRESH_SWEEPS)]
-        for conn in rest[: self.service.to_close(now, len(rest))]:
-            if conn.resting():
+        fresh = [conn for conn in self.fresh if conn.idle_sweeps() > FRESH_SWEEPS]
+        idle = [*self.idle, *fresh]
+        for conn in idle[: self.service.to_close(now, len(idle))]:
+            if conn.can_close():
                 conn.close()
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close every connection on which nothing is under way."""
         for conn in [*self.idle, *self.fresh]:
-            if conn.resting():
+            if conn.can_close():
                 conn.close()
--- /dev/null
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -0,0 +1,209 @@
+"""Parsing: from a client's bytes to the head and content of one request after another."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+from abc import abstractmethod
+
+import httptools
+
+from loadbalancer.errors import BadRequestError
+from loadbalancer.proxy.downstream.head_checker import READ_FIELDS
+from loadbalancer.proxy.downstream.registry import Connection, ConnectionRegistry
+from loadbalancer.proxy.downstream.request import IncomingRequest
+from loadbalancer.proxy.downstream.responses import CONTINUE
+from loadbalancer.proxy.downstream.states import (
+    CONTENT,
+    HEAD,
+    NO_REQUEST,
+    UPLOAD,
+    ReadState,
+)
+from loadbalancer.proxy.flow_control import (
+    MAX_MESSAGE_BYTES,
+    MIN_WINDOW_BYTES,
+    STREAMING_THRESHOLD_BYTES,
+)
+
+logger = logging.getLogger(__name__)
+
+MAX_HEAD_BYTES = 16 << 10  # of a request's target and fields
+SMALL_BODY_BYTES = 16 << 10  # a body up to this size never waits for the buffer budget
+HTTP_VERSIONS = ("1.0", "1.1")
+
+# Fields of one hop only, or written anew for each attempt.
+NOT_FORWARDED = frozenset(
+    (
+        b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-connection",
+        b"te", b"trailer", b"transfer-encoding", b"upgrade", b"x-timeout-ms",
+    )
+)  # fmt: skip
+
+
+class RequestParser(Connection):
+    """The part of a client's connection that parses its bytes.
+
+    What can't be read, or is larger than accepted, is rejected and ends the connection:
+    where the next request begins is unknown then, and content could pass for one.
+
+    `_parser` is None while nothing is parsed: before the connection is made, and from the
+    moment on that its end has begun.
+    """
+
+    __slots__ = (
+        "_active_sweep", "_discarding", "_head_size", "_incoming", "_parser", "_read_state",
+        "_registry", "_sock", "_transport",
+    )  # fmt: skip
+
+    def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
+        self._registry = registry
+        self._sock = sock
+        self._transport: asyncio.Transport | None = None
+        self._parser: httptools.HttpRequestParser | None = None
+        self._incoming: IncomingRequest | None = None  # the request that is being read
+        self._read_state: ReadState = NO_REQUEST
+        self._head_size = 0  # bytes read of a head that is not complete
+        self._discarding = 0  # bytes still to come of an upload that nobody wants any more
+        # The sweep at which the connection was accepted, the last request began or was
+        # answered, or lingering began.
+        self._active_sweep = registry.sweeps
+
+    @abstractmethod
+    def _begin_queued(self) -> None:
+        """Begin what has been read, if no request is open."""
+
+    @abstractmethod
+    def _limit_content(self, incoming: IncomingRequest) -> None:
+        """Pause reading where an incomplete request's content has to wait."""
+
+    @abstractmethod
+    def _is_next(self) -> bool:
+        """Whether the response to the request that is being read is the next one due."""
+
+    @abstractmethod
+    def _reject(self, status: int, text: bytes = b"") -> None:
+        """Answer what can't be read as a request, and close."""
+
+    def data_received(self, data: bytes) -> None:
+        """The next bytes from the client."""
+        parser = self._parser
+        if parser is None:
+            self._discard(data)
+            return
+        state = self._read_state
+        if state is NO_REQUEST or state is HEAD:
+            self._head_size += len(data)
+        try:
+            parser.feed_data(data)
+        except httptools.HttpParserCallbackError as error:
+            self._reject_unfit(error.__context__)
+            return
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._reject(400)
+            return
+        self._begin_queued()
+        incoming = self._incoming
+        if incoming is None:
+            return
+        if self._read_state is not HEAD:
+            self._limit_content(incoming)
+        elif self._head_size > MAX_HEAD_BYTES:
+            # Failure: a head without an end fills the memory. It never completes, so the
+            # check at its end does not come.
+            self._reject(431)
+
+    def _discard(self, data: bytes) -> None:
+        """Drop what comes while the connection ends.
+
+        Failure: a client in the middle of an upload may read its response only after it. If
+        the connection were closed before, the client would see a reset in place of the
+        response. So the rest of its upload counts as activity.
+        """
+        if self._discarding > 0:
+            self._discarding -= len(data)
+            self._active_sweep = self._registry.sweeps
+
+    def _reject_unfit(self, cause: BaseException | None) -> None:
+        """Reject what one of the parser's callbacks has raised `cause` for."""
+        if isinstance(cause, BadRequestError):
+            self._reject(cause.status, cause.text)
+        else:
+            logger.info("reading a request: %r", cause)
+            self._reject(400)
+
+    # ---- callbacks of the parser; where a request begins and ends: RequestQueue ----
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the target."""
+        assert self._incoming is not None
+        self._incoming.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One field of the head, or of the trailers, which are ignored."""
+        incoming = self._incoming
+        if incoming is None or self._read_state is not HEAD:
+            return
+        lower = name.lower()
+        value = value.strip(b" \t")  # no part of the value (RFC 9110, section 5.5)
+        if lower in READ_FIELDS:
+            if lower in incoming.fields:
+                raise BadRequestError(400)  # which of the two is meant can't be known
+            incoming.fields[lower] = value
+        elif lower == b"idempotency-key":
+            incoming.has_idempotency_key = True
+        if lower not in NOT_FORWARDED:
+            incoming.lines.append(b"%s: %s\r\n" % (name, value))
+
+    def on_headers_complete(self) -> None:
+        """The head has been read to its end."""
+        incoming, parser = self._incoming, self._parser
+        assert incoming is not None
+        assert parser is not None
+        self._read_state = CONTENT
+        self._head_size = 0
+        incoming.method = parser.get_method()
+        incoming.keep_alive = parser.should_keep_alive()
+        if len(incoming.url) + sum(map(len, incoming.lines)) > MAX_HEAD_BYTES:
+            raise BadRequestError(431)
+        version = parser.get_http_version()
+        if version not in HTTP_VERSIONS:
+            raise BadRequestError(400)
+        incoming.http10 = version == "1.0"
+        self._registry.heads.check(incoming)
+        if incoming.length > MAX_MESSAGE_BYTES:
+            raise BadRequestError(413)
+        if incoming.length or incoming.chunked:
+            self._expect_content(incoming)
+
+    def _expect_content(self, incoming: IncomingRequest) -> None:
+        if incoming.length > STREAMING_THRESHOLD_BYTES:
+            # One read must not bring more than about a window, however much has arrived.
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
+        elif incoming.length > SMALL_BODY_BYTES or incoming.chunked:
+            self._registry.host.budget.incomplete[self] = None
+        # Where an earlier request's response is still to come, this line would be taken for a
+        # part of that one.
+        expects = incoming.fields.get(b"expect", b"").lower() == b"100-continue"
+        if expects and self._is_next():
+            assert self._transport is not None
+            self._transport.write(CONTINUE)
+
+    def on_body(self, body: bytes) -> None:
+        """The next bytes of the content."""
+        incoming = self._incoming
+        assert incoming is not None
+        incoming.size += len(body)
+        if incoming.size > MAX_MESSAGE_BYTES:
+            raise BadRequestError(413)
+        if self._read_state is UPLOAD:
+            assert incoming.flow is not None
+            incoming.flow.push(body)
+            return
+        incoming.body.append(body)
+        self._registry.host.budget.reserve(len(body))
+
+    @abstractmethod
+    def resume_body(self) -> None:
+        """The buffer budget has capacity again: read on."""
--- /dev/null
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -0,0 +1,200 @@
+"""Sequencing: the requests of one connection, read ahead and begun one after another."""
+
+from __future__ import annotations
+
+import socket
+import struct
+import time
+from abc import abstractmethod
+from collections import deque
+from typing import TYPE_CHECKING
+
+from loadbalancer.core.balancing.model import MS
+from loadbalancer.errors import BadRequestError
+from loadbalancer.proxy.downstream.registry import ConnectionRegistry
+from loadbalancer.proxy.downstream.request import IncomingRequest
+from loadbalancer.proxy.downstream.request_parser import RequestParser
+from loadbalancer.proxy.downstream.states import (
+    AWAITING_REQUEST,
+    CONTENT,
+    HEAD,
+    NO_REQUEST,
+    OPENING,
+    UPLOAD,
+    ConnectionState,
+)
+from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES, Flow
+
+if TYPE_CHECKING:
+    from loadbalancer.proxy.exchange import Request
+
+MAX_QUEUED = 8  # requests on one connection behind the open one
+TCP_INFO_BYTES = 56
+LAST_DATA_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv, in milliseconds
+
+
+class RequestQueue(RequestParser):
+    """The part of a client's connection that takes its requests in turn.
+
+    One request is open at a time. Up to MAX_QUEUED that have been read to their ends wait
+    behind it. A further one is rejected and ends the connection: one connection must not
+    fill the process's queues.
+
+    A request begins once it has been read to its end, and once all that came with it has
+    been parsed, for that may be unfit and end the connection. One with long content begins
+    before its end, and its content is forwarded as it comes.
+    """
+
+    __slots__ = ("_queued", "_request", "_state")
+
+    def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
+        super().__init__(registry, sock)
+        self._state: ConnectionState = OPENING
+        self._queued: deque[IncomingRequest] = deque()
+        self._request: Request | None = None  # the open one
+
+    @abstractmethod
+    def _begin(self, incoming: IncomingRequest) -> None:
+        """Take up a request that is complete, or whose content is forwarded as it comes."""
+
+    # ---- callbacks of the parser ----------------------------------------
+
+    def on_message_begin(self) -> None:
+        """A request's first bytes have come."""
+        if len(self._queued) + (self._request is not None) > MAX_QUEUED:
+            raise BadRequestError(400)
+        self._incoming = IncomingRequest()
+        self._read_state = HEAD
+        # From its first byte on: a client that connects ahead of its need is not slow.
+        self._active_sweep = self._registry.sweeps
+        self._leave_idle()
+
+    def on_message_complete(self) -> None:
+        """A request has been read to its end."""
+        incoming = self._incoming
+        assert incoming is not None
+        self._incoming = None
+        self._read_state = NO_REQUEST
+        host = self._registry.host
+        host.budget.body_finished(self)
+        # What waited in the kernel while the event loop was busy is the client's time.
+        info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+        (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
+        incoming.received = time.monotonic_ns() - unread_ms * MS
+        if incoming.flow is not None:
+            request = self._request
+            if request is not None and request.flow is incoming.flow:
+                host.uploaded(request, None)
+            incoming.flow.finish()
+            return
+        incoming.chunked = False  # it is complete, so its length is known
+        incoming.length = incoming.size
+        self._write_head(incoming)
+        self._queued.append(incoming)
+
+    # ---- the next request ------------------------------------------------
+
+    def _begin_queued(self) -> None:
+        while self._state is AWAITING_REQUEST and self._queued:
+            self._begin(self._queued.popleft())
+        incoming = self._incoming
+        if (
+            incoming is not None
+            and self._state is AWAITING_REQUEST
+            and self._read_state is CONTENT
+            and incoming.size > STREAMING_THRESHOLD_BYTES
+        ):
+            self._begin_upload(incoming)
+
+    def _begin_after_response(self) -> None:
+        """Begin what waited behind the request that has been answered, and read on."""
+        if self._state is not AWAITING_REQUEST:
+            return
+        self._begin_queued()
+        if self._state is AWAITING_REQUEST:
+            self.resume_flow()
+
+    def _begin_upload(self, incoming: IncomingRequest) -> None:
+        """Forward content that is too long to be buffered, from what has come of it on."""
+        budget = self._registry.host.budget
+        budget.body_finished(self)
+        budget.release(incoming.size)
+        flow = incoming.flow = Flow(budget, self)
+        self._read_state = UPLOAD
+        chunks, incoming.body = incoming.body, []
+        self.resume_flow()
+        for chunk in chunks:
+            flow.push(chunk)
+        incoming.received = time.monotonic_ns()
+        self._write_head(incoming)
+        self._begin(incoming)
+
+    def _write_head(self, incoming: IncomingRequest) -> None:
+        """Set the head that each attempt's request starts with, up to its timeout's value."""
+        if not incoming.readiness_check:
+            if incoming.chunked:
+                incoming.lines.append(b"Transfer-Encoding: chunked\r\n")
+            elif incoming.method == b"POST" or incoming.length:
+                incoming.lines.append(b"Content-Length: %d\r\n" % incoming.length)
+            incoming.head = b"%s %s HTTP/1.1\r\n%sX-Timeout-Ms: " % (
+                incoming.method,
+                incoming.url,
+                b"".join(incoming.lines),
+            )
+        incoming.lines = []
+
+    def _is_next(self) -> bool:
+        return self._request is None and not self._queued
+
+    # ---- waiting: the connection is the source of an upload's flow ---------
+
+    def _limit_content(self, incoming: IncomingRequest) -> None:
+        if self._read_state is UPLOAD or not incoming.size:
+            return
+        if self._request is not None:
+            if incoming.size > STREAMING_THRESHOLD_BYTES:
+                self.pause_flow()  # its turn comes with the open one's response
+        elif self._registry.host.budget.must_pause(self):
+            self.pause_flow()
+
+    def pause_flow(self) -> None:
+        """Read no more until `resume_flow`."""
+        if self._transport is not None:
+            self._transport.pause_reading()
+            self._registry.watch_paused(self)
+
+    def resume_flow(self) -> None:
+        """Read on; the time that reading was paused was not the client's."""
+        self._active_sweep = self._registry.sweeps
+        self._registry.paused.pop(self, None)
+        if self._transport is not None:
+            self._transport.resume_reading()
+
+    def resume_body(self) -> None:
+        """The buffer budget has capacity again: read on."""
+        self.resume_flow()
+
+    def _leave_idle(self) -> None:
+        """Take the connection from the registry's lists of those that wait for a client."""
+        self._registry.fresh.pop(self, None)
+        self._registry.idle.pop(self, None)
+        self._registry.paused.pop(self, None)
+
+    # ---- dropping ----------------------------------------------------------
+
+    def _drop_unbegun(self) -> None:
+        """Give back what requests that have not begun hold, and what is left of an upload."""
+        self._registry.host.budget.body_finished(self)
+        if self._incoming is not None:
+            self._release_content(self._incoming)
+        for incoming in self._queued:
+            self._release_content(incoming)
+        self._incoming = None
+        self._read_state = NO_REQUEST
+        self._queued.clear()
+
+    def _release_content(self, incoming: IncomingRequest) -> None:
+        if incoming.flow is not None:
+            incoming.flow.discard()
+        else:
+            self._registry.host.budget.release(incoming.size)
--- a/loadbalancer/proxy/downstream/responses.py
+++ b/loadbalancer/proxy/downstream/responses.py
@@ -1,4 +1,6 @@
-"""The heads of the answers that a node writes of its own."""
+"""The heads of the responses that the proxy makes itself; a line `Connection` or an empty
+line is still to follow each.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +17,12 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-EMPTY = {
+EMPTY_HEADS = {
     status: b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n" % (status, reason)
     for status, reason in REASONS.items()
 }
-TEXT = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n"
-READY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
+TEXT_HEAD = b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n"
+READY_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+KEEP_ALIVE_END = b"\r\n"
+CLOSE_END = b"Connection: close\r\n\r\n"
--- a/tests/proxy/test_clients.py
+++ b/tests/proxy/test_clients.py
@@ -247,8 +247,8 @@
         transport.unsent = 1
         conn.close()
         loop.now = 10.0
-        listener._give_way()
+        listener._free_places()
         assert not transport.aborted
         transport.unsent = 0
-        listener._give_way()
+        listener._free_places()
         assert transport.aborted
