--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -20,9 +20,9 @@
 
 from benchmarks.fleet import known_by_all
 from benchmarks.stats import spread
+from fakes.cluster import Cluster, ClusterOptions
 from fakes.discovery import target
 from fakes.fleet import backends, started
-from fakes.tier import Tier
 from loadbalancer.core.balancing.model import SECOND
 from simulation.list_world import ListWorld
 from simulation.service_world import Service
@@ -36,7 +36,7 @@
 # ---- real processes ---------------------------------------------------------
 
 
-def whole(t: Tier, node: int, count: int) -> bool:
+def whole(t: Cluster, node: int, count: int) -> bool:
     """Whether a node has so many servers by the list that it reads with others."""
     listed = t.status(node).get("list")
     return listed is not None and listed["rows"] == count
@@ -57,11 +57,12 @@
         had = {"empty": (0, []), "old": (2, old), "fresh": (3, rows)}[known]
         fleet = Path(folder, "fleet.toml")
         fleet.write_text(f"version = 1\nreaders = {readers}\n")
-        with Tier(
-            nodes, [], Path(folder), words=readers > 0, discovery=discovery.address,
-            fleet=str(fleet), settings={"registry_mode": "ask"},
-            over=lambda _n: {"known": {"rev": had[0], "all": True, "targets": had[1]}},
-        ) as t:  # fmt: skip
+        options = ClusterOptions(
+            gossip=readers > 0, discovery=discovery.address, fleet=str(fleet),
+            settings={"registry_mode": "ask"},
+            overrides=lambda _n: {"known": {"rev": had[0], "all": True, "targets": had[1]}},
+        )  # fmt: skip
+        with Cluster(nodes, [], Path(folder), options) as t:
             began = time.monotonic()
             t.start()
             up = time.monotonic() - began
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,10 +21,10 @@
 from typing import Any
 
 from benchmarks.stats import spread
+from fakes.cluster import Cluster, running_cluster, wait_until
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
 from fakes.load import Clients
-from fakes.tier import Tier, tier, wait_until
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.sources.endpoint_list import backend_id
 from simulation.gossip_world import World
@@ -62,7 +62,7 @@
     return times
 
 
-def drains(t: Tier, servers: list[Process], discovery: Process, rounds: int) -> list[float]:
+def drains(t: Cluster, servers: list[Process], discovery: Process, rounds: int) -> list[float]:
     """The list service tells node 0 alone of one drain after another."""
     rows = [target(f"s-{i}", s.address) for i, s in enumerate(servers, 1)]
     times: list[float] = []
@@ -86,7 +86,7 @@
     return times
 
 
-def lists(t: Tier, node: int) -> list[list[Any]]:
+def lists(t: Cluster, node: int) -> list[list[Any]]:
     return [row for row in t.status(node)["servers"] if row[1] == "list"]
 
 
@@ -98,9 +98,9 @@
         for loss in LOSSES:
             with (
                 started(("-m", "fakes.discovery", *pairs)) as discovery,
-                tier(
+                running_cluster(
                     NODES, addresses, settings={"registry_mode": "ask"},
-                    over=lambda n, d=discovery: {"discovery": d.address} if n == 0 else {},
+                    overrides=lambda n, d=discovery: {"discovery": d.address} if n == 0 else {},
                 ) as t,
             ):  # fmt: skip
                 t.agree(set(range(NODES)))
@@ -109,7 +109,7 @@
                 t.kill(5)
                 rest = set(range(NODES)) - {5}
 
-                def knows(node: int, t: Tier = t, rest: set[int] = rest) -> bool:
+                def knows(node: int, t: Cluster = t, rest: set[int] = rest) -> bool:
                     return 5 not in t.living(node)
 
                 row["death_s"] = quantiles(known_by_all(knows, sorted(rest)))
@@ -125,7 +125,7 @@
 
 def at_rest(addresses: list[str], words: bool) -> dict[str, Any]:
     """What a node takes with nothing to do: percent of a core, words and bytes a second."""
-    with tier(NODES, addresses, words=words) as t:
+    with running_cluster(NODES, addresses, gossip=words) as t:
         if words:
             wait_until(lambda: all(t.status(n)["caught_up"] for n in t.nodes))
         before = {n: p.cpu() for n, p in t.nodes.items()}
@@ -156,7 +156,7 @@
 class Front:
     """Clients of all nodes, each request at a node that runs, by weight."""
 
-    def __init__(self, t: Tier, weights: dict[int, int], seed: int) -> None:
+    def __init__(self, t: Cluster, weights: dict[int, int], seed: int) -> None:
         self.random = Random(seed)
         self.clients = {n: Clients(p.address, n) for n, p in t.nodes.items()}
         self.weights = weights
@@ -175,7 +175,7 @@
         return list(await asyncio.gather(*tasks))
 
 
-async def under_load(t: Tier, servers: list[Process], what: str, seed: int) -> dict[str, float]:
+async def under_load(t: Cluster, servers: list[Process], what: str, seed: int) -> dict[str, float]:
     """Part of requests served in the 12 s after the fault, with 24 servers at 0.95 or 0.8."""
     weights = {n: 8 if what == "uneven" and n == 0 else 1 for n in t.nodes}
     front = Front(t, weights, seed)
@@ -210,8 +210,8 @@
         rows: dict[bool, list[dict[str, float]]] = {False: [], True: []}
         for i in range(pairs):
             for words in (False, True):
-                with backends(24, WORK_MS) as servers, tier(
-                    10, [s.address for s in servers], words=words
+                with backends(24, WORK_MS) as servers, running_cluster(
+                    10, [s.address for s in servers], gossip=words
                 ) as t:  # fmt: skip
                     if words:
                         t.agree(set(range(10)))
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -17,9 +17,9 @@
 import msgpack
 import pytest
 
+from fakes.cluster import Cluster, ClusterOptions, running_cluster, wait_until
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
-from fakes.tier import Tier, tier, wait_until
 from loadbalancer.cli.commands import main as run_command
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
@@ -66,10 +66,10 @@
     targets = [arg for i, s in enumerate(servers, 1) for arg in ("--target", f"s-{i}={s.address}")]
     with (
         started(("-m", "fakes.discovery", *targets)) as discovery,
-        tier(
+        running_cluster(
             NODES,
             [s.address for s in servers],
-            over=lambda n: {"discovery": discovery.address} if n == 0 else {},
+            overrides=lambda n: {"discovery": discovery.address} if n == 0 else {},
             settings={"registry_mode": "ask"},
         ) as t,
     ):
@@ -98,7 +98,7 @@
 
 def test_kills_pauses_and_returns_are_detected_and_no_request_fails(servers: list[Process]) -> None:
     """One node is killed and one paused; then all but one are killed, and started again."""
-    with tier(NODES, [s.address for s in servers]) as t:
+    with running_cluster(NODES, [s.address for s in servers]) as t:
         t.agree(set(range(NODES)))
         t.kill(3)
         t.signal(signal.SIGSTOP, 4)
@@ -129,7 +129,7 @@
     servers: list[Process],
 ) -> None:
     """A server resets each connection. Without gossip each node takes four attempts to find out."""
-    with tier(NODES, [s.address for s in servers]) as t:
+    with running_cluster(NODES, [s.address for s in servers]) as t:
         t.agree(set(range(NODES)))
         servers[1].call("POST", "/standin/faults", {"reset": 1.0})
         bad = f"{backend_id('s-2'):016x}"
@@ -155,7 +155,7 @@
 
 
 def test_messages_lost_late_duplicated_and_damaged_fail_no_request(servers: list[Process]) -> None:
-    with tier(NODES, [s.address for s in servers]) as t:
+    with running_cluster(NODES, [s.address for s in servers]) as t:
         t.order(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
         assert {request_status(t.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
         wait_until(lambda: all(t.status(n)["counts"].get("broken", 0) > 3 for n in t.nodes))
@@ -165,18 +165,19 @@
 
 def test_nodes_with_different_lists_of_nodes_run_side_by_side(servers: list[Process]) -> None:
     """Node 4's list lacks node 0, node 3's ends before node 4; the others' are complete."""
-    tiers: list[Tier] = []
+    clusters: list[Cluster] = []
 
     def overrides(n: int) -> dict[str, Any]:
-        peers = list(tiers[0].addresses[n])
+        peers = list(clusters[0].addresses[n])
         if n == 4:
             peers[0] = "127.0.0.1:1"
         return {"peers": peers[:4] if n == 3 else peers}
 
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(_folder())
-        t = stack.enter_context(Tier(NODES, [s.address for s in servers], folder, over=overrides))
-        tiers.append(t)
+        options = ClusterOptions(overrides=overrides)
+        t = stack.enter_context(Cluster(NODES, [s.address for s in servers], folder, options))
+        clusters.append(t)
         t.start()
         t.agree(set(range(NODES)), [0, 1, 2])
         t.agree({0, 1, 2, 3}, [3])
@@ -401,7 +402,7 @@
     with listen() as free:
         port = free.getsockname()[1]
     at = {"listen": f"127.0.0.1:{port}"}
-    with tier(3, [s.address for s in servers], over=lambda n: {} if n else at) as t:
+    with running_cluster(3, [s.address for s in servers], overrides=lambda n: {} if n else at) as t:
         t.agree({0, 1, 2})
         first = t.status(0)["incarnation"]
         with started(("-m", "loadbalancer"), t.config(0)) as successor:
@@ -425,8 +426,8 @@
     for server in servers:
         server.call("POST", "/standin/faults", {"slow": 10.0})
     with (
-        tier(
-            3, [s.address for s in servers], fleet=str(fleet), over=lambda n: {} if n else at
+        running_cluster(
+            3, [s.address for s in servers], fleet=str(fleet), overrides=lambda n: {} if n else at
         ) as t,
         contextlib.ExitStack() as stack,
     ):
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -14,9 +14,9 @@
 
 import pytest
 
+from fakes.cluster import running_cluster
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
-from fakes.tier import tier
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints import poll_timing
 from tests.harness import accept, answer, listen, node, roster, served_by
@@ -40,12 +40,16 @@
     servers: list[Process],
 ) -> None:
     """Without gossip each node polls for itself: none gives a call up before its answer comes."""
-    options = {"words": False, "settings": {"registry_mode": "ask"}, "over": lambda _node: EMPTY}
+    options = {
+        "gossip": False,
+        "settings": {"registry_mode": "ask"},
+        "overrides": lambda _node: EMPTY,
+    }
     command = ("-m", "fakes.discovery", "--lines", str(LINES))
     with started(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
-        with tier(NODES, [], discovery=discovery.address, **options) as cluster:
+        with running_cluster(NODES, [], discovery=discovery.address, **options) as cluster:
             began = time.monotonic()
             while not all(p.ready() for p in cluster.nodes.values()):
                 assert time.monotonic() - began < 1.1 * NEEDED_S + BESIDE_S
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from fakes.cluster import Cluster, running_cluster, wait_until
 from fakes.discovery import target
 from fakes.fleet import Process, backends, started
-from fakes.tier import Tier, tier, wait_until
 from loadbalancer.cli.commands import main as run_command
 from tests.gossip_transport.test_transport import received, request_status
 
@@ -46,18 +46,18 @@
     return [target(f"s-{i}", servers[i % 4].address) for i in range(first, first + ROWS)]
 
 
-def listed(cluster: Tier, node: int) -> dict[str, Any]:
+def listed(cluster: Cluster, node: int) -> dict[str, Any]:
     found: dict[str, Any] = cluster.status(node)["list"]
     return found
 
 
-def all_at(cluster: Tier, rev: int, count: int = ROWS) -> bool:
+def all_at(cluster: Cluster, rev: int, count: int = ROWS) -> bool:
     return all(
         (s := listed(cluster, n))["rev"] == rev and s["rows"] == count for n in cluster.nodes
     )
 
 
-def serve(cluster: Tier, name: str) -> None:
+def serve(cluster: Cluster, name: str) -> None:
     assert {
         request_status(cluster.nodes[n], f"{name}{n}-{i}") for n in cluster.nodes for i in range(4)
     } == {200}
@@ -70,9 +70,9 @@
     discovery.call("POST", "/standin/faults", {"refuse": 0.6})
     options: dict[str, Any] = {
         "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-        "over": lambda _node: EMPTY,
+        "overrides": lambda _node: EMPTY,
     }  # fmt: skip
-    with tier(NODES, [], **options) as cluster:
+    with running_cluster(NODES, [], **options) as cluster:
         cluster.order(loss=0.1)
         assert not any(
             cluster.nodes[n].ready() for n in cluster.nodes if not listed(cluster, n)["rows"]
@@ -115,9 +115,9 @@
     """A reader stopped and woken, a service that is down, then one that counts from anew."""
     options: dict[str, Any] = {
         "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-        "over": lambda _node: EMPTY,
+        "overrides": lambda _node: EMPTY,
     }  # fmt: skip
-    with tier(5, [], **options) as cluster:
+    with running_cluster(5, [], **options) as cluster:
         wait_until(lambda: all_at(cluster, 2))
         reader = next(n for n in cluster.nodes if listed(cluster, n)["reads"])
         cluster.signal(signal.SIGSTOP, reader)
@@ -146,12 +146,12 @@
     old = rows(servers)
     options: dict[str, Any] = {
         "fleet": fleet, "settings": {"registry_mode": "ask"},
-        "over": lambda n: {
+        "overrides": lambda n: {
             "discovery": discovery.address if n < 2 else "127.0.0.1:1",
             "known": {"rev": 2, "all": True, "targets": old},
         },
     }  # fmt: skip
-    with tier(5, [], **options) as cluster:
+    with running_cluster(5, [], **options) as cluster:
         cluster.cut([0, 1], [2, 3, 4])
         cluster.agree({0, 1}, [0, 1])
         cluster.agree({2, 3, 4}, [2, 3, 4])
@@ -184,9 +184,9 @@
         second.call("POST", "/standin/targets", rows(servers, 7))
         options: dict[str, Any] = {
             "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-            "over": lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
+            "overrides": lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
         }  # fmt: skip
-        with tier(5, [], **options) as cluster:
+        with running_cluster(5, [], **options) as cluster:
             wait_until(lambda: all_at(cluster, 2))
             assert discovery.call("GET", "/standin/state")["whole"] <= 3
             for node in cluster.nodes:
