--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -171,7 +171,7 @@
             nodes = list(self.weights)
             (node,) = self.random.choices(nodes, list(self.weights.values()))
             cls = "credit" if self.random.random() < 0.2 else "balance"
-            tasks.append(asyncio.create_task(self.clients[node].one(cls)))
+            tasks.append(asyncio.create_task(self.clients[node].send(cls)))
         return list(await asyncio.gather(*tasks))
 
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -23,7 +23,7 @@
 from benchmarks.stats import spread
 from fakes import fleet
 from fakes.files import routes_toml
-from fakes.load import Clients, play
+from fakes.load import Clients, send_at_rate
 from loadbalancer.config.toml_file import parse
 from loadbalancer.core.routes.canonical import is_canonical
 from loadbalancer.core.routes.file import decode
@@ -124,12 +124,12 @@
 
     async def worker() -> None:
         for _ in range(count // at_once):
-            await clients.one("balance")
+            await clients.send("balance")
 
     await asyncio.gather(*(worker() for _ in range(at_once)))
     clients.close()
-    wrong = clients.seen["balance"].statuses.total() - clients.seen["balance"].statuses[200]
-    assert wrong <= count // 100, clients.seen
+    wrong = clients.results["balance"].statuses.total() - clients.results["balance"].statuses[200]
+    assert wrong <= count // 100, clients.results
 
 
 def cpu(runs: int, count: int) -> dict[str, Any]:
@@ -182,7 +182,7 @@
     ):
         servers[0].call("POST", "/standin/faults", {"slow": 10})
         clients = Clients(node.address, seed)
-        asyncio.run(play(clients, RATE, count, credit_part=0.0))
+        asyncio.run(send_at_rate(clients, RATE, count, credit_part=0.0))
         states = [s.call("GET", "/standin/state") for s in servers]
     return clients, sum(s["received"] for s in states)
 
@@ -200,9 +200,9 @@
     for seed in range(runs):
         for name, text in texts.items():
             clients, attempts = one_slow(text, count, seed)
-            times = clients.seen["balance"]
+            times = clients.results["balance"]
             for key, part in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999)):
-                seen[name][key].append(times.quantile(part))
+                seen[name][key].append(times.quantile_ms(part))
             seen[name]["extra"].append(attempts / count - 1)
     out: dict[str, Any] = {
         name: {key: spread(values) for key, values in figures.items()}
@@ -234,10 +234,10 @@
                 for server in servers[:4]:
                     server.call("POST", "/standin/faults", {"error": 1.0})
                 clients = Clients(node.address, seed)
-                asyncio.run(play(clients, 200.0, count, credit_part=0.0))
+                asyncio.run(send_at_rate(clients, 200.0, count, credit_part=0.0))
                 states = [s.call("GET", "/standin/state") for s in servers]
             ratios.append(sum(s.get("received", 0) for s in states) / count)
-            served.append(clients.seen["balance"].statuses[200] / count)
+            served.append(clients.results["balance"].statuses[200] / count)
         out[name] = {"attempts_a_request": spread(ratios), "served": spread(served)}
     return out
 
--- a/fakes/load.py
+++ b/fakes/load.py
@@ -1,4 +1,4 @@
-"""Clients: a stream of requests at a steady rate, each answer timed."""
+"""Clients: requests at a steady rate, each answer timed."""
 
 from __future__ import annotations
 
@@ -9,98 +9,114 @@
 from dataclasses import dataclass, field
 from random import Random
 
-TIMEOUTS = {"balance": 2000, "credit": 3000}  # milliseconds
-LIMIT_S = 10.0
+TIMEOUT_MS = {"balance": 2000, "credit": 3000}  # by class, as the requests give it
+ANSWER_TIMEOUT_S = 10.0  # of a client that waits
+NO_ANSWER = 0  # in place of a status
+OK = 200
+BODY = "amount=5"
+ACCOUNTS = 10**9  # a request's path names one of so many
 
 
 @dataclass(slots=True)
-class Seen:
-    """What clients of one class got: statuses (0: no answer) and seconds of those served."""
+class ClassResults:
+    """What clients of one class got: all statuses, and the times of those that were served."""
 
     statuses: Counter[int] = field(default_factory=Counter)
-    times: list[float] = field(default_factory=list)
+    times_s: list[float] = field(default_factory=list)
 
-    def quantile(self, part: float) -> float:
-        """Milliseconds; 0 where nothing was served."""
-        if not self.times:
+    def quantile_ms(self, part: float) -> float:
+        """A quantile of the times in milliseconds; 0 where nothing was served."""
+        if not self.times_s:
             return 0.0
-        times = sorted(self.times)
+        times = sorted(self.times_s)
         return times[min(int(part * len(times)), len(times) - 1)] * 1000
 
 
 class Clients:
-    """Connections kept and used again, a further one whenever all are busy."""
+    """Clients of one node: connections are used again, and opened whenever all are busy."""
 
     def __init__(self, address: str, seed: int, host: str = "app.svc") -> None:
-        self.host, _, port = address.rpartition(":")
-        self.port = int(port)
-        self.name = host
         self.random = Random(seed)
-        self.seed = seed  # in ids too: those of several clients' requests differ
-        self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self.seen: dict[str, Seen] = {}
-        self.count = 0
+        self.results: dict[str, ClassResults] = {}  # by class
+        self._ip, _, port = address.rpartition(":")
+        self._port = int(port)
+        self._host = host
+        self.count = 0  # requests sent
+        self._seed = seed  # in request ids too: those of several Clients differ
+        self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def one(self, cls: str) -> int:
-        """One request and its answer, counted; its status, 0 where none came."""
+    async def send(self, cls: str) -> int:
+        """Send one request of this class; the answer's status, NO_ANSWER where none came."""
         self.count += 1
-        seen = self.seen.setdefault(cls, Seen())
-        method = "GET" if cls == "balance" else "POST"
-        body = "" if cls == "balance" else "amount=5"
-        head = (
-            f"{method} /{cls}/{self.random.randrange(10**9)} HTTP/1.1\r\nHost: {self.name}\r\n"
-            f"X-Request-ID: r{self.seed}-{self.count}\r\nX-Priority-Class: {cls}\r\n"
-            f"X-Timeout-Ms: {TIMEOUTS[cls]}\r\n"
-        )
-        if body:
-            head += f"Content-Length: {len(body)}\r\n"
+        results = self.results.setdefault(cls, ClassResults())
+        message = self._message(cls)
         began = time.perf_counter()
         try:
-            status = await asyncio.wait_for(self._exchange(head + "\r\n" + body), LIMIT_S)
+            status = await asyncio.wait_for(self._exchange(message), ANSWER_TIMEOUT_S)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
-            status = 0
-        seen.statuses[status] += 1
-        if status == 200:
-            seen.times.append(time.perf_counter() - began)
+            status = NO_ANSWER
+        results.statuses[status] += 1
+        if status == OK:
+            results.times_s.append(time.perf_counter() - began)
         return status
 
-    async def _exchange(self, text: str) -> int:
-        if self.idle:
-            reader, writer = self.idle.pop()
+    def _message(self, cls: str) -> str:
+        method, body = ("GET", "") if cls == "balance" else ("POST", BODY)
+        lines = [
+            f"{method} /{cls}/{self.random.randrange(ACCOUNTS)} HTTP/1.1",
+            f"Host: {self._host}",
+            f"X-Request-ID: r{self._seed}-{self.count}",
+            f"X-Priority-Class: {cls}",
+            f"X-Timeout-Ms: {TIMEOUT_MS[cls]}",
+        ]
+        if body:
+            lines.append(f"Content-Length: {len(body)}")
+        return "\r\n".join(lines) + "\r\n\r\n" + body
+
+    async def _exchange(self, message: str) -> int:
+        if self._idle:
+            reader, writer = self._idle.pop()
         else:
-            reader, writer = await asyncio.open_connection(self.host, self.port)
-        writer.write(text.encode())
+            reader, writer = await asyncio.open_connection(self._ip, self._port)
+        writer.write(message.encode())
         head = (await reader.readuntil(b"\r\n\r\n")).lower()
         size = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
         await reader.readexactly(size)
         if b"connection: close" in head:
             writer.close()
         else:
-            self.idle.append((reader, writer))
+            self._idle.append((reader, writer))
         return int(head.split(b" ", 2)[1])
 
     def close(self) -> None:
-        for _, writer in self.idle:
+        """Close the idle connections."""
+        for _, writer in self._idle:
             writer.close()
 
 
-async def play(
+async def send_at_rate(
     clients: Clients,
     rate: float,
     count: int,
     credit_part: float = 0.2,
     at: dict[int, Callable[[], object]] | None = None,
 ) -> None:
-    """So many requests at a steady rate a second; `at` is called before its request's turn."""
+    """Send so many requests at a steady rate, and wait for their answers.
+
+    Args:
+        rate: requests a second.
+        credit_part: the part of them that is of class `credit`, else they are `balance`.
+        at: by a request's number, what is called before it is sent.
+    """
     loop = asyncio.get_running_loop()
     began = loop.time()
     tasks = []
-    for i in range(count):
-        if at is not None and i in at:
-            await asyncio.to_thread(at[i])
-        wait = began + i / rate - loop.time()
-        if wait > 0:
-            await asyncio.sleep(wait)
+    for number in range(count):
+        if at is not None and number in at:
+            await asyncio.to_thread(at[number])
+        delay_s = began + number / rate - loop.time()
+        if delay_s > 0:
+            await asyncio.sleep(delay_s)
         cls = "credit" if clients.random.random() < credit_part else "balance"
-        tasks.append(asyncio.create_task(clients.one(cls)))
+        tasks.append(asyncio.create_task(clients.send(cls)))
     await asyncio.gather(*tasks)
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -49,7 +49,7 @@
             )
             clients = load.Clients(node.address, seed=1)
             faults = {half: lambda: servers[-1].call("POST", "/standin/faults", FAULT)}
-            asyncio.run(load.play(clients, RATE, arguments.requests, at=faults))
+            asyncio.run(load.send_at_rate(clients, RATE, arguments.requests, at=faults))
             states = [server.call("GET", "/standin/state") for server in servers]
     _print_clients(clients, out)
     _print_servers(states, out)
@@ -57,7 +57,7 @@
         if "policies: " in line:
             print(f"\nthe node's own records: {line.partition('policies: ')[2]}", file=out)
     attempts = sum(state.get("received", 0) for state in states)
-    unanswered = sum(seen.statuses[NO_ANSWER] for seen in clients.seen.values())
+    unanswered = sum(results.statuses[NO_ANSWER] for results in clients.results.values())
     print(
         f"{attempts} attempts for {clients.count} requests, retries and hedged requests "
         f"included; {unanswered} without an answer",
@@ -70,11 +70,12 @@
     """What the clients of each class got, and how long those served took."""
     columns = f"{'class':<10}{'sent':>7}{'served':>8}{'refused':>9}{'failed':>8}"
     print(f"\n{columns}{'p50 ms':>9}{'p99 ms':>9}", file=out)
-    for cls, seen in sorted(clients.seen.items()):
-        sent = seen.statuses.total()
-        served, refused = seen.statuses[OK], seen.statuses[UNAVAILABLE]
+    for cls, results in sorted(clients.results.items()):
+        sent = results.statuses.total()
+        served, refused = results.statuses[OK], results.statuses[UNAVAILABLE]
         counts = f"{cls:<10}{sent:>7}{served:>8}{refused:>9}{sent - served - refused:>8}"
-        print(f"{counts}{seen.quantile(0.5):>9.1f}{seen.quantile(0.99):>9.1f}", file=out)
+        median, p99 = results.quantile_ms(0.5), results.quantile_ms(0.99)
+        print(f"{counts}{median:>9.1f}{p99:>9.1f}", file=out)
 
 
 def _print_servers(states: Sequence[dict[str, int]], out: TextIO) -> None:
--- a/tests/sources/consul/test_consul_node.py
+++ b/tests/sources/consul/test_consul_node.py
@@ -17,7 +17,7 @@
 
 from fakes.fleet import SETTINGS, Process, backends, started
 from fakes.fleet import node as fleet_node
-from fakes.load import Clients, play
+from fakes.load import Clients, send_at_rate
 from tests.harness import LIMIT, Peer, Running, node, request, roster, target, until
 from tests.sources.consul.test_consul import FILE, service
 
@@ -60,9 +60,9 @@
         """So many requests, and nothing but these answers."""
         clients = Clients(self.process.address, 1)
         clients.count = self.clients.count  # ids go on
-        asyncio.run(play(clients, 400.0, count, credit_part=0.0))
+        asyncio.run(send_at_rate(clients, 400.0, count, credit_part=0.0))
         self.clients = clients
-        assert set(clients.seen["balance"].statuses) <= wanted
+        assert set(clients.results["balance"].statuses) <= wanted
 
 
 @contextlib.contextmanager
