--- a/tests/sources/consul/test_node.py
+++ b/tests/sources/consul/test_node.py
@@ -11,7 +11,7 @@
 
 from fakes.fleet import SETTINGS, Process, backends, started
 from fakes.fleet import node as fleet_node
-from fakes.load import Clients, play
+from fakes.load import Clients, send_at_rate
 from tests.harness import LIMIT, Running, node, request, roster, target, until
 from tests.sources.consul.support import service_row, set_status, write_file
 
@@ -78,9 +78,9 @@
         """Send so many requests; they get these statuses and no others."""
         clients = Clients(self.process.address, 1)
         clients.count = self._sent  # ids go on
-        asyncio.run(play(clients, 400.0, count, credit_part=0.0))
+        asyncio.run(send_at_rate(clients, 400.0, count, credit_part=0.0))
         self._sent = clients.count
-        assert set(clients.seen["balance"].statuses) <= allowed
+        assert set(clients.results["balance"].statuses) <= allowed
 
 
 @contextlib.contextmanager
