--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -2,14 +2,15 @@
 
     python -m fakes.discovery --listen 127.0.0.1:0 --target s-1=127.0.0.1:9001 ...
 
-With `--lines N` it works through calls in turn, N lines a second for all, and turns away with
-503 who has waited for `--patience` seconds. `POST /standin/targets` with a JSON array of targets
-replaces the list, `POST /standin/faults` takes {"silent": bool, "status": int, "refuse": part,
-"down": bool, "slow": factor, "rev": n}: that part of calls is turned away at once; down resets
-calls, those in its queue too; slow, it needs so many times as long for a line; and it counts from
-that version on, as one that has started anew. `GET /standin/state` gives its books: calls, whole
-lists, lines by second. It works on for callers that have given up: it does not look whether a
-connection is still there until it has the answer.
+With `--lines N` it works through calls in turn, N rows a second for all, and rejects with 503 a
+call that has waited for `--patience` seconds. It works on for callers that have given up: it does
+not look whether a connection still exists until it has the answer.
+
+What a test or benchmark calls besides:
+
+    POST /standin/targets   [target, ...]: replace the list
+    POST /standin/faults    the faults from now on, by their names in `Faults`
+    GET  /standin/state     counters: calls, complete lists ("whole"), rows ("lines"), ...
 """
 
 from __future__ import annotations
@@ -19,142 +20,187 @@
 import json
 from collections import Counter
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs
 
 from fakes.web import Asked, Reply, serve, split_address
 from loadbalancer.core.endpoints.revisions import Revisions
 
+FIRST_VERSION = 1
+NO_VERSION = -1  # of a caller that has no list
+MAX_HOLD_MS = 60_000
+OK, UNAVAILABLE = 200, 503
+
+
+class Faults(NamedTuple):
+    """The faults at present."""
+
+    silent: bool = False  # never answers
+    status: int = OK  # answers with this status
+    refuse: float = 0.0  # rejects this part of calls at once
+    down: bool = False  # resets all calls, those that wait for their turn too
+    slow: float = 1.0  # needs so many times as long for a row
+    rev: int | None = None  # restarts its versions from this one
+
 
 def target(uid: str, endpoint: str, zone: str = "east", boot_ms: int = 0) -> dict[str, Any]:
     """One active instance in discovery's form."""
     return {
-        "uid": uid, "endpoint": endpoint, "az": zone, "model": "m2", "pod_group": 1,
-        "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms,
-    }  # fmt: skip
+        "uid": uid,
+        "endpoint": endpoint,
+        "az": zone,
+        "model": "m2",
+        "pod_group": 1,
+        "state": "active",
+        "capacity_hint": 1.0,
+        "boot_ms": boot_ms,
+    }
 
 
 class Discovery:
-    """What has changed since a version that it knows, the whole list to all others."""
+    """Answers with what has changed since a version that it knows, else with the complete list.
+
+    `rows_per_second` 0: every call is answered at once. `patience_s` is how long a call waits for
+    its turn.
+    """
 
     def __init__(
-        self, targets: list[dict[str, Any]], lines: int = 0, patience: float = 5.0, seed: int = 1
+        self,
+        targets: list[dict[str, Any]],
+        rows_per_second: int = 0,
+        patience_s: float = 5.0,
+        seed: int = 1,
     ) -> None:
-        self.list: Revisions[dict[str, Any]] = Revisions(1)
-        self.list.rows = {t["uid"]: t for t in targets}
-        self.changed = asyncio.Condition()
-        self.silent = False
-        self.status = 200
-        self.refuse = 0.0
-        self.down = False
-        self.slow = 1.0
-        self._downs = 0  # how often it has gone down
-        self.random = Random(seed)
-        self.books: Counter[str] = Counter()
-        self.by_second: Counter[int] = Counter()
-        self._rate, self._patience = lines, patience
-        self._free = 0.0  # when it is done with the calls it has
+        self._list: Revisions[dict[str, Any]] = Revisions(FIRST_VERSION)
+        self._list.rows = {row["uid"]: row for row in targets}
+        self._changed = asyncio.Condition()
+        self._faults = Faults()
+        self._outages = 0  # how often it has gone down
+        self._random = Random(seed)
+        self._counters: Counter[str] = Counter()
+        self._rows_by_second: Counter[int] = Counter()
+        self._rows_per_second = rows_per_second
+        self._patience_s = patience_s
+        self._busy_until = 0.0  # the loop's time when the calls that it has are answered
 
     async def handle(self, asked: Asked) -> Reply:
-        if asked.path == "/registry/instances" and asked.method == "GET":
-            return await self._list(asked)
-        if asked.path == "/standin/targets" and asked.method == "POST":
-            self.list.replace({t["uid"]: t for t in json.loads(asked.body)})
-            async with self.changed:
-                self.changed.notify_all()
-            return Reply()
-        if asked.path == "/standin/faults" and asked.method == "POST":
-            faults = json.loads(asked.body)
-            self.silent = bool(faults.get("silent", False))
-            self.status = int(faults.get("status", 200))
-            self.refuse = float(faults.get("refuse", 0.0))
-            self.slow = float(faults.get("slow", 1.0))
-            self._go_down(bool(faults.get("down", False)))
-            if "rev" in faults:
-                rows, self.list = self.list.rows, Revisions(int(faults["rev"]))
-                self.list.rows = rows
-            return Reply()
-        if asked.path == "/standin/state" and asked.method == "GET":
-            state = dict(self.books) | {"by_second": list(self.by_second.values())}
-            return Reply(200, json.dumps(state).encode())
+        """Answer one request."""
+        match asked.method, asked.path:
+            case "GET", "/registry/instances":
+                return await self._answer_list_call(asked)
+            case "POST", "/standin/targets":
+                self._list.replace({row["uid"]: row for row in json.loads(asked.body)})
+                async with self._changed:
+                    self._changed.notify_all()
+                return Reply()
+            case "POST", "/standin/faults":
+                self._set_faults(Faults(**json.loads(asked.body)))
+                return Reply()
+            case "GET", "/standin/state":
+                by_second = list(self._rows_by_second.values())
+                state = dict(self._counters) | {"by_second": by_second}
+                return Reply(OK, json.dumps(state).encode())
         return Reply(404)
 
-    def _go_down(self, down: bool) -> None:
-        if down and not self.down:
-            self._downs += 1
-            self._free = 0.0  # its queue goes with it
-        self.down = down
-
-    async def _list(self, asked: Asked) -> Reply:
-        self.books["calls"] += 1
-        if self.down:
-            self.books["turned away"] += 1
+    def _set_faults(self, faults: Faults) -> None:
+        if faults.down and not self._faults.down:
+            self._outages += 1
+            self._busy_until = 0.0  # the calls that waited for their turn are gone
+        self._faults = faults
+        if faults.rev is not None:
+            rows = self._list.rows
+            self._list = Revisions(faults.rev)
+            self._list.rows = rows
+
+    # ---- the list --------------------------------------------------------------------
+
+    async def _answer_list_call(self, asked: Asked) -> Reply:
+        self._counters["calls"] += 1
+        if self._faults.down:
+            self._counters["turned away"] += 1
             return Reply(reset=True)
-        downs = self._downs
-        reply = await self._answer_to(asked)
-        return reply if downs == self._downs else Reply(reset=True)
-
-    async def _answer_to(self, asked: Asked) -> Reply:
-        if self.silent or self.status != 200 or self.random.random() < self.refuse:
-            self.books["turned away"] += 1
-            status = self.status if self.status != 200 else 503
-            return Reply(status, silent=self.silent)
+        outages = self._outages
+        reply = await self._list_reply(asked)
+        return reply if outages == self._outages else Reply(reset=True)
+
+    async def _list_reply(self, asked: Asked) -> Reply:
+        rejection = self._rejection()
+        if rejection is not None:
+            return rejection
         query = parse_qs(asked.query)
-        since = int(query["from"][0]) if "from" in query else -1
-        self.books["asked for all"] += since < 0
-        if since == self.list.rev:
-            hold = min(int(query.get("hold_ms", ["0"])[0]), 60_000) / 1000
-            if not await self._newer(since, hold):
-                return self._answer(self.list.rev, False, [])
-        changed, whole = self.list.since(since)
-        rev = self.list.rev  # of these rows: the list may change while the call waits its turn
-        self.books["whole asked"] += whole
-        if not await self._in_turn(max(len(changed), 1)):
-            self.books["turned away"] += 1
-            return Reply(503)
-        self.books["whole"] += whole
+        since = int(query["from"][0]) if "from" in query else NO_VERSION
+        self._counters["asked for all"] += since < 0
+        if since == self._list.rev:
+            hold_ms = min(int(query.get("hold_ms", ["0"])[0]), MAX_HOLD_MS)
+            if not await self._wait_for_change(since, hold_ms / 1000):
+                return _list_body(self._list.rev, False, [])
+        changed, is_complete = self._list.since(since)
+        rev = self._list.rev  # of these rows: the list may change while the call waits its turn
+        self._counters["whole asked"] += is_complete
+        if not await self._wait_for_turn(max(len(changed), 1)):
+            self._counters["turned away"] += 1
+            return Reply(UNAVAILABLE)
+        self._counters["whole"] += is_complete
         rows = [row or {"uid": uid, "state": "left"} for uid, row in changed.items()]
-        return self._answer(rev, whole, rows)
-
-    async def _newer(self, since: int, hold: float) -> bool:
-        async with self.changed:
+        return _list_body(rev, is_complete, rows)
+
+    def _rejection(self) -> Reply | None:
+        """The answer in place of a list, if a fault wants one."""
+        faults = self._faults
+        is_faulty = faults.silent or faults.status != OK
+        if not is_faulty and self._random.random() >= faults.refuse:
+            return None
+        self._counters["turned away"] += 1
+        status = faults.status if faults.status != OK else UNAVAILABLE
+        return Reply(status, silent=faults.silent)
+
+    async def _wait_for_change(self, since: int, hold_s: float) -> bool:
+        """Whether the list has changed within this time."""
+        async with self._changed:
             try:
-                await asyncio.wait_for(self.changed.wait_for(lambda: self.list.rev != since), hold)
+                await asyncio.wait_for(
+                    self._changed.wait_for(lambda: self._list.rev != since), hold_s
+                )
             except TimeoutError:
                 return False
         return True
 
-    async def _in_turn(self, lines: int) -> bool:
-        """Wait for so many lines' turn; False where that takes too long."""
+    async def _wait_for_turn(self, rows: int) -> bool:
+        """Wait until so many rows can be sent; False where that takes too long."""
+        if not self._rows_per_second:
+            self._counters["lines"] += rows
+            return True
         now = asyncio.get_running_loop().time()
-        begin = max(self._free, now)
-        if self._rate and begin - now > self._patience:
-            await asyncio.sleep(self._patience)
+        begin = max(self._busy_until, now)
+        if begin - now > self._patience_s:
+            await asyncio.sleep(self._patience_s)
             return False
-        self.books["lines"] += lines
-        if self._rate:
-            each = self.slow / self._rate
-            self._free = begin + lines * each
-            for i in range(lines):
-                self.by_second[int(begin + i * each)] += 1
-            await asyncio.sleep(self._free - now)
+        self._counters["lines"] += rows
+        row_s = self._faults.slow / self._rows_per_second
+        self._busy_until = begin + rows * row_s
+        for number in range(rows):
+            self._rows_by_second[int(begin + number * row_s)] += 1
+        await asyncio.sleep(self._busy_until - now)
         return True
 
-    def _answer(self, rev: int, whole: bool, targets: list[dict[str, Any]]) -> Reply:
-        body = {"rev": rev, "all": whole, "targets": targets}
-        return Reply(200, json.dumps(body).encode())
+
+def _list_body(rev: int, is_complete: bool, targets: list[dict[str, Any]]) -> Reply:
+    body = {"rev": rev, "all": is_complete, "targets": targets}
+    return Reply(OK, json.dumps(body).encode())
 
 
 async def run(discovery: Discovery, listen: str) -> None:
+    """Serve until the process ends."""
     server = await serve(discovery.handle, *split_address(listen))
     await server.serve_forever()
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Read the arguments and serve."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--target", action="append", default=[], metavar="UID=ADDRESS")
-    parser.add_argument("--lines", type=int, default=0, help="a second; 0: as many as are asked")
+    parser.add_argument("--lines", type=int, default=0, help="rows a second, 0 for no limit")
     parser.add_argument("--patience", type=float, default=5.0, metavar="SECONDS")
     args = parser.parse_args()
     pairs = (text.split("=", 1) for text in args.target)
