--- a/loadbalancer/core/endpoints/server_table.py
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -46,7 +46,13 @@
         return None if uid is None else self.servers[uid]
 
     def list_at(self, address: Address, server: MergedServer) -> None:
-        """List a server at an address."""
+        """List a server at an address, and no longer at another.
+
+        Guards against an address that still stands for a server that has moved away: a server
+        that is reported there later would be taken for that one, or, once that one is removed,
+        end the merge with a KeyError.
+        """
+        self.release_address(server)
         server.address = address
         self._uids_by_address[address] = server.uid
 
--- a/tests/core/endpoints/test_merged_identity.py
+++ b/tests/core/endpoints/test_merged_identity.py
@@ -6,6 +6,7 @@
 
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.departure_limits import MergeLimits
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import Health, ServerReport, Source
 from tests.core.endpoints.reported_pool import (
@@ -59,6 +60,25 @@
     assert (other.state, other.boot) == (State.READY, 0)
 
 
+def test_a_server_that_replaces_another_leaves_its_old_address() -> None:
+    """Server 1 moves to the address of server 2, which is in maintenance; both are deregistered.
+
+    Then another server listens at the old address of server 1. While that address still stood for
+    the id that was removed, merging the answer raised KeyError, and the source's reader stopped.
+    """
+    merged = pool_list(3, limits=MergeLimits(max_drained_part=1.0))
+    in_maintenance = report(2, Health.MAINTENANCE)
+    merged.update(SECOND, "consul", [report(1), in_maintenance, report(3)], complete=True)
+    moved = report(1, port=9002)
+    merged.update(2 * SECOND, "consul", [moved, in_maintenance, report(3)], complete=True)
+    assert ready(merged) == {"s-1", "s-3"}
+    merged.update(3 * SECOND, "consul", [report(3)], complete=True)
+    merged.reassess(10 * SECOND)
+    assert {found.uid for found in merged.servers()} == {"s-3"}
+    merged.update(11 * SECOND, "consul", [report(3), report(4, port=9001)], complete=True)
+    assert ready(merged) == {"s-3", "s-4"}
+
+
 def test_two_ids_of_one_source_at_one_address_are_one_process() -> None:
     merged = pool_list(3)
     reports = [*pool(3), report(9, port=9001)]
