--- /dev/null
+++ b/tests/proxy/host_fakes.py
@@ -0,0 +1,127 @@
+"""What a host is put between in its tests: a Balancer, clients and connections that only note."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any, cast
+
+from loadbalancer.core import Outcome
+from loadbalancer.proxy.exchange import Attempt, Request
+from loadbalancer.proxy.host import Node
+
+MS = 1_000_000
+TIMEOUT_NS = 500 * MS
+CONNECT_TIMEOUT_NS = 250 * MS  # as in the harness's settings
+BACKEND = 1
+
+
+class Clock:
+    """The monotonic clock, moved by the test."""
+
+    def __init__(self) -> None:
+        self.now = 1_000_000 * MS
+
+    def __call__(self) -> int:
+        return self.now
+
+
+class Balancer:
+    """Notes events and is never called from within one; `acts` is what its next event does."""
+
+    def __init__(self) -> None:
+        self.events: list[tuple[Any, ...]] = []
+        self.outcomes: list[Outcome] = []
+        self.acts: Callable[[], None] = lambda: None
+        self._inside = False
+
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        return lambda *args: self._event(name, *args)
+
+    def on_outcome(self, now: int, request: int, number: int, outcome: Outcome, *rest: Any) -> None:
+        self.outcomes.append(outcome)
+        self._event("on_outcome", now, request, number, outcome, *rest)
+
+    def may_begin(self, _now: int, _request: int, _number: int) -> bool:
+        return True
+
+    def _event(self, name: str, *args: Any) -> None:
+        assert not self._inside, "an event within an event"
+        self.events.append((name, *args))
+        acts, self.acts = self.acts, lambda: None
+        self._inside = True
+        try:
+            acts()
+        finally:
+            self._inside = False
+
+    def names(self) -> list[str]:
+        return [event[0] for event in self.events]
+
+
+class Client:
+    """A client's connection that notes its answers."""
+
+    def __init__(self) -> None:
+        self.statuses: list[int] = []
+        self.aborted = False
+        self.half_closed = False
+
+    def respond_empty(self, status: int, _retry_after: int) -> None:
+        self.statuses.append(status)
+
+    def abort_response(self) -> None:
+        self.aborted = True
+
+    def has_half_closed(self) -> bool:
+        return self.half_closed
+
+
+class Connection:
+    """A connection to a backend on which an attempt's request was written, or was not."""
+
+    def __init__(self, written: bool) -> None:
+        self.request_written = written
+        self.abandoned = False
+
+    def abandon(self) -> bool:
+        self.abandoned = True
+        return self.request_written
+
+
+class Upstream:
+    """A pool that gives each attempt a connection, or settles it at once."""
+
+    def __init__(self, host: Node) -> None:
+        self._host = host
+        self.count = 0
+        self.written = False  # whether the requests of the next attempts get written
+        self.settles_as: Outcome | None = None
+        self.attempts: list[Attempt] = []
+
+    def send(self, attempt: Attempt) -> None:
+        self.attempts.append(attempt)
+        if self.settles_as is not None:
+            self._host.conclude(attempt, self.settles_as)
+            return
+        attempt.connected = True
+        attempt.connection = cast(Any, Connection(self.written))
+
+    def connecting(self, _backends: list[int]) -> list[Attempt]:
+        return self.attempts
+
+
+def admit(host: Node, client: Client, attempts: int = 0) -> Request:
+    """An unsafe request of this client, with so many attempts."""
+    incoming = SimpleNamespace(
+        head=b"", label=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None, chunked=False,
+        cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0, retried=False,
+        policy=None,
+    )  # fmt: skip
+    request = host.request(cast(Any, client), cast(Any, incoming), 0)
+    assert request is not None
+    for _ in range(attempts):
+        host.enter()
+        host.send(request.id, BACKEND, 0)
+        host.leave()
+    return request
