--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -15,11 +15,13 @@
     Reply,
     Route,
 )
+from loadbalancer.upgrade.messages import SetStandby
 
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
     from loadbalancer.proxy.host import Node
     from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.upgrade.messages import Message
 
 logger = logging.getLogger(__name__)
 
@@ -31,8 +33,8 @@
     node: Node
     service: Service
 
-    def pass_on(self, frame: dict[str, bool]) -> None:
-        """Send a frame to the other process of this node, where there is one."""
+    def pass_on(self, message: Message) -> None:
+        """Send a message to the other process of this node, where there is one."""
 
     def set_standby(self, on: bool) -> None:
         """Begin or end a drain."""
@@ -73,13 +75,13 @@
 
     def begin_standby(self) -> Reply:
         """Send clients away; a stop does so too, and the answer is the same."""
-        self._process.pass_on({"standby": True})
+        self._process.pass_on(SetStandby(on=True))
         self._process.set_standby(True)
         return Reply(OK, "standby")
 
     def end_standby(self) -> Reply:
         """Take clients again, unless this process stops."""
-        self._process.pass_on({"standby": False})
+        self._process.pass_on(SetStandby(on=False))
         self._process.set_standby(False)
         service = self._process.service
         if service.stopping and not service.relieved:
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -86,7 +86,7 @@
         def answers(backend: int) -> bool | None:
             return is_alive(self.balancer, time.monotonic_ns(), backend)
 
-        return ConsulMembers(Path(config.consul), config, self.on_list_update, alive=answers)
+        return ConsulMembers(Path(config.consul), config, self.on_list_update, is_alive=answers)
 
     # ---- start -------------------------------------------------------------
 
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -1,7 +1,7 @@
 """One node as a process: its start, its signals, and its end.
 
 A node with a second address may have two processes for a while, the older of which hands
-over to the newer one (`upgrade.handover`).
+over to the newer one (`upgrade`).
 """
 
 from __future__ import annotations
@@ -30,9 +30,12 @@
 from loadbalancer.proxy.reload import apply_configuration, apply_routes
 from loadbalancer.proxy.shutdown import Shutdown
 from loadbalancer.sources.endpoint_list import ListError
+from loadbalancer.upgrade.messages import Reload
 
 if TYPE_CHECKING:
-    from loadbalancer.upgrade.handover import Predecessor, Successor
+    from loadbalancer.upgrade.messages import Message
+    from loadbalancer.upgrade.predecessor import Predecessor
+    from loadbalancer.upgrade.successor import Successor
 
 logger = logging.getLogger(__name__)
 
@@ -106,7 +109,8 @@
             self.node.start()
             return self.listener.listen(self.config.listen)
         # Imported here: a node without a second address does not pay for the modules.
-        from loadbalancer.upgrade.handover import Predecessor, Successor
+        from loadbalancer.upgrade.predecessor import Predecessor
+        from loadbalancer.upgrade.successor import Successor
 
         successor = self._successor = Successor(self)
         await successor.find()
@@ -147,12 +151,12 @@
 
     # ---- the other process of this node --------------------------------------
 
-    def pass_on(self, frame: dict[str, bool]) -> None:
-        """Send a frame to the other process of this node, where there is one."""
+    def pass_on(self, message: Message) -> None:
+        """Send a message to the other process of this node, where there is one."""
         if self._successor is not None:
-            self._successor.pass_on(frame)
+            self._successor.pass_on(message)
         if self._predecessor is not None:
-            self._predecessor.pass_on(frame)
+            self._predecessor.pass_on(message)
 
     # ---- reload and drain ----------------------------------------------------
 
@@ -163,7 +167,7 @@
             passed_on: the other process of this node was signalled, and has passed it on.
         """
         if not passed_on:
-            self.pass_on({"reload": True})
+            self.pass_on(Reload())
         try:
             config = reload(os.environ, self.config)
             apply_configuration(self.node, config)
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -49,7 +49,6 @@
     ReaderRecord,
 )
 from loadbalancer.core.gossip.slot_leases import Grant, Lease
-from loadbalancer.core.process_pair import SuccessorShare
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
@@ -58,16 +57,23 @@
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.admin_calls import AdminCalls
 from loadbalancer.proxy.lifecycle import Service
-from loadbalancer.sources.consul.file import ConsulFile
-from loadbalancer.sources.consul.reader import Reader
-from loadbalancer.sources.consul.rows import Fields, RowError, words
+from loadbalancer.sources.consul.credentials import Credentials
+from loadbalancer.sources.consul.datacentre_reader import DatacentreReader
+from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
+from loadbalancer.sources.consul.reader import ConsulReader
+from loadbalancer.sources.consul.rows import RowError, RowFormat, decode_rows
 from loadbalancer.sources.discovery import Discovery
 from loadbalancer.sources.endpoint_list import EndpointList, ListError
 from loadbalancer.sources.watchers import Watcher
 from loadbalancer.upgrade import handed_state as handed
-from loadbalancer.upgrade import handover as handing
-from loadbalancer.upgrade.handover import Predecessor, Successor
-from loadbalancer.upgrade.link import Link, be_greeted, greet
+from loadbalancer.upgrade import predecessor as predecessor_module
+from loadbalancer.upgrade.codec import FrameReader, MessageError, encode_frame
+from loadbalancer.upgrade.drain import Drain
+from loadbalancer.upgrade.greeting import request_listener, send_listener
+from loadbalancer.upgrade.link import Link
+from loadbalancer.upgrade.messages import Message as PairMessage
+from loadbalancer.upgrade.predecessor import Predecessor
+from loadbalancer.upgrade.successor import AwaitingState, Sharing, Starting, Successor
 
 Plain = Any
 
@@ -228,10 +234,10 @@
     ours, theirs = socket.socketpair()
     with ours, theirs, socket.socket() as listener:
         if plain["from"] == "predecessor":
-            greet(ours, listener)
+            send_listener(ours, listener)
         else:
-            greet(theirs, listener)
-            be_greeted(ours).close()
+            send_listener(theirs, listener)
+            request_listener(ours).close()
         data, fds, _, _ = socket.recv_fds(theirs, 100, 1)
         for fd in fds:
             socket.close(fd)
@@ -244,37 +250,40 @@
     with ours, theirs, socket.socket() as listener:
         socket.send_fds(theirs, [data], [listener.fileno()])
         try:
-            be_greeted(ours).close()
+            request_listener(ours).close()
         except ConnectionError:
             return {"refused": "another hello"}
         return {"from": "predecessor"}
 
 
-def _link(told: Callable[[dict[str, Any]], None] = lambda _frame: None) -> tuple[Link, _Transport]:
+def _link(heard: Callable[[PairMessage], None] = lambda _message: None) -> tuple[Link, _Transport]:
     transport: Any = _Transport()
-    made = Link(told, lambda: None)
+    made = Link(heard, lambda: None)
     made.connection_made(transport)
     return made, transport
 
 
 def _encode_frame(plain: Plain) -> bytes:
-    made, transport = _link()
-    made.send(plain)
-    return transport.written
+    return encode_frame(plain)
 
 
 def _decode_frame(data: bytes) -> Plain:
-    told: list[Any] = []
-    made, _ = _link(told.append)
-    for at in range(len(data)):  # however it is cut
-        made.data_received(data[at : at + 1])
-    return told[0] if told else {"refused": "no frame"}
+    frames = FrameReader()
+    read: list[Plain] = []
+    try:
+        for at in range(len(data)):  # however it is cut
+            frames.feed(data[at : at + 1])
+            frame = frames.next_frame()
+            read += [] if frame is None else [frame]
+    except MessageError:
+        return {"refused": "no frame"}
+    return read[0] if read else {"refused": "no frame"}
 
 
 def _process(**more: Any) -> Any:
     """A process with just what the two sides of an upgrade ask of it."""
     node = SimpleNamespace(config=SimpleNamespace(listen=Address("127.0.0.1", 8080)), **more)
-    return SimpleNamespace(node=node)
+    return SimpleNamespace(node=node, loop=None)
 
 
 def _encode_word(plain: Plain) -> bytes:
@@ -283,30 +292,30 @@
     says = plain["says"]
     if says == "keeps":
         labels = {label.encode("latin-1"): None for label in plain["labels"]}  # in this order
-        side = Predecessor(
-            _process(
-                labels=labels,
-                descriptors=lambda: plain["descriptors"],
-                spare_descriptors=lambda: 0,
-                lend_descriptors=lambda _count: None,
-            )
+        node: Any = SimpleNamespace(
+            clients=1,
+            upstream=SimpleNamespace(idle_count=lambda: 0),
+            labels=labels,
+            descriptors=lambda: plain["descriptors"],
+            spare_descriptors=lambda: 0,
+            lend_descriptors=lambda _count: None,
         )
-        side._link = made
-        side._need = 0.0 if plain["empty"] else 1.0
-        side._tell({int(server): slots for server, slots in plain["keeps"].items()})
+        drain = Drain(node)
+        drain.need = 0.0 if plain["empty"] else 1.0
+        made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
     elif says == "state":
-        side = Predecessor(_process(log=lambda _text: None))
-        side.host.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
+        side = Predecessor(_process())
+        side._process.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
-            mock.patch.object(handing, "write", lambda *_: plain["state"]),
-            mock.patch.object(handing, "release_socket"),
+            mock.patch.object(handed, "export", lambda *_: plain["state"]),
+            mock.patch.object(predecessor_module, "release_socket"),
         ):
             asyncio.run(_begin(side, made, transport))
     elif says in ("serving", "news"):
         heir = Successor(_process(discovery=SimpleNamespace(forward=None)))
-        heir._link = made
+        heir._state = Starting(made)
         if says == "news":
-            heir._news(plain["answer"].encode())
+            heir._forward_list(plain["answer"].encode())
         else:
             asyncio.run(_serve(heir))
     else:
@@ -333,12 +342,12 @@
     async def connected(*_: Any) -> tuple[_Transport, Link]:
         return transport, made
 
-    side.host.loop = SimpleNamespace(connect_accepted_socket=connected)
-    await side._begin(made, None)
+    side._process.loop = SimpleNamespace(connect_accepted_socket=connected)
+    await side._start_link(made, None)
 
 
 async def _serve(heir: Any) -> None:
-    heir.host.loop = asyncio.get_running_loop()
+    heir._process.loop = asyncio.get_running_loop()
     await heir.serve()
 
 
@@ -359,20 +368,24 @@
     host.reload = lambda passed_on: heard.update(says="reload")
     host.set_standby = lambda on: heard.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
-    left = heir._left = SuccessorShare()
     awaited: Any = SimpleNamespace(
         done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
     )
-    heir._state = awaited
+    reported: Any = SimpleNamespace(done=lambda: True)
     with (
         mock.patch.object(elder, "_relieve", lambda: heard.update(says="serving")),
-        mock.patch.object(handing, "read", lambda raw, _now: raw),
+        mock.patch.object(handed, "parse", lambda raw, _now: raw),
     ):
-        _link(heir._told)[0].data_received(data)
+        made, _ = _link(heir._on_message)
+        heir._state = AwaitingState(made, awaited)
+        made.data_received(data)
+        if not heard:
+            sharing = heir._state = Sharing(made, reported)
+            made.data_received(data)
         if not heard:
-            _link(elder._told)[0].data_received(data)
+            _link(elder._on_message)[0].data_received(data)
     if heard["says"] == "keeps":
-        heard["keeps"] = {str(server): slots for server, slots in left.retained.items()}
+        heard["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
         heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
     return heard
 
@@ -401,12 +414,12 @@
     )
     node: Any = SimpleNamespace(balancer=balancer, discovery=SimpleNamespace(endpoint_list=roster))
     with _clocks():
-        return json.dumps(handed.write(node, plain["standby"])).encode()
+        return json.dumps(handed.export(node, plain["standby"])).encode()
 
 
 def _decode_state(data: bytes) -> Plain:
     try:
-        left = handed.read(json.loads(data), NOW)
+        left = handed.parse(json.loads(data), NOW)
     except ValueError:
         return {"refused": "not what a process leaves"}
     members = []
@@ -605,20 +618,20 @@
 def _encode_relayed(plain: Plain) -> bytes:
     """The list as it is served on: what changed after `since`, with its head."""
     transport: Any = _Transport()
-    file = ConsulFile((), "shop", {}, None, None, 1, "stale", 60)
+    file = ConsulFile((), "shop", {}, None, None, 1, Consistency.STALE, 60)
 
     async def serve() -> None:
         with _clocks():
-            relay = ListRelay(file, lambda _text: None, 1)
+            relay = ListRelay(file, 1)
         relay.revisions.rev = relay.revisions._first_known = plain["first_rev"]
         for members in plain["lists"]:
             told: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
                 for m in members
             ]
-            relay.merged = SimpleNamespace(  # type: ignore[assignment]
-                members=SimpleNamespace(
-                    members=lambda told=told: told, complete=lambda: plain["complete"]
+            relay.updater = SimpleNamespace(  # type: ignore[assignment]
+                merged_list=SimpleNamespace(
+                    servers=lambda told=told: told, is_complete=lambda: plain["complete"]
                 )
             )
             relay._publish()
@@ -639,19 +652,20 @@
     """
     file = ConsulFile(
         (parse_address(plain["agent"]),), plain["service"], {plain["datacentre"]: ""}, None, None,
-        plain["lines"], plain["consistency"], 60, tuple(plain["tags"]), plain["read"],
-        plain["shard_by"],
+        plain["lines"], Consistency(plain["consistency"]), 60, tuple(plain["tags"]),
+        ServiceApi(plain["read"]), plain["shard_by"],
     )  # fmt: skip
 
     async def ask() -> bytes:
         # Under the same clock as its calls: a machine that is up for longer than NOW would
         # have it begin later than they come.
         with mock.patch("time.monotonic_ns", lambda: NOW):
-            reader = Reader(file, plain["token"], lambda *_: None, lambda _text: None, 1)
-        center = reader.centers[0]
+            reader = ConsulReader(file, Credentials(plain["token"]), lambda *_: None, 1)
+        datacentre = reader.datacentres[0]
         sent = b""
         for at, step in enumerate(plain["calls"]):
-            what = center._watch if step["is"] == "watch" else center._ask
+            is_watch = step["is"] == "watch"
+            what = datacentre._send_watch if is_watch else datacentre._send_query
             with mock.patch("time.monotonic_ns", lambda at=at: NOW + 2 * at * SECOND):
                 found = await _called(what)
             sent += found[0][1]
@@ -660,7 +674,8 @@
             answer = f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
             with (
                 mock.patch("time.monotonic_ns", lambda at=at: NOW + 2 * at * SECOND),
-                mock.patch.object(center, "_ask"),  # the next one comes with its own step
+                # The next one comes with its own step.
+                mock.patch.object(DatacentreReader, "_send_query"),
             ):
                 found[0][0].data_received(answer)
         reader.close()
@@ -672,7 +687,8 @@
 def _decode_servers(data: bytes, catalog: bool) -> Plain:
     """An answer of Consul's as a reader takes it."""
     try:
-        found = words(data, "east", Fields(catalog, zone_meta="zone"))
+        api = ServiceApi.CATALOG if catalog else ServiceApi.HEALTH
+        found = decode_rows(data, "east", RowFormat(api, zone_meta="zone"))
     except RowError:
         return {"refused": "rows that can't be used"}
     return [
@@ -680,7 +696,7 @@
             "uid": w.uid, "host": w.host, "port": w.port, "zone": w.zone,
             "health": w.health.name.lower(), "weight": w.weight,
         }
-        for w in found
+        for w, _key in found
     ]  # fmt: skip
 
 
