--- /dev/null
+++ b/tests/proxy/downstream/test_connection.py
@@ -0,0 +1,433 @@
+"""The states of a client's connection, over a host and a transport that only note what comes."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable, Iterator
+from types import SimpleNamespace
+from typing import Any, cast
+
+import pytest
+
+from loadbalancer.core import Effect
+from loadbalancer.core.balancing.model import RequestClass
+from loadbalancer.core.balancing.records import ClassState
+from loadbalancer.proxy.downstream.connection import (
+    FIRST_BYTE_SWEEPS,
+    LINGER_SWEEPS,
+    REQUEST_SWEEPS,
+    UPLOAD_STALL_SWEEPS,
+    WRITE_STALL_SWEEPS,
+    ClientConnection,
+)
+from loadbalancer.proxy.downstream.registry import ConnectionRegistry
+from loadbalancer.proxy.downstream.request_queue import MAX_QUEUED
+from loadbalancer.proxy.downstream.states import (
+    AWAITING_REQUEST,
+    AWAITING_RESPONSE,
+    CLOSED,
+    CLOSING,
+    LINGERING,
+    OPENING,
+    STREAMING,
+)
+from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES, BufferBudget, Flow
+from loadbalancer.proxy.lifecycle import Service
+from tests.harness import request
+
+SECOND_NS = 1_000_000_000
+CLASSES = {
+    name: ClassState(number, RequestClass(name, SECOND_NS, 2 * SECOND_NS, effect), 0)
+    for number, (name, effect) in enumerate(
+        (("balance", Effect.PURE), ("credit", Effect.SIDE_EFFECT))
+    )
+}
+SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
+LONG = STREAMING_THRESHOLD_BYTES + 1
+
+
+class Transport:
+    """Notes what is written; an abort or close is reported when the test says so."""
+
+    def __init__(self) -> None:
+        self.written = b""
+        self.unsent = 0
+        self.aborted = self.closed = self.ended = False
+        self.reading = True
+
+    def write(self, data: bytes) -> None:
+        assert not self.ended, "written after the end of sending"
+        self.written += data
+
+    def write_eof(self) -> None:
+        self.ended = True
+
+    def abort(self) -> None:
+        self.aborted = True
+
+    def close(self) -> None:
+        self.closed = True
+
+    def is_closing(self) -> bool:
+        return self.aborted or self.closed
+
+    def get_write_buffer_size(self) -> int:
+        return self.unsent
+
+    def set_write_buffer_limits(self, high: int | None = None) -> None:
+        """Nothing is buffered here."""
+
+    def pause_reading(self) -> None:
+        self.reading = False
+
+    def resume_reading(self) -> None:
+        self.reading = True
+
+
+class Loop:
+    """Calls that come soon are made by `turn`; timers never come due."""
+
+    def __init__(self) -> None:
+        self._soon: list[Callable[[], None]] = []
+
+    def time(self) -> float:
+        return 0.0
+
+    def call_soon(self, call: Callable[[], None]) -> None:
+        self._soon.append(call)
+
+    def call_later(self, *_: object) -> object:
+        return object()
+
+    def turn(self) -> None:
+        soon, self._soon = self._soon, []
+        for call in soon:
+            call()
+
+
+class Host:
+    """Accepts each request, or rejects it within the call while `rejects`."""
+
+    def __init__(self) -> None:
+        self.loop = Loop()
+        self.config = SimpleNamespace(sockets=64, settings=SimpleNamespace(tenants=()))
+        self.routing = None
+        self.balancer = SimpleNamespace(find_class=lambda _now, name, *_: CLASSES.get(name))
+        self.budget = BufferBudget(128)
+        self.labels: set[bytes] = set()
+        self.others: set[bytes] = set()
+        self.clients = 1
+        self.rejects = False
+        self.begun: list[Any] = []
+        self.events: list[tuple[str, bytes]] = []
+
+    def request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
+        made = SimpleNamespace(label=incoming.label, flow=incoming.flow, ended=self.rejects)
+        self.begun.append(made)
+        if self.rejects:
+            client.respond_empty(503, 0)
+        return made
+
+    def client_gone(self, made: Any) -> None:
+        self.events.append(("gone", made.label))
+
+    def client_ended(self, made: Any) -> None:
+        self.events.append(("half-closed", made.label))
+
+    def stalled(self, made: Any) -> None:
+        self.events.append(("stalled", made.label))
+
+    def uploaded(self, made: Any, _attempt: None) -> None:
+        self.events.append(("uploaded", made.label))
+
+    def freed(self) -> None:
+        """Nobody waits for a place."""
+
+    def most_clients(self) -> int:
+        return 32
+
+    def labels_begun(self) -> list[bytes]:
+        return [made.label for made in self.begun]
+
+
+@pytest.fixture
+def host() -> Host:
+    return Host()
+
+
+@pytest.fixture
+def registry(host: Host) -> ConnectionRegistry:
+    return ConnectionRegistry(cast(Any, host), Service())
+
+
+@pytest.fixture
+def transport() -> Transport:
+    return Transport()
+
+
+@pytest.fixture
+def unmade(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
+    """A connection that the loop has not reported yet."""
+    with socket.socket() as sock:
+        yield ClientConnection(registry, sock)
+
+
+@pytest.fixture
+def conn(unmade: ClientConnection, transport: Transport) -> ClientConnection:
+    """A connection on which nothing has come yet."""
+    unmade.connection_made(cast(Any, transport))
+    return unmade
+
+
+def serve(conn: ClientConnection) -> None:
+    conn.respond(b"", [b"served"], len(b"served"))
+
+
+def stream(conn: ClientConnection, host: Host, length: int = -1) -> Flow:
+    """Begin a streamed response; returns its flow."""
+    source = SimpleNamespace(pause_flow=lambda: None, resume_flow=lambda: None)
+    flow = Flow(host.budget, cast(Any, source))
+    conn.begin_streaming(b"", length, flow)
+    return flow
+
+
+def sweep(registry: ConnectionRegistry, times: int) -> None:
+    for _ in range(times):
+        registry.sweep()
+
+
+def test_the_states_of_a_connection_that_its_client_closes(
+    unmade: ClientConnection, transport: Transport, host: Host
+) -> None:
+    conn = unmade
+    states = [conn._state]
+    conn.connection_made(cast(Any, transport))
+    states.append(conn._state)
+    conn.data_received(request())
+    states.append(conn._state)
+    flow = stream(conn, host)
+    states.append(conn._state)
+    flow.finish()
+    states.append(conn._state)
+    assert not conn.eof_received()
+    states.append(conn._state)
+    conn.connection_lost(None)
+    states.append(conn._state)
+    assert states == [
+        OPENING, AWAITING_REQUEST, AWAITING_RESPONSE, STREAMING, AWAITING_REQUEST, CLOSING, CLOSED,
+    ]  # fmt: skip
+    assert host.clients == 0
+
+
+def test_the_states_of_a_connection_that_is_ended_here(
+    conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
+) -> None:
+    """The client doesn't close after our end: it is aborted after LINGER_SWEEPS."""
+    conn.close()
+    assert conn._state is LINGERING
+    assert transport.ended
+    assert not conn.finished()
+    sweep(registry, LINGER_SWEEPS)
+    assert not transport.aborted
+    sweep(registry, 1)
+    assert transport.aborted
+    assert conn._state is CLOSING
+
+
+def test_pipelined_requests_begin_in_turn(
+    conn: ClientConnection, transport: Transport, host: Host
+) -> None:
+    """Three requests come at once: each begins only once the one before it is answered."""
+    conn.data_received(b"".join(request(rid=rid) for rid in "abc"))
+    for count in (1, 2, 3):
+        assert host.labels_begun() == [b"a", b"b", b"c"][:count]
+        serve(conn)
+        assert len(host.begun) == count  # whoever responds is still at work with this one
+        host.loop.turn()
+    assert transport.written == 3 * SERVED
+
+
+def test_more_requests_than_may_wait_end_the_connection(
+    conn: ClientConnection, transport: Transport, host: Host
+) -> None:
+    """Guards against one client that fills the queues: what it has sent is dropped."""
+    conn.data_received(request(rid="open"))
+    conn.data_received(b"".join(request(rid=f"r{i}") for i in range(MAX_QUEUED)))
+    assert conn._state is AWAITING_RESPONSE
+    conn.data_received(request(rid="beyond"))
+    assert conn._state is LINGERING
+    assert transport.written.startswith(b"HTTP/1.1 400")
+    assert host.events == [("gone", b"open")]
+    host.loop.turn()
+    assert host.labels_begun() == [b"open"]
+
+
+def test_requests_that_are_rejected_within_the_call_are_answered_in_turn(
+    conn: ClientConnection, transport: Transport, host: Host
+) -> None:
+    host.rejects = True
+    conn.data_received(request(rid="a") + request(rid="b"))
+    assert transport.written.count(b"HTTP/1.1 503") == 2
+    assert conn._state is AWAITING_REQUEST
+
+
+def test_nothing_begins_on_a_connection_that_has_been_aborted(
+    conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
+) -> None:
+    """A client reads nothing and is given up, just as its first request has been answered.
+
+    The request that waits behind it must not be sent for a client that is gone.
+    """
+    conn.data_received(request(rid="a") + request(rid="b"))
+    transport.unsent = 1
+    sweep(registry, WRITE_STALL_SWEEPS + 1)
+    assert not transport.aborted
+    serve(conn)
+    sweep(registry, 1)
+    assert transport.aborted
+    host.loop.turn()
+    assert host.labels_begun() == [b"a"]
+
+
+@pytest.mark.parametrize("open_request", [True, False])
+def test_an_end_of_sending_drops_what_has_not_begun(
+    conn: ClientConnection, host: Host, open_request: bool
+) -> None:
+    """A client ends its sending within a request: that one never completes.
+
+    With another one open the connection stays, for its response.
+    """
+    if open_request:
+        conn.data_received(request(rid="open"))
+    conn.data_received(request("/credit/1", b"half", rid="half")[:-2])
+    assert host.budget.buffered
+    assert conn.eof_received() is open_request
+    assert not host.budget.buffered
+    assert host.events == ([("half-closed", b"open")] if open_request else [])
+
+
+def test_an_upload_that_is_cut_off_closes_the_connection(
+    conn: ClientConnection, host: Host
+) -> None:
+    """A client ends its sending within a long body, of which a part may be at a backend.
+
+    The request never completes: there is nothing to wait for, and the host learns of it with
+    the connection's end.
+    """
+    conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
+    assert host.labels_begun() == [b"upload"]
+    assert not conn.eof_received()
+    conn.connection_lost(None)
+    assert host.events == [("gone", b"upload")]
+
+
+@pytest.mark.parametrize(
+    ("version", "length", "expected"),
+    [
+        (b"1.1", 4, b"Content-Length: 4\r\n\r\npart"),
+        (b"1.1", -1, b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n0\r\n\r\n"),
+        (b"1.0", -1, b"Connection: close\r\n\r\npart"),
+    ],
+    ids=["length", "chunked", "close"],
+)
+def test_a_streamed_response_says_how_it_ends(
+    conn: ClientConnection,
+    transport: Transport,
+    host: Host,
+    version: bytes,
+    length: int,
+    expected: bytes,
+) -> None:
+    head = request().replace(b"HTTP/1.1", b"HTTP/" + version)
+    conn.data_received(head.replace(b"\r\n\r\n", b"\r\nConnection: keep-alive\r\n\r\n"))
+    flow = stream(conn, host, length)
+    flow.push(b"part")
+    flow.finish()
+    assert transport.written == b"HTTP/1.1 200 OK\r\n" + expected
+    assert conn._state is (LINGERING if version == b"1.0" else AWAITING_REQUEST)
+
+
+def test_noise_behind_a_streamed_response_aborts_it(
+    conn: ClientConnection, transport: Transport, host: Host
+) -> None:
+    """What follows the open request can't be read while its response is being streamed.
+
+    An error written now would be taken for more of that response.
+    """
+    conn.data_received(request(rid="open"))
+    flow = stream(conn, host)
+    flow.push(b"part")
+    written = transport.written
+    conn.data_received(b"\x8a\xff\x00\r\n\r\n")
+    assert transport.aborted
+    assert transport.written == written
+    assert host.events == [("gone", b"open")]
+
+
+def test_a_request_under_an_open_ones_id_is_rejected_and_gives_its_buffer_back(
+    conn: ClientConnection, transport: Transport, host: Host
+) -> None:
+    host.labels.add(b"same")
+    conn.data_received(request("/credit/1", b"body", rid="same"))
+    assert transport.written.startswith(b"HTTP/1.1 409")
+    assert not host.budget.buffered
+    assert not host.begun
+
+
+@pytest.mark.parametrize(
+    ("sent", "sweeps", "response"),
+    [(b"", FIRST_BYTE_SWEEPS, b""), (b"GET /ba", REQUEST_SWEEPS, b"HTTP/1.1 408")],
+    ids=["nothing", "half a head"],
+)
+def test_a_client_that_sends_no_complete_request_is_given_up(
+    conn: ClientConnection,
+    transport: Transport,
+    registry: ConnectionRegistry,
+    sent: bytes,
+    sweeps: int,
+    response: bytes,
+) -> None:
+    conn.data_received(sent)
+    sweep(registry, sweeps)
+    assert conn._state is AWAITING_REQUEST
+    sweep(registry, 1)
+    assert conn._state is LINGERING
+    assert transport.written.startswith(response)
+    assert bool(transport.written) == bool(response)
+
+
+def test_half_a_request_behind_an_open_one_is_not_given_up(
+    conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
+) -> None:
+    """Its reading may be paused until the open one is answered: that is not its client's time."""
+    conn.data_received(request(rid="open") + b"GET /ba")
+    sweep(registry, REQUEST_SWEEPS + 1)
+    assert conn._state is AWAITING_RESPONSE
+    assert not transport.written
+
+
+def test_a_backend_that_accepts_no_more_of_an_upload_is_reported_and_not_its_client(
+    conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
+) -> None:
+    """Nobody takes the body, so reading is paused: the client can't go on."""
+    host.budget.reserve(host.budget.soft_limit + 1)  # windows shrink to one read
+    conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
+    assert not transport.reading
+    sweep(registry, UPLOAD_STALL_SWEEPS)
+    assert not host.events
+    sweep(registry, 1)
+    assert host.events == [("stalled", b"upload")]
+    assert not transport.written
+
+
+def test_the_host_learns_when_an_upload_has_been_read_to_its_end(
+    conn: ClientConnection, host: Host
+) -> None:
+    """The request's time runs from here on: before, it is its client that takes time."""
+    message = request("/credit/1", b"x" * 2 * LONG, rid="upload")
+    conn.data_received(message[:-1])
+    assert host.labels_begun() == [b"upload"]
+    assert not host.events
+    conn.data_received(message[-1:])
+    assert host.events == [("uploaded", b"upload")]
+    assert host.begun[0].flow.complete
--- /dev/null
+++ b/tests/proxy/downstream/test_requests.py
@@ -0,0 +1,113 @@
+"""Requests that can't be served, or are never complete: an error or an end, soon."""
+
+from __future__ import annotations
+
+import socket
+
+import pytest
+
+from tests.harness import Running, answer, request
+from tests.proxy.downstream.exchanges import first_to_reach, is_served, reaches_backend
+
+HIDDEN = request(rid="hidden")
+UNFIT = {
+    "noise": b"\x8a\xff\x00\r\n\r\n",
+    "both lengths": request("/credit", b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
+    "length first": (
+        b"POST /credit HTTP/1.1\r\nHost: a\r\nX-Request-ID: b\r\nX-Timeout-Ms: 900\r\n"
+        b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + HIDDEN
+    ),
+    "odd coding": request("/credit", b"", Content_Length="", Transfer_Encoding="gzip"),
+    "negative length": request("/credit", b"", Content_Length="-5"),
+    "huge length": request("/credit", b"", Content_Length="9" * 30),
+    "60 MB": request("/credit", b"", Content_Length="62914560"),
+    "two lengths": request("/credit", b"ab", Content_Length="2\r\nContent-Length: 3"),
+    "no colon": request(X_Odd="1\r\na line with no colon"),
+    "no such class": request("/credit-old", b""),
+    "other class named": request(X_Priority_Class="credit"),
+    "no id": request(rid=""),
+    "long id": request(rid="a" * 200),
+    "no timeout": request(X_Timeout_Ms=""),
+    "odd timeout": request(X_Timeout_Ms="soon"),
+    "negative timeout": request(X_Timeout_Ms="-1"),
+    "wrong method": request("/balance", b""),
+    "body of a safe one": request(Content_Length="2") + b"ab",
+    "other version": request().replace(b"HTTP/1.1", b"HTTP/2.0"),
+    "no version": b"GET /balance\r\n\r\n",
+    "many at once": request(rid="a1") + request(rid="a2") * 300,
+    "endless head": request(X_Pad="p" * 20_000),
+}
+
+
+@pytest.mark.parametrize("name", UNFIT)
+def test_an_unfit_request_gets_an_error_and_reaches_no_backend(
+    backend: socket.socket, proxy: Running, name: str
+) -> None:
+    """Bytes that can't be read as one request may hide another one in what follows.
+
+    The client gets one error and the end of its connection, and nothing of it is forwarded.
+    """
+    client = proxy.connect()
+    client.send(UNFIT[name])
+    received = client.ends()
+    assert received.startswith(b"HTTP/1.1 4")
+    assert received.count(b"HTTP/1.1") == 1
+    first_to_reach(backend, proxy)
+
+
+@pytest.mark.parametrize(
+    ("part", "response"),
+    [
+        (b"", b""),
+        (b"POST /cre", b"HTTP/1.1 408"),
+        (request("/credit", b"half", timeout=900)[:-2], b"HTTP/1.1 408"),
+    ],
+    ids=["nothing", "half a head", "half the content"],
+)
+def test_a_request_that_never_completes_is_given_up(
+    backend: socket.socket, proxy: Running, part: bytes, response: bytes
+) -> None:
+    """A client connects, sends a part of a request or nothing, and stays.
+
+    Its connection must not hold a descriptor for good: it is ended, after an error where a
+    request has begun.
+    """
+    client = proxy.connect()
+    client.send(part)
+    received = client.ends()
+    assert received.startswith(response)
+    assert bool(received) == bool(response)
+    first_to_reach(backend, proxy)
+
+
+def test_the_id_of_an_open_request_is_not_accepted_twice(
+    backend: socket.socket, proxy: Running
+) -> None:
+    """Two clients send different requests under one id, at the same time.
+
+    A backend that drops repeats by the id could answer one with the other's response. The
+    second is rejected; once the first is answered the id is free.
+    """
+    first, second = proxy.connect(), proxy.connect()
+    peer = reaches_backend(first, backend, request(rid="same"))
+    second.send(request("/balance/other", rid="same"))
+    assert second.ends().startswith(b"HTTP/1.1 409")
+    peer.send(answer(b"served"))
+    assert first.message()[2] == b"served"
+    is_served(first, peer, "same")
+
+
+def test_noise_behind_an_open_request_ends_the_connection(
+    backend: socket.socket, proxy: Running
+) -> None:
+    """What follows a request can't be read, while that request is at a backend.
+
+    The client gets an error and the end at once. The late response is nobody's, and the
+    backend's connection serves the next client.
+    """
+    client = proxy.connect()
+    peer = reaches_backend(client, backend, request(rid="a1"))
+    client.send(b"\x8a\xff\x00\r\n\r\n")
+    assert client.ends().startswith(b"HTTP/1.1 400")
+    peer.send(answer(b"late"))
+    is_served(proxy.connect(), peer, "a3")
--- /dev/null
+++ b/tests/proxy/full_backlog.py
@@ -0,0 +1,61 @@
+"""A backend to which no connection comes up until the test lets it."""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+from typing import Any
+
+from tests.harness import LIMIT, LONG_MS, SETTINGS, Peer, patient_classes
+
+SYN_SENT = "02"  # as /proc/net/tcp has it
+NS_PER_MS = 1_000_000
+
+
+def patient_settings(**over: Any) -> dict[str, Any]:
+    """Settings under which connecting may take long, and so may a request's wait for a slot."""
+    limits = SETTINGS["limits"] | {"dial_timeout": LONG_MS * NS_PER_MS}
+    return {"limits": limits, "classes": patient_classes()} | over
+
+
+class FullBacklog:
+    """A listening socket whose accept queue is full: the kernel drops each further SYN."""
+
+    def __init__(self) -> None:
+        self.sock = socket.socket()
+        self.sock.bind(("127.0.0.1", 0))
+        self.sock.listen(0)
+        self.sock.settimeout(LIMIT)
+        self.port = int(self.sock.getsockname()[1])
+        self._fillers: list[socket.socket] = []
+        for _ in range(2):
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(("127.0.0.1", self.port))
+            self._fillers.append(filler)
+
+    def __enter__(self) -> FullBacklog:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        for sock in (*self._fillers, self.sock):
+            sock.close()
+
+    def open(self) -> Peer:
+        """Empty the queue; returns the first other connection that comes up then."""
+        fillers = self._filler_ports()
+        while True:
+            sock, (_, port) = self.sock.accept()
+            if port not in fillers:
+                return Peer(sock)
+            sock.close()
+
+    def is_awaited(self) -> bool:
+        """Whether somebody else is connecting, as the kernel has it."""
+        to_here = f":{self.port:04X}"
+        rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
+        ports = {int(r[1][-4:], 16) for r in rows if r[2].endswith(to_here) and r[3] == SYN_SENT}
+        return bool(ports - self._filler_ports())
+
+    def _filler_ports(self) -> set[int]:
+        return {filler.getsockname()[1] for filler in self._fillers}
