--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -10,19 +10,12 @@
 
 import pytest
 
-from tests.harness import Running, listen, node, roster, target
+from tests.harness import Running, node, roster, target
 
 # A node's descriptors, so few that a test can use them up.
 FEW_DESCRIPTORS = {"sockets": 64}
 
 
-@pytest.fixture
-def backend() -> Iterator[socket.socket]:
-    """The listening socket of the node's one backend."""
-    with listen() as sock:
-        yield sock
-
-
 @pytest.fixture
 def start(tmp_path: Path, backend: socket.socket) -> Iterator[Callable[..., Running]]:
     """Starts the node with the given options of `harness.node`; the test's end kills it."""
