--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -65,7 +65,7 @@
         self.leave()
         return request
 
-    def client_gone(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """A request's client has disconnected: it is owed no answer.
 
         An attempt whose request has been written goes on to its outcome. A message that is
@@ -87,7 +87,7 @@
             self.give_up_unwritten(request)
         self.leave()
 
-    def client_ended(self, request: Request) -> None:
+    def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more: it has closed, or waits for this answer.
 
         Which of the two can't be told. So no attempt begins from here on: without one in
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -39,15 +39,15 @@
 
     # ---- clients -----------------------------------------------------------
 
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         """The most connections of clients, leaving backends their part."""
         return self.sockets - max(self.sockets // UPSTREAM_FRACTION, self.upstream.count)
 
-    def room_for_client(self) -> bool:
+    def may_accept_client(self) -> bool:
         """Whether a further client may be accepted."""
-        return self.clients < self.most_clients()
+        return self.clients < self.max_clients()
 
-    def drop_beyond_part(self) -> None:
+    def close_surplus_upstream(self) -> None:
         """Close an idle connection to a backend for a client, unless they are all retained."""
         if self.upstream.count > self.sockets // UPSTREAM_FRACTION:
             self.upstream.close_oldest()
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -146,7 +146,7 @@
         if self._read_state is not UPLOAD:  # content that is cut off never completes
             self._drop_unbegun()
             if self._request is not None:
-                self._registry.host.client_ended(self._request)
+                self._registry.host.client_half_closed(self._request)
             if self._state is AWAITING_RESPONSE or self._state is STREAMING:
                 return True
         if self._state is not LINGERING:
@@ -165,7 +165,7 @@
         self._leave_idle()
         request, self._request = self._request, None
         if request is not None:
-            registry.host.client_gone(request)
+            registry.host.client_disconnected(request)
         self._drop_flow()
         self._drop_unbegun()
         registry.host.clients -= 1
@@ -201,7 +201,7 @@
     def check_half_close(self) -> None:
         """Report the client's end of sending, which the loop doesn't while reading is paused."""
         if self._request is not None and not self._half_closed and sending_has_ended(self._sock):
-            self._registry.host.client_ended(self._request)
+            self._registry.host.client_half_closed(self._request)
 
     def idle_sweeps(self) -> int:
         """Sweeps since it was accepted or last active."""
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -167,7 +167,7 @@
     def freed(self) -> None:
         """A descriptor has been freed: accept again if there is capacity."""
         sock = self._sock
-        if self._state is PAUSED and sock is not None and self.host.room_for_client():
+        if self._state is PAUSED and sock is not None and self.host.may_accept_client():
             self._state = ACCEPTING
             self.host.loop.add_reader(sock, self._accept)
 
@@ -186,7 +186,7 @@
 
     def _has_capacity(self) -> bool:
         """Whether one more client fits; else the next waits until a place is freed."""
-        if self.host.room_for_client():
+        if self.host.may_accept_client():
             return True
         self._pause()
         self._free_places()
@@ -208,14 +208,14 @@
             if not registry.close_oldest(len(self._establishing)):
                 break
         if not registry.lingering:
-            self.host.drop_beyond_part()
+            self.host.close_surplus_upstream()
         if self._pressure_check is None:
             self._pressure_check = self.host.loop.call_later(PRESSED_LINGER_S, self._check_pressure)
 
     def _check_pressure(self) -> None:
         self._pressure_check = None
         if self._state is PAUSED:
-            max_ended = max(self.host.most_clients() // MAX_ENDED_PART, 1)
+            max_ended = max(self.host.max_clients() // MAX_ENDED_PART, 1)
             self._max_ended = min(2 * self._max_ended, max_ended)
             self._free_places()
         else:
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -160,7 +160,7 @@
         new client would wait for one of them to be closed. Harm: a client that sends a
         request just then has to send it again on a new connection.
         """
-        surplus = self.host.clients - int(SURPLUS_PART * self.host.most_clients())
+        surplus = self.host.clients - int(SURPLUS_PART * self.host.max_clients())
         while surplus > 0 and self._close_first(self.idle, MIN_IDLE_SWEEPS):
             surplus -= 1
 
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -191,7 +191,7 @@
         self._parser = None
         request, self._request = self._request, None
         if request is not None:
-            self._registry.host.client_gone(request)
+            self._registry.host.client_disconnected(request)
         if self._flow is not None:
             # A part of a response has been sent: an error would be taken for more of it.
             self.abort_response()
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -157,13 +157,13 @@
 
     # ---- two processes as one node -------------------------------------------
 
-    def divide(self, part: LimitShare) -> None:
+    def use_limit_share(self, part: LimitShare) -> None:
         """Use only this part of the endpoints' caps from now on."""
         now = self.enter()
         self.balancer.set_limit_share(now, part)
         self.leave()
 
-    def be_whole(self) -> None:
+    def end_sharing(self) -> None:
         """The other process of this node has ended: what it used is this one's again."""
         self.others = set()
         self.lend_descriptors(0)
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.core.balancing.model import MS
 
-TICK = 50 * MS  # between two looks at the idle connections while a process drains
+DRAIN_TICK_NS = 50 * MS  # between two looks at the idle connections while a process drains
 
 # A drain, from the call that begins it.
 EMPTY_BY_NS = 1600 * MS  # what is used more than 2 s later could have a new request at 4 s
@@ -114,7 +114,7 @@
             return idle
         if now < window.begin:
             return 0
-        ticks = max((window.end - now) // TICK, 1)
+        ticks = max((window.end - now) // DRAIN_TICK_NS, 1)
         return -(-idle // ticks)  # rounded up
 
     def _close_window(self) -> CloseWindow | None:
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -84,10 +84,10 @@
     def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
         """Admit a request; None where its client has to come again."""
 
-    def client_gone(self, request: Request) -> None:
+    def client_disconnected(self, request: Request) -> None:
         """A request's client has disconnected."""
 
-    def client_ended(self, request: Request) -> None:
+    def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more, but may wait for its answer."""
 
     def uploaded(self, request: Request, attempt: Attempt | None) -> None:
@@ -96,13 +96,13 @@
     def stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body."""
 
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         """The most connections of clients."""
 
-    def room_for_client(self) -> bool:
+    def may_accept_client(self) -> bool:
         """Whether a further client may be accepted."""
 
-    def drop_beyond_part(self) -> None:
+    def close_surplus_upstream(self) -> None:
         """Close an idle connection to a backend for a client, if any may go."""
 
 
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -26,7 +26,7 @@
 from loadbalancer.proxy.downstream.connection import SWEEP_S
 from loadbalancer.proxy.downstream.listener import Listener
 from loadbalancer.proxy.host import Node
-from loadbalancer.proxy.lifecycle import TICK, Service
+from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS, Service
 from loadbalancer.proxy.reload import apply_configuration, apply_routes
 from loadbalancer.proxy.shutdown import Shutdown
 from loadbalancer.sources.endpoint_list import ListError
@@ -193,10 +193,10 @@
         self._drain()
 
     def _drain(self) -> None:
-        """While clients are sent away, close idle connections at each TICK."""
+        """While clients are sent away, close idle connections at each tick."""
         if self.service.standby and not self.service.stopping:
             self.listener.send_away(time.monotonic_ns())
-            self._drain_timer = self.loop.call_later(TICK / SECOND, self._drain)
+            self._drain_timer = self.loop.call_later(DRAIN_TICK_NS / SECOND, self._drain)
 
 
 def run_node() -> int:
--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -31,7 +31,7 @@
     def begin(self) -> RetainedCapacity:
         """Divide the node's slots; what this process retains of them."""
         retained = self._share.begin(self._endpoint_use())
-        self._node.divide(self._share)
+        self._node.use_limit_share(self._share)
         return self.report(retained)
 
     def advance(self) -> RetainedCapacity:
@@ -40,7 +40,7 @@
         self.need = min(self.need, node.clients / self._initial_clients)
         changed = self._share.release(self._endpoint_use(), self.need)
         node.upstream.trim(int(self._initial_idle * self.need))
-        node.divide(self._share)
+        node.use_limit_share(self._share)
         return self.report(changed)
 
     def report(self, slots: dict[int, int]) -> RetainedCapacity:
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.proxy.lifecycle import TICK
+from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS
 from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.upgrade import handed_state
 from loadbalancer.upgrade.drain import Drain
@@ -39,7 +39,7 @@
 
 logger = logging.getLogger(__name__)
 
-TICK_S = TICK / SECOND
+TICK_S = DRAIN_TICK_NS / SECOND
 
 
 class Sole:
@@ -170,7 +170,7 @@
         self._advance(state)
 
     def _advance(self, state: Draining) -> None:
-        """Close idle clients, release what is no longer needed, and say so; then once a TICK."""
+        """Close idle clients, release what is no longer needed, and say so; then once a tick."""
         self._process.listener.send_away(time.monotonic_ns())
         state.link.send(state.drain.advance())
         state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
@@ -190,7 +190,7 @@
         """Be the whole node again; a process that stops does not accept again."""
         process = self._process
         process.service.take_back()
-        process.node.be_whole()
+        process.node.end_sharing()
         if process.service.stopping:
             return
         logger.info("upgrade: the successor has gone; serving again")
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -197,7 +197,7 @@
             return
         node = self._process.node
         state.share.update(message.slots)
-        node.divide(state.share)
+        node.use_limit_share(state.share)
         node.others = set(message.request_ids)
         node.lend_descriptors(message.descriptors)
         if not state.first_report.done():
@@ -213,4 +213,4 @@
                 state.first_report.set_result(None)
             logger.info("upgrade: the predecessor has gone")
         self._process.node.discovery.forward = None
-        self._process.node.be_whole()
+        self._process.node.end_sharing()
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -359,7 +359,7 @@
     """A frame as the side that hears it takes it."""
     heard: dict[str, Any] = {}
     host = _process(
-        divide=lambda _part: None,
+        use_limit_share=lambda _part: None,
         lend_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
         discovery=SimpleNamespace(
             on_forwarded=lambda body: heard.update(says="news", answer=body.decode())
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -149,9 +149,9 @@
         loop=Loop(),
         clients=1,
         config=SimpleNamespace(sockets=64, settings=SimpleNamespace(tenants=())),
-        most_clients=lambda: 1,
-        room_for_client=lambda: False,
-        drop_beyond_part=lambda: None,
+        max_clients=lambda: 1,
+        may_accept_client=lambda: False,
+        close_surplus_upstream=lambda: None,
         freed=None,
         budget=SimpleNamespace(body_finished=lambda _conn: None),
     )
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -128,10 +128,10 @@
             client.respond_empty(503, 0)
         return made
 
-    def client_gone(self, made: Any) -> None:
+    def client_disconnected(self, made: Any) -> None:
         self.events.append(("gone", made.label))
 
-    def client_ended(self, made: Any) -> None:
+    def client_half_closed(self, made: Any) -> None:
         self.events.append(("half-closed", made.label))
 
     def stalled(self, made: Any) -> None:
@@ -143,7 +143,7 @@
     def freed(self) -> None:
         """Nobody waits for a place."""
 
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         return 32
 
     def labels_begun(self) -> list[bytes]:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -47,7 +47,7 @@
 
 def by_client_that_leaves_while_it_streams(host: Node, request: Request, _clock: Clock) -> None:
     request.started = True
-    host.client_gone(request)
+    host.client_disconnected(request)
 
 
 ENDS = [
@@ -83,7 +83,7 @@
     assert request.attempts == [] or request.attempts[0].connection is None
 
 
-@pytest.mark.parametrize("leaves", [Node.client_gone, Node.client_ended])
+@pytest.mark.parametrize("leaves", [Node.client_disconnected, Node.client_half_closed])
 @pytest.mark.parametrize("written", [False, True])
 def test_a_client_that_leaves_ends_only_what_was_not_written(
     host: Node,
@@ -101,7 +101,8 @@
 
 
 @pytest.mark.parametrize(
-    ("leaves", "outcomes"), [(Node.client_gone, [Outcome.MOOT]), (Node.client_ended, [])]
+    ("leaves", "outcomes"),
+    [(Node.client_disconnected, [Outcome.MOOT]), (Node.client_half_closed, [])],
 )
 def test_a_long_body_goes_on_only_where_its_client_may_wait_for_the_answer(
     host: Node,
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -54,13 +54,13 @@
     budget: DescriptorBudget, pool: Pool
 ) -> None:
     assert budget.sockets == SOCKETS - RESERVED == 100
-    assert budget.most_clients() == 75
+    assert budget.max_clients() == 75
     pool.count = 40
-    assert budget.most_clients() == 60
+    assert budget.max_clients() == 60
     budget.clients = 59
-    assert budget.room_for_client()
+    assert budget.may_accept_client()
     budget.clients = 60
-    assert not budget.room_for_client()
+    assert not budget.may_accept_client()
 
 
 @pytest.mark.parametrize(("backends", "closed"), [(25, 0), (26, 1)])
@@ -69,7 +69,7 @@
 ) -> None:
     pool.count = backends
     pool.idle = 5
-    budget.drop_beyond_part()
+    budget.close_surplus_upstream()
     assert 5 - pool.idle == closed
 
 
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -6,11 +6,11 @@
 
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.proxy.lifecycle import (
+    DRAIN_TICK_NS,
     EMPTY_BY_NS,
     RELIEVED_BY_NS,
     RELIEVED_FROM_NS,
     SETTLE_NS,
-    TICK,
     UNCHECKED_FROM_NS,
     Service,
 )
@@ -38,7 +38,7 @@
     while now < 1000 * MS + EMPTY_BY_NS:
         closed.append(service.to_close(now, idle))
         idle -= closed[-1]
-        now += TICK
+        now += DRAIN_TICK_NS
     assert max(closed) <= 6
     assert idle == 0
     assert service.to_close(now, 7) == 7  # what comes after that is closed at once
@@ -72,7 +72,7 @@
     assert service.asked_ready(1100 * MS)
     assert service.closes
     assert service.to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
-    assert service.to_close(1000 * MS + RELIEVED_BY_NS - TICK, 10) == 10
+    assert service.to_close(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
     service.take_back()
     assert not service.asked_ready(1200 * MS)
 
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -169,7 +169,7 @@
     report = RetainedCapacity({7: 3}, 60, (b"r-1",), drained=False)
     successor._state = Starting(link)
     successor._on_message(report)
-    process.node.divide.assert_not_called()
+    process.node.use_limit_share.assert_not_called()
 
     async def receive() -> None:
         first_report = asyncio.get_running_loop().create_future()
@@ -197,7 +197,7 @@
     asyncio.run(close())
     assert isinstance(successor._state, Alone)
     assert process.node.discovery.forward is None
-    process.node.be_whole.assert_called_once_with()
+    process.node.end_sharing.assert_called_once_with()
 
 
 @pytest.mark.parametrize("side", ["predecessor", "successor"])
