--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -32,12 +32,12 @@
 SWEEP_S = 0.25  # from one sweep over all connections to the next, in seconds
 # Timeouts are in sweeps and not in seconds: a process that was stopped for a while must not
 # take its own absence for its clients'.
-FIRST_BYTE_SWEEPS = 9  # for the first byte on a connection
-REQUEST_SWEEPS = 10  # for a complete request, from its first byte on ...
+FIRST_BYTE_TIMEOUT_SWEEPS = 9  # for the first byte on a connection
+REQUEST_TIMEOUT_SWEEPS = 10  # for a complete request, from its first byte on ...
 BYTES_PER_SWEEP = 8 << 10  # ... and one sweep more for each so many bytes of its content
-UPLOAD_STALL_SWEEPS = 20  # for a backend to accept more of an upload
-WRITE_STALL_SWEEPS = 40  # for a client to accept more of a response
-LINGER_SWEEPS = 4  # for a client to close after our end
+UPLOAD_TIMEOUT_SWEEPS = 20  # for a backend to accept more of an upload
+WRITE_TIMEOUT_SWEEPS = 40  # for a client to accept more of a response
+LINGER_TIMEOUT_SWEEPS = 4  # for a client to close after our end
 
 
 class ClientConnection(ResponseWriter):
@@ -47,14 +47,14 @@
     responses. `states` shows its life.
     """
 
-    __slots__ = ("_stalled_since", "_unsent")
+    __slots__ = ("_last_progress", "_unsent")
 
     def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
         super().__init__(registry, sock)
         # While bytes of a response wait: how many in this process and in the kernel, and
         # the sweep at which that last changed.
         self._unsent = (0, 0)
-        self._stalled_since = 0
+        self._last_progress = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The event loop has taken the connection over."""
@@ -216,17 +216,17 @@
             return
         unsent = transport.get_write_buffer_size()
         if self._state is LINGERING:
-            if not unsent and self.idle_sweeps() > LINGER_SWEEPS:
+            if not unsent and self.idle_sweeps() > LINGER_TIMEOUT_SWEEPS:
                 self._abort(transport)
                 return
         elif self._reading_timed_out():
             return
         if unsent:
-            self._check_write_stall(transport, unsent, sweep)
+            self._check_write_progress(transport, unsent, sweep)
         else:
-            self._stalled_since = sweep
+            self._last_progress = sweep
 
-    def _check_write_stall(self, transport: asyncio.Transport, unsent: int, sweep: int) -> None:
+    def _check_write_progress(self, transport: asyncio.Transport, unsent: int, sweep: int) -> None:
         """Abort where the client accepts nothing.
 
         Failure: a client that reads nothing holds a descriptor and a buffer without end.
@@ -234,8 +234,8 @@
         progress = (unsent, unacknowledged_bytes(self._sock))
         if progress != self._unsent:
             self._unsent = progress
-            self._stalled_since = sweep
-        elif sweep - self._stalled_since > WRITE_STALL_SWEEPS:
+            self._last_progress = sweep
+        elif sweep - self._last_progress > WRITE_TIMEOUT_SWEEPS:
             self._abort(transport)
 
     def _reading_timed_out(self) -> bool:
@@ -251,10 +251,10 @@
         flow = incoming.flow
         if flow is not None and flow.paused:
             # Reading is paused, as the backend accepts no more: that is not the client's time.
-            if self.idle_sweeps() > UPLOAD_STALL_SWEEPS and self._request is not None:
+            if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
                 self._registry.host.stalled(self._request)
             return False
-        if self.idle_sweeps() <= REQUEST_SWEEPS + incoming.size // BYTES_PER_SWEEP:
+        if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_SWEEP:
             return False
         if self._request is not None and flow is None:
             return False  # reading it may be paused until the open request is answered
@@ -262,7 +262,7 @@
         return True
 
     def _first_byte_timed_out(self) -> bool:
-        late = self in self._registry.fresh and self.idle_sweeps() > FIRST_BYTE_SWEEPS
+        late = self in self._registry.fresh and self.idle_sweeps() > FIRST_BYTE_TIMEOUT_SWEEPS
         if not late or not self.can_close():
             return False
         self.close()
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -23,7 +23,7 @@
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 MAX_ACCEPTS = 64  # in one turn of the loop
 # How long, in seconds, a connection may linger after our end while others wait for its place ...
-PRESSED_LINGER_S = 0.05
+SATURATED_LINGER_S = 0.05
 MAX_ENDED_PART = 2  # ... and at most one in so many places is freed at a time
 
 
@@ -52,7 +52,7 @@
         self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
-        self._pressure_check: asyncio.TimerHandle | None = None  # while places are freed
+        self._saturation_check: asyncio.TimerHandle | None = None  # while places are freed
         self._max_ended = 1  # connections ended at a time
         host.freed = self.freed
 
@@ -196,12 +196,12 @@
         """End an idle connection for a client that waits, and more while that does not do.
 
         Most clients close as their connection is ended. Those that don't are aborted after
-        PRESSED_LINGER_S, and the more of them there are, the more are ended at a time.
+        SATURATED_LINGER_S, and the more of them there are, the more are ended at a time.
         """
         now = self.host.loop.time()
         registry = self.registry
         for conn, linger in list(registry.lingering.items()):
-            if now - linger.since_s < PRESSED_LINGER_S:
+            if now - linger.since_s < SATURATED_LINGER_S:
                 break
             conn.abort_lingering()
         while len(registry.lingering) < self._max_ended:
@@ -209,11 +209,13 @@
                 break
         if not registry.lingering:
             self.host.drop_beyond_part()
-        if self._pressure_check is None:
-            self._pressure_check = self.host.loop.call_later(PRESSED_LINGER_S, self._check_pressure)
+        if self._saturation_check is None:
+            self._saturation_check = self.host.loop.call_later(
+                SATURATED_LINGER_S, self._check_saturation
+            )
 
-    def _check_pressure(self) -> None:
-        self._pressure_check = None
+    def _check_saturation(self) -> None:
+        self._saturation_check = None
         if self._state is PAUSED:
             max_ended = max(self.host.most_clients() // MAX_ENDED_PART, 1)
             self._max_ended = min(2 * self._max_ended, max_ended)
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loadbalancer.proxy.downstream.connection import ClientConnection
-from loadbalancer.proxy.downstream.listener import PRESSED_LINGER_S, Listener
+from loadbalancer.proxy.downstream.listener import SATURATED_LINGER_S, Listener
 from loadbalancer.proxy.lifecycle import Service
 from tests.harness import LIMIT, Running, answer, request
 from tests.proxy.downstream.exchanges import READINESS_CHECK, is_served, reaches_backend
@@ -173,7 +173,7 @@
         transport.unsent = 1
         conn.close()
         full_host.loop.accept()  # somebody waits, and there is no place
-        full_host.loop.now = 2 * PRESSED_LINGER_S
+        full_host.loop.now = 2 * SATURATED_LINGER_S
         listener.sweep()
         assert not transport.aborted
         transport.unsent = 0
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -13,11 +13,11 @@
 from loadbalancer.core.balancing.model import RequestClass
 from loadbalancer.core.balancing.records import ClassState
 from loadbalancer.proxy.downstream.connection import (
-    FIRST_BYTE_SWEEPS,
-    LINGER_SWEEPS,
-    REQUEST_SWEEPS,
-    UPLOAD_STALL_SWEEPS,
-    WRITE_STALL_SWEEPS,
+    FIRST_BYTE_TIMEOUT_SWEEPS,
+    LINGER_TIMEOUT_SWEEPS,
+    REQUEST_TIMEOUT_SWEEPS,
+    UPLOAD_TIMEOUT_SWEEPS,
+    WRITE_TIMEOUT_SWEEPS,
     ClientConnection,
 )
 from loadbalancer.proxy.downstream.registry import ConnectionRegistry
@@ -222,12 +222,12 @@
 def test_the_states_of_a_connection_that_is_ended_here(
     conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
 ) -> None:
-    """The client doesn't close after our end: it is aborted after LINGER_SWEEPS."""
+    """The client doesn't close after our end: it is aborted after LINGER_TIMEOUT_SWEEPS."""
     conn.close()
     assert conn._state is LINGERING
     assert transport.ended
     assert not conn.finished()
-    sweep(registry, LINGER_SWEEPS)
+    sweep(registry, LINGER_TIMEOUT_SWEEPS)
     assert not transport.aborted
     sweep(registry, 1)
     assert transport.aborted
@@ -280,7 +280,7 @@
     """
     conn.data_received(request(rid="a") + request(rid="b"))
     transport.unsent = 1
-    sweep(registry, WRITE_STALL_SWEEPS + 1)
+    sweep(registry, WRITE_TIMEOUT_SWEEPS + 1)
     assert not transport.aborted
     serve(conn)
     sweep(registry, 1)
@@ -376,7 +376,7 @@
 
 @pytest.mark.parametrize(
     ("sent", "sweeps", "response"),
-    [(b"", FIRST_BYTE_SWEEPS, b""), (b"GET /ba", REQUEST_SWEEPS, b"HTTP/1.1 408")],
+    [(b"", FIRST_BYTE_TIMEOUT_SWEEPS, b""), (b"GET /ba", REQUEST_TIMEOUT_SWEEPS, b"HTTP/1.1 408")],
     ids=["nothing", "half a head"],
 )
 def test_a_client_that_sends_no_complete_request_is_given_up(
@@ -401,7 +401,7 @@
 ) -> None:
     """Its reading may be paused until the open one is answered: that is not its client's time."""
     conn.data_received(request(rid="open") + b"GET /ba")
-    sweep(registry, REQUEST_SWEEPS + 1)
+    sweep(registry, REQUEST_TIMEOUT_SWEEPS + 1)
     assert conn._state is AWAITING_RESPONSE
     assert not transport.written
 
@@ -413,7 +413,7 @@
     host.budget.reserve(host.budget.soft_limit + 1)  # windows shrink to one read
     conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
     assert not transport.reading
-    sweep(registry, UPLOAD_STALL_SWEEPS)
+    sweep(registry, UPLOAD_TIMEOUT_SWEEPS)
     assert not host.events
     sweep(registry, 1)
     assert host.events == [("stalled", b"upload")]
