--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -1,4 +1,4 @@
-"""A node before one backend, as a process of its own."""
+"""A node before one backend, as a process of its own; a connection by itself."""
 
 from __future__ import annotations
 
@@ -6,11 +6,15 @@
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
+from loadbalancer.proxy.downstream.connection import ClientConnection
+from loadbalancer.proxy.downstream.registry import ConnectionRegistry
+from loadbalancer.proxy.lifecycle import Service
 from tests.harness import Running, node, roster, target
+from tests.proxy.downstream.surroundings import Host, Transport
 
 # A node's descriptors, so few that a test can use them up.
 FEW_DESCRIPTORS = {"sockets": 64}
@@ -38,3 +42,35 @@
 def small_proxy(start: Callable[..., Running]) -> Running:
     """A node with FEW_DESCRIPTORS."""
     return start(limits=FEW_DESCRIPTORS)
+
+
+# ---- a connection without sockets: see `surroundings` ----
+
+
+@pytest.fixture
+def host() -> Host:
+    return Host()
+
+
+@pytest.fixture
+def registry(host: Host) -> ConnectionRegistry:
+    return ConnectionRegistry(cast(Any, host), Service())
+
+
+@pytest.fixture
+def transport() -> Transport:
+    return Transport()
+
+
+@pytest.fixture
+def unmade(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
+    """A connection that the loop has not reported yet."""
+    with socket.socket() as sock:
+        yield ClientConnection(registry, sock)
+
+
+@pytest.fixture
+def conn(unmade: ClientConnection, transport: Transport) -> ClientConnection:
+    """A connection on which nothing has come yet."""
+    unmade.connection_made(cast(Any, transport))
+    return unmade
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -2,21 +2,13 @@
 
 from __future__ import annotations
 
-import socket
-from collections.abc import Callable, Iterator
 from types import SimpleNamespace
 from typing import Any, cast
 
 import pytest
 
-from loadbalancer.core import Effect
-from loadbalancer.core.balancing.model import RequestClass
-from loadbalancer.core.balancing.records import ClassState
 from loadbalancer.proxy.downstream.connection import (
-    FIRST_BYTE_TIMEOUT_SWEEPS,
     LINGER_TIMEOUT_SWEEPS,
-    REQUEST_TIMEOUT_SWEEPS,
-    UPLOAD_TIMEOUT_SWEEPS,
     WRITE_TIMEOUT_SWEEPS,
     ClientConnection,
 )
@@ -31,154 +23,14 @@
     OPENING,
     STREAMING,
 )
-from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES, BufferBudget, Flow
-from loadbalancer.proxy.lifecycle import Service
+from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES, Flow
 from tests.harness import request
+from tests.proxy.downstream.surroundings import Host, Transport, sweep
 
-SECOND_NS = 1_000_000_000
-CLASSES = {
-    name: ClassState(number, RequestClass(name, SECOND_NS, 2 * SECOND_NS, effect), 0)
-    for number, (name, effect) in enumerate(
-        (("balance", Effect.PURE), ("credit", Effect.SIDE_EFFECT))
-    )
-}
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 LONG = STREAMING_THRESHOLD_BYTES + 1
 
 
-class Transport:
-    """Notes what is written; an abort or close is reported when the test says so."""
-
-    def __init__(self) -> None:
-        self.written = b""
-        self.unsent = 0
-        self.aborted = self.closed = self.ended = False
-        self.reading = True
-
-    def write(self, data: bytes) -> None:
-        assert not self.ended, "written after the end of sending"
-        self.written += data
-
-    def write_eof(self) -> None:
-        self.ended = True
-
-    def abort(self) -> None:
-        self.aborted = True
-
-    def close(self) -> None:
-        self.closed = True
-
-    def is_closing(self) -> bool:
-        return self.aborted or self.closed
-
-    def get_write_buffer_size(self) -> int:
-        return self.unsent
-
-    def set_write_buffer_limits(self, high: int | None = None) -> None:
-        """Nothing is buffered here."""
-
-    def pause_reading(self) -> None:
-        self.reading = False
-
-    def resume_reading(self) -> None:
-        self.reading = True
-
-
-class Loop:
-    """Calls that come soon are made by `turn`; timers never come due."""
-
-    def __init__(self) -> None:
-        self._soon: list[Callable[[], None]] = []
-
-    def time(self) -> float:
-        return 0.0
-
-    def call_soon(self, call: Callable[[], None]) -> None:
-        self._soon.append(call)
-
-    def call_later(self, *_: object) -> object:
-        return object()
-
-    def turn(self) -> None:
-        soon, self._soon = self._soon, []
-        for call in soon:
-            call()
-
-
-class Host:
-    """Accepts each request, or rejects it within the call while `rejects`."""
-
-    def __init__(self) -> None:
-        self.loop = Loop()
-        self.config = SimpleNamespace(sockets=64, settings=SimpleNamespace(tenants=()))
-        self.routing = None
-        self.balancer = SimpleNamespace(find_class=lambda _now, name, *_: CLASSES.get(name))
-        self.budget = BufferBudget(128)
-        self.labels: set[bytes] = set()
-        self.others: set[bytes] = set()
-        self.clients = 1
-        self.rejects = False
-        self.begun: list[Any] = []
-        self.events: list[tuple[str, bytes]] = []
-
-    def request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
-        made = SimpleNamespace(label=incoming.label, flow=incoming.flow, ended=self.rejects)
-        self.begun.append(made)
-        if self.rejects:
-            client.respond_empty(503, 0)
-        return made
-
-    def client_gone(self, made: Any) -> None:
-        self.events.append(("gone", made.label))
-
-    def client_ended(self, made: Any) -> None:
-        self.events.append(("half-closed", made.label))
-
-    def stalled(self, made: Any) -> None:
-        self.events.append(("stalled", made.label))
-
-    def uploaded(self, made: Any, _attempt: None) -> None:
-        self.events.append(("uploaded", made.label))
-
-    def freed(self) -> None:
-        """Nobody waits for a place."""
-
-    def most_clients(self) -> int:
-        return 32
-
-    def labels_begun(self) -> list[bytes]:
-        return [made.label for made in self.begun]
-
-
-@pytest.fixture
-def host() -> Host:
-    return Host()
-
-
-@pytest.fixture
-def registry(host: Host) -> ConnectionRegistry:
-    return ConnectionRegistry(cast(Any, host), Service())
-
-
-@pytest.fixture
-def transport() -> Transport:
-    return Transport()
-
-
-@pytest.fixture
-def unmade(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
-    """A connection that the loop has not reported yet."""
-    with socket.socket() as sock:
-        yield ClientConnection(registry, sock)
-
-
-@pytest.fixture
-def conn(unmade: ClientConnection, transport: Transport) -> ClientConnection:
-    """A connection on which nothing has come yet."""
-    unmade.connection_made(cast(Any, transport))
-    return unmade
-
-
 def serve(conn: ClientConnection) -> None:
     conn.respond(b"", [b"served"], len(b"served"))
 
@@ -191,11 +43,6 @@
     return flow
 
 
-def sweep(registry: ConnectionRegistry, times: int) -> None:
-    for _ in range(times):
-        registry.sweep()
-
-
 def test_the_states_of_a_connection_that_its_client_closes(
     unmade: ClientConnection, transport: Transport, host: Host
 ) -> None:
@@ -374,52 +221,6 @@
     assert not host.begun
 
 
-@pytest.mark.parametrize(
-    ("sent", "sweeps", "response"),
-    [(b"", FIRST_BYTE_TIMEOUT_SWEEPS, b""), (b"GET /ba", REQUEST_TIMEOUT_SWEEPS, b"HTTP/1.1 408")],
-    ids=["nothing", "half a head"],
-)
-def test_a_client_that_sends_no_complete_request_is_given_up(
-    conn: ClientConnection,
-    transport: Transport,
-    registry: ConnectionRegistry,
-    sent: bytes,
-    sweeps: int,
-    response: bytes,
-) -> None:
-    conn.data_received(sent)
-    sweep(registry, sweeps)
-    assert conn._state is AWAITING_REQUEST
-    sweep(registry, 1)
-    assert conn._state is LINGERING
-    assert transport.written.startswith(response)
-    assert bool(transport.written) == bool(response)
-
-
-def test_half_a_request_behind_an_open_one_is_not_given_up(
-    conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
-) -> None:
-    """Its reading may be paused until the open one is answered: that is not its client's time."""
-    conn.data_received(request(rid="open") + b"GET /ba")
-    sweep(registry, REQUEST_TIMEOUT_SWEEPS + 1)
-    assert conn._state is AWAITING_RESPONSE
-    assert not transport.written
-
-
-def test_a_backend_that_accepts_no_more_of_an_upload_is_reported_and_not_its_client(
-    conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
-) -> None:
-    """Nobody takes the body, so reading is paused: the client can't go on."""
-    host.budget.reserve(host.budget.soft_limit + 1)  # windows shrink to one read
-    conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
-    assert not transport.reading
-    sweep(registry, UPLOAD_TIMEOUT_SWEEPS)
-    assert not host.events
-    sweep(registry, 1)
-    assert host.events == [("stalled", b"upload")]
-    assert not transport.written
-
-
 def test_the_host_learns_when_an_upload_has_been_read_to_its_end(
     conn: ClientConnection, host: Host
 ) -> None:
--- /dev/null
+++ b/tests/proxy/downstream/test_timeouts.py
@@ -0,0 +1,69 @@
+"""Clients that are given up: they send no complete request. Without sockets."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.proxy.downstream.connection import (
+    FIRST_BYTE_TIMEOUT_SWEEPS,
+    REQUEST_TIMEOUT_SWEEPS,
+    UPLOAD_TIMEOUT_SWEEPS,
+    ClientConnection,
+)
+from loadbalancer.proxy.downstream.registry import ConnectionRegistry
+from loadbalancer.proxy.downstream.states import (
+    AWAITING_REQUEST,
+    AWAITING_RESPONSE,
+    LINGERING,
+)
+from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES
+from tests.harness import request
+from tests.proxy.downstream.surroundings import Host, Transport, sweep
+
+LONG = STREAMING_THRESHOLD_BYTES + 1
+
+
+@pytest.mark.parametrize(
+    ("sent", "sweeps", "response"),
+    [(b"", FIRST_BYTE_TIMEOUT_SWEEPS, b""), (b"GET /ba", REQUEST_TIMEOUT_SWEEPS, b"HTTP/1.1 408")],
+    ids=["nothing", "half a head"],
+)
+def test_a_client_that_sends_no_complete_request_is_given_up(
+    conn: ClientConnection,
+    transport: Transport,
+    registry: ConnectionRegistry,
+    sent: bytes,
+    sweeps: int,
+    response: bytes,
+) -> None:
+    conn.data_received(sent)
+    sweep(registry, sweeps)
+    assert conn._state is AWAITING_REQUEST
+    sweep(registry, 1)
+    assert conn._state is LINGERING
+    assert transport.written.startswith(response)
+    assert bool(transport.written) == bool(response)
+
+
+def test_half_a_request_behind_an_open_one_is_not_given_up(
+    conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
+) -> None:
+    """Its reading may be paused until the open one is answered: that is not its client's time."""
+    conn.data_received(request(rid="open") + b"GET /ba")
+    sweep(registry, REQUEST_TIMEOUT_SWEEPS + 1)
+    assert conn._state is AWAITING_RESPONSE
+    assert not transport.written
+
+
+def test_a_backend_that_accepts_no_more_of_an_upload_is_reported_and_not_its_client(
+    conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
+) -> None:
+    """Nobody takes the body, so reading is paused: the client can't go on."""
+    host.budget.reserve(host.budget.soft_limit + 1)  # windows shrink to one read
+    conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
+    assert not transport.reading
+    sweep(registry, UPLOAD_TIMEOUT_SWEEPS)
+    assert not host.events
+    sweep(registry, 1)
+    assert host.events == [("stalled", b"upload")]
+    assert not transport.written
