--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import math
 import ssl
 from collections.abc import Callable, Mapping
@@ -12,6 +13,8 @@
 
 from loadbalancer.config.address import Address
 
+logger = logging.getLogger(__name__)
+
 MAX_RESPONSE_BYTES = 16 << 20  # header fields and body
 MAX_DIGITS = 18  # of a number in a header field or query: it fits in 64 bits
 
@@ -104,6 +107,11 @@
             return
         try:
             self._parser.feed_data(data)
+        except httptools.HttpParserCallbackError:
+            # Failure: whoever takes the response raises. The parser makes that one of its own
+            # errors, which a malformed response raises too: it would pass for one, unseen.
+            logger.exception("handling a response failed")
+            self._finish(None)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._finish(None)
 
--- /dev/null
+++ b/tests/sources/test_http_get.py
@@ -0,0 +1,60 @@
+"""One GET request, and what comes of its response."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+
+import pytest
+
+from loadbalancer.config.address import Address
+from loadbalancer.sources.http_get import HttpGet, Response
+
+TIMEOUT_S = 20.0
+
+
+async def get_from(response: bytes, raises: bool = False) -> list[Response | None]:
+    """What a request reports whose server sends these bytes and closes the connection."""
+    reported: list[Response | None] = []
+    done = asyncio.Event()
+
+    def on_done(result: Response | None) -> None:
+        reported.append(result)
+        done.set()
+        if raises:
+            raise KeyError("a fault of whoever takes the response")
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(ConnectionError):
+            await reader.readuntil(b"\r\n\r\n")
+            writer.write(response)
+            await writer.drain()
+        writer.close()
+
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    async with server:
+        port = server.sockets[0].getsockname()[1]
+        request = HttpGet(Address("127.0.0.1", port), "/", TIMEOUT_S, on_done)
+        await asyncio.wait_for(done.wait(), TIMEOUT_S)
+        await asyncio.sleep(0)
+        request.drop()
+    return reported
+
+
+def test_a_complete_response_is_reported() -> None:
+    reported = asyncio.run(get_from(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"))
+    assert [(r.status, r.body) for r in reported if r is not None] == [(200, b"[]")]
+
+
+@pytest.mark.parametrize("response", [b"", b"no HTTP\r\n\r\n", b"HTTP/1.1 200 OK\r\n"])
+def test_anything_else_is_reported_as_none(response: bytes) -> None:
+    assert asyncio.run(get_from(response)) == [None]
+
+
+def test_a_fault_of_whoever_takes_the_response_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """It is raised within the parser, which would pass it off as a malformed response."""
+    response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
+    with caplog.at_level(logging.ERROR, "loadbalancer"):
+        assert len(asyncio.run(get_from(response, raises=True))) == 1
+    assert "a fault of whoever takes the response" in caplog.text
