--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The run's processes: six control machines and the hollow nodes' hosts, and calls to them."""
+"""Processes of the scale run: control machines and hosts of hollow nodes, and calls to them."""
 
 from __future__ import annotations
 
@@ -8,21 +8,26 @@
 import subprocess
 import sys
 import time
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from http.client import HTTPConnection, HTTPException
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from benchmarks.scale.budget import Budget
+from benchmarks.scale.host_status import HostStatus
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine.file import Machine, ScaleFile
 
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
+CLOSE_TIMEOUT_S = 10.0  # for a host to write its steps out
+POLL_INTERVAL_S = 0.25
+MAX_LINE_BYTES = 64 << 20  # of a host's report
 
 
 def call(address: Address, method: str, path: str, body: bytes | None = None) -> tuple[int, bytes]:
-    """One call; OSError where it can't be made."""
-    connection = HTTPConnection(address.host, address.port, timeout=CALL_S)
+    """Make one HTTP call and return status and body; OSError if it fails."""
+    connection = HTTPConnection(address.host, address.port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body)
         answer = connection.getresponse()
@@ -42,23 +47,26 @@
     log: Path
     budget: Budget
     popen: subprocess.Popen[bytes] | None = None
-    stopped: bool = False
+    stopped: bool = False  # by SIGSTOP
 
     @property
     def name(self) -> str:
+        """The machine's name in the file."""
         return self.machine.spec.name
 
     def start(self) -> None:
-        words = [sys.executable, "-m", "loadbalancer", "scale", str(self.file)]
+        """Start the process; also after it was killed."""
+        command = [sys.executable, "-m", "loadbalancer", "scale", str(self.file)]
         with open(self.log, "ab") as log:
-            self.popen = subprocess.Popen([*words, "--machine", self.name], stderr=log)
+            self.popen = subprocess.Popen([*command, "--machine", self.name], stderr=log)
         self.budget.pids.add(self.popen.pid)
 
     def alive(self) -> bool:
+        """Whether the process runs and is not stopped."""
         return self.popen is not None and self.popen.poll() is None and not self.stopped
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it; SIGKILL waits for the end."""
+        """Send a signal; with SIGKILL, wait until the process has ended."""
         assert self.popen is not None
         self.popen.send_signal(number)
         self.stopped = number == signal.SIGSTOP
@@ -66,7 +74,7 @@
             self.popen.wait()
 
     def status(self) -> dict[str, Any]:
-        """Its /status; OSError where it can't be asked."""
+        """Return its `/status`; OSError if it does not answer."""
         status, body = call(self.machine.admin, "GET", "/status")
         if status != 200:
             raise OSError(f"{self.name}: status {status}")
@@ -74,78 +82,91 @@
         return found
 
     def close(self) -> None:
+        """Kill the process if it runs."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.kill()
             self.popen.wait()
 
 
+class HostNode(NamedTuple):
+    """One hollow node, as a host is told of it."""
+
+    name: str
+    region: str
+    zone: str
+    number: int
+
+
 @dataclass(slots=True)
 class Host:
     """One process of hollow nodes."""
 
     name: str
-    nodes: list[tuple[str, str, str, int]]  # names, regions, zones and numbers
-    steps: Path
+    nodes: list[HostNode]
+    steps: Path  # file to which the process writes its nodes' steps
     process: asyncio.subprocess.Process | None = None
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    empty: dict[str, Any] = field(default_factory=dict)  # its status before any node
-    last: dict[str, Any] = field(default_factory=dict)
+    empty: HostStatus | None = None  # before any node was started
+    last: HostStatus | None = None  # after the last order
     idle: float = 0.0  # of a core, with no nodes
 
     async def start(self, plan: dict[str, Any], budget: Budget) -> None:
+        """Start the process; none of its nodes runs yet."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "benchmarks.scale.hollow",
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            limit=64 << 20,
+            limit=MAX_LINE_BYTES,
         )
         budget.pids.add(self.process.pid)
-        self.empty = await self._say(plan | {"nodes": self.nodes, "steps": str(self.steps)})
+        self.empty = await self._send(plan | {"nodes": self.nodes, "steps": str(self.steps)})
 
-    async def order(self, order: str, **more: Any) -> dict[str, Any]:
-        """Give an order; its status afterwards."""
+    async def order(self, order: str, **arguments: Any) -> HostStatus:
+        """Give an order and return the report after it; orders wait for each other."""
         async with self.lock:
-            self.last = await self._say({"order": order} | more)
-        return self.last
+            status = await self._send({"order": order} | arguments)
+            self.last = status
+        return status
 
-    async def _say(self, order: dict[str, Any]) -> dict[str, Any]:
-        assert self.process is not None and self.process.stdin and self.process.stdout
-        self.process.stdin.write(json.dumps(order).encode() + b"\n")
+    async def _send(self, message: dict[str, Any]) -> HostStatus:
+        assert self.process is not None
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
+        self.process.stdin.write(json.dumps(message).encode() + b"\n")
         await self.process.stdin.drain()
         line = await self.process.stdout.readline()
         if not line:
             raise OSError(f"host {self.name} has ended with {await self.process.wait()}")
-        found: dict[str, Any] = json.loads(line)
-        return found
+        return HostStatus(**json.loads(line))
 
     async def close(self) -> None:
-        """Let it write its steps out, and end."""
+        """Let the process write its steps out and end; kill it if it takes too long."""
         if self.process is None or self.process.returncode is not None:
             return
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
-            await asyncio.wait_for(self.process.wait(), 10.0)
+            await asyncio.wait_for(self.process.wait(), CLOSE_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
 
 def controls_of(file: ScaleFile, path: Path, folder: Path, budget: Budget) -> dict[str, Control]:
-    """The file's machines, not started."""
+    """Return the file's machines by name, not started."""
     return {
         machine.spec.name: Control(machine, path, folder / f"{machine.spec.name}.log", budget)
         for machine in file.machines
     }
 
 
-async def until(what: str, seconds: float, done: Any) -> float:
-    """Wait for a condition, asked again and again; seconds taken. TimeoutError names it."""
+async def until(what: str, seconds: float, condition: Callable[[], Awaitable[bool]]) -> float:
+    """Poll a condition until it holds and return the seconds taken; TimeoutError names `what`."""
     began = time.monotonic()
-    while not await done():
+    while not await condition():
         if time.monotonic() - began > seconds:
             raise TimeoutError(f"{what}: not within {seconds:g} s")
-        await asyncio.sleep(0.25)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return time.monotonic() - began
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -21,7 +21,7 @@
 import zlib
 from collections import Counter, deque
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from random import Random
 from types import SimpleNamespace
@@ -30,6 +30,7 @@
 import msgpack
 import uvloop
 
+from benchmarks.scale.host_status import HostStatus
 from benchmarks.scale.world import REGIONS
 from loadbalancer.config.address import Address
 from loadbalancer.config.node import Config
@@ -339,31 +340,31 @@
                 self.events.update(node.subscriber.counts.events)
                 self.step(node.number, "", (0, 0), "DOWN", [])
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> HostStatus:
         """Bytes, processor time and what is held."""
         nodes = self.nodes.values()
         events = self.events.copy()
         for node in nodes:
             events.update(node.subscriber.counts.events)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        return {
-            "at_ns": time.monotonic_ns(),
-            "nodes": len(self.nodes),
-            "services": sum(len(node.services) for node in nodes),
-            "rows": sum(len(h.roster.endpoints) for n in nodes for h in n.services.values()),
-            "bytes_held": sum(node.holder.retained_bytes for node in nodes),
-            "sent": self.sent + sum(node.subscriber.counts.sent for node in nodes),
-            "received": self.received + sum(node.subscriber.counts.received for node in nodes),
-            "cpu_s": usage.ru_utime + usage.ru_stime,
-            "rss": int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize(),
-            "behind_s": self.behind,
-            "worst_bytes": self.worst_bytes,
-            "worst_warm_bytes": self.worst_warm_bytes,
-            "counts": dict(self.counts),
-            "events": dict(events),
-            "faults": self.faults[:10],
-            "fault_count": len(self.faults),
-        }
+        return HostStatus(
+            at_ns=time.monotonic_ns(),
+            nodes=len(self.nodes),
+            services=sum(len(node.services) for node in nodes),
+            rows=sum(len(h.roster.endpoints) for n in nodes for h in n.services.values()),
+            bytes_held=sum(node.holder.retained_bytes for node in nodes),
+            sent=self.sent + sum(node.subscriber.counts.sent for node in nodes),
+            received=self.received + sum(node.subscriber.counts.received for node in nodes),
+            cpu_s=usage.ru_utime + usage.ru_stime,
+            rss=int(Path("/proc/self/statm").read_text().split()[1]) * resource.getpagesize(),
+            behind_s=self.behind,
+            worst_bytes=self.worst_bytes,
+            worst_warm_bytes=self.worst_warm_bytes,
+            counts=dict(self.counts),
+            events=dict(events),
+            faults=self.faults[:10],
+            fault_count=len(self.faults),
+        )
 
     async def flush(self) -> None:
         """Write the steps out now and then."""
@@ -400,7 +401,7 @@
             self.behind = max(self.behind, time.monotonic() - before - BEHIND_STEP_S)
 
 
-def obey(process: Process, order: dict[str, Any]) -> dict[str, Any]:
+def obey(process: Process, order: dict[str, Any]) -> HostStatus:
     """Carry out one order."""
     what = order["order"]
     if what == "up":
@@ -440,9 +441,9 @@
     gc.set_threshold(100_000, 50, 100)
     tasks = [loop.create_task(process.flush()), loop.create_task(process.watch_loop())]
     tasks.append(loop.create_task(process.watch_bytes()))
-    print(json.dumps(process.status()), flush=True)
+    print(json.dumps(asdict(process.status())), flush=True)
     while line := await reader.readline():
-        print(json.dumps(obey(process, json.loads(line))), flush=True)
+        print(json.dumps(asdict(obey(process, json.loads(line)))), flush=True)
     for task in tasks:
         task.cancel()
     process._steps.flush()
