--- a/benchmarks/scale/referee.py
+++ b/benchmarks/scale/referee.py
@@ -10,20 +10,26 @@
 from __future__ import annotations
 
 import json
-import zlib
 from bisect import bisect_right
 from collections import Counter, defaultdict
-from collections.abc import Iterator, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-import msgpack
-
+from benchmarks.scale.steps import (
+    DELETED,
+    DOWN,
+    RELEASE,
+    RELEASED,
+    UP,
+    Step,
+    read_steps,
+    row_checksum,
+)
 from loadbalancer.control.machine.list_form import body_of, row_of
 from loadbalancer.control.machine.version import position_of
 
-DELETED, RELEASED = -1, -2  # digests that stand for a service that is held no more
 MOST_FAULTS = 20  # that are told; all are counted
 
 
@@ -75,10 +81,6 @@
             self.faults.append(f"{kind}: {text}")
 
 
-def _checksum(uid: str, body: str) -> int:
-    return zlib.crc32(f"{uid}\0{body}".encode())
-
-
 class Books:
     """What each service is at each revision, by the log."""
 
@@ -90,7 +92,7 @@
         self._services: dict[str, _Service] = {}
         for service, rows in backends.items():
             bodies = {uid: body_of(row) for uid, row in rows.items()}
-            sums = {uid: _checksum(uid, body) for uid, body in bodies.items()}
+            sums = {uid: row_checksum(uid, body) for uid, body in bodies.items()}
             self._services[service] = _Service(bodies, sums, [0], [sum(sums.values())])
 
     def begin(self, region: str, version: int) -> None:
@@ -116,7 +118,7 @@
         for body in change["rows"]:
             row = row_of(json.loads(body))
             service.rows[row.uid] = row.body
-            service.sums[row.uid] = _checksum(row.uid, row.body)
+            service.sums[row.uid] = row_checksum(row.uid, row.body)
         service.revisions.append(revision)
         service.digests.append(sum(service.sums.values()))
 
@@ -157,29 +159,31 @@
 
     def read(self, path: Path) -> None:
         """Judge all steps of one process."""
-        for step in _steps(path):
-            self._step(*step)
+        for step in read_steps(path):
+            self._judge(step)
 
-    def _step(
-        self, node: int, region: str, position: list[int], at: int, kind: str, changed: list[Any]
-    ) -> None:
+    def _judge(self, step: Step) -> None:
         self.verdict.steps += 1
-        self.kinds[kind] += 1
-        if kind in ("UP", "DOWN"):
-            self._end(node, at)
+        self.kinds[step.kind] += 1
+        if step.kind in (UP, DOWN):
+            self._end(step.node, step.at)
             return
-        if kind == "RELEASED":
-            for service, digest in changed:
-                self._service(node, service, 0, at, digest)
-            return
-        epoch, revision = position
-        before = self._positions.get((node, region), (0, 0))
+        revision = 0
+        if step.kind != RELEASE:
+            self._check_position(step)
+            _, revision = step.position
+        for service, digest in step.changed:
+            self._service(step.node, service, revision, step.at, digest)
+
+    def _check_position(self, step: Step) -> None:
+        key = (step.node, step.region)
+        epoch, revision = step.position
+        before = self._positions.get(key, (0, 0))
         if epoch < before[0] or revision < before[1]:
-            name = self._names[node]
-            self.verdict.fault("went back", f"{name} from {before} to {position} of {region}")
-        self._positions[node, region] = (epoch, revision)
-        for service, digest in changed:
-            self._service(node, service, revision, at, digest)
+            name = self._names[step.node]
+            position = list(step.position)
+            self.verdict.fault("went back", f"{name} from {before} to {position} of {step.region}")
+        self._positions[key] = step.position
 
     def _service(self, node: int, service: str, revision: int, at: int, digest: int) -> None:
         holding = self._held[node].get(service)
@@ -222,8 +226,3 @@
                 elif there - change.at > most:
                     most, last = there - change.at, node
         return Delay(change, nodes, most, missing, last)
-
-
-def _steps(path: Path) -> Iterator[list[Any]]:
-    with open(path, "rb") as file:
-        yield from msgpack.Unpacker(file, max_buffer_size=1 << 30)
