--- a/benchmarks/scale/budget.py
+++ b/benchmarks/scale/budget.py
@@ -1,4 +1,4 @@
-"""What the run's processes use together; the run ends by itself before it uses more."""
+"""Bounds on the memory and the number of a run's processes; a run that reaches one is ended."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 GB = 1 << 30
 
 
-class Spent(Exception):
-    """A budget is reached; the text names it and what was reached."""
+class BudgetError(Exception):
+    """A budget is exceeded; the text names it and what was used."""
 
 
 @dataclass(slots=True)
 class Budget:
-    """Bytes of memory and processes that may be used."""
+    """Bytes of memory and processes that may be used together, and the most that was used."""
 
     memory: int
     processes: int
-    pids: set[int] = field(default_factory=set)
+    pids: set[int] = field(default_factory=set)  # beside this process; may have ended
     most_memory: int = 0
     most_processes: int = 0
 
     def check(self) -> None:
-        """Look at all processes; Spent where a budget is reached."""
+        """Measure all processes that run; BudgetError if a budget is exceeded."""
         alive = [pid for pid in self.pids if Path(f"/proc/{pid}").exists()]
-        used = sum(proportional(pid) for pid in (*alive, os.getpid()))
+        used = sum(proportional_bytes(pid) for pid in (*alive, os.getpid()))
         self.most_memory = max(self.most_memory, used)
         self.most_processes = max(self.most_processes, len(alive) + 1)
         if used > self.memory:
-            raise Spent(f"memory: {used / GB:.2f} GB of {self.memory / GB:.2f} GB")
+            raise BudgetError(f"memory: {used / GB:.2f} GB of {self.memory / GB:.2f} GB")
         if len(alive) + 1 > self.processes:
-            raise Spent(f"processes: {len(alive) + 1} of {self.processes}")
+            raise BudgetError(f"processes: {len(alive) + 1} of {self.processes}")
 
 
-def proportional(pid: int) -> int:
-    """Bytes of a process, pages that it shares counted in part (PSS); 0 once it has gone."""
+def proportional_bytes(pid: int) -> int:
+    """Return a process's proportional set size (shared pages counted in part); 0 once it ended."""
     try:
         with open(f"/proc/{pid}/smaps_rollup") as file:
             for line in file:
--- a/benchmarks/scale/capacity/row.py
+++ b/benchmarks/scale/capacity/row.py
@@ -89,7 +89,7 @@
     return sorted(rows, key=key)
 
 
-class MissingSlope(LookupError):
+class MissingSlopeError(LookupError):
     """A row wants a slope that has not been measured."""
 
 
@@ -102,7 +102,7 @@
     def __getitem__(self, name: str) -> Slope:
         found = self._by_name.get(name)
         if found is None:
-            raise MissingSlope(f"no slope {name!r}: measure it with the sub-command slopes")
+            raise MissingSlopeError(f"no slope {name!r}: measure it with the sub-command slopes")
         return found
 
     def at(self, name: str, size: Range | float) -> Range:
--- a/benchmarks/scale/checks.py
+++ b/benchmarks/scale/checks.py
@@ -4,11 +4,12 @@
 
 from collections.abc import Sequence
 
+from benchmarks.scale.accepted import AcceptedChange
 from benchmarks.scale.fleet import Host
 from benchmarks.scale.measurements import Check
 from benchmarks.scale.node_figures import NodeFigures
 from benchmarks.scale.propagation import PropagationTimes
-from benchmarks.scale.referee import Accepted, Delay, Verdict
+from benchmarks.scale.referee import Delay, Fault, Verdict
 
 MAX_PROPAGATION_MS = 6_000.0
 MAX_NODE_BYTES_S = 3_000.0
@@ -36,14 +37,14 @@
     statuses = [host.last for host in hosts if host.last is not None]
     probes = sum(status.fault_count for status in statuses)
     probe_faults = [fault for status in statuses for fault in status.faults]
-    went_back, differs = verdict.counts["went back"], verdict.counts["not as accepted"]
+    went_back, differs = verdict.counts[Fault.WENT_BACK], verdict.counts[Fault.NOT_AS_ACCEPTED]
     return [
         Check("steps were judged", verdict.checked > 0, f"{verdict.checked} digests"),
-        Check("no node went back", not went_back, _first(verdict.faults, "went back")),
+        Check("no node went back", not went_back, _first(verdict.faults, Fault.WENT_BACK)),
         Check(
             "no node holds half a change or another",
             not differs,
-            _first(verdict.faults, "not as accepted"),
+            _first(verdict.faults, Fault.NOT_AS_ACCEPTED),
         ),
         Check("no probe to a drained backend", probes == 0, _first(probe_faults)),
     ]
@@ -80,5 +81,5 @@
     return next((text for text in texts if text.startswith(kind)), "")
 
 
-def _list_changes(changes: Sequence[Accepted]) -> str:
+def _list_changes(changes: Sequence[AcceptedChange]) -> str:
     return ", ".join(f"{one.service}@{one.revision}" for one in changes[:LISTED_CHANGES])
--- a/benchmarks/scale/cluster.py
+++ b/benchmarks/scale/cluster.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.scale.accepted import AcceptedServices
 from benchmarks.scale.budget import GB, Budget
 from benchmarks.scale.fleet import Control, Host, HostNode, controls_of
 from benchmarks.scale.host_status import HostStatus
@@ -17,7 +18,6 @@
 from benchmarks.scale.options import Options
 from benchmarks.scale.ports import first_of_free_ports
 from benchmarks.scale.realnodes import RealNodes
-from benchmarks.scale.referee import Books
 from benchmarks.scale.world import World
 from loadbalancer.control.machine.file import read_scale
 
@@ -41,7 +41,7 @@
         self._file = read_scale(str(path))
         self.controls = controls_of(self._file, path, folder, self.budget)
         regions = {service.name: service.region for service in self.world.services}
-        self.books = Books(self.world.backends, regions)
+        self.accepted = AcceptedServices(self.world.backends, regions)
         self.hosts = self._divide_nodes(options.hosts)
         self.real = RealNodes(self._file, folder, self.budget)
         self.down: set[str] = set()  # nodes that are stopped
@@ -208,7 +208,7 @@
         versions = {row["logs"]["west"]["version"] for row in rows}
         empty = any(row["needs_load"] or row["role"] == "empty" for row in rows)
         ready = len(statuses) == len(self.controls) and len(leaders) == 2 and len(versions) == 1
-        return ready and not empty and versions != {self.books.versions["west"]}
+        return ready and not empty and versions != {self.accepted.versions["west"]}
 
     async def describe_controls(self) -> str:
         """Return each machine's role and positions, for a run that waits in vain."""
--- a/benchmarks/scale/driver.py
+++ b/benchmarks/scale/driver.py
@@ -1,4 +1,4 @@
-"""Hands changes in at a steady rate, and follows the log of what is accepted."""
+"""Submits changes to the control machines at a random rate; follows the log of accepted ones."""
 
 from __future__ import annotations
 
@@ -6,128 +6,153 @@
 import json
 import time
 from collections import Counter
+from http import HTTPStatus
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
+from benchmarks.scale.accepted import AcceptedChange, AcceptedServices
 from benchmarks.scale.fleet import Control, call
-from benchmarks.scale.referee import Accepted, Books
 from benchmarks.scale.world import DrawnChange, World
 from loadbalancer.control.machine.version import position_of
 
 RETRY_S = 0.25
 GIVE_UP_S = 60.0  # for one change to be accepted
-FOLLOW_S = 1.0
+FOLLOW_INTERVAL_S = 1.0
+
+
+class Answer(NamedTuple):
+    """A control machine's answer to a change; status 0 if there was none."""
+
+    status: int
+    body: bytes
+
+
+NO_ANSWER = Answer(0, b"{}")
 
 
 class Driver:
-    """Changes of a world, each handed in until it is accepted."""
+    """Draws changes from a world and submits each until it is accepted or given up."""
 
     def __init__(
-        self, world: World, controls: dict[str, Control], books: Books, rate: float
+        self, world: World, controls: dict[str, Control], log: AcceptedServices, rate: float
     ) -> None:
-        self.accepted: list[Accepted] = []
-        self.counts: Counter[str] = Counter()
-        self.regions: set[str] = set(books.versions)  # whose changes are handed in
+        """`rate`: changes a second, on average. The regions' logs are loaded."""
+        self.accepted: list[AcceptedChange] = []
+        self.counts: Counter[str] = Counter()  # of everything that was not an acceptance
+        self.regions: set[str] = set(log.versions)  # whose changes are submitted
         self._world = world
         self._controls = controls
-        self._books = books
+        self._log = log
         self._rate = rate
         self._random = Random(world.seed + 1)
-        self._leaders: dict[str, str] = {}
-        self._handing: set[asyncio.Task[None]] = set()
+        self._leaders: dict[str, str] = {}  # names by region, as last heard
+        self._submissions: set[asyncio.Task[None]] = set()
+
+    # ---- changes -----------------------------------------------------------------
 
     async def drive(self) -> None:
-        """Hand changes in until cancelled; a Poisson stream."""
+        """Submit a Poisson stream of changes until cancelled."""
         while True:
             await asyncio.sleep(self._random.expovariate(self._rate))
             change = self._world.change()
-            region = self._books.regions[change.service]
+            region = self._log.regions[change.service]
             if region not in self.regions:
                 self.counts["not handed in: no majority"] += 1
                 continue
-            task = asyncio.create_task(self._hand_in(change, region))
-            self._handing.add(task)
-            task.add_done_callback(self._handing.discard)
+            task = asyncio.create_task(self._submit(change, region))
+            self._submissions.add(task)
+            task.add_done_callback(self._submissions.discard)
 
     async def settle(self) -> None:
-        """Wait until what was handed in is accepted or given up."""
-        while self._handing:
+        """Wait until each submitted change is accepted or given up."""
+        while self._submissions:
             await asyncio.sleep(RETRY_S)
 
-    async def _hand_in(self, change: DrawnChange, region: str) -> None:
+    async def _submit(self, change: DrawnChange, region: str) -> None:
         body = json.dumps([change.as_json()]).encode()
         began = time.monotonic_ns()
         while time.monotonic_ns() - began < GIVE_UP_S * 1e9:
-            control = self._leader(region)
+            control = self._machine_to_ask(region)
             if control is None:
                 self.counts["no machine"] += 1
                 await asyncio.sleep(RETRY_S)
                 continue
-            address = control.machine.admin
-            try:
-                status, answer = await asyncio.to_thread(call, address, "POST", "/changes", body)
-            except OSError:
-                status, answer = 0, b"{}"
-            if status == 200:
-                (row,) = json.loads(answer)
-                revision = position_of(row["version"]).revision
-                self.accepted.append(
-                    Accepted(change.service, region, revision, row["accepted_ns"], began)
-                )
+            answer = await _post_changes(control, body)
+            if answer.status == HTTPStatus.OK:
+                self._record_accepted(change, region, began, answer)
                 return
-            self.counts[f"answered {status}"] += 1
-            self._turn(region, control, status, answer)
+            self.counts[f"answered {answer.status}"] += 1
+            self._learn_leader(region, control, answer)
             await asyncio.sleep(RETRY_S)
         self.counts["given up"] += 1
 
-    def _leader(self, region: str) -> Control | None:
-        """The machine to ask: the leader as last heard, or any that lives."""
+    def _record_accepted(
+        self, change: DrawnChange, region: str, submitted_ns: int, answer: Answer
+    ) -> None:
+        (row,) = json.loads(answer.body)
+        revision = position_of(row["version"]).revision
+        self.accepted.append(
+            AcceptedChange(change.service, region, revision, row["accepted_ns"], submitted_ns)
+        )
+
+    def _machine_to_ask(self, region: str) -> Control | None:
+        """Return the leader as last heard, or any machine of the region that runs."""
         known = self._controls.get(self._leaders.get(region, ""))
         if known is not None and known.alive():
             return known
-        living = [
+        running = [
             control
             for control in self._controls.values()
             if control.alive() and control.machine.spec.region == region
         ]
-        return self._random.choice(living) if living else None
+        return self._random.choice(running) if running else None
 
-    def _turn(self, region: str, control: Control, status: int, answer: bytes) -> None:
-        """To the leader that was named, or to nobody in particular."""
+    def _learn_leader(self, region: str, control: Control, answer: Answer) -> None:
+        """Take the leader that a refusal names; ValueError if the change itself is invalid."""
         self._leaders.pop(region, None)
-        if status == 409:
-            leader = json.loads(answer).get("leader", "")
+        if answer.status == HTTPStatus.CONFLICT:
+            leader = json.loads(answer.body).get("leader", "")
             if leader and leader != control.name:
                 self._leaders[region] = leader
-        elif status == 400:
-            raise ValueError(f"a change of the world was refused: {answer[:200]!r}")
+        elif answer.status == HTTPStatus.BAD_REQUEST:
+            raise ValueError(f"a change of the world was refused: {answer.body[:200]!r}")
 
-    # ---- the log ----------------------------------------------------------------
+    # ---- the log ------------------------------------------------------------------
 
     async def follow(self) -> None:
-        """Keep the books until cancelled."""
+        """Read the log every second until cancelled."""
         while True:
-            await asyncio.sleep(FOLLOW_S)
+            await asyncio.sleep(FOLLOW_INTERVAL_S)
             await self.catch_up()
 
     async def catch_up(self) -> None:
-        """Read all that is accepted by now, as any one living machine has it."""
-        for region in self._books.versions:
+        """Read all that is accepted by now, from the first machine that answers."""
+        for region in self._log.versions:
             for control in self._controls.values():
-                if control.alive() and await self._read(region, control):
+                if control.alive() and await self._read_log(region, control):
                     break
 
-    async def _read(self, region: str, control: Control) -> bool:
-        """Read one machine's log to its end; False where it can't be read."""
+    async def _read_log(self, region: str, control: Control) -> bool:
+        """Read one machine's log to its end; False if it can't be read."""
         while True:
-            path = f"/log?region={region}&from={self._books.versions[region]}"
+            path = f"/log?region={region}&from={self._log.versions[region]}"
             try:
                 status, body = await asyncio.to_thread(call, control.machine.admin, "GET", path)
             except OSError:
                 return False
-            if status != 200:
+            if status != HTTPStatus.OK:
                 self.counts[f"log {status}"] += 1
                 return False
             answer: dict[str, Any] = json.loads(body)
-            if not self._books.follow(region, answer):
+            if not self._log.follow(region, answer):
                 return True
+
+
+async def _post_changes(control: Control, body: bytes) -> Answer:
+    try:
+        status, answer = await asyncio.to_thread(
+            call, control.machine.admin, "POST", "/changes", body
+        )
+    except OSError:
+        return NO_ANSWER
+    return Answer(status, answer)
--- a/benchmarks/scale/hollow/actions.py
+++ b/benchmarks/scale/hollow/actions.py
@@ -21,7 +21,7 @@
         self._drain_grace_ns = drain_grace_ns
         self._timers: set[asyncio.TimerHandle] = set()
 
-    def send(self, request: int, backend: int, timeout: int) -> None:
+    def send(self, request: int, backend: int, timeout: int) -> None:  # noqa: ARG002 - part of Actions
         """Count the probe, and record a fault if its backend has been draining for too long."""
         now = time.monotonic_ns()
         noticed = self.drain_noticed.get(backend)
@@ -37,11 +37,11 @@
             now = time.monotonic_ns()
             self.balancer.on_outcome(now, request, 0, Outcome.OK, MS, True)
 
-    def refuse(self, request: int, retry_after: int) -> None:
+    def refuse(self, request: int, retry_after: int) -> None:  # noqa: ARG002 - part of Actions
         """Count a probe for which there was no capacity."""
         self._shared.counts["probes refused"] += 1
 
-    def fail(self, request: int) -> None:
+    def fail(self, request: int) -> None:  # noqa: ARG002 - part of Actions
         """Count a probe that failed."""
         self._shared.counts["probes failed"] += 1
 
@@ -54,7 +54,7 @@
     def watch(self) -> None:
         """Do nothing: the node's subscriber polls for the list."""
 
-    def log(self, text: str) -> None:
+    def log(self, text: str) -> None:  # noqa: ARG002 - part of Actions
         """Count a line."""
         self._shared.counts["log lines"] += 1
 
--- a/benchmarks/scale/propagation.py
+++ b/benchmarks/scale/propagation.py
@@ -32,8 +32,10 @@
 
 def propagation_times(delays: Sequence[Delay]) -> PropagationTimes:
     """Summarise the delays of a set of changes."""
-    took = sorted(delay.most / NS_PER_MS for delay in delays if delay.nodes)
-    waited = sorted((one.change.at - one.change.handed_in) / NS_PER_MS for one in delays)
+    took = sorted(delay.most_ns / NS_PER_MS for delay in delays if delay.nodes)
+    waited = sorted(
+        (one.change.accepted_ns - one.change.submitted_ns) / NS_PER_MS for one in delays
+    )
     return PropagationTimes(
         changes=len(delays),
         nodes=sum(delay.nodes for delay in delays),
@@ -55,14 +57,14 @@
 def accepted_in(phase: Phase, delays: Sequence[Delay]) -> list[Delay]:
     """Return the delays of changes accepted in a phase; one that has not ended has no end."""
     end = phase.ended or 1 << 63
-    return [delay for delay in delays if phase.began <= delay.change.at < end]
+    return [delay for delay in delays if phase.began <= delay.change.accepted_ns < end]
 
 
 def slowest_changes(
     delays: Sequence[Delay], began: int, node_names: Sequence[str]
 ) -> list[dict[str, Any]]:
     """Describe the changes that took longest; `began` (ns) is the start of the first phase."""
-    ordered = sorted(delays, key=lambda delay: -delay.most)
+    ordered = sorted(delays, key=lambda delay: -delay.most_ns)
     return [_describe(delay, began, node_names) for delay in ordered[:SLOWEST]]
 
 
@@ -71,7 +73,7 @@
         "service": delay.change.service,
         "region": delay.change.region,
         "revision": delay.change.revision,
-        "accepted_s": round((delay.change.at - began) / 1e9, 3),
-        "took_ms": round(delay.most / NS_PER_MS, 1),
-        "node": node_names[delay.last] if delay.last >= 0 else "",
+        "accepted_s": round((delay.change.accepted_ns - began) / 1e9, 3),
+        "took_ms": round(delay.most_ns / NS_PER_MS, 1),
+        "node": node_names[delay.last_node] if delay.last_node is not None else "",
     }
--- a/benchmarks/scale/referee.py
+++ b/benchmarks/scale/referee.py
@@ -1,68 +1,41 @@
-"""A referee with books of its own: each step of each hollow node against the changes accepted.
+"""A referee: checks each step of each hollow node against the changes that were accepted.
 
-The books begin with the world's backends and follow the log of accepted changes, as control
-machines give it to operators: not the way by which nodes are told. A node's step names the
-position it is at and, for each service that has changed there, a digest of what it then holds.
-Checked of each: a position never goes back, and what is held is what the books have there, so
-that no change is held in part.
+A node's step names the position it is at and, for each service that has changed there, a digest
+of what it then holds. Two things are checked: that a node's position never goes back, and that
+what it holds is what was accepted at that position, so that it holds no change in part.
 """
 
 from __future__ import annotations
 
-import json
 from bisect import bisect_right
 from collections import Counter, defaultdict
-from collections.abc import Mapping
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
 
-from benchmarks.scale.steps import (
-    DELETED,
-    DOWN,
-    RELEASE,
-    RELEASED,
-    UP,
-    Step,
-    read_steps,
-    row_checksum,
-)
-from loadbalancer.control.machine.list_form import body_of, row_of
-from loadbalancer.control.machine.version import position_of
+from benchmarks.scale.accepted import AcceptedChange, AcceptedServices
+from benchmarks.scale.steps import DELETED, DOWN, RELEASE, RELEASED, UP, Step, read_steps
 
-MOST_FAULTS = 20  # that are told; all are counted
+MAX_DESCRIBED_FAULTS = 20  # all are counted
 
 
-@dataclass(slots=True)
-class _Service:
-    """One service's rows now, and the digest from each revision on."""
-
-    rows: dict[str, str]  # bodies by uid
-    sums: dict[str, int]  # checksums by uid
-    revisions: list[int]
-    digests: list[int]
-
+class Fault(StrEnum):
+    """What a step can do wrong."""
 
-@dataclass(frozen=True, slots=True)
-class Accepted:
-    """One accepted change, and when the machine that was asked saw it accepted."""
-
-    service: str
-    region: str
-    revision: int
-    at: int
-    handed_in: int
+    WENT_BACK = "went back"
+    NOT_AS_ACCEPTED = "not as accepted"
 
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """How long one change took, in nanoseconds, to be in force at the nodes that hold it."""
+    """How long one change took to be in force at the nodes that hold its service."""
 
-    change: Accepted
+    change: AcceptedChange
     nodes: int
-    most: int
+    most_ns: int  # at the last node
     missing: int  # nodes that never had it
-    last: int = -1  # the node that had it last
+    last_node: int | None = None
 
 
 @dataclass(slots=True)
@@ -71,91 +44,43 @@
 
     steps: int = 0
     checked: int = 0  # digests compared
-    faults: list[str] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)
+    faults: list[str] = field(default_factory=list)  # the first ones
+    counts: Counter[str] = field(default_factory=Counter)  # of all faults, by kind
 
-    def fault(self, kind: str, text: str) -> None:
-        """Count it, and keep the first ones' words."""
-        self.counts[kind] += 1
-        if len(self.faults) < MOST_FAULTS:
+    def add_fault(self, kind: Fault, text: str) -> None:
+        """Count a fault, and describe it if it is one of the first."""
+        self.counts[kind.value] += 1
+        if len(self.faults) < MAX_DESCRIBED_FAULTS:
             self.faults.append(f"{kind}: {text}")
 
 
-class Books:
-    """What each service is at each revision, by the log."""
-
-    def __init__(
-        self, backends: Mapping[str, Mapping[str, dict[str, Any]]], regions: Mapping[str, str]
-    ) -> None:
-        self.regions = regions  # by service
-        self.versions: dict[str, int] = {}  # of each region's log, as far as it was read
-        self._services: dict[str, _Service] = {}
-        for service, rows in backends.items():
-            bodies = {uid: body_of(row) for uid, row in rows.items()}
-            sums = {uid: row_checksum(uid, body) for uid, body in bodies.items()}
-            self._services[service] = _Service(bodies, sums, [0], [sum(sums.values())])
-
-    def begin(self, region: str, version: int) -> None:
-        """The log is at this version, loaded from `write_source` or the world's own file."""
-        self.versions[region] = version
-
-    def follow(self, region: str, answer: Mapping[str, Any]) -> int:
-        """Take one answer of `GET /log`; how many changes it had."""
-        for change in answer["changes"]:
-            self.versions[region] = change["version"]
-            if change["service"]:
-                self._apply(position_of(change["version"]).revision, change)
-        return len(answer["changes"])
-
-    def _apply(self, revision: int, change: Mapping[str, Any]) -> None:
-        service = self._services[change["service"]]
-        if change["whole"] or change["deleted"]:
-            service.rows.clear()
-            service.sums.clear()
-        for uid in change["removed"]:
-            service.rows.pop(uid, None)
-            service.sums.pop(uid, None)
-        for body in change["rows"]:
-            row = row_of(json.loads(body))
-            service.rows[row.uid] = row.body
-            service.sums[row.uid] = row_checksum(row.uid, row.body)
-        service.revisions.append(revision)
-        service.digests.append(sum(service.sums.values()))
-
-    def write_source(self, path: Path) -> None:
-        """All services as they are accepted: what a region that lost its log is loaded from."""
-        with open(path, "w") as file:
-            for name, service in self._services.items():
-                targets = [json.loads(body) for body in service.rows.values()]
-                file.write(json.dumps({"service": name, "targets": targets}) + "\n")
-
-    def digest(self, service: str, revision: int) -> int:
-        """Of the service as of a revision of its region's log."""
-        found = self._services[service]
-        return found.digests[bisect_right(found.revisions, revision) - 1]
-
-
 @dataclass(slots=True)
 class _Holding:
-    """One node's holding of one service: steps in time, and its end."""
+    """One node's holding of one service, from its first step to its end, and its revisions."""
 
     began: int
     times: list[int] = field(default_factory=list)
-    revisions: list[int] = field(default_factory=list)
+    revisions: list[int] = field(default_factory=list)  # one for each time
     ended: int | None = None
 
+    def time_of(self, revision: int) -> int | None:
+        """Return when the node was first at this revision or a later one."""
+        place = bisect_right(self.revisions, revision - 1)
+        return self.times[place] if place < len(self.times) else None
+
 
 class Referee:
-    """Judges steps."""
+    """Judges steps; each process's steps are read in their order."""
 
-    def __init__(self, books: Books, names: Mapping[int, str]) -> None:
-        self.books = books
+    def __init__(self, accepted: AcceptedServices, names: Mapping[int, str]) -> None:
+        """`names`: of the nodes, by number."""
+        self.accepted = accepted
         self.verdict = Verdict()
-        self.kinds: Counter[str] = Counter()
+        self.kinds: Counter[str] = Counter()  # of the steps
         self._names = names
-        self._positions: dict[tuple[int, str], tuple[int, int]] = {}
+        self._positions: dict[tuple[int, str], tuple[int, int]] = {}  # by node and region
         self._holdings: dict[str, dict[int, list[_Holding]]] = defaultdict(dict)  # by service, node
-        self._held: dict[int, dict[str, _Holding]] = defaultdict(dict)
+        self._held: dict[int, dict[str, _Holding]] = defaultdict(dict)  # those that have not ended
 
     def read(self, path: Path) -> None:
         """Judge all steps of one process."""
@@ -166,14 +91,18 @@
         self.verdict.steps += 1
         self.kinds[step.kind] += 1
         if step.kind in (UP, DOWN):
-            self._end(step.node, step.at)
+            self._end_holdings(step.node, step.at)
             return
         revision = 0
         if step.kind != RELEASE:
             self._check_position(step)
             _, revision = step.position
         for service, digest in step.changed:
-            self._service(step.node, service, revision, step.at, digest)
+            if digest in (DELETED, RELEASED):
+                self._end_holding(step, service)
+            else:
+                self._check_digest(step, service, revision, digest)
+                self._record(step, service, revision)
 
     def _check_position(self, step: Step) -> None:
         key = (step.node, step.region)
@@ -181,48 +110,58 @@
         before = self._positions.get(key, (0, 0))
         if epoch < before[0] or revision < before[1]:
             name = self._names[step.node]
-            position = list(step.position)
-            self.verdict.fault("went back", f"{name} from {before} to {position} of {step.region}")
+            text = f"{name} from {before} to {list(step.position)} of {step.region}"
+            self.verdict.add_fault(Fault.WENT_BACK, text)
         self._positions[key] = step.position
 
-    def _service(self, node: int, service: str, revision: int, at: int, digest: int) -> None:
-        holding = self._held[node].get(service)
-        if digest in (DELETED, RELEASED):
-            if holding is not None:
-                holding.ended = at
-                del self._held[node][service]
-            return
+    def _check_digest(self, step: Step, service: str, revision: int, digest: int) -> None:
         self.verdict.checked += 1
-        if digest != self.books.digest(service, revision):
-            name = self._names[node]
-            self.verdict.fault("not as accepted", f"{name} holds {service} at {revision}")
+        if digest != self.accepted.digest(service, revision):
+            text = f"{self._names[step.node]} holds {service} at {revision}"
+            self.verdict.add_fault(Fault.NOT_AS_ACCEPTED, text)
+
+    def _record(self, step: Step, service: str, revision: int) -> None:
+        holding = self._held[step.node].get(service)
         if holding is None:
-            holding = self._held[node][service] = _Holding(at)
-            self._holdings[service].setdefault(node, []).append(holding)
-        holding.times.append(at)
+            holding = self._held[step.node][service] = _Holding(step.at)
+            self._holdings[service].setdefault(step.node, []).append(holding)
+        holding.times.append(step.at)
         holding.revisions.append(revision)
 
-    def _end(self, node: int, at: int) -> None:
+    def _end_holding(self, step: Step, service: str) -> None:
+        holding = self._held[step.node].pop(service, None)
+        if holding is not None:
+            holding.ended = step.at
+
+    def _end_holdings(self, node: int, at: int) -> None:
+        """Forget a node that starts or stops: it may begin again at any position."""
         for holding in self._held.pop(node, {}).values():
             holding.ended = at
         for key in [key for key in self._positions if key[0] == node]:
             del self._positions[key]
 
-    def delay(self, change: Accepted, until: int) -> Delay:
-        """How long the change took; nodes that went or came meanwhile don't count."""
-        most = nodes = missing = 0
-        last = -1
+    # ---- delays ------------------------------------------------------------------
+
+    def delay(self, change: AcceptedChange, until: int) -> Delay:
+        """Return how long a change took, of the nodes that held its service from then to `until`.
+
+        A node that began to hold it later, or ended before it had the change, does not count.
+        """
+        most_ns = nodes = missing = 0
+        last_node = None
+        for node, holding in self._holdings_at(change):
+            in_force = holding.time_of(change.revision)
+            if in_force is None and holding.ended is not None and holding.ended < until:
+                continue
+            nodes += 1
+            if in_force is None:
+                missing += 1
+            elif in_force - change.accepted_ns > most_ns:
+                most_ns, last_node = in_force - change.accepted_ns, node
+        return Delay(change, nodes, most_ns, missing, last_node)
+
+    def _holdings_at(self, change: AcceptedChange) -> Iterator[tuple[int, _Holding]]:
         for node, holdings in self._holdings[change.service].items():
             for holding in holdings:
-                if holding.began > change.at:
-                    continue
-                place = bisect_right(holding.revisions, change.revision - 1)
-                there = holding.times[place] if place < len(holding.times) else None
-                if there is None and holding.ended is not None and holding.ended < until:
-                    continue
-                nodes += 1
-                if there is None:
-                    missing += 1
-                elif there - change.at > most:
-                    most, last = there - change.at, node
-        return Delay(change, nodes, most, missing, last)
+                if holding.began <= change.accepted_ns:
+                    yield node, holding
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -7,6 +7,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
+from benchmarks.scale.accepted import AcceptedChange
 from benchmarks.scale.budget import GB, Budget
 from benchmarks.scale.checks import checks_of
 from benchmarks.scale.control_figures import control_figures
@@ -15,7 +16,7 @@
 from benchmarks.scale.node_figures import node_figures
 from benchmarks.scale.options import Options
 from benchmarks.scale.propagation import accepted_in, propagation_times, slowest_changes
-from benchmarks.scale.referee import Accepted, Delay, Referee
+from benchmarks.scale.referee import Delay, Referee
 
 ROUTES_HELD = "not held: hollow nodes match no paths; a node's part is its services' routes"
 TENANTS_HELD = "in the Settings of each service's Balancer, which one process's nodes share"
@@ -30,7 +31,7 @@
     hosts: Sequence[Host]  # the first has a single node
     budget: Budget
     measurements: Measurements
-    accepted: Sequence[Accepted]
+    accepted: Sequence[AcceptedChange]
     driver_counts: dict[str, int]
     stopped: str  # the budget that ended the run, or empty
 
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.scale.budget import Spent
+from benchmarks.scale.budget import BudgetError
 from benchmarks.scale.cluster import Cluster
 from benchmarks.scale.driver import Driver
 from benchmarks.scale.fleet import until
@@ -64,7 +64,7 @@
         stopped = ""
         try:
             await self._run_within_budget()
-        except Spent as err:
+        except BudgetError as err:
             stopped = str(err)
         except TimeoutError as err:
             detail = f"{err}; {await self._cluster.describe_controls()}"
@@ -79,7 +79,7 @@
         return self._result(stopped)
 
     async def _run_within_budget(self) -> None:
-        """Run the phases until they end or a budget is reached, which raises Spent."""
+        """Run the phases until they end or a budget is reached, which raises BudgetError."""
         loop = asyncio.get_running_loop()
         watch = loop.create_task(self._watch_budget())
         phases = loop.create_task(self._run_phases())
@@ -105,18 +105,18 @@
         await self._finish(driver)
 
     async def _start_controls(self) -> Driver:
-        """Start the control machines, and the books at their logs' versions."""
+        """Start the control machines, and follow their logs from where they are."""
         cluster = self._cluster
         cluster.start_controls()
         taken = await until("regions loaded", LOAD_S, cluster.logs_loaded)
         logger.info("six control machines have both logs after %.1f s", taken)
-        for region in cluster.books.regions.values():
-            cluster.books.versions.setdefault(region, 0)
+        for region in cluster.accepted.regions.values():
+            cluster.accepted.versions.setdefault(region, 0)
         status = await asyncio.to_thread(next(iter(cluster.controls.values())).status)
         for region, log in status["logs"].items():
-            cluster.books.begin(region, log["version"])
+            cluster.accepted.begin(region, log["version"])
         rate = CHANGES_A_DAY / DAY_S * self._options.multiple
-        self._driver = Driver(cluster.world, cluster.controls, cluster.books, rate)
+        self._driver = Driver(cluster.world, cluster.controls, cluster.accepted, rate)
         return self._driver
 
     async def _start_nodes(self) -> None:
@@ -174,7 +174,7 @@
     def _result(self, stopped: str) -> dict[str, Any]:
         cluster = self._cluster
         names = {number: node.name for number, node in enumerate(cluster.world.nodes)}
-        referee = Referee(cluster.books, names)
+        referee = Referee(cluster.accepted, names)
         for host in cluster.hosts:
             if host.steps.exists():
                 referee.read(host.steps)
--- a/benchmarks/scale/scenarios.py
+++ b/benchmarks/scale/scenarios.py
@@ -135,15 +135,15 @@
             control.start()
         taken = await until("both regions accept again", ACCEPT_AGAIN_S, cluster.accepting_again)
         self._measurements.notes["back_from_three_s"] = round(taken, 2)
-        cluster.books.begin("west", await cluster.log_version("west"))
-        self._driver.regions = set(cluster.books.versions)
+        cluster.accepted.begin("west", await cluster.log_version("west"))
+        self._driver.regions = set(cluster.accepted.versions)
 
     async def _stop_changes_in_the_west(self) -> None:
         self._driver.regions = {"east"}
         await self._driver.settle()
         await self._driver.catch_up()
         source = self._cluster.folder / "backends.jsonl"
-        await asyncio.to_thread(self._cluster.books.write_source, source)
+        await asyncio.to_thread(self._cluster.accepted.write_source, source)
 
     # ---- many nodes -------------------------------------------------------------------
 
--- a/tests/benchmarks/test_scale_capacity.py
+++ b/tests/benchmarks/test_scale_capacity.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.capacity.load import Load
 from benchmarks.scale.capacity.row import (
     Mechanism,
-    MissingSlope,
+    MissingSlopeError,
     Role,
     Row,
     Situation,
@@ -95,12 +95,13 @@
 def test_slopes_are_multiplied_out_at_both_ends() -> None:
     slopes = Slopes({"a": slope("a", 5.0, 100.0)})
     found = slopes.at("a", Range(10, 1_000))
-    assert found.low == pytest.approx(150) and found.high == pytest.approx(5_100)
+    assert found.low == pytest.approx(150)
+    assert found.high == pytest.approx(5_100)
     assert slopes.each("a", 10).high == pytest.approx(50)
 
 
 def test_a_slope_that_was_not_measured_is_named() -> None:
-    with pytest.raises(MissingSlope, match="'b'"):
+    with pytest.raises(MissingSlopeError, match="'b'"):
         Slopes({})["b"]
 
 
@@ -108,7 +109,8 @@
     mild, none = row(Range(1, 2), 4, "mild"), row(Range(9, 9), None, "none")
     bad = row(Range(0, 8), 4, "bad")
     assert [r.resource for r in by_ratio([none, mild, bad])] == ["bad", "mild", "none"]
-    assert bad.ratio == Range(0, 2) and none.ratio is None
+    assert bad.ratio == Range(0, 2)
+    assert none.ratio is None
 
 
 @pytest.mark.parametrize(
@@ -135,7 +137,8 @@
 def test_more_backends_to_choose_among_never_make_slots_scarcer() -> None:
     most = [s for s in edges.sharing(Target()) if s.part == "waits for a slot of its node"]
     easy = [s.easy for s in most]
-    assert easy == sorted(easy) and all(s.hard <= s.easy for s in most)
+    assert easy == sorted(easy)
+    assert all(s.hard <= s.easy for s in most)
 
 
 def test_a_backend_given_before_the_choice_leaves_hardly_two_nodes() -> None:
@@ -189,7 +192,8 @@
 
 def test_every_measured_slope_was_fitted_through_three_sizes_or_more() -> None:
     slopes = record.by_name(record.read(MEASURED)).values()
-    assert slopes and all(len(set(s.sizes)) >= 3 for s in slopes)
+    assert slopes
+    assert all(len(set(s.sizes)) >= 3 for s in slopes)
 
 
 def test_the_page_names_no_module_or_test_that_is_not_there() -> None:
@@ -234,7 +238,8 @@
 def test_a_measurement_gives_slopes_with_the_quick_sizes() -> None:
     found = {s.name: s for s in MEASUREMENTS["tenants"](True)}
     assert set(found) == {"tenant.memory", "tenant.bytes"}
-    assert found["tenant.memory"].per_item > 500 and found["tenant.memory"].straight
+    assert found["tenant.memory"].per_item > 500
+    assert found["tenant.memory"].straight
 
 
 def test_a_file_of_so_many_services_has_the_usual_number_of_routes() -> None:
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -11,8 +11,9 @@
 import msgpack
 import pytest
 
-from benchmarks.scale.budget import Budget, Spent
-from benchmarks.scale.referee import Accepted, Books, Referee
+from benchmarks.scale.accepted import AcceptedChange, AcceptedServices
+from benchmarks.scale.budget import Budget, BudgetError
+from benchmarks.scale.referee import Referee
 from benchmarks.scale.world import Sizes, World
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Position
@@ -32,8 +33,10 @@
     done = run(*sizes, *more, "--hold", "1", "--phases", "killed")
     assert done.returncode == 0, done.stderr + done.stdout
     result = json.loads(done.stdout.splitlines()[-1])
-    assert result["ok"] and result["reached"] == ["cold start", "one killed"]
-    assert result["referee"]["digests_checked"] > 0 and not result["referee"]["faults"]
+    assert result["ok"]
+    assert result["reached"] == ["cold start", "one killed"]
+    assert result["referee"]["digests_checked"] > 0
+    assert not result["referee"]["faults"]
     assert result["in_force"]["whole run"]["changes"] > 0
     assert result["control"]["one killed"]["alive"] == 5
 
@@ -54,14 +57,16 @@
 )
 def test_bad_input_is_one_line_and_status_2(words: tuple[str, ...], said: str) -> None:
     done = run(*words)
-    assert done.returncode == 2 and done.stdout == ""
-    assert said in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2
+    assert done.stdout == ""
+    assert said in done.stderr
+    assert done.stderr.count("\n") == 1
 
 
 def test_a_budget_that_is_reached_names_what_was_reached() -> None:
-    with pytest.raises(Spent, match=r"^memory: .* GB of 0\.00 GB"):
+    with pytest.raises(BudgetError, match=r"^memory: .* GB of 0\.00 GB"):
         Budget(1, 200).check()
-    with pytest.raises(Spent, match=r"^processes: 1 of 0"):
+    with pytest.raises(BudgetError, match=r"^processes: 1 of 0"):
         Budget(1 << 40, 0).check()
 
 
@@ -84,9 +89,9 @@
 
 
 @pytest.fixture
-def books() -> Books:
+def accepted() -> AcceptedServices:
     """`cart` with a; b comes at 101 and a goes at 102."""
-    found = Books({"cart": {"a": row("a")}}, {"cart": "east"})
+    found = AcceptedServices({"cart": {"a": row("a")}}, {"cart": "east"})
     found.begin("east", version_of(_position(100)))
     changes = [_change(101, rows=[row("b")]), _change(102, removed=["a"])]
     assert found.follow("east", {"changes": changes}) == 2
@@ -106,10 +111,10 @@
     }  # fmt: skip
 
 
-def judged(books: Books, tmp_path: Path, *steps: list[Any]) -> Referee:
+def judged(accepted: AcceptedServices, tmp_path: Path, *steps: list[Any]) -> Referee:
     path = tmp_path / "steps.msgpack"
     path.write_bytes(b"".join(msgpack.packb(step) for step in steps))
-    referee = Referee(books, {1: "n1"})
+    referee = Referee(accepted, {1: "n1"})
     referee.read(path)
     return referee
 
@@ -118,32 +123,41 @@
     return [1, "east", [epoch, revision], at, "APPLIED", [["cart", digest]]]
 
 
-def test_steps_as_accepted_are_right_and_timed(books: Books, tmp_path: Path) -> None:
-    steps = [step(n, books.digest("cart", n), at) for n, at in ((100, 5), (101, 20), (102, 70))]
-    referee = judged(books, tmp_path, *steps)
-    assert not referee.verdict.counts and referee.verdict.checked == 3
-    delay = referee.delay(Accepted("cart", "east", 102, 30, 25), 100)
-    assert (delay.nodes, delay.most, delay.missing) == (1, 40, 0)
-    late = referee.delay(Accepted("cart", "east", 103, 80, 75), 100)
+def test_steps_as_accepted_are_right_and_timed(accepted: AcceptedServices, tmp_path: Path) -> None:
+    steps = [step(n, accepted.digest("cart", n), at) for n, at in ((100, 5), (101, 20), (102, 70))]
+    referee = judged(accepted, tmp_path, *steps)
+    assert not referee.verdict.counts
+    assert referee.verdict.checked == 3
+    delay = referee.delay(AcceptedChange("cart", "east", 102, 30, 25), 100)
+    assert (delay.nodes, delay.most_ns, delay.missing) == (1, 40, 0)
+    late = referee.delay(AcceptedChange("cart", "east", 103, 80, 75), 100)
     assert (late.nodes, late.missing) == (1, 1)
 
 
-def test_half_a_change_is_told(books: Books, tmp_path: Path) -> None:
-    referee = judged(books, tmp_path, step(102, books.digest("cart", 101), 5))
+def test_half_a_change_is_told(accepted: AcceptedServices, tmp_path: Path) -> None:
+    referee = judged(accepted, tmp_path, step(102, accepted.digest("cart", 101), 5))
     assert referee.verdict.counts == {"not as accepted": 1}
 
 
 @pytest.mark.parametrize("back", [(100, 5), (102, 4)])
-def test_a_step_back_is_told(books: Books, tmp_path: Path, back: tuple[int, int]) -> None:
+def test_a_step_back_is_told(
+    accepted: AcceptedServices, tmp_path: Path, back: tuple[int, int]
+) -> None:
     revision, epoch = back
-    digest = books.digest("cart", revision)
-    steps = [step(101, books.digest("cart", 101), 5), step(revision, digest, 9, epoch)]
-    referee = judged(books, tmp_path, *steps)
+    digest = accepted.digest("cart", revision)
+    steps = [step(101, accepted.digest("cart", 101), 5), step(revision, digest, 9, epoch)]
+    referee = judged(accepted, tmp_path, *steps)
     assert referee.verdict.counts["went back"] == 1
 
 
-def test_a_node_that_begins_anew_may_begin_anywhere(books: Books, tmp_path: Path) -> None:
+def test_a_node_that_begins_anew_may_begin_anywhere(
+    accepted: AcceptedServices, tmp_path: Path
+) -> None:
     down = [1, "", [0, 0], 7, "DOWN", []]
-    steps = [step(102, books.digest("cart", 102), 5), down, step(100, books.digest("cart", 100), 9)]
-    referee = judged(books, tmp_path, *steps)
+    steps = [
+        step(102, accepted.digest("cart", 102), 5),
+        down,
+        step(100, accepted.digest("cart", 100), 9),
+    ]
+    referee = judged(accepted, tmp_path, *steps)
     assert not referee.verdict.counts
--- a/tests/benchmarks/test_scale_slopes.py
+++ b/tests/benchmarks/test_scale_slopes.py
@@ -36,9 +36,12 @@
 
 def test_points_on_a_line_give_it_back_and_no_residual() -> None:
     found = line((300, 1600), (100, 600), (200, 1100))
-    assert found.per_item == pytest.approx(5.0) and found.fixed == pytest.approx(100.0)
-    assert found.residual == pytest.approx(0.0, abs=1e-12) and found.r2 == pytest.approx(1.0)
-    assert found.sizes == (100, 200, 300) and found.straight
+    assert found.per_item == pytest.approx(5.0)
+    assert found.fixed == pytest.approx(100.0)
+    assert found.residual == pytest.approx(0.0, abs=1e-12)
+    assert found.r2 == pytest.approx(1.0)
+    assert found.sizes == (100, 200, 300)
+    assert found.straight
 
 
 def test_the_line_is_multiplied_out_to_another_size() -> None:
@@ -53,7 +56,8 @@
 
 def test_a_bent_cost_is_not_called_straight() -> None:
     found = line((100, 100), (200, 400), (400, 1600))
-    assert found.residual > 0.5 and not found.straight
+    assert found.residual > 0.5
+    assert not found.straight
 
 
 def test_the_residual_is_the_worst_points_distance_as_part_of_its_value() -> None:
@@ -139,7 +143,8 @@
 
 def test_more_nodes_find_connections_closed_more_often() -> None:
     parts = [new_connection_part(replace(POOL, nodes=n), Use.LEAST_HELD) for n in (4, 8, 15)]
-    assert parts == sorted(parts) and parts[0] < parts[-1]
+    assert parts == sorted(parts)
+    assert parts[0] < parts[-1]
 
 
 def test_a_fixed_backend_finds_its_one_connection_busy() -> None:
@@ -157,12 +162,14 @@
 def test_backends_with_too_much_to_do_are_always_busy() -> None:
     over = replace(POOL, nodes=10, work_s=0.2)
     assert new_connection_part(over, Use.GIVEN) == 1.0
-    assert waits_for_slot_part(over) == 1.0 and meets_busy_part(over) == 1.0
+    assert waits_for_slot_part(over) == 1.0
+    assert meets_busy_part(over) == 1.0
 
 
 def test_few_slots_a_node_are_waited_for() -> None:
     parts = [waits_for_slot_part(replace(POOL, nodes=n)) for n in (4, 18, 36)]
-    assert parts[0] < 0.001 and parts == sorted(parts)
+    assert parts[0] < 0.001
+    assert parts == sorted(parts)
     # By hand: 3 slots, 18.9 / 36 Erlang of work made 0.313 s long by the others' load.
     assert parts[2] == pytest.approx(0.2906, abs=1e-3)
     assert waits_for_slot_part(replace(POOL, nodes=200)) == 1.0
@@ -178,5 +185,5 @@
     part = partial(new_connection_part, use=Use.LEAST_HELD)
     found = most_nodes(POOL, part, 0.002)
     assert part(replace(POOL, nodes=found)) <= 0.002 < part(replace(POOL, nodes=found + 1))
-    assert most_nodes(POOL, lambda pool: 1.0, 0.5) == 0
-    assert most_nodes(POOL, lambda pool: 0.0, 0.5) == MOST_NODES
+    assert most_nodes(POOL, lambda _pool: 1.0, 0.5) == 0
+    assert most_nodes(POOL, lambda _pool: 0.0, 0.5) == MOST_NODES
