--- a/benchmarks/scale/capacity/control.py
+++ b/benchmarks/scale/capacity/control.py
@@ -76,35 +76,38 @@
     ]  # fmt: skip
 
 
-def predicted(target: Target, slopes: Slopes) -> list[Row]:
-    """What subscriptions by service would cost a control machine."""
-    load = Load(target)
-    machines = target.control_machines
-    per_message = slopes.each("control.cpu") / MICROSECONDS
-    worst = load.rows_a_second_at_worst + load.changes_a_second_at_worst
-    sends = load.subscribers * worst / machines
-    largest = load.subscribers_of_the_largest
-    rows_a_node = load.backends_a_node
-    snapshot = slopes.each("list.bytes", rows_a_node) + slopes.each(
-        "routes.bytes", load.routes_a_node
+def _predicted_row(
+    situation: Situation,
+    resource: str,
+    working: str,
+    value: Range,
+    unit: Unit,
+    allowed: float | None,
+    mechanism: Mechanism = DISTRIBUTION,
+    standing: Standing = Standing.PREDICTED,
+) -> Row:
+    return Row(
+        Role.CONTROL, situation, resource, working, value, unit, allowed, standing, mechanism
     )
+
+
+def predicted(target: Target, slopes: Slopes) -> list[Row]:
+    """Rows predicted for a control machine whose nodes subscribe by service."""
+    return [
+        *_control_memory(target, slopes),
+        *_changes_to_subscribers(target, slopes),
+        *_rack_or_zone_lost(target, slopes),
+        *_snapshots_and_logs(target, slopes),
+    ]
+
+
+def _control_memory(target: Target, slopes: Slopes) -> list[Row]:
+    """What a machine holds."""
     nodes = Range(target.nodes_a_control_machine, target.nodes / target.regions)
-    encoded = (
-        slopes.each("list.write", rows_a_node) + slopes.each("revisions.since", rows_a_node)
-    ) / MICROSECONDS
     held = slopes.each("revisions.memory", target.backends) + slopes.each(
         "routes.bytes", target.routes
     )
-
-    def row(
-        situation: Situation, resource: str, working: str, value: Range, unit: Unit,
-        allowed: float | None, mechanism: Mechanism = DISTRIBUTION,
-        standing: Standing = Standing.PREDICTED,
-    ) -> Row:  # fmt: skip
-        return Row(
-            Role.CONTROL, situation, resource, working, value, unit, allowed, standing, mechanism
-        )
-
+    row = _predicted_row
     return [
         row(Situation.REST, "memory, rows and routes as text",
             "revisions.memory x 120,000 + routes.bytes x 140,000", held, Unit.BYTES, None,
@@ -112,6 +115,20 @@
         row(Situation.REST, "memory, its nodes' connections",
             "control.memory x 1,300 to 3,900 nodes", slopes.each("control.memory", nodes),
             Unit.BYTES, None),
+    ]  # fmt: skip
+
+
+def _changes_to_subscribers(target: Target, slopes: Slopes) -> list[Row]:
+    """Changes, to the nodes that hold their services and between the machines."""
+    load = Load(target)
+    machines = target.control_machines
+    per_message = slopes.each("control.cpu") / MICROSECONDS
+    worst = load.rows_a_second_at_worst + load.changes_a_second_at_worst
+    sends = load.subscribers * worst / machines
+    largest = load.subscribers_of_the_largest
+    nodes = Range(target.nodes_a_control_machine, target.nodes / target.regions)
+    row = _predicted_row
+    return [
         row(Situation.MINUTE, "processor, changes to their subscribers",
             "rows and changes a second of the busiest hour x subscribers / 6 x control.cpu",
             sends * per_message, Unit.CORE, 1.0),
@@ -134,6 +151,16 @@
         row(Situation.MINUTE, "messages between control machines",
             "rows and changes a second of the busiest hour x 5 others", worst * (machines - 1),
             Unit.A_SECOND, None, REPLICATION),
+    ]  # fmt: skip
+
+
+def _rack_or_zone_lost(target: Target, slopes: Slopes) -> list[Row]:
+    """The rows of a rack or a zone, to their subscribers."""
+    load = Load(target)
+    machines = target.control_machines
+    per_message = slopes.each("control.cpu") / MICROSECONDS
+    row = _predicted_row
+    return [
         row(Situation.RACK, "time, the rows of a rack to their subscribers",
             "machines in a rack x subscribers x control.cpu, all at one machine",
             RACK.range * load.subscribers * per_message, Unit.SECONDS, target.in_force_s),
@@ -145,6 +172,23 @@
             "4,500 services x subscribers x control.cpu / 6",
             target.services * load.subscribers * per_message / machines, Unit.SECONDS,
             target.in_force_s),
+    ]  # fmt: skip
+
+
+def _snapshots_and_logs(target: Target, slopes: Slopes) -> list[Row]:
+    """Snapshots when all nodes start, and logs after a split of the regions."""
+    load = Load(target)
+    machines = target.control_machines
+    rows_a_node = load.backends_a_node
+    snapshot = slopes.each("list.bytes", rows_a_node) + slopes.each(
+        "routes.bytes", load.routes_a_node
+    )
+    nodes = Range(target.nodes_a_control_machine, target.nodes / target.regions)
+    encoded = (
+        slopes.each("list.write", rows_a_node) + slopes.each("revisions.since", rows_a_node)
+    ) / MICROSECONDS
+    row = _predicted_row
+    return [
         row(Situation.RESTART, "time, snapshots over the network",
             "1,300 to 3,900 nodes x (list.bytes x backends + routes.bytes x routes) / network",
             nodes * snapshot / NETWORK.range.low, Unit.SECONDS, target.in_force_s),
--- a/benchmarks/scale/capacity/edges.py
+++ b/benchmarks/scale/capacity/edges.py
@@ -107,35 +107,59 @@
     return [*backend(target), *clients(target, slopes)]
 
 
-def backend(target: Target) -> list[Row]:
-    """What the nodes of a service of usual size, together, do to one backend."""
-    load = Load(target)
-    everywhere = load.subscribers
-    mean = target.backends_a_service
-    zone = mean / target.zones
+def _backend_row(
+    situation: Situation,
+    resource: str,
+    working: str,
+    value: Range,
+    unit: Unit,
+    allowed: float,
+    mechanism: Mechanism,
+) -> Row:
+    return Row(
+        Role.BACKEND, situation, resource, working, value, unit, allowed, Standing.MODEL, mechanism
+    )
 
-    def part(name: str, nodes: Range, backends: float) -> Range:
-        easy, hard = ends(target, nodes, backends)
-        low, high = sorted((PARTS[name](easy), PARTS[name](hard)))
-        return Range(low, high)
 
-    def row(
-        situation: Situation, resource: str, working: str, value: Range, unit: Unit,
-        allowed: float, mechanism: Mechanism,
-    ) -> Row:  # fmt: skip
-        return Row(
-            Role.BACKEND, situation, resource, working, value, unit, allowed, Standing.MODEL,
-            mechanism,
-        )  # fmt: skip
+def _delayed_part(target: Target, name: str, nodes: Range, backends: float) -> Range:
+    """Return the part of requests that meet this delay, at both ends of the assumptions."""
+    easy, hard = ends(target, nodes, backends)
+    low, high = sorted((PARTS[name](easy), PARTS[name](hard)))
+    return Range(low, high)
 
-    late = target.late_part
-    opened = "new connection, least held of all"
+
+def backend(target: Target) -> list[Row]:
+    """Rows of one backend under the nodes of a service of usual size."""
+    return [
+        *_backend_connections(target),
+        *_delayed_requests(target),
+        *_backend_work(target),
+    ]
+
+
+def _backend_connections(target: Target) -> list[Row]:
+    """Connections from the service's nodes."""
+    everywhere = Load(target).subscribers
+    row = _backend_row
     return [
         row(Situation.REST, "connections, one from each node of all zones",
             "holders a zone x 4 zones, against 15", everywhere, Unit.COUNT, CONNECTIONS.range.low,
             DEAL),
         row(Situation.REST, "connections, one from each node of its zone",
             "holders a zone, against 15", HOLDERS.range, Unit.COUNT, CONNECTIONS.range.low, DEAL),
+    ]  # fmt: skip
+
+
+def _delayed_requests(target: Target) -> list[Row]:
+    """Requests that are delayed because nodes share the backend."""
+    everywhere = Load(target).subscribers
+    mean = target.backends_a_service
+    zone = mean / target.zones
+    late = target.late_part
+    opened = "new connection, least held of all"
+    part = partial(_delayed_part, target)
+    row = _backend_row
+    return [
         row(Situation.DAY, "requests that need a new connection, nodes of all zones",
             "new_connection_part(12 to 32 nodes, 27 backends, least held)",
             part(opened, everywhere, mean), Unit.PART, late, POOL),
@@ -157,6 +181,14 @@
         row(Situation.DAY, "requests that meet a backend at work",
             "meets_busy_part(3 to 8 nodes, 7 backends)",
             part("meets a busy backend", HOLDERS.range, zone), Unit.PART, late, PARTITION),
+    ]  # fmt: skip
+
+
+def _backend_work(target: Target) -> list[Row]:
+    """Processor time of requests and of connections."""
+    everywhere = Load(target).subscribers
+    row = _backend_row
+    return [
         row(Situation.RESTART, "work, a connection from each node of all zones",
             "12 to 32 nodes x 1.5 to 4 ms, in the first second", everywhere * HANDSHAKE.range,
             Unit.CORE, 1.0, POOL),
--- a/benchmarks/scale/capacity/node.py
+++ b/benchmarks/scale/capacity/node.py
@@ -50,26 +50,43 @@
     return us_a_second / MICROSECONDS
 
 
+def _full_node_row(
+    situation: Situation, resource: str, working: str, value: Range, unit: Unit, allowed: float
+) -> Row:
+    return Row(
+        Role.NODE_ALL, situation, resource, working, value, unit, allowed, Standing.TODAY, NONE
+    )
+
+
+def _part_node_row(
+    situation: Situation,
+    resource: str,
+    working: str,
+    value: Range,
+    unit: Unit,
+    allowed: float | None,
+    mechanism: Mechanism,
+    standing: Standing = Standing.PREDICTED,
+) -> Row:
+    return Row(Role.NODE, situation, resource, working, value, unit, allowed, standing, mechanism)
+
+
 def holding_all(target: Target, slopes: Slopes) -> list[Row]:
-    """What no assignment would cost each node."""
+    """Rows of a node that holds everything: what no assignment would cost each node."""
+    return [
+        *_one_balancer(target, slopes),
+        *_all_configuration(target, slopes),
+        *_whole_list(target, slopes),
+    ]
+
+
+def _one_balancer(target: Target, slopes: Slopes) -> list[Row]:
+    """One Balancer for all backends: what it holds, its cycles, and changes."""
     load = Load(target)
     cycle = cores(CYCLES_A_SECOND * slopes.at("balancer.cycle", target.backends))
     change = cores(slopes.at("balancer.change", target.backends))
-    services = cores(CYCLES_A_SECOND * slopes.at("service.cycle", target.services))
-    lines = target.backends / target.list_lines_a_second
-    whole = slopes.at("list.bytes", target.backends)
-    read = cores(
-        slopes.at("list.parse", target.backends) + slopes.at("list.roster", target.backends)
-    )
-
-    def row(
-        situation: Situation, resource: str, working: str, value: Range, unit: Unit, allowed: float
-    ) -> Row:
-        return Row(
-            Role.NODE_ALL, situation, resource, working, value, unit, allowed, Standing.TODAY, NONE
-        )
-
     memory, core = target.node_bytes, target.node_cores
+    row = _full_node_row
     return [
         row(Situation.REST, "memory, one Balancer", "balancer.memory(120,000 backends)",
             slopes.at("balancer.memory", target.backends), Unit.BYTES, memory),
@@ -81,6 +98,15 @@
         row(Situation.MINUTE, "processor, changes of the list",
             "rows a second of the busiest hour x balancer.change(120,000)",
             load.rows_a_second_at_worst * change, Unit.CORE, core),
+    ]  # fmt: skip
+
+
+def _all_configuration(target: Target, slopes: Slopes) -> list[Row]:
+    """A Balancer for each service, the list, all routes and all tenants."""
+    services = cores(CYCLES_A_SECOND * slopes.at("service.cycle", target.services))
+    memory, core = target.node_bytes, target.node_cores
+    row = _full_node_row
+    return [
         row(Situation.REST, "memory, a Balancer a service", "service.memory(4,500 services)",
             slopes.at("service.memory", target.services), Unit.BYTES, memory),
         row(Situation.REST, "processor, a Balancer a service",
@@ -95,6 +121,19 @@
             cores(slopes.at("routes.read", target.routes)), Unit.SECONDS, target.in_force_s),
         row(Situation.REST, "memory, tenants", "tenant.memory(490,000 tenants)",
             slopes.at("tenant.memory", target.tenants), Unit.BYTES, memory),
+    ]  # fmt: skip
+
+
+def _whole_list(target: Target, slopes: Slopes) -> list[Row]:
+    """Reading the whole list, and its changes."""
+    load = Load(target)
+    lines = target.backends / target.list_lines_a_second
+    whole = slopes.at("list.bytes", target.backends)
+    read = cores(
+        slopes.at("list.parse", target.backends) + slopes.at("list.roster", target.backends)
+    )
+    row = _full_node_row
+    return [
         row(Situation.RESTART, "time, the list for one reader", "120,000 rows / 200 a second",
             ranged(lines), Unit.SECONDS, target.in_force_s),
         row(Situation.RESTART, "time, the list for every node",
@@ -139,7 +178,17 @@
 
 
 def with_part(target: Target, slopes: Slopes) -> list[Row]:
-    """What is predicted for a node that holds the services assigned to it."""
+    """Rows predicted for a node that holds the services assigned to it."""
+    return [
+        *_part_at_rest(target, slopes),
+        *_largest_service(target, slopes),
+        *_part_changes(target, slopes),
+        *_part_requests_and_start(target, slopes),
+    ]
+
+
+def _part_at_rest(target: Target, slopes: Slopes) -> list[Row]:
+    """The process and the services, routes and tenants that the node holds."""
     load = Load(target)
     services, backends = load.services_a_node, load.backends_a_node
     state = (
@@ -152,30 +201,8 @@
     base = slopes.at("node.memory", 0)
     cycles = cores(CYCLES_A_SECOND * slopes.at("service.cycle", services))
     rest = cores(slopes.at("node.rest", 0))
-    largest = LARGEST.range
-    largest_cycle = cores(CYCLES_A_SECOND * slopes.each("balancer.cycle", largest))
-    change = cores(slopes.at("service.change", target.backends_a_service))
-    worst = load.rows_a_second_at_worst * services / target.services
-    start = slopes.each("list.bytes", backends) + slopes.each("routes.bytes", load.routes_a_node)
-    start_tenants = slopes.each("tenant.bytes", load.tenants_a_node)
-    all_at_once = slopes.each("delta.bytes", backends) * 3
-    sharing = load.subscribers
-
-    def row(
-        situation: Situation,
-        resource: str,
-        working: str,
-        value: Range,
-        unit: Unit,
-        allowed: float | None,
-        mechanism: Mechanism,
-        standing: Standing = Standing.PREDICTED,
-    ) -> Row:
-        return Row(
-            Role.NODE, situation, resource, working, value, unit, allowed, standing, mechanism
-        )
-
-    memory, core, sent = target.node_bytes, target.node_cores, target.node_bytes_a_second
+    memory, core = target.node_bytes, target.node_cores
+    row = _part_node_row
     return [
         row(Situation.REST, "memory, the process", "node.memory(0)", base, Unit.BYTES, memory,
             PROCESS, Standing.TODAY),
@@ -195,10 +222,34 @@
         row(Situation.REST, "processor, all of it", "the process, cycles and gossip.cpu(1,950)",
             rest + cycles + cores(slopes.at("gossip.cpu", target.nodes_a_zone)), Unit.CORE, core,
             HOLDER),
+    ]  # fmt: skip
+
+
+def _largest_service(target: Target, slopes: Slopes) -> list[Row]:
+    """The largest service, held with all its backends."""
+    largest = LARGEST.range
+    largest_cycle = cores(CYCLES_A_SECOND * slopes.each("balancer.cycle", largest))
+    memory, core = target.node_bytes, target.node_cores
+    row = _part_node_row
+    return [
         row(Situation.REST, "memory, the largest service whole", "balancer.memory x its backends",
             slopes.each("balancer.memory", largest), Unit.BYTES, memory, SUBSET),
         row(Situation.REST, "processor, the largest service whole",
             "2/s x balancer.cycle x its backends", largest_cycle, Unit.CORE, core, SUBSET),
+    ]  # fmt: skip
+
+
+def _part_changes(target: Target, slopes: Slopes) -> list[Row]:
+    """Changes of the services that the node holds."""
+    load = Load(target)
+    backends = load.backends_a_node
+    largest = LARGEST.range
+    change = cores(slopes.at("service.change", target.backends_a_service))
+    worst = load.rows_a_second_at_worst * load.services_a_node / target.services
+    all_at_once = slopes.each("delta.bytes", backends) * 3
+    core, sent = target.node_cores, target.node_bytes_a_second
+    row = _part_node_row
+    return [
         row(Situation.MINUTE, "processor, changes of its services",
             "rows a second of the busiest hour x services a node / 4,500 x service.change(27)",
             worst * change, Unit.CORE, core, SUBSCRIPTION),
@@ -213,6 +264,19 @@
             "backends a node / 4 zones x delta.bytes / 6 s",
             slopes.each("delta.bytes", backends) / target.zones / target.in_force_s,
             Unit.BYTES_A_SECOND, sent, SUBSCRIPTION),
+    ]  # fmt: skip
+
+
+def _part_requests_and_start(target: Target, slopes: Slopes) -> list[Row]:
+    """Requests, the snapshot at the start, and what sharing a service means for a tenant."""
+    load = Load(target)
+    backends = load.backends_a_node
+    start = slopes.each("list.bytes", backends) + slopes.each("routes.bytes", load.routes_a_node)
+    start_tenants = slopes.each("tenant.bytes", load.tenants_a_node)
+    sharing = load.subscribers
+    sent = target.node_bytes_a_second
+    row = _part_node_row
+    return [
         row(Situation.ZONE, "processor, requests of the zone beside it",
             "2 x requests a node x node.requests",
             cores(2 * target.rate_a_node * slopes.each("node.requests")), Unit.CORE, None, PROCESS,
