--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -5,7 +5,7 @@
     python -m benchmarks.scale page [--write docs/CAPACITY.md]
 
 Each sub-command is a module of this package with `configure(parser)` and `main(args)`. One that
-measures prints one JSON line last.
+measures prints one JSON line at its end.
 """
 
 from __future__ import annotations
@@ -22,7 +22,6 @@
     help: str
 
 
-# A further sub-command (`run`, the scale run) is joined by one line here.
 COMMANDS = (
     Command("slopes", "measure what each thing costs at three sizes or more"),
     Command("page", "the tables of docs/CAPACITY.md from measured slopes"),
@@ -30,7 +29,7 @@
 )
 
 
-def main(words: list[str] | None = None) -> None:
+def main(arguments: list[str] | None = None) -> None:
     """Run the sub-command that the command line names."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
@@ -40,7 +39,7 @@
         module = import_module(f"benchmarks.scale.{command.name}")
         module.configure(chosen.add_parser(command.name, help=command.help))
         modules[command.name] = module
-    args = parser.parse_args(words)
+    args = parser.parse_args(arguments)
     modules[args.command].main(args)
 
 
--- a/benchmarks/scale/options.py
+++ b/benchmarks/scale/options.py
@@ -7,7 +7,7 @@
 from difflib import get_close_matches
 from pathlib import Path
 
-from benchmarks.scale.world import DAY_S, MOST_MULTIPLE, Sizes, WorldError
+from benchmarks.scale.world import DAY_S, MAX_MULTIPLE, Sizes, WorldError
 
 PHASES = ("steady", "killed", "stopped", "three", "rack", "zone")
 CONTROL_MACHINES = 6
@@ -42,8 +42,8 @@
         """Check each option, then the options against each other."""
         self._check_phases()
         _check_range("--hosts", self.hosts, 1, MAX_HOSTS)
-        _check_range("--multiple", self.multiple, 0.1, MOST_MULTIPLE)
-        _check_range("--failures", self.failures, 0.0, MOST_MULTIPLE)
+        _check_range("--multiple", self.multiple, 0.1, MAX_MULTIPLE)
+        _check_range("--failures", self.failures, 0.0, MAX_MULTIPLE)
         _check_range("--seconds", self.seconds, 1.0, DAY_S)
         _check_range("--hold", self.hold, 0.5, 60.0)
         _check_range("--late", self.late, 0.1, 60.0)
--- a/benchmarks/scale/realnodes.py
+++ b/benchmarks/scale/realnodes.py
@@ -1,4 +1,4 @@
-"""Real nodes, unchanged: each serves one service, with a control machine as its discovery."""
+"""Real nodes of a scale run: each serves one service and reads its list from a control machine."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self._nodes: dict[str, Process] = {}
 
     def start(self) -> None:
-        """Start them all."""
+        """Start all nodes."""
         for i, bound in enumerate(self._bound):
             path = write_config(self._folder / f"real-{i}.json", SETTINGS, None)
             environ = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": str(bound.listen)}
@@ -33,9 +33,9 @@
             self._nodes[bound.service] = process
 
     def verdict(self) -> dict[str, dict[str, Any]]:
-        """Of each service's node: whether it is ready."""
+        """Return, by service, whether its node is ready."""
         return {service: {"ready": node.ready()} for service, node in self._nodes.items()}
 
     def close(self) -> None:
-        """End them."""
+        """End all nodes."""
         self._stack.close()
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -54,11 +54,9 @@
             continue
         slopes = MEASUREMENTS[name](args.quick)
         for slope in slopes:
-            print(told(slope), flush=True)
+            print(describe(slope), flush=True)
         found += slopes
-    words = [w for name in args.only or () for w in ("--only", name)]
-    words += [w for name in args.but or () for w in ("--but", name)]
-    command = " ".join(["python -m benchmarks.scale slopes", *words])
+    command = _command(args)
     run = record.run_of(command, round(meter.reference(), 1), found)
     if args.out is not None:
         old = record.read(args.out) if args.out.exists() else []
@@ -66,8 +64,15 @@
     print(json.dumps(run.as_json() | {"quick": args.quick}))
 
 
-def told(slope: Slope) -> str:
-    """One slope for a reader."""
+def _command(args: argparse.Namespace) -> str:
+    """Return the command line that measures the same slopes."""
+    options = [word for name in args.only or () for word in ("--only", name)]
+    options += [word for name in args.but or () for word in ("--but", name)]
+    return " ".join(["python -m benchmarks.scale slopes", *options])
+
+
+def describe(slope: Slope) -> str:
+    """Return one slope as a line of text."""
     return (
         f"{slope.name}: {slope.per_item:.4g} {slope.unit} a {slope.item}"
         f" + {slope.fixed:.4g}; largest residual {slope.residual:.1%}, R2 {slope.r2:.4f},"
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -18,15 +18,18 @@
 from loadbalancer.core.assignment.model import NodeSpec, ServiceSpec
 
 REGIONS = {"east": ("east-1", "east-2"), "west": ("west-1", "west-2")}
-ZIPF = 0.6  # exponent of the services' rates
+ZIPF_EXPONENT = 0.6  # of the services' rates
 NODE_CAPACITY = 64  # services
 NODE_RATE = 100.0  # requests a second that a node takes on average
-MACHINES_A_REGION = 3
+MACHINES_PER_REGION = 3
+MACHINE_ADDRESSES = ("subscribers", "peers", "admin")  # keys, in the order of their ports
 CHANGES_A_DAY = 22_000.0
 FAILURES_A_DAY = 180.0
 DAY_S = 86_400.0
-DRAIN_PART = 0.3  # of the changes begin a drain
-MOST_MULTIPLE = 100_000.0
+DRAIN_PART = (
+    0.3  # probability that a change ends a drain; as likely each: one begins, a backend is new
+)
+MAX_MULTIPLE = 100_000.0
 
 
 class WorldError(ValueError):
@@ -61,19 +64,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DrawnChange:
-    """One change of the world, as it is handed in."""
+    """One change of a service's backends, as it is submitted."""
 
     service: str
     rows: tuple[dict[str, Any], ...] = ()
     removed: tuple[str, ...] = ()
 
     def as_json(self) -> dict[str, Any]:
-        """As `POST /changes` takes it."""
+        """Return it as `POST /changes` takes it."""
         return {"service": self.service, "rows": list(self.rows), "removed": list(self.removed)}
 
 
 class World:
-    """The fleet, and its backends as they change."""
+    """The fleet, and its backends as they change; one seed gives one sequence."""
 
     def __init__(self, sizes: Sizes, seed: int, everywhere: bool = False) -> None:
         """`everywhere`: each node may hold every service. WorldError on a seed out of range."""
@@ -101,11 +104,11 @@
 
     def _services(self) -> list[ServiceSpec]:
         count = self.sizes.services
-        weights = [(rank + 1) ** -ZIPF for rank in range(count)]
+        weights = [(rank + 1) ** -ZIPF_EXPONENT for rank in range(count)]
         total = sum(weights)
         rate = NODE_RATE * self.sizes.nodes
-        # Cumulative parts, rounded: the counts add up to the whole exactly.
-        spare = self.sizes.backends - count
+        # Cumulative parts are rounded, not each part: so the counts add up to the total exactly.
+        spare = self.sizes.backends - count  # beyond one backend for each service
         marks = [0]
         part = 0.0
         for weight in weights:
@@ -142,7 +145,7 @@
     # ---- what happens --------------------------------------------------------
 
     def change(self) -> DrawnChange:
-        """The next change: a new backend, another weight, a drain or the end of one."""
+        """Draw the next change: a new backend, another weight, a drain or the end of one."""
         if self._drains and self._random.random() < DRAIN_PART:
             service, uid = self._drains.pop(0)
             if self.backends[service].pop(uid, None) is not None:
@@ -168,7 +171,7 @@
     def write(
         self, folder: Path, port: int, bound: list[dict[str, Any]], rules: dict[str, Any]
     ) -> Path:
-        """The control machines' file and what it names; addresses from `port` on."""
+        """Write the control machines' file and those it names; addresses from `port` on."""
         _write_lines(folder / "nodes.jsonl", (asdict(node) for node in self.nodes))
         _write_lines(folder / "services.jsonl", (asdict(one) for one in self.services))
         rows = (
@@ -183,7 +186,7 @@
         for name, region, zone in machines():
             parts += ["[[machine]]", f'name = "{name}"', f'region = "{region}"']
             parts += [f'zone = "{zone}"']
-            for key in ("subscribers", "peers", "admin"):
+            for key in MACHINE_ADDRESSES:
                 parts.append(f'{key} = "127.0.0.1:{port}"')
                 port += 1
         for row in bound:
@@ -194,9 +197,9 @@
 
 
 def machines() -> Iterator[tuple[str, str, str]]:
-    """Names, regions and zones of the six control machines."""
+    """Yield names, regions and zones of the six control machines."""
     for region, zones in REGIONS.items():
-        for i in range(MACHINES_A_REGION):
+        for i in range(MACHINES_PER_REGION):
             yield f"{region}-{'abc'[i]}", region, zones[i % len(zones)]
 
 
