--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -26,9 +26,9 @@
 CHANGES_A_DAY = 22_000.0
 FAILURES_A_DAY = 180.0
 DAY_S = 86_400.0
-DRAIN_PART = (
-    0.3  # probability that a change ends a drain; as likely each: one begins, a backend is new
-)
+# Probability that a change ends a drain; and of the others, that it adds a backend, and that it
+# begins a drain.
+DRAIN_PART = 0.3
 MAX_MULTIPLE = 100_000.0
 
 
