--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -21,7 +21,8 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.subscription.answers import RetryAfter, SendUpdate
 from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
-from simulation.control_world import REGIONS, World
+from simulation.control_world.settings import REGIONS
+from simulation.control_world.world import World
 
 MACHINES = [MachineSpec(f"{r}-{i}", r, f"{r}-{i % 2}") for r in REGIONS for i in range(3)]
 BODY = 160  # bytes of a row
@@ -112,14 +113,15 @@
     while len(taken) < changes:
         source.change()
         service = next(iter(source.outstanding))
-        source.turn()
-        position = source.outstanding[service][0]
-        while not world.referee.accepted("east", position):
+        source.propose_outstanding()
+        proposal = source.outstanding[service]
+        assert proposal is not None  # without faults the leader takes it at once
+        while not world.referee.accepted("east", proposal.position):
             world.run(MS)
         began = world.now
         rows = source.desired.get(service)
-        holders = world.assigner.with_alive(world.node_index).holders[service]
-        nodes = [world.nodes[world.node_index[name]] for name in holders]
+        holders = world.assigner.with_alive(world.topology.node_index).holders[service]
+        nodes = [world.nodes.running[world.topology.node_index[name]] for name in holders]
         while any(node.holder.rows(service) != rows for node in nodes):
             world.run(MS)
         taken.append((world.now - began) / MS)
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -24,7 +24,8 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
-from simulation.control_world import REGIONS, World
+from simulation.control_world.settings import REGIONS
+from simulation.control_world.world import World
 from simulation.digest import Digest
 from simulation.seeds import run
 
@@ -137,101 +138,105 @@
     def _kill_machine(self) -> None:
         """Killed; mostly it begins again soon, with nothing."""
         world = self._world
-        index = self._draw.randrange(len(world.machine_specs))
-        if index in world.machines:
-            world.kill_machine(index)
+        index = self._draw.randrange(len(world.topology.machines))
+        if index in world.machines.running:
+            world.machines.kill(index)
             if self._draw.random() < 0.7:
-                world.later(self._draw.randrange(10 * SECOND), lambda: self._start(index))
+                world.loop.call_later(self._draw.randrange(10 * SECOND), lambda: self._start(index))
 
     def _start(self, index: int) -> None:
-        if index not in self._world.machines:
+        if index not in self._world.machines.running:
             self._world.start_machine(index)
 
     def _kill_all_machines(self) -> None:
         if self._draw.random() < 0.5:
             return
         world = self._world
-        for index in list(world.machines):
-            world.kill_machine(index)
-        for index in range(len(world.machine_specs)):
-            world.later(self._draw.randrange(5 * SECOND), partial(self._start, index))
+        for index in list(world.machines.running):
+            world.machines.kill(index)
+        for index in range(len(world.topology.machines)):
+            world.loop.call_later(self._draw.randrange(5 * SECOND), partial(self._start, index))
 
     def _stop_machine(self) -> None:
-        world = self._world
-        running = [index for index in world.machines if index not in world.stopped]
+        world, machines = self._world, self._world.machines
+        running = [index for index in machines.running if not machines.is_paused(index)]
         if running:
             index = self._draw.choice(running)
-            life = world.lives[index]
-            world.stop_machine(index)
+            life = world.machines.incarnations[index]
+            world.machines.pause(index)
             span = STOPPED_FOR if self._draw.random() < 0.5 else self._draw.randrange(5 * SECOND)
-            world.later(span, lambda: self._continue(index, life))
+            world.loop.call_later(span, lambda: self._continue(index, life))
 
     def _continue(self, index: int, life: int) -> None:
-        if self._world.lives[index] == life and index in self._world.stopped:
-            self._world.continue_machine(index)
+        if self._world.machines.incarnations[index] == life and self._world.machines.is_paused(
+            index
+        ):
+            self._world.machines.resume(index)
 
     def _continue_machines(self) -> None:
-        for index in list(self._world.stopped):
-            self._world.continue_machine(index)
+        for index in self._world.machines.paused:
+            self._world.machines.resume(index)
 
     def _start_all(self) -> None:
-        for index in range(len(self._world.machine_specs)):
+        for index in range(len(self._world.topology.machines)):
             self._start(index)
-        for index in range(len(self._world.node_specs)):
+        for index in range(len(self._world.topology.nodes)):
             self._start_node(index)
 
     def _start_node(self, index: int) -> None:
-        if index not in self._world.nodes:
+        if index not in self._world.nodes.running:
             self._world.start_node(index)
 
     def _kill_node(self) -> None:
         world = self._world
-        index = self._draw.randrange(len(world.node_specs))
+        index = self._draw.randrange(len(world.topology.nodes))
         world.kill_node(index)
-        world.later(self._draw.randrange(10 * SECOND), lambda: self._start_node(index))
+        world.loop.call_later(self._draw.randrange(10 * SECOND), lambda: self._start_node(index))
 
     def _stop_node(self) -> None:
         world = self._world
-        if world.nodes:
-            index = self._draw.choice(list(world.nodes))
-            world.stop_node(index)
-            world.later(self._draw.randrange(8 * SECOND), lambda: self._continue_node(index))
+        if world.nodes.running:
+            index = self._draw.choice(list(world.nodes.running))
+            world.nodes.pause(index)
+            world.loop.call_later(
+                self._draw.randrange(8 * SECOND), lambda: self._continue_node(index)
+            )
 
     def _continue_node(self, index: int) -> None:
-        if index in self._world.stopped_nodes:
-            self._world.continue_node(index)
+        if self._world.nodes.is_paused(index):
+            self._world.nodes.resume(index)
 
     def _zone_gone(self) -> None:
         """All nodes of a zone are gone, and back at once, cold."""
         world = self._world
-        zone = self._draw.choice(world.node_specs).zone
-        indexes = [i for i, spec in enumerate(world.node_specs) if spec.zone == zone]
+        zone = self._draw.choice(world.topology.nodes).zone
+        indexes = [i for i, spec in enumerate(world.topology.nodes) if spec.zone == zone]
         for index in indexes:
             world.kill_node(index)
         span = self._draw.randrange(10 * SECOND)
         for index in indexes:
-            world.later(span, partial(self._start_node, index))
+            world.loop.call_later(span, partial(self._start_node, index))
 
     def _one_way(self) -> None:
         world = self._world
-        ends = len(world.machine_specs) + len(world.node_specs)
+        ends = len(world.topology.machines) + len(world.topology.nodes)
         for _ in range(4):
-            machine = self._draw.randrange(len(world.machine_specs))
+            machine = self._draw.randrange(len(world.topology.machines))
             other = self._draw.randrange(ends)
             pair = (machine, other) if self._draw.random() < 0.5 else (other, machine)
             world.links.cut.add(pair)
 
     def _late_updates(self) -> None:
         """Deltas after a gap, as if those before had been lost, and snapshots of long ago."""
-        if not self._world.machines:
+        if not self._world.machines.running:
             return
-        for node in list(self._world.nodes.values()):
+        for node in list(self._world.nodes.running.values()):
             for region in REGIONS:
-                self._world.skip_a_delta(node, region)
-                self._world.repeat_a_snapshot(node, region)
+                self._world.stale_updates.send_delta_after_gap(node, region)
+                self._world.stale_updates.send_former_snapshot(node, region)
 
     def _cut_regions(self) -> None:
-        self._world.cut_regions()
+        self._world.network.cut_regions()
 
     def _mend(self) -> None:
         self._world.links.cut.clear()
@@ -242,8 +247,8 @@
         links.cut.clear()
         links.loss, links.double, links.jitter = 0.0, 0.0, 5 * MS
         self._continue_machines()
-        for index in list(self._world.stopped_nodes):
-            self._world.continue_node(index)
+        for index in self._world.nodes.paused:
+            self._world.nodes.resume(index)
         self._start_all()
 
 
@@ -254,15 +259,15 @@
     loaded = world.run(20 * SECOND, lambda: not world.differences())
     if not loaded:
         world.breach("a calm start did not come to an end")
-    _come_and_go(world, seed % len(world.node_specs))
-    world.changing = [300 * MS, SECOND, 3 * SECOND][seed % 3]
+    _come_and_go(world, seed % len(world.topology.nodes))
+    world.change_interval = [300 * MS, SECOND, 3 * SECOND][seed % 3]
     faults.links()
     until = world.now + faults_for
     while world.now < until and not world.breaches:
         faults.next()
         world.run(faults.pause())
     faults.heal()
-    world.heal(HEALED_WITHIN)
+    world.expect_convergence(HEALED_WITHIN)
     return world.breaches
 
 
