--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -25,7 +25,8 @@
 from fakes.fleet import backends, started
 from loadbalancer.core.balancing.model import SECOND
 from simulation.list_world import ListWorld
-from simulation.service_world import Service
+from simulation.service_world.settings import ServicePlan
+from simulation.service_world.world import ServiceWorld
 
 LINES = 200
 LIMIT_S = 120.0
@@ -119,18 +120,28 @@
 def black_start(load: float, words: bool, seed: int) -> dict[str, float]:
     """Served in the first 10 s of what servers that cold could do, all nodes and servers new."""
     nodes, servers = 100, 135
-    w = Service(nodes, servers, seed, words, load * servers * 200, readers=2 if words else 0)
+    w = ServiceWorld(
+        ServicePlan(
+            nodes=nodes,
+            servers=servers,
+            seed=seed,
+            gossip=words,
+            rate=load * servers * 200,
+            list_readers=2 if words else 0,
+        )
+    )
+    service = w.endpoint_list.service
     if not words:
         # Each for itself would still wait for its list: without words it has it already.
-        w.known = lambda _n: (41, dict(w.lists.rows) if w.lists else {})
-    w.black_start()
-    w.load(10 * SECOND)
+        w.endpoint_list.known_at_start = lambda _n: (41, dict(service.rows) if service else {})
+    w.start_cold()
+    w.clients.run(10 * SECOND)
     w.run(10 * SECOND)
     could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
     return {
         "served_of_possible": w.counts["served"] / w.counts["asked"] / could,
         "falls": float(w.counts["falls of cold servers"] + len(w.breaches)),
-        "most_held": float(max(s.most for s in w.pool)),
+        "most_held": float(max(s.max_in_flight for s in w.pool)),
     }
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,7 +28,9 @@
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.sources.endpoint_list import backend_id
 from simulation.gossip_world import World
-from simulation.service_world import Service, trouble
+from simulation.service_world.settings import ServicePlan
+from simulation.service_world.troubles import Trouble, cause
+from simulation.service_world.world import ServiceWorld
 
 NODES = 12
 LOSSES = (0.0, 0.1, 0.3)
@@ -278,13 +280,23 @@
         "slow": (100, 135, 0.5 * 135 * 200, 0),
         "tight": (100, 135, 0.8 * 135 * 200, 0),
     }.get(what, (40, 40, 2500.0, 0))
-    w = Service(nodes, servers, seed, words, rate, range(hot), 10)
+    w = ServiceWorld(
+        ServicePlan(
+            nodes=nodes,
+            servers=servers,
+            seed=seed,
+            gossip=words,
+            rate=rate,
+            hot_nodes=tuple(range(hot)),
+            hot_weight=10,
+        )
+    )
     w.start_all()
-    w.load(30 * SECOND)
+    w.clients.run(30 * SECOND)
     w.run(8 * SECOND)
     w.counts.clear()
     if what != "uneven":
-        trouble(w, what)
+        cause(w, Trouble(what))
     if what == "silent":
         # Before its first attempt is timed out no node can know: what follows counts.
         w.run(w.now + 3 * SECOND // 2)
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -23,7 +23,8 @@
 from loadbalancer.core.gossip.slot_leases import SlotLeases
 from simulation.digest import Digest
 from simulation.seeds import run
-from simulation.service_world import Service
+from simulation.service_world.settings import ServicePlan
+from simulation.service_world.world import ServiceWorld
 
 FAULTS_FOR = 12 * SECOND
 SETTLE = 12 * SECOND
@@ -85,7 +86,7 @@
 class Referee:
     """Looks at the world as nobody in it can."""
 
-    def __init__(self, world: Service) -> None:
+    def __init__(self, world: ServiceWorld) -> None:
         self.world = world
         self.first: dict[tuple[int, ...], int] = {}  # when an observation was first held by anyone
         self.drained: dict[tuple[int, int], int] = {}  # (node, server) -> its life then
@@ -116,8 +117,8 @@
                     for h in fleet.records.of_server(server)
                 )
                 if backend.state != State.READY:
-                    self.drained[key] = host.life
-                elif self.drained.get(key) == host.life:
+                    self.drained[key] = host.incarnation
+                elif self.drained.get(key) == host.incarnation:
                     # No server here is ever listed as ready again.
                     world.breach(f"server {server} came back at node {node}")
                 used = known and backend.state == State.READY and node not in world.stopped
@@ -199,13 +200,24 @@
     draw = Random(seed)
     nodes, servers = draw.randint(3, 9), draw.randint(4, 8)
     # Every other seed has few slots, and one node that gets most of what all servers can do.
-    rate, hot, slots = (150.0, [0], 6) if seed % 2 else (30.0, [], 15)
-    world = Service(nodes, servers, seed, True, rate * servers, hot, 16, slots)
+    rate, hot, slots = (150.0, (0,), 6) if seed % 2 else (30.0, (), 15)
+    world = ServiceWorld(
+        ServicePlan(
+            nodes=nodes,
+            servers=servers,
+            seed=seed,
+            gossip=True,
+            rate=rate * servers,
+            hot_nodes=hot,
+            hot_weight=16,
+            slots=slots,
+        )
+    )
     world.digest = digest
     referee = Referee(world)
     world.start_all()
     world.run(2 * SECOND)
-    world.load(world.now + FAULTS_FOR + SETTLE // 2)
+    world.clients.run(world.now + FAULTS_FOR + SETTLE // 2)
     world.links.loss = draw.choice([0.0, 0.1, 0.3])
     world.links.jitter = draw.choice([MS, 50 * MS, 2 * SECOND])
     world.links.double = draw.choice([0.0, 0.2])
@@ -222,7 +234,7 @@
     return world.breaches
 
 
-def _fault(world: Service, draw: Random) -> None:
+def _fault(world: ServiceWorld, draw: Random) -> None:
     nodes, running = len(world.terms), list(world.hosts)
     what = draw.choice(["cut", "one-way", "mend", "kill", "start", "stop", "go", "drain", "silent"])
     if what == "cut":
@@ -242,14 +254,20 @@
             world.stop(node)
     elif what == "go":
         _go_on(world)
-    elif what == "drain" and running and sum(s == State.READY for s in world.states) > 2:
-        server = draw.choice([i for i, s in enumerate(world.states) if s == State.READY])
-        world.relist(server, State.DRAINING, [draw.choice(running)])
+    elif (
+        what == "drain"
+        and running
+        and sum(s == State.READY for s in world.endpoint_list.states) > 2
+    ):
+        server = draw.choice(
+            [i for i, s in enumerate(world.endpoint_list.states) if s == State.READY]
+        )
+        world.endpoint_list.change(server, State.DRAINING, [draw.choice(running)])
     elif what == "silent":
         world.pool[draw.randrange(len(world.pool))].silent ^= True
 
 
-def _mass_kill(world: Service, referee: Referee, draw: Random) -> None:
+def _mass_kill(world: ServiceWorld, referee: Referee, draw: Random) -> None:
     """Seven in ten at once, the rest well linked, and a look once they know."""
     _heal(world)
     world.run(world.now + 6 * SECOND)
@@ -259,18 +277,18 @@
     referee.survivors()
 
 
-def _start(world: Service) -> None:
+def _start(world: ServiceWorld) -> None:
     for node in range(len(world.terms)):
         if node not in world.hosts:
             world.start(node)
 
 
-def _go_on(world: Service) -> None:
+def _go_on(world: ServiceWorld) -> None:
     for node in list(world.stopped):
         world.go_on(node)
 
 
-def _heal(world: Service) -> None:
+def _heal(world: ServiceWorld) -> None:
     world.links.cut, world.links.loss, world.links.jitter = set(), 0.0, MS
     for server in world.pool:
         server.silent = False
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -10,44 +10,55 @@
 from loadbalancer.core.gossip.slot_allocation import SlotAllocation
 from loadbalancer.core.gossip.slot_leases import SlotLeases
 from simulation.fleet_faults import MUTANTS, Referee, play
-from simulation.service_world import Service, trouble
+from simulation.service_world.counters import Count
+from simulation.service_world.settings import ServicePlan
+from simulation.service_world.troubles import Trouble, cause
+from simulation.service_world.world import ServiceWorld
 
 
-def run_with_drains(gossip: bool) -> Service:
-    world = Service(12, 16, 1, gossip, 900)
+def run_with_drains(gossip: bool) -> ServiceWorld:
+    plan = ServicePlan(nodes=12, servers=16, seed=1, gossip=gossip, rate=900)
+    world = ServiceWorld(plan)
     world.start_all()
-    world.load(14 * SECOND)
+    world.clients.run(14 * SECOND)
     world.run(5 * SECOND)
-    trouble(world, "drain")
+    cause(world, Trouble.DRAIN)
     world.run(12 * SECOND)
     return world
 
 
+def two_hot_nodes(seed: int) -> ServicePlan:
+    """Two nodes get twelve times what others do; the servers could do 4,000 requests a second."""
+    return ServicePlan(
+        nodes=20, servers=20, seed=seed, gossip=True, rate=3200, hot_nodes=(0, 1), hot_weight=12
+    )
+
+
 def test_a_drain_that_one_node_reads_spares_the_requests_of_all_others() -> None:
     without, with_gossip = run_with_drains(False), run_with_drains(True)
     assert not without.breaches
     assert not with_gossip.breaches
-    sent = "sent to a drained server"
+    sent = Count.SENT_TO_DRAINED
     assert without.counts[sent] > 100
     assert with_gossip.counts[sent] * 5 < without.counts[sent]
 
 
 def test_a_node_with_more_clients_leases_the_slots_that_others_leave_idle() -> None:
     """Of 20 nodes two get twelve times what the others do, at 0.8 of what all servers can."""
-    world = Service(20, 20, 1, True, 3200, (0, 1), 12)  # before 4,000 that servers can do
+    world = ServiceWorld(two_hot_nodes(seed=1))
     world.start_all()
-    world.load(20 * SECOND)
+    world.clients.run(20 * SECOND)
     world.run(9 * SECOND)
     world.counts.clear()
     world.run(14 * SECOND)
-    assert world.counts["refused"] < 0.01 * world.counts["asked"]
+    assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.ASKED]
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
-    assert max(server.most for server in world.pool) <= world.terms[0].slots
+    assert max(server.max_in_flight for server in world.pool) <= world.terms[0].slots
     # Every message lost: leases end, and what pressure alone would give is there within 4 s.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
-    trouble(world, "cut")
+    cause(world, Trouble.CUT)
     world.run(18 * SECOND)
     assert all(s.isolated and not s.leases for s in slots)
     world.links.loss = 0.0
@@ -60,10 +71,10 @@
 
     Were a lease still valid at either, two nodes would use one slot.
     """
-    world = Service(20, 20, 2, True, 3200, (0, 1), 12)
+    world = ServiceWorld(two_hot_nodes(seed=2))
     Referee(world)
     world.start_all()
-    world.load(16 * SECOND)
+    world.clients.run(16 * SECOND)
     world.run(12 * SECOND)
     holder, grantor = 0, next(iter(world.nodes[0].leases.active))
     assert world.nodes[grantor].leases.grants
@@ -77,7 +88,7 @@
     world.run(world.now + 1)  # their first turns
     assert not world.bridges[holder].slots.leases
     assert not world.bridges[grantor].slots.granted_classes
-    world.load(85 * SECOND)
+    world.clients.run(85 * SECOND)
     assert world.run(85 * SECOND, lambda: len(world.nodes[holder].leases.active) > 2)
     world.run(85 * SECOND)
     assert world.breaches == []
@@ -101,12 +112,15 @@
 @pytest.mark.parametrize("load", [0.5, 1.5])
 def test_a_black_start_does_what_cold_servers_can_from_the_first_second(load: float) -> None:
     """All nodes and all servers start at once: no rate is known, and no server is overloaded."""
-    world = Service(20, 20, 3, True, load * 20 * 200, readers=2)
-    world.black_start()
-    world.load(10 * SECOND)
+    plan = ServicePlan(
+        nodes=20, servers=20, seed=3, gossip=True, rate=load * 20 * 200, list_readers=2
+    )
+    world = ServiceWorld(plan)
+    world.start_cold()
+    world.clients.run(10 * SECOND)
     world.run(10 * SECOND)
-    assert not world.counts["falls of cold servers"]
+    assert not world.counts[Count.OVERWHELMED]
     assert not world.breaches
     # They go from a tenth of their capacity to all of it, 0.55 in the mean.
     could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
-    assert world.counts["served"] > 0.93 * could * world.counts["asked"]
+    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.ASKED]
