--- a/simulation/control_world/__init__.py
+++ b/simulation/control_world/__init__.py
@@ -11,7 +11,7 @@
 - `network`: messages between processes, over links with faults.
 - `messages`: what nodes and machines send each other, and its form in a digest.
 - `machine`, `node`, `source`: the participants.
-- `stale_updates`: a fault that the links alone can't cause.
+- `stale_updates`: a fault that the links alone can't cause; `faults`: all faults by kind.
 - `environment`: what all participants share; `recorder`: what a run's digest is made of.
 - `world`: all of it together, and how a run goes on.
 """
