--- a/benchmarks/scale/hollow/actions.py
+++ b/benchmarks/scale/hollow/actions.py
@@ -48,9 +48,6 @@
     def cancel(self, request: int, attempt: int) -> None:
         """Do nothing: an attempt has its answer before it could be cancelled."""
 
-    def probe(self, backend: int) -> None:
-        """Do nothing: no backend listens."""
-
     def watch(self) -> None:
         """Do nothing: the node's subscriber polls for the list."""
 
--- a/simulation/service_world/node_host.py
+++ b/simulation/service_world/node_host.py
@@ -106,9 +106,6 @@
         """Run the Balancer's timer at `due` by the node's clock."""
         self.world.later(due - self.world.skew[self.node], self._on_timer, token)
 
-    def probe(self, backend: int) -> None:
-        """Nothing to do: this world has no health checks."""
-
     def watch(self) -> None:
         """Poll the list; where there is no service to poll, the list is pushed."""
         if self.list_client is not None:
