--- a/simulation/control_mutants.py
+++ b/simulation/control_mutants.py
@@ -2,9 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
-from contextlib import contextmanager
-from dataclasses import dataclass
 from typing import Any
 
 from loadbalancer.core.assignment.handover import Handover
@@ -12,25 +9,7 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
-
-
-@dataclass(frozen=True, slots=True)
-class Mutant:
-    """A method of the product and the faulty one in its place."""
-
-    owner: type
-    method: str
-    faulty: Callable[..., Any]
-
-    @contextmanager
-    def applied(self) -> Iterator[None]:
-        """Have the fault in the product's code for the length of a `with` block."""
-        original = getattr(self.owner, self.method)
-        setattr(self.owner, self.method, self.faulty)
-        try:
-            yield
-        finally:
-            setattr(self.owner, self.method, original)
+from simulation.mutants import Mutant
 
 
 def _apply_any_snapshot(self: Any, _region: Any, snapshot: Any) -> UpdateResult:
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -5,11 +5,9 @@
 import pytest
 
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.records import RecordStore
-from loadbalancer.core.gossip.slot_allocation import SlotAllocation
-from loadbalancer.core.gossip.slot_leases import SlotLeases
-from simulation.fleet_faults import MUTANTS, Referee, play
+from simulation.fleet_faults import play
+from simulation.fleet_invariants import InvariantChecker
+from simulation.fleet_mutants import MUTANTS
 from simulation.service_world.counters import Count
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.troubles import Trouble, cause
@@ -72,7 +70,7 @@
     Were a lease still valid at either, two nodes would use one slot.
     """
     world = ServiceWorld(two_hot_nodes(seed=2))
-    Referee(world)
+    InvariantChecker(world)
     world.start_all()
     world.clients.run(16 * SECOND)
     world.run(12 * SECOND)
@@ -102,10 +100,9 @@
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
 def test_the_invariant_checker_finds(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each fault in a rule breaks an invariant within a few seeds."""
-    classes = {cls.__name__: cls for cls in (RecordStore, Membership, SlotAllocation, SlotLeases)}
-    owner, name, fault = MUTANTS[mutant]
-    assert callable(getattr(classes[owner], name))
-    monkeypatch.setattr(classes[owner], name, fault)
+    owner, method = MUTANTS[mutant].owner, MUTANTS[mutant].method
+    assert callable(getattr(owner, method))
+    monkeypatch.setattr(owner, method, MUTANTS[mutant].faulty)
     assert any(play(seed) for seed in range(8))
 
 
