--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
     from loadbalancer.proxy.host import Node
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
     from loadbalancer.upgrade.messages import Message
 
 logger = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
 
     loop: asyncio.AbstractEventLoop
     node: Node
-    service: Service
+    lifecycle: Lifecycle
 
     def pass_on(self, message: Message) -> None:
         """Send a message to the other process of this node, where there is one."""
@@ -59,12 +59,12 @@
 
     def status(self) -> Reply:
         """Whether this process serves."""
-        service = self._process.service
-        if service.can_serve:
-            return Reply(OK, "standby" if service.standby else "active")
-        if service.serving and not service.stopping:
+        lifecycle = self._process.lifecycle
+        if lifecycle.can_serve:
+            return Reply(OK, "standby" if lifecycle.standby else "active")
+        if lifecycle.serving and not lifecycle.stopping:
             return Reply(SERVICE_UNAVAILABLE, "no list of servers yet")
-        return Reply(SERVICE_UNAVAILABLE, "stopping" if service.stopping else "not serving yet")
+        return Reply(SERVICE_UNAVAILABLE, "stopping" if lifecycle.stopping else "not serving yet")
 
     def peers(self) -> Reply:
         """What this node knows of the others, as JSON."""
@@ -83,7 +83,7 @@
         """Take clients again, unless this process stops."""
         self._process.pass_on(SetStandby(on=False))
         self._process.set_standby(False)
-        service = self._process.service
-        if service.stopping and not service.relieved:
+        lifecycle = self._process.lifecycle
+        if lifecycle.stopping and not lifecycle.relieved:
             return Reply(CONFLICT, "stopping: this process takes no clients any more")
         return Reply(OK, "active")
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -70,7 +70,7 @@
         registry = self._registry
         host = registry.host
         if incoming.readiness_check:
-            ready = registry.service.asked_ready(time.monotonic_ns())
+            ready = registry.lifecycle.answer_readiness_check(time.monotonic_ns())
             self._write_response(READY_HEAD if ready else EMPTY_HEADS[503])
             return
         if incoming.label in host.labels or incoming.label in host.others:
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
     from loadbalancer.proxy.ports import ClientHost
 
 logger = logging.getLogger(__name__)
@@ -45,10 +45,10 @@
 class Listener:
     """The listening socket, and the admission of clients' connections."""
 
-    def __init__(self, host: ClientHost, service: Service) -> None:
+    def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
-        self.service = service
-        self.registry = ConnectionRegistry(host, service)
+        self.lifecycle = lifecycle
+        self.registry = ConnectionRegistry(host, lifecycle)
         self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
@@ -120,7 +120,7 @@
     def finished(self) -> bool:
         """Whether nothing is open, and nothing lies unread, that a stop must wait for."""
         registry = self.registry
-        if self.service.relieved:
+        if self.lifecycle.relieved:
             registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
         else:
             registry.close_idle()
@@ -179,7 +179,7 @@
             self._free_places()
 
     def send_away(self, now: int) -> None:
-        """Close as many idle connections as `Service` has it, longest idle first; `now` in ns."""
+        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
         self.registry.send_away(now)
 
     # ---- freeing places for those that wait ---------------------------------
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -9,7 +9,7 @@
 from loadbalancer.proxy.downstream.head_checker import HeadChecker
 
 if TYPE_CHECKING:
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
     from loadbalancer.proxy.ports import ClientHost
 
 MIN_IDLE_SWEEPS = 9  # without a request, after which a connection may be closed for capacity
@@ -64,9 +64,9 @@
 class ConnectionRegistry:
     """The connections of all clients, and what each of them needs of its surroundings."""
 
-    def __init__(self, host: ClientHost, service: Service) -> None:
+    def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
-        self.service = service
+        self.lifecycle = lifecycle
         self.heads = HeadChecker(host)
         self.connections: set[Connection] = set()
         # Without an open request, longest first: those that have had one, and those on which
@@ -167,7 +167,7 @@
     # ---- sending clients away ------------------------------------------------
 
     def send_away(self, now: int) -> None:
-        """Close as many idle connections as `Service` has it, longest idle first; `now` in ns.
+        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns.
 
         One on which a request lies unread is no longer idle. One that has only just been
         accepted is left for a moment: its first request, such as a front's readiness check,
@@ -175,7 +175,7 @@
         """
         fresh = [conn for conn in self.fresh if conn.idle_sweeps() > FRESH_SWEEPS]
         idle = [*self.idle, *fresh]
-        for conn in idle[: self.service.to_close(now, len(idle))]:
+        for conn in idle[: self.lifecycle.idle_to_close(now, len(idle))]:
             if conn.can_close():
                 conn.close()
 
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -1,8 +1,9 @@
 """Whether a process serves, drains or stops: one state, without I/O or a clock.
 
-The front's readiness checks, the end of each answer's connection, the second address and the
-signals go by this state. Times are integer nanoseconds of one monotonic clock, given with
-each call.
+Readiness checks, the end of each answer's connection, the second address and the signals go
+by this state. The checks come from the front: the balancer or DNS in front of the nodes,
+which takes a node out of use whose checks fail. Times are integer nanoseconds of one monotonic
+clock, given with each call.
 """
 
 from __future__ import annotations
@@ -32,25 +33,28 @@
     end: int
 
 
-class Service:
+class Lifecycle:
     """Active, standby, relieved by a successor, or stopping, which alone is for good.
 
-    `listed`: a list with an endpoint to send to has come once, or a complete one without.
-    It stays set: a node that loses its endpoints later rejects requests itself, with a
+    `has_usable_list`: a list with an endpoint to send to has come once, or a complete one
+    without. It stays set: a node that loses its endpoints later rejects requests itself, with a
     Retry-After. Were it not ready then, the front would take every node out at once, and
     clients would reach none.
     """
 
-    __slots__ = ("_refused_at", "_relieved_at", "_standby_at", "listed", "serving", "stopping")
+    __slots__ = (
+        "_first_failed_check_at", "_relieved_at", "_standby_at", "has_usable_list", "serving",
+        "stopping",
+    )  # fmt: skip
 
     def __init__(self) -> None:
         self.serving = False  # listening
-        self.listed = False
+        self.has_usable_list = False
         self.stopping = False
         # Since when, 0 for not.
         self._standby_at = 0
         self._relieved_at = 0
-        self._refused_at = 0  # the first readiness check that failed in this drain
+        self._first_failed_check_at = 0  # the first readiness check that failed in this drain
 
     @property
     def standby(self) -> bool:
@@ -65,18 +69,18 @@
     @property
     def can_serve(self) -> bool:
         """Whether a request would be served; what the second address reports."""
-        return self.serving and self.listed and not self.stopping
+        return self.serving and self.has_usable_list and not self.stopping
 
     @property
     def closes(self) -> bool:
         """Whether each answer ends its connection."""
         return self.stopping or self.standby or self.relieved
 
-    def relieve(self, now: int) -> None:
+    def successor_serves(self, now: int) -> None:
         """A successor accepts from now on."""
         self._relieved_at = now
 
-    def take_back(self) -> None:
+    def successor_gone(self) -> None:
         """The successor has gone."""
         self._relieved_at = 0
 
@@ -84,24 +88,24 @@
         """Send clients away; a second call changes nothing, so that it puts nothing off."""
         if not self.standby:
             self._standby_at = now
-            self._refused_at = 0
+            self._first_failed_check_at = 0
 
     def end_standby(self) -> None:
         """Take clients again; a process that stops takes none all the same."""
         self._standby_at = 0
 
-    def asked_ready(self, now: int) -> bool:
+    def answer_readiness_check(self, now: int) -> bool:
         """The answer to a readiness check of the front; the first that fails is noted.
 
         A relieved process answers for its successor, as both are one node. Without a list
         the front has other nodes to send clients to, who would be rejected here.
         """
         if not self.standby and (self.relieved or not self.stopping):
-            return self.listed
-        self._refused_at = self._refused_at or now
+            return self.has_usable_list
+        self._first_failed_check_at = self._first_failed_check_at or now
         return False
 
-    def to_close(self, now: int, idle: int) -> int:
+    def idle_to_close(self, now: int, idle: int) -> int:
         """How many of so many idle connections to close in this tick.
 
         They are spread over the time that is left, and all are closed once it is over: each
@@ -120,8 +124,8 @@
     def _close_window(self) -> CloseWindow | None:
         if self.standby:
             begin = self._standby_at + UNCHECKED_FROM_NS
-            if self._refused_at:
-                begin = self._refused_at + SETTLE_NS
+            if self._first_failed_check_at:
+                begin = self._first_failed_check_at + SETTLE_NS
             return CloseWindow(begin, self._standby_at + EMPTY_BY_NS)
         if self.relieved:
             at = self._relieved_at
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -26,7 +26,7 @@
 from loadbalancer.proxy.downstream.connection import SWEEP_S
 from loadbalancer.proxy.downstream.listener import Listener
 from loadbalancer.proxy.host import Node
-from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS, Service
+from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS, Lifecycle
 from loadbalancer.proxy.reload import apply_configuration, apply_routes
 from loadbalancer.proxy.shutdown import Shutdown
 from loadbalancer.sources.endpoint_list import ListError
@@ -59,11 +59,11 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.config = config
         self.loop = loop
-        self.service = Service()
+        self.lifecycle = Lifecycle()
         self.node = Node(config, loop, self._on_list_usable)
-        self.listener = Listener(self.node, self.service)
+        self.listener = Listener(self.node, self.lifecycle)
         self._shutdown = Shutdown(
-            loop, self.node, self.listener, self.service, self._close_predecessor
+            loop, self.node, self.listener, self.lifecycle, self._close_predecessor
         )
         self._drain_timer: asyncio.TimerHandle | None = None
         # The sides of a handover, where there is a second address: to the process before
@@ -72,8 +72,8 @@
         self._predecessor: Predecessor | None = None
 
     def _on_list_usable(self) -> None:
-        if not self.service.listed:
-            self.service.listed = True
+        if not self.lifecycle.has_usable_list:
+            self.lifecycle.has_usable_list = True
             logger.info("ready: a list has been taken over")
 
     # ---- start -------------------------------------------------------------
@@ -89,7 +89,7 @@
         for number in early_signals.STOP_SIGNALS:
             self.loop.add_signal_handler(number, self._shutdown.begin)
         self.loop.add_signal_handler(early_signals.RELOAD_SIGNAL, self.reload)
-        self.service.serving = True
+        self.lifecycle.serving = True
         logger.info("listening on %s:%d", self.config.listen.host, port)
         gc.collect()
         gc.freeze()
@@ -180,21 +180,21 @@
 
     def set_standby(self, on: bool) -> None:
         """Begin or end a drain, by a call here or at the other process of this node."""
-        if on == self.service.standby:
+        if on == self.lifecycle.standby:
             return
         if not on:
             logger.info("active: the drain has ended")
-            self.service.end_standby()
+            self.lifecycle.end_standby()
             return
         logger.info("standby: sending clients away")
-        self.service.begin_standby(time.monotonic_ns())
+        self.lifecycle.begin_standby(time.monotonic_ns())
         if self._drain_timer is not None:
             self._drain_timer.cancel()  # of a drain that has only just ended
         self._drain()
 
     def _drain(self) -> None:
         """While clients are sent away, close idle connections at each tick."""
-        if self.service.standby and not self.service.stopping:
+        if self.lifecycle.standby and not self.lifecycle.stopping:
             self.listener.send_away(time.monotonic_ns())
             self._drain_timer = self.loop.call_later(DRAIN_TICK_NS / SECOND, self._drain)
 
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from loadbalancer.proxy.downstream.listener import Listener
     from loadbalancer.proxy.host import Node
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
 
 logger = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         loop: the event loop of the process.
         node: the host.
         listener: the clients' listener.
-        service: the state that the front is told.
+        lifecycle: the state that readiness checks report.
         before_close: called just before the listening socket closes.
     """
 
@@ -43,26 +43,26 @@
         loop: asyncio.AbstractEventLoop,
         node: Node,
         listener: Listener,
-        service: Service,
+        lifecycle: Lifecycle,
         before_close: Callable[[], None],
     ) -> None:
         self._loop = loop
         self._node = node
         self._listener = listener
-        self._service = service
+        self._lifecycle = lifecycle
         self._before_close = before_close
         self._fail_all_at_s = 0.0  # on the loop's clock
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def begin(self) -> None:
         """Begin the stop; nothing where it has begun."""
-        if self._service.stopping:
+        if self._lifecycle.stopping:
             return
-        self._service.stopping = True
+        self._lifecycle.stopping = True
         logger.info("stopping")
         node = self._node
         if node.peers is not None:
-            node.peers.close(leaving=not self._service.relieved)
+            node.peers.close(leaving=not self._lifecycle.relieved)
         log_route_counters(node)
         longest_s = max(c.spec.deadline for c in node.balancer.classes) / SECOND
         self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_ANSWERS_S
--- a/loadbalancer/upgrade/ports.py
+++ b/loadbalancer/upgrade/ports.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from loadbalancer.proxy.downstream.listener import Listener
     from loadbalancer.proxy.host import Node
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
 
 
 class Process(Protocol):
@@ -17,7 +17,7 @@
     loop: asyncio.AbstractEventLoop
     node: Node
     listener: Listener
-    service: Service
+    lifecycle: Lifecycle
 
     def reload(self, passed_on: bool = False) -> None:
         """Read the configuration again; `passed_on`: the other process asked for it."""
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -133,7 +133,7 @@
             link.close()
             return
         logger.info("upgrade: a successor has come")
-        state = handed_state.export(self._process.node, self._process.service.standby)
+        state = handed_state.export(self._process.node, self._process.lifecycle.standby)
         link.send(HandedState(state))
 
     def _on_message(self, message: Message) -> None:
@@ -155,7 +155,7 @@
             return
         process, node = self._process, self._process.node
         process.listener.hold_back()
-        process.service.relieve(time.monotonic_ns())
+        process.lifecycle.successor_serves(time.monotonic_ns())
         self.close()
         node.discovery.suspend()
         if node.peers is not None:
@@ -189,9 +189,9 @@
     def _resume(self) -> None:
         """Be the whole node again; a process that stops does not accept again."""
         process = self._process
-        process.service.take_back()
+        process.lifecycle.successor_gone()
         process.node.end_sharing()
-        if process.service.stopping:
+        if process.lifecycle.stopping:
             return
         logger.info("upgrade: the successor has gone; serving again")
         process.listener.accept_again()
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -56,7 +56,7 @@
 from loadbalancer.proxy import process
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.admin_calls import AdminCalls
-from loadbalancer.proxy.lifecycle import Service
+from loadbalancer.proxy.lifecycle import Lifecycle
 from loadbalancer.sources.consul.credentials import Credentials
 from loadbalancer.sources.consul.datacentre_reader import DatacentreReader
 from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
@@ -305,7 +305,7 @@
         made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
     elif says == "state":
         side = Predecessor(_process())
-        side._process.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
+        side._process.lifecycle = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
             mock.patch.object(handed, "export", lambda *_: plain["state"]),
             mock.patch.object(predecessor_module, "release_socket"),
@@ -322,7 +322,7 @@
         run = SimpleNamespace(
             pass_on=made.send,
             set_standby=lambda _on: None,
-            service=Service(),
+            lifecycle=Lifecycle(),
             node=None,
             config=None,
         )
@@ -451,15 +451,15 @@
 
 def _encode_reply(plain: Plain) -> bytes:
     """The answer to a call at a node in this state, as the caller gets it."""
-    service = Service()
-    service.serving, service.listed = plain["serving"], plain["listed"]
-    service.stopping = plain["stopping"]
+    lifecycle = Lifecycle()
+    lifecycle.serving, lifecycle.has_usable_list = plain["serving"], plain["listed"]
+    lifecycle.stopping = plain["stopping"]
     run: Any = SimpleNamespace(
-        service=service,
+        lifecycle=lifecycle,
         loop=SimpleNamespace(add_reader=lambda *_: None, call_later=lambda *_: mock.Mock()),
         node=SimpleNamespace(peers=_peers() if plain["gossip"] else None),
         pass_on=lambda _frame: None,
-        set_standby=lambda on: service.begin_standby(NOW) if on else service.end_standby(),
+        set_standby=lambda on: lifecycle.begin_standby(NOW) if on else lifecycle.end_standby(),
     )
     run.set_standby(plain["standby"])
     made: list[Admin] = []
--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.proxy.downstream.connection import ClientConnection
 from loadbalancer.proxy.downstream.registry import ConnectionRegistry
-from loadbalancer.proxy.lifecycle import Service
+from loadbalancer.proxy.lifecycle import Lifecycle
 from tests.harness import Running, node, roster, target
 from tests.proxy.downstream.surroundings import Host, Transport
 
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def registry(host: Host) -> ConnectionRegistry:
-    return ConnectionRegistry(cast(Any, host), Service())
+    return ConnectionRegistry(cast(Any, host), Lifecycle())
 
 
 @pytest.fixture
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.proxy.downstream.connection import ClientConnection
 from loadbalancer.proxy.downstream.listener import SATURATED_LINGER_S, Listener
-from loadbalancer.proxy.lifecycle import Service
+from loadbalancer.proxy.lifecycle import Lifecycle
 from tests.harness import LIMIT, Running, answer, request
 from tests.proxy.downstream.exchanges import READINESS_CHECK, is_served, reaches_backend
 
@@ -165,7 +165,7 @@
     Others wait to be accepted, and lingering connections are aborted for them. That would
     cut the response off: this one is aborted only once all of it has left.
     """
-    listener = Listener(full_host, Service())
+    listener = Listener(full_host, Lifecycle())
     with socket.create_server(("127.0.0.1", 0)) as listening, socket.socket() as sock:
         listener.adopt(listening)
         conn, transport = ClientConnection(listener.registry, sock), Transport()
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -12,76 +12,76 @@
     RELIEVED_FROM_NS,
     SETTLE_NS,
     UNCHECKED_FROM_NS,
-    Service,
+    Lifecycle,
 )
 
 
 @pytest.fixture
-def service() -> Service:
+def lifecycle() -> Lifecycle:
     """A process that serves."""
-    service = Service()
-    service.listed = True
-    return service
+    lifecycle = Lifecycle()
+    lifecycle.has_usable_list = True
+    return lifecycle
 
 
 def test_idle_connections_are_closed_over_the_time_after_the_first_failed_check(
-    service: Service,
+    lifecycle: Lifecycle,
 ) -> None:
-    assert service.to_close(0, 5) == 0
-    assert service.asked_ready(5)
-    service.begin_standby(1000 * MS)
-    assert not service.asked_ready(1100 * MS)
-    assert not service.asked_ready(1200 * MS)
-    assert service.to_close(1100 * MS + SETTLE_NS - 1, 100) == 0
+    assert lifecycle.idle_to_close(0, 5) == 0
+    assert lifecycle.answer_readiness_check(5)
+    lifecycle.begin_standby(1000 * MS)
+    assert not lifecycle.answer_readiness_check(1100 * MS)
+    assert not lifecycle.answer_readiness_check(1200 * MS)
+    assert lifecycle.idle_to_close(1100 * MS + SETTLE_NS - 1, 100) == 0
     idle, now = 100, 1100 * MS + SETTLE_NS
     closed = []
     while now < 1000 * MS + EMPTY_BY_NS:
-        closed.append(service.to_close(now, idle))
+        closed.append(lifecycle.idle_to_close(now, idle))
         idle -= closed[-1]
         now += DRAIN_TICK_NS
     assert max(closed) <= 6
     assert idle == 0
-    assert service.to_close(now, 7) == 7  # what comes after that is closed at once
+    assert lifecycle.idle_to_close(now, 7) == 7  # what comes after that is closed at once
 
 
 def test_a_drain_without_checks_begins_by_itself_and_a_second_call_does_not_put_it_off(
-    service: Service,
+    lifecycle: Lifecycle,
 ) -> None:
-    service.begin_standby(1000 * MS)
-    service.begin_standby(1500 * MS)
-    assert service.to_close(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
-    assert service.to_close(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
-    assert service.to_close(1000 * MS + EMPTY_BY_NS, 10) == 10
+    lifecycle.begin_standby(1000 * MS)
+    lifecycle.begin_standby(1500 * MS)
+    assert lifecycle.idle_to_close(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
+    assert lifecycle.idle_to_close(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
+    assert lifecycle.idle_to_close(1000 * MS + EMPTY_BY_NS, 10) == 10
 
 
-def test_a_drain_that_ends_leaves_a_stop_in_force(service: Service) -> None:
-    service.begin_standby(1000 * MS)
-    service.end_standby()
-    assert service.asked_ready(0)
-    assert service.to_close(9000 * MS, 10) == 0
-    service.stopping = True
-    assert service.closes
-    assert not service.asked_ready(0)
-    assert service.to_close(9000 * MS, 10) == 10
+def test_a_drain_that_ends_leaves_a_stop_in_force(lifecycle: Lifecycle) -> None:
+    lifecycle.begin_standby(1000 * MS)
+    lifecycle.end_standby()
+    assert lifecycle.answer_readiness_check(0)
+    assert lifecycle.idle_to_close(9000 * MS, 10) == 0
+    lifecycle.stopping = True
+    assert lifecycle.closes
+    assert not lifecycle.answer_readiness_check(0)
+    assert lifecycle.idle_to_close(9000 * MS, 10) == 10
 
 
-def test_a_relieved_process_is_ready_and_closes_its_idle_connections(service: Service) -> None:
+def test_a_relieved_process_is_ready_and_closes_its_idle_connections(lifecycle: Lifecycle) -> None:
     """Its successor serves, and the two are one node."""
-    service.relieve(1000 * MS)
-    service.stopping = True
-    assert service.asked_ready(1100 * MS)
-    assert service.closes
-    assert service.to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
-    assert service.to_close(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
-    service.take_back()
-    assert not service.asked_ready(1200 * MS)
+    lifecycle.successor_serves(1000 * MS)
+    lifecycle.stopping = True
+    assert lifecycle.answer_readiness_check(1100 * MS)
+    assert lifecycle.closes
+    assert lifecycle.idle_to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
+    assert lifecycle.idle_to_close(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
+    lifecycle.successor_gone()
+    assert not lifecycle.answer_readiness_check(1200 * MS)
 
 
 def test_without_a_list_a_node_is_not_ready_and_once_it_had_one_it_stays_so() -> None:
-    service = Service()
-    service.serving = True
-    assert not service.can_serve
-    assert not service.asked_ready(5)
-    service.listed = True
-    assert service.can_serve
-    assert service.asked_ready(6)
+    lifecycle = Lifecycle()
+    lifecycle.serving = True
+    assert not lifecycle.can_serve
+    assert not lifecycle.answer_readiness_check(5)
+    lifecycle.has_usable_list = True
+    assert lifecycle.can_serve
+    assert lifecycle.answer_readiness_check(6)
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -98,10 +98,10 @@
 def test_a_predecessor_that_stops_does_not_accept_again(
     predecessor: Predecessor, process: Any
 ) -> None:
-    process.service.stopping = True
+    process.lifecycle.stopping = True
     predecessor._on_message(Serving())
     predecessor._on_closed()
-    process.service.take_back.assert_called_once_with()
+    process.lifecycle.successor_gone.assert_called_once_with()
     process.listener.accept_again.assert_not_called()
 
 
