--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -130,39 +130,41 @@
 
     # ---- long messages -------------------------------------------------------
 
-    def uploading(self, attempt: Attempt) -> None:
+    def body_begins(self, attempt: Attempt) -> None:
         """The first bytes of a long body are about to be written: it can't be sent again."""
         self.notify_balancer(self.balancer.on_body_started, attempt.request.id, attempt.number)
 
-    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
-        """A long body has been read from its client to the end, or written to a backend.
+    def body_received(self, request: Request) -> None:
+        """A long body has been read from its client to the end.
 
-        Until the first, neither the request's timeout nor its attempts' run: the time is
-        the client's. Until the second it is the backend's that takes the bytes slowly.
-
-        Args:
-            request: the body's request.
-            attempt: the attempt that has written it; None where it has been read.
+        Until then neither the request's timeout nor its attempts' run: the time is the
+        client's.
         """
         now = time.monotonic_ns()
-        if attempt is None:
-            self._restart_deadline(request, now)
-            return
-        attempt.limit = max(request.deadline - now, 0)
-        attempt.sent = now
-        self._timers.add(request.deadline, attempt)
-        self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
-
-    def _restart_deadline(self, request: Request, now: int) -> None:
         request.deadline = now + request.timeout
         self._timers.add(request.deadline + BACKSTOP_NS, request)
         for attempt in request.attempts:
             if not attempt.closed:
+                # The time of an upload runs only from the end of its body, so the attempt's
+                # own shorter timeout does not apply: the request's deadline bounds it.
                 attempt.limit = request.deadline - attempt.sent
                 self._timers.add(request.deadline, attempt)
         self._timers.arm()
 
-    def started(self, attempt: Attempt) -> None:
+    def body_sent(self, attempt: Attempt) -> None:
+        """A long body has been written to its end, by this attempt.
+
+        Until then the time is that of the backend, which takes the bytes slowly.
+        """
+        request = attempt.request
+        now = time.monotonic_ns()
+        # As in `body_received`: what is left of the request's time, from here on.
+        attempt.limit = max(request.deadline - now, 0)
+        attempt.sent = now
+        self._timers.add(request.deadline, attempt)
+        self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
+
+    def response_begins(self, attempt: Attempt) -> None:
         """A long response has begun to go to the client: with that its timeout is over."""
         request = attempt.request
         request.started = True
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -115,6 +115,13 @@
     def _report_outcome(
         self, attempt: Attempt, outcome: Outcome, duration: int, load: Sequence[float]
     ) -> None:
+        """Report one outcome to the Balancer.
+
+        Failure: that a client has half-closed is also seen by `send` and `may_begin`, from
+        which the Balancer may not be called. It would retry for that client, who may have
+        left, and a backend would run a request that nobody waits for. So it learns of the
+        end here, before each outcome that it decides on.
+        """
         request = attempt.request
         try:
             request.open_attempts -= 1
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -103,7 +103,7 @@
             self.give_up_unwritten(request)
         self.leave()
 
-    def stalled(self, request: Request) -> None:
+    def upload_stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
         self.enter()
         self._give_up_all(request, Outcome.TIMEOUT)
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -252,7 +252,7 @@
         if flow is not None and flow.paused:
             # Reading is paused, as the backend accepts no more: that is not the client's time.
             if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
-                self._registry.host.stalled(self._request)
+                self._registry.host.upload_stalled(self._request)
             return False
         if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_SWEEP:
             return False
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -90,10 +90,10 @@
     def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more, but may wait for its answer."""
 
-    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
-        """A long body has been read to its end; `attempt` is None."""
+    def body_received(self, request: Request) -> None:
+        """A long body has been read to its end."""
 
-    def stalled(self, request: Request) -> None:
+    def upload_stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body."""
 
     def max_clients(self) -> int:
@@ -119,13 +119,13 @@
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt may write its first byte, now that its connection is established."""
 
-    def started(self, attempt: Attempt) -> None:
+    def response_begins(self, attempt: Attempt) -> None:
         """A long response has begun to go to the client."""
 
-    def uploading(self, attempt: Attempt) -> None:
+    def body_begins(self, attempt: Attempt) -> None:
         """The first bytes of a long body are about to be written."""
 
-    def uploaded(self, request: Request, attempt: Attempt | None) -> None:
+    def body_sent(self, attempt: Attempt) -> None:
         """A long body has been written to its end, by this attempt."""
 
     def finish(self, request: Request, status: int, retry_after: int = 0) -> None:
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -110,11 +110,11 @@
     def client_half_closed(self, made: Any) -> None:
         self.events.append(("half-closed", made.label))
 
-    def stalled(self, made: Any) -> None:
-        self.events.append(("stalled", made.label))
+    def upload_stalled(self, made: Any) -> None:
+        self.events.append(("upload stalled", made.label))
 
-    def uploaded(self, made: Any, _attempt: None) -> None:
-        self.events.append(("uploaded", made.label))
+    def body_received(self, made: Any) -> None:
+        self.events.append(("body received", made.label))
 
     def freed(self) -> None:
         """Nobody waits for a place."""
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -230,5 +230,5 @@
     assert host.labels_begun() == [b"upload"]
     assert not host.events
     conn.data_received(message[-1:])
-    assert host.events == [("uploaded", b"upload")]
+    assert host.events == [("body received", b"upload")]
     assert host.begun[0].flow.complete
--- a/tests/proxy/downstream/test_timeouts.py
+++ b/tests/proxy/downstream/test_timeouts.py
@@ -65,5 +65,5 @@
     sweep(registry, UPLOAD_TIMEOUT_SWEEPS)
     assert not host.events
     sweep(registry, 1)
-    assert host.events == [("stalled", b"upload")]
+    assert host.events == [("upload stalled", b"upload")]
     assert not transport.written
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -109,10 +109,10 @@
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
 
-    def uploading(self, _attempt: Attempt) -> None:
+    def body_begins(self, _attempt: Attempt) -> None:
         pass
 
-    def uploaded(self, _request: Any, _attempt: Attempt) -> None:
+    def body_sent(self, _attempt: Attempt) -> None:
         pass
 
     def conclude(self, _attempt: Attempt, outcome: Outcome) -> None:
