--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -168,7 +168,7 @@
         """A long response has begun to go to the client: with that its timeout is over."""
         request = attempt.request
         request.started = True
-        self.labels.discard(request.label)
+        self.open_request_ids.discard(request.label)
         duration = time.monotonic_ns() - attempt.sent
         event = self.balancer.on_response_started
         self.notify_balancer(event, request.id, attempt.number, duration)
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -63,15 +63,15 @@
 
     # ---- while two processes are one node ------------------------------------
 
-    def lend_descriptors(self, others: int) -> None:
+    def set_other_process_descriptors(self, descriptors_of_other: int) -> None:
         """Leave so many of the node's descriptors to the other process."""
-        self.sockets = self.config.sockets - self.reserved - others
+        self.sockets = self.config.sockets - self.reserved - descriptors_of_other
 
     def descriptors(self) -> int:
-        """The most that this process uses, as long as it is lent no more."""
+        """The most that this process uses, as long as the other process leaves it no more."""
         return self.reserved + max(self.sockets, self.clients + self.upstream.count)
 
-    def spare_descriptors(self) -> int:
+    def releasable_descriptors(self) -> int:
         """How many descriptors a process that drains can leave to its successor by now."""
         used = self.clients + self.upstream.count + OVERLAP
         return max(self.config.sockets - self.reserved - used, 0)
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -165,8 +165,8 @@
 
     def end_sharing(self) -> None:
         """The other process of this node has ended: what it used is this one's again."""
-        self.others = set()
-        self.lend_descriptors(0)
+        self.other_process_request_ids = set()
+        self.set_other_process_descriptors(0)
         if self.balancer.has_limit_share:
             now = self.enter()
             self.balancer.set_limit_share(now, None)
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -20,16 +20,17 @@
 class OpenRequests:
     """The requests that have not been forgotten, by their numbers in this process.
 
-    `labels`: the ids that clients gave those that have not ended. `others`: the same of the
-    process before or after this one, while both are one node.
+    `open_request_ids`: the ids that clients gave those that have not ended.
+    `other_process_request_ids`: the same of the process before or after this one, while both
+    are one node.
     """
 
     def __init__(self, budget: BufferBudget) -> None:
         self.budget = budget
         self.requests: dict[int, Request] = {}
         self.open_count = 0  # of those that have not ended
-        self.labels: set[bytes] = set()
-        self.others: set[bytes] = set()
+        self.open_request_ids: set[bytes] = set()
+        self.other_process_request_ids: set[bytes] = set()
 
     def finish(self, request: Request, status: int, retry_after: int = 0) -> None:
         """Give a request its final answer without service, unless it has ended.
@@ -62,7 +63,7 @@
         if request.flow is not None:
             request.flow.discard()
         self.open_count -= 1
-        self.labels.discard(request.label)
+        self.open_request_ids.discard(request.label)
         self.forget(request)
 
     def forget(self, request: Request) -> None:
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -71,13 +71,14 @@
 class ClientHost(_Host, Protocol):
     """What connections of clients and their listener use of the host.
 
-    `clients`: descriptors of clients, counted by the listener and the connections. `labels`
-    and `others`: the ids of open requests, here and at the other process of this node.
+    `clients`: descriptors of clients, counted by the listener and the connections.
+    `open_request_ids` and `other_process_request_ids`: the ids of open requests, here and at
+    the other process of this node.
     """
 
     clients: int
-    labels: set[bytes]
-    others: set[bytes]
+    open_request_ids: set[bytes]
+    other_process_request_ids: set[bytes]
     balancer: Balancer
     routing: Routing | None
 
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -114,6 +114,8 @@
 
         successor = self._successor = Successor(self)
         await successor.find()
+        # Each process has a second address of its own. It is bound before the handover, so that
+        # a wrong one ends this process and not the old one.
         AdminCalls(self).listen(admin)
         left = await successor.meet()
         apply_routes(self.node, self.config.routes)
--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -25,7 +25,7 @@
         self._share = PredecessorShare()
         self._initial_clients = max(node.clients, 1)
         self._initial_idle = node.upstream.idle_count()
-        self._lent_descriptors = 0
+        self._released_descriptors = 0
         self.need = 1.0  # the part of the clients that is left
 
     def begin(self) -> RetainedCapacity:
@@ -44,12 +44,12 @@
         return self.report(changed)
 
     def report(self, slots: dict[int, int]) -> RetainedCapacity:
-        """The message that says so, with these slots; lends the spare descriptors first."""
+        """The message that says so, with these slots; first leaves descriptors to the successor."""
         node = self._node
-        self._lent_descriptors = max(self._lent_descriptors, node.spare_descriptors())
-        node.lend_descriptors(self._lent_descriptors)
+        self._released_descriptors = max(self._released_descriptors, node.releasable_descriptors())
+        node.set_other_process_descriptors(self._released_descriptors)
         return RetainedCapacity(
-            slots, node.descriptors(), tuple(node.labels), drained=self.need == 0
+            slots, node.descriptors(), tuple(node.open_request_ids), drained=self.need == 0
         )
 
     def _endpoint_use(self) -> list[EndpointUse]:
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -198,8 +198,8 @@
         node = self._process.node
         state.share.update(message.slots)
         node.use_limit_share(state.share)
-        node.others = set(message.request_ids)
-        node.lend_descriptors(message.descriptors)
+        node.other_process_request_ids = set(message.request_ids)
+        node.set_other_process_descriptors(message.descriptors)
         if not state.first_report.done():
             state.first_report.set_result(None)
 
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -295,10 +295,10 @@
         node: Any = SimpleNamespace(
             clients=1,
             upstream=SimpleNamespace(idle_count=lambda: 0),
-            labels=labels,
+            open_request_ids=labels,
             descriptors=lambda: plain["descriptors"],
-            spare_descriptors=lambda: 0,
-            lend_descriptors=lambda _count: None,
+            releasable_descriptors=lambda: 0,
+            set_other_process_descriptors=lambda _count: None,
         )
         drain = Drain(node)
         drain.need = 0.0 if plain["empty"] else 1.0
@@ -360,7 +360,7 @@
     heard: dict[str, Any] = {}
     host = _process(
         use_limit_share=lambda _part: None,
-        lend_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
+        set_other_process_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
         discovery=SimpleNamespace(
             on_forwarded=lambda body: heard.update(says="news", answer=body.decode())
         ),
@@ -386,7 +386,9 @@
             _link(elder._on_message)[0].data_received(data)
     if heard["says"] == "keeps":
         heard["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
-        heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
+        heard["labels"] = sorted(
+            label.decode("latin-1") for label in host.node.other_process_request_ids
+        )
     return heard
 
 
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -90,8 +90,8 @@
         self.routing = None
         self.balancer = SimpleNamespace(find_class=lambda _now, name, *_: CLASSES.get(name))
         self.budget = BufferBudget(128)
-        self.labels: set[bytes] = set()
-        self.others: set[bytes] = set()
+        self.open_request_ids: set[bytes] = set()
+        self.other_process_request_ids: set[bytes] = set()
         self.clients = 1
         self.rejects = False
         self.begun: list[Any] = []
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -214,7 +214,7 @@
 def test_a_request_under_an_open_ones_id_is_rejected_and_gives_its_buffer_back(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    host.labels.add(b"same")
+    host.open_request_ids.add(b"same")
     conn.data_received(request("/credit/1", b"body", rid="same"))
     assert transport.written.startswith(b"HTTP/1.1 409")
     assert not host.budget.buffered
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -92,11 +92,11 @@
 ) -> None:
     budget.clients = 50
     pool.count = 10
-    assert budget.spare_descriptors() == 100 - 60 - OVERLAP
-    budget.lend_descriptors(budget.spare_descriptors())
+    assert budget.releasable_descriptors() == 100 - 60 - OVERLAP
+    budget.set_other_process_descriptors(budget.releasable_descriptors())
     assert budget.sockets == 60 + OVERLAP
     assert budget.descriptors() == RESERVED + 60 + OVERLAP
-    budget.clients = 80  # more than its part: accepted before it lent the others
+    budget.clients = 80  # more than its part: accepted before it left the others to its successor
     assert budget.descriptors() == RESERVED + 90
 
 
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -81,7 +81,7 @@
     assert client.statuses == [502]
     assert request.ended
     assert not host.requests
-    assert not host.labels
+    assert not host.open_request_ids
 
 
 def test_a_fault_in_an_outcome_fails_its_request_and_does_not_reject_it(
@@ -149,7 +149,7 @@
     host.conclude(first, Outcome.OK)
     assert request.ended
     assert host.open_count == 0
-    assert not host.labels
+    assert not host.open_request_ids
     assert host.requests == {request.id: request}
     assert host.budget.buffered == 1
     host.conclude(second, Outcome.CANCELLED)
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -48,9 +48,9 @@
     node.clients = 10
     node.balancer.endpoints = {}
     node.upstream.idle_count.return_value = 4
-    node.spare_descriptors.return_value = 100
+    node.releasable_descriptors.return_value = 100
     node.descriptors.return_value = 60
-    node.labels = set()
+    node.open_request_ids = set()
     loop = SimpleNamespace(call_later=mock.Mock(side_effect=lambda *_: mock.Mock()))
     return mock.MagicMock(node=node, loop=loop)
 
@@ -121,10 +121,10 @@
     process.node.clients = 2
     drain.advance()
     process.node.clients = 8
-    process.node.spare_descriptors.return_value = 50
+    process.node.releasable_descriptors.return_value = 50
     drain.advance()
     assert drain.need == 0.2
-    process.node.lend_descriptors.assert_called_with(100)
+    process.node.set_other_process_descriptors.assert_called_with(100)
     process.node.upstream.trim.assert_called_with(0)
 
 
@@ -179,8 +179,8 @@
         assert sharing.share.of(7, 10) == 7
 
     asyncio.run(receive())
-    assert process.node.others == {b"r-1"}
-    process.node.lend_descriptors.assert_called_once_with(60)
+    assert process.node.other_process_request_ids == {b"r-1"}
+    process.node.set_other_process_descriptors.assert_called_once_with(60)
 
 
 def test_a_predecessor_that_ends_leaves_the_whole_node(
