--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -1,8 +1,8 @@
 """The second address: a listener that takes one call on each connection.
 
 Its sockets are its own and few, and what is asked here is answered whatever the clients do.
-Each caller is bounded in bytes and time, and the oldest that has not completed its call is
-closed when all places are taken: one that sends nothing costs nobody else. What is answered
+Each caller is bounded in bytes and time. One more than MAX_CALLERS closes the oldest, answered
+or not: callers that send nothing, or that do not leave, keep nobody else out. What is answered
 is not decided here.
 """
 
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -220,7 +220,7 @@
             if not unsent and self.idle_sweeps() > LINGER_TIMEOUT_SWEEPS:
                 self._abort(transport)
                 return
-        elif self._reading_timed_out():
+        elif self._end_if_reading_timed_out():
             return
         if unsent:
             self._check_write_progress(transport, unsent, sweep)
@@ -239,8 +239,8 @@
         elif sweep - self._last_progress > WRITE_TIMEOUT_SWEEPS:
             self._abort(transport)
 
-    def _reading_timed_out(self) -> bool:
-        """End a connection whose request does not complete, or never begins.
+    def _end_if_reading_timed_out(self) -> bool:
+        """End a connection whose request does not complete, or never begins; True if ended.
 
         Failure: heads and content without an end, and clients that connect and send
         nothing, hold descriptors until there are none. Harm: a client behind a line under
@@ -248,7 +248,7 @@
         """
         incoming = self._incoming
         if incoming is None:
-            return self._first_byte_timed_out()
+            return self._end_if_first_byte_timed_out()
         flow = incoming.flow
         if flow is not None and flow.paused:
             # Reading is paused, as the backend accepts no more: that is not the client's time.
@@ -262,7 +262,7 @@
         self._reject(408)
         return True
 
-    def _first_byte_timed_out(self) -> bool:
+    def _end_if_first_byte_timed_out(self) -> bool:
         late = self in self._registry.fresh and self.idle_sweeps() > FIRST_BYTE_TIMEOUT_SWEEPS
         if not late or not self.can_close():
             return False
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -117,8 +117,11 @@
         self._sock = None
         sock.close()
 
-    def finished(self) -> bool:
-        """Whether nothing is open, and nothing lies unread, that a stop must wait for."""
+    def close_idle_and_is_finished(self) -> bool:
+        """Close idle connections; returns whether the listener is finished.
+
+        It is once nothing is open, and nothing lies unread, that a stop must wait for.
+        """
         registry = self.registry
         if self.lifecycle.relieved:
             registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
@@ -132,7 +135,7 @@
 
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
-            if self._sock is None or not self._has_capacity():
+            if self._sock is None or not self._make_capacity():
                 return
             try:
                 sock, _address = self._sock.accept()
@@ -184,8 +187,8 @@
 
     # ---- freeing places for those that wait ---------------------------------
 
-    def _has_capacity(self) -> bool:
-        """Whether one more client fits; else the next waits until a place is freed."""
+    def _make_capacity(self) -> bool:
+        """Whether one more client fits; else pause, and free a place for the next one."""
         if self.host.may_accept_client():
             return True
         self._pause()
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -154,7 +154,7 @@
         if self._request is not None:
             if incoming.size > STREAMING_THRESHOLD_BYTES:
                 self.pause_flow()  # its turn comes with the open one's response
-        elif self._registry.host.budget.must_pause(self):
+        elif self._registry.host.budget.pause_if_needed(self):
             self.pause_flow()
 
     def pause_flow(self) -> None:
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -36,7 +36,7 @@
         """Whether the client has ended its sending, read from the socket itself."""
 
 
-class Link(Protocol):
+class AttemptConnection(Protocol):
     """The connection that an attempt is sent on."""
 
     request_written: bool
@@ -126,4 +126,4 @@
         self.limit = 0
         self.closed = False  # its outcome is settled
         self.connected = False  # whether its connection has ever been established
-        self.connection: Link | None = None
+        self.connection: AttemptConnection | None = None
--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -51,8 +51,8 @@
             return 0
         return max(MIN_WINDOW_BYTES, (self.soft_limit - self.buffered) // WINDOW_FRACTION)
 
-    def must_pause(self, reader: BodyReader) -> bool:
-        """Whether a body has to wait; if so `resume_body` is called when it may go on."""
+    def pause_if_needed(self, reader: BodyReader) -> bool:
+        """Note a body that has to wait; if True, `resume_body` is called when it may go on."""
         if self.buffered <= self.soft_limit or reader not in self.incomplete:
             return False
         if reader is next(iter(self.incomplete)):
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -90,7 +90,7 @@
 
     # ---- start -------------------------------------------------------------
 
-    def start(self, left: Inheritance | None = None) -> None:
+    def start(self, inheritance: Inheritance | None = None) -> None:
         """Begin with the endpoint list of the configuration.
 
         What a predecessor left goes before that: its list, and what it had learned. The
@@ -101,8 +101,12 @@
             FleetError: the file that describes the fleet can't be used.
         """
         rows = self.discovery.load_configured(self.config.known)
-        if left is not None and left.members and isinstance(self.discovery, Discovery):
-            rows = self.discovery.inherit(left)
+        if (
+            inheritance is not None
+            and inheritance.members
+            and isinstance(self.discovery, Discovery)
+        ):
+            rows = self.discovery.inherit(inheritance)
         self._prepare_gossip()
         if self.peers is not None:
             rows = self.peers.on_list(Update.CACHED, rows)
@@ -111,12 +115,12 @@
         self.balancer.on_members(self.now, Update.CACHED, rows)
         if self.balancer.ready:
             self._on_list_usable()
-        if left is not None:
-            restore(self.balancer, self.now, left.learned)
+        if inheritance is not None:
+            restore(self.balancer, self.now, inheritance.learned)
         self.leave()
         if self.peers is not None:
             self.peers.open()
-        if self.config.consul or left is not None or not self.config.settings.poll:
+        if self.config.consul or inheritance is not None or not self.config.settings.poll:
             # Where the list is polled for, the Balancer says when: nodes that start together
             # are not to poll together. A source that pushes its list has it at once.
             self.discovery.watch()
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -117,10 +117,10 @@
         # Each process has a second address of its own. It is bound before the handover, so that
         # a wrong one ends this process and not the old one.
         AdminCalls(self).listen(admin)
-        left = await successor.meet()
+        inheritance = await successor.meet()
         apply_routes(self.node, self.config.routes)
-        self.node.start(left)
-        if left is not None and left.standby:
+        self.node.start(inheritance)
+        if inheritance is not None and inheritance.standby:
             self.set_standby(True)
         await successor.serve()
         if successor.listener is not None:
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -78,7 +78,7 @@
         is_late = self._loop.time() >= self._fail_all_at_s
         if is_late:
             self._node.fail_all()
-        if is_late or self._listener.finished():
+        if is_late or self._listener.close_idle_and_is_finished():
             self._node.discovery.close()
             # One more turn of the loop, in which the last answers are written.
             self._loop.call_later(POLL_INTERVAL_S, self._end)
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -9,6 +9,7 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.core import Outcome
+from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.proxy.upstream.response_receiver import ResponseReceiver
 from loadbalancer.proxy.upstream.states import CLOSED, CLOSING, CONNECTING, IDLE
@@ -59,7 +60,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self._sock = sock
         self.pool.count += 1
-        timeout = host.config.settings.connect_timeout / 1e9
+        timeout = host.config.settings.connect_timeout / SECOND
         self._timer = host.loop.call_later(timeout, self._connect_timed_out)
         self.pool.pending[self] = None
         self._task = host.loop.create_task(self._establish(sock))
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core import Outcome
+from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.proxy.flow_control import MIN_WINDOW_BYTES, STREAMING_THRESHOLD_BYTES, Flow
 from loadbalancer.proxy.upstream.load_report import parse_load_report
 from loadbalancer.proxy.upstream.request_writer import RequestWriter
@@ -94,7 +95,7 @@
         elif self.request_written:
             self._stop_timer()
             factor = CONTENT_TIMEOUT_FACTOR if progress is CONTENT else HEAD_TIMEOUT_FACTOR
-            limit = factor * self.host.config.settings.connect_timeout / 1e9
+            limit = factor * self.host.config.settings.connect_timeout / SECOND
             self._timer = self.host.loop.call_later(limit, self._fail, Outcome.ERROR)
 
     def eof_received(self) -> bool:
