--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -44,7 +44,7 @@
         request = Request(number, client, incoming, now, remaining, max_attempts)
         self.requests[number] = request
         self.open_count += 1
-        self.labels.add(request.label)
+        self.open_request_ids.add(request.label)
         self._timers.add(request.deadline + BACKSTOP_NS, request)
         try:
             self.balancer.on_request(
@@ -103,7 +103,7 @@
             self.give_up_unwritten(request)
         self.leave()
 
-    def stalled(self, request: Request) -> None:
+    def upload_stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
         self.enter()
         self._give_up_all(request, Outcome.TIMEOUT)
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -70,10 +70,11 @@
         registry = self._registry
         host = registry.host
         if incoming.readiness_check:
-            ready = registry.service.asked_ready(time.monotonic_ns())
+            ready = registry.lifecycle.answer_readiness_check(time.monotonic_ns())
             self._write_response(READY_HEAD if ready else EMPTY_HEADS[503])
             return
-        if incoming.label in host.labels or incoming.label in host.others:
+        label = incoming.label
+        if label in host.open_request_ids or label in host.other_process_request_ids:
             # Failure: with two open requests under one id, a backend that drops repeats by
             # the id answers one of them with the other's response.
             self._release_content(incoming)
@@ -219,7 +220,7 @@
             if not unsent and self.idle_sweeps() > LINGER_TIMEOUT_SWEEPS:
                 self._abort(transport)
                 return
-        elif self._reading_timed_out():
+        elif self._end_if_reading_timed_out():
             return
         if unsent:
             self._check_write_progress(transport, unsent, sweep)
@@ -238,8 +239,8 @@
         elif sweep - self._last_progress > WRITE_TIMEOUT_SWEEPS:
             self._abort(transport)
 
-    def _reading_timed_out(self) -> bool:
-        """End a connection whose request does not complete, or never begins.
+    def _end_if_reading_timed_out(self) -> bool:
+        """End a connection whose request does not complete, or never begins; True if ended.
 
         Failure: heads and content without an end, and clients that connect and send
         nothing, hold descriptors until there are none. Harm: a client behind a line under
@@ -247,12 +248,12 @@
         """
         incoming = self._incoming
         if incoming is None:
-            return self._first_byte_timed_out()
+            return self._end_if_first_byte_timed_out()
         flow = incoming.flow
         if flow is not None and flow.paused:
             # Reading is paused, as the backend accepts no more: that is not the client's time.
             if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
-                self._registry.host.stalled(self._request)
+                self._registry.host.upload_stalled(self._request)
             return False
         if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_SWEEP:
             return False
@@ -261,7 +262,7 @@
         self._reject(408)
         return True
 
-    def _first_byte_timed_out(self) -> bool:
+    def _end_if_first_byte_timed_out(self) -> bool:
         late = self in self._registry.fresh and self.idle_sweeps() > FIRST_BYTE_TIMEOUT_SWEEPS
         if not late or not self.can_close():
             return False
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
-    from loadbalancer.proxy.lifecycle import Service
+    from loadbalancer.proxy.lifecycle import Lifecycle
     from loadbalancer.proxy.ports import ClientHost
 
 logger = logging.getLogger(__name__)
@@ -45,10 +45,10 @@
 class Listener:
     """The listening socket, and the admission of clients' connections."""
 
-    def __init__(self, host: ClientHost, service: Service) -> None:
+    def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
-        self.service = service
-        self.registry = ConnectionRegistry(host, service)
+        self.lifecycle = lifecycle
+        self.registry = ConnectionRegistry(host, lifecycle)
         self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
@@ -117,10 +117,13 @@
         self._sock = None
         sock.close()
 
-    def finished(self) -> bool:
-        """Whether nothing is open, and nothing lies unread, that a stop must wait for."""
+    def close_idle_and_is_finished(self) -> bool:
+        """Close idle connections; returns whether the listener is finished.
+
+        It is once nothing is open, and nothing lies unread, that a stop must wait for.
+        """
         registry = self.registry
-        if self.service.relieved:
+        if self.lifecycle.relieved:
             registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
         else:
             registry.close_idle()
@@ -132,7 +135,7 @@
 
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
-            if self._sock is None or not self._has_capacity():
+            if self._sock is None or not self._make_capacity():
                 return
             try:
                 sock, _address = self._sock.accept()
@@ -179,13 +182,13 @@
             self._free_places()
 
     def send_away(self, now: int) -> None:
-        """Close as many idle connections as `Service` has it, longest idle first; `now` in ns."""
+        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
         self.registry.send_away(now)
 
     # ---- freeing places for those that wait ---------------------------------
 
-    def _has_capacity(self) -> bool:
-        """Whether one more client fits; else the next waits until a place is freed."""
+    def _make_capacity(self) -> bool:
+        """Whether one more client fits; else pause, and free a place for the next one."""
         if self.host.may_accept_client():
             return True
         self._pause()
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -56,7 +56,7 @@
 from loadbalancer.proxy import process
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.admin_calls import AdminCalls
-from loadbalancer.proxy.lifecycle import Service
+from loadbalancer.proxy.lifecycle import Lifecycle
 from loadbalancer.sources.consul.credentials import Credentials
 from loadbalancer.sources.consul.datacentre_reader import DatacentreReader
 from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
@@ -295,17 +295,17 @@
         node: Any = SimpleNamespace(
             clients=1,
             upstream=SimpleNamespace(idle_count=lambda: 0),
-            labels=labels,
+            open_request_ids=labels,
             descriptors=lambda: plain["descriptors"],
-            spare_descriptors=lambda: 0,
-            lend_descriptors=lambda _count: None,
+            releasable_descriptors=lambda: 0,
+            set_other_process_descriptors=lambda _count: None,
         )
         drain = Drain(node)
         drain.need = 0.0 if plain["empty"] else 1.0
         made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
     elif says == "state":
         side = Predecessor(_process())
-        side._process.service = SimpleNamespace(standby=False)  # type: ignore[assignment]
+        side._process.lifecycle = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
             mock.patch.object(handed, "export", lambda *_: plain["state"]),
             mock.patch.object(predecessor_module, "release_socket"),
@@ -322,7 +322,7 @@
         run = SimpleNamespace(
             pass_on=made.send,
             set_standby=lambda _on: None,
-            service=Service(),
+            lifecycle=Lifecycle(),
             node=None,
             config=None,
         )
@@ -360,7 +360,7 @@
     heard: dict[str, Any] = {}
     host = _process(
         use_limit_share=lambda _part: None,
-        lend_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
+        set_other_process_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
         discovery=SimpleNamespace(
             on_forwarded=lambda body: heard.update(says="news", answer=body.decode())
         ),
@@ -386,7 +386,9 @@
             _link(elder._on_message)[0].data_received(data)
     if heard["says"] == "keeps":
         heard["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
-        heard["labels"] = sorted(label.decode("latin-1") for label in host.node.others)
+        heard["labels"] = sorted(
+            label.decode("latin-1") for label in host.node.other_process_request_ids
+        )
     return heard
 
 
@@ -451,15 +453,15 @@
 
 def _encode_reply(plain: Plain) -> bytes:
     """The answer to a call at a node in this state, as the caller gets it."""
-    service = Service()
-    service.serving, service.listed = plain["serving"], plain["listed"]
-    service.stopping = plain["stopping"]
+    lifecycle = Lifecycle()
+    lifecycle.serving, lifecycle.has_usable_list = plain["serving"], plain["listed"]
+    lifecycle.stopping = plain["stopping"]
     run: Any = SimpleNamespace(
-        service=service,
+        lifecycle=lifecycle,
         loop=SimpleNamespace(add_reader=lambda *_: None, call_later=lambda *_: mock.Mock()),
         node=SimpleNamespace(peers=_peers() if plain["gossip"] else None),
         pass_on=lambda _frame: None,
-        set_standby=lambda on: service.begin_standby(NOW) if on else service.end_standby(),
+        set_standby=lambda on: lifecycle.begin_standby(NOW) if on else lifecycle.end_standby(),
     )
     run.set_standby(plain["standby"])
     made: list[Admin] = []
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -214,7 +214,7 @@
 def test_a_request_under_an_open_ones_id_is_rejected_and_gives_its_buffer_back(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    host.labels.add(b"same")
+    host.open_request_ids.add(b"same")
     conn.data_received(request("/credit/1", b"body", rid="same"))
     assert transport.written.startswith(b"HTTP/1.1 409")
     assert not host.budget.buffered
@@ -230,5 +230,5 @@
     assert host.labels_begun() == [b"upload"]
     assert not host.events
     conn.data_received(message[-1:])
-    assert host.events == [("uploaded", b"upload")]
+    assert host.events == [("body received", b"upload")]
     assert host.begun[0].flow.complete
