--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -22,7 +22,7 @@
 from benchmarks.stats import spread
 from fakes.cluster import Cluster, ClusterOptions
 from fakes.discovery import target
-from fakes.fleet import backends, started
+from fakes.processes import running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND
 from simulation.list_world import ListWorld
 from simulation.service_world.settings import ServicePlan
@@ -46,9 +46,9 @@
 def real(nodes: int, servers: int, readers: int, known: str) -> dict[str, Any]:
     """`nodes` started together; seconds from there until they say yes and have the whole list."""
     with (
-        backends(4, 2.0) as stand_ins,
+        running_backends(4, 2.0) as stand_ins,
         tempfile.TemporaryDirectory() as folder,
-        started(("-m", "fakes.discovery", "--lines", str(LINES))) as discovery,
+        running_process(("-m", "fakes.discovery", "--lines", str(LINES))) as discovery,
     ):
         rows = [target(f"s-{i}", stand_ins[i % 4].address) for i in range(servers)]
         old = rows[: int(servers * OLD_PART)]
@@ -68,7 +68,7 @@
             t.start()
             up = time.monotonic() - began
             every = list(t.nodes)
-            yes = [up + s for s in known_by_all(lambda n: t.nodes[n].ready(), every, LIMIT_S)]
+            yes = [up + s for s in known_by_all(lambda n: t.nodes[n].is_ready(), every, LIMIT_S)]
             if readers:
                 known_by_all(lambda n: whole(t, n, servers), every, LIMIT_S)
             books = discovery.call("GET", "/standin/state")
--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -31,7 +31,7 @@
 from typing import Any
 
 from benchmarks.stats import spread
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 from loadbalancer.config.address import parse_address
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import Health, ServerReport
@@ -196,7 +196,7 @@
 
 
 async def way(name: str, count: int, seconds: int, first: float, seed: int) -> dict[str, Any]:
-    with started(("-m", "fakes.consul")) as agent:
+    with running_process(("-m", "fakes.consul")) as agent:
         # The stand-in takes a body of 1 MiB at most: a part of the list at a time.
         every = rows(count)
         for at in range(2000, count + 2000, 2000):
@@ -208,7 +208,7 @@
             share = int(LINES * MARGIN) if name == "passed on" else UNLIMITED
             players = [player(agent, share, seed)]
         found = await play(agent, players, count, seconds, first, seed)
-        found["stand_in_cpu_s"] = round(agent.cpu(), 1)
+        found["stand_in_cpu_s"] = round(agent.cpu_seconds(), 1)
     if name == "unlimited":
         for key in ("lines_a_second_most", "lines_a_second_mean"):
             found[f"{key}_of_21"] = round(found[key] * READERS, 1)
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -23,7 +23,8 @@
 
 from benchmarks.stats import spread
 from fakes.files import write_control
-from fakes.fleet import SETTINGS, Process, started
+from fakes.node import SETTINGS
+from fakes.processes import Process, running_process
 from loadbalancer.cli.check import settings_of
 from loadbalancer.config.routes_file import check_file
 from loadbalancer.control.xds.encoder import Encoder
@@ -56,12 +57,12 @@
 
 
 def say(process: Process, **order: Any) -> Any:
-    return json.loads(process.say(json.dumps(order)))
+    return json.loads(process.send_line(json.dumps(order)))
 
 
 def memory_mb(process: Process) -> float:
     """Resident memory."""
-    for line in Path(f"/proc/{process.popen.pid}/status").read_text().splitlines():
+    for line in Path(f"/proc/{process.child.pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
@@ -71,8 +72,8 @@
 def control(folder: Path, discovery: str, servers: int, port: int = 0) -> Iterator[Process]:
     known = {"rev": 0, "all": True, "targets": listed(0, servers)}
     path = write_control(folder, SETTINGS, known, port, discovery)
-    with started(("-m", "loadbalancer", "control", str(path))) as process:
-        process.read_on()
+    with running_process(("-m", "loadbalancer", "control", str(path))) as process:
+        process.collect_log()
         yield process
 
 
@@ -85,7 +86,7 @@
             words = ("-m", "fakes.xds_proxy", at, "--count", str(min(share, count - i)),
                      "--variant", VARIANTS[variant], "--id", f"p{i}", "--light",
                      "--reconnect")  # fmt: skip
-            out.append(stack.enter_context(started(words)))
+            out.append(stack.enter_context(running_process(words)))
         for process in out:
             say(process, do="connect")
         yield out
@@ -94,13 +95,13 @@
 def seen(proxies: list[Process], host: str) -> list[float]:
     """When each proxy had answered what holds this host."""
     for process in proxies:
-        assert process.popen.stdin is not None
-        process.popen.stdin.write(json.dumps({"do": "seen", "text": host}) + "\n")
-        process.popen.stdin.flush()
+        assert process.child.stdin is not None
+        process.child.stdin.write(json.dumps({"do": "seen", "text": host}) + "\n")
+        process.child.stdin.flush()
     out: list[float] = []
     for process in proxies:
-        assert process.popen.stdout is not None
-        out += json.loads(process.popen.stdout.readline())
+        assert process.child.stdout is not None
+        out += json.loads(process.child.stdout.readline())
     return out
 
 
@@ -116,11 +117,11 @@
     before = received(proxies)
     count = 0
     for i, host in enumerate(hosts):
-        used = served.cpu()
+        used = served.cpu_seconds()
         told = change(i)
         times = sorted(t - told for t in seen(proxies, host))
         time.sleep(0.3)  # what else follows from the change is its cost too
-        cpu.append(served.cpu() - used)
+        cpu.append(served.cpu_seconds() - used)
         count = len(times)
         p50.append(times[count // 2])
         p99.append(times[min(int(0.99 * count), count - 1)])
@@ -139,7 +140,7 @@
     """One case, and its floor in the same run for the whole variant."""
     with (
         tempfile.TemporaryDirectory() as name,
-        started(("-m", "fakes.discovery")) as discovery,
+        running_process(("-m", "fakes.discovery")) as discovery,
     ):
         folder = Path(name)
         discovery.call("POST", "/standin/targets", listed(0, servers))
@@ -180,10 +181,10 @@
     table = check_file(str(folder / "routes.toml"), settings).table
     assert table is not None
     with (
-        started(("-m", "benchmarks.bare_streams")) as process,
+        running_process(("-m", "benchmarks.bare_streams")) as process,
         crowd(process.address, count, "whole") as proxies,
     ):
-        while json.loads(process.say(""))["streams"] < count:
+        while json.loads(process.send_line(""))["streams"] < count:
             time.sleep(0.05)
 
         def change(i: int) -> float:
@@ -200,7 +201,7 @@
             path = folder / "answer"
             path.write_bytes(ResponseEncoder(False).encode(reply))
             told = time.monotonic()
-            process.say(str(path))
+            process.send_line(str(path))
             return told
 
         hosts = [address(servers + i) for i in range(turns)]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,8 +23,8 @@
 from benchmarks.stats import spread
 from fakes.cluster import Cluster, running_cluster, wait_until
 from fakes.discovery import target
-from fakes.fleet import Process, backends, started
 from fakes.load import Clients
+from fakes.processes import Process, running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.sources.endpoint_list import backend_id
 from simulation.gossip_world import World
@@ -94,12 +94,12 @@
 
 def real(rounds: int) -> dict[str, Any]:
     found: dict[str, Any] = {"nodes": NODES}
-    with backends(4, 2.0) as servers:
+    with running_backends(4, 2.0) as servers:
         addresses = [s.address for s in servers]
         pairs = [w for i, a in enumerate(addresses, 1) for w in ("--target", f"s-{i}={a}")]
         for loss in LOSSES:
             with (
-                started(("-m", "fakes.discovery", *pairs)) as discovery,
+                running_process(("-m", "fakes.discovery", *pairs)) as discovery,
                 running_cluster(
                     NODES, addresses, settings={"registry_mode": "ask"},
                     overrides=lambda n, d=discovery: {"discovery": d.address} if n == 0 else {},
@@ -130,11 +130,11 @@
     with running_cluster(NODES, addresses, gossip=words) as t:
         if words:
             wait_until(lambda: all(t.status(n)["caught_up"] for n in t.nodes))
-        before = {n: p.cpu() for n, p in t.nodes.items()}
+        before = {n: p.cpu_seconds() for n, p in t.nodes.items()}
         books = t.order(books=True)
         time.sleep(AT_REST_S)
         later = t.order(books=True)
-        cpu = [(p.cpu() - before[n]) / AT_REST_S * 100 for n, p in t.nodes.items()]
+        cpu = [(p.cpu_seconds() - before[n]) / AT_REST_S * 100 for n, p in t.nodes.items()]
 
         def a_second(what: str) -> dict[str, float]:
             pairs = zip(books, later, strict=True)
@@ -148,7 +148,7 @@
 
 
 def resident_mb(process: Process) -> float:
-    with open(f"/proc/{process.popen.pid}/statm") as file:
+    with open(f"/proc/{process.child.pid}/statm") as file:
         return int(file.read().split()[1]) * 4096 / (1 << 20)
 
 
@@ -189,7 +189,7 @@
         for server in servers[:3]:
             server.call("POST", "/standin/faults", {"silent": 1.0})
         for node in range(7):
-            t.nodes[node].popen.kill()
+            t.nodes[node].child.kill()
             del front.weights[node]
     statuses = await front.play(rate, 12)
     after = [s.call("GET", "/standin/state") for s in servers]
@@ -212,7 +212,7 @@
         rows: dict[bool, list[dict[str, float]]] = {False: [], True: []}
         for i in range(pairs):
             for words in (False, True):
-                with backends(24, WORK_MS) as servers, running_cluster(
+                with running_backends(24, WORK_MS) as servers, running_cluster(
                     10, [s.address for s in servers], gossip=words
                 ) as t:  # fmt: skip
                     if words:
--- a/benchmarks/long.py
+++ b/benchmarks/long.py
@@ -21,7 +21,8 @@
 from typing import Any
 
 from benchmarks.stats import spread
-from fakes import fleet
+from fakes.node import SETTINGS, running_node
+from fakes.processes import Process, running_process
 
 SIZE = 8 << 20
 SERVERS = 4
@@ -51,12 +52,15 @@
 
 
 @contextmanager
-def relays() -> Iterator[dict[str, fleet.Process]]:
+def relays() -> Iterator[dict[str, Process]]:
     servers: list[Any] = [Server() for _ in range(SERVERS)]
     slow = {"name": "balance", "target": 1_900_000_000, "deadline": 2_000_000_000, "effect": "pure"}
-    settings = {"classes": [slow, *fleet.SETTINGS["classes"][1:]]}
+    settings = {"classes": [slow, *SETTINGS["classes"][1:]]}
     words = ("-m", "benchmarks.passthrough", *(s.address for s in servers))
-    with fleet.node(servers, settings=settings, memory_mb=64) as node, fleet.started(words) as bare:
+    with (
+        running_node(servers, settings=settings, memory_mb=64) as node,
+        running_process(words) as bare,
+    ):
         yield {"node": node, "bare": bare}
 
 
@@ -90,13 +94,13 @@
     return count * SIZE / (time.perf_counter() - began) / 1e6
 
 
-def resident(process: fleet.Process) -> float:
+def resident(process: Process) -> float:
     """Megabytes now."""
-    text = Path(f"/proc/{process.popen.pid}/status").read_text()
+    text = Path(f"/proc/{process.child.pid}/status").read_text()
     return int(re.findall(r"VmRSS:\s+(\d+)", text)[0]) / 1024
 
 
-async def waiting_readers(process: fleet.Process) -> tuple[float, float]:
+async def waiting_readers(process: Process) -> tuple[float, float]:
     """Growth in MB while READERS answers wait, and the seconds to read them all after."""
     before = resident(process)
     peers = [await ask(process.address, f"w{i}") for i in range(READERS)]
--- a/benchmarks/mixed_versions/gossip.py
+++ b/benchmarks/mixed_versions/gossip.py
@@ -15,7 +15,7 @@
 from benchmarks.mixed_versions.checkout import Checkout, call, free_ports, kill, wait_until
 from fakes.discovery import target
 from fakes.files import write_config
-from fakes.fleet import SETTINGS
+from fakes.node import SETTINGS
 
 NODES = 6
 KILLED = (0, 1)  # one of each version
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -21,9 +21,10 @@
 from typing import Any
 
 from benchmarks.stats import spread
-from fakes import fleet
 from fakes.files import routes_toml
 from fakes.load import Clients, send_at_rate
+from fakes.node import running_node
+from fakes.processes import running_backends, running_process
 from loadbalancer.config.toml_file import parse
 from loadbalancer.core.routes.canonical import is_canonical
 from loadbalancer.core.routes.file import decode
@@ -135,12 +136,12 @@
 def cpu(runs: int, count: int) -> dict[str, Any]:
     """Microseconds of CPU a request of each process, rounds in turn."""
     with (
-        fleet.backends(4, 0.0, 64) as servers,
+        running_backends(4, 0.0, 64) as servers,
         routes_file(many(1000)) as path,
-        fleet.node(servers) as plain,
-        fleet.node(servers) as same,
-        fleet.node(servers, routes=path) as routed,
-        fleet.started(
+        running_node(servers) as plain,
+        running_node(servers) as same,
+        running_node(servers, routes=path) as routed,
+        running_process(
             ("-m", "benchmarks.passthrough", *(s.address for s in servers))
         ) as bare,
     ):  # fmt: skip
@@ -151,10 +152,10 @@
             names = [*processes]
             for name in names[turn % 4 :] + names[: turn % 4]:
                 process = processes[name]
-                before = process.cpu()
+                before = process.cpu_seconds()
                 asyncio.run(closed_loop(process.address, count, 8, turn))
                 if turn:  # the first warms up
-                    spent[name].append((process.cpu() - before) / count * 1e6)
+                    spent[name].append((process.cpu_seconds() - before) / count * 1e6)
 
     def over(name: str) -> dict[str, float]:
         pairs = zip(spent[name], spent["no_file"], strict=True)
@@ -176,9 +177,9 @@
 def one_slow(text: str, count: int, seed: int) -> tuple[Clients, int]:
     """Ten servers of which one takes ten times as long; clients and attempts received."""
     with (
-        fleet.backends(10, 5.0) as servers,
+        running_backends(10, 5.0) as servers,
         routes_file(text) as path,
-        fleet.node(servers, routes=path) as node,
+        running_node(servers, routes=path) as node,
     ):
         servers[0].call("POST", "/standin/faults", {"slow": 10})
         clients = Clients(node.address, seed)
@@ -227,9 +228,9 @@
         ratios, served = [], []
         for seed in range(runs):
             with (
-                fleet.backends(8, 4.0) as servers,
+                running_backends(8, 4.0) as servers,
                 routes_file(text) as path,
-                fleet.node(servers, routes=path if text else "") as node,
+                running_node(servers, routes=path if text else "") as node,
             ):
                 for server in servers[:4]:
                     server.call("POST", "/standin/faults", {"error": 1.0})
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.fit import Slope, fit
 from fakes.discovery import target
 from fakes.files import write_config
-from fakes.fleet import SETTINGS
+from fakes.node import SETTINGS
 from loadbalancer.config.node import Config, load
 from loadbalancer.config.toml_file import parse
 from loadbalancer.core.endpoints.revisions import Revisions
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -17,9 +17,9 @@
 from benchmarks.scale.balancers import SHARING
 from benchmarks.scale.fit import Point, Slope, fit
 from benchmarks.scale.lists import rows
-from fakes import fleet
 from fakes.files import write_config
-from fakes.fleet import SETTINGS, Process, started
+from fakes.node import SETTINGS, running_node
+from fakes.processes import Process, running_backends, running_process
 
 REST_S = 2.5
 RESTS = 5
@@ -39,8 +39,8 @@
     with tempfile.TemporaryDirectory() as folder:
         settings = SETTINGS | {"balancers": SHARING}
         path = write_config(Path(folder, "config.json"), settings, known, limits=limits)
-        with started(("-m", "loadbalancer"), {"PROXY_CONFIG": str(path)}) as process:
-            process.read_on()
+        with running_process(("-m", "loadbalancer"), {"PROXY_CONFIG": str(path)}) as process:
+            process.collect_log()
             time.sleep(SETTLE_S)
             yield process
 
@@ -61,9 +61,9 @@
 
 def at_rest(process: Process) -> float:
     """Microseconds of processor time a second while it is left alone."""
-    before = process.cpu()
+    before = process.cpu_seconds()
     time.sleep(REST_S)
-    return 1e6 * (process.cpu() - before) / REST_S
+    return 1e6 * (process.cpu_seconds() - before) / REST_S
 
 
 def node_by_connections(quick: bool) -> list[Slope]:
@@ -72,10 +72,10 @@
     held, spent = [], []
     for size in sizes:
         with (
-            fleet.backends(1, 0.0) as servers,
-            fleet.node(servers, memory_mb=1024, sockets=16_384) as process,
+            running_backends(1, 0.0) as servers,
+            running_node(servers, memory_mb=1024, sockets=16_384) as process,
         ):
-            process.read_on()
+            process.collect_log()
             descriptors = open_descriptors(process)
             ping(process, 1)
             before = resident(process)
@@ -92,7 +92,7 @@
 
 def open_descriptors(process: Process) -> int:
     """Files and sockets that it has open."""
-    return len(list(Path(f"/proc/{process.popen.pid}/fd").iterdir()))
+    return len(list(Path(f"/proc/{process.child.pid}/fd").iterdir()))
 
 
 @contextlib.contextmanager
@@ -122,14 +122,14 @@
 
 def openings(process: Process, count: int) -> float:
     """Microseconds of the node for so many connections, less what their questions take."""
-    before = process.cpu()
+    before = process.cpu_seconds()
     ping(process, count)
     with answered(process) as sock:
-        between = process.cpu()
+        between = process.cpu_seconds()
         for _ in range(count):
             sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
             sock.recv(4096)
-        after = process.cpu()
+        after = process.cpu_seconds()
     return 1e6 * max((between - before) - (after - between), 0.0)
 
 
@@ -137,14 +137,14 @@
     """Microseconds of a real node's processor time for so many requests, eight at a time."""
     sizes = (400, 800, 1_600) if quick else (1_000, 2_000, 4_000)
     readings: dict[int, list[float]] = {size: [] for size in sizes}
-    with fleet.backends(4, 0.0, 64) as servers, fleet.node(servers) as process:
-        process.read_on()
+    with running_backends(4, 0.0, 64) as servers, running_node(servers) as process:
+        process.collect_log()
         asyncio.run(closed_loop(process.address, 400, 8, 1))
         for turn in range(8):
             for size in sizes:
-                before = process.cpu()
+                before = process.cpu_seconds()
                 asyncio.run(closed_loop(process.address, size, 8, turn + 2))
-                readings[size].append(1e6 * (process.cpu() - before))
+                readings[size].append(1e6 * (process.cpu_seconds() - before))
     return [fit("node.requests", "us", "request", points(readings))]
 
 
--- a/benchmarks/scale/realnodes.py
+++ b/benchmarks/scale/realnodes.py
@@ -8,7 +8,8 @@
 
 from benchmarks.scale.budget import Budget
 from fakes.files import write_config
-from fakes.fleet import SETTINGS, Process, started
+from fakes.node import SETTINGS
+from fakes.processes import Process, running_process
 from loadbalancer.control.machine.file import ScaleFile
 
 
@@ -27,14 +28,14 @@
         for i, bound in enumerate(self._bound):
             path = write_config(self._folder / f"real-{i}.json", SETTINGS, None)
             environ = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": str(bound.listen)}
-            process = self._stack.enter_context(started(("-m", "loadbalancer"), environ))
-            process.read_on()
-            self._budget.pids.add(process.popen.pid)
+            process = self._stack.enter_context(running_process(("-m", "loadbalancer"), environ))
+            process.collect_log()
+            self._budget.pids.add(process.child.pid)
             self._nodes[bound.service] = process
 
     def verdict(self) -> dict[str, dict[str, Any]]:
         """Return, by service, whether its node is ready."""
-        return {service: {"ready": node.ready()} for service, node in self._nodes.items()}
+        return {service: {"ready": node.is_ready()} for service, node in self._nodes.items()}
 
     def close(self) -> None:
         """End all nodes."""
--- a/fakes/bexpr.py
+++ b/fakes/bexpr.py
@@ -3,22 +3,23 @@
 Source: Consul's API documentation, "Filtering": selectors with dots or ["key"], `==`,
 `!=`, `in`, `not in`, `contains`, `not contains`, `matches`, `not matches`, `is empty`,
 `is not empty`, joined by `and`, `or`, `not` and parentheses. Over a list a selector
-holds if any element does.
+matches if any element does.
 """
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
+from enum import StrEnum
 from typing import Any, NamedTuple
 
-Test = Callable[[Any], bool]
+Predicate = Callable[[Any], bool]  # of one decoded row
 MAX_LENGTH = 64 << 10  # characters of an expression
-EXCERPT = 20  # characters that an error shows
+EXCERPT_LENGTH = 20  # characters of the expression that an error shows
 
 _TOKEN = re.compile(
-    r"""\s*(?:(?P<op>==|!=|\(|\))|"(?P<string>(?:[^"\\]|\\.)*)"|`(?P<raw>[^`]*)`"""
-    r"""|(?P<word>[A-Za-z0-9_./-]+(?:\["[^"]*"\])*(?:\.[A-Za-z0-9_-]+)*))"""
+    r"""\s*(?:(?P<operator>==|!=|\(|\))|"(?P<string>(?:[^"\\]|\\.)*)"|`(?P<raw>[^`]*)`"""
+    r"""|(?P<name>[A-Za-z0-9_./-]+(?:\["[^"]*"\])*(?:\.[A-Za-z0-9_-]+)*))"""
 )
 _SELECTOR_PART = re.compile(r'\["([^"]*)"\]|([^.\[\]"]+)')
 
@@ -27,15 +28,23 @@
     """An expression that can't be read."""
 
 
+class TokenKind(StrEnum):
+    """What a token is."""
+
+    OPERATOR = "operator"  # ==, != or a parenthesis
+    VALUE = "value"  # a quoted string
+    NAME = "name"  # a selector or a keyword
+
+
 class Token(NamedTuple):
-    """One token: `kind` is op, value (a quoted string) or word."""
+    """One token; `text` is a quoted string's content."""
 
-    kind: str
+    kind: TokenKind
     text: str
 
 
-def compiled(text: str) -> Test:
-    """The expression as a test of one decoded row.
+def compile_filter(text: str) -> Predicate:
+    """Compile an expression into a predicate of one decoded row.
 
     Raises:
         FilterError: it can't be read.
@@ -56,16 +65,21 @@
     while position < len(text):
         found = _TOKEN.match(text, position)
         if found is None:
-            raise FilterError(f"can't read {text[position : position + EXCERPT]!r}")
-        kind = str(found.lastgroup)
-        value = found[kind]
-        if kind == "string":
-            value = re.sub(r"\\(.)", r"\1", value)
-        tokens.append(Token("value" if kind in ("string", "raw") else kind, value))
+            raise FilterError(f"can't read {text[position : position + EXCERPT_LENGTH]!r}")
+        tokens.append(_token(found))
         position = found.end()
     return tokens
 
 
+def _token(found: re.Match[str]) -> Token:
+    group = str(found.lastgroup)
+    value = found[group]
+    if group == "string":
+        value = re.sub(r"\\(.)", r"\1", value)
+    is_quoted = group in ("string", "raw")
+    return Token(TokenKind.VALUE if is_quoted else TokenKind(group), value)
+
+
 class _Parser:
     """Recursive descent, one method a level of precedence."""
 
@@ -84,52 +98,52 @@
         self._position += 1
         return token
 
-    def _accept(self, word: str) -> bool:
-        """Whether the next token is this word; it is taken then."""
-        if self.peek() == Token("word", word):
+    def _accept(self, keyword: str) -> bool:
+        """Whether the next token is this keyword; if so, it is consumed."""
+        if self.peek() == Token(TokenKind.NAME, keyword):
             self._position += 1
             return True
         return False
 
-    def parse_or(self) -> Test:
+    def parse_or(self) -> Predicate:
         """Tests joined by `or`."""
         tests = [self._parse_and()]
         while self._accept("or"):
             tests.append(self._parse_and())
         return lambda row: any(test(row) for test in tests)
 
-    def _parse_and(self) -> Test:
+    def _parse_and(self) -> Predicate:
         tests = [self._parse_not()]
         while self._accept("and"):
             tests.append(self._parse_not())
         return lambda row: all(test(row) for test in tests)
 
-    def _parse_not(self) -> Test:
+    def _parse_not(self) -> Predicate:
         if self._accept("not"):
             return _negated(self._parse_not())
-        if self.peek() != Token("op", "("):
+        if self.peek() != Token(TokenKind.OPERATOR, "("):
             return self._parse_match()
         self._next()
         inner = self.parse_or()
-        if self._next() != Token("op", ")"):
+        if self._next() != Token(TokenKind.OPERATOR, ")"):
             raise FilterError("a parenthesis is not closed")
         return inner
 
-    def _parse_match(self) -> Test:
+    def _parse_match(self) -> Predicate:
         first = self._next()
-        if first.kind == "word" and self._accept("is"):
+        if first.kind is TokenKind.NAME and self._accept("is"):
             return self._parse_empty(first.text)
         is_negated = self._accept("not")
         operator = self._next()
-        if first.kind == "value" and operator.kind == "op":
+        if first.kind is TokenKind.VALUE and operator.kind is TokenKind.OPERATOR:
             raise FilterError(f"no operator after {first.text!r}")
-        if is_negated and operator.kind == "op":
+        if is_negated and operator.kind is TokenKind.OPERATOR:
             raise FilterError(f"not {operator.text}?")
-        test = _make_test(first.text, operator.text, self._next().text)
+        test = _comparison(first.text, operator.text, self._next().text)
         return _negated(test) if is_negated else test
 
-    def _parse_empty(self, text: str) -> Test:
-        """`selector is empty`, from behind `is`."""
+    def _parse_empty(self, text: str) -> Predicate:
+        """What follows `is` in `selector is empty` or `selector is not empty`."""
         selector = _selector(text)
         is_negated = self._accept("not")
         if not self._accept("empty"):
@@ -137,7 +151,7 @@
         return lambda row: any(bool(v) for v in _values(row, selector)) == is_negated
 
 
-def _make_test(left: str, operator: str, right: str) -> Test:
+def _comparison(left: str, operator: str, right: str) -> Predicate:
     selector = _selector(right if operator == "in" else left)
     match operator:
         case "in":
@@ -154,7 +168,7 @@
     raise FilterError(f"unknown operator {operator!r}")
 
 
-def _negated(test: Test) -> Test:
+def _negated(test: Predicate) -> Predicate:
     return lambda row: not test(row)
 
 
--- a/fakes/cluster.py
+++ b/fakes/cluster.py
@@ -16,7 +16,8 @@
 
 from fakes.discovery import target
 from fakes.files import write_config
-from fakes.fleet import SETTINGS, Process, started
+from fakes.node import SETTINGS
+from fakes.processes import Process, running_process
 
 MAX_STARTS = 64  # nodes that start at the same time
 WAIT_TIMEOUT_S = 30.0  # reached only where something hangs
@@ -58,7 +59,7 @@
         reserved = _reserve_ports(count)
         self._ports = [sock.getsockname()[1] for sock in reserved]
         arguments = ("-m", "fakes.links", "--seed", str(options.seed), *map(str, self._ports))
-        self.links = self._stack.enter_context(started(arguments))
+        self.links = self._stack.enter_context(running_process(arguments))
         self.addresses: list[list[str]] = json.loads(self.links.address)
         for sock in reserved:
             sock.close()
@@ -74,7 +75,7 @@
 
     def order(self, **command: object) -> Any:
         """Give the links a command; their answer."""
-        return json.loads(self.links.say(json.dumps(command)))
+        return json.loads(self.links.send_line(json.dumps(command)))
 
     def cut(self, one: Sequence[int], other: Sequence[int]) -> None:
         """Cut both ways between two sides, and nothing else."""
@@ -114,29 +115,28 @@
 
     def _start_node(self, node: int) -> None:
         stack = self._node_stacks[node] = contextlib.ExitStack()
-        process = stack.enter_context(started(("-m", "loadbalancer"), self.config(node)))
-        process.read_on()
+        process = stack.enter_context(running_process(("-m", "loadbalancer"), self.config(node)))
+        process.collect_log()
         self.nodes[node] = process
 
     def kill(self, *nodes: int) -> None:
         """End these nodes without warning."""
         for node in nodes:
             process = self.nodes.pop(node)
-            process.popen.kill()
-            process.popen.wait()
+            process.child.kill()
+            process.child.wait()
             self._node_stacks.pop(node).close()
 
     def signal(self, number: signal.Signals, *nodes: int) -> None:
         """Send these nodes a signal."""
         for node in nodes:
-            self.nodes[node].popen.send_signal(number)
+            self.nodes[node].child.send_signal(number)
 
     # ---- what nodes know of each other ---------------------------------------------------
 
     def status(self, node: int) -> dict[str, Any]:
         """What the node says of the others, on its second address."""
-        process = self.nodes[node]
-        status: dict[str, Any] = Process(process.popen, process.admin).call("GET", "/peers")
+        status: dict[str, Any] = self.nodes[node].call_admin("GET", "/peers")
         return status
 
     def living(self, node: int) -> set[int]:
--- a/fakes/consul/__init__.py
+++ b/fakes/consul/__init__.py
@@ -6,10 +6,11 @@
 indexes, filters, datacentres, staleness and leader loss. A row is one element of an answer's
 list.
 
-What a test or benchmark calls besides:
+Calls for tests and benchmarks:
 
     PUT  /standin/services   [{"ID", "Service", "Address", "Port", "Status", ...}]: replace all
     POST /standin/status     {"id": status}: set checks
     POST /standin/faults     the faults from now on, by their names in `faults`
-    GET  /standin/lines      rows by second and by reader (its User-Agent), queries and bytes
+    GET  /standin/lines      rows sent by second ("seconds") and by reader ("readers", its
+                             User-Agent), blocking queries ("waiting"), queries ("asked"), bytes
 """
--- a/fakes/consul/agent.py
+++ b/fakes/consul/agent.py
@@ -1,4 +1,4 @@
-"""The agent: it answers reads and writes, and counts what it answers."""
+"""The agent: it serves reads and writes, and counts rows, queries and bytes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
-from fakes.bexpr import FilterError, compiled
+from fakes.bexpr import FilterError, compile_filter
 from fakes.consul.catalog import Catalog, UnknownEndpointError
 from fakes.consul.faults import Faults
 from fakes.consul.rows import (
@@ -22,11 +22,11 @@
     PASSING,
     with_documented_keys,
 )
-from fakes.web import Asked, Reply
+from fakes.web import Reply, Request
 
 MAX_WAIT_S = 600.0
 DEFAULT_WAIT_S = 300.0
-WAIT_JITTER_PART = 1 / 16  # as documented, so that waiters part
+WAIT_JITTER_PART = 1 / 16  # of a query's wait, as documented: waiters do not end together
 LEADER = b'"127.0.0.1:8300"'
 STATUS_BY_CALL = {"pass": PASSING, "warn": "warning", "fail": CRITICAL}
 
@@ -52,22 +52,22 @@
         self._ttl_timers: dict[str, asyncio.TimerHandle] = {}  # by instance
         self._random = Random(1)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._rows_by_second: Counter[int] = Counter()
-        self._rows_by_reader: Counter[str] = Counter()
-        self._blocked_queries = 0
-        self._query_count = 0
+        self._rows_by_second: Counter[int] = Counter()  # of the monotonic clock
+        self._rows_by_reader: Counter[str] = Counter()  # by User-Agent
+        self._blocking_queries = 0
+        self._queries_received = 0
         self._body_bytes = 0
 
-    async def handle(self, asked: Asked) -> Reply:
+    async def handle(self, request: Request) -> Reply:
         """Answer one request."""
-        if asked.path.startswith("/standin/"):
-            return await self._control(asked)
-        if asked.path == "/v1/status/leader":
+        if request.path.startswith("/standin/"):
+            return await self._control(request)
+        if request.path == "/v1/status/leader":
             return Reply(200, b'""' if self._faults.leaderless else LEADER)
-        if asked.method == "GET":
-            self._query_count += 1
-            return await self._read(asked)
-        return await self._write(asked)
+        if request.method == "GET":
+            self._queries_received += 1
+            return await self._read(request)
+        return await self._write(request)
 
     async def _notify(self) -> None:
         """Wake the blocking queries: something has changed."""
@@ -76,27 +76,27 @@
 
     # ---- reads ---------------------------------------------------------------------
 
-    async def _read(self, asked: Asked) -> Reply:
-        query = {k: v[0] for k, v in parse_qs(asked.query, keep_blank_values=True).items()}
-        refusal = self._refusal(asked, query)
-        if refusal is None and int(query.get("index", 0)) > 0:
-            await self._wait_for_change(asked.path, query)
-            refusal = self._refusal(asked, query)
-        if refusal is not None:
-            return refusal
+    async def _read(self, request: Request) -> Reply:
+        query = {k: v[0] for k, v in parse_qs(request.query, keep_blank_values=True).items()}
+        rejection = self._rejection(request, query)
+        if rejection is None and int(query.get("index", 0)) > 0:
+            await self._wait_for_change(request.path, query)
+            rejection = self._rejection(request, query)
+        if rejection is not None:
+            return rejection
         try:
-            test = compiled(query["filter"]) if query.get("filter") else None
-            body = self._catalog.query(asked.path, query)
+            test = compile_filter(query["filter"]) if query.get("filter") else None
+            body = self._catalog.query(request.path, query)
             if test is not None and isinstance(body, list):
                 body = [row for row in body if test(row)]
         except UnknownEndpointError:
             return Reply(404)
         except (FilterError, re.error) as err:
             return Reply(400, f"Failed to create filter: {err}".encode())
-        return self._answer(asked, self._with_rows_missing(body))
+        return self._answer(request, self._with_rows_missing(body))
 
-    def _refusal(self, asked: Asked, query: dict[str, str]) -> Reply | None:
-        """The answer in place of a result, if a fault wants one."""
+    def _rejection(self, request: Request, query: dict[str, str]) -> Reply | None:
+        """The response in place of a result, if a fault calls for one."""
         faults = self._faults
         if faults.silent:
             return Reply(silent=True)
@@ -106,27 +106,27 @@
             return Reply(faults.status, b"rate limit or error")
         if faults.leaderless and "stale" not in query:
             return Reply(500, b"No cluster leader")
-        if faults.token and asked.headers.get("x-consul-token") != faults.token:
+        if faults.token and request.headers.get("x-consul-token") != faults.token:
             return Reply(403, b"ACL not found")
         return None
 
     async def _wait_for_change(self, path: str, query: dict[str, str]) -> None:
-        """Hold a blocking query until its index has changed, or its time is over."""
+        """Block a query until its index has changed, or its wait has elapsed."""
         since = int(query["index"])
         wait_s = min(parse_duration(query.get("wait", "5m")), MAX_WAIT_S) or DEFAULT_WAIT_S
         wait_s += wait_s * WAIT_JITTER_PART * self._random.random()
 
         def has_changed() -> bool:
-            # An index ahead of the present one is from before a rewind: answered at once.
+            # An index ahead of the present one is from before a rewind: it returns at once.
             return self._catalog.index_of(path) != since
 
-        self._blocked_queries += 1
+        self._blocking_queries += 1
         try:
             async with self._changed:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._changed.wait_for(has_changed), wait_s)
         finally:
-            self._blocked_queries -= 1
+            self._blocking_queries -= 1
 
     def _with_rows_missing(self, body: Any) -> Any:
         if not isinstance(body, list):
@@ -135,18 +135,18 @@
             return []
         return body[: len(body) // 2] if self._faults.half else body
 
-    def _answer(self, asked: Asked, body: Any) -> Reply:
+    def _answer(self, request: Request, body: Any) -> Reply:
         faults = self._faults
         if isinstance(body, list):
             self._rows_by_second[int(time.monotonic())] += len(body)
-            self._rows_by_reader[asked.headers.get("user-agent", "-")] += len(body)
+            self._rows_by_reader[request.headers.get("user-agent", "-")] += len(body)
         data = json.dumps(body).encode()
         self._body_bytes += len(data)
         if faults.body is not None:
             data = str(faults.body).encode()
         headers = {
             "Content-Type": "application/json",
-            "X-Consul-Index": str(self._catalog.index_of(asked.path)),
+            "X-Consul-Index": str(self._catalog.index_of(request.path)),
             "X-Consul-KnownLeader": "false" if faults.leaderless else "true",
             "X-Consul-LastContact": str(faults.contact_ms),
         }
@@ -154,10 +154,10 @@
 
     # ---- writes --------------------------------------------------------------------
 
-    async def _write(self, asked: Asked) -> Reply:
+    async def _write(self, request: Request) -> Reply:
         """The agent's and the catalogue's registration endpoints."""
-        path = asked.path.removeprefix("/v1/")
-        raw = with_documented_keys(json.loads(asked.body)) if asked.body else {}
+        path = request.path.removeprefix("/v1/")
+        raw = with_documented_keys(json.loads(request.body)) if request.body else {}
         endpoint, _, uid = path.rpartition("/")
         reply = Reply(200)
         if path == "agent/service/register":
@@ -171,7 +171,7 @@
         elif endpoint == "agent/service/deregister":
             self._catalog.remove(LOCAL_DATACENTER, unquote(uid))
         elif endpoint == "agent/service/maintenance":
-            reply = self._set_maintenance(unquote(uid), asked.query)
+            reply = self._set_maintenance(unquote(uid), request.query)
         elif endpoint.startswith("agent/check/"):
             reply = self._renew_check(unquote(uid), endpoint.rpartition("/")[2])
         else:
@@ -232,13 +232,13 @@
         self._tasks.add(task)  # the loop itself holds no task
         task.add_done_callback(self._tasks.discard)
 
-    # ---- what a test calls ------------------------------------------------------------
+    # ---- calls for tests ------------------------------------------------------------
 
-    async def _control(self, asked: Asked) -> Reply:
-        if asked.path == "/standin/lines":
+    async def _control(self, request: Request) -> Reply:
+        if request.path == "/standin/lines":
             return Reply(200, json.dumps(self._counters()).encode())
-        raw = json.loads(asked.body)
-        match asked.path.removeprefix("/standin/"):
+        raw = json.loads(request.body)
+        match request.path.removeprefix("/standin/"):
             case "services":
                 self._catalog.replace_all(raw)
             case "status":
@@ -257,7 +257,7 @@
         return {
             "seconds": dict(self._rows_by_second),
             "readers": dict(self._rows_by_reader),
-            "waiting": self._blocked_queries,
-            "asked": self._query_count,
+            "waiting": self._blocking_queries,
+            "asked": self._queries_received,
             "bytes": self._body_bytes,
         }
--- a/fakes/consul/catalog.py
+++ b/fakes/consul/catalog.py
@@ -99,8 +99,8 @@
         """
         datacenter = query.get("dc", LOCAL_DATACENTER)
         instances = [i for (dc, _), i in sorted(self._instances.items()) if dc == datacenter]
-        area, _, rest = path.removeprefix("/v1/").partition("/")
-        endpoint, _, name = rest.partition("/")
+        area, _, resource = path.removeprefix("/v1/").partition("/")
+        endpoint, _, name = resource.partition("/")
         name = unquote(name)
         match area, endpoint:
             case "catalog", "services":
--- a/fakes/consul/rows.py
+++ b/fakes/consul/rows.py
@@ -42,7 +42,7 @@
     service: dict[str, Any]  # in the form of the health endpoint's "Service"
     status: str  # of its own check
     in_maintenance: bool
-    ttl_s: float = 0.0  # within which its check must be renewed, 0 for ever
+    ttl_s: float = 0.0  # until its check becomes critical if not renewed; 0 for no limit
 
     @property
     def name(self) -> str:
@@ -51,7 +51,7 @@
 
 
 def make_instance(raw: dict[str, Any], index: int, replaced: Instance | None) -> Instance:
-    """An instance from a registration; `index` is that of the change."""
+    """An instance from a registration; `index` is the ModifyIndex of this change."""
     name = raw.get("Name") or raw["Service"]
     uid = raw.get("ID") or name
     service = {
--- a/fakes/discovery.py
+++ b/fakes/discovery.py
@@ -3,14 +3,14 @@
     python -m fakes.discovery --listen 127.0.0.1:0 --target s-1=127.0.0.1:9001 ...
 
 With `--lines N` it works through calls in turn, N rows a second for all, and rejects with 503 a
-call that has waited for `--patience` seconds. It works on for callers that have given up: it does
-not look whether a connection still exists until it has the answer.
+call that has waited for `--patience` seconds. It works on for callers that have disconnected: a
+connection is not looked at until its response is ready.
 
-What a test or benchmark calls besides:
+Calls for tests and benchmarks:
 
     POST /standin/targets   [target, ...]: replace the list
     POST /standin/faults    the faults from now on, by their names in `Faults`
-    GET  /standin/state     counters: calls, complete lists ("whole"), rows ("lines"), ...
+    GET  /standin/state     counters by their names in `Counted`, and rows sent by second
 """
 
 from __future__ import annotations
@@ -19,11 +19,12 @@
 import asyncio
 import json
 from collections import Counter
+from enum import StrEnum
 from random import Random
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs
 
-from fakes.web import Asked, Reply, serve, split_address
+from fakes.web import Reply, Request, serve, split_address
 from loadbalancer.core.endpoints.revisions import Revisions
 
 FIRST_VERSION = 1
@@ -32,11 +33,22 @@
 OK, UNAVAILABLE = 200, 503
 
 
+class Counted(StrEnum):
+    """What is counted, by its name in the answer to GET /standin/state."""
+
+    CALLS = "calls"  # of the list
+    REJECTED = "turned away"
+    POLLS_WITHOUT_VERSION = "asked for all"
+    FULL_LISTS_REQUESTED = "whole asked"
+    FULL_LISTS_SENT = "whole"
+    ROWS = "lines"  # sent
+
+
 class Faults(NamedTuple):
     """The faults at present."""
 
-    silent: bool = False  # never answers
-    status: int = OK  # answers with this status
+    silent: bool = False  # sends no response
+    status: int = OK  # responds with this status
     refuse: float = 0.0  # rejects this part of calls at once
     down: bool = False  # resets all calls, those that wait for their turn too
     slow: float = 1.0  # needs so many times as long for a row
@@ -58,17 +70,17 @@
 
 
 class Discovery:
-    """Answers with what has changed since a version that it knows, else with the complete list.
+    """Responds with the delta since a version that it knows, else with the complete list.
 
-    `rows_per_second` 0: every call is answered at once. `patience_s` is how long a call waits for
-    its turn.
+    With `rows_per_second` 0 every call is answered at once. `queue_timeout_s` is how many seconds a
+    call waits for its turn before it is rejected.
     """
 
     def __init__(
         self,
         targets: list[dict[str, Any]],
         rows_per_second: int = 0,
-        patience_s: float = 5.0,
+        queue_timeout_s: float = 5.0,
         seed: int = 1,
     ) -> None:
         self._list: Revisions[dict[str, Any]] = Revisions(FIRST_VERSION)
@@ -80,21 +92,21 @@
         self._counters: Counter[str] = Counter()
         self._rows_by_second: Counter[int] = Counter()
         self._rows_per_second = rows_per_second
-        self._patience_s = patience_s
+        self._queue_timeout_s = queue_timeout_s
         self._busy_until = 0.0  # the loop's time when the calls that it has are answered
 
-    async def handle(self, asked: Asked) -> Reply:
+    async def handle(self, request: Request) -> Reply:
         """Answer one request."""
-        match asked.method, asked.path:
+        match request.method, request.path:
             case "GET", "/registry/instances":
-                return await self._answer_list_call(asked)
+                return await self._answer_list_call(request)
             case "POST", "/standin/targets":
-                self._list.replace({row["uid"]: row for row in json.loads(asked.body)})
+                self._list.replace({row["uid"]: row for row in json.loads(request.body)})
                 async with self._changed:
                     self._changed.notify_all()
                 return Reply()
             case "POST", "/standin/faults":
-                self._set_faults(Faults(**json.loads(asked.body)))
+                self._set_faults(Faults(**json.loads(request.body)))
                 return Reply()
             case "GET", "/standin/state":
                 by_second = list(self._rows_by_second.values())
@@ -105,7 +117,7 @@
     def _set_faults(self, faults: Faults) -> None:
         if faults.down and not self._faults.down:
             self._outages += 1
-            self._busy_until = 0.0  # the calls that waited for their turn are gone
+            self._busy_until = 0.0  # the calls that waited for their turn are reset
         self._faults = faults
         if faults.rev is not None:
             rows = self._list.rows
@@ -114,48 +126,48 @@
 
     # ---- the list --------------------------------------------------------------------
 
-    async def _answer_list_call(self, asked: Asked) -> Reply:
-        self._counters["calls"] += 1
+    async def _answer_list_call(self, request: Request) -> Reply:
+        self._counters[Counted.CALLS] += 1
         if self._faults.down:
-            self._counters["turned away"] += 1
+            self._counters[Counted.REJECTED] += 1
             return Reply(reset=True)
         outages = self._outages
-        reply = await self._list_reply(asked)
+        reply = await self._list_reply(request)
         return reply if outages == self._outages else Reply(reset=True)
 
-    async def _list_reply(self, asked: Asked) -> Reply:
+    async def _list_reply(self, request: Request) -> Reply:
         rejection = self._rejection()
         if rejection is not None:
             return rejection
-        query = parse_qs(asked.query)
+        query = parse_qs(request.query)
         since = int(query["from"][0]) if "from" in query else NO_VERSION
-        self._counters["asked for all"] += since < 0
+        self._counters[Counted.POLLS_WITHOUT_VERSION] += since < 0
         if since == self._list.rev:
             hold_ms = min(int(query.get("hold_ms", ["0"])[0]), MAX_HOLD_MS)
             if not await self._wait_for_change(since, hold_ms / 1000):
                 return _list_body(self._list.rev, False, [])
         changed, is_complete = self._list.since(since)
         rev = self._list.rev  # of these rows: the list may change while the call waits its turn
-        self._counters["whole asked"] += is_complete
+        self._counters[Counted.FULL_LISTS_REQUESTED] += is_complete
         if not await self._wait_for_turn(max(len(changed), 1)):
-            self._counters["turned away"] += 1
+            self._counters[Counted.REJECTED] += 1
             return Reply(UNAVAILABLE)
-        self._counters["whole"] += is_complete
+        self._counters[Counted.FULL_LISTS_SENT] += is_complete
         rows = [row or {"uid": uid, "state": "left"} for uid, row in changed.items()]
         return _list_body(rev, is_complete, rows)
 
     def _rejection(self) -> Reply | None:
-        """The answer in place of a list, if a fault wants one."""
+        """The response in place of a list, if a fault calls for one."""
         faults = self._faults
         is_faulty = faults.silent or faults.status != OK
         if not is_faulty and self._random.random() >= faults.refuse:
             return None
-        self._counters["turned away"] += 1
+        self._counters[Counted.REJECTED] += 1
         status = faults.status if faults.status != OK else UNAVAILABLE
         return Reply(status, silent=faults.silent)
 
     async def _wait_for_change(self, since: int, hold_s: float) -> bool:
-        """Whether the list has changed within this time."""
+        """Whether the list has changed within so many seconds."""
         async with self._changed:
             try:
                 await asyncio.wait_for(
@@ -168,14 +180,14 @@
     async def _wait_for_turn(self, rows: int) -> bool:
         """Wait until so many rows can be sent; False where that takes too long."""
         if not self._rows_per_second:
-            self._counters["lines"] += rows
+            self._counters[Counted.ROWS] += rows
             return True
         now = asyncio.get_running_loop().time()
         begin = max(self._busy_until, now)
-        if begin - now > self._patience_s:
-            await asyncio.sleep(self._patience_s)
+        if begin - now > self._queue_timeout_s:
+            await asyncio.sleep(self._queue_timeout_s)
             return False
-        self._counters["lines"] += rows
+        self._counters[Counted.ROWS] += rows
         row_s = self._faults.slow / self._rows_per_second
         self._busy_until = begin + rows * row_s
         for number in range(rows):
@@ -201,7 +213,9 @@
     parser.add_argument("--listen", default="127.0.0.1:0")
     parser.add_argument("--target", action="append", default=[], metavar="UID=ADDRESS")
     parser.add_argument("--lines", type=int, default=0, help="rows a second, 0 for no limit")
-    parser.add_argument("--patience", type=float, default=5.0, metavar="SECONDS")
+    parser.add_argument(
+        "--patience", type=float, default=5.0, metavar="SECONDS", help="until a call is rejected"
+    )
     args = parser.parse_args()
     pairs = (text.split("=", 1) for text in args.target)
     rows = [target(uid, endpoint) for uid, endpoint in pairs]
--- a/fakes/web.py
+++ b/fakes/web.py
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request; header names in lower case."""
+class Request:
+    """One request; header names are in lower case, `query` is what follows the question mark."""
 
     method: str
     path: str
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An answer, or what happens in its place."""
+    """A response, or the fault that takes its place."""
 
     status: int = 200
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
-    reset: bool = False  # the connection is reset in place of an answer
-    silent: bool = False  # there is never an answer
+    reset: bool = False  # the connection is reset, and no response sent
+    silent: bool = False  # the connection stays open, and no response is sent
     cut: int | None = None  # the connection ends after so many bytes of the body
     rate: int = 0  # bytes of the body a second, 0 for no limit
     endless: bool = False  # the body never ends
@@ -43,7 +43,7 @@
         return self.cut is not None or self.rate > 0 or self.endless
 
 
-Handler = Callable[[Asked], Awaitable[Reply]]
+Handler = Callable[[Request], Awaitable[Reply]]
 
 
 async def serve(handler: Handler, host: str, port: int) -> asyncio.Server:
@@ -71,8 +71,8 @@
 ) -> None:
     try:
         while True:
-            asked = await _read_request(reader)
-            reply = await handler(asked)
+            request = await _read_request(reader)
+            reply = await handler(request)
             if reply.silent:
                 await reader.read()
                 return
@@ -84,7 +84,7 @@
                 return
             writer.write(_head(reply).encode() + reply.body)
             await writer.drain()
-            if asked.headers.get("connection", "").lower() == "close":
+            if request.headers.get("connection", "").lower() == "close":
                 return
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError, OSError):
         return  # the peer has closed, or does not speak HTTP
@@ -93,7 +93,7 @@
             writer.close()
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Asked:
+async def _read_request(reader: asyncio.StreamReader) -> Request:
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     method, target, _version = lines[0].split(" ")
     headers = {}
@@ -105,7 +105,7 @@
         raise ValueError("the body is too large")
     body = await reader.readexactly(size) if size else b""
     path, _, query = target.partition("?")
-    return Asked(method, path, query, headers, body)
+    return Request(method, path, query, headers, body)
 
 
 def _head(reply: Reply) -> str:
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -27,17 +27,18 @@
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
     """Run the demo; 0 where every request was answered, 1 where one was not."""
     # By name: the product does not depend on its fakes, only this sub-command does.
-    fleet, load = import_module("fakes.fleet"), import_module("fakes.load")
-    routes = str(fleet.ROOT / "deploy" / "routes.toml")
-    with fleet.backends(SERVERS, WORK_MS) as servers:
+    processes, nodes = import_module("fakes.processes"), import_module("fakes.node")
+    load = import_module("fakes.load")
+    routes = str(processes.ROOT / "deploy" / "routes.toml")
+    with processes.running_backends(SERVERS, WORK_MS) as servers:
         targets = [
             argument
             for number, server in enumerate(servers, 1)
             for argument in ("--target", f"s-{number}={server.address}")
         ]
         with (
-            fleet.started(("-m", "fakes.discovery", *targets)) as discovery,
-            fleet.node(servers, discovery.address, routes) as node,
+            processes.running_process(("-m", "fakes.discovery", *targets)) as discovery,
+            nodes.running_node(servers, discovery.address, routes) as node,
         ):
             print(f"node {node.address}, discovery {discovery.address}, routes {routes}", file=out)
             for number, server in enumerate(servers, 1):
@@ -53,7 +54,7 @@
             states = [server.call("GET", "/standin/state") for server in servers]
     _print_clients(clients, out)
     _print_servers(states, out)
-    for line in node.log.splitlines():
+    for line in node.log_text.splitlines():
         if "policies: " in line:
             print(f"\nthe node's own records: {line.partition('policies: ')[2]}", file=out)
     attempts = sum(state.get("received", 0) for state in states)
--- a/tests/control/xds/support.py
+++ b/tests/control/xds/support.py
@@ -18,7 +18,7 @@
 from envoy.service.status.v3 import csds_pb2
 
 from fakes.files import GRPC_BALANCE, METHODS, routes_toml, write_config, write_control
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 from loadbalancer.control.xds.client_status import SERVICE as CSDS_SERVICE
 from loadbalancer.control.xds.discovery_service import SERVICE as ADS_SERVICE
 from loadbalancer.control.xds.load_reports import SERVICE as LRS_SERVICE
@@ -40,7 +40,7 @@
     tmp_path: Path, known: dict[str, Any], discovery: str = "127.0.0.1:1", port: int = 0
 ) -> Iterator[Process]:
     path = write_one_pool(tmp_path, port, known, discovery)
-    with started(("-m", "loadbalancer", "control", str(path))) as process:
+    with running_process(("-m", "loadbalancer", "control", str(path))) as process:
         yield process
 
 
@@ -55,12 +55,12 @@
         "node": {"id": "p1", "locality": {"zone": "east"}},
     }  # fmt: skip
     environ = {"GRPC_XDS_BOOTSTRAP_CONFIG": json.dumps(bootstrap)}
-    with started(("-m", "fakes.xds_client", "xds:///app.svc"), environ) as process:
+    with running_process(("-m", "fakes.xds_client", "xds:///app.svc"), environ) as process:
         yield process
 
 
 def calls(process: Process, count: int, method: str = "Balance") -> dict[str, int]:
-    seen: dict[str, int] = json.loads(process.say(f"/topup.Topup/{method} {count}"))
+    seen: dict[str, int] = json.loads(process.send_line(f"/topup.Topup/{method} {count}"))
     return seen
 
 
@@ -68,7 +68,7 @@
 def grpc_servers(*names: str) -> Iterator[dict[str, Process]]:
     with contextlib.ExitStack() as stack:
         yield {
-            name: stack.enter_context(started(("-m", "fakes.topup_grpc", "--name", name)))
+            name: stack.enter_context(running_process(("-m", "fakes.topup_grpc", "--name", name)))
             for name in names
         }
 
@@ -262,13 +262,13 @@
 
 def wait_for_log(process: Process, text: str) -> None:
     """Wait for a line of the service's log, and keep all that came before it."""
-    assert process.popen.stdout is not None
+    assert process.child.stdout is not None
     lines = []
-    for line in process.popen.stdout:
+    for line in process.child.stdout:
         lines.append(line)
         if text in line:
             break
-    process.heard += "".join(lines)
+    process.log_text += "".join(lines)
 
 
 # ---- two pools ----------------------------------------------------------------
@@ -311,7 +311,7 @@
 @contextlib.contextmanager
 def two_pools(tmp_path: Path, text: str = TWO_POOLS) -> Iterator[Process]:
     path = write_two_pools(tmp_path, text)
-    with started(("-m", "loadbalancer", "control", str(path))) as process:
+    with running_process(("-m", "loadbalancer", "control", str(path))) as process:
         yield process
 
 
--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_hostile.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 from tests.control.xds.support import (
     control_service,
     resource_statuses,
@@ -30,13 +30,13 @@
 
 
 def order(process: Process, **fields: Any) -> Any:
-    return json.loads(process.say(json.dumps(fields)))
+    return json.loads(process.send_line(json.dumps(fields)))
 
 
 @contextlib.contextmanager
 def scripted_proxies(address: str, count: int, variant: str, *more: str) -> Iterator[Process]:
     arguments = ("-m", "fakes.xds_proxy", address, "--count", str(count), "--variant", variant)
-    with started((*arguments, *more)) as process:
+    with running_process((*arguments, *more)) as process:
         order(process, do="connect")
         yield process
 
@@ -46,7 +46,7 @@
     tmp_path: Path, targets: list[dict[str, Any]]
 ) -> Iterator[tuple[Process, Process]]:
     """Discovery, and a control service that takes its list from there."""
-    with started(("-m", "fakes.discovery")) as discovery:
+    with running_process(("-m", "fakes.discovery")) as discovery:
         discovery.call("POST", "/standin/targets", targets)
         known = roster(*targets)
         with control_service(tmp_path, known, discovery.address) as process:
@@ -211,7 +211,7 @@
     """
     with (
         service_and_discovery(tmp_path, target_list(1, 5)) as (process, discovery),
-        started(("-m", "fakes.relay", process.address)) as relay,
+        running_process(("-m", "fakes.relay", process.address)) as relay,
         scripted_proxies(relay.address, 1, variant, "--reconnect") as one,
     ):
         for turn, cut in enumerate(range(0, 3600, 90)):
@@ -246,7 +246,7 @@
     after = [before[0] | {"state": "leaving"}, *before[1:]]
     with (
         service_and_discovery(tmp_path, before) as (process, discovery),
-        started(("-m", "fakes.relay", process.address)) as relay,
+        running_process(("-m", "fakes.relay", process.address)) as relay,
         scripted_proxies(process.address, 5, variant) as proxies,
         scripted_proxies(relay.address, 1, variant, "--id", "slow") as slow,
     ):
@@ -262,7 +262,7 @@
         wait_until_applied(proxies, endpoints_of(before[:1], DRAINING))
         consistent_states(proxies)
         wait_for_log(process, "drain of 127.0.0.1:20001")
-    line = next(x for x in process.log.splitlines() if "drain of 127.0.0.1:20001" in x)
+    line = next(x for x in process.log_text.splitlines() if "drain of 127.0.0.1:20001" in x)
     assert "acknowledged in time by 4 proxies, NOT by 2: p-5, slow-1" in line
 
 
@@ -278,7 +278,7 @@
             discovery.call("POST", "/standin/targets", rows)
             wait_until_applied(proxies, endpoints_of(rows[: i + 1], DRAINING))
         wait_for_log(process, "drain of 127.0.0.1:20002 acknowledged in time by 3 proxies")
-    assert "drain of 127.0.0.1:20001 acknowledged in time by 3 proxies" in process.log
+    assert "drain of 127.0.0.1:20001 acknowledged in time by 3 proxies" in process.log_text
 
 
 def test_270_servers_are_all_replaced_while_proxies_reconnect(tmp_path: Path) -> None:
--- a/tests/control/xds/test_load_reports.py
+++ b/tests/control/xds/test_load_reports.py
@@ -65,7 +65,7 @@
             stream.request(CLUSTER_URL)
             assert len(stream.receive().resources) == 1
         reporter.close()
-    assert process.log.count("load report not counted: more than 1000000 a second") == 1
+    assert process.log_text.count("load report not counted: more than 1000000 a second") == 1
 
 
 def test_a_flood_of_reports_ends_its_stream_alone(tmp_path: Path) -> None:
--- a/tests/control/xds/test_pools.py
+++ b/tests/control/xds/test_pools.py
@@ -11,7 +11,7 @@
 
 from envoy.admin.v3.config_dump_shared_pb2 import ClientResourceStatus
 
-from fakes.fleet import started
+from fakes.processes import running_process
 from loadbalancer.control.xds.file import read_file
 from loadbalancer.control.xds.pool import Pool
 from loadbalancer.control.xds.pool_inputs import read_inputs
@@ -70,7 +70,7 @@
     members = tmp_path / "billing-members.json"
     members.write_text(json.dumps(roster()))
     with (
-        started(("-m", "loadbalancer", "control", str(path))) as process,
+        running_process(("-m", "loadbalancer", "control", str(path))) as process,
         raw_stream(process, False) as stream,
     ):
         stream.request(CLUSTER_URL)
@@ -87,14 +87,14 @@
             tmp_path / "topup.toml", good.replace('path = "/topup.Topup/Balance"', "path = 5")
         )
         replace_file(tmp_path / "billing.toml", good.replace('"topup"', '"other"'))
-        process.popen.send_signal(signal.SIGHUP)
+        process.child.send_signal(signal.SIGHUP)
         wait_for_log(process, "reload: nothing changed")
         replace_file(
             tmp_path / "topup.toml", good.replace("/topup.Topup/Balance", "/topup.Topup/Ask")
         )
         billing = good.replace('"topup"', '"billing"').replace('"app.svc"', '"b2.svc"')
         replace_file(tmp_path / "billing.toml", billing)
-        process.popen.send_signal(signal.SIGHUP)
+        process.child.send_signal(signal.SIGHUP)
         wait_for_log(process, "reload: applied")
         while proxy.routes.virtual_hosts[0].routes[0].match.path != "/topup.Topup/Ask":
             proxy.receive()
@@ -110,11 +110,11 @@
             ('members = "billing', 'members = "other'),
         ):  # fmt: skip
             replace_file(tmp_path / "control.toml", TWO_POOLS.replace(old, new))
-            process.popen.send_signal(signal.SIGHUP)
+            process.child.send_signal(signal.SIGHUP)
             wait_for_log(process, "reload: nothing changed")
         assert list(proxy.routes.virtual_hosts[1].domains) == ["bill.svc"]
         replace_file(tmp_path / "control.toml", TWO_POOLS)
-        process.popen.send_signal(signal.SIGHUP)
+        process.child.send_signal(signal.SIGHUP)
         wait_for_log(process, "reload: applied")
         while list(proxy.routes.virtual_hosts[1].domains) != ["b2.svc"]:
             proxy.receive()
@@ -154,7 +154,7 @@
         assert row.name == "topup"
         assert row.client_status == ClientResourceStatus.DOES_NOT_EXIST
         assert "not served: bounds nothing in flight" in row.error_state.details
-    assert process.log.count("topup is not served") == 1
+    assert process.log_text.count("topup is not served") == 1
 
 
 def test_a_list_that_was_not_confirmed_for_long_is_stale_and_stays(tmp_path: Path) -> None:
--- a/tests/control/xds/test_service.py
+++ b/tests/control/xds/test_service.py
@@ -13,7 +13,7 @@
 from envoy.admin.v3.config_dump_shared_pb2 import ClientResourceStatus
 from envoy.config.endpoint.v3 import endpoint_pb2
 
-from fakes.fleet import started
+from fakes.processes import running_process
 from loadbalancer.control.xds.discovery_service import SERVICES_BY_TYPE
 from loadbalancer.control.xds.type_urls import TYPE_URLS
 from loadbalancer.core.xds.snapshot import ResourceType
@@ -60,7 +60,7 @@
 
 def test_a_drain_and_a_return_cost_no_call(tmp_path: Path) -> None:
     """A server drains while a client calls, and takes work again later; no call fails."""
-    with grpc_servers("s-1", "s-2") as up, started(("-m", "fakes.discovery")) as discovery:
+    with grpc_servers("s-1", "s-2") as up, running_process(("-m", "fakes.discovery")) as discovery:
         listed = targets_of(up)
         discovery.call("POST", "/standin/targets", listed)
         with (
@@ -157,7 +157,7 @@
     Both times proxies get no response, in place of an empty snapshot that would take all
     endpoints from them.
     """
-    with started(("-m", "fakes.discovery")) as discovery:
+    with running_process(("-m", "fakes.discovery")) as discovery:
         discovery.call("POST", "/standin/faults", {"status": 503})
         with (
             control_service(tmp_path, roster(), discovery.address) as service,
@@ -245,9 +245,9 @@
     ):
         assert calls(proxy, 40).keys() == {"s-1", "s-2"}
         port = up["s-2"].address
-        up["s-2"].popen.kill()
-        up["s-2"].popen.wait()
+        up["s-2"].child.kill()
+        up["s-2"].child.wait()
         until(lambda: calls(proxy, 20) == {"s-1": 20})
         arguments = ("-m", "fakes.topup_grpc", "--name", "s-2", "--listen", port)
-        with started(arguments):
+        with running_process(arguments):
             until(lambda: calls(proxy, 20).keys() == {"s-1", "s-2"})
--- a/tests/control/xds/test_tls.py
+++ b/tests/control/xds/test_tls.py
@@ -12,7 +12,7 @@
 import trustme
 from envoy.service.discovery.v3 import discovery_pb2
 
-from fakes.fleet import Process
+from fakes.processes import Process
 from loadbalancer.control.xds.discovery_service import SERVICE as ADS_SERVICE
 from tests.control.xds.support import (
     CLUSTER_URL,
@@ -81,7 +81,7 @@
             with pytest.raises(grpc.RpcError) as caught:
                 secure_stream(process, authority, authority, name, node)
             assert caught.value.code() is grpc.StatusCode.PERMISSION_DENIED
-    assert "may not speak for 'west-1'" in process.log
+    assert "may not speak for 'west-1'" in process.log_text
 
 
 def test_no_certificate_or_a_strangers_gets_no_stream(
@@ -92,7 +92,7 @@
             with pytest.raises(grpc.RpcError) as caught:
                 secure_stream(process, authority, signer, "proxy.east.example", "east-7")
             assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
-    assert "connected" not in process.log
+    assert "connected" not in process.log_text
 
 
 def test_a_renewed_certificate_is_used_without_a_restart(
--- a/tests/fakes/test_bexpr.py
+++ b/tests/fakes/test_bexpr.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fakes.bexpr import FilterError, compiled
+from fakes.bexpr import FilterError, compile_filter
 
 
 def row(uid: str, tags: list[str], meta: dict[str, str], status: str) -> dict[str, Any]:
@@ -44,7 +44,7 @@
     ],
 )
 def test_filters_as_documented(text: str, found: set[str]) -> None:
-    test = compiled(text)
+    test = compile_filter(text)
     assert {r["Service"]["ID"] for r in ROWS if test(r)} == found
 
 
@@ -65,4 +65,4 @@
 )
 def test_an_expression_that_can_not_be_read_is_refused(text: str) -> None:
     with pytest.raises(FilterError):
-        compiled(text)
+        compile_filter(text)
--- a/tests/fakes/test_consul.py
+++ b/tests/fakes/test_consul.py
@@ -13,7 +13,7 @@
 import consul
 import pytest
 
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 from tests.harness import LIMIT, until
 
 TOPUP = "/v1/health/service/topup"
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def agent() -> Iterator[Process]:
-    with started(("-m", "fakes.consul")) as process:
+    with running_process(("-m", "fakes.consul")) as process:
         yield process
 
 
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from fakes.discovery import Discovery, target
-from fakes.web import Asked
+from fakes.web import Request
 
 LIST_PATH = "/registry/instances"
 LINES = 12  # a second: a list of six servers takes half of one
@@ -20,8 +20,8 @@
 async def call(
     discovery: Discovery, path: str, query: str = "", method: str = "GET", body: object = None
 ) -> Any:
-    asked = Asked(method, path, query, {}, json.dumps(body).encode())
-    reply = await discovery.handle(asked)
+    request = Request(method, path, query, {}, json.dumps(body).encode())
+    reply = await discovery.handle(request)
     return json.loads(reply.body) if reply.body else None
 
 
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -19,7 +19,7 @@
 
 from fakes.cluster import Cluster, ClusterOptions, running_cluster, wait_until
 from fakes.discovery import target
-from fakes.fleet import Process, backends, started
+from fakes.processes import Process, running_backends, running_process
 from loadbalancer.cli.commands import main as run_command
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def servers() -> Iterator[list[Process]]:
-    with backends(4, 2.0) as found:
+    with running_backends(4, 2.0) as found:
         yield found
 
 
@@ -65,7 +65,7 @@
     """
     targets = [arg for i, s in enumerate(servers, 1) for arg in ("--target", f"s-{i}={s.address}")]
     with (
-        started(("-m", "fakes.discovery", *targets)) as discovery,
+        running_process(("-m", "fakes.discovery", *targets)) as discovery,
         running_cluster(
             NODES,
             [s.address for s in servers],
@@ -106,7 +106,7 @@
         assert {request_status(t.nodes[0], f"a{i}") for i in range(20)} == {200}
         shown = StringIO()
         assert (
-            run_command(["peers", t.nodes[0].admin], shown) == 1
+            run_command(["peers", t.nodes[0].admin_address], shown) == 1
         )  # the answer is that some are missing
         assert "3 of 5 nodes live" in shown.getvalue()
         assert "node 3 dead, incarnation" in shown.getvalue()
@@ -143,7 +143,7 @@
         for n in (2, 3, 4):
             wait_until(lambda n=n: t.verdicts(n).get(bad) != "-")  # type: ignore[misc]
         shown = StringIO()
-        assert run_command(["peers", t.nodes[4].admin], shown) == 0
+        assert run_command(["peers", t.nodes[4].admin_address], shown) == 0
         assert f"server {bad}: " in shown.getvalue()
         assert " s ago: failures " in shown.getvalue()
         before = received(servers[1])
@@ -405,10 +405,10 @@
     with running_cluster(3, [s.address for s in servers], overrides=lambda n: {} if n else at) as t:
         t.agree({0, 1, 2})
         first = t.status(0)["incarnation"]
-        with started(("-m", "loadbalancer"), t.config(0)) as successor:
-            successor.read_on()
-            wait_until(lambda: "gossip between 3 nodes" in successor.heard)
-            other = Process(successor.popen, successor.admin)
+        with running_process(("-m", "loadbalancer"), t.config(0)) as successor:
+            successor.collect_log()
+            wait_until(lambda: "gossip between 3 nodes" in successor.log_text)
+            other = Process(successor.child, successor.admin_address)
             wait_until(lambda: other.call("GET", "/peers")["caught_up"])
             incarnations = [r[2] for r in t.status(1)["nodes"] if r[0] == 0]
             assert incarnations[0] >= first
@@ -451,11 +451,11 @@
         t.signal(signal.SIGCONT, 0)
         wait_until(lambda: bool(grantors()))
         # An upgrade in the middle of it: the new process gets leases once the old one has stopped.
-        with started(("-m", "loadbalancer"), t.config(0)) as successor:
-            successor.read_on()
+        with running_process(("-m", "loadbalancer"), t.config(0)) as successor:
+            successor.collect_log()
             t.signal(signal.SIGTERM, 0)
-            t.nodes[0].popen.wait(20)
-            t.nodes[0].admin = successor.admin
+            t.nodes[0].child.wait(20)
+            t.nodes[0].admin_address = successor.admin_address
             wait_until(lambda: bool(grantors()))
             clients.stop()
         # Requests that a paused node had are late when it goes on, and are answered as failed.
--- a/tests/sources/consul/conftest.py
+++ b/tests/sources/consul/conftest.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 
 
 @pytest.fixture
 def agent() -> Iterator[Process]:
     """A fake Consul agent without a server."""
-    with started(("-m", "fakes.consul")) as process:
+    with running_process(("-m", "fakes.consul")) as process:
         yield process
 
 
 @pytest.fixture
 def second_agent() -> Iterator[Process]:
     """Another one, which shares nothing with the first."""
-    with started(("-m", "fakes.consul")) as process:
+    with running_process(("-m", "fakes.consul")) as process:
         yield process
--- a/tests/sources/consul/support.py
+++ b/tests/sources/consul/support.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.fleet import Process
+from fakes.processes import Process
 from loadbalancer.config.address import parse_address
 from loadbalancer.core import State
 from loadbalancer.core.endpoints.merged_list import MergedList
--- a/tests/sources/consul/test_control_service.py
+++ b/tests/sources/consul/test_control_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fakes.files import write_control
-from fakes.fleet import Process, started
+from fakes.processes import Process, running_process
 from loadbalancer.core.xds.snapshot import ResourceType
 from tests.control.xds.support import EnvoyStream, raw_stream, wait_for_log
 from tests.harness import SETTINGS, roster, target
@@ -24,7 +24,7 @@
     """A control service that reads from these agents; its list is empty where none is known."""
     write_file(tmp_path, *agents)
     path = write_control(tmp_path, SETTINGS, known or roster(), more='consul = "consul.toml"\n')
-    with started(("-m", "loadbalancer", "control", str(path))) as process:
+    with running_process(("-m", "loadbalancer", "control", str(path))) as process:
         yield process
 
 
@@ -103,7 +103,7 @@
     addresses = agent.address, second_agent.address
     with control_service(tmp_path, *addresses) as process, proxy(process) as stream:
         wait_for_active(stream, 1, 2)
-        agent.popen.kill()
+        agent.child.kill()
         wait_for_log(process, "the list stands")
         set_services(second_agent, 1, 2, 3)
         wait_for_active(stream, 1, 2, 3)
--- a/tests/sources/consul/test_filter_expression.py
+++ b/tests/sources/consul/test_filter_expression.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fakes.bexpr import compiled
+from fakes.bexpr import compile_filter
 from loadbalancer.core.endpoints.line_limiter import LineLimiter
 from loadbalancer.core.endpoints.shard_leaves import OTHER, group_by_leaf
 from loadbalancer.core.endpoints.shard_scheduler import (
@@ -29,7 +29,7 @@
 
 def selected(query: ShardQuery, rows: Sequence[dict[str, Any]]) -> list[str]:
     """Ids of the rows that pass a query's filter."""
-    passes = compiled(filter_expression(query))
+    passes = compile_filter(filter_expression(query))
     return [found["Service"]["ID"] for found in rows if passes(found)]
 
 
--- a/tests/sources/consul/test_members_command.py
+++ b/tests/sources/consul/test_members_command.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fakes.fleet import Process
+from fakes.processes import Process
 from tests.harness import ROOT
 from tests.sources.consul.support import service_row, set_faults, write_file
 
--- a/tests/sources/consul/test_node.py
+++ b/tests/sources/consul/test_node.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from fakes.fleet import SETTINGS, Process, backends, started
-from fakes.fleet import node as fleet_node
 from fakes.load import Clients, send_at_rate
+from fakes.node import SETTINGS, running_node
+from fakes.processes import Process, running_backends, running_process
 from tests.harness import LIMIT, Running, node, request, roster, target, until
 from tests.sources.consul.support import service_row, set_status, write_file
 
@@ -65,13 +65,13 @@
 
     def logged(self, text: str) -> int:
         """How many times the log has a text."""
-        return self.process.heard.count(text)
+        return self.process.log_text.count(text)
 
     def send_until(self, condition: Callable[[], bool]) -> None:
         """Send requests until then; those that meet servers that have just died may be shed."""
         end = time.monotonic() + LIMIT
         while not condition():
-            assert time.monotonic() < end, self.process.heard
+            assert time.monotonic() < end, self.process.log_text
             self.send(20, OK_OR_SHED)
 
     def send(self, count: int, allowed: Set[int] = OK_ALONE) -> None:
@@ -89,14 +89,14 @@
     path = write_file(tmp_path, agent.address)
     # At most five servers are killed, and a request may meet each of them before any is drained.
     limits = SETTINGS["limits"] | {"max_attempts": 6}
-    with fleet_node([], consul=str(path), settings={"limits": limits}) as process:
-        process.read_on()
-        until(lambda: f"{servers} servers listed" in process.heard)
+    with running_node([], consul=str(path), settings={"limits": limits}) as process:
+        process.collect_log()
+        until(lambda: f"{servers} servers listed" in process.log_text)
         yield LoadedNode(process)
 
 
 def test_a_node_serves_from_consuls_list(tmp_path: Path, agent: Process) -> None:
-    with backends(2, 1.0) as servers:
+    with running_backends(2, 1.0) as servers:
         agent.call("PUT", "/standin/services", rows_of(servers))
         with node_on(tmp_path, agent.address) as running:
             running.says("2 servers listed")
@@ -112,12 +112,12 @@
     The node's own attempts confirm it, so that neither the rate limit nor the limit of unconfirmed
     departures holds them in the list.
     """
-    with backends(10, 1.0) as servers:
+    with running_backends(10, 1.0) as servers:
         agent.call("PUT", "/standin/services", rows_of(servers))
         with loaded_node(tmp_path, agent, 10) as loaded:
             loaded.send(100)
             for server in servers[5:]:
-                server.popen.kill()
+                server.child.kill()
             set_status(agent, *(f"t-{number}" for number in range(6, 11)), status="critical")
             confirmed, by_checks = "and its own answers agree", "(critical)"
             loaded.send_until(lambda: loaded.logged(confirmed) + loaded.logged(by_checks) >= 5)
@@ -129,7 +129,7 @@
     tmp_path: Path, agent: Process
 ) -> None:
     """The checks of four out of eight servers fail, by a fault of the checks: all answer."""
-    with backends(8, 1.0) as servers:
+    with running_backends(8, 1.0) as servers:
         agent.call("PUT", "/standin/services", rows_of(servers))
         with loaded_node(tmp_path, agent, 8) as loaded:
             loaded.send(50)
@@ -142,7 +142,7 @@
 
 def test_without_an_agent_a_node_goes_on_with_the_last_known_list(tmp_path: Path) -> None:
     """No agent can be reached. The node serves, and waits between its requests to agents."""
-    with backends(1, 1.0) as servers:
+    with running_backends(1, 1.0) as servers:
         known = roster(target("s-1", port_of(servers[0])))
         with node_on(tmp_path, "127.0.0.1:1", known=known) as running:
             running.says("the list stands")
@@ -154,7 +154,10 @@
 
 def test_drains_of_the_platforms_list_are_orders(tmp_path: Path, agent: Process) -> None:
     """Consul has two servers, the platform's list three, and drains the two of Consul."""
-    with backends(3, 1.0) as servers, started(("-m", "fakes.discovery")) as discovery:
+    with (
+        running_backends(3, 1.0) as servers,
+        running_process(("-m", "fakes.discovery")) as discovery,
+    ):
         rows = [target(f"s-{number}", port_of(s)) for number, s in enumerate(servers, 1)]
         discovery.call("POST", "/standin/targets", rows)
         agent.call("PUT", "/standin/services", rows_of(servers)[:2])
--- a/tests/sources/consul/test_reader.py
+++ b/tests/sources/consul/test_reader.py
@@ -13,7 +13,7 @@
 import pytest
 import trustme
 
-from fakes.fleet import Process
+from fakes.processes import Process
 from loadbalancer.config.address import Address
 from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
 from loadbalancer.sources.consul.reader import open_reader
--- a/tests/sources/consul/test_relay.py
+++ b/tests/sources/consul/test_relay.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from fakes.fleet import Process, backends, started
+from fakes.processes import Process, running_backends, running_process
 from tests.harness import LIMIT, Peer, node, request, roster, until
 from tests.sources.consul.support import service_row, set_faults, set_services, write_file
 
@@ -24,7 +24,9 @@
 def relay_of(tmp_path: Path, agent: Process) -> Iterator[Process]:
     """A relay of the agent's list."""
     path = write_file(tmp_path, agent.address)
-    with started(("-m", "loadbalancer", "members", str(path), "--serve", "127.0.0.1:0")) as relay:
+    with running_process(
+        ("-m", "loadbalancer", "members", str(path), "--serve", "127.0.0.1:0")
+    ) as relay:
         yield relay
 
 
@@ -70,7 +72,7 @@
 
 
 def test_a_node_uses_a_relay_as_its_discovery(tmp_path: Path, agent: Process) -> None:
-    with backends(2, 1.0) as servers:
+    with running_backends(2, 1.0) as servers:
         ports = [int(server.address.rpartition(":")[2]) for server in servers]
         rows = [service_row(number, Port=port) for number, port in enumerate(ports, 1)]
         agent.call("PUT", "/standin/services", rows)
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -16,7 +16,7 @@
 
 from fakes.cluster import running_cluster
 from fakes.discovery import target
-from fakes.fleet import Process, backends, started
+from fakes.processes import Process, running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.endpoints import poll_timing
 from tests.harness import accept, answer, listen, node, roster, served_by
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def servers() -> Iterator[list[Process]]:
-    with backends(2, 2.0) as found:
+    with running_backends(2, 2.0) as found:
         yield found
 
 
@@ -46,12 +46,12 @@
         "overrides": lambda _node: EMPTY,
     }
     command = ("-m", "fakes.discovery", "--lines", str(LINES))
-    with started(command) as discovery:
+    with running_process(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
         with running_cluster(NODES, [], discovery=discovery.address, **options) as cluster:
             began = time.monotonic()
-            while not all(p.ready() for p in cluster.nodes.values()):
+            while not all(p.is_ready() for p in cluster.nodes.values()):
                 assert time.monotonic() - began < 1.1 * NEEDED_S + BESIDE_S
                 time.sleep(0.05)
             counters = discovery.call("GET", "/standin/state")
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -12,7 +12,7 @@
 
 from fakes.cluster import Cluster, running_cluster, wait_until
 from fakes.discovery import target
-from fakes.fleet import Process, backends, started
+from fakes.processes import Process, running_backends, running_process
 from loadbalancer.cli.commands import main as run_command
 from tests.gossip_transport.test_transport import received, request_status
 
@@ -23,13 +23,13 @@
 
 @pytest.fixture
 def servers() -> Iterator[list[Process]]:
-    with backends(4, 2.0) as found:
+    with running_backends(4, 2.0) as found:
         yield found
 
 
 @pytest.fixture
 def discovery(servers: list[Process]) -> Iterator[Process]:
-    with started(("-m", "fakes.discovery", "--lines", "60")) as found:
+    with running_process(("-m", "fakes.discovery", "--lines", "60")) as found:
         found.call("POST", "/standin/targets", rows(servers))
         yield found
 
@@ -75,7 +75,7 @@
     with running_cluster(NODES, [], **options) as cluster:
         cluster.order(loss=0.1)
         assert not any(
-            cluster.nodes[n].ready() for n in cluster.nodes if not listed(cluster, n)["rows"]
+            cluster.nodes[n].is_ready() for n in cluster.nodes if not listed(cluster, n)["rows"]
         )
         wait_until(lambda: any(listed(cluster, n)["rows"] for n in cluster.nodes))
         reading: list[int] = []
@@ -84,7 +84,7 @@
         cluster.kill(*reading)
         discovery.call("POST", "/standin/faults", {"refuse": 0.3})
         wait_until(lambda: all_at(cluster, 2))
-        assert all(p.ready() for p in cluster.nodes.values())
+        assert all(p.is_ready() for p in cluster.nodes.values())
         serve(cluster, "a")
         cluster.start(*reading)
         wait_until(lambda: all_at(cluster, 2))
@@ -99,7 +99,7 @@
 
         def reported() -> bool:
             said = StringIO()
-            run_command(["peers", next(iter(cluster.nodes.values())).admin], said)
+            run_command(["peers", next(iter(cluster.nodes.values())).admin_address], said)
             assert f"list: {ROWS} rows, version 3 of epoch 1" in said.getvalue()
             return ": read, version 3 of epoch 1, " in said.getvalue()
 
@@ -179,7 +179,7 @@
 ) -> None:
     """SIGHUP at all nodes; each has another day's list, of a later number than the service's."""
     other = [row | {"boot_ms": 77} for row in rows(servers, 40)]
-    with started(("-m", "fakes.discovery", "--lines", "60")) as second:
+    with running_process(("-m", "fakes.discovery", "--lines", "60")) as second:
         second.call("POST", "/standin/faults", {"rev": 1})
         second.call("POST", "/standin/targets", rows(servers, 7))
         options: dict[str, Any] = {
