--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.fleet import known_by_all
+from benchmarks.polling import times_until
 from benchmarks.stats import spread
 from fakes.cluster import Cluster, ClusterOptions
 from fakes.discovery import target
@@ -68,9 +68,9 @@
             t.start()
             up = time.monotonic() - began
             every = list(t.nodes)
-            yes = [up + s for s in known_by_all(lambda n: t.nodes[n].is_ready(), every, LIMIT_S)]
+            yes = [up + s for s in times_until(lambda n: t.nodes[n].is_ready(), every, LIMIT_S)]
             if readers:
-                known_by_all(lambda n: whole(t, n, servers), every, LIMIT_S)
+                times_until(lambda n: whole(t, n, servers), every, LIMIT_S)
             books = discovery.call("GET", "/standin/state")
             return {
                 "up_s": round(up, 2), "first_ready_s": round(min(yes), 2),
