--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -1,191 +1,328 @@
-"""A cold start of many nodes: who has the list when, what that costs, what is served.
+"""A cold start of many nodes: when each has the list, what that costs, what is served.
 
     python -m benchmarks.coldstart [--quick]
 
-Real nodes that start together before one list service of 200 lines a second, each for itself
-and with readers for all, their lists in hand empty, old or fresh. The world: the same at 200
-nodes, without loss and with, and a node in a crash loop. A black start in the world: all nodes
-and all servers new under load, against what servers that cold can do. In turn, in one run.
+Real nodes that start together before one list service of 200 rows a second, each polling for itself
+and with list readers for all; the list in their configuration is empty, old or fresh. Simulated:
+the same with 200 nodes, without loss and with, and a node in a crash loop. A black start,
+simulated: all nodes and all servers start under load, against what servers that cold can do.
+Prints one JSON object; times are seconds.
 """
 
 from __future__ import annotations
 
 import argparse
+import itertools
 import json
 import tempfile
 import time
+from collections.abc import Sequence
+from enum import StrEnum
 from multiprocessing import Pool
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from benchmarks.polling import times_until
-from benchmarks.stats import spread
+from benchmarks.stats import spread_by_key
 from fakes.cluster import Cluster, ClusterOptions
 from fakes.discovery import target
-from fakes.processes import running_backends, running_process
+from fakes.processes import Process, running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND
 from simulation.list_world import ListWorld
+from simulation.service_world.counters import Count
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.world import ServiceWorld
 
-LINES = 200
-LIMIT_S = 120.0
-KNOWN = ("empty", "old", "fresh")
+ROWS_PER_SECOND = 200  # of the list service
+TIMEOUT_S = 120.0
+BACKENDS = 4  # processes that all servers of the list share
+BACKEND_WORK_MS = 2.0
 OLD_PART = 0.75  # of the servers, that an old list has
+READERS = 2
+
+
+class KnownList(StrEnum):
+    """The list in a node's configuration as it starts."""
+
+    EMPTY = "empty"
+    OLD = "old"
+    FRESH = "fresh"
 
 
 # ---- real processes ---------------------------------------------------------
 
 
-def whole(t: Cluster, node: int, count: int) -> bool:
-    """Whether a node has so many servers by the list that it reads with others."""
-    listed = t.status(node).get("list")
-    return listed is not None and listed["rows"] == count
+class StartCase(NamedTuple):
+    """Real nodes that start together."""
+
+    nodes: int
+    servers: int
+    known: KnownList
+    readers: int  # 0: each node polls for itself
 
+    @property
+    def name(self) -> str:
+        """In the result."""
+        return f"{self.nodes}x{self.servers} known {self.known}, readers {self.readers}"
 
-def real(nodes: int, servers: int, readers: int, known: str) -> dict[str, Any]:
-    """`nodes` started together; seconds from there until they say yes and have the whole list."""
+
+def start_figures(case: StartCase) -> dict[str, Any]:
+    """Seconds until the nodes are ready, and what the list service has sent."""
+    service = ("-m", "fakes.discovery", "--lines", str(ROWS_PER_SECOND))
     with (
-        running_backends(4, 2.0) as stand_ins,
+        running_backends(BACKENDS, BACKEND_WORK_MS) as backends,
         tempfile.TemporaryDirectory() as folder,
-        running_process(("-m", "fakes.discovery", "--lines", str(LINES))) as discovery,
+        running_process(service) as discovery,
     ):
-        rows = [target(f"s-{i}", stand_ins[i % 4].address) for i in range(servers)]
-        old = rows[: int(servers * OLD_PART)]
-        discovery.call("POST", "/standin/targets", old)
-        discovery.call("POST", "/standin/targets", rows)
-        # The stand-in counts from 1: the old list is its version 2, the whole one version 3.
-        had = {"empty": (0, []), "old": (2, old), "fresh": (3, rows)}[known]
-        fleet = Path(folder, "fleet.toml")
-        fleet.write_text(f"version = 1\nreaders = {readers}\n")
-        options = ClusterOptions(
-            gossip=readers > 0, discovery=discovery.address, fleet=str(fleet),
-            settings={"registry_mode": "ask"},
-            overrides=lambda _n: {"known": {"rev": had[0], "all": True, "targets": had[1]}},
-        )  # fmt: skip
-        with Cluster(nodes, [], Path(folder), options) as t:
+        known = publish_lists(discovery, backends, case)
+        options = cluster_options(Path(folder), discovery, known, case.readers)
+        with Cluster(case.nodes, [], Path(folder), options) as cluster:
             began = time.monotonic()
-            t.start()
-            up = time.monotonic() - began
-            every = list(t.nodes)
-            yes = [up + s for s in times_until(lambda n: t.nodes[n].is_ready(), every, LIMIT_S)]
-            if readers:
-                times_until(lambda n: whole(t, n, servers), every, LIMIT_S)
-            books = discovery.call("GET", "/standin/state")
-            return {
-                "up_s": round(up, 2), "first_ready_s": round(min(yes), 2),
-                "last_ready_s": round(max(yes), 2), "lists": books.get("whole", 0),
-                "lines": books.get("lines", 0), "calls": books["calls"],
-                "turned_away": books.get("turned away", 0),
-                "most_lines_s": max(books["by_second"], default=0),
-            }  # fmt: skip
-
-
-# ---- the world ----------------------------------------------------------------
-
-
-def world(nodes: int, servers: int, readers: int, loss: float, seed: int) -> dict[str, Any]:
-    """Until all have the list, or half a minute: without readers it takes minutes."""
-    w = ListWorld(nodes, servers, seed, readers)
-    w.links.loss = loss
-    w.start_all()
-    done = w.run(30 * SECOND, w.current)
-    counts = w.service.counts
+            cluster.start()
+            up_s = time.monotonic() - began
+            nodes = list(cluster.nodes)
+            ready = times_until(lambda node: cluster.nodes[node].is_ready(), nodes, TIMEOUT_S)
+            if case.readers:
+                times_until(
+                    lambda node: has_full_list(cluster, node, case.servers), nodes, TIMEOUT_S
+                )
+            counters = discovery.call("GET", "/standin/state")
     return {
-        "last_s": round(w.now / SECOND, 2) if done else None,
-        "with_a_list": sum(s.ready >= 0 for s in w.starters.values()),
-        "first_list_s": round(min(s.ready for s in w.starters.values() if s.ready >= 0) / 1e9, 2),
-        "lists": counts["whole lists"], "calls": counts["calls"],
-        "turned_away": counts["turned away"], "most_lines_s": max(w.service.lines.values()),
-    }  # fmt: skip
-
-
-def crash_loop(readers: int, starts: int) -> int:
-    """Lines that one node costs which starts so many times with nothing, the first of readers."""
-    w = ListWorld(20, 100, 1, readers)
-    w.start_all()
-    w.run(20 * SECOND, w.current)
-    w.run(w.now + 2 * SECOND)
-    reads = [n for n, f in w.nodes.items() if f.shared_list is not None and f.shared_list.polls]
-    first = reads[0] if reads else 0
-    before = w.service.counts["lines"]
+        "up_s": round(up_s, 2),
+        "first_ready_s": round(up_s + min(ready), 2),
+        "last_ready_s": round(up_s + max(ready), 2),
+        "lists": counters.get("whole", 0),
+        "lines": counters.get("lines", 0),
+        "calls": counters["calls"],
+        "turned_away": counters.get("turned away", 0),
+        "most_lines_s": max(counters["by_second"], default=0),
+    }
+
+
+def publish_lists(
+    discovery: Process, backends: Sequence[Process], case: StartCase
+) -> dict[str, Any]:
+    """Publish an old list, then the full one; the list that the nodes know at their start."""
+    rows = [target(f"s-{i}", backends[i % BACKENDS].address) for i in range(case.servers)]
+    old = rows[: int(case.servers * OLD_PART)]
+    discovery.call("POST", "/standin/targets", old)
+    discovery.call("POST", "/standin/targets", rows)
+    # The fake's empty list is version 1, so the old one is 2 and the full one 3.
+    version, targets = {
+        KnownList.EMPTY: (0, []),
+        KnownList.OLD: (2, old),
+        KnownList.FRESH: (3, rows),
+    }[case.known]
+    return {"rev": version, "all": True, "targets": targets}
+
+
+def cluster_options(
+    folder: Path, discovery: Process, known: dict[str, Any], readers: int
+) -> ClusterOptions:
+    """Nodes that poll this service; a fleet file names the number of readers."""
+    fleet_file = folder / "fleet.toml"
+    fleet_file.write_text(f"version = 1\nreaders = {readers}\n")
+    return ClusterOptions(
+        gossip=readers > 0,
+        discovery=discovery.address,
+        fleet=str(fleet_file),
+        settings={"registry_mode": "ask"},
+        overrides=lambda _node: {"known": known},
+    )
+
+
+def has_full_list(cluster: Cluster, node: int, servers: int) -> bool:
+    """Whether a node has so many servers by the list that it shares with others."""
+    shared_list = cluster.status(node).get("list")
+    return shared_list is not None and shared_list["rows"] == servers
+
+
+# ---- simulated --------------------------------------------------------------
+
+
+class SimulatedCase(NamedTuple):
+    """Simulated nodes that start together; `loss` is a part of all gossip messages."""
+
+    nodes: int
+    servers: int
+    readers: int
+    loss: float = 0.0
+
+    @property
+    def name(self) -> str:
+        """In the result."""
+        return f"{self.nodes}x{self.servers}, readers {self.readers}, loss {self.loss:g}"
+
+
+def simulated_figures(case: SimulatedCase) -> dict[str, Any]:
+    """Until all nodes have the list, or for 30 s: without readers it takes minutes."""
+    world = ListWorld(case.nodes, case.servers, 1, case.readers)
+    world.links.loss = case.loss
+    world.start_all()
+    is_current = world.run(30 * SECOND, world.current)
+    ready = [starter.ready for starter in world.starters.values() if starter.ready >= 0]
+    counters = world.service.counts
+    return {
+        "last_s": round(world.now / SECOND, 2) if is_current else None,
+        "with_a_list": len(ready),
+        "first_list_s": round(min(ready) / SECOND, 2),
+        "lists": counters["whole lists"],
+        "calls": counters["calls"],
+        "turned_away": counters["turned away"],
+        "most_lines_s": max(world.service.lines.values()),
+    }
+
+
+def crash_loop_rows(readers: int, starts: int) -> int:
+    """Rows sent because one node starts so many times without a list; a reader if there is one."""
+    world = ListWorld(20, 100, 1, readers)
+    world.start_all()
+    world.run(20 * SECOND, world.current)
+    world.run(world.now + 2 * SECOND)
+    node = next((n for n in world.nodes if is_reader(world, n)), 0)
+    before = world.service.counts["lines"]
     for _ in range(starts):
-        w.kill(first)
-        w.start(first)
-        w.run(w.now + 2 * SECOND)
-    w.run(w.now + 10 * SECOND)
-    return w.service.counts["lines"] - before
+        world.kill(node)
+        world.start(node)
+        world.run(world.now + 2 * SECOND)
+    world.run(world.now + 10 * SECOND)
+    return world.service.counts["lines"] - before
+
+
+def is_reader(world: ListWorld, node: int) -> bool:
+    """Whether the node polls the list service for all."""
+    shared_list = world.nodes[node].shared_list
+    return shared_list is not None and shared_list.polls
+
+
+# ---- a black start ----------------------------------------------------------
+
+BLACK_START_NODES = 100
+BLACK_START_SERVERS = 135
+BLACK_START_S = 10
+KNOWN_VERSION = 41  # of the list that nodes without readers know as they start
+SERVER_RATE = 200  # requests a second that a warm server can do
+COLD_PART = 0.1  # of that, which a server can do as it starts
+WARMING_PART = 0.09  # by which that grows each second
+BLACK_START_LOADS = (0.5, 1.5)  # parts of what all warm servers can do
+
 
+class BlackStart(NamedTuple):
+    """All nodes and servers start at once, under a load."""
 
-def black_start(load: float, words: bool, seed: int) -> dict[str, float]:
-    """Served in the first 10 s of what servers that cold could do, all nodes and servers new."""
-    nodes, servers = 100, 135
-    w = ServiceWorld(
+    load: float
+    gossip: bool
+    seed: int
+
+    @property
+    def possible(self) -> float:
+        """The part of requests that servers warming up can serve."""
+        capacities = (COLD_PART + WARMING_PART * (s + 0.5) for s in range(BLACK_START_S))
+        served = sum(min(self.load, capacity) for capacity in capacities)
+        return served / (BLACK_START_S * self.load)
+
+
+def black_start_figures(case: BlackStart) -> dict[str, float]:
+    """The served part of what was possible, servers overwhelmed, and the most requests at one."""
+    world = ServiceWorld(
         ServicePlan(
-            nodes=nodes,
-            servers=servers,
-            seed=seed,
-            gossip=words,
-            rate=load * servers * 200,
-            list_readers=2 if words else 0,
+            nodes=BLACK_START_NODES,
+            servers=BLACK_START_SERVERS,
+            seed=case.seed,
+            gossip=case.gossip,
+            rate=case.load * BLACK_START_SERVERS * SERVER_RATE,
+            list_readers=READERS if case.gossip else 0,
         )
     )
-    service = w.endpoint_list.service
-    if not words:
-        # Each for itself would still wait for its list: without words it has it already.
-        w.endpoint_list.known_at_start = lambda _n: (41, dict(service.rows) if service else {})
-    w.start_cold()
-    w.clients.run(10 * SECOND)
-    w.run(10 * SECOND)
-    could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
+    service = world.endpoint_list.service
+    if not case.gossip:
+        # Each node for itself would still wait for its list: here it has the list of its start.
+        world.endpoint_list.known_at_start = lambda _node: (
+            KNOWN_VERSION, dict(service.rows) if service else {},
+        )  # fmt: skip
+    world.start_cold()
+    world.clients.run(BLACK_START_S * SECOND)
+    world.run(BLACK_START_S * SECOND)
+    served = world.counts[Count.SERVED] / world.counts[Count.ASKED]
     return {
-        "served_of_possible": w.counts["served"] / w.counts["asked"] / could,
-        "falls": float(w.counts["falls of cold servers"] + len(w.breaches)),
-        "most_held": float(max(s.max_in_flight for s in w.pool)),
+        "served_of_possible": served / case.possible,
+        "falls": float(world.counts[Count.OVERWHELMED] + len(world.breaches)),
+        "most_held": float(max(server.max_in_flight for server in world.pool)),
     }
 
 
 def black_starts(seeds: int) -> dict[str, Any]:
-    jobs = [
-        (load, words, s) for load in (0.5, 1.5) for words in (False, True) for s in range(seeds)
-    ]
+    """Each load with gossip and without, so many seeds."""
+    groups = list(itertools.product(BLACK_START_LOADS, (False, True)))
+    cases = [BlackStart(load, gossip, s) for load, gossip in groups for s in range(seeds)]
     with Pool() as pool:
-        runs = pool.starmap(black_start, jobs)
-    found: dict[str, Any] = {}
-    for load in (0.5, 1.5):
-        for words in (False, True):
-            rows = [r for r, job in zip(runs, jobs, strict=True) if job[:2] == (load, words)]
-            name = f"load_{load:g}_{'with' if words else 'without'}_words"
-            found[name] = {key: spread([r[key] for r in rows], 3) for key in rows[0]}
-    return found
+        figures = pool.map(black_start_figures, cases, chunksize=1)
+    result: dict[str, Any] = {}
+    for place, (load, gossip) in enumerate(groups):
+        name = f"load_{load:g}_{'with' if gossip else 'without'}_words"
+        result[name] = spread_by_key(figures[place * seeds : (place + 1) * seeds], 3)
+    return result
+
+
+# ---- the command ------------------------------------------------------------
+
+
+class Plan(NamedTuple):
+    """How much is run; sizes are nodes and servers."""
+
+    real_sizes: tuple[tuple[int, int], ...]
+    simulated: tuple[SimulatedCase, ...]
+    seeds: int  # of the black start
+
+
+QUICK = Plan(
+    ((40, 100),),
+    (
+        SimulatedCase(200, 270, 0),
+        SimulatedCase(200, 270, READERS),
+        SimulatedCase(200, 270, READERS, 0.1),
+        SimulatedCase(200, 270, READERS, 0.3),
+    ),
+    seeds=2,
+)
+FULL = Plan(
+    ((40, 100), (60, 200)),
+    (
+        *QUICK.simulated,
+        SimulatedCase(1000, 1000, READERS),
+        SimulatedCase(1000, 1000, READERS, 0.1),
+    ),
+    seeds=5,
+)
+
+
+def run(plan: Plan) -> dict[str, Any]:
+    """All parts of the benchmark."""
+    starts = [
+        StartCase(nodes, servers, known, readers)
+        for nodes, servers in plan.real_sizes
+        for known in KnownList
+        for readers in (0, READERS)
+    ]
+    return {
+        "real": {case.name: start_figures(case) for case in starts},
+        "world": {case.name: simulated_figures(case) for case in plan.simulated},
+        "crash_loop_lines": {
+            f"{starts} starts, readers {readers}": crash_loop_rows(readers, starts)
+            for readers in (0, READERS)
+            for starts in (2, 20)
+        },
+        "black_start": black_starts(plan.seeds),
+    }
 
 
 def main() -> None:
+    """Run the benchmark and print its result."""
     parser = argparse.ArgumentParser(
-        description=__doc__, formatter_class=argparse.RawTextHelpFormatter
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--quick", action="store_true", help="one size of each, fewer seeds")
-    quick = parser.parse_args().quick
-    sizes = [(40, 100)] if quick else [(40, 100), (60, 200)]
-    found: dict[str, Any] = {"real": {}, "world": {}}
-    for nodes, servers in sizes:
-        for known in KNOWN:
-            for readers in (0, 2):
-                name = f"{nodes}x{servers} known {known}, readers {readers}"
-                found["real"][name] = real(nodes, servers, readers, known)
-    for nodes, servers, readers, loss in (
-        (200, 270, 0, 0.0), (200, 270, 2, 0.0), (200, 270, 2, 0.1), (200, 270, 2, 0.3),
-        *(() if quick else ((1000, 1000, 2, 0.0), (1000, 1000, 2, 0.1))),
-    ):  # fmt: skip
-        name = f"{nodes}x{servers}, readers {readers}, loss {loss:g}"
-        found["world"][name] = world(nodes, servers, readers, loss, 1)
-    found["crash_loop_lines"] = {
-        f"{starts} starts, readers {readers}": crash_loop(readers, starts)
-        for readers in (0, 2)
-        for starts in (2, 20)
-    }
-    found["black_start"] = black_starts(2 if quick else 5)
-    print(json.dumps(found))
+    print(json.dumps(run(QUICK if parser.parse_args().quick else FULL)))
 
 
 if __name__ == "__main__":
