--- a/benchmarks/bare_streams.py
+++ b/benchmarks/bare_streams.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.bare_streams
 
-Takes every discovery stream. A line on standard input names a file of one answer's
-bytes without its nonce: it is written to every stream as it is, nonce added. The answer to
-each line, an empty one too, is a JSON object with the number of streams.
+It accepts every discovery stream. A line on standard input names a file with the bytes of one
+response without its nonce, which is written to every stream with a nonce added. The answer to each
+line, an empty one too, is a JSON object with the number of streams.
 """
 
 from __future__ import annotations
@@ -23,25 +23,33 @@
 
 
 class Streams:
+    """All open streams."""
+
     def __init__(self) -> None:
-        self.contexts: set[Any] = set()
-        self.count = 0
+        self._contexts: set[Any] = set()
+        self._sent = 0  # responses, each to all streams
+
+    def __len__(self) -> int:
+        return len(self._contexts)
 
     async def serve(self, requests: AsyncIterator[Any], context: Any) -> None:
-        self.contexts.add(context)
+        """One stream, until its client ends it."""
+        self._contexts.add(context)
         try:
             async for _ in requests:
                 pass
         finally:
-            self.contexts.discard(context)
+            self._contexts.discard(context)
 
-    async def send(self, body: bytes) -> None:
-        self.count += 1
-        nonce = discovery_pb2.DiscoveryResponse(nonce=str(self.count)).SerializeToString()
-        await asyncio.gather(*(c.write(body + nonce) for c in self.contexts))
+    async def send(self, response: bytes) -> None:
+        """Write a response to every stream, with the next nonce."""
+        self._sent += 1
+        nonce = discovery_pb2.DiscoveryResponse(nonce=str(self._sent)).SerializeToString()
+        await asyncio.gather(*(context.write(response + nonce) for context in self._contexts))
 
 
 async def main() -> None:
+    """Serve until standard input ends."""
     streams = Streams()
     server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
     codec = (discovery_pb2.DiscoveryRequest.FromString, None)
@@ -57,7 +65,7 @@
     while line := await reader.readline():
         if line.strip():
             await streams.send(Path(line.decode().strip()).read_bytes())
-        print(json.dumps({"streams": len(streams.contexts)}), flush=True)
+        print(json.dumps({"streams": len(streams)}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/balancers.py
+++ b/benchmarks/scale/balancers.py
@@ -27,12 +27,15 @@
     RequestClass("report", 2 * SECOND, 5 * SECOND),
 )
 ALL_NODES = 7_800
-BACKENDS_A_SERVICE = 27
-SHARING = 8  # nodes that take one service's requests
+BACKENDS_PER_SERVICE = 27
+SHARING_NODES = 8  # that take one service's requests
+ID_MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio: spreads small numbers
+MAX_ID = (1 << 63) - 1
+CYCLE_ROUNDS = 8
 
 
-class NoHost:
-    """Actions of a Balancer that nobody asks anything."""
+class IdleHost:
+    """The host of a Balancer that gets no requests: no action has an effect."""
 
     def send(self, request: int, backend: int, timeout: int) -> None: ...
     def refuse(self, request: int, retry_after: int) -> None: ...
@@ -45,87 +48,95 @@
 
 def listing(number: int, state: State = State.READY) -> Listing:
     """One row of the list; numbers are spread as the hashed ids of real rows are."""
-    return Listing((number * 0x9E3779B97F4A7C15) & ((1 << 63) - 1), state)
+    return Listing((number * ID_MULTIPLIER) & MAX_ID, state)
 
 
-def loaded(backends: int, nodes: int, tenants: tuple[Tenant, ...] = ()) -> Balancer:
-    """A Balancer of one of `nodes` nodes that holds so many ready backends of its zone."""
+def make_balancer(backends: int, nodes: int, tenants: tuple[Tenant, ...] = ()) -> Balancer:
+    """A Balancer of one of `nodes` nodes, with so many ready backends of its zone."""
     settings = Settings(CLASSES, tenants, nodes=nodes)
-    balancer = Balancer(settings, 1, NoHost())
+    balancer = Balancer(settings, 1, IdleHost())
     balancer.start(1)
     balancer.on_members(1, Update.FULL, [listing(i) for i in range(backends)])
     return balancer
 
 
-def changing(balancer: Balancer) -> Callable[[], None]:
-    """A call that tells of one backend: it drains, and with the next call it is back."""
+def drain_or_restore(balancer: Balancer) -> Callable[[], None]:
+    """A call that updates one backend: it drains, and with the next call it is ready again."""
     rows = cycle([[listing(0, State.DRAINING)], [listing(0)]])
     return lambda: balancer.on_members(2, Update.DELTA, next(rows))
 
 
 def by_backends(quick: bool) -> list[Slope]:
-    """What a node that holds every backend pays, with as few slots as it may hold."""
+    """The costs of a node with every backend and as few concurrency slots as it may have."""
     sizes = (100, 200, 400) if quick else (15_000, 30_000, 60_000, 120_000)
-    balancers = {size: loaded(size, ALL_NODES) for size in sizes}
-    held = {n: partial(loaded, n, ALL_NODES) for n in sizes}
-    changed = {n: changing(b) for n, b in balancers.items()}
-    cycled = {n: partial(b.on_timer, SECOND, Timer.CYCLE) for n, b in balancers.items()}
+    builds = {size: partial(make_balancer, size, ALL_NODES) for size in sizes}
+    balancers = {size: build() for size, build in builds.items()}
+    changes = {size: drain_or_restore(one) for size, one in balancers.items()}
+    cycles = {size: partial(run_cycle, one) for size, one in balancers.items()}
     return [
-        fit("balancer.memory", "bytes", "backend", meter.memory(held, 1)),
-        fit("balancer.change", "us", "backend", meter.cpu(changed, 8)),
-        fit("balancer.cycle", "us", "backend", meter.cpu(cycled, 8)),
+        fit("balancer.memory", "bytes", "backend", meter.memory(builds, 1)),
+        fit("balancer.change", "us", "backend", meter.cpu(changes, CYCLE_ROUNDS)),
+        fit("balancer.cycle", "us", "backend", meter.cpu(cycles, CYCLE_ROUNDS)),
     ]
 
 
 def by_slots(quick: bool) -> list[Slope]:
-    """What a cycle pays for each slot held: classes' shares are dealt slot by slot."""
+    """The cost of a cycle for each slot: classes' shares are allocated slot by slot."""
     backends = 400 if quick else 2_000
-    balancers = [loaded(backends, nodes) for nodes in (4, 6, 8, 16, 64)]
-    points = meter.cpu({b.state.total: partial(b.on_timer, SECOND, Timer.CYCLE) for b in balancers})
+    balancers = [make_balancer(backends, nodes) for nodes in (4, 6, 8, 16, 64)]
+    points = meter.cpu({one.state.total: partial(run_cycle, one) for one in balancers})
     return [fit("balancer.cycle_by_slots", "us", "slot", points)]
 
 
 def by_services(quick: bool) -> list[Slope]:
-    """A Balancer a service, nothing to do: bytes, and microseconds that one cycle of all takes."""
+    """A Balancer for each service, without requests: bytes, and microseconds of a cycle of all."""
     sizes = (10, 20, 40) if quick else (50, 100, 200, 400)
-    groups = {size: group(size) for size in sizes}
-    held = {size: partial(group, size) for size in sizes}
-    cycled = {size: partial(cycle_all, g) for size, g in groups.items()}
-    changed = {size: changing(loaded(size, SHARING)) for size in (14, 27, 54, 108)}
+    builds = {size: partial(make_group, size) for size in sizes}
+    cycles = {size: partial(run_cycles, build()) for size, build in builds.items()}
+    changes = {
+        size: drain_or_restore(make_balancer(size, SHARING_NODES)) for size in (14, 27, 54, 108)
+    }
     return [
-        fit("service.memory", "bytes", "service", meter.memory(held)),
-        fit("service.cycle", "us", "service", meter.cpu(cycled)),
-        fit("service.change", "us", "backend of the service", meter.cpu(changed)),
+        fit("service.memory", "bytes", "service", meter.memory(builds)),
+        fit("service.cycle", "us", "service", meter.cpu(cycles)),
+        fit("service.change", "us", "backend of the service", meter.cpu(changes)),
     ]
 
 
-def group(size: int) -> list[Balancer]:
-    """So many Balancers, one a service of usual size."""
-    return [loaded(BACKENDS_A_SERVICE, SHARING) for _ in range(size)]
+def make_group(size: int) -> list[Balancer]:
+    """So many Balancers, each for a service of usual size."""
+    return [make_balancer(BACKENDS_PER_SERVICE, SHARING_NODES) for _ in range(size)]
 
 
-def cycle_all(balancers: list[Balancer]) -> None:
-    """The work that each does twice a second."""
+def run_cycle(balancer: Balancer) -> None:
+    """The work that a Balancer does twice a second."""
+    balancer.on_timer(SECOND, Timer.CYCLE)
+
+
+def run_cycles(balancers: list[Balancer]) -> None:
+    """The same of several."""
     for balancer in balancers:
-        balancer.on_timer(SECOND, Timer.CYCLE)
+        run_cycle(balancer)
 
 
 def by_tenants(quick: bool) -> list[Slope]:
     """Bytes of a Settings and a Balancer with so many tenants and three classes."""
     sizes = (100, 200, 400) if quick else (16_000, 64_000, 256_000)
 
-    def built(size: int) -> Balancer:
-        tenants = tuple(Tenant(f"tenant-{i}", 1.0, 2.0) for i in range(size))
-        return loaded(BACKENDS_A_SERVICE, SHARING, tenants)
-
-    def written(size: int) -> float:
-        """Bytes of them in a configuration."""
-        realms = [{"name": f"tenant-{i}", "portion": 1.0, "quota_per_s": 2.0} for i in range(size)]
-        return float(len(json.dumps(realms)))
-
-    held = {n: partial(built, n) for n in sizes}
-    texts = [meter.point(n, [written(n)]) for n in sizes]
+    builds = {size: partial(_balancer_with_tenants, size) for size in sizes}
+    file_sizes = [meter.point(size, [_tenants_bytes(size)]) for size in sizes]
     return [
-        fit("tenant.memory", "bytes", "tenant", meter.memory(held, 1)),
-        fit("tenant.bytes", "bytes", "tenant", texts),
+        fit("tenant.memory", "bytes", "tenant", meter.memory(builds, 1)),
+        fit("tenant.bytes", "bytes", "tenant", file_sizes),
     ]
+
+
+def _balancer_with_tenants(count: int) -> Balancer:
+    tenants = tuple(Tenant(f"tenant-{i}", 1.0, 2.0) for i in range(count))
+    return make_balancer(BACKENDS_PER_SERVICE, SHARING_NODES, tenants)
+
+
+def _tenants_bytes(count: int) -> float:
+    """Bytes of so many tenants in a node's configuration."""
+    rows = [{"name": f"tenant-{i}", "portion": 1.0, "quota_per_s": 2.0} for i in range(count)]
+    return float(len(json.dumps(rows)))
--- a/benchmarks/scale/meter.py
+++ b/benchmarks/scale/meter.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of one piece of work in this process, repeated."""
+"""Memory and processor time of repeated calls in this process."""
 
 from __future__ import annotations
 
@@ -11,40 +11,43 @@
 from benchmarks.scale.fit import Point
 
 ROUNDS = 40
-LEAST_NS = 3_000_000  # short, so that some reading is left alone by others on the machine
+MIN_READING_NS = 3_000_000  # short: some readings then meet no other load on the machine
 
 
 def point(size: float, readings: list[float]) -> Point:
     """Readings of one cost at one size.
 
-    The least counts: what lies above it is what others on the machine added (so the standard
-    library's `timeit` advises). The median and the most are kept to show how much that was.
+    The minimum is the value: what lies above it was added by other load on the machine (so the
+    standard library's `timeit` advises). The median and the maximum show how much that was.
     """
     return Point(size, min(readings), median(readings), max(readings))
 
 
 def memory(builds: Mapping[int, Callable[[], object]], rounds: int = 3) -> list[Point]:
-    """Bytes that what each build returns holds, by tracemalloc, by size."""
-    return [point(size, [held(build) for _ in range(rounds)]) for size, build in builds.items()]
+    """Bytes that each build's result keeps allocated, by tracemalloc, for each size."""
+    return [
+        point(size, [allocated_bytes(build) for _ in range(rounds)])
+        for size, build in builds.items()
+    ]
 
 
-def held(build: Callable[[], object]) -> float:
+def allocated_bytes(build: Callable[[], object]) -> float:
     """Bytes that one build's result keeps allocated."""
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        kept = build()
+        result = build()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del kept
+    del result
     return float(after - before)
 
 
 def peak(build: Callable[[], object]) -> float:
-    """The most bytes that one build has allocated at a time."""
+    """The maximum of bytes that one build has allocated at a time."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -55,10 +58,10 @@
 
 
 def cpu(calls: Mapping[int, Callable[[], object]], rounds: int = ROUNDS) -> list[Point]:
-    """Microseconds of this process's processor time a call, by size.
+    """Microseconds of this process's processor time a call, for each size.
 
-    Sizes take turns, so that a busy machine slows all of them and not one. Collection of garbage
-    is off while a reading goes on.
+    Sizes alternate, so that a busy machine slows all of them and not one. Garbage collection is off
+    during a reading.
     """
     readings: dict[int, list[float]] = {size: [] for size in calls}
     for call in calls.values():
@@ -75,19 +78,19 @@
 
 
 def reading(call: Callable[[], object]) -> float:
-    """Microseconds a call, of as many calls as fill LEAST_NS."""
+    """Microseconds a call, of as many calls as fill MIN_READING_NS."""
     count = 0
     began = time.process_time_ns()
-    taken = 0
-    while taken < LEAST_NS:
+    elapsed_ns = 0
+    while elapsed_ns < MIN_READING_NS:
         call()
         count += 1
-        taken = time.process_time_ns() - began
-    return taken / count / 1000
+        elapsed_ns = time.process_time_ns() - began
+    return elapsed_ns / count / 1000
 
 
 def reference() -> float:
-    """Microseconds of a plain loop of 10,000 steps: tells runs on a slower machine apart."""
+    """Microseconds of a plain loop of 10,000 steps: shows which runs met a slower machine."""
 
     def steps() -> int:
         total = 0
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -9,35 +9,60 @@
 import time
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
 
-from benchmarks import control
-from benchmarks.routes import closed_loop
+from benchmarks.control import Case, Variant, case_figures
+from benchmarks.routes import send_concurrently
 from benchmarks.scale import meter
-from benchmarks.scale.balancers import SHARING
+from benchmarks.scale.balancers import SHARING_NODES
 from benchmarks.scale.fit import Point, Slope, fit
 from benchmarks.scale.lists import rows
 from fakes.files import write_config
 from fakes.node import SETTINGS, running_node
 from fakes.processes import Process, running_backends, running_process
 
-REST_S = 2.5
-RESTS = 5
-SETTLE_S = 1.0
+IDLE_S = 2.5  # of one reading of a node without requests
+IDLE_READINGS = 5
+SETTLE_S = 1.0  # after a node's start
+OPENING_READINGS = 3
+REQUEST_READINGS = 8
+CONCURRENCY = 8  # requests in flight
+WARM_UP_REQUESTS = 400
+CONNECT_TIMEOUT_S = 5.0
+MEMORY_MB = 1024  # the nodes' limit
+SOCKETS = 16_384  # the limit of a node with many connections
+MAX_RESPONSE_BYTES = 4096
+READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 
 
-def resident(process: Process) -> float:
-    """Resident bytes."""
-    return 1024 * 1024 * control.memory_mb(process)
+def resident_bytes(process: Process) -> float:
+    """Resident memory in bytes."""
+    return 1024 * 1024 * process.resident_mb()
+
+
+# ---- by backends -----------------------------------------------------------------
+
+
+def node_by_backends(quick: bool) -> list[Slope]:
+    """A real node at rest: resident bytes, and microseconds of processor time a second."""
+    sizes = (10, 100, 200) if quick else (10, 500, 1_000, 2_000)
+    memory, cpu = [], []
+    for size in sizes:
+        with _node_with_backends(size) as process:
+            cpu.append(meter.point(size, [_idle_cpu(process) for _ in range(IDLE_READINGS)]))
+            memory.append(meter.point(size, [resident_bytes(process)]))
+    return [
+        fit("node.memory", "bytes", "backend", memory),
+        fit("node.rest", "us a second", "backend", cpu),
+    ]
 
 
 @contextlib.contextmanager
-def holding(backends: int) -> Iterator[Process]:
-    """A node that holds so many backends, and is asked nothing."""
-    limits = {"cores": 1.0, "memory_mb": 1024, "sockets": 1024}
-    known = {"rev": 1, "all": True, "targets": rows(backends)}
+def _node_with_backends(count: int) -> Iterator[Process]:
+    """A node whose list has so many backends, and that gets no requests."""
+    settings = SETTINGS | {"balancers": SHARING_NODES}
+    known = {"rev": 1, "all": True, "targets": rows(count)}
+    limits = {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 1024}
     with tempfile.TemporaryDirectory() as folder:
-        settings = SETTINGS | {"balancers": SHARING}
         path = write_config(Path(folder, "config.json"), settings, known, limits=limits)
         with running_process(("-m", "loadbalancer"), {"PROXY_CONFIG": str(path)}) as process:
             process.collect_log()
@@ -45,92 +70,78 @@
             yield process
 
 
-def node_by_backends(quick: bool) -> list[Slope]:
-    """A real node at rest: resident bytes, and microseconds of processor time a second."""
-    sizes = (10, 100, 200) if quick else (10, 500, 1_000, 2_000)
-    held, spent = [], []
-    for size in sizes:
-        with holding(size) as process:
-            spent.append(meter.point(size, [at_rest(process) for _ in range(RESTS)]))
-            held.append(meter.point(size, [resident(process)]))
-    return [
-        fit("node.memory", "bytes", "backend", held),
-        fit("node.rest", "us a second", "backend", spent),
-    ]
+def _idle_cpu(process: Process) -> float:
+    """Microseconds of processor time a second without requests."""
+    before_s = process.cpu_seconds()
+    time.sleep(IDLE_S)
+    return 1e6 * (process.cpu_seconds() - before_s) / IDLE_S
 
 
-def at_rest(process: Process) -> float:
-    """Microseconds of processor time a second while it is left alone."""
-    before = process.cpu_seconds()
-    time.sleep(REST_S)
-    return 1e6 * (process.cpu_seconds() - before) / REST_S
+# ---- by connections --------------------------------------------------------------
 
 
 def node_by_connections(quick: bool) -> list[Slope]:
     """Clients' connections of a real node: resident bytes each, microseconds to open and end."""
     sizes = (50, 100, 200) if quick else (300, 600, 900, 1_200)
-    held, spent = [], []
+    memory, cpu = [], []
     for size in sizes:
         with (
             running_backends(1, 0.0) as servers,
-            running_node(servers, memory_mb=1024, sockets=16_384) as process,
+            running_node(servers, memory_mb=MEMORY_MB, sockets=SOCKETS) as process,
         ):
             process.collect_log()
-            descriptors = open_descriptors(process)
-            ping(process, 1)
-            before = resident(process)
-            with connected(process, size):
-                if open_descriptors(process) - descriptors < size:
-                    raise RuntimeError(f"the node keeps less than {size} connections")
-                held.append(meter.point(size, [resident(process) - before]))
-            spent.append(meter.point(size, [openings(process, size) for _ in range(3)]))
+            memory.append(meter.point(size, [_connections_memory(process, size)]))
+            readings = [_opening_cpu(process, size) for _ in range(OPENING_READINGS)]
+            cpu.append(meter.point(size, readings))
     return [
-        fit("connection.memory", "bytes", "connection", held),
-        fit("connection.open", "us", "connection", spent),
+        fit("connection.memory", "bytes", "connection", memory),
+        fit("connection.open", "us", "connection", cpu),
     ]
 
 
-def open_descriptors(process: Process) -> int:
-    """Files and sockets that it has open."""
-    return len(list(Path(f"/proc/{process.child.pid}/fd").iterdir()))
-
-
-@contextlib.contextmanager
-def connected(process: Process, count: int) -> Iterator[None]:
-    """So many clients that have had an answer and keep their connections."""
+def _connections_memory(process: Process, count: int) -> float:
+    """Bytes by which the node grows with so many connections, each of which had a response."""
+    descriptors = process.open_descriptors()
+    _open_and_close(process, 1)
+    before = resident_bytes(process)
     with contextlib.ExitStack() as stack:
         for _ in range(count):
-            stack.enter_context(answered(process))
-        yield
+            stack.enter_context(_answered_connection(process))
+        if process.open_descriptors() - descriptors < count:
+            raise RuntimeError(f"the node has fewer than {count} connections open")
+        return resident_bytes(process) - before
 
 
-def answered(process: Process) -> socket.socket:
-    """A connection on which one question was answered."""
+def _answered_connection(process: Process) -> socket.socket:
+    """A connection on which one request was answered."""
     host, _, port = process.address.rpartition(":")
-    sock = socket.create_connection((host, int(port)), 5.0)
-    sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
-    if not sock.recv(4096).startswith(b"HTTP/1.1 200"):
+    sock = socket.create_connection((host, int(port)), CONNECT_TIMEOUT_S)
+    sock.sendall(READINESS_REQUEST)
+    if not sock.recv(MAX_RESPONSE_BYTES).startswith(b"HTTP/1.1 200"):
         raise RuntimeError("the node does not answer")
     return sock
 
 
-def ping(process: Process, count: int) -> None:
-    """So many connections one after the other, each for one question."""
+def _open_and_close(process: Process, count: int) -> None:
+    """So many connections one after the other, each for one request."""
     for _ in range(count):
-        answered(process).close()
+        _answered_connection(process).close()
 
 
-def openings(process: Process, count: int) -> float:
-    """Microseconds of the node for so many connections, less what their questions take."""
-    before = process.cpu_seconds()
-    ping(process, count)
-    with answered(process) as sock:
-        between = process.cpu_seconds()
+def _opening_cpu(process: Process, count: int) -> float:
+    """Microseconds of the node for so many connections, less what their requests take."""
+    before_s = process.cpu_seconds()
+    _open_and_close(process, count)
+    with _answered_connection(process) as sock:
+        between_s = process.cpu_seconds()
         for _ in range(count):
-            sock.sendall(b"GET /health/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
-            sock.recv(4096)
-        after = process.cpu_seconds()
-    return 1e6 * max((between - before) - (after - between), 0.0)
+            sock.sendall(READINESS_REQUEST)
+            sock.recv(MAX_RESPONSE_BYTES)
+        after_s = process.cpu_seconds()
+    return 1e6 * max((between_s - before_s) - (after_s - between_s), 0.0)
+
+
+# ---- by requests -----------------------------------------------------------------
 
 
 def node_by_requests(quick: bool) -> list[Slope]:
@@ -139,39 +150,43 @@
     readings: dict[int, list[float]] = {size: [] for size in sizes}
     with running_backends(4, 0.0, 64) as servers, running_node(servers) as process:
         process.collect_log()
-        asyncio.run(closed_loop(process.address, 400, 8, 1))
-        for turn in range(8):
+        _send(process, WARM_UP_REQUESTS, 1)
+        for reading in range(REQUEST_READINGS):
             for size in sizes:
-                before = process.cpu_seconds()
-                asyncio.run(closed_loop(process.address, size, 8, turn + 2))
-                readings[size].append(1e6 * (process.cpu_seconds() - before))
-    return [fit("node.requests", "us", "request", points(readings))]
+                before_s = process.cpu_seconds()
+                _send(process, size, reading + 2)
+                readings[size].append(1e6 * (process.cpu_seconds() - before_s))
+    points = [meter.point(size, found) for size, found in readings.items()]
+    return [fit("node.requests", "us", "request", points)]
+
+
+def _send(process: Process, count: int, seed: int) -> None:
+    asyncio.run(send_concurrently(process.address, count, CONCURRENCY, seed))
 
 
-def points(readings: dict[int, list[float]]) -> list[Point]:
-    """One point a size."""
-    return [meter.point(size, found) for size, found in readings.items()]
+# ---- the control service -----------------------------------------------------------
 
 
 def control_by_proxies(quick: bool) -> list[Slope]:
-    """`benchmarks.control`'s own cases: a real control service, one change of 270 servers."""
+    """Cases of `benchmarks.control`: a real control service, changes of one of 270 servers."""
     sizes = (5, 10, 20) if quick else (21, 200, 600)
-    servers, turns = (20, 2) if quick else (270, 4)
-    cpu, sent, held, told = [], [], [], []
+    servers, changes = (20, 2) if quick else (270, 4)
+    cpu, last, sent, memory = [], [], [], []
     for size in sizes:
-        found: dict[str, Any] = control.case(size, servers, "incremental", turns)
-        cpu.append(spread_point(size, found["cpu_ms_a_change"], 1000))
-        told.append(spread_point(size, found["last_ms"], 1))
-        sent.append(meter.point(size, [size * found["bytes_a_change_and_proxy"]]))
-        held.append(meter.point(size, [1e6 * found["memory_mb"]]))
+        figures = case_figures(Case(size, servers), Variant.INCREMENTAL, changes)
+        cpu.append(_spread_point(size, figures["cpu_ms_a_change"], 1000))
+        last.append(_spread_point(size, figures["last_ms"], 1))
+        sent.append(meter.point(size, [size * figures["bytes_a_change_and_proxy"]]))
+        memory.append(meter.point(size, [1e6 * figures["memory_mb"]]))
     return [
         fit("control.cpu", "us", "proxy", cpu),
-        fit("control.last", "ms", "proxy", told),
+        fit("control.last", "ms", "proxy", last),
         fit("control.bytes", "bytes", "proxy", sent),
-        fit("control.memory", "bytes", "proxy", held),
+        fit("control.memory", "bytes", "proxy", memory),
     ]
 
 
-def spread_point(size: int, found: dict[str, float], factor: float) -> Point:
-    """A point from what `benchmarks.stats.spread` gave: its median counts there."""
-    return Point(size, factor * found["median"], factor * found["median"], factor * found["most"])
+def _spread_point(size: int, spread: dict[str, float], factor: float) -> Point:
+    """A point from what `benchmarks.stats.spread` returned: its median is the value."""
+    value = factor * spread["median"]
+    return Point(size, value, value, factor * spread["most"])
--- a/benchmarks/scale/record.py
+++ b/benchmarks/scale/record.py
@@ -1,11 +1,11 @@
-"""The file that keeps measured slopes: runs, each with its command and its machine."""
+"""The file of measured slopes: runs, each with its command and its machine."""
 
 from __future__ import annotations
 
 import json
 import os
 import sys
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Slopes of one call.
+    """The slopes of one run of the command.
 
-    `reference_us` is what a fixed loop took then (`meter.reference`): where two runs differ in
-    it, their processor times differ for that reason.
+    `reference_us` is the time of a fixed loop then (`meter.reference`), in microseconds: where two
+    runs differ in it, their processor times differ for that reason.
     """
 
     command: str
@@ -33,7 +33,7 @@
     slopes: tuple[Slope, ...]
 
     def as_json(self) -> dict[str, Any]:
-        """Plain data."""
+        """Plain data, as it is written to the file."""
         return {
             "command": self.command,
             "python": self.python,
@@ -63,18 +63,18 @@
 
 
 def merged(runs: list[Run], new: Run) -> list[Run]:
-    """Runs with a further one, whose slopes take the place of older ones of their names."""
-    names = {slope.name for slope in new.slopes}
-    kept = []
+    """Runs with a further one, whose slopes replace older ones of the same names."""
+    replaced = {slope.name for slope in new.slopes}
+    result = []
     for run in runs:
-        rest = tuple(slope for slope in run.slopes if slope.name not in names)
-        if rest:
-            kept.append(Run(run.command, run.python, run.cores, run.reference_us, rest))
-    return [*kept, new]
+        remaining = tuple(slope for slope in run.slopes if slope.name not in replaced)
+        if remaining:
+            result.append(replace(run, slopes=remaining))
+    return [*result, new]
 
 
 def write(path: Path, runs: list[Run]) -> None:
-    """Keep these runs."""
+    """Write these runs, in place of what the file holds."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps({"runs": [run.as_json() for run in runs]}, indent=1) + "\n")
 
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -1,11 +1,11 @@
-"""Slopes: what each thing that is held or sent costs, at three sizes or more.
+"""Slopes: the cost of each thing that is stored, sent or computed, at three sizes or more.
 
     python -m benchmarks.scale slopes [--quick] [--only NAME] [--but NAME] [--out FILE]
 
 Measurements build the project's real classes in this process (memory is what tracemalloc counts,
 processor time this process's own), or start a real process and read its resident memory and
-its scheduler's account of processor time. Every line is printed with its residual; the last
-line is one JSON object. `--quick` uses smaller sizes, to try it: its figures are not for a page.
+its processor time from the scheduler. Every line is printed with its residual; the last line is
+one JSON object. `--quick` uses smaller sizes, to try it: its figures are not for a page.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from benchmarks.scale import balancers, gossip, lists, meter, processes, record
 from benchmarks.scale.fit import Slope
 
-Measurement = Callable[[bool], list[Slope]]
+Measurement = Callable[[bool], list[Slope]]  # its argument: with the sizes of --quick
 
 MEASUREMENTS: dict[str, Measurement] = {
     "balancer": balancers.by_backends,
@@ -37,7 +37,7 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Options of the sub-command."""
+    """Add the options of the sub-command."""
     parser.add_argument("--quick", action="store_true", help="small sizes, to try it")
     parser.add_argument("--only", choices=sorted(MEASUREMENTS), action="append", help="these alone")
     parser.add_argument("--but", choices=sorted(MEASUREMENTS), action="append", help="not these")
@@ -66,8 +66,8 @@
 
 def _command(args: argparse.Namespace) -> str:
     """Return the command line that measures the same slopes."""
-    options = [word for name in args.only or () for word in ("--only", name)]
-    options += [word for name in args.but or () for word in ("--but", name)]
+    options = [f"--only {name}" for name in args.only or ()]
+    options += [f"--but {name}" for name in args.but or ()]
     return " ".join(["python -m benchmarks.scale slopes", *options])
 
 
--- a/tests/benchmarks/test_scale_capacity.py
+++ b/tests/benchmarks/test_scale_capacity.py
@@ -243,8 +243,8 @@
 
 
 def test_a_file_of_so_many_services_has_the_usual_number_of_routes() -> None:
-    made = lists.table(3)
-    assert [len(service.routes) for service in made.services] == [lists.ROUTES_A_SERVICE] * 3
+    made = lists.routes_table(3)
+    assert [len(service.routes) for service in made.services] == [lists.ROUTES_PER_SERVICE] * 3
 
 
 def test_quick_figures_go_into_no_file(tmp_path: Path) -> None:
