--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,8 +1,9 @@
-"""The floor: a pass-through on the node's loop and parser that decides nothing.
+"""The floor: a pass-through on the node's event loop and parser that decides nothing.
 
     python -m benchmarks.passthrough HOST:PORT [HOST:PORT ...]
 
-Takes servers in turn, one request at a time on a connection, whole messages.
+It takes servers in turn, has one request at a time on a connection, and buffers each message
+completely. The first line on standard output names its address.
 """
 
 from __future__ import annotations
@@ -15,108 +16,126 @@
 import httptools
 import uvloop
 
+Address = tuple[str, int]
 
-class Client(asyncio.Protocol):
-    """A client's connection; its requests' heads are written anew, as the node does."""
+
+class ClientConnection(asyncio.Protocol):
+    """A client's connection; the heads of its requests are written anew, as the node does."""
 
     def __init__(self, relay: Relay) -> None:
-        self.relay = relay
         self.transport: asyncio.Transport
-        self.parser = httptools.HttpRequestParser(self)
-        self.url = b""
-        self.lines: list[bytes] = []
-        self.body: list[bytes] = []
+        self._relay = relay
+        self._parser = httptools.HttpRequestParser(self)
+        self._url = b""
+        self._header_lines: list[bytes] = []
+        self._body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the connection, as the event loop calls it."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.parser.feed_data(data)
+        """Parse what has arrived, as the event loop calls it."""
+        self._parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        self.url, self.lines, self.body = b"", [], []
+        """Begin a request; the parser calls this and the methods below."""
+        self._url, self._header_lines, self._body = b"", [], []
 
     def on_url(self, url: bytes) -> None:
-        self.url += url
+        """Take a part of the request's target."""
+        self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.lines.append(b"%s: %s\r\n" % (name, value))
+        """Take a header."""
+        self._header_lines.append(b"%s: %s\r\n" % (name, value))
 
     def on_body(self, body: bytes) -> None:
-        self.body.append(body)
+        """Take a part of the body."""
+        self._body.append(body)
 
     def on_message_complete(self) -> None:
-        head = b"%s %s HTTP/1.1\r\n%s\r\n" % (
-            self.parser.get_method(), self.url, b"".join(self.lines),
-        )  # fmt: skip
-        self.relay.send(self, head + b"".join(self.body))
+        """Forward the request."""
+        method, headers = self._parser.get_method(), b"".join(self._header_lines)
+        head = b"%s %s HTTP/1.1\r\n%s\r\n" % (method, self._url, headers)
+        self._relay.forward(self, head + b"".join(self._body))
 
 
-class Server(asyncio.Protocol):
-    """A server's connection, kept for the next request."""
+class ServerConnection(asyncio.Protocol):
+    """A connection to a server, idle between requests."""
 
-    def __init__(self, relay: Relay, key: tuple[str, int]) -> None:
-        self.relay = relay
-        self.key = key
-        self.client: Client | None = None
+    def __init__(self, relay: Relay, address: Address) -> None:
+        self.client: ClientConnection | None = None  # whose request is in flight
         self.transport: asyncio.Transport
-        self.parser = httptools.HttpResponseParser(self)
-        self.body: list[bytes] = []
+        self._relay = relay
+        self._address = address
+        self._parser = httptools.HttpResponseParser(self)
+        self._body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the connection, as the event loop calls it."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.parser.feed_data(data)
+        """Parse what has arrived, as the event loop calls it."""
+        self._parser.feed_data(data)
 
     def on_body(self, body: bytes) -> None:
-        self.body.append(body)
+        """Take a part of the body, as the parser calls it."""
+        self._body.append(body)
 
     def on_message_complete(self) -> None:
+        """Pass the response on, as the parser calls it."""
         client, self.client = self.client, None
-        body, self.body = b"".join(self.body), []
-        self.relay.idle[self.key].append(self)
+        body, self._body = b"".join(self._body), []
+        self._relay.idle[self._address].append(self)
         if client is not None:
-            status = self.parser.get_status_code()
-            client.transport.write(
-                b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
-            )
+            status = self._parser.get_status_code()
+            head = b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n\r\n" % (status, len(body))
+            client.transport.write(head + body)
 
 
 class Relay:
-    def __init__(self, servers: list[tuple[str, int]]) -> None:
-        self.idle: dict[tuple[str, int], list[Server]] = {key: [] for key in servers}
-        self.turn = cycle(servers)
-        self.tasks: set[asyncio.Task[None]] = set()
-
-    def send(self, client: Client, data: bytes) -> None:
-        key = next(self.turn)
-        if self.idle[key]:
-            self._write(self.idle[key].pop(), client, data)
+    """Connections to the servers, each of which has one request in flight or is idle."""
+
+    def __init__(self, servers: list[Address]) -> None:
+        self.idle: dict[Address, list[ServerConnection]] = {address: [] for address in servers}
+        self._next_server = cycle(servers)
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def forward(self, client: ClientConnection, request: bytes) -> None:
+        """Send a request to the next server, on a new connection if none is idle."""
+        address = next(self._next_server)
+        if self.idle[address]:
+            _send(self.idle[address].pop(), client, request)
             return
-        task = asyncio.get_running_loop().create_task(self._dial(key, client, data))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        task = asyncio.get_running_loop().create_task(self._connect(address, client, request))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, key: tuple[str, int], client: Client, data: bytes) -> None:
+    async def _connect(self, address: Address, client: ClientConnection, request: bytes) -> None:
         loop = asyncio.get_running_loop()
-        _, server = await loop.create_connection(lambda: Server(self, key), *key)
-        self._write(server, client, data)
+        _, server = await loop.create_connection(lambda: ServerConnection(self, address), *address)
+        _send(server, client, request)
+
 
-    def _write(self, server: Server, client: Client, data: bytes) -> None:
-        server.client = client
-        server.transport.write(data)
+def _send(server: ServerConnection, client: ClientConnection, request: bytes) -> None:
+    server.client = client
+    server.transport.write(request)
 
 
-async def run(servers: list[tuple[str, int]]) -> None:
+async def run(servers: list[Address]) -> None:
+    """Serve until the process ends."""
     relay = Relay(servers)
-    listener = await asyncio.get_running_loop().create_server(lambda: Client(relay), "127.0.0.1", 0)
+    loop = asyncio.get_running_loop()
+    listener = await loop.create_server(lambda: ClientConnection(relay), "127.0.0.1", 0)
     print(f"listening on 127.0.0.1:{listener.sockets[0].getsockname()[1]}", flush=True)
     await listener.serve_forever()
 
 
 def main() -> None:
-    pairs = (word.rpartition(":") for word in sys.argv[1:])
+    """Serve the servers that the arguments name."""
+    pairs = (argument.rpartition(":") for argument in sys.argv[1:])
     uvloop.run(run([(host, int(port)) for host, _, port in pairs]))
 
 
