--- a/benchmarks/assignment.py
+++ b/benchmarks/assignment.py
@@ -39,7 +39,7 @@
 NEXT_LOSS_RUNS = 50
 PARTIAL_LOSSES = (10, 40, 400, 1000, 1300, 1500, 1650, 1900, 1950)  # dead nodes of a full zone
 PARTIAL_LOSS_RUNS = 5
-MOST_OF_A_ZONE = 1_650  # nodes, of a full zone
+LARGE_LOSS = 1_650  # nodes of a full zone: most of it
 T = TypeVar("T")
 
 
@@ -165,15 +165,13 @@
     """How evenly services and nodes are spread over each other."""
     services_by_node = [len(services) for services in assignment.services_by_node.values()]
     holders = [len(nodes) for nodes in assignment.holders.values()]
-    over_connections = [
-        unmet for unmet in assignment.unmet if unmet.constraint is Constraint.CONNECTIONS
-    ]
+    exceeded = [unmet for unmet in assignment.unmet if unmet.constraint is Constraint.CONNECTIONS]
     return {
         "services_a_node_mean": round(mean(services_by_node), 2),
         "services_a_node_most": max(services_by_node),
         "sharers_mean": round(mean(holders), 2),
         "sharers_most": max(holders),
-        "over_their_connections": len(over_connections),
+        "over_their_connections": len(exceeded),
         "unmet": len(assignment.unmet),
     }
 
@@ -276,7 +274,7 @@
     """A rack, most of a zone and a zone that are lost and return, as the handover sees it."""
     lost_sets = {
         "rack of 40": rack(scale),
-        "most of a zone": first_nodes(scale.part_of_zone(MOST_OF_A_ZONE)),
+        "most of a zone": first_nodes(scale.part_of_zone(LARGE_LOSS)),
         "zone": first_nodes(scale.zone_nodes),
     }
     return {name: handover_figures(assigner, lost) for name, lost in lost_sets.items()}
--- a/benchmarks/scale/budget.py
+++ b/benchmarks/scale/budget.py
@@ -1,4 +1,4 @@
-"""Bounds on the memory and the number of a run's processes; a run that reaches one is ended."""
+"""Limits of the memory and the number of a run's processes; a run that exceeds one is ended."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @dataclass(slots=True)
 class Budget:
-    """Bytes of memory and processes that may be used together, and the most that was used."""
+    """Limits of the memory and the number of processes together, and the peaks of both."""
 
-    memory: int
+    memory: int  # bytes
     processes: int
     pids: set[int] = field(default_factory=set)  # beside this process; may have ended
-    most_memory: int = 0
-    most_processes: int = 0
+    peak_memory: int = 0  # bytes
+    peak_processes: int = 0
 
     def check(self) -> None:
         """Measure all processes that run; BudgetError if a budget is exceeded."""
         alive = [pid for pid in self.pids if Path(f"/proc/{pid}").exists()]
         used = sum(proportional_bytes(pid) for pid in (*alive, os.getpid()))
-        self.most_memory = max(self.most_memory, used)
-        self.most_processes = max(self.most_processes, len(alive) + 1)
+        self.peak_memory = max(self.peak_memory, used)
+        self.peak_processes = max(self.peak_processes, len(alive) + 1)
         if used > self.memory:
             raise BudgetError(f"memory: {used / GB:.2f} GB of {self.memory / GB:.2f} GB")
         if len(alive) + 1 > self.processes:
--- a/benchmarks/scale/capacity/edges.py
+++ b/benchmarks/scale/capacity/edges.py
@@ -24,8 +24,8 @@
 from benchmarks.scale.sharing import (
     Pool,
     Use,
+    max_nodes,
     meets_busy_part,
-    most_nodes,
     new_connection_part,
     waits_for_slot_part,
 )
@@ -74,8 +74,8 @@
 
 PARTS: dict[str, Callable[[Pool], float]] = {
     "new connection, backend given": partial(new_connection_part, use=Use.GIVEN),
-    "new connection, least held of all": partial(new_connection_part, use=Use.LEAST_HELD),
-    "new connection, slots dealt": partial(new_connection_part, use=Use.DEALT),
+    "new connection, least held of all": partial(new_connection_part, use=Use.LEAST_REQUESTS),
+    "new connection, slots dealt": partial(new_connection_part, use=Use.ALLOCATED),
     "waits for a slot of its node": waits_for_slot_part,
     "meets a busy backend": meets_busy_part,
 }
@@ -97,8 +97,8 @@
     for name, part in PARTS.items():
         for backends in SIZES:
             easy, hard = ends(target, Range(1, 1), backends)
-            most = partial(most_nodes, part=part, allowed=target.late_part)
-            found.append(Sharing(name, backends, most(easy), most(hard)))
+            limit = partial(max_nodes, part=part, allowed=target.late_part)
+            found.append(Sharing(name, backends, limit(easy), limit(hard)))
     return found
 
 
--- a/benchmarks/scale/capacity/tables.py
+++ b/benchmarks/scale/capacity/tables.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.capacity.target import ASSUMPTIONS, Assumption, Range, Target
 from benchmarks.scale.fit import Slope
 from benchmarks.scale.record import Run
-from benchmarks.scale.sharing import MOST_NODES
+from benchmarks.scale.sharing import MAX_NODES
 
 BYTES = (("GB", 1e9), ("MB", 1e6), ("KB", 1e3), ("B", 1.0))
 TIMES = (("days", 86_400.0), ("h", 3_600.0), ("min", 60.0), ("s", 1.0), ("ms", 1e-3), ("us", 1e-6))
@@ -147,7 +147,7 @@
 
 def nodes(count: int) -> str:
     """A number of nodes that the search may have ended at."""
-    return f"over {MOST_NODES:,}" if count >= MOST_NODES else str(count)
+    return f"over {MAX_NODES:,}" if count >= MAX_NODES else str(count)
 
 
 def assumptions_table(rows: Sequence[Assumption] = ASSUMPTIONS) -> str:
--- a/benchmarks/scale/checks.py
+++ b/benchmarks/scale/checks.py
@@ -61,7 +61,7 @@
 
 
 def _cost_checks(node: NodeFigures) -> list[Check]:
-    cpu = node.cpu_control_most
+    cpu = node.max_cpu_control
     worst = node.worst_minute_bytes_s
     memory = node.memory_lone_process_bytes
     return [
--- a/benchmarks/scale/cluster.py
+++ b/benchmarks/scale/cluster.py
@@ -18,13 +18,17 @@
 from benchmarks.scale.options import Options
 from benchmarks.scale.ports import first_of_free_ports
 from benchmarks.scale.realnodes import RealNodes
-from benchmarks.scale.world import World
+from benchmarks.scale.world import BoundListener, World
 from loadbalancer.control.machine.file import read_scale
 
 PORTS = 40  # that one run uses, in a row
 CONTROL_PORTS = 18  # of them: three for each of the six control machines
 SMALL_SERVICE_BACKENDS = 200  # a real node serves one with fewer
+BOUND_MACHINE = "east-a"  # whose lists the real nodes read
 IDLE_S = 2.0  # over which a host's processor time without nodes is measured
+# With --every the assignment gives each service to all nodes.
+NODES_PER_ZONE_EVERYWHERE = 64
+RATE_EVERYWHERE = 1e9  # requests a second that a node may get
 
 logger = logging.getLogger(__name__)
 
@@ -53,10 +57,12 @@
         ports = range(first_listener, first_listener + options.real)
         services = [one for one in self.world.services if one.backends < SMALL_SERVICE_BACKENDS]
         bound = [
-            {"machine": "east-a", "service": service.name, "listen": f"127.0.0.1:{port}"}
+            BoundListener(BOUND_MACHINE, service.name, f"127.0.0.1:{port}")
             for port, service in zip(ports, services, strict=False)
         ]
-        rules = {"least_per_zone": 64, "node_rate": 1e9} if options.every else {}
+        rules: dict[str, float] = {}
+        if options.every:
+            rules = {"least_per_zone": NODES_PER_ZONE_EVERYWHERE, "node_rate": RATE_EVERYWHERE}
         return self.world.write(self.folder, port, bound, rules)
 
     def _divide_nodes(self, count: int) -> list[Host]:
@@ -151,32 +157,32 @@
         return {host.name: status for host, status in zip(self.hosts, statuses, strict=True)}
 
     async def all_services_held(self) -> bool:
-        """Whether each service is held by as many nodes as the assignment asks for."""
+        """Whether each service is at as many nodes as the assignment demands."""
         hosts = await self.host_statuses()
         statuses = await self.control_statuses()
-        wanted = {row["assignment"]["pairs"] for row in statuses.values()}
-        held = sum(status.services for status in hosts.values())
-        logger.info("  %d of %d services held", held, max(wanted, default=0))
-        return len(wanted) == 1 and held >= max(wanted)
+        assigned = {row["assignment"]["pairs"] for row in statuses.values()}
+        present = sum(status.services for status in hosts.values())
+        logger.info("  %d of %d services held", present, max(assigned, default=0))
+        return len(assigned) == 1 and present >= max(assigned)
 
     # ---- control machines ----------------------------------------------------------
 
     async def control_statuses(self) -> dict[str, dict[str, Any]]:
         """Return `/status` of the control machines that answer, by name."""
 
-        def ask(control: Control) -> dict[str, Any] | None:
+        def status_of(control: Control) -> dict[str, Any] | None:
             try:
                 return control.status() if control.alive() else None
             except OSError:
                 return None
 
         controls = self.controls.values()
-        found = await asyncio.gather(*(asyncio.to_thread(ask, one) for one in controls))
+        found = await asyncio.gather(*(asyncio.to_thread(status_of, one) for one in controls))
         rows = zip(self.controls, found, strict=True)
         return {name: row for name, row in rows if row is not None}
 
     def leader(self, region: str) -> Control:
-        """Return the machine that says it leads a region; TimeoutError if none does."""
+        """Return the machine that reports that it leads a region; TimeoutError if none does."""
         for control in self.controls.values():
             if control.alive() and control.machine.spec.region == region:
                 with contextlib.suppress(OSError):
@@ -211,7 +217,7 @@
         return ready and not empty and versions != {self.accepted.versions["west"]}
 
     async def describe_controls(self) -> str:
-        """Return each machine's role and positions, for a run that waits in vain."""
+        """Return each machine's role and positions, for the error of a run that timed out."""
         return ", ".join(
             f"{name} {row['role']} {[log['position'] for log in row['logs'].values()]}"
             for name, row in (await self.control_statuses()).items()
--- a/benchmarks/scale/driver.py
+++ b/benchmarks/scale/driver.py
@@ -1,4 +1,4 @@
-"""Submits changes to the control machines at a random rate; follows the log of accepted ones."""
+"""Submits a random stream of changes to the control machines; follows the log of accepted ones."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from loadbalancer.control.machine.version import position_of
 
 RETRY_S = 0.25
-GIVE_UP_S = 60.0  # for one change to be accepted
+SUBMIT_TIMEOUT_S = 60.0  # for one change to be accepted
 FOLLOW_INTERVAL_S = 1.0
 
 
@@ -38,14 +38,14 @@
     ) -> None:
         """`rate`: changes a second, on average. The regions' logs are loaded."""
         self.accepted: list[AcceptedChange] = []
-        self.counts: Counter[str] = Counter()  # of everything that was not an acceptance
+        self.counts: Counter[str] = Counter()  # of all results but an acceptance, by their names
         self.regions: set[str] = set(log.versions)  # whose changes are submitted
         self._world = world
         self._controls = controls
         self._log = log
         self._rate = rate
         self._random = Random(world.seed + 1)
-        self._leaders: dict[str, str] = {}  # names by region, as last heard
+        self._leaders: dict[str, str] = {}  # names by region, as last reported
         self._submissions: set[asyncio.Task[None]] = set()
 
     # ---- changes -----------------------------------------------------------------
@@ -71,8 +71,8 @@
     async def _submit(self, change: DrawnChange, region: str) -> None:
         body = json.dumps([change.as_json()]).encode()
         began = time.monotonic_ns()
-        while time.monotonic_ns() - began < GIVE_UP_S * 1e9:
-            control = self._machine_to_ask(region)
+        while time.monotonic_ns() - began < SUBMIT_TIMEOUT_S * 1e9:
+            control = self._submission_target(region)
             if control is None:
                 self.counts["no machine"] += 1
                 await asyncio.sleep(RETRY_S)
@@ -95,8 +95,8 @@
             AcceptedChange(change.service, region, revision, row["accepted_ns"], submitted_ns)
         )
 
-    def _machine_to_ask(self, region: str) -> Control | None:
-        """Return the leader as last heard, or any machine of the region that runs."""
+    def _submission_target(self, region: str) -> Control | None:
+        """Return the leader as last reported, or any machine of the region that runs."""
         known = self._controls.get(self._leaders.get(region, ""))
         if known is not None and known.alive():
             return known
@@ -108,14 +108,14 @@
         return self._random.choice(running) if running else None
 
     def _learn_leader(self, region: str, control: Control, answer: Answer) -> None:
-        """Take the leader that a refusal names; ValueError if the change itself is invalid."""
+        """Record the leader that a rejection names; ValueError if the change itself is invalid."""
         self._leaders.pop(region, None)
         if answer.status == HTTPStatus.CONFLICT:
             leader = json.loads(answer.body).get("leader", "")
             if leader and leader != control.name:
                 self._leaders[region] = leader
         elif answer.status == HTTPStatus.BAD_REQUEST:
-            raise ValueError(f"a change of the world was refused: {answer.body[:200]!r}")
+            raise ValueError(f"a change of the world was rejected: {answer.body[:200]!r}")
 
     # ---- the log ------------------------------------------------------------------
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -8,8 +8,9 @@
 import subprocess
 import sys
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from http.client import HTTPConnection, HTTPException
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -30,8 +31,8 @@
     connection = HTTPConnection(address.host, address.port, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body)
-        answer = connection.getresponse()
-        return answer.status, answer.read()
+        response = connection.getresponse()
+        return response.status, response.read()
     except HTTPException as err:
         raise OSError(f"{address}: {type(err).__name__}") from None
     finally:
@@ -46,7 +47,7 @@
     file: Path
     log: Path
     budget: Budget
-    popen: subprocess.Popen[bytes] | None = None
+    child: subprocess.Popen[bytes] | None = None  # None before it is started
     stopped: bool = False  # by SIGSTOP
 
     @property
@@ -58,38 +59,38 @@
         """Start the process; also after it was killed."""
         command = [sys.executable, "-m", "loadbalancer", "scale", str(self.file)]
         with open(self.log, "ab") as log:
-            self.popen = subprocess.Popen([*command, "--machine", self.name], stderr=log)
-        self.budget.pids.add(self.popen.pid)
+            self.child = subprocess.Popen([*command, "--machine", self.name], stderr=log)
+        self.budget.pids.add(self.child.pid)
 
     def alive(self) -> bool:
         """Whether the process runs and is not stopped."""
-        return self.popen is not None and self.popen.poll() is None and not self.stopped
+        return self.child is not None and self.child.poll() is None and not self.stopped
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal; with SIGKILL, wait until the process has ended."""
-        assert self.popen is not None
-        self.popen.send_signal(number)
+        assert self.child is not None
+        self.child.send_signal(number)
         self.stopped = number == signal.SIGSTOP
         if number == signal.SIGKILL:
-            self.popen.wait()
+            self.child.wait()
 
     def status(self) -> dict[str, Any]:
         """Return its `/status`; OSError if it does not answer."""
         status, body = call(self.machine.admin, "GET", "/status")
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise OSError(f"{self.name}: status {status}")
-        found: dict[str, Any] = json.loads(body)
-        return found
+        answer: dict[str, Any] = json.loads(body)
+        return answer
 
     def close(self) -> None:
         """Kill the process if it runs."""
-        if self.popen is not None and self.popen.poll() is None:
-            self.popen.kill()
-            self.popen.wait()
+        if self.child is not None and self.child.poll() is None:
+            self.child.kill()
+            self.child.wait()
 
 
 class HostNode(NamedTuple):
-    """One hollow node, as a host is told of it."""
+    """One hollow node, in the form that a host receives."""
 
     name: str
     region: str
@@ -108,7 +109,7 @@
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     empty: HostStatus | None = None  # before any node was started
     last: HostStatus | None = None  # after the last order
-    idle: float = 0.0  # of a core, with no nodes
+    idle: float = 0.0  # part of a core that it takes without nodes
 
     async def start(self, plan: dict[str, Any], budget: Budget) -> None:
         """Start the process; none of its nodes runs yet."""
@@ -123,10 +124,16 @@
         budget.pids.add(self.process.pid)
         self.empty = await self._send(plan | {"nodes": self.nodes, "steps": str(self.steps)})
 
-    async def order(self, order: str, **arguments: Any) -> HostStatus:
-        """Give an order and return the report after it; orders wait for each other."""
+    async def order(self, order: str, nodes: Sequence[str] = ()) -> HostStatus:
+        """Give an order, for these nodes where it needs some, and return the report after it.
+
+        Orders wait for each other.
+        """
+        message: dict[str, Any] = {"order": order}
+        if nodes:
+            message["nodes"] = nodes
         async with self.lock:
-            status = await self._send({"order": order} | arguments)
+            status = await self._send(message)
             self.last = status
         return status
 
@@ -163,7 +170,7 @@
 
 
 async def until(what: str, seconds: float, condition: Callable[[], Awaitable[bool]]) -> float:
-    """Poll a condition until it holds and return the seconds taken; TimeoutError names `what`."""
+    """Poll until a condition holds and return the seconds it took; TimeoutError names `what`."""
     began = time.monotonic()
     while not await condition():
         if time.monotonic() - began > seconds:
--- a/benchmarks/scale/node_figures.py
+++ b/benchmarks/scale/node_figures.py
@@ -11,14 +11,14 @@
 from benchmarks.scale.host_status import HostStatus
 from benchmarks.scale.measurements import Phase
 
-COLD_START = "cold start"  # left out: no node is in its usual state yet
+COLD_START = "cold start"  # a phase without figures: no node is in its usual state yet
 
 
 @dataclass(frozen=True, slots=True)
 class PhaseNodeFigures:
     """Means of all nodes in one phase."""
 
-    bytes_s: float
+    bytes_s: float  # bytes a second, sent and received
     received_s: float  # bytes a second
     events: dict[str, int]  # of all subscribers together
     cpu_control: float  # of a core, without the Balancers' cycles
@@ -40,7 +40,7 @@
     loop_late_most_s: float
 
     @property
-    def cpu_control_most(self) -> float:
+    def max_cpu_control(self) -> float:
         """The highest processor time for control in any phase, of a core."""
         return max((figures.cpu_control for figures in self.by_phase.values()), default=0.0)
 
@@ -99,7 +99,7 @@
 
 
 def _phase_figures(phase: Phase, idle: float, nodes: int, stretch: int) -> PhaseNodeFigures:
-    """`idle`: what all hosts' event loops take of a core without nodes."""
+    """`idle`: the part of a core that all hosts' event loops take without nodes."""
     before, after = phase.before.hosts, phase.after.hosts
     pairs = [(before[name], after[name]) for name in after]
     node_seconds = nodes * phase.seconds
--- a/benchmarks/scale/options.py
+++ b/benchmarks/scale/options.py
@@ -30,12 +30,12 @@
     failures: float  # multiple of the target's daily rate of restarts and failures
     seconds: float  # of each phase
     hold: float  # seconds that a control machine holds a poll
-    late: float  # seconds beyond `hold` after which a node takes the machine for silent
+    late: float  # seconds beyond `hold` after which a machine counts as unresponsive
     stretch: int  # Balancers' cycles come this many times less often
-    every: bool  # each node holds every service
+    every: bool  # each node has every service
     real: int  # real nodes
-    memory_gb: float
-    processes: int
+    memory_gb: float  # of all processes together, 2**30 bytes
+    processes: int  # at most
     phases: tuple[str, ...] = PHASES
 
     def __post_init__(self) -> None:
@@ -82,9 +82,9 @@
             )
 
 
-def _check_range(name: str, value: float, least: float, most: float) -> None:
-    if not least <= value <= most:  # also true of NaN
-        raise WorldError(f"{name}: [range] {value}; write {least:g} to {most:g}")
+def _check_range(name: str, value: float, minimum: float, maximum: float) -> None:
+    if not minimum <= value <= maximum:  # also true of NaN
+        raise WorldError(f"{name}: [range] {value}; write {minimum:g} to {maximum:g}")
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
--- a/benchmarks/scale/propagation.py
+++ b/benchmarks/scale/propagation.py
@@ -32,7 +32,7 @@
 
 def propagation_times(delays: Sequence[Delay]) -> PropagationTimes:
     """Summarise the delays of a set of changes."""
-    took = sorted(delay.most_ns / NS_PER_MS for delay in delays if delay.nodes)
+    took = sorted(delay.max_ns / NS_PER_MS for delay in delays if delay.nodes)
     waited = sorted(
         (one.change.accepted_ns - one.change.submitted_ns) / NS_PER_MS for one in delays
     )
@@ -64,7 +64,7 @@
     delays: Sequence[Delay], began: int, node_names: Sequence[str]
 ) -> list[dict[str, Any]]:
     """Describe the changes that took longest; `began` (ns) is the start of the first phase."""
-    ordered = sorted(delays, key=lambda delay: -delay.most_ns)
+    ordered = sorted(delays, key=lambda delay: -delay.max_ns)
     return [_describe(delay, began, node_names) for delay in ordered[:SLOWEST]]
 
 
@@ -74,6 +74,6 @@
         "region": delay.change.region,
         "revision": delay.change.revision,
         "accepted_s": round((delay.change.accepted_ns - began) / 1e9, 3),
-        "took_ms": round(delay.most_ns / NS_PER_MS, 1),
+        "took_ms": round(delay.max_ns / NS_PER_MS, 1),
         "node": node_names[delay.last_node] if delay.last_node is not None else "",
     }
--- a/benchmarks/scale/realnodes.py
+++ b/benchmarks/scale/realnodes.py
@@ -1,10 +1,9 @@
-"""Real nodes of a scale run: each serves one service and reads its list from a control machine."""
+"""Real nodes of a scale run: each serves one service, and polls a control machine for its list."""
 
 from __future__ import annotations
 
 import contextlib
 from pathlib import Path
-from typing import Any
 
 from benchmarks.scale.budget import Budget
 from fakes.files import write_config
@@ -27,14 +26,16 @@
         """Start all nodes."""
         for i, bound in enumerate(self._bound):
             path = write_config(self._folder / f"real-{i}.json", SETTINGS, None)
-            environ = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": str(bound.listen)}
-            process = self._stack.enter_context(running_process(("-m", "loadbalancer"), environ))
+            environment = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": str(bound.listen)}
+            process = self._stack.enter_context(
+                running_process(("-m", "loadbalancer"), environment)
+            )
             process.collect_log()
             self._budget.pids.add(process.child.pid)
             self._nodes[bound.service] = process
 
-    def verdict(self) -> dict[str, dict[str, Any]]:
-        """Return, by service, whether its node is ready."""
+    def verdict(self) -> dict[str, dict[str, bool]]:
+        """Return, by service, whether its node is ready; in the form of the result's notes."""
         return {service: {"ready": node.is_ready()} for service, node in self._nodes.items()}
 
     def close(self) -> None:
--- a/benchmarks/scale/referee.py
+++ b/benchmarks/scale/referee.py
@@ -1,8 +1,8 @@
 """A referee: checks each step of each hollow node against the changes that were accepted.
 
-A node's step names the position it is at and, for each service that has changed there, a digest
-of what it then holds. Two things are checked: that a node's position never goes back, and that
-what it holds is what was accepted at that position, so that it holds no change in part.
+A node's step names its position and, for each service that has changed there, a digest of the
+service's rows at the node. Two things are checked: that a node's position never goes back, and that
+its rows are those that were accepted at that position, so that no change is applied in part.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Fault(StrEnum):
-    """What a step can do wrong."""
+    """A rule that a step breaks."""
 
     WENT_BACK = "went back"
     NOT_AS_ACCEPTED = "not as accepted"
@@ -33,14 +33,14 @@
 
     change: AcceptedChange
     nodes: int
-    most_ns: int  # at the last node
+    max_ns: int  # from acceptance, at the last node
     missing: int  # nodes that never had it
-    last_node: int | None = None
+    last_node: int | None = None  # its number
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What came of all steps."""
+    """The result of all steps."""
 
     steps: int = 0
     checked: int = 0  # digests compared
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class _Holding:
-    """One node's holding of one service, from its first step to its end, and its revisions."""
+    """One service at one node, from its first step to its end; times are monotonic nanoseconds."""
 
     began: int
     times: list[int] = field(default_factory=list)
@@ -70,7 +70,7 @@
 
 
 class Referee:
-    """Judges steps; each process's steps are read in their order."""
+    """Checks steps; each process's steps are read in their order."""
 
     def __init__(self, accepted: AcceptedServices, names: Mapping[int, str]) -> None:
         """`names`: of the nodes, by number."""
@@ -80,14 +80,14 @@
         self._names = names
         self._positions: dict[tuple[int, str], tuple[int, int]] = {}  # by node and region
         self._holdings: dict[str, dict[int, list[_Holding]]] = defaultdict(dict)  # by service, node
-        self._held: dict[int, dict[str, _Holding]] = defaultdict(dict)  # those that have not ended
+        self._present: dict[int, dict[str, _Holding]] = defaultdict(dict)  # by node, service
 
     def read(self, path: Path) -> None:
-        """Judge all steps of one process."""
+        """Check all steps of one process."""
         for step in read_steps(path):
-            self._judge(step)
+            self._check(step)
 
-    def _judge(self, step: Step) -> None:
+    def _check(self, step: Step) -> None:
         self.verdict.steps += 1
         self.kinds[step.kind] += 1
         if step.kind in (UP, DOWN):
@@ -121,21 +121,21 @@
             self.verdict.add_fault(Fault.NOT_AS_ACCEPTED, text)
 
     def _record(self, step: Step, service: str, revision: int) -> None:
-        holding = self._held[step.node].get(service)
+        holding = self._present[step.node].get(service)
         if holding is None:
-            holding = self._held[step.node][service] = _Holding(step.at)
+            holding = self._present[step.node][service] = _Holding(step.at)
             self._holdings[service].setdefault(step.node, []).append(holding)
         holding.times.append(step.at)
         holding.revisions.append(revision)
 
     def _end_holding(self, step: Step, service: str) -> None:
-        holding = self._held[step.node].pop(service, None)
+        holding = self._present[step.node].pop(service, None)
         if holding is not None:
             holding.ended = step.at
 
     def _end_holdings(self, node: int, at: int) -> None:
-        """Forget a node that starts or stops: it may begin again at any position."""
-        for holding in self._held.pop(node, {}).values():
+        """Forget a node that starts or stops: it may start again at any position."""
+        for holding in self._present.pop(node, {}).values():
             holding.ended = at
         for key in [key for key in self._positions if key[0] == node]:
             del self._positions[key]
@@ -143,11 +143,11 @@
     # ---- delays ------------------------------------------------------------------
 
     def delay(self, change: AcceptedChange, until: int) -> Delay:
-        """Return how long a change took, of the nodes that held its service from then to `until`.
+        """Return how long a change took, over the nodes with its service from then to `until` (ns).
 
-        A node that began to hold it later, or ended before it had the change, does not count.
+        A node that got the service later, or lost it before it had the change, does not count.
         """
-        most_ns = nodes = missing = 0
+        max_ns = nodes = missing = 0
         last_node = None
         for node, holding in self._holdings_at(change):
             in_force = holding.time_of(change.revision)
@@ -156,9 +156,9 @@
             nodes += 1
             if in_force is None:
                 missing += 1
-            elif in_force - change.accepted_ns > most_ns:
-                most_ns, last_node = in_force - change.accepted_ns, node
-        return Delay(change, nodes, most_ns, missing, last_node)
+            elif in_force - change.accepted_ns > max_ns:
+                max_ns, last_node = in_force - change.accepted_ns, node
+        return Delay(change, nodes, max_ns, missing, last_node)
 
     def _holdings_at(self, change: AcceptedChange) -> Iterator[tuple[int, _Holding]]:
         for node, holdings in self._holdings[change.service].items():
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -65,8 +65,8 @@
         "notes": measurements.notes,
         "referee": _referee_summary(referee),
         "budget": {
-            "memory_gb": round(data.budget.most_memory / GB, 2),
-            "processes": data.budget.most_processes,
+            "memory_gb": round(data.budget.peak_memory / GB, 2),
+            "processes": data.budget.peak_processes,
         },
         "checks": [check.as_json() for check in checks],
     }
--- a/benchmarks/scale/scenarios.py
+++ b/benchmarks/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens to the fleet in each phase of a scale run."""
+"""The phases of a scale run: the failures and restarts of each."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from benchmarks.scale.world import DAY_S, FAILURES_A_DAY
 
 RESTARTS_A_DAY = 18_000.0
-RESTART_S = 1.0  # that a restarted node is away
-FAILURE_S = 30.0  # that a failed node is away
-LOSS_NOTICED_S = 16.0  # until a lost node's services have moved: its silence and a turn
-BRIEF_LOSS_S = 1.0  # that a rack or a zone is away in a run with short phases
+RESTART_S = 1.0  # that a restarted node is down
+FAILURE_S = 30.0  # that a failed node is down
+LOSS_NOTICED_S = 16.0  # until a lost node's services have moved: its timeout and an assignment
+BRIEF_LOSS_S = 1.0  # that a rack or a zone is down at least, in a run with short phases
 MAX_STOPPED_S = 30.0
 RESUMED_S = 2.0  # for a continued machine to take part again
 ACCEPT_AGAIN_S = 60.0
@@ -89,8 +89,8 @@
                 continue
             failed = self._random.random() < FAILURES_A_DAY / (RESTARTS_A_DAY + FAILURES_A_DAY)
             await self._cluster.nodes_down([name])
-            away_s = FAILURE_S if failed else RESTART_S
-            self.tasks.append(asyncio.create_task(self._start_later(name, away_s)))
+            down_s = FAILURE_S if failed else RESTART_S
+            self.tasks.append(asyncio.create_task(self._start_later(name, down_s)))
 
     async def _start_later(self, name: str, seconds: float) -> None:
         await asyncio.sleep(seconds)
@@ -133,8 +133,10 @@
             await asyncio.sleep(self._phase_s)
         for control in killed:
             control.start()
-        taken = await until("both regions accept again", ACCEPT_AGAIN_S, cluster.accepting_again)
-        self._measurements.notes["back_from_three_s"] = round(taken, 2)
+        elapsed_s = await until(
+            "both regions accept again", ACCEPT_AGAIN_S, cluster.accepting_again
+        )
+        self._measurements.notes["back_from_three_s"] = round(elapsed_s, 2)
         cluster.accepted.begin("west", await cluster.log_version("west"))
         self._driver.regions = set(cluster.accepted.versions)
 
@@ -176,7 +178,7 @@
 
     async def _lose(self, phase: str, names: list[str]) -> None:
         """Stop the nodes, in a long run until their services have moved to others."""
-        least_s = LOSS_NOTICED_S if self._phase_s > LOSS_NOTICED_S else BRIEF_LOSS_S
+        minimum_s = LOSS_NOTICED_S if self._phase_s > LOSS_NOTICED_S else BRIEF_LOSS_S
         async with self._cluster.phase(phase, self._measurements):
             await self._cluster.nodes_down(names)
-            await asyncio.sleep(max(self._phase_s / 2, least_s))
+            await asyncio.sleep(max(self._phase_s / 2, minimum_s))
--- a/benchmarks/scale/sharing.py
+++ b/benchmarks/scale/sharing.py
@@ -4,8 +4,8 @@
 finds no free open connection opens one, which delays that request by the handshake. What part of
 requests meets that is worked out here for three ways of using connections. Sources: A. K. Erlang,
 "Solution of some problems in the theory of probabilities of significance in automatic telephone
-exchanges" (1917), for the loss and the waiting formula; the ordered hunt over connections is the
-usual overflow approximation (each connection's overflow is taken for Poisson again).
+exchanges" (1917), for the loss formula (B) and the waiting formula (C); the ordered hunt over
+connections is the usual overflow approximation (each connection's overflow counts as Poisson).
 """
 
 from __future__ import annotations
@@ -15,34 +15,29 @@
 from enum import StrEnum
 from math import exp, inf
 
-NEVER = 1e-12  # a part of requests that is not told from none
-MOST_NODES = 1_000  # where a search for the largest number ends
+NEGLIGIBLE_PART = 1e-12  # of requests, that counts as none
+MAX_NODES = 1_000  # where a search for the largest number ends
 
 
 class Use(StrEnum):
-    """How a node comes by the backend, and so by the connection, of a request."""
+    """How a node selects the backend, and so the connection, of a request."""
 
-    GIVEN = "given"  # the request's backend is fixed before the node looks at connections
-    LEAST_HELD = "least held"  # the node's least loaded backend, over all of the service
-    DEALT = "dealt"  # the same, among the backends at which the node was dealt a slot
+    GIVEN = "given"  # the backend is fixed before the node looks at connections
+    LEAST_REQUESTS = "least held"  # that with the fewest of the node's requests in flight
+    ALLOCATED = "dealt"  # the same, among the backends at which the node has a slot
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """One service's backends as the nodes that take its requests share them.
-
-    `rate` is requests a second a backend, `work_s` seconds of work a request, of which a backend
-    does one at a time; `connections` how many it takes; `idle_s` how long an unused connection
-    stays open; `slots` how many requests all nodes together keep at one backend.
-    """
+    """One service's backends as the nodes with its requests share them."""
 
     nodes: int
     backends: int
-    rate: float
-    work_s: float
-    connections: int
-    idle_s: float
-    slots: float
+    rate: float  # requests a second of a backend
+    work_s: float  # seconds of work of a request; a backend does one at a time
+    connections: int  # that a backend accepts
+    idle_s: float  # seconds that an unused connection stays open
+    slots: float  # requests that all nodes together have in flight at a backend
 
     @property
     def load(self) -> float:
@@ -55,65 +50,67 @@
         return self.load * (1.0 - 1.0 / self.nodes)
 
     @property
-    def held_s(self) -> float:
-        """Seconds that a request holds its connection: its work, and what is before it there.
+    def occupied_s(self) -> float:
+        """Seconds that a request occupies its connection: its work, and the queue before it.
 
-        By the queue with one server (M/M/1) for what the others send; without end where that
-        alone is too much.
+        By the queue with one server (M/M/1) for what the others send; infinite where that alone is
+        too much.
         """
         return self.work_s / (1.0 - self.blind_load) if self.blind_load < 1.0 else inf
 
 
-def loss(servers: int, load: float) -> float:
+def erlang_b(servers: int, load: float) -> float:
     """Erlang's loss formula: the part of a load (in Erlang) that finds all servers busy."""
     if load == inf:
         return 1.0
     blocked = 1.0
     for n in range(1, servers + 1):
         blocked = load * blocked / (n + load * blocked)
-        if n > load and blocked < NEVER:
+        if n > load and blocked < NEGLIGIBLE_PART:
             break  # past the load each further server only lessens it
     return blocked
 
 
-def waiting(servers: int, load: float) -> float:
+def erlang_c(servers: int, load: float) -> float:
     """Erlang's waiting formula: the part that has to wait; 1.0 where the load is too much."""
     if load >= servers:
         return 1.0
-    blocked = loss(servers, load)
+    blocked = erlang_b(servers, load)
     return servers * blocked / (servers - load * (1.0 - blocked))
 
 
 def new_connection_part(pool: Pool, use: Use) -> float:
     """The part of requests whose connection is busy, or was closed for want of use."""
     if use is Use.GIVEN:
-        held = pool.connections // pool.nodes
-        if held == 0:
+        own_connections = pool.connections // pool.nodes
+        if own_connections == 0:
             return 1.0
-        return hunted(held, pool.rate / pool.nodes, pool.held_s, pool.idle_s)
+        return ordered_hunt_part(
+            own_connections, pool.rate / pool.nodes, pool.occupied_s, pool.idle_s
+        )
     users = float(pool.nodes)
-    if use is Use.DEALT:
+    if use is Use.ALLOCATED:
         users = min(users, pool.slots)
     if users > pool.connections:
         return 1.0
-    # Every backend's turn comes as often, so that its connection rests for as long.
+    # Every backend is selected as often, so that its connection is idle for as long.
     closed = exp(-pool.rate / users * pool.idle_s)
-    held = int(pool.backends * users / pool.nodes) * int(pool.connections / users)
-    in_use = pool.backends * pool.rate * pool.held_s / pool.nodes
-    all_busy = loss(max(held, 1), in_use)
+    own_connections = int(pool.backends * users / pool.nodes) * int(pool.connections / users)
+    in_use = pool.backends * pool.rate * pool.occupied_s / pool.nodes
+    all_busy = erlang_b(max(own_connections, 1), in_use)
     return all_busy + (1.0 - all_busy) * closed
 
 
-def hunted(connections: int, rate: float, held_s: float, idle_s: float) -> float:
+def ordered_hunt_part(connections: int, rate: float, occupied_s: float, idle_s: float) -> float:
     """The same at one backend whose connections are tried in a fixed order.
 
-    The later ones carry only what finds the earlier ones busy, and so stand idle for longer.
+    The later ones get only what finds the earlier ones busy, and so are idle for longer.
     """
-    load = rate * held_s
+    load = rate * occupied_s
     before = 1.0
     part = 0.0
     for n in range(1, connections + 1):
-        after = loss(n, load)
+        after = erlang_b(n, load)
         part += (before - after) * exp(-rate * before * idle_s)
         before = after
     return part + before
@@ -121,28 +118,28 @@
 
 def waits_for_slot_part(pool: Pool) -> float:
     """The part of requests that find all of their node's slots of the service in use."""
-    held = int(pool.slots * pool.backends / pool.nodes)
-    return waiting(held, pool.backends * pool.rate * pool.held_s / pool.nodes)
+    own_slots = int(pool.slots * pool.backends / pool.nodes)
+    return erlang_c(own_slots, pool.backends * pool.rate * pool.occupied_s / pool.nodes)
 
 
 def meets_busy_part(pool: Pool) -> float:
-    """The part of requests that are sent to a backend which another node has put to work.
+    """The part of requests that are sent to a backend busy with another node's request.
 
-    One node alone sees every request under way and waits only where all backends are busy. Of
-    many, each picks a backend that it does not use itself: what the others have sent there it
-    cannot see, and their part of the load is found at random.
+    One node alone sees every request in flight and waits only where all backends are busy. Of
+    many, each selects a backend that it does not use itself: what the others have sent there it
+    cannot see, and their part of the load is met at random.
     """
-    alone = waiting(pool.backends, pool.backends * pool.load)
+    alone = erlang_c(pool.backends, pool.backends * pool.load)
     return max(alone, min(pool.blind_load, 1.0))
 
 
-def most_nodes(pool: Pool, part: Callable[[Pool], float], allowed: float) -> int:
-    """The most nodes for which, as for all fewer, this part stays allowed; 0 for none.
+def max_nodes(pool: Pool, part: Callable[[Pool], float], allowed: float) -> int:
+    """The maximum of nodes for which, as for all fewer, this part stays allowed; 0 for none.
 
-    One after the other: connections that do not divide evenly make the part go up in steps and
-    down between them. The search ends at MOST_NODES.
+    Each number is tried: connections that do not divide evenly make the part rise in steps and
+    fall between them. The search ends at MAX_NODES.
     """
-    for nodes in range(1, MOST_NODES + 1):
+    for nodes in range(1, MAX_NODES + 1):
         if part(replace(pool, nodes=nodes)) > allowed:
             return nodes - 1
-    return MOST_NODES
+    return MAX_NODES
--- a/fakes/bexpr.py
+++ b/fakes/bexpr.py
@@ -151,19 +151,19 @@
         return lambda row: any(bool(v) for v in _values(row, selector)) == is_negated
 
 
-def _comparison(left: str, operator: str, right: str) -> Predicate:
-    selector = _selector(right if operator == "in" else left)
+def _comparison(first: str, operator: str, second: str) -> Predicate:
+    selector = _selector(second if operator == "in" else first)
     match operator:
         case "in":
-            return lambda row: left in _texts(row, selector)
+            return lambda row: first in _texts(row, selector)
         case "contains":
-            return lambda row: right in _texts(row, selector)
+            return lambda row: second in _texts(row, selector)
         case "==":
-            return lambda row: any(_text(v) == right for v in _values(row, selector))
+            return lambda row: any(_text(v) == second for v in _values(row, selector))
         case "!=":
-            return lambda row: _differs(_values(row, selector), right)
+            return lambda row: _differs(_values(row, selector), second)
         case "matches":
-            pattern = re.compile(right)
+            pattern = re.compile(second)
             return lambda row: any(pattern.search(_text(v)) for v in _values(row, selector))
     raise FilterError(f"unknown operator {operator!r}")
 
--- a/fakes/processes.py
+++ b/fakes/processes.py
@@ -159,11 +159,11 @@
     log_text = admin_address = ""
     for line in child.stdout:
         log_text += line
-        last_word = line.strip().rpartition(" ")[2]
+        address = line.strip().rpartition(" ")[2]
         if ADMIN_MARK in line:
-            admin_address = last_word
+            admin_address = address
         if LISTENING_MARK in line:
-            return Process(child, last_word, admin_address, log_text)
+            return Process(child, address, admin_address, log_text)
     raise StartError(f"{' '.join(arguments)}: {log_text}")
 
 
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -129,7 +129,7 @@
     assert not referee.verdict.counts
     assert referee.verdict.checked == 3
     delay = referee.delay(AcceptedChange("cart", "east", 102, 30, 25), 100)
-    assert (delay.nodes, delay.most_ns, delay.missing) == (1, 40, 0)
+    assert (delay.nodes, delay.max_ns, delay.missing) == (1, 40, 0)
     late = referee.delay(AcceptedChange("cart", "east", 103, 80, 75), 100)
     assert (late.nodes, late.missing) == (1, 1)
 
--- a/tests/benchmarks/test_scale_slopes.py
+++ b/tests/benchmarks/test_scale_slopes.py
@@ -10,15 +10,15 @@
 
 from benchmarks.scale.fit import FitError, Point, Slope, fit, from_json
 from benchmarks.scale.sharing import (
-    MOST_NODES,
+    MAX_NODES,
     Pool,
     Use,
-    hunted,
-    loss,
+    erlang_b,
+    erlang_c,
+    max_nodes,
     meets_busy_part,
-    most_nodes,
     new_connection_part,
-    waiting,
+    ordered_hunt_part,
     waits_for_slot_part,
 )
 
@@ -95,20 +95,20 @@
 
 
 def test_erlangs_formulas_give_tabled_values() -> None:
-    assert loss(1, 0.5) == pytest.approx(1 / 3)
-    assert loss(10, 5.0) == pytest.approx(0.0184, abs=1e-4)
-    assert waiting(1, 0.6) == pytest.approx(0.6)
-    assert waiting(10, 8.0) == pytest.approx(0.4092, abs=1e-4)
-    assert waiting(3, 3.0) == 1.0
+    assert erlang_b(1, 0.5) == pytest.approx(1 / 3)
+    assert erlang_b(10, 5.0) == pytest.approx(0.0184, abs=1e-4)
+    assert erlang_c(1, 0.6) == pytest.approx(0.6)
+    assert erlang_c(10, 8.0) == pytest.approx(0.4092, abs=1e-4)
+    assert erlang_c(3, 3.0) == 1.0
 
 
 def test_a_connection_that_is_never_closed_is_only_ever_busy() -> None:
-    assert hunted(1, 7.0, 0.1, 1e9) == pytest.approx(loss(1, 0.7))
-    assert hunted(3, 7.0, 0.1, 1e9) == pytest.approx(loss(3, 0.7), rel=1e-6)
+    assert ordered_hunt_part(1, 7.0, 0.1, 1e9) == pytest.approx(erlang_b(1, 0.7))
+    assert ordered_hunt_part(3, 7.0, 0.1, 1e9) == pytest.approx(erlang_b(3, 0.7), rel=1e-6)
 
 
 def test_a_connection_closed_at_once_is_never_found() -> None:
-    assert hunted(3, 7.0, 0.1, 0.0) == pytest.approx(1.0)
+    assert ordered_hunt_part(3, 7.0, 0.1, 0.0) == pytest.approx(1.0)
 
 
 def simulated(rate: float, work_s: float, idle_s: float, connections: int) -> float:
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize(("rate", "idle_s"), [(0.5, 13.0), (0.2, 13.0), (7.0, 1e9), (3.0, 1.0)])
 def test_the_model_is_near_a_played_queue(rate: float, idle_s: float) -> None:
-    assert hunted(2, rate, 0.1, idle_s) == pytest.approx(
+    assert ordered_hunt_part(2, rate, 0.1, idle_s) == pytest.approx(
         simulated(rate, 0.1, idle_s, 2), rel=0.15, abs=0.003
     )
 
@@ -137,12 +137,12 @@
 def test_a_backend_takes_no_more_nodes_than_connections() -> None:
     many = replace(POOL, nodes=16)
     assert new_connection_part(many, Use.GIVEN) == 1.0
-    assert new_connection_part(many, Use.LEAST_HELD) == 1.0
-    assert new_connection_part(many, Use.DEALT) < 0.01
+    assert new_connection_part(many, Use.LEAST_REQUESTS) == 1.0
+    assert new_connection_part(many, Use.ALLOCATED) < 0.01
 
 
 def test_more_nodes_find_connections_closed_more_often() -> None:
-    parts = [new_connection_part(replace(POOL, nodes=n), Use.LEAST_HELD) for n in (4, 8, 15)]
+    parts = [new_connection_part(replace(POOL, nodes=n), Use.LEAST_REQUESTS) for n in (4, 8, 15)]
     assert parts == sorted(parts)
     assert parts[0] < parts[-1]
 
@@ -155,8 +155,8 @@
 
 
 def test_one_node_alone_waits_for_no_other() -> None:
-    assert replace(POOL, nodes=1).held_s == pytest.approx(0.1)
-    assert new_connection_part(replace(POOL, nodes=1), Use.LEAST_HELD) < 1e-6
+    assert replace(POOL, nodes=1).occupied_s == pytest.approx(0.1)
+    assert new_connection_part(replace(POOL, nodes=1), Use.LEAST_REQUESTS) < 1e-6
 
 
 def test_backends_with_too_much_to_do_are_always_busy() -> None:
@@ -176,14 +176,14 @@
 
 
 def test_only_one_node_alone_knows_which_backend_is_free() -> None:
-    assert meets_busy_part(replace(POOL, nodes=1)) == pytest.approx(waiting(27, 18.9))
+    assert meets_busy_part(replace(POOL, nodes=1)) == pytest.approx(erlang_c(27, 18.9))
     assert meets_busy_part(replace(POOL, nodes=2)) == pytest.approx(0.35)
     assert meets_busy_part(replace(POOL, nodes=100)) == pytest.approx(0.693)
 
 
 def test_the_most_nodes_are_the_last_that_hold() -> None:
-    part = partial(new_connection_part, use=Use.LEAST_HELD)
-    found = most_nodes(POOL, part, 0.002)
+    part = partial(new_connection_part, use=Use.LEAST_REQUESTS)
+    found = max_nodes(POOL, part, 0.002)
     assert part(replace(POOL, nodes=found)) <= 0.002 < part(replace(POOL, nodes=found + 1))
-    assert most_nodes(POOL, lambda _pool: 1.0, 0.5) == 0
-    assert most_nodes(POOL, lambda _pool: 0.0, 0.5) == MOST_NODES
+    assert max_nodes(POOL, lambda _pool: 1.0, 0.5) == 0
+    assert max_nodes(POOL, lambda _pool: 0.0, 0.5) == MAX_NODES
