--- a/benchmarks/fleet/real_nodes.py
+++ b/benchmarks/fleet/real_nodes.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from typing import Any, NamedTuple
 
 from benchmarks.polling import times_until
 from benchmarks.stats import p50_and_p99, spread
-from fakes.cluster import Cluster, running_cluster, wait_until
+from fakes.cluster import Cluster, ClusterOptions, LinkCounters, running_cluster, wait_until
 from fakes.discovery import target
 from fakes.processes import Process, running_backends, running_process
 from loadbalancer.sources.endpoint_list import backend_id
@@ -56,11 +57,10 @@
         with running_cluster(
             NODES,
             [server.address for server in servers],
-            settings={"registry_mode": "ask"},
-            overrides=overrides,
+            ClusterOptions(settings={"registry_mode": "ask"}, overrides=overrides),
         ) as cluster:
             cluster.agree(set(range(NODES)))
-            cluster.order(loss=loss)
+            cluster.set_links(loss=loss)
             return {
                 "drain_s": p50_and_p99(_drain_times(cluster, rows, discovery, drains)),
                 "death_s": p50_and_p99(_death_times(cluster)),
@@ -118,27 +118,26 @@
 
 def _idle_costs(addresses: list[str], gossip: bool) -> dict[str, Any]:
     """What a node without requests costs: percent of a core, messages and bytes a second, MB."""
-    with running_cluster(NODES, addresses, gossip=gossip) as cluster:
+    with running_cluster(NODES, addresses, ClusterOptions(gossip=gossip)) as cluster:
         if gossip:
             wait_until(lambda: all(cluster.status(node)["caught_up"] for node in cluster.nodes))
         nodes = list(cluster.nodes.values())
         cpu_before = [node.cpu_seconds() for node in nodes]
-        received_before = cluster.order(books=True)
+        links_before = cluster.link_counters()
         time.sleep(IDLE_S)
-        received_after = cluster.order(books=True)
+        links_after = cluster.link_counters()
         cpu_percent = [
             (node.cpu_seconds() - before) / IDLE_S * 100
             for node, before in zip(nodes, cpu_before, strict=True)
         ]
 
-        def per_second(counter: str) -> dict[str, float]:
-            pairs = zip(received_before, received_after, strict=True)
-            growths = [after.get(counter, 0) - before.get(counter, 0) for before, after in pairs]
-            return spread([growth / IDLE_S for growth in growths], 1)
+        def per_second(value: Callable[[LinkCounters], int]) -> dict[str, float]:
+            pairs = zip(links_before, links_after, strict=True)
+            return spread([(value(after) - value(before)) / IDLE_S for before, after in pairs], 1)
 
         return {
             "cpu_percent": spread(cpu_percent, 2),
-            "words_s": per_second("words"),
-            "bytes_s": per_second("bytes"),
+            "words_s": per_second(lambda counters: counters.datagrams),
+            "bytes_s": per_second(lambda counters: counters.bytes),
             "resident_mb": spread([node.resident_mb() for node in nodes], 1),
         }
--- a/benchmarks/fleet/under_load.py
+++ b/benchmarks/fleet/under_load.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from benchmarks.stats import spread_by_key
-from fakes.cluster import Cluster, running_cluster
+from fakes.cluster import Cluster, ClusterOptions, running_cluster
 from fakes.load import NO_ANSWER, OK, Clients
 from fakes.processes import Process, running_backends
 
@@ -76,7 +76,7 @@
 def _run(scenario: Scenario, gossip: bool, seed: int) -> dict[str, float]:
     with running_backends(SERVERS, WORK_MS) as servers:
         addresses = [server.address for server in servers]
-        with running_cluster(NODES, addresses, gossip=gossip) as cluster:
+        with running_cluster(NODES, addresses, ClusterOptions(gossip=gossip)) as cluster:
             if gossip:
                 cluster.agree(set(range(NODES)))
             return asyncio.run(_measure(cluster, servers, scenario, seed))
--- a/fakes/cluster.py
+++ b/fakes/cluster.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from fakes.discovery import target
 from fakes.files import write_config
@@ -21,6 +21,7 @@
 
 MAX_STARTS = 64  # nodes that start at the same time
 WAIT_TIMEOUT_S = 30.0  # reached only where something hangs
+POLL_INTERVAL_S = 0.01
 NODE_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 LIVE_STATUSES = ("alive", "suspect")
 
@@ -29,9 +30,18 @@
     return {}
 
 
+class LinkCounters(NamedTuple):
+    """What the links to one node have done."""
+
+    datagrams: int = 0  # delivered
+    bytes: int = 0  # of these
+    lost: int = 0  # datagrams
+    broken: int = 0  # datagrams delivered with a flipped bit
+
+
 @dataclass(slots=True)
 class ClusterOptions:
-    """How the nodes of a cluster are configured."""
+    """How the nodes of a cluster are configured; settings and overrides are in JSON form."""
 
     gossip: bool = True
     discovery: str = "127.0.0.1:1"  # nobody listens there
@@ -73,14 +83,41 @@
 
     # ---- links ---------------------------------------------------------------------
 
-    def order(self, **command: object) -> Any:
-        """Give the links a command; their answer."""
-        return json.loads(self.links.send_line(json.dumps(command)))
+    def set_links(
+        self,
+        loss: float = 0.0,
+        delay_ms: float = 0.0,
+        jitter_ms: float = 0.0,
+        double: float = 0.0,
+        broken: float = 0.0,
+    ) -> None:
+        """Set what happens to datagrams on all links.
+
+        Args:
+            loss: the part that is lost.
+            delay_ms: of each.
+            jitter_ms: the most that is added to the delay, at random.
+            double: the part that is delivered twice.
+            broken: the part in which one bit is flipped.
+        """
+        faults = {"loss": loss, "delay_ms": delay_ms, "jitter_ms": jitter_ms}
+        self._command(faults | {"double": double, "broken": broken})
 
     def cut(self, one: Sequence[int], other: Sequence[int]) -> None:
         """Cut both ways between two sides, and nothing else."""
         pairs = [(a, b) for a in one for b in other]
-        self.order(cut=[*pairs, *((b, a) for a, b in pairs)])
+        self._command({"cut": [*pairs, *((b, a) for a, b in pairs)]})
+
+    def restore_links(self) -> None:
+        """Cut no link any more."""
+        self._command({"cut": []})
+
+    def link_counters(self) -> list[LinkCounters]:
+        """By node, what the links to it have done so far."""
+        return [LinkCounters(**counters) for counters in self._command({"report": True})]
+
+    def _command(self, command: dict[str, Any]) -> Any:
+        return json.loads(self.links.send_line(json.dumps(command)))
 
     # ---- nodes ---------------------------------------------------------------------
 
@@ -132,24 +169,24 @@
         for node in nodes:
             self.nodes[node].child.send_signal(number)
 
-    # ---- what nodes know of each other ---------------------------------------------------
+    # ---- nodes' own reports ---------------------------------------------------
 
     def status(self, node: int) -> dict[str, Any]:
-        """What the node says of the others, on its second address."""
+        """The node's report on the others, from its second address."""
         status: dict[str, Any] = self.nodes[node].call_admin("GET", "/peers")
         return status
 
     def living(self, node: int) -> set[int]:
-        """The nodes that this one takes for alive, itself among them."""
+        """The nodes that are alive to this one, itself among them."""
         rows = self.status(node)["nodes"]
         return {node} | {number for number, status, *_ in rows if status in LIVE_STATUSES}
 
     def agree(
-        self, living: set[int], on: Sequence[int] = (), limit: float = WAIT_TIMEOUT_S
+        self, living: set[int], nodes: Sequence[int] = (), timeout_s: float = WAIT_TIMEOUT_S
     ) -> None:
-        """Wait until these nodes (none: all that run) take exactly `living` for alive."""
-        for node in on or list(self.nodes):
-            wait_until(lambda node=node: self.living(node) == living, limit)  # type: ignore[misc]
+        """Wait until exactly `living` are alive to these nodes (none: to all that run)."""
+        for node in nodes or list(self.nodes):
+            wait_until(lambda node=node: self.living(node) == living, timeout_s)  # type: ignore[misc]
 
     def verdicts(self, node: int) -> dict[str, str]:
         """By server: what the node has concluded from all observations of it."""
@@ -164,22 +201,24 @@
     return socks
 
 
-def wait_until(condition: Callable[[], bool], limit: float = WAIT_TIMEOUT_S) -> float:
-    """Wait for something that only processes themselves bring about; the seconds it took."""
+def wait_until(condition: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> float:
+    """Poll until a condition holds; the seconds it took. AssertionError after the timeout."""
     began = time.monotonic()
     while not condition():
-        if time.monotonic() - began > limit:
-            raise AssertionError(f"not within {limit} s")
-        time.sleep(0.01)
+        if time.monotonic() - began > timeout_s:
+            raise AssertionError(f"not within {timeout_s} s")
+        time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - began
 
 
 @contextlib.contextmanager
-def running_cluster(count: int, servers: Sequence[str], **options: Any) -> Iterator[Cluster]:
-    """A cluster of which all nodes run; `options` as for ClusterOptions."""
+def running_cluster(
+    count: int, servers: Sequence[str], options: ClusterOptions | None = None
+) -> Iterator[Cluster]:
+    """A cluster of so many nodes that all run and list the servers at these addresses."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        Cluster(count, servers, Path(folder), ClusterOptions(**options)) as cluster,
+        Cluster(count, servers, Path(folder), options or ClusterOptions()) as cluster,
     ):
         cluster.start()
         yield cluster
--- a/fakes/links.py
+++ b/fakes/links.py
@@ -1,4 +1,4 @@
-"""The network between nodes: one process that passes every datagram on, or does not.
+"""The network between nodes: one process that forwards every datagram, or drops it.
 
     python -m fakes.links --seed 1 PORT...
 
@@ -10,8 +10,8 @@
 
     {"loss": part, "delay_ms": n, "jitter_ms": n, "double": part, "broken": part}   all links
     {"cut": [[from, to], ...]}   these links pass nothing, all others do
-    {"books": true}              by node: the datagrams ("words") and bytes that it was sent, and
-                                 how many were lost or broken on their way to it
+    {"report": true}             by node: the datagrams and bytes that it was sent, and how many
+                                 datagrams to it were lost or broken
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from random import Random
 from typing import Any
 
-MAX_DELAYED = 20_000  # datagrams; past that they are lost, and counted so
+MAX_DELAYED = 20_000  # datagrams; beyond that they are lost, and counted so
 MAX_DATAGRAM_BYTES = 2048
 DATAGRAMS_A_TURN = 64  # read from one socket in one turn of the loop
 MAX_COMMAND_BYTES = 1 << 20
@@ -63,7 +63,7 @@
         return int(self._sockets[sender, receiver].getsockname()[1])
 
     def open(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Pass datagrams on from now on."""
+        """Forward datagrams from now on."""
         self._loop = loop
         for pair, sock in self._sockets.items():
             loop.add_reader(sock, self._read, pair, sock)
@@ -71,9 +71,9 @@
     def _read(self, pair: Pair, sock: socket.socket) -> None:
         with contextlib.suppress(OSError):  # nothing to read; or a node that ended refused some
             for _ in range(DATAGRAMS_A_TURN):
-                self._pass_on(pair, sock.recv(MAX_DATAGRAM_BYTES))
+                self._forward(pair, sock.recv(MAX_DATAGRAM_BYTES))
 
-    def _pass_on(self, pair: Pair, data: bytes) -> None:
+    def _forward(self, pair: Pair, data: bytes) -> None:
         counters = self._counters[pair[1]]
         if pair in self._cut or self._random.random() < self._loss:
             counters["lost"] += 1
@@ -105,12 +105,12 @@
         """Send from the address at which the receiver finds the sender."""
         sender, receiver = pair
         counters = self._counters[receiver]
-        counters["words"] += 1
+        counters["datagrams"] += 1
         counters["bytes"] += len(data)
         with contextlib.suppress(OSError):
             self._sockets[receiver, sender].sendto(data, ("127.0.0.1", self._ports[receiver]))
 
-    def obey(self, command: dict[str, Any]) -> object:
+    def apply(self, command: dict[str, Any]) -> object:
         """Carry out one command; its answer."""
         self._loss = float(command.get("loss", self._loss))
         self._delay_ms = float(command.get("delay_ms", self._delay_ms))
@@ -119,7 +119,7 @@
         self._broken = float(command.get("broken", self._broken))
         if "cut" in command:
             self._cut = {(int(sender), int(receiver)) for sender, receiver in command["cut"]}
-        return [dict(counters) for counters in self._counters] if command.get("books") else {}
+        return [dict(counters) for counters in self._counters] if command.get("report") else {}
 
 
 def _open_socket() -> socket.socket:
@@ -130,7 +130,7 @@
 
 
 async def main() -> None:
-    """Pass datagrams on and carry out commands until standard input ends."""
+    """Forward datagrams and carry out commands until standard input ends."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("ports", nargs="+", type=int)
@@ -142,7 +142,7 @@
     reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        print(json.dumps(links.obey(json.loads(line))), flush=True)
+        print(json.dumps(links.apply(json.loads(line))), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -69,8 +69,10 @@
         running_cluster(
             NODES,
             [s.address for s in servers],
-            overrides=lambda n: {"discovery": discovery.address} if n == 0 else {},
-            settings={"registry_mode": "ask"},
+            ClusterOptions(
+                overrides=lambda n: {"discovery": discovery.address} if n == 0 else {},
+                settings={"registry_mode": "ask"},
+            ),
         ) as t,
     ):
         drained = f"{backend_id('s-1'):016x}"
@@ -84,7 +86,8 @@
 
         wait_until(lambda: knows(1))
         assert not any(knows(n) for n in (2, 3, 4))
-        t.order(cut=[], loss=0.1)
+        t.restore_links()
+        t.set_links(loss=0.1)
         for n in (2, 3, 4):
             wait_until(lambda n=n: knows(n))  # type: ignore[misc]
         t.agree(set(range(NODES)))
@@ -156,10 +159,10 @@
 
 def test_messages_lost_late_duplicated_and_damaged_fail_no_request(servers: list[Process]) -> None:
     with running_cluster(NODES, [s.address for s in servers]) as t:
-        t.order(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
+        t.set_links(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
         assert {request_status(t.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
         wait_until(lambda: all(t.status(n)["counts"].get("broken", 0) > 3 for n in t.nodes))
-        t.order(loss=0.0, delay_ms=0, jitter_ms=0, double=0.0, broken=0.0)
+        t.set_links()
         t.agree(set(range(NODES)))
 
 
@@ -402,7 +405,8 @@
     with listen() as free:
         port = free.getsockname()[1]
     at = {"listen": f"127.0.0.1:{port}"}
-    with running_cluster(3, [s.address for s in servers], overrides=lambda n: {} if n else at) as t:
+    options = ClusterOptions(overrides=lambda n: {} if n else at)
+    with running_cluster(3, [s.address for s in servers], options) as t:
         t.agree({0, 1, 2})
         first = t.status(0)["incarnation"]
         with running_process(("-m", "loadbalancer"), t.config(0)) as successor:
@@ -427,7 +431,9 @@
         server.call("POST", "/standin/faults", {"slow": 10.0})
     with (
         running_cluster(
-            3, [s.address for s in servers], fleet=str(fleet), overrides=lambda n: {} if n else at
+            3,
+            [s.address for s in servers],
+            ClusterOptions(fleet=str(fleet), overrides=lambda n: {} if n else at),
         ) as t,
         contextlib.ExitStack() as stack,
     ):
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from fakes.cluster import running_cluster
+from fakes.cluster import ClusterOptions, running_cluster
 from fakes.discovery import target
 from fakes.processes import Process, running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND
@@ -40,16 +40,17 @@
     servers: list[Process],
 ) -> None:
     """Without gossip each node polls for itself: none gives a call up before its answer comes."""
-    options = {
-        "gossip": False,
-        "settings": {"registry_mode": "ask"},
-        "overrides": lambda _node: EMPTY,
-    }
     command = ("-m", "fakes.discovery", "--lines", str(LINES))
     with running_process(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
-        with running_cluster(NODES, [], discovery=discovery.address, **options) as cluster:
+        options = ClusterOptions(
+            gossip=False,
+            discovery=discovery.address,
+            settings={"registry_mode": "ask"},
+            overrides=lambda _node: EMPTY,
+        )
+        with running_cluster(NODES, [], options) as cluster:
             began = time.monotonic()
             while not all(p.is_ready() for p in cluster.nodes.values()):
                 assert time.monotonic() - began < 1.1 * NEEDED_S + BESIDE_S
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fakes.cluster import Cluster, running_cluster, wait_until
+from fakes.cluster import Cluster, ClusterOptions, running_cluster, wait_until
 from fakes.discovery import target
 from fakes.processes import Process, running_backends, running_process
 from loadbalancer.cli.commands import main as run_command
@@ -68,12 +68,14 @@
 ) -> None:
     """Two calls in three are turned away, links lose a tenth, the readers are killed."""
     discovery.call("POST", "/standin/faults", {"refuse": 0.6})
-    options: dict[str, Any] = {
-        "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-        "overrides": lambda _node: EMPTY,
-    }  # fmt: skip
-    with running_cluster(NODES, [], **options) as cluster:
-        cluster.order(loss=0.1)
+    options = ClusterOptions(
+        fleet=fleet,
+        discovery=discovery.address,
+        settings={"registry_mode": "ask"},
+        overrides=lambda _node: EMPTY,
+    )
+    with running_cluster(NODES, [], options) as cluster:
+        cluster.set_links(loss=0.1)
         assert not any(
             cluster.nodes[n].is_ready() for n in cluster.nodes if not listed(cluster, n)["rows"]
         )
@@ -113,11 +115,13 @@
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
     """A reader stopped and woken, a service that is down, then one that counts from anew."""
-    options: dict[str, Any] = {
-        "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-        "overrides": lambda _node: EMPTY,
-    }  # fmt: skip
-    with running_cluster(5, [], **options) as cluster:
+    options = ClusterOptions(
+        fleet=fleet,
+        discovery=discovery.address,
+        settings={"registry_mode": "ask"},
+        overrides=lambda _node: EMPTY,
+    )
+    with running_cluster(5, [], options) as cluster:
         wait_until(lambda: all_at(cluster, 2))
         reader = next(n for n in cluster.nodes if listed(cluster, n)["reads"])
         cluster.signal(signal.SIGSTOP, reader)
@@ -144,14 +148,15 @@
 ) -> None:
     """Two nodes are told of a drain, and of a server replaced at its address; three are not."""
     old = rows(servers)
-    options: dict[str, Any] = {
-        "fleet": fleet, "settings": {"registry_mode": "ask"},
-        "overrides": lambda n: {
+    options = ClusterOptions(
+        fleet=fleet,
+        settings={"registry_mode": "ask"},
+        overrides=lambda n: {
             "discovery": discovery.address if n < 2 else "127.0.0.1:1",
             "known": {"rev": 2, "all": True, "targets": old},
         },
-    }  # fmt: skip
-    with running_cluster(5, [], **options) as cluster:
+    )
+    with running_cluster(5, [], options) as cluster:
         cluster.cut([0, 1], [2, 3, 4])
         cluster.agree({0, 1}, [0, 1])
         cluster.agree({2, 3, 4}, [2, 3, 4])
@@ -162,7 +167,8 @@
         wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in (0, 1)))
         assert all(listed(cluster, n)["rev"] == 2 for n in (2, 3, 4))
         serve(cluster, "e")
-        cluster.order(cut=[], loss=0.1)
+        cluster.restore_links()
+        cluster.set_links(loss=0.1)
         wait_until(lambda: all_at(cluster, 3))
         cluster.agree(set(range(5)))
         before = received(servers[1])
@@ -182,11 +188,13 @@
     with running_process(("-m", "fakes.discovery", "--lines", "60")) as second:
         second.call("POST", "/standin/faults", {"rev": 1})
         second.call("POST", "/standin/targets", rows(servers, 7))
-        options: dict[str, Any] = {
-            "fleet": fleet, "discovery": discovery.address, "settings": {"registry_mode": "ask"},
-            "overrides": lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
-        }  # fmt: skip
-        with running_cluster(5, [], **options) as cluster:
+        options = ClusterOptions(
+            fleet=fleet,
+            discovery=discovery.address,
+            settings={"registry_mode": "ask"},
+            overrides=lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
+        )
+        with running_cluster(5, [], options) as cluster:
             wait_until(lambda: all_at(cluster, 2))
             assert discovery.call("GET", "/standin/state")["whole"] <= 3
             for node in cluster.nodes:
