--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -56,6 +56,7 @@
 POLL_INTERVAL_S = 0.05
 MAX_REGISTERED_ROWS = 2000  # that one call adds: the fake accepts a body of 1 MiB
 MAX_AGE_S = 600
+MIN_PERCENTILE_VALUES = 2
 SEED = 11
 
 
@@ -274,7 +275,7 @@
 
 
 def _percentile(values: list[float], percent: int) -> float | None:
-    if len(values) < 2:
+    if len(values) < MIN_PERCENTILE_VALUES:
         return None
     return round(quantiles(values, n=100, method="inclusive")[percent - 1], 2)
 
--- a/benchmarks/mixed_versions/control_group.py
+++ b/benchmarks/mixed_versions/control_group.py
@@ -6,6 +6,7 @@
 import subprocess
 from collections.abc import Sequence
 from contextlib import ExitStack
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -36,8 +37,10 @@
     def status(self, name: str) -> dict[str, Any]:
         """Return a machine's `/status`; empty if it does not answer."""
         response = call(self._admin_ports[name], "GET", "/status")
-        found: dict[str, Any] = json.loads(response.body) if response.status == 200 else {}
-        return found
+        if response.status != HTTPStatus.OK:
+            return {}
+        status: dict[str, Any] = json.loads(response.body)
+        return status
 
     def log_version(self, name: str) -> int:
         """Return the version of a machine's log; 0 without one."""
@@ -65,7 +68,7 @@
 
         def accepted() -> bool:
             response = call(self._admin_ports[name], "POST", "/changes", body)
-            if response.status != 200:
+            if response.status != HTTPStatus.OK:
                 return False
             return not any("refused" in one for one in json.loads(response.body))
 
@@ -95,12 +98,12 @@
         machines = MixedMachines(versions, folder, stack)
         first = machines.wait_for_leader(set(MACHINES))
         before = first is not None and machines.accepts_change(first, "b1")
-        left = set(MACHINES) - {first}
+        remaining = set(MACHINES) - {first}
         if first is not None:
             machines.kill(first)
-        second = machines.wait_for_leader(left)
+        second = machines.wait_for_leader(remaining)
         after = second is not None and machines.accepts_change(second, "b2")
-        in_step = wait_until(lambda: len({machines.log_version(name) for name in left}) == 1)
+        in_step = wait_until(lambda: len({machines.log_version(name) for name in remaining}) == 1)
     return {
         "ok": before and after and in_step,
         "leaders": [first or "", second or ""],
--- a/benchmarks/mixed_versions/gossip.py
+++ b/benchmarks/mixed_versions/gossip.py
@@ -8,6 +8,7 @@
 from collections import Counter
 from collections.abc import Sequence
 from contextlib import ExitStack
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -72,7 +73,7 @@
     def _alive_by(self, node: int) -> set[int]:
         """Return the nodes that one takes for alive, with itself; none if it can't say yet."""
         response = call(self._admin_ports[node], "GET", "/peers")
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             return set()
         rows = json.loads(response.body)["nodes"]
         return {node} | {row[0] for row in rows if row[1] == "alive"}
@@ -96,17 +97,17 @@
     with running_backend() as backend_port, ExitStack() as stack:
         nodes = MixedNodes(versions, folder, backend_port, stack)
         everyone = set(range(NODES))
-        left = everyone.difference(KILLED)
+        remaining = everyone.difference(KILLED)
         met = wait_until(lambda: nodes.agree_on(everyone))
         nodes.kill(KILLED)
-        noticed = wait_until(lambda: nodes.agree_on(left))
+        noticed = wait_until(lambda: nodes.agree_on(remaining))
         statuses = Counter(
             nodes.request(node, f"r{node}-{number}")
-            for node in sorted(left)
+            for node in sorted(remaining)
             for number in range(REQUESTS_PER_NODE)
         )
     return {
-        "ok": met and noticed and set(statuses) == {200},
+        "ok": met and noticed and set(statuses) == {HTTPStatus.OK},
         "met": met,
         "deaths noticed": noticed,
         "statuses": dict(statuses),
--- a/benchmarks/scale/balancers.py
+++ b/benchmarks/scale/balancers.py
@@ -37,13 +37,26 @@
 class IdleHost:
     """The host of a Balancer that gets no requests: no action has an effect."""
 
-    def send(self, request: int, backend: int, timeout: int) -> None: ...
-    def refuse(self, request: int, retry_after: int) -> None: ...
-    def fail(self, request: int) -> None: ...
-    def cancel(self, request: int, attempt: int) -> None: ...
-    def set_timer(self, token: int, due: int) -> None: ...
-    def watch(self) -> None: ...
-    def log(self, text: str) -> None: ...
+    def send(self, request: int, backend: int, timeout: int) -> None:
+        """Send no attempt."""
+
+    def refuse(self, request: int, retry_after: int) -> None:
+        """Reject no request."""
+
+    def fail(self, request: int) -> None:
+        """Fail no request."""
+
+    def cancel(self, request: int, attempt: int) -> None:
+        """Cancel no attempt."""
+
+    def set_timer(self, token: int, due: int) -> None:
+        """Set no timer: a measurement calls `on_timer` itself."""
+
+    def watch(self) -> None:
+        """Watch no list."""
+
+    def log(self, text: str) -> None:
+        """Write no log line."""
 
 
 def listing(number: int, state: State = State.READY) -> Listing:
--- a/benchmarks/scale/capacity/control.py
+++ b/benchmarks/scale/capacity/control.py
@@ -104,13 +104,13 @@
 def _control_memory(target: Target, slopes: Slopes) -> list[Row]:
     """What a machine holds."""
     nodes = Range(target.nodes_a_control_machine, target.nodes / target.regions)
-    held = slopes.each("revisions.memory", target.backends) + slopes.each(
+    texts = slopes.each("revisions.memory", target.backends) + slopes.each(
         "routes.bytes", target.routes
     )
     row = _predicted_row
     return [
         row(Situation.REST, "memory, rows and routes as text",
-            "revisions.memory x 120,000 + routes.bytes x 140,000", held, Unit.BYTES, None,
+            "revisions.memory x 120,000 + routes.bytes x 140,000", texts, Unit.BYTES, None,
             REPLICATION),
         row(Situation.REST, "memory, its nodes' connections",
             "control.memory x 1,300 to 3,900 nodes", slopes.each("control.memory", nodes),
--- a/benchmarks/scale/capacity/load.py
+++ b/benchmarks/scale/capacity/load.py
@@ -77,8 +77,8 @@
         """Tenants that one node holds, at most all of them."""
         each = self.target.tenants / self.target.services
         found = self.services_a_node * TENANT_SERVICES.range * each
-        most = float(self.target.tenants)
-        return Range(min(found.low, most), min(found.high, most))
+        maximum = float(self.target.tenants)
+        return Range(min(found.low, maximum), min(found.high, maximum))
 
     @property
     def subscribers(self) -> Range:
--- a/benchmarks/scale/capacity/node.py
+++ b/benchmarks/scale/capacity/node.py
@@ -76,7 +76,7 @@
     return [
         *_one_balancer(target, slopes),
         *_all_configuration(target, slopes),
-        *_whole_list(target, slopes),
+        *_full_list(target, slopes),
     ]
 
 
@@ -124,11 +124,11 @@
     ]  # fmt: skip
 
 
-def _whole_list(target: Target, slopes: Slopes) -> list[Row]:
-    """Reading the whole list, and its changes."""
+def _full_list(target: Target, slopes: Slopes) -> list[Row]:
+    """Reading the full list, and its changes."""
     load = Load(target)
     lines = target.backends / target.list_lines_a_second
-    whole = slopes.at("list.bytes", target.backends)
+    list_bytes = slopes.at("list.bytes", target.backends)
     read = cores(
         slopes.at("list.parse", target.backends) + slopes.at("list.roster", target.backends)
     )
@@ -141,7 +141,7 @@
             ranged(target.nodes * lines), Unit.SECONDS, target.in_force_s),
         row(Situation.RESTART, "time, the list at the bytes allowed",
             "list.bytes(120,000 rows) / 3 KB a second",
-            whole / target.node_bytes_a_second, Unit.SECONDS, target.in_force_s),
+            list_bytes / target.node_bytes_a_second, Unit.SECONDS, target.in_force_s),
         row(Situation.RESTART, "time, reading the list's text",
             "list.parse(120,000) + list.roster(120,000)", read, Unit.SECONDS, target.in_force_s),
         row(Situation.DAY, "bytes, changes of the list",
@@ -180,14 +180,14 @@
 def with_part(target: Target, slopes: Slopes) -> list[Row]:
     """Rows predicted for a node that holds the services assigned to it."""
     return [
-        *_part_at_rest(target, slopes),
+        *_part_idle(target, slopes),
         *_largest_service(target, slopes),
         *_part_changes(target, slopes),
         *_part_requests_and_start(target, slopes),
     ]
 
 
-def _part_at_rest(target: Target, slopes: Slopes) -> list[Row]:
+def _part_idle(target: Target, slopes: Slopes) -> list[Row]:
     """The process and the services, routes and tenants that the node holds."""
     load = Load(target)
     services, backends = load.services_a_node, load.backends_a_node
@@ -200,13 +200,13 @@
     tenants = slopes.each("tenant.memory", load.tenants_a_node)
     base = slopes.at("node.memory", 0)
     cycles = cores(CYCLES_A_SECOND * slopes.at("service.cycle", services))
-    rest = cores(slopes.at("node.rest", 0))
+    idle = cores(slopes.at("node.rest", 0))
     memory, core = target.node_bytes, target.node_cores
     row = _part_node_row
     return [
         row(Situation.REST, "memory, the process", "node.memory(0)", base, Unit.BYTES, memory,
             PROCESS, Standing.TODAY),
-        row(Situation.REST, "processor, the process", "node.rest(0)", rest, Unit.CORE, core,
+        row(Situation.REST, "processor, the process", "node.rest(0)", idle, Unit.CORE, core,
             PROCESS, Standing.TODAY),
         row(Situation.REST, "memory, services and rows",
             "service.memory(services a node) + (list.roster_memory + revisions.memory) x backends",
@@ -220,7 +220,7 @@
         row(Situation.REST, "processor, cycles", "2/s x service.cycle(services a node)", cycles,
             Unit.CORE, core, HOLDER),
         row(Situation.REST, "processor, all of it", "the process, cycles and gossip.cpu(1,950)",
-            rest + cycles + cores(slopes.at("gossip.cpu", target.nodes_a_zone)), Unit.CORE, core,
+            idle + cycles + cores(slopes.at("gossip.cpu", target.nodes_a_zone)), Unit.CORE, core,
             HOLDER),
     ]  # fmt: skip
 
--- a/benchmarks/scale/capacity/tables.py
+++ b/benchmarks/scale/capacity/tables.py
@@ -14,7 +14,8 @@
 
 BYTES = (("GB", 1e9), ("MB", 1e6), ("KB", 1e3), ("B", 1.0))
 TIMES = (("days", 86_400.0), ("h", 3_600.0), ("min", 60.0), ("s", 1.0), ("ms", 1e-3), ("us", 1e-6))
-LEAST_TOLD = 0.001  # below which a figure is only called that
+MIN_GROUPED = 1_000  # from which a figure's digits are grouped
+MIN_SHOWN = 0.001  # below which a figure is only called that
 LIMIT_OF_MINUTES = 180.0  # seconds below which a time is told in seconds
 
 
@@ -32,9 +33,9 @@
     """Three significant figures, without an exponent."""
     if value == 0:
         return "0"
-    if value >= 1000:
+    if value >= MIN_GROUPED:
         return f"{float(f'{value:.3g}'):,.0f}"
-    return f"{value:.3g}" if value >= LEAST_TOLD else f"under {LEAST_TOLD}"
+    return f"{value:.3g}" if value >= MIN_SHOWN else f"under {MIN_SHOWN}"
 
 
 def human(value: float, unit: Unit) -> str:
@@ -107,7 +108,7 @@
     It is "-" where all readings were alike, or there was one.
     """
     sizes = f"{slope.sizes[0]:,.0f} to {slope.sizes[-1]:,.0f} ({len(slope.sizes)})"
-    over = max(p.median / p.value - 1 if p.value else 0.0 for p in slope.points)
+    spread = max(p.median / p.value - 1 if p.value else 0.0 for p in slope.points)
     return (
         f"`{slope.name}`",
         signed(slope.per_item),
@@ -116,7 +117,7 @@
         sizes,
         f"{100 * slope.residual:.1f}%" + ("" if slope.straight else " (no line)"),
         f"{slope.r2:.4f}",
-        f"{100 * over:.0f}%" if over else "-",
+        f"{100 * spread:.0f}%" if spread else "-",
         str(run),
     )
 
--- a/benchmarks/scale/checks.py
+++ b/benchmarks/scale/checks.py
@@ -52,11 +52,11 @@
 
 def _propagation_checks(delays: Sequence[Delay], propagation: PropagationTimes) -> list[Check]:
     missing = [delay.change for delay in delays if delay.missing]
-    most_ms = propagation.most_ms
+    max_ms = propagation.most_ms
     return [
         Check("changes were accepted", bool(delays), f"{len(delays)}"),
         Check("each change came into force everywhere", not missing, _list_changes(missing)),
-        Check("in force within 6 s", most_ms <= MAX_PROPAGATION_MS, f"{most_ms} ms"),
+        Check("in force within 6 s", max_ms <= MAX_PROPAGATION_MS, f"{max_ms} ms"),
     ]
 
 
--- a/benchmarks/scale/cluster.py
+++ b/benchmarks/scale/cluster.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.options import Options
 from benchmarks.scale.ports import first_of_free_ports
 from benchmarks.scale.realnodes import RealNodes
-from benchmarks.scale.world import BoundListener, World
+from benchmarks.scale.world import REGIONS, BoundListener, World
 from loadbalancer.control.machine.file import read_scale
 
 PORTS = 40  # that one run uses, in a row
@@ -213,8 +213,9 @@
         leaders = {row["region"] for row in rows if row["role"] == "leader"}
         versions = {row["logs"]["west"]["version"] for row in rows}
         empty = any(row["needs_load"] or row["role"] == "empty" for row in rows)
-        ready = len(statuses) == len(self.controls) and len(leaders) == 2 and len(versions) == 1
-        return ready and not empty and versions != {self.accepted.versions["west"]}
+        complete = len(statuses) == len(self.controls) and len(leaders) == len(REGIONS)
+        agreed = len(versions) == 1 and versions != {self.accepted.versions["west"]}
+        return complete and agreed and not empty
 
     async def describe_controls(self) -> str:
         """Return each machine's role and positions, for the error of a run that timed out."""
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -107,5 +107,5 @@
     """R squared: 1.0 where the line explains all variance, 1.0 too where there is none."""
     centre = mean(values)
     total = sum((v - centre) ** 2 for v in values)
-    rest = sum((v - e) ** 2 for v, e in zip(values, expected, strict=True))
-    return 1.0 - rest / total if total > 0 else 1.0
+    residual = sum((v - e) ** 2 for v, e in zip(values, expected, strict=True))
+    return 1.0 - residual / total if total > 0 else 1.0
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -43,11 +43,11 @@
     delays = [referee.delay(change, until) for change in data.accepted]
     phases = measurements.ended_phases
     node = node_figures(data.hosts, phases, len(data.node_names), options.stretch)
-    whole_run = propagation_times(delays)
+    total = propagation_times(delays)
     began = measurements.phases[0].began if measurements.phases else until
     checks = [
         *measurements.checks,
-        *checks_of(referee.verdict, delays, whole_run, node, data.hosts),
+        *checks_of(referee.verdict, delays, total, node, data.hosts),
     ]
     return {
         "benchmark": "scale run",
@@ -57,7 +57,7 @@
         **_describe_options(data),
         "changes_accepted": len(data.accepted),
         "driver": data.driver_counts,
-        "in_force": _times_by_phase(measurements, delays) | {"whole run": whole_run.as_json()},
+        "in_force": _times_by_phase(measurements, delays) | {"whole run": total.as_json()},
         "slowest": slowest_changes(delays, began, data.node_names),
         "node": node.as_json(),
         "control": {phase.name: control_figures(phase).as_json() for phase in phases},
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -108,8 +108,8 @@
         """Start the control machines, and follow their logs from where they are."""
         cluster = self._cluster
         cluster.start_controls()
-        taken = await until("regions loaded", LOAD_S, cluster.logs_loaded)
-        logger.info("six control machines have both logs after %.1f s", taken)
+        elapsed_s = await until("regions loaded", LOAD_S, cluster.logs_loaded)
+        logger.info("six control machines have both logs after %.1f s", elapsed_s)
         for region in cluster.accepted.regions.values():
             cluster.accepted.versions.setdefault(region, 0)
         status = await asyncio.to_thread(next(iter(cluster.controls.values())).status)
@@ -128,10 +128,10 @@
         async with cluster.phase("cold start", self._measurements):
             await cluster.nodes_up()
             what = "all nodes hold their services"
-            taken = await until(what, COLD_START_S, cluster.all_services_held)
-        self._measurements.notes["cold_start_s"] = round(taken, 2)
+            elapsed_s = await until(what, COLD_START_S, cluster.all_services_held)
+        self._measurements.notes["cold_start_s"] = round(elapsed_s, 2)
         nodes = self._options.sizes.nodes
-        logger.info("%d nodes hold their services after %.1f s", nodes, taken)
+        logger.info("%d nodes hold their services after %.1f s", nodes, elapsed_s)
         await cluster.settle_hosts()
 
     async def _sample_snapshots(self) -> None:
--- a/benchmarks/scale/world.py
+++ b/benchmarks/scale/world.py
@@ -32,6 +32,7 @@
 DRAIN_PART = 0.3
 MAX_SEED = (1 << 63) - 1
 BACKEND_PORT = 9000
+MIN_ACTIVE = 2  # of a service's backends, for one of them to drain
 
 
 class WorldError(ValueError):
@@ -183,7 +184,7 @@
         rows = self.backends[spec.name]
         active = [uid for uid, row in rows.items() if row["state"] == "active"]
         drawn = self._random.random()
-        if len(active) < 2 or drawn < DRAIN_PART:
+        if len(active) < MIN_ACTIVE or drawn < DRAIN_PART:
             return self._make_row(spec)
         row = dict(rows[self._random.choice(active)])
         if drawn < 2 * DRAIN_PART:
--- a/fakes/consul/agent.py
+++ b/fakes/consul/agent.py
@@ -8,6 +8,7 @@
 import re
 import time
 from collections import Counter
+from http import HTTPStatus
 from random import Random
 from typing import Any
 from urllib.parse import parse_qs, unquote
@@ -176,7 +177,7 @@
             reply = self._renew_check(unquote(uid), endpoint.rpartition("/")[2])
         else:
             reply = Reply(404)
-        if reply.status == 200:
+        if reply.status == HTTPStatus.OK:
             await self._notify()
         return reply
 
--- a/fakes/relay.py
+++ b/fakes/relay.py
@@ -81,7 +81,7 @@
             if self._rate:
                 await asyncio.sleep(len(data) / self._rate)
 
-    def obey(self, command: dict[str, int]) -> None:
+    def apply(self, command: dict[str, int]) -> None:
         """Carry out one command."""
         self._cut_next_after = command.get("cut", self._cut_next_after)
         self._rate = command.get("rate", self._rate)
@@ -99,7 +99,7 @@
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        relay.obey(json.loads(line))
+        relay.apply(json.loads(line))
         print("{}", flush=True)
 
 
