--- a/fakes/xds_proxy/__main__.py
+++ b/fakes/xds_proxy/__main__.py
@@ -40,7 +40,7 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     print("listening on nothing", flush=True)
     while line := await reader.readline():
-        print(json.dumps(await script.obey(json.loads(line))), flush=True)
+        print(json.dumps(await script.execute(json.loads(line))), flush=True)
     await script.close()
 
 
--- a/fakes/xds_proxy/script.py
+++ b/fakes/xds_proxy/script.py
@@ -28,13 +28,13 @@
 
 
 class Script:
-    """Carries out commands."""
+    """Executes commands for proxies, by their names."""
 
     def __init__(self, proxies: dict[str, Proxy]) -> None:
         self._proxies = proxies
 
-    async def obey(self, command: dict[str, Any]) -> Any:
-        """Carry out one command; its answer."""
+    async def execute(self, command: dict[str, Any]) -> Any:
+        """Execute one command; its answer."""
         match command["do"]:
             case "state":
                 return {name: proxy.state() for name, proxy in self._proxies.items()}
