--- a/loadbalancer/sources/consul/file.py
+++ b/loadbalancer/sources/consul/file.py
@@ -15,7 +15,7 @@
 
 import re
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
 from typing import Any, TypeVar
@@ -123,8 +123,8 @@
         agents=_agents(top),
         service=top.text("service"),
         zones_by_datacentre=_zones(top),
-        token_file=None,
-        ca_file=None,
+        token_file=_path(top, "token_file"),
+        ca_file=_path(top, "ca_file"),
         lines_per_second=_lines_per_second(top),
         consistency=_choice(top, "consistency", Consistency.STALE),
         max_age_s=_max_age_s(top),
@@ -134,11 +134,17 @@
         zone_meta=top.text("zone_meta") if "zone_meta" in raw else "",
         merges_platform_list=_flag(top, "platform"),
     )
+    # Failure: a value that is no string is found only after the faults have been looked at, `check`
+    # calls the file good, and a node would read the file's folder as its token. So every key is
+    # read before this line.
     if top.faults:
         return None, sorted(top.faults)
-    token_file = top.path("token_file") if "token_file" in raw else None
-    ca_file = top.path("ca_file") if "ca_file" in raw else None
-    return replace(found, token_file=token_file, ca_file=ca_file), []
+    return found, []
+
+
+def _path(top: Section, key: str) -> Path | None:
+    """A path that may be absent; a fault where the key's value is no string."""
+    return top.path(key) if key in top.raw else None
 
 
 def _agents(top: Section) -> tuple[Address, ...]:
--- a/tests/sources/consul/test_file.py
+++ b/tests/sources/consul/test_file.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from loadbalancer.cli.check import check_any
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.sources.consul.credentials import read_token
 from loadbalancer.sources.consul.datacentre_reader import ROUND_INTERVAL_S
@@ -45,6 +46,22 @@
     assert f"{path}:{line}: [{rule}]" in str(caught.value)
 
 
+@pytest.mark.parametrize("key", ["token_file", "ca_file"])
+def test_a_path_that_is_no_string_is_reported_like_any_other_fault(
+    tmp_path: Path, key: str
+) -> None:
+    """An operator writes `token_file = 5`, and `check` calls the file good.
+
+    The paths were read after the faults had been looked at, so that theirs were lost; a node then
+    took the file's folder for its token.
+    """
+    path = write_file(tmp_path, AGENT, more=f"{key} = 5\n")
+    faults = check_any(str(path), None).faults
+    assert [str(fault) for fault in faults] == [f"6: [missing-key] {key} is no string; write one"]
+    with pytest.raises(ConsulError, match=rf":6: \[missing-key\] {key} is no string"):
+        read_consul(str(path))
+
+
 def test_each_reader_gets_its_part_of_the_lines_less_a_margin(tmp_path: Path) -> None:
     path = write_file(tmp_path, AGENT, more="readers = 21\n")
     assert read_consul(str(path)).lines_per_second == 9
