--- a/loadbalancer/sources/watchers.py
+++ b/loadbalancer/sources/watchers.py
@@ -131,8 +131,16 @@
         if self.host.is_waiting(self):
             self.reject(HTTPStatus.BAD_REQUEST, b"a second question before the first's answer")
             return
-        parts = urlsplit(target.decode("latin-1"))
-        self.on_request(self.parser.get_method(), parts.path, parse_qs(parts.query))
+        try:
+            parts = urlsplit(target.decode("latin-1"))
+            query = parse_qs(parts.query)
+        except ValueError:
+            # Failure: a target without a meaning, such as "http://[::1", raises here, and the
+            # caller sees its connection end without a response as if this program had a fault.
+            # Whatever the parts are, they are split here alone: no such target gets further.
+            self.reject(HTTPStatus.BAD_REQUEST, b"the request target can't be split")
+            return
+        self.on_request(self.parser.get_method(), parts.path, query)
 
     def on_request(self, method: bytes, path: str, query: Query) -> None:
         """A complete request has come."""
--- a/tests/sources/consul/test_relay.py
+++ b/tests/sources/consul/test_relay.py
@@ -102,6 +102,21 @@
     assert get(relay, path)[0] == status
 
 
+@pytest.mark.parametrize("authority", ["[::1", "[x]"])
+def test_a_target_that_can_t_be_split_is_a_bad_request(relay: Process, authority: str) -> None:
+    """A caller sends a target in absolute form whose host is no IPv6 address.
+
+    Splitting it raised, the caller's connection ended without a response, and the log showed a
+    fault of this program.
+    """
+    host, _, port = relay.address.rpartition(":")
+    with contextlib.closing(socket.create_connection((host, int(port)), LIMIT)) as connection:
+        target = f"http://{authority}{LIST_PATH}".encode()
+        connection.sendall(b"GET %s HTTP/1.1\r\nHost: x\r\n\r\n" % target)
+        assert connection.recv(4096).startswith(b"HTTP/1.1 400")
+    assert get(relay, LIST_PATH)[0] == 200
+
+
 def test_a_second_request_before_the_response_ends_the_connection(relay: Process) -> None:
     """A watcher sends one request at a time: its answer could not be told from the first's."""
     rev = json.loads(get(relay, LIST_PATH)[1])["rev"]
