--- a/loadbalancer/sources/consul/datacentre_reader.py
+++ b/loadbalancer/sources/consul/datacentre_reader.py
@@ -201,7 +201,7 @@
         has_completed_round = self._note_answer(now, query, rows)
         reports = [row.report for row in rows]
         if reports:
-            self._on_reports(self._source, reports, False)
+            self._report(reports, complete=False)
         self._round_reports.update((report.uid, report) for report in reports)
         if has_completed_round:
             self._complete_round()
@@ -220,10 +220,21 @@
             )  # fmt: skip
         return scheduler.completed_rounds != completed
 
+    def _report(self, reports: list[ServerReport], *, complete: bool) -> None:
+        """Report servers; a fault of whoever takes them is logged, and reading goes on."""
+        try:
+            self._on_reports(self._source, reports, complete)
+        except Exception:
+            # Failure: whoever takes the reports raises, and the query or pause that follows is
+            # never begun: the datacentre's servers stay as they are, with one line in the log.
+            # All reports pass through here, and both callers go on; what the taker missed it gets
+            # again with the next complete round.
+            self._logger.exception("%s: its reports were not taken over", self._source)
+
     def _complete_round(self) -> None:
         """Report all servers of the round, and pause before the next one."""
         reports, self._round_reports = self._round_reports, {}
-        self._on_reports(self._source, [*reports.values()], True)
+        self._report([*reports.values()], complete=True)
         if self._changed_in_round:
             self._changed_in_round = False
             self._send_query()
--- a/tests/sources/consul/test_reader.py
+++ b/tests/sources/consul/test_reader.py
@@ -15,8 +15,10 @@
 
 from fakes.fleet import Process
 from loadbalancer.config.address import Address
+from loadbalancer.core.endpoints.server_report import ServerReport
+from loadbalancer.sources.consul.credentials import Credentials
 from loadbalancer.sources.consul.file import Consistency, ConsulFile, ServiceApi
-from loadbalancer.sources.consul.reader import open_reader
+from loadbalancer.sources.consul.reader import ConsulReader, open_reader
 from tests.harness import LIMIT
 from tests.sources.consul.support import (
     Listener,
@@ -145,6 +147,39 @@
     asyncio.run(run())
 
 
+@pytest.mark.parametrize("complete", [False, True])
+def test_a_datacentre_is_read_on_after_its_reports_were_not_taken(
+    agent: Process,
+    log: pytest.LogCaptureFixture,
+    monkeypatch: pytest.MonkeyPatch,
+    complete: bool,
+) -> None:
+    """Whoever takes a datacentre's reports raises once, by a fault of its own.
+
+    The exception ended the handling of the response, and with it the only place that begins the
+    next query: the datacentre was never read again, and its list stood until a restart.
+    """
+    set_services(agent, 1, 2, 3)
+    monkeypatch.setattr("loadbalancer.sources.consul.datacentre_reader.ROUND_INTERVAL_S", 0.01)
+    calls: list[bool] = []
+
+    def take(_source: str, _reports: list[ServerReport], is_complete: bool) -> None:
+        calls.append(is_complete)
+        if is_complete is complete and calls.count(complete) == 1:
+            raise KeyError("a fault of whoever takes the reports")
+
+    async def run() -> None:
+        reader = ConsulReader(
+            file_for(agent), Credentials(), take, 1, logging.getLogger(LOGGERS[0])
+        )
+        reader.start()
+        await wait_until(lambda: calls.count(True) >= 3)
+        reader.close()
+
+    asyncio.run(run())
+    assert log.messages.count("consul:dc1: its reports were not taken over") == 1
+
+
 # ---- TLS -------------------------------------------------------------------
 
 
