--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -105,7 +105,7 @@
         """Listen, taking over from a running process where there is one; returns the port."""
         admin = self.config.admin
         if admin is None:
-            apply_routes(self.node, self.config.routes)
+            apply_routes(self.node)
             self.node.start()
             return self.listener.listen(self.config.listen)
         # Imported here: a node without a second address does not pay for the modules.
@@ -118,7 +118,7 @@
         # a wrong one ends this process and not the old one.
         AdminCalls(self).listen(admin)
         inheritance = await successor.meet()
-        apply_routes(self.node, self.config.routes)
+        apply_routes(self.node)
         self.node.start(inheritance)
         if inheritance is not None and inheritance.standby:
             self.set_standby(True)
--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -12,6 +12,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.config.node import Config
+    from loadbalancer.core.routes.table import Table
     from loadbalancer.proxy.host import Node
 
 logger = logging.getLogger(__name__)
@@ -23,11 +24,10 @@
     Raises:
         RoutesError: its routes file can't be used with its settings; nothing has changed.
     """
-    if config.routes:
-        from loadbalancer.proxy.routing import Routing
-
-        # Before anything is changed: a fault of the file must not leave the settings replaced.
-        Routing.check(config.routes, config.settings)
+    # Failure: the routes file is replaced by one with a fault while it is read a second time. The
+    # new settings were in force by then, beside the old routes, and the log said that all went on
+    # as before. It is read once, before anything is changed; what was read can't fail any more.
+    table = _read_routes(config)
     changed = config.settings != node.config.settings
     node.config = config
     if changed:
@@ -36,26 +36,37 @@
         node.leave()
         names = ", ".join(spec.name for spec in config.settings.classes)
         logger.info("new settings: classes %s", names)
-    apply_routes(node, config.routes)
+    _use_routes(node, table)
 
 
-def apply_routes(node: Node, path: str) -> None:
-    """Use the routes file at `path` from now on, or none where that is empty.
+def apply_routes(node: Node) -> None:
+    """Use the routes file that the node's configuration names, or none where it names none.
 
     Raises:
         RoutesError: the file can't be used; nothing has changed.
     """
-    if not path:
+    _use_routes(node, _read_routes(node.config))
+
+
+def _read_routes(config: Config) -> Table | None:
+    if not config.routes:
+        return None
+    from loadbalancer.proxy.routing import read_table
+
+    return read_table(config.routes, config.settings)
+
+
+def _use_routes(node: Node, table: Table | None) -> None:
+    if table is None:
         node.routing = None
         return
     from loadbalancer.core.balancing.route_policies import RoutePolicies
     from loadbalancer.proxy.routing import Routing
 
     if node.routing is None:
-        node.routing = Routing(path, node.config.settings)
+        node.routing = Routing(table)
     else:
-        node.routing.reload(path, node.config.settings)
-    table = node.routing.table
+        node.routing.replace(table)
     if node.policies is None:
         now = time.monotonic_ns()
         node.policies = RoutePolicies(node.balancer, node.config.seed, table.node_budget, now)
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -45,6 +45,19 @@
     path: bytes
 
 
+def read_table(path: str, settings: Settings) -> Table:
+    """The table of a routes file under a node's settings, whose classes the routes may name.
+
+    Raises:
+        RoutesError: the file can't be used; names its first fault.
+    """
+    result = check_file(path, settings)
+    if result.table is None:
+        faults = result.faults
+        raise RoutesError(f"{path}:{faults[0]} (faults: {len(faults)})")
+    return result.table
+
+
 class KnownHost(NamedTuple):
     """What one spelling of a Host stands for."""
 
@@ -53,33 +66,16 @@
 
 
 class Routing:
-    """The table in force. A replaced one is freed: requests retain only their own policy.
-
-    Args:
-        path: the routes file.
-        settings: the node's settings, whose classes the routes may name.
-
-    Raises:
-        RoutesError: the file can't be used.
-    """
+    """The table in force. A replaced one is freed: requests retain only their own policy."""
 
-    def __init__(self, path: str, settings: Settings) -> None:
-        self.table = self.check(path, settings)
+    def __init__(self, table: Table) -> None:
+        self.table = table
         self.refused: Counter[str] = Counter()  # requests by reason
         self._hosts: dict[bytes, KnownHost] = {}
 
-    @staticmethod
-    def check(path: str, settings: Settings) -> Table:
-        """The table of a file under these settings; RoutesError names its first fault."""
-        result = check_file(path, settings)
-        if result.table is None:
-            faults = result.faults
-            raise RoutesError(f"{path}:{faults[0]} (faults: {len(faults)})")
-        return result.table
-
-    def reload(self, path: str, settings: Settings) -> None:
-        """Use another file; RoutesError where it can't be used, and nothing has changed."""
-        self.table = self.check(path, settings)
+    def replace(self, table: Table) -> None:
+        """Use another table from now on."""
+        self.table = table
         self._hosts.clear()
 
     def place(self, head: Head) -> Policy:
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -5,11 +5,18 @@
 import json
 import signal
 import socket
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
+from loadbalancer.config.routes_file import check_file
+from loadbalancer.core import Settings
+from loadbalancer.core.routes.file import Result
+from loadbalancer.proxy.host import Node
+from loadbalancer.proxy.reload import apply_configuration
 from tests.harness import Running, accept, answer, listen, node, request, roster, served_by, target
+from tests.proxy.routed_node import routes_text
 
 
 def replace_config(tmp_path: Path, text: str) -> None:
@@ -60,3 +67,30 @@
     peer.send(answer(b"again"))
     assert client.message()[2] == b"again"
     assert n.stop() == 0
+
+
+def test_a_routes_file_that_changes_while_it_is_read_is_used_as_it_was_read_first(
+    tmp_path: Path, host: Node, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """An operator's editor writes a routes file again within the reload that reads it.
+
+    It was read twice, to be checked and to be used. The second read found a fault when the new
+    settings were in force, and the node went on with new settings and old routes.
+    """
+    path = tmp_path / "routes.toml"
+    path.write_text(routes_text())
+    reads: list[str] = []
+
+    def check_and_overwrite(read_path: str, settings: Settings) -> Result:
+        reads.append(read_path)
+        result = check_file(read_path, settings)
+        path.write_text("version = 1\nfaulty = 1\n")
+        return result
+
+    monkeypatch.setattr("loadbalancer.proxy.routing.check_file", check_and_overwrite)
+    new = replace(host.config, routes=str(path), settings=replace(host.config.settings, tick=7))
+    apply_configuration(host, new)
+    assert reads == [str(path)]
+    assert host.config is new
+    assert host.routing is not None
+    assert host.routing.table.services
