--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -37,6 +37,12 @@
 
 logger = logging.getLogger(__name__)
 
+# Failure: whoever takes an answer raises. The next call was begun after that, so there was none:
+# the list stood until a restart, with one line in the log. The fault ends here, at each of the
+# three places that an answer comes from, and a call follows. It is for the complete list: the
+# present version counts as known, and no delta would repeat what was missed.
+NOT_TAKEN = "the list was not taken over: the complete list is polled for"
+
 SourceLogger = logging.Logger | logging.LoggerAdapter[logging.Logger]
 OnUpdate = Callable[[Update, list[Listing], list[int]], None]
 
@@ -125,8 +131,7 @@
             return
         backoff_ns = self._retry_at_ns - time.monotonic_ns()
         if backoff_ns > 0:
-            loop = asyncio.get_running_loop()
-            self._retry_timer = loop.call_later(backoff_ns / SECOND, self._on_backoff_passed)
+            self._schedule_retry(backoff_ns)
             return
         if self.readers is not None and self.readers.unread():
             self._expect_full()
@@ -176,7 +181,12 @@
         """Use an answer that another process of this node received."""
         if self._suspended:
             self._await_peer(self._timings.hold + self._timings.hold_margin)
-        self._apply_answer(body, own=False)
+        try:
+            self._apply_answer(body, own=False)
+        except Exception:
+            self._logger.exception(NOT_TAKEN)
+            self._needs_full = True  # see `NOT_TAKEN`
+            self.resume()  # the other process does not send this answer again
 
     def _await_peer(self, limit_ns: int) -> None:
         """Watch again unless the other process is heard within this time; 0 for no limit."""
@@ -197,14 +207,19 @@
         """Apply the list as another node has read it.
 
         Raises:
-            ListError: it can't be used.
+            ListError: it can't be used, or was not taken over.
         """
         decoded = self.endpoint_list.read(raw)
         self._older_answers = OlderAnswerFilter()
         stale = self.endpoint_list.apply(raw["rev"], *decoded)
-        if self.forward is not None:
-            self.forward(json.dumps(raw).encode())
-        self._on_update(decoded.update, decoded.listings, stale)
+        try:
+            if self.forward is not None:
+                self.forward(json.dumps(raw).encode())
+            self._on_update(decoded.update, decoded.listings, stale)
+        except Exception as err:
+            self._logger.exception(NOT_TAKEN)
+            self._needs_full = True  # see `NOT_TAKEN`
+            raise ListError("it was not taken over") from err
 
     def _may_poll(self) -> bool:
         return self.readers is None or self.readers.may_poll()
@@ -255,6 +270,10 @@
             self._retry_timer.cancel()
             self._retry_timer = None
 
+    def _schedule_retry(self, pause_ns: int) -> None:
+        loop = asyncio.get_running_loop()
+        self._retry_timer = loop.call_later(pause_ns / SECOND, self._on_backoff_passed)
+
     def _on_backoff_passed(self) -> None:
         self._retry_timer = None
         self._retry_at_ns = 0
@@ -266,7 +285,14 @@
         elapsed_ns = now - self._polled_at_ns
         backoff_ns = self._backoff.on_failure(failure, elapsed_ns, self._endpoint_count())
         self._retry_at_ns = now + backoff_ns
-        self._on_update(Update.FAILED, [], [])
+        try:
+            self._on_update(Update.FAILED, [], [])
+        except Exception:
+            # Failure: whoever is to call `watch` again raises, so that no call ever follows.
+            # This object's own timer calls it then.
+            self._logger.exception("reporting a failed call failed: polling again")
+            if self._call is None and self._retry_timer is None:
+                self._schedule_retry(max(backoff_ns, self._timings.max_pause))
 
     def _on_response(self, response: Response | None) -> None:
         call, self._call = self._call, None
@@ -280,7 +306,14 @@
             return
         is_ok = response is not None and response.status == HTTPStatus.OK
         body = response.body if response is not None and is_ok else None
-        if self._apply_answer(body):
+        try:
+            is_applied = self._apply_answer(body)
+        except Exception:
+            self._logger.exception(NOT_TAKEN)
+            self._needs_full = True  # see `NOT_TAKEN`
+            self._fail(PollFailure.UNUSABLE)
+            return
+        if is_applied:
             if not self._is_watch:
                 self._backoff.on_answer(elapsed_ns)
             # At once: after 200 ms discovery would count it as a new watch, and a change in
