--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -33,6 +33,7 @@
 from benchmarks.stats import spread
 from fakes.fleet import Process, started
 from loadbalancer.config.address import parse_address
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import Health, ServerReport
 from loadbalancer.sources.consul.credentials import Credentials
@@ -81,7 +82,11 @@
         made.told(source, words, whole)
 
     dead: set[str] = set()
-    members = MergedList(sources_of(file), is_alive=lambda uid: False if uid in dead else None)
+
+    def evidence_of(uid: str) -> AttemptEvidence:
+        return AttemptEvidence.DEAD if uid in dead else AttemptEvidence.UNKNOWN
+
+    members = MergedList(sources_of(file), evidence_of=evidence_of)
     made = Player(members, ConsulReader(file, Credentials(), told, seed), dead)
     return made
 
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -14,7 +14,7 @@
 from loadbalancer.control.xds.pool_inputs import PoolInput
 from loadbalancer.core import Balancer, Listing, State, Update
 from loadbalancer.core.balancing.model import SECOND, ServerView
-from loadbalancer.core.endpoints.attempt_evidence import is_alive
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, evidence_of
 from loadbalancer.core.xds.drains import AssignmentInUse, DrainReport, DrainTracker, GroupKey
 from loadbalancer.core.xds.load_reports import LoadReportAggregator
 from loadbalancer.core.xds.plan import Plan, make_plan
@@ -84,14 +84,14 @@
     def _make_members(self, source: PoolInput) -> Members:
         config, pool = source.config, source.pool
         if pool.consul is not None:
-            return ConsulMembers(pool.consul, config, self._on_update, self._log, self._is_alive)
+            return ConsulMembers(pool.consul, config, self._on_update, self._log, self._evidence_of)
         if pool.members is not None:
             return FileMembers(pool.members, config, self._on_update, self._log)
         return Discovery(polling(config), self._on_update, self._log)
 
-    def _is_alive(self, backend: int) -> bool | None:
-        """What the proxies' load reports say of a server; None for nothing."""
-        return is_alive(self.balancer, time.monotonic_ns(), backend)
+    def _evidence_of(self, backend: int) -> AttemptEvidence:
+        """What the proxies' load reports say of a server."""
+        return evidence_of(self.balancer, time.monotonic_ns(), backend)
 
     def start(self) -> None:
         """Begin with the list that is known, and follow it from then on.
--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -35,6 +35,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from loadbalancer.core.balancing.model import SECOND, State
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, no_evidence
 from loadbalancer.core.endpoints.departure_limits import DepartureLimiter, MergeLimits
 from loadbalancer.core.endpoints.merged_server import ListedServer, MergedServer
 from loadbalancer.core.endpoints.report_intake import ReportIntake
@@ -48,21 +49,21 @@
     Args:
         sources: all sources of the list.
         limits: on what reports alone may change; None for the defaults.
-        is_alive: by a server's id, what this node's own attempts show of it, None for nothing.
+        evidence_of: what this node's own attempts show of a server, by its id.
     """
 
-    __slots__ = ("_departures", "_intake", "_is_alive", "_limits", "_sources", "_table",
+    __slots__ = ("_departures", "_evidence_of", "_intake", "_limits", "_sources", "_table",
                  "_unsettled_uids")  # fmt: skip
 
     def __init__(
         self,
         sources: Sequence[Source],
         limits: MergeLimits | None = None,
-        is_alive: Callable[[str], bool | None] = lambda _uid: None,
+        evidence_of: Callable[[str], AttemptEvidence] = no_evidence,
     ) -> None:
         self._sources = {source.name: source for source in sources}
         self._limits = limits or MergeLimits()
-        self._is_alive = is_alive
+        self._evidence_of = evidence_of
         self._table = ServerTable()
         self._intake = ReportIntake(sources, self._table, self._limits.empty_confirm_ns)
         self._departures = DepartureLimiter(self._limits)
@@ -199,7 +200,9 @@
 
     def _drain_waiting(self, now: int, servers: list[MergedServer]) -> None:
         """Drain the servers that wait, those that answer attempts last."""
-        answers = {server.uid: self._is_alive(server.uid) is True for server in servers}
+        answers = {
+            server.uid: self._evidence_of(server.uid) is AttemptEvidence.ALIVE for server in servers
+        }
         for server in sorted(servers, key=lambda s: (answers[s.uid], s.waiting_since, s.uid)):
             self._drain_if_allowed(now, server)
 
@@ -208,7 +211,7 @@
         health = server.deciding_report(self._sources).health
         reported = health.name.lower()
         by_checks = health == Health.CRITICAL
-        if self._is_alive(server.uid) is False:
+        if self._evidence_of(server.uid) is AttemptEvidence.DEAD:
             server.is_confirmed_dead = True
             self._drain(now, server, f"{reported}, and its own answers agree")
         elif server.drain_order(self._sources) is not None:
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -80,13 +80,13 @@
         # Imported here: a node without Consul does not pay for the modules.
         from pathlib import Path
 
-        from loadbalancer.core.endpoints.attempt_evidence import is_alive
+        from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, evidence_of
         from loadbalancer.sources.consul.source import ConsulMembers
 
-        def answers(backend: int) -> bool | None:
-            return is_alive(self.balancer, time.monotonic_ns(), backend)
+        def evidence(backend: int) -> AttemptEvidence:
+            return evidence_of(self.balancer, time.monotonic_ns(), backend)
 
-        return ConsulMembers(Path(config.consul), config, self.on_list_update, is_alive=answers)
+        return ConsulMembers(Path(config.consul), config, self.on_list_update, evidence_of=evidence)
 
     # ---- start -------------------------------------------------------------
 
--- a/loadbalancer/sources/consul/list_updater.py
+++ b/loadbalancer/sources/consul/list_updater.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, no_evidence
 from loadbalancer.core.endpoints.departure_limits import MergeLimits
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import ServerReport, Source
@@ -40,7 +41,7 @@
             before the list is complete.
         seed: is to differ between readers.
         drain_ns: from the drain of a deregistered server until it is listed as removed.
-        is_alive: by a server's id, what this node's own attempts show of it, None for nothing.
+        evidence_of: what this node's own attempts show of a server, by its id.
         list_logger: where log lines go, for a caller that marks its own.
     """
 
@@ -52,10 +53,11 @@
         on_change: Callable[[], None],
         seed: int,
         drain_ns: int = 2 * SECOND,
-        is_alive: Callable[[str], bool | None] = lambda _uid: None,
+        evidence_of: Callable[[str], AttemptEvidence] = no_evidence,
         list_logger: SourceLogger | None = None,
     ) -> None:
-        self.merged_list = MergedList(sources_of(file), MergeLimits(drain_ns=drain_ns), is_alive)
+        limits = MergeLimits(drain_ns=drain_ns)
+        self.merged_list = MergedList(sources_of(file), limits, evidence_of)
         self._reader = open_reader(file, self.update, seed, list_logger)
         self._on_change = on_change
         self._timer: asyncio.TimerHandle | None = None
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -12,6 +12,7 @@
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Settings, State, Update
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, no_evidence
 from loadbalancer.core.endpoints.merged_server import ListedServer
 from loadbalancer.core.endpoints.server_report import Health, ServerReport
 from loadbalancer.sources.consul.file import read_consul
@@ -37,7 +38,7 @@
         on_update: called with each update, its listings, and the backends whose connections it
             made stale.
         list_logger: where log lines go, for a caller that marks its own; None for this module's.
-        is_alive: what the host's own attempts show of a backend, None for nothing.
+        evidence_of: what the host's own attempts show of a backend.
 
     Raises:
         ConsulError: the file can't be used.
@@ -46,7 +47,7 @@
     stale_after_ns = 120 * SECOND  # a complete round and the pause before it take over 30 s
 
     __slots__ = (
-        "_backends", "_config", "_is_alive", "_logger", "_on_update", "_platform", "_started",
+        "_backends", "_config", "_evidence_of", "_logger", "_on_update", "_platform", "_started",
         "_states", "_updater", "_zones", "endpoint_list", "forward",
     )  # fmt: skip
 
@@ -56,18 +57,18 @@
         config: Config,
         on_update: OnUpdate,
         list_logger: SourceLogger | None = None,
-        is_alive: Callable[[int], bool | None] = lambda _backend: None,
+        evidence_of: Callable[[int], AttemptEvidence] = no_evidence,
     ) -> None:
         file = read_consul(str(path))
         self._config = config
         self._zones = {name: number for number, name in enumerate(config.zones)}
         self._on_update = on_update
         self._logger = list_logger or logger
-        self._is_alive = is_alive
+        self._evidence_of = evidence_of
         self._backends: dict[str, int] = {}  # by a server's id
         self._states: Mapping[str, State] = {}  # of the listed servers as last logged
         self._updater = ListUpdater(
-            file, self._publish, config.seed, config.settings.drain_grace, self._is_server_alive,
+            file, self._publish, config.seed, config.settings.drain_grace, self._evidence_of_uid,
             list_logger,
         )  # fmt: skip
         self._platform: Discovery | None = None
@@ -119,9 +120,9 @@
         if self._platform is not None:
             self._platform.close()
 
-    def _is_server_alive(self, uid: str) -> bool | None:
+    def _evidence_of_uid(self, uid: str) -> AttemptEvidence:
         backend = self._backends.get(uid)
-        return None if backend is None else self._is_alive(backend)
+        return AttemptEvidence.UNKNOWN if backend is None else self._evidence_of(backend)
 
     # ---- the platform's list -----------------------------------------------------
 
--- a/tests/core/endpoints/reported_pool.py
+++ b/tests/core/endpoints/reported_pool.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Collection
 from dataclasses import replace
 from typing import Any
 
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, no_evidence
 from loadbalancer.core.endpoints.departure_limits import MergeLimits
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.merged_server import ListedServer
@@ -34,16 +35,21 @@
 
 def pool_list(
     count: int,
-    is_alive: Callable[[str], bool | None] = lambda _uid: None,
+    evidence_of: Callable[[str], AttemptEvidence] = no_evidence,
     limits: MergeLimits | None = None,
 ) -> MergedList:
     """A merged list of so many ready servers, reported by Consul at time 0."""
-    merged = MergedList([CONSUL], limits, is_alive)
+    merged = MergedList([CONSUL], limits, evidence_of)
     assert merged.update(0, "consul", pool(count), complete=True)
     assert len(ready(merged)) == count
     return merged
 
 
+def attempts_find(dead: Collection[str]) -> Callable[[str], AttemptEvidence]:
+    """Attempts to all servers, which these do not answer."""
+    return lambda uid: AttemptEvidence.DEAD if uid in dead else AttemptEvidence.ALIVE
+
+
 def ready(merged: MergedList) -> set[str]:
     """Ids of the servers that are listed as ready."""
     return {server.uid for server in merged.servers() if server.state == State.READY}
--- a/tests/core/endpoints/test_attempt_evidence.py
+++ b/tests/core/endpoints/test_attempt_evidence.py
@@ -4,17 +4,17 @@
 
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES, answered
-from loadbalancer.core.endpoints.attempt_evidence import is_alive
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, evidence_of
 from tests.recording_host import build
 
 
 def test_a_server_is_alive_or_dead_by_a_balancers_own_attempts() -> None:
     balancer, _ = build(count=2)
-    assert is_alive(balancer, SECOND, 100) is None
-    assert is_alive(balancer, SECOND, 9) is None
+    assert evidence_of(balancer, SECOND, 100) is AttemptEvidence.UNKNOWN
+    assert evidence_of(balancer, SECOND, 9) is AttemptEvidence.UNKNOWN
     endpoint = balancer.endpoints[100]
     answered(SECOND, endpoint)
-    assert is_alive(balancer, 2 * SECOND, 100) is True
-    assert is_alive(balancer, 7 * SECOND, 100) is None  # too long ago
+    assert evidence_of(balancer, 2 * SECOND, 100) is AttemptEvidence.ALIVE
+    assert evidence_of(balancer, 7 * SECOND, 100) is AttemptEvidence.UNKNOWN  # too long ago
     endpoint.consecutive_failures = MAX_SILENT_FAILURES
-    assert is_alive(balancer, 2 * SECOND, 100) is False
+    assert evidence_of(balancer, 2 * SECOND, 100) is AttemptEvidence.DEAD
--- a/tests/core/endpoints/test_merged_identity.py
+++ b/tests/core/endpoints/test_merged_identity.py
@@ -12,6 +12,7 @@
 from tests.core.endpoints.reported_pool import (
     CONSUL,
     LIST,
+    attempts_find,
     pool,
     pool_list,
     ready,
@@ -92,7 +93,7 @@
 
 def test_a_server_found_dead_starts_cold_when_it_is_back() -> None:
     dead = {"s-1"}
-    merged = pool_list(10, is_alive=lambda uid: uid not in dead)
+    merged = pool_list(10, attempts_find(dead))
     merged.update(SECOND, "consul", pool(10, 1), complete=True)
     assert server(merged, "s-1").state == State.DRAINING
     dead.clear()
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -9,6 +9,7 @@
 
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence
 from loadbalancer.core.endpoints.departure_limits import MergeLimits
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import Health
@@ -16,6 +17,7 @@
     CONSUL,
     LIST,
     MINUTE,
+    attempts_find,
     pool,
     pool_list,
     ready,
@@ -112,7 +114,7 @@
 def test_critical_servers_that_answer_are_drained_up_to_a_quarter_of_the_pool() -> None:
     """Health checks find half of the pool critical, by a fault of the checks: all answer."""
     unhealthy = range(1, 51)
-    merged = pool_list(100, is_alive=lambda _uid: True)
+    merged = pool_list(100, attempts_find(dead=()))
     for second in range(1, 600):
         merged.update(second * SECOND, "consul", pool(100, *unhealthy), complete=True)
         assert len(ready(merged)) >= 75
@@ -123,14 +125,15 @@
 
 def test_critical_servers_that_attempts_find_dead_are_drained_at_once() -> None:
     unhealthy = range(1, 51)
-    merged = pool_list(100, is_alive=lambda uid: int(uid[2:]) not in unhealthy)
+    merged = pool_list(100, attempts_find(dead={f"s-{number}" for number in unhealthy}))
     merged.update(SECOND, "consul", pool(100, *unhealthy), complete=True)
     assert len(ready(merged)) == 50
     assert "own answers agree" in server(merged, "s-1").reason
 
 
 def test_servers_that_answer_depart_last() -> None:
-    merged = pool_list(10, is_alive=lambda uid: True if uid == "s-1" else None)
+    evidence = {"s-1": AttemptEvidence.ALIVE}
+    merged = pool_list(10, lambda uid: evidence.get(uid, AttemptEvidence.UNKNOWN))
     merged.update(SECOND, "consul", pool(10, 1, 2, 3, health=Health.MAINTENANCE), complete=True)
     departed = {f"s-{number}" for number in range(1, 11)} - ready(merged)
     assert departed == {"s-2"}  # a fifth of nine
@@ -165,7 +168,11 @@
     count = random.choice([1, 5, 40])
     dead: set[str] = set()
     limits = MergeLimits()
-    merged = MergedList([CONSUL, LIST], limits, lambda uid: False if uid in dead else None)
+
+    def evidence_of(uid: str) -> AttemptEvidence:
+        return AttemptEvidence.DEAD if uid in dead else AttemptEvidence.UNKNOWN
+
+    merged = MergedList([CONSUL, LIST], limits, evidence_of)
     merged.update(0, "consul", pool(count), complete=True)
     now = 0
     departed_at: list[int] = []  # of servers that no attempt found dead
