--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -9,11 +9,17 @@
 from collections import Counter, deque
 from random import Random
 
-from loadbalancer.core.endpoints.list_pieces import Piece, PieceAssembler, piece_count
+from loadbalancer.core.endpoints.list_pieces import (
+    NO_DELTA,
+    Piece,
+    PieceAssembler,
+    PieceRequest,
+    piece_count,
+)
 from loadbalancer.core.endpoints.list_replica import ListReplica
-from loadbalancer.core.endpoints.list_versions import ListVersion, PackedDelta
+from loadbalancer.core.endpoints.list_versions import PackedDelta
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
+from loadbalancer.core.gossip.messages import Kind, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
@@ -95,35 +101,39 @@
     # ---- answers -------------------------------------------------------------------
 
     def answer(
-        self, now: int, request: Message, replica: ListReplica, assembler: PieceAssembler
+        self,
+        now: int,
+        to: int,
+        request: PieceRequest,
+        replica: ListReplica,
+        assembler: PieceAssembler,
     ) -> None:
-        """Queue the pieces that a WANT requests, as far as this node has them and is not busy."""
-        version, checksum = ListVersion(*request.digest[:3]), request.digest[3]
-        numbers = request.digest[4:]
+        """Queue the pieces that a node requests, as far as this one has them and is not busy."""
+        checksum, numbers = request.delta_checksum, request.piece_numbers
         if len(self._queue) > BUSY_QUEUED:
             self.counters["asked while busy"] += 1
             return
-        packed = replica.cached(checksum) if checksum else None
+        packed = replica.cached(checksum) if checksum != NO_DELTA else None
         if packed is None:
-            sent = self._answer_in_part(request.origin, checksum, numbers, assembler)
+            sent = self._answer_in_part(to, request, assembler)
             unread = not replica.version.epoch
-            if sent or unread or version >= replica.version or not self._packings.take(now):
+            has_all = request.version >= replica.version
+            if sent or unread or has_all or not self._packings.take(now):
                 return
-            packed, numbers = replica.delta_since(version), ()
+            packed, numbers = replica.delta_since(request.version), ()
         total = piece_count(packed, self.piece_bytes)
         start = self._random.randrange(total)
         wanted = [number for number in numbers if 0 <= number < total][:MAX_REQUESTED]
         for number in wanted or [(start + i) % total for i in range(total)]:
-            self._queue_number(request.origin, packed, number, total, NO_TREE)
+            self._queue_number(to, packed, number, total, NO_TREE)
 
-    def _answer_in_part(
-        self, to: int, checksum: int, numbers: tuple[int, ...], assembler: PieceAssembler
-    ) -> bool:
+    def _answer_in_part(self, to: int, request: PieceRequest, assembler: PieceAssembler) -> bool:
         """Queue the pieces that this node has of an incomplete delta; whether there were any.
 
         Under packet loss only the reader has a complete delta at first.
         """
-        found = [part for n in numbers if (part := assembler.part(checksum, n)) is not None]
+        parts = [assembler.part(request.delta_checksum, n) for n in request.piece_numbers]
+        found = [part for part in parts if part is not None]
         for piece, body in found[:MAX_REQUESTED]:
             self._queue_piece(to, piece._replace(root=NO_TREE), body)
         return bool(found)
--- a/loadbalancer/core/endpoints/list_pieces.py
+++ b/loadbalancer/core/endpoints/list_pieces.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from dataclasses import dataclass
+from enum import Enum, auto
 from typing import NamedTuple
 
 from loadbalancer.core.endpoints.list_versions import (
@@ -13,6 +16,8 @@
 from loadbalancer.core.gossip.messages import MAX_INTEGER
 
 MAX_PARTIAL_DELTAS = 8  # at once; beyond it the one longest without a new piece is dropped
+NO_DELTA = 0  # as the checksum of a request: no delta has been begun
+REQUEST_HEAD = 4  # numbers of a WANT message before those of the pieces
 
 
 class Piece(NamedTuple):
@@ -33,6 +38,52 @@
         return ListVersion(self.epoch, self.rev, self.checksum)
 
 
+@dataclass(frozen=True, slots=True)
+class PieceRequest:
+    """What a node asks of another, as a WANT message.
+
+    Attributes:
+        version: of the list that it has.
+        delta_checksum: of the packed delta that it has a part of, or NO_DELTA.
+        piece_numbers: of that delta, those that it asks for; empty for all.
+    """
+
+    version: ListVersion
+    delta_checksum: int = NO_DELTA
+    piece_numbers: tuple[int, ...] = ()
+
+    @classmethod
+    def from_numbers(cls, numbers: Sequence[int]) -> PieceRequest | None:
+        """The request that a WANT message's numbers make; None where they are too few."""
+        if len(numbers) < REQUEST_HEAD:
+            return None
+        epoch, rev, checksum, delta_checksum, *piece_numbers = numbers
+        return cls(ListVersion(epoch, rev, checksum), delta_checksum, tuple(piece_numbers))
+
+    def numbers(self) -> tuple[int, ...]:
+        """The numbers of a WANT message, in their order."""
+        return (*self.version, self.delta_checksum, *self.piece_numbers)
+
+
+class PieceStatus(Enum):
+    """What has become of a piece."""
+
+    REFUSED = auto()  # it is invalid, or has been received already
+    STORED = auto()  # its delta is not complete yet
+    COMPLETED = auto()  # its delta is complete
+
+
+class AddedPiece(NamedTuple):
+    """What has become of a piece, and the delta that it completed."""
+
+    status: PieceStatus
+    delta: PackedDelta | None = None
+
+
+REFUSED = AddedPiece(PieceStatus.REFUSED)
+STORED = AddedPiece(PieceStatus.STORED)
+
+
 def piece_count(packed: PackedDelta, piece_bytes: int) -> int:
     """How many pieces of at most `piece_bytes` a packed delta has."""
     return -(-len(packed.data) // piece_bytes)
@@ -60,13 +111,10 @@
         self._piece_bytes = piece_bytes
         self.partial: dict[tuple[ListVersion, int, int], PartialDelta] = {}
 
-    def add(self, now: int, piece: Piece, body: bytes) -> PackedDelta | None | bool:
-        """Add a piece; returns the delta once it is complete, and None before.
-
-        Returns False for a piece that is invalid or has been received already.
-        """
+    def add(self, now: int, piece: Piece, body: bytes) -> AddedPiece:
+        """Add a piece; returns the delta that it completes."""
         if not self.is_valid(piece, body):
-            return False
+            return REFUSED
         key = (piece.target, piece.base, piece.delta_checksum)
         partial = self.partial.get(key)
         if partial is None:
@@ -74,14 +122,15 @@
             if len(self.partial) > MAX_PARTIAL_DELTAS:
                 del self.partial[min(self.partial, key=lambda k: self.partial[k].received_at)]
         if partial.first.total != piece.total or piece.number in partial.parts:
-            return False
+            return REFUSED
         partial.parts[piece.number] = body
         partial.received_at = now
         if len(partial.parts) < piece.total:
-            return None
+            return STORED
         del self.partial[key]
         data = b"".join(partial.parts[number] for number in range(piece.total))
-        return PackedDelta(piece.base, piece.target, piece.delta_checksum, data)
+        delta = PackedDelta(piece.base, piece.target, piece.delta_checksum, data)
+        return AddedPiece(PieceStatus.COMPLETED, delta)
 
     def part(self, delta_checksum: int, number: int) -> tuple[Piece, bytes] | None:
         """One piece of a delta that is not complete yet, for others that lack it."""
--- a/loadbalancer/core/endpoints/list_repair.py
+++ b/loadbalancer/core/endpoints/list_repair.py
@@ -7,7 +7,7 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.delta_sender import MAX_REQUESTED, DeltaSender
-from loadbalancer.core.endpoints.list_pieces import PieceAssembler
+from loadbalancer.core.endpoints.list_pieces import PieceAssembler, PieceRequest
 from loadbalancer.core.endpoints.list_readers import ListReaders
 from loadbalancer.core.endpoints.list_versions import NO_VERSION, ListVersion
 from loadbalancer.core.gossip.membership import Membership
@@ -68,19 +68,19 @@
             self.reset()
         if not REQUEST_AFTER_NS <= waited <= GIVE_UP_NS or not self._sender.may_send(now):
             return []
-        wanted = self._wanted(latest, NO_VERSION if need_full_list else version)
+        request = self._request(latest, NO_VERSION if need_full_list else version)
         # Mostly nodes that are not readers: those are few, and would get all nodes' requests.
         reader = self._random.choice(self._readers.nodes_with(latest))
         candidates = [*self._members.sample(OTHER_CANDIDATES), reader]
         self._counters["asked for what is missing"] += 1
-        message = self._members.message(Kind.WANT, digest=wanted)
+        message = self._members.message(Kind.WANT, digest=request.numbers())
         return [Outgoing(self._random.choice(candidates), message)]
 
-    def _wanted(self, latest: ListVersion, version: ListVersion) -> tuple[int, ...]:
-        """The numbers of a WANT: this node's version, and missing pieces of the latest delta."""
+    def _request(self, latest: ListVersion, version: ListVersion) -> PieceRequest:
+        """This node's version, and missing pieces of the latest delta."""
         partial = self._assembler.latest()
         if partial is None or partial.first.target < latest:
-            return (*version, 0)
+            return PieceRequest(version)
         missing = partial.missing()
         numbers = self._random.sample(missing, min(len(missing), MAX_REQUESTED))
-        return (*version, partial.first.delta_checksum, *numbers)
+        return PieceRequest(version, partial.first.delta_checksum, tuple(numbers))
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -13,7 +13,12 @@
 
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.endpoints.delta_sender import DeltaSender
-from loadbalancer.core.endpoints.list_pieces import Piece, PieceAssembler
+from loadbalancer.core.endpoints.list_pieces import (
+    Piece,
+    PieceAssembler,
+    PieceRequest,
+    PieceStatus,
+)
 from loadbalancer.core.endpoints.list_readers import FIRST_STEP_NS, ListReaders
 from loadbalancer.core.endpoints.list_repair import GIVE_UP_NS, ListRepair
 from loadbalancer.core.endpoints.list_replica import ListReplica
@@ -27,7 +32,6 @@
 MAX_REMOVED_PART = 2  # a delta that removes more than one row in so many ...
 REMOVAL_WITNESSES = 2  # ... needs so many readers that name its version, or this node's own poll
 REMOVAL_STEP_NS = FIRST_STEP_NS  # between two nodes' polls to confirm a removal
-WANT_NUMBERS = 4  # of a WANT at least: a version and a checksum
 REPORTED_STATES = {  # the words of `/peers`
     ReaderState.POLLING: "asking",
     ReaderState.READ: "read",
@@ -113,8 +117,8 @@
         """Take a PIECE or answer a WANT; other kinds are ignored."""
         if message.kind == Kind.PIECE and len(message.digest) == len(Piece._fields):
             self._on_piece(now, Piece(*message.digest), message.body)
-        elif message.kind == Kind.WANT and len(message.digest) >= WANT_NUMBERS:
-            self.sender.answer(now, message, self.replica, self.assembler)
+        elif message.kind == Kind.WANT and (request := PieceRequest.from_numbers(message.digest)):
+            self.sender.answer(now, message.origin, request, self.replica, self.assembler)
         else:
             return []
         return self.sender.flush(now)
@@ -125,15 +129,15 @@
         if piece.target <= self.replica.version:
             self.counters["pieces of what is known"] += 1
             return
-        packed = self.assembler.add(now, piece, body)
-        if packed is False:
+        added = self.assembler.add(now, piece, body)
+        if added.status is PieceStatus.REFUSED:
             self.counters["pieces twice or unsound"] += 1
             return
         self._repair.on_piece(now)
         self.sender.pass_on(piece, body)
-        if isinstance(packed, PackedDelta):
-            self.replica.cache(packed)
-            self._waiting = [*self._waiting[1 - MAX_WAITING_DELTAS :], packed]
+        if added.delta is not None:
+            self.replica.cache(added.delta)
+            self._waiting = [*self._waiting[1 - MAX_WAITING_DELTAS :], added.delta]
             self._apply_waiting(now)
 
     # ---- deltas ----------------------------------------------------------------------
--- a/tests/core/endpoints/test_list_pieces.py
+++ b/tests/core/endpoints/test_list_pieces.py
@@ -8,12 +8,17 @@
 from hypothesis import strategies as st
 
 from loadbalancer.core.endpoints.delta_sender import PIECE_HEAD_BYTES
-from loadbalancer.core.endpoints.list_pieces import Piece, PieceAssembler
+from loadbalancer.core.endpoints.list_pieces import (
+    AddedPiece,
+    Piece,
+    PieceAssembler,
+    PieceRequest,
+    PieceStatus,
+)
 from loadbalancer.core.endpoints.list_versions import (
     FULL_LIST,
     ListDelta,
     ListVersion,
-    PackedDelta,
     pack,
     unpack,
 )
@@ -48,8 +53,8 @@
     draw.shuffle(received)
     assembler, complete = PieceAssembler(40), 0
     for now, (piece, body) in enumerate(received):
-        packed = assembler.add(now, piece, body)
-        if isinstance(packed, PackedDelta):
+        packed = assembler.add(now, piece, body).delta
+        if packed is not None:
             delta = unpack(packed)
             # A damaged piece that came before the right one makes the checksum wrong: no delta.
             assert delta is None or delta.rows == versions[packed.target.rev - 1]
@@ -66,16 +71,27 @@
     data = encode(message, 7)
     assert len(data) <= 256
     assert decode(data, 7) == message
-    missing = (largest, largest, largest, (1 << 32) - 1, *range(4000, 4016))
+    version, last_pieces = ListVersion(largest, largest, largest), tuple(range(4000, 4016))
+    missing = PieceRequest(version, (1 << 32) - 1, last_pieces).numbers()
+    assert missing == (largest, largest, largest, (1 << 32) - 1, *last_pieces)
     assert len(encode(Message(Kind.WANT, 999, (1 << 48) - 1, digest=missing), 7)) <= 256
 
 
+def test_a_request_for_pieces_is_the_numbers_of_its_message() -> None:
+    version = ListVersion(2, 41, 7)
+    for request in (PieceRequest(version), PieceRequest(version, 5, (3, 1, 2))):
+        assert PieceRequest.from_numbers(request.numbers()) == request
+    assert PieceRequest(version).numbers() == (2, 41, 7, 0)
+    assert PieceRequest.from_numbers((2, 41, 7)) is None
+
+
 def test_pieces_with_numbers_out_of_range_are_refused() -> None:
     assembler = PieceAssembler(40)
     valid = Piece(1, 1, 0, FULL_LIST, 2, 0, 9, -1)
     invalid = [valid._replace(number=2), valid._replace(total=30_000), valid._replace(rev=-1)]
     invalid += [valid._replace(base=-2), valid._replace(number=-1), valid._replace(epoch=0)]
     invalid += [valid._replace(base=1 << 63)]
-    assert all(assembler.add(0, p, b"x") is False for p in invalid)
-    assert assembler.add(0, valid, b"x" * 41) is False
-    assert assembler.add(0, valid, b"") is False
+    refused = AddedPiece(PieceStatus.REFUSED)
+    assert all(assembler.add(0, p, b"x") == refused for p in invalid)
+    assert assembler.add(0, valid, b"x" * 41) == refused
+    assert assembler.add(0, valid, b"") == refused
