--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -150,16 +150,12 @@
         _, number, request, class_number, tenant, key, remaining, hint, flags = layout.unpack_from(
             body, at
         )
-        instance = self.instances.get(number)
-        if instance is not None and instance.balancer is not None:
-            valid_hint = hint if flags & wire_format.HINT_VALID else 0
-            retry = flags & wire_format.CLIENT_RETRY != 0
-            try:
-                instance.balancer.on_request(
-                    now, request, class_number, remaining, tenant, key, valid_hint, retry
-                )
-            except Exception as err:  # noqa: BLE001  # as in `_call`
-                _report_fault(instance.actions, err)
+        hint = hint if flags & wire_format.HINT_VALID else 0
+        retry = flags & wire_format.CLIENT_RETRY != 0
+        self._call(
+            number, Balancer.on_request, now,
+            request, class_number, remaining, tenant, key, hint, retry,
+        )  # fmt: skip
         return at + layout.size
 
     def _on_client_disconnected(self, now: int, body: bytes, at: int) -> int:
@@ -182,14 +178,9 @@
         _check_outcome(code)
         end = at + layout.size
         load = struct.unpack_from(f">{figures}f", body, end) if figures else ()
-        instance = self.instances.get(number)
-        if instance is not None and instance.balancer is not None:
-            try:
-                instance.balancer.on_outcome(
-                    now, request, attempt, code, duration, complete != 0, load
-                )
-            except Exception as err:  # noqa: BLE001  # as in `_call`
-                _report_fault(instance.actions, err)
+        self._call(
+            number, Balancer.on_outcome, now, request, attempt, code, duration, complete != 0, load
+        )
         return end + wire_format.FLOAT_BYTES * int(figures)
 
     def _on_probe_outcome(self, _now: int, body: bytes, at: int) -> int:
