--- a/benchmarks/consul.py
+++ b/benchmarks/consul.py
@@ -36,6 +36,7 @@
 from fakes.processes import Process, running_process
 from loadbalancer.config.address import parse_address
 from loadbalancer.core.balancing.model import State
+from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence
 from loadbalancer.core.endpoints.merged_list import MergedList
 from loadbalancer.core.endpoints.server_report import Health, ServerReport
 from loadbalancer.sources.consul.credentials import Credentials
@@ -96,11 +97,11 @@
         file = _consul_file(agent, rows_per_second)
         self.dead: set[str] = set()  # uids of servers that fail this reader's own attempts
         self.seen: dict[str, SeenHealth] = {}  # by uid
-        self.members = MergedList(sources_of(file), is_alive=self._is_alive)
+        self.members = MergedList(sources_of(file), evidence_of=self._evidence_of)
         self.reader = ConsulReader(file, Credentials(), self._on_reports, seed)
 
-    def _is_alive(self, uid: str) -> bool | None:
-        return False if uid in self.dead else None
+    def _evidence_of(self, uid: str) -> AttemptEvidence:
+        return AttemptEvidence.DEAD if uid in self.dead else AttemptEvidence.UNKNOWN
 
     def _on_reports(self, source: str, reports: list[ServerReport], is_complete: bool) -> None:
         now = time.monotonic()
