--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -35,7 +35,14 @@
     """Brackets each event: `enter`, one call of the Balancer, `leave`.
 
     A fault of the Balancer's is logged and ends neither the process nor the event's
-    bracket. `now` is the time of the event under way, in monotonic nanoseconds.
+    bracket.
+
+    Failure: an exception leaves an event between the two, as from new settings or a new share
+    of the limits. Every outcome after that would be queued for an event that never ends: none
+    is reported any more, and requests wait for their deadlines. So `leave` stands in a
+    `finally` everywhere, and ends the event also where its own reports raise.
+
+    `now` is the time of the event under way, in monotonic nanoseconds.
     """
 
     balancer: Balancer
@@ -64,10 +71,12 @@
 
     def leave(self) -> None:
         """End an event: report the outcomes that it caused, then arm the timer."""
-        if self._outcomes:
-            self._report_outcomes()
-        self.inside = False
-        self._timers.arm()
+        try:
+            if self._outcomes:
+                self._report_outcomes()
+        finally:
+            self.inside = False
+            self._timers.arm()
 
     def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
         """Call an event of the Balancer, in a bracket of its own or within the present one."""
@@ -100,11 +109,13 @@
         inside = self.inside
         now = self.now if inside else self.enter()
         request = attempt.request
-        if (outcome == OK or request.started) and not request.ended:
-            self.end(request)
         self._outcomes.append((attempt, outcome, now - attempt.sent, load))
-        if not inside:
-            self.leave()
+        try:
+            if (outcome == OK or request.started) and not request.ended:
+                self.end(request)
+        finally:
+            if not inside:
+                self.leave()
 
     def _report_outcomes(self) -> None:
         """Report the queued outcomes, and those that reporting them causes."""
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -62,7 +62,8 @@
             self._log_fault()
             if not request.open_attempts:
                 self.finish(request, BAD_GATEWAY)
-        self.leave()
+        finally:
+            self.leave()
         return request
 
     def client_disconnected(self, request: Request) -> None:
@@ -78,14 +79,16 @@
         if request.ended:
             return
         self.enter()
-        streaming = request.started
-        self.end(request)
-        self.notify_balancer(self.balancer.on_client_disconnected, request.id)
-        if streaming:
-            self._give_up_all(request, Outcome.CANCELLED)
-        else:
-            self.give_up_unwritten(request)
-        self.leave()
+        try:
+            streaming = request.started
+            self.end(request)
+            self.notify_balancer(self.balancer.on_client_disconnected, request.id)
+            if streaming:
+                self._give_up_all(request, Outcome.CANCELLED)
+            else:
+                self.give_up_unwritten(request)
+        finally:
+            self.leave()
 
     def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more: it has closed, or waits for this answer.
@@ -97,17 +100,21 @@
         if request.ended or request.half_closed:
             return
         self.enter()
-        request.half_closed = True
-        self.notify_balancer(self.balancer.on_client_half_closed, request.id)
-        if request.flow is None:  # a long body is under way already
-            self.give_up_unwritten(request)
-        self.leave()
+        try:
+            request.half_closed = True
+            self.notify_balancer(self.balancer.on_client_half_closed, request.id)
+            if request.flow is None:  # a long body is under way already
+                self.give_up_unwritten(request)
+        finally:
+            self.leave()
 
     def upload_stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
         self.enter()
-        self._give_up_all(request, Outcome.TIMEOUT)
-        self.leave()
+        try:
+            self._give_up_all(request, Outcome.TIMEOUT)
+        finally:
+            self.leave()
 
     def _give_up_all(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from loadbalancer.proxy.downstream.head_checker import HeadChecker
+from loadbalancer.proxy.faults import run_logged
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.lifecycle import Lifecycle
@@ -83,7 +84,7 @@
         """One more sweep: clients that have stopped sending or accepting bytes are given up."""
         self.sweeps += 1
         for conn in list(self.connections):
-            conn.sweep(self.sweeps)
+            run_logged(conn.sweep, self.sweeps)  # a fault at one ends no other's time-outs
         self._close_surplus()
 
     def finished(self) -> bool:
@@ -107,7 +108,7 @@
 
     def _check_paused(self) -> None:
         for conn in list(self.paused):
-            conn.check_half_close()
+            run_logged(conn.check_half_close)
         self._paused_check = None
         if self.paused:
             self._schedule_paused_check()
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -111,13 +111,15 @@
         if self.peers is not None:
             rows = self.peers.on_list(Update.CACHED, rows)
         self.enter()
-        self.balancer.start(self.now)
-        self.balancer.on_members(self.now, Update.CACHED, rows)
-        if self.balancer.ready:
-            self._on_list_usable()
-        if inheritance is not None:
-            restore(self.balancer, self.now, inheritance.learned)
-        self.leave()
+        try:
+            self.balancer.start(self.now)
+            self.balancer.on_members(self.now, Update.CACHED, rows)
+            if self.balancer.ready:
+                self._on_list_usable()
+            if inheritance is not None:
+                restore(self.balancer, self.now, inheritance.learned)
+        finally:
+            self.leave()
         if self.peers is not None:
             self.peers.open()
         if self.config.consul or inheritance is not None or not self.config.settings.poll:
@@ -153,27 +155,32 @@
         if self.peers is not None:
             rows = self.peers.on_list(update, rows)
         self.enter()
-        self.notify_balancer(self.balancer.on_members, update, rows)
-        if self.balancer.ready or update == Update.FULL:
-            self._on_list_usable()
-        self.withdraw(stale)
-        self.leave()
+        try:
+            self.notify_balancer(self.balancer.on_members, update, rows)
+            if self.balancer.ready or update == Update.FULL:
+                self._on_list_usable()
+            self.withdraw(stale)
+        finally:
+            self.leave()
 
     # ---- two processes as one node -------------------------------------------
 
     def use_limit_share(self, part: LimitShare) -> None:
         """Use only this part of the endpoints' caps from now on."""
-        now = self.enter()
-        self.balancer.set_limit_share(now, part)
-        self.leave()
+        self._set_limit_share(part)
 
     def end_sharing(self) -> None:
         """The other process of this node has ended: what it used is this one's again."""
         self.other_process_request_ids = set()
         self.set_other_process_descriptors(0)
         if self.balancer.has_limit_share:
-            now = self.enter()
-            self.balancer.set_limit_share(now, None)
+            self._set_limit_share(None)
+
+    def _set_limit_share(self, part: LimitShare | None) -> None:
+        now = self.enter()
+        try:
+            self.balancer.set_limit_share(now, part)
+        finally:
             self.leave()
 
     # ---- further actions of the Balancer -----------------------------------
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -8,6 +8,8 @@
 
 from typing import TYPE_CHECKING
 
+from loadbalancer.proxy.faults import run_logged
+
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Request
     from loadbalancer.proxy.flow_control import BufferBudget
@@ -54,7 +56,7 @@
     def fail_all(self) -> None:
         """At the very end of a stop: fail all requests that are still open."""
         for request in list(self.requests.values()):
-            self.finish(request, BAD_GATEWAY)
+            run_logged(self.finish, request, BAD_GATEWAY)  # the others get their answers
 
     def end(self, request: Request) -> None:
         """Note that a request's client has its answer, or is owed none any more."""
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -25,6 +25,7 @@
 from loadbalancer.proxy.admin_calls import AdminCalls
 from loadbalancer.proxy.downstream.connection import SWEEP_S
 from loadbalancer.proxy.downstream.listener import Listener
+from loadbalancer.proxy.faults import run_logged
 from loadbalancer.proxy.host import Node
 from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS, Lifecycle
 from loadbalancer.proxy.reload import apply_configuration, apply_routes
@@ -143,8 +144,8 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     def _sweep(self) -> None:
-        self.listener.sweep()
-        self.node.sweep()
+        run_logged(self.listener.sweep)
+        run_logged(self.node.sweep)
         self.loop.call_later(SWEEP_S, self._sweep)
 
     def _close_predecessor(self) -> None:
@@ -197,7 +198,7 @@
     def _drain(self) -> None:
         """While clients are sent away, close idle connections at each tick."""
         if self.lifecycle.standby and not self.lifecycle.stopping:
-            self.listener.send_away(time.monotonic_ns())
+            run_logged(self.listener.send_away, time.monotonic_ns())
             self._drain_timer = self.loop.call_later(DRAIN_TICK_NS / SECOND, self._drain)
 
 
--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -32,8 +32,10 @@
     node.config = config
     if changed:
         now = node.enter()
-        node.balancer.on_settings(now, config.settings)
-        node.leave()
+        try:
+            node.balancer.on_settings(now, config.settings)
+        finally:
+            node.leave()
         names = ", ".join(spec.name for spec in config.settings.classes)
         logger.info("new settings: classes %s", names)
     apply_routes(node, config.routes)
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -12,6 +12,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.proxy.faults import run_logged
 from loadbalancer.proxy.reload import log_route_counters
 
 if TYPE_CHECKING:
@@ -30,6 +31,10 @@
 class Shutdown:
     """Stops a node; `ended` is done once nothing is left to wait for.
 
+    Failure: one step of the stop raises, and no later one comes. The process would serve on,
+    or wait, until it is killed, and a second signal would change nothing, as the stop has begun.
+    So each step is followed by the next whatever it raises, and the last moment is kept to.
+
     Args:
         loop: the event loop of the process.
         node: the host.
@@ -52,6 +57,7 @@
         self._lifecycle = lifecycle
         self._before_close = before_close
         self._fail_all_at_s = 0.0  # on the loop's clock
+        self._is_finished = False  # nothing is left to wait for
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def begin(self) -> None:
@@ -62,29 +68,34 @@
         logger.info("stopping")
         node = self._node
         if node.peers is not None:
-            node.peers.close(leaving=not self._lifecycle.relieved)
-        log_route_counters(node)
+            run_logged(node.peers.close, not self._lifecycle.relieved)
+        run_logged(log_route_counters, node)
         longest_s = max(c.spec.deadline for c in node.balancer.classes) / SECOND
         self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_ANSWERS_S
         self._loop.call_later(ACCEPT_S, self._close)
 
     def _close(self) -> None:
-        self._before_close()
-        self._listener.stop_accepting()
+        run_logged(self._before_close)
+        run_logged(self._listener.stop_accepting)
         self._wait()
 
     def _wait(self) -> None:
         """Look whether all clients have their answers; at the last moment fail the others."""
         is_late = self._loop.time() >= self._fail_all_at_s
         if is_late:
-            self._node.fail_all()
-        if is_late or self._listener.close_idle_and_is_finished():
-            self._node.discovery.close()
+            run_logged(self._node.fail_all)
+        else:
+            run_logged(self._look_whether_finished)
+        if is_late or self._is_finished:
+            run_logged(self._node.discovery.close)
             # One more turn of the loop, in which the last answers are written.
             self._loop.call_later(POLL_INTERVAL_S, self._end)
         else:
             self._loop.call_later(POLL_INTERVAL_S, self._wait)
 
+    def _look_whether_finished(self) -> None:
+        self._is_finished = self._listener.close_idle_and_is_finished()
+
     def _end(self) -> None:
         if not self.ended.done():
             self.ended.set_result(None)
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -26,16 +26,18 @@
 
     def _on_timers_due(self) -> None:
         now = self.enter()
-        while (item := self._timers.pop_due(now)) is not None:
-            if isinstance(item, Attempt):
-                if not item.closed and self._is_timed_out(item, now):
-                    self.give_up(item, Outcome.TIMEOUT)
-            elif isinstance(item, Request):
-                if not item.ended:
-                    self._on_backstop(item, now)
-            else:
-                self._on_balancer_timer(item, now)
-        self.leave()
+        try:
+            while (item := self._timers.pop_due(now)) is not None:
+                if isinstance(item, Attempt):
+                    if not item.closed and self._is_timed_out(item, now):
+                        self.give_up(item, Outcome.TIMEOUT)
+                elif isinstance(item, Request):
+                    if not item.ended:
+                        self._on_backstop(item, now)
+                else:
+                    self._on_balancer_timer(item, now)
+        finally:
+            self.leave()
 
     def _on_balancer_timer(self, token: int, now: int) -> None:
         """Report a timer of the Balancer.
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -15,9 +15,11 @@
 import logging
 import socket
 import time
+import traceback
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.proxy.faults import run_logged
 from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS
 from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.upgrade import handed_state
@@ -153,6 +155,23 @@
         """Accept nothing more and begin to drain: the successor serves."""
         if not isinstance(self._state, HandingOver):
             return
+        node = self._process.node
+        state = Draining(self._state.link, Drain(node))
+        self._state = state
+        try:
+            self._begin_drain(state)
+        except Exception:
+            # Failure: a fault here, after this process has ceased to accept, and before its
+            # ticks. Left so, it would hold its clients and caps back and report nothing; and
+            # the link's end would be taken for that of a successor which never served. The
+            # state above says otherwise, so that closing the link undoes what was begun.
+            logger.exception("upgrade: the drain can't begin: %s", traceback.format_exc(limit=-4))
+            state.link.close()
+            return
+        logger.info("upgrade: the successor serves; %d connections to empty", node.clients)
+        self._advance(state)
+
+    def _begin_drain(self, state: Draining) -> None:
         process, node = self._process, self._process.node
         process.listener.hold_back()
         process.lifecycle.successor_serves(time.monotonic_ns())
@@ -162,19 +181,17 @@
             # One process gossips for the node: two writers of one node's records would
             # contradict each other at all the others.
             node.peers.close(leaving=False)
-        state = Draining(self._state.link, Drain(node))
-        retained = state.drain.begin()
-        self._state = state
-        logger.info("upgrade: the successor serves; %d connections to empty", node.clients)
-        state.link.send(retained)
-        self._advance(state)
+        state.link.send(state.drain.begin())
 
     def _advance(self, state: Draining) -> None:
         """Close idle clients, release what is no longer needed, and say so; then once a tick."""
-        self._process.listener.send_away(time.monotonic_ns())
-        state.link.send(state.drain.advance())
+        run_logged(self._process.listener.send_away, time.monotonic_ns())
+        run_logged(self._report, state)
         state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
 
+    def _report(self, state: Draining) -> None:
+        state.link.send(state.drain.advance())
+
     # ---- the successor has gone ----------------------------------------------
 
     def _on_closed(self) -> None:
@@ -190,7 +207,7 @@
         """Be the whole node again; a process that stops does not accept again."""
         process = self._process
         process.lifecycle.successor_gone()
-        process.node.end_sharing()
+        run_logged(process.node.end_sharing)  # a fault there must not end the accepting
         if process.lifecycle.stopping:
             return
         logger.info("upgrade: the successor has gone; serving again")
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import replace
 from types import SimpleNamespace
 from typing import Any, cast
 
 import pytest
 
-from loadbalancer.core import Outcome
+from loadbalancer.core import Outcome, Update
+from loadbalancer.core.process_pair import SuccessorShare
 from loadbalancer.proxy.host import Node
+from loadbalancer.proxy.reload import apply_configuration
 from tests.proxy.host_fakes import (
     BACKEND,
     MS,
@@ -136,6 +140,115 @@
     assert balancer.outcomes == [Outcome.TIMEOUT]
 
 
+def takes_new_settings(host: Node) -> None:
+    settings = replace(host.config.settings, max_attempts=host.config.settings.max_attempts + 1)
+    apply_configuration(host, replace(host.config, settings=settings))
+
+
+def shares_its_limits(host: Node) -> None:
+    host.use_limit_share(SuccessorShare())
+
+
+def has_its_limits_back(host: Node) -> None:
+    host.end_sharing()
+
+
+def starts(host: Node) -> None:
+    host.start()
+
+
+@pytest.mark.parametrize(
+    "event", [takes_new_settings, shares_its_limits, has_its_limits_back, starts]
+)
+def test_outcomes_are_reported_after_an_event_that_an_exception_has_left(
+    host: Node,
+    balancer: Balancer,
+    upstream: Upstream,
+    client: Client,
+    event: Callable[[Node], None],
+) -> None:
+    """The Balancer raises in an event that is not about a request, such as new settings.
+
+    The event never ended. Each outcome after it was taken for one within it, and was queued
+    and not reported: every request waited for its deadline, until the process was restarted.
+    """
+    upstream.written = True
+    request = admit(host, client, attempts=1)
+    balancer.acts = raise_fault
+    with pytest.raises(ZeroDivisionError):
+        event(host)
+    host.conclude(request.attempts[0], Outcome.OK)
+    assert balancer.outcomes == [Outcome.OK]
+    assert not host.requests
+
+
+def test_outcomes_are_reported_after_a_list_whose_use_raised(
+    host: Node,
+    balancer: Balancer,
+    upstream: Upstream,
+    client: Client,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """What waits for a connection to a removed backend is given up, and that raises.
+
+    As with new settings: the event never ended, and no later outcome was reported.
+    """
+    upstream.written = True
+    request = admit(host, client, attempts=1)
+    monkeypatch.setattr(upstream, "connecting", lambda _backends: raise_fault())
+    monkeypatch.setattr(upstream, "close_idle", lambda _backend: None, raising=False)
+    with pytest.raises(ZeroDivisionError):
+        host.on_list_update(Update.FULL, [], [BACKEND])
+    host.conclude(request.attempts[0], Outcome.OK)
+    assert balancer.outcomes == [Outcome.OK]
+
+
+def test_a_timer_that_raises_delays_no_other(
+    host: Node,
+    balancer: Balancer,
+    upstream: Upstream,
+    client: Client,
+    clock: Clock,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Two attempts run out of time at once, and the first one's connection raises as it closes.
+
+    The event never ended, and the loop's timer was not set again: neither the second attempt
+    nor any other was timed out from then on.
+    """
+    upstream.written = True
+    request = admit(host, client, attempts=2)
+    monkeypatch.setattr(request.attempts[0].connection, "abandon", raise_fault)
+    clock.now += TIMEOUT_NS
+    with pytest.raises(ZeroDivisionError):
+        host._timers._fire()
+    assert host._timers._handle is not None
+    host._timers._fire()
+    assert request.attempts[1].closed
+    assert balancer.outcomes == [Outcome.TIMEOUT]
+
+
+def test_outcomes_are_reported_after_a_report_that_raised(
+    host: Node,
+    balancer: Balancer,
+    upstream: Upstream,
+    client: Client,
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The Balancer's fault in an outcome fails the request, and its client's connection raises.
+
+    The event's end itself was left by the exception, and no later outcome was reported.
+    """
+    upstream.written = True
+    first, second = admit(host, client, attempts=1), admit(host, Client(), attempts=1)
+    balancer.acts = raise_fault
+    monkeypatch.setattr(client, "respond_empty", lambda _status, _retry_after: raise_fault())
+    with pytest.raises(ZeroDivisionError):
+        host.conclude(first.attempts[0], Outcome.RESET)
+    host.conclude(second.attempts[0], Outcome.OK)
+    assert balancer.outcomes == [Outcome.RESET, Outcome.OK]
+
+
 # ---- the end of requests -------------------------------------------------------
 
 
--- /dev/null
+++ b/tests/proxy/test_periodic_work.py
@@ -0,0 +1,219 @@
+"""Periodic work and the steps of a stop: a fault in one is logged, and the next ones come."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Iterator
+from types import SimpleNamespace
+from typing import Any, cast
+from unittest import mock
+
+import pytest
+
+from loadbalancer.proxy.downstream.registry import Connection, ConnectionRegistry
+from loadbalancer.proxy.host import Node
+from loadbalancer.proxy.lifecycle import Lifecycle
+from loadbalancer.proxy.process import Process
+from loadbalancer.proxy.shutdown import KILL_MARGIN_S, Shutdown
+from tests.proxy.host_fakes import Client, admit
+
+DEADLINE_S = 2.0
+
+
+class StepError(Exception):
+    """What a step raises here."""
+
+
+@pytest.fixture(autouse=True)
+def logged() -> Iterator[list[str]]:
+    """What is logged meanwhile."""
+    lines: list[str] = []
+    handler = logging.Handler()
+    handler.emit = lambda record: lines.append(record.getMessage())  # type: ignore[method-assign]
+    root = logging.getLogger("loadbalancer")
+    root.addHandler(handler)
+    yield lines
+    root.removeHandler(handler)
+
+
+class Loop:
+    """Notes what is to be called later; the test calls it."""
+
+    def __init__(self) -> None:
+        self.now_s = 0.0
+        self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+
+    def time(self) -> float:
+        return self.now_s
+
+    def call_later(self, _delay_s: float, call: Callable[..., None], *args: Any) -> mock.Mock:
+        self.later.append((call, args))
+        return mock.Mock()
+
+    def turn(self) -> None:
+        later, self.later = self.later, []
+        for call, args in later:
+            call(*args)
+
+
+@pytest.fixture
+def loop() -> Loop:
+    return Loop()
+
+
+def bare_process(loop: Loop) -> Any:
+    """A process that was not started: only its periodic tasks are called."""
+    made: Any = object.__new__(Process)
+    made.loop = loop
+    made.lifecycle = Lifecycle()
+    made.listener = mock.Mock()
+    made.node = mock.Mock()
+    made._drain_timer = None
+    return made
+
+
+def test_sweeps_go_on_after_one_that_raised(loop: Loop, logged: list[str]) -> None:
+    """A sweep over the clients raises once.
+
+    The timer of the next sweep was set after it, so there was none: from then on no client
+    was timed out and no idle connection to a backend closed, without a line that says so.
+    """
+    process = bare_process(loop)
+    process.listener.sweep.side_effect = [StepError("odd"), None]
+    process._sweep()
+    process.node.sweep.assert_called_once_with()
+    loop.turn()
+    assert process.listener.sweep.call_count == 2
+    assert len(logged) == 1
+    assert "odd" in logged[0]
+
+
+def test_a_drain_goes_on_after_a_tick_that_raised(loop: Loop, logged: list[str]) -> None:
+    """A tick of an operator's drain raises: clients that were idle stayed, for good."""
+    process = bare_process(loop)
+    process.listener.send_away.side_effect = [StepError, None]
+    process.set_standby(True)
+    loop.turn()
+    assert process.listener.send_away.call_count == 2
+    assert any("StepError" in line for line in logged)
+
+
+# ---- connections ---------------------------------------------------------------------
+
+
+@pytest.fixture
+def registry(loop: Loop) -> ConnectionRegistry:
+    host = SimpleNamespace(
+        loop=loop, clients=0, max_clients=lambda: 32, routing=None,
+        config=SimpleNamespace(sockets=64, settings=SimpleNamespace(tenants=())),
+    )  # fmt: skip
+    return ConnectionRegistry(cast(Any, host), Lifecycle())
+
+
+def two_connections() -> list[Any]:
+    return [mock.Mock(spec=Connection), mock.Mock(spec=Connection)]
+
+
+def test_a_connection_whose_sweep_raises_ends_no_others_time_outs(
+    registry: ConnectionRegistry,
+) -> None:
+    """Each sweep raised at one and the same connection: those behind it were never swept."""
+    connections = two_connections()
+    registry.connections.update(connections)
+    for conn in connections:
+        conn.sweep.side_effect = StepError
+    registry.sweep()
+    registry.sweep()
+    assert [conn.sweep.call_count for conn in connections] == [2, 2]
+
+
+def test_paused_clients_are_checked_after_a_check_that_raised(
+    registry: ConnectionRegistry, loop: Loop
+) -> None:
+    """The check of one paused client raises.
+
+    The next one was never set, so that no end of a paused client's sending was seen any more,
+    and requests were sent for clients that had gone.
+    """
+    first, second = two_connections()
+    first.check_half_close.side_effect = StepError
+    registry.watch_paused(first)
+    registry.watch_paused(second)
+    loop.turn()
+    loop.turn()
+    assert second.check_half_close.call_count == 2
+
+
+# ---- the stop -------------------------------------------------------------------------
+
+
+class Stop:
+    """A stop whose parts are mocks."""
+
+    def __init__(self, loop: Loop) -> None:
+        self.loop = loop
+        self.node = mock.MagicMock()
+        self.node.balancer.classes = [SimpleNamespace(spec=SimpleNamespace(deadline=2 * 10**9))]
+        self.listener = mock.Mock()
+        self.listener.close_idle_and_is_finished.return_value = False
+        self.before_close = mock.Mock()
+        future = mock.Mock()
+        future.done.return_value = False
+        with mock.patch.object(loop, "create_future", return_value=future, create=True):
+            self.shutdown = Shutdown(
+                cast(asyncio.AbstractEventLoop, loop), self.node, self.listener, Lifecycle(),
+                self.before_close,
+            )  # fmt: skip
+
+    @property
+    def has_ended(self) -> bool:
+        return bool(cast(Any, self.shutdown.ended).set_result.called)
+
+    def run_to_the_last_moment(self) -> None:
+        self.shutdown.begin()
+        for _ in range(4):
+            self.loop.turn()
+        assert not self.has_ended
+        self.loop.now_s = DEADLINE_S + KILL_MARGIN_S
+        for _ in range(3):
+            self.loop.turn()
+
+
+@pytest.mark.parametrize(
+    "faulty",
+    [
+        "node.peers.close", "before_close", "listener.stop_accepting",
+        "listener.close_idle_and_is_finished", "node.fail_all", "node.discovery.close",
+    ],
+)  # fmt: skip
+def test_a_stop_ends_whatever_one_of_its_steps_raises(
+    loop: Loop, logged: list[str], faulty: str
+) -> None:
+    """A step of the stop raises, and the later ones never came.
+
+    The process went on until it was killed: the open requests' clients got no answer.
+    """
+    stop = Stop(loop)
+    step: Any = stop
+    for name in faulty.split("."):
+        step = getattr(step, name)
+    step.side_effect = StepError
+    stop.run_to_the_last_moment()
+    assert stop.has_ended
+    stop.node.fail_all.assert_called_once_with()
+    stop.listener.stop_accepting.assert_called_once_with()
+    assert any("StepError" in line for line in logged)
+
+
+def test_a_client_whose_answer_raises_costs_no_others_answer_at_a_stops_end(host: Node) -> None:
+    """The last moment of a stop fails the open requests, and the first one's client raises.
+
+    Those behind it got no answer, and could not tell whether to come again.
+    """
+    first, second = mock.Mock(), Client()
+    first.respond_empty.side_effect = StepError
+    admit(host, first)
+    admit(host, second)
+    host.fail_all()
+    assert second.statuses == [502]
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -11,6 +11,7 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.upgrade.drain import Drain
+from loadbalancer.upgrade.link import Link
 from loadbalancer.upgrade.messages import (
     HandedState,
     Message,
@@ -81,6 +82,55 @@
     assert len(link.sent) == 2
 
 
+def test_a_drain_goes_on_after_a_tick_that_raised(
+    predecessor: Predecessor, process: Any, link: Any
+) -> None:
+    """A tick of the drain raises once, in closing clients or in counting what is retained.
+
+    The next tick was never set: the clients stayed, and the successor was never given the
+    caps and descriptors that this process held.
+    """
+    process.listener.send_away.side_effect = ZeroDivisionError
+    predecessor._on_message(Serving())
+    assert [type(message) for message in link.sent] == [RetainedCapacity] * 2
+    process.node.upstream.trim.side_effect = ZeroDivisionError
+    advance, *args = process.loop.call_later.call_args.args[1:]
+    advance(*args)
+    process.node.upstream.trim.side_effect = None
+    advance(*args)
+    assert process.loop.call_later.call_count == 3
+    assert len(link.sent) == 3
+
+
+@pytest.mark.parametrize(
+    "faulty",
+    ["listener.hold_back", "node.discovery.suspend", "node.peers.close", "node.use_limit_share"],
+)
+def test_a_drain_that_fails_to_begin_is_undone(process: Any, faulty: str) -> None:
+    """The successor serves, and a step of this process's retreat raises.
+
+    The link closed, which was taken for the end of a successor that had never served: nothing
+    was undone. This process neither accepted nor drained, and asked for no list, for good.
+    """
+    made = Predecessor(process)
+    made._upgrade_listener = mock.Mock()
+    process.lifecycle.stopping = False
+    link = Link(made._on_message, made._on_closed)
+    made._state = HandingOver(link)
+    step = process
+    for name in faulty.split("."):
+        step = getattr(step, name)
+    step.side_effect = ZeroDivisionError
+    made._on_message(Serving())
+    assert not link.is_open
+    assert not made.relieved
+    process.lifecycle.successor_gone.assert_called_once_with()
+    process.node.end_sharing.assert_called_once_with()
+    process.listener.accept_again.assert_called_once_with()
+    process.node.discovery.resume.assert_called_once_with()
+    process.loop.call_later.assert_not_called()
+
+
 def test_the_tick_of_a_drain_ends_with_its_link(predecessor: Predecessor) -> None:
     """The successor ends and another one takes over within the same tick.
 
