--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -239,6 +239,21 @@
         if now - self._last_turn_at <= PAUSED_AFTER_NS:
             return False
         self.counters["stalls"] += 1
+        self._recover(now)
+        return True
+
+    def rejoin(self, now: int, incarnation: int) -> None:
+        """Take part again, as another process of this node did meanwhile and has ended.
+
+        Failure: the other members know that process's incarnation, and take every message of an
+        earlier one for a late datagram; and it may have leased out slots that this process does
+        not know of. So this goes on in an incarnation of its own, and restrained, as at a start.
+        """
+        self.members.incarnation = max(self.members.incarnation, incarnation)
+        self.leases.restrain()
+        self._recover(now)
+
+    def _recover(self, now: int) -> None:
         self._detector.on_resumed(now)
         self.members.on_resumed(now)
         self.records.expire(now)
@@ -246,7 +261,6 @@
         self.observations.clear()
         self._last_turn_at = now
         self.anti_entropy.restart_catch_up(now)
-        return True
 
     # ---- results -----------------------------------------------------------------------
 
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -156,6 +156,13 @@
         if self._unrestrained_at < 0:
             self._unrestrained_at = now + LEASE_TTL_NS + SAFETY_MARGIN_NS
 
+    def restrain(self) -> None:
+        """Another process of this node has taken part: as at a start until `activate` and on."""
+        self.active.clear()
+        self._requests.clear()
+        self._restrained, self._unrestrained_at = True, -1
+        self.changed = True
+
     def expire(self, now: int) -> None:
         """Remove expired leases and requests; to be called several times in SAFETY_MARGIN_NS."""
         if self._restrained and 0 <= self._unrestrained_at <= now:
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -70,10 +70,7 @@
         self._filter = DatagramFilter(
             config.peers, config.settings.node, self._fleet, self.counters, now
         )
-        # The wall clock is read here alone, for an incarnation above that of this node's last
-        # start. Where it has jumped back, the others' records raise the incarnation.
-        incarnation = time.time_ns() // MS
-        self.node = GossipNode(_gossip_settings(config, file), config.seed, incarnation, now)
+        self.node = GossipNode(_gossip_settings(config, file), config.seed, _incarnation(), now)
         self.bridge = BalancerBridge(self.node, host.balancer)
         self._list_sharing = self._share_list(config)
         self._caught_up = False  # as last logged
@@ -109,6 +106,16 @@
         logger.info("gossip between %d nodes at %s", len(self._addresses), self._listen)
         self._turn()
 
+    def reopen(self) -> None:
+        """Take part again after `close`: the process that took part for this node has ended.
+
+        Failure: the successor of an upgrade crashes and this process serves on, without a
+        socket. The others take the node for dead, and it learns nothing from them.
+        """
+        if self._sock is None and self._timer is None:
+            self.node.rejoin(time.monotonic_ns(), _incarnation())
+            self.open()
+
     def _retry_open(self, err: OSError) -> None:
         if not self.counters["port taken"]:
             logger.info("gossip between nodes: %s: %s; waiting", self._listen, err.strerror)
@@ -229,6 +236,15 @@
         return status(self.node, self.counters, time.monotonic_ns())
 
 
+def _incarnation() -> int:
+    """An incarnation above those of this node's earlier processes.
+
+    The wall clock is read here alone. Where it has jumped back, the others' records raise the
+    incarnation.
+    """
+    return time.time_ns() // MS
+
+
 def _fleet_file(config: Config) -> FleetFile:
     if not config.fleet:
         return FleetFile()
--- a/loadbalancer/upgrade/link.py
+++ b/loadbalancer/upgrade/link.py
@@ -4,12 +4,15 @@
 
 import asyncio
 import contextlib
+import logging
 from collections.abc import Callable
 from typing import cast
 
 from loadbalancer.upgrade.codec import FrameReader, MessageError, decode, encode
 from loadbalancer.upgrade.messages import Message
 
+logger = logging.getLogger(__name__)
+
 
 class Link(asyncio.Protocol):
     """Messages over a connected socket.
@@ -51,7 +54,8 @@
                 message = decode(fields)
                 if message is not None:
                     self._on_message(message)
-        except MessageError:
+        except MessageError as err:
+            logger.info("upgrade: the other process sent what can't be used: %s", err)
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -135,6 +135,10 @@
             link.close()
             return
         logger.info("upgrade: a successor has come")
+        if not run_logged(self._send_state, link):
+            link.close()  # the successor starts without; it would wait, and then do the same
+
+    def _send_state(self, link: Link) -> None:
         state = handed_state.export(self._process.node, self._process.lifecycle.standby)
         link.send(HandedState(state))
 
@@ -213,4 +217,6 @@
         logger.info("upgrade: the successor has gone; serving again")
         process.listener.accept_again()
         process.node.discovery.resume()
+        if process.node.peers is not None:
+            process.node.peers.reopen()
         self.open()
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -44,6 +44,8 @@
 GREETING_ATTEMPTS = 30
 GREETING_INTERVAL_S = 0.1
 
+NOT_HANDED_OVER = "upgrade: not handed over: %s; starting alone"
+
 
 class Alone:
     """No predecessor was found, or it has ended: this process is the whole node."""
@@ -137,7 +139,8 @@
             transport, _ = await loop.connect_accepted_socket(lambda: link, sock)
             release_socket(transport, sock)
             return await asyncio.wait_for(state.inheritance, STATE_TIMEOUT_S)
-        except (TimeoutError, OSError):
+        except (TimeoutError, OSError) as err:
+            logger.info(NOT_HANDED_OVER, str(err) or f"nothing came in {STATE_TIMEOUT_S:g} s")
             link.close()
             return None
 
@@ -184,7 +187,9 @@
             return  # later than STATE_TIMEOUT_S: `meet` is about to close the link
         try:
             inheritance = handed_state.parse(message.state, time.monotonic_ns())
-        except HandedStateError:
+        except HandedStateError as err:
+            logger.info(NOT_HANDED_OVER, err)
+            state.inheritance.set_result(None)
             state.link.close()
             return
         self._state = Starting(state.link)
@@ -207,7 +212,10 @@
         """The predecessor has ended: what it retained is free."""
         state, self._state = self._state, Alone()
         if isinstance(state, AwaitingState) and not state.inheritance.done():
+            logger.info(NOT_HANDED_OVER, "the connection has ended")
             state.inheritance.set_result(None)
+        if isinstance(state, Starting):
+            logger.info("upgrade: the predecessor has gone before this process served")
         if isinstance(state, Sharing):
             if not state.first_report.done():
                 state.first_report.set_result(None)
--- a/tests/core/gossip/test_slot_leases.py
+++ b/tests/core/gossip/test_slot_leases.py
@@ -6,7 +6,12 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.slot_allocation import LeasedSlots, SlotAllocation
-from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS, SlotLeases
+from loadbalancer.core.gossip.slot_leases import (
+    ALL_CLASSES,
+    LEASE_TTL_NS,
+    SAFETY_MARGIN_NS,
+    SlotLeases,
+)
 
 
 class LeasingNode:
@@ -43,6 +48,29 @@
     assert max(max_used_by_one_node(seed) for seed in range(60)) > 3
 
 
+def test_a_process_that_takes_part_again_is_restrained_as_at_its_start() -> None:
+    """Another process of its node took part meanwhile, leased slots out, and died.
+
+    This one knows nothing of those leases: were it to use their slots or lease them out again,
+    a server would get more than it has.
+    """
+    leases = SlotLeases(1)
+    leases.activate(0)
+    began = LEASE_TTL_NS + SAFETY_MARGIN_NS
+    leases.expire(began)
+    assert leases.granted_classes() == 0
+    ((_, serial),) = leases.requests(began, [3], more=True)
+    leases.restrain()
+    leases.on_grant(began, 3, serial, 1)  # in answer to what was requested before
+    assert leases.usable(began) == []
+    leases.activate(2 * began)
+    leases.expire(3 * began - 1)
+    assert leases.granted_classes() == ALL_CLASSES
+    assert leases.grant(3 * began - 1, 2, grantable=8) == 0
+    leases.expire(3 * began)
+    assert leases.granted_classes() == 0
+
+
 def max_used_by_one_node(seed: int) -> int:
     """Run four nodes with random faults; the most slots that one of them had at a server."""
     draw = Random(seed)
--- a/tests/upgrade/test_process_ends.py
+++ b/tests/upgrade/test_process_ends.py
@@ -4,12 +4,18 @@
 
 import signal
 import socket
+import threading
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
 
+from loadbalancer.upgrade.codec import encode_frame
+from loadbalancer.upgrade.greeting import send_listener
+from loadbalancer.upgrade.socket_path import UpgradeSocket
 from tests.harness import LIMIT, Peer, answer, listen
 from tests.upgrade.support import (
+    HELLO,
     SERVED,
     StartProcess,
     call_upgrade_socket,
@@ -100,6 +106,63 @@
     assert new.stop() == 0
 
 
+def give_nothing(_link: socket.socket) -> None:
+    """Stay silent."""
+
+
+def give_the_end(link: socket.socket) -> None:
+    link.close()
+
+
+def give_no_state(link: socket.socket) -> None:
+    link.sendall(encode_frame({"state": {"rev": 41}}))
+
+
+def give_no_message(link: socket.socket) -> None:
+    link.sendall(b"\0\0\0\2[]")
+
+
+@pytest.mark.parametrize(
+    ("give", "reason"),
+    [
+        (give_nothing, "nothing came in 0.8 s"),
+        (give_the_end, "the connection has ended"),
+        (give_no_state, "not what a process hands over: 'members'"),
+        (give_no_message, "no JSON object"),
+    ],
+)
+def test_a_new_process_says_why_nothing_was_handed_over(
+    start: StartProcess, upgrade_socket: Path, give: Callable[[socket.socket], None], reason: str
+) -> None:
+    """The old process gives its listening socket, and then no state that can be used.
+
+    The new one starts alone, without what the old one had learned. Its log said nothing of
+    that: who upgrades took it for a handover.
+    """
+    listener = UpgradeSocket(str(upgrade_socket)).listen()
+    listener.settimeout(LIMIT)
+
+    def be_the_predecessor() -> None:
+        link, _ = listener.accept()
+        link.settimeout(LIMIT)
+        assert link.recv(len(HELLO)) == HELLO
+        with listen() as clients:
+            send_listener(link, clients)
+        give(link)
+        links.append(link)
+
+    links: list[socket.socket] = []
+    thread = threading.Thread(target=be_the_predecessor)
+    thread.start()
+    new = start()
+    thread.join(LIMIT)
+    assert [line for line in new.said.splitlines() if "upgrade: " in line and reason in line]
+    assert "not handed over" in new.said
+    assert new.stop() == 0
+    links[0].close()
+    listener.close()
+
+
 def test_an_unresponsive_predecessor_does_not_stop_a_start(
     backend: socket.socket, environ: dict[str, str], start: StartProcess
 ) -> None:
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -10,6 +10,7 @@
 import pytest
 
 from loadbalancer.config.address import Address
+from loadbalancer.upgrade import handed_state
 from loadbalancer.upgrade.drain import Drain
 from loadbalancer.upgrade.link import Link
 from loadbalancer.upgrade.messages import (
@@ -128,6 +129,7 @@
     process.node.end_sharing.assert_called_once_with()
     process.listener.accept_again.assert_called_once_with()
     process.node.discovery.resume.assert_called_once_with()
+    process.node.peers.reopen.assert_called_once_with()
     process.loop.call_later.assert_not_called()
 
 
@@ -260,3 +262,17 @@
     either._on_message(SetStandby(on=True))
     process.reload.assert_called_once_with(passed_on=True)
     process.set_standby.assert_called_once_with(True)
+
+
+def test_a_state_that_can_not_be_exported_closes_the_link(
+    predecessor: Predecessor, process: Any, link: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """What this process would hand over can't be put together, by a fault of its own.
+
+    The successor was sent nothing, and the fault ended in a task that nobody looked at. Now it
+    is logged, and the successor learns at once that it starts alone.
+    """
+    monkeypatch.setattr(handed_state, "export", mock.Mock(side_effect=KeyError))
+    process.loop.connect_accepted_socket = mock.AsyncMock(return_value=(mock.Mock(), None))
+    asyncio.run(predecessor._start_link(link, mock.Mock()))
+    assert link.closed
