--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.config.address import Address
-    from loadbalancer.proxy.exchange import Client
+    from loadbalancer.proxy.exchange import Attempt, Client
     from loadbalancer.proxy.ports import BackendHost
 
 # How long a response that has begun may pause, in multiples of the connect timeout: within
@@ -92,9 +92,23 @@
             self._fail(Outcome.ERROR)
         elif progress is CONTENT and self._must_stream():
             self._begin_streaming()
-        elif self.request_written:
+        else:
+            self._await_more(self.attempt)
+
+    def _await_more(self, attempt: Attempt) -> None:
+        """The response is not complete: give it up if nothing more of it comes.
+
+        Failure: its client has left, so that it is not streamed, and the attempt goes on to its
+        outcome, as it may have been executed and is not to be sent again. Buffered, up to
+        MAX_MESSAGE_BYTES of each such attempt would lie outside the budget, and a few would
+        take the process past its memory. Nobody gets the content, so it is dropped as it comes.
+        """
+        is_content = self.reader.state is CONTENT
+        if is_content and attempt.request.ended:
+            self.reader.take_chunks()
+        if self.request_written:
             self._stop_timer()
-            factor = CONTENT_TIMEOUT_FACTOR if progress is CONTENT else HEAD_TIMEOUT_FACTOR
+            factor = CONTENT_TIMEOUT_FACTOR if is_content else HEAD_TIMEOUT_FACTOR
             limit = factor * self.host.config.settings.connect_timeout / SECOND
             self._timer = self.host.loop.call_later(limit, self._fail, Outcome.ERROR)
 
