--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -131,6 +131,7 @@
             self._abort(transport)
 
     def _abort(self, transport: asyncio.Transport) -> None:
+        self.reset_if_incomplete()
         self._state = CLOSING
         transport.abort()
 
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -46,6 +46,10 @@
     def finished(self) -> bool:
         """Whether a stop of the process need not wait for it."""
 
+    @abstractmethod
+    def reset_if_incomplete(self) -> None:
+        """Have the connection's end be a reset where it would complete a response that is cut."""
+
     @abstractmethod
     def check_half_close(self) -> None:
         """Report the client's end of sending, which the loop doesn't while reading is paused."""
@@ -91,6 +95,11 @@
         """Whether none holds anything that a stop must wait for."""
         return all(conn.finished() for conn in self.connections)
 
+    def reset_incomplete(self) -> None:
+        """The process is about to exit: what it cuts must not look complete."""
+        for conn in self.connections:
+            run_logged(conn.reset_if_incomplete)
+
     # ---- connections that are not read from ------------------------------
 
     def watch_paused(self, conn: Connection) -> None:
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -161,14 +161,23 @@
         """End the connection so that the client sees its response as incomplete."""
         self._request = None
         self._drop_flow()
+        if self._transport is not None:
+            self._abort(self._transport)
+
+    def reset_if_incomplete(self) -> None:
+        """Have the connection's end be a reset where it would complete a response that is cut.
+
+        Failure: a response to an HTTP/1.0 client without a length is cut, by its backend, by a
+        time-out of the client or at the end of a stop. The connection's orderly end would
+        complete it, and the client would take a part of the content for all of it. A reset is
+        an error. Where all of it has left this process the kernel delivers it, and a reset
+        would destroy it.
+        """
         transport = self._transport
-        if transport is None:
+        if transport is None or self._framing is not CLOSE:
             return
-        if self._framing is CLOSE:
-            # Failure: the connection's orderly end would complete this response, and the
-            # client would take a part of the content for all of it. A reset is an error.
+        if self._state is STREAMING or transport.get_write_buffer_size():
             reset_on_close(self._sock)
-        self._abort(transport)
 
     def pause_writing(self) -> None:
         """The kernel accepts no more for now."""
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -97,5 +97,6 @@
         self._is_finished = self._listener.close_idle_and_is_finished()
 
     def _end(self) -> None:
+        run_logged(self._listener.registry.reset_incomplete)
         if not self.ended.done():
             self.ended.set_result(None)
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import socket
+import struct
 from types import SimpleNamespace
 from typing import Any, cast
 
@@ -29,6 +31,7 @@
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 LONG = STREAMING_THRESHOLD_BYTES + 1
+LINGER_ZERO = struct.pack("ii", 1, 0)  # as SO_LINGER has it
 
 
 def serve(conn: ClientConnection) -> None:
@@ -43,6 +46,52 @@
     return flow
 
 
+def resets_on_close(conn: ClientConnection) -> bool:
+    """Whether the connection's end will be a reset."""
+    return conn._sock.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8) == LINGER_ZERO
+
+
+@pytest.mark.parametrize("all_has_come", [False, True])
+def test_a_response_that_a_write_time_out_cuts_does_not_look_complete(
+    conn: ClientConnection,
+    transport: Transport,
+    host: Host,
+    registry: ConnectionRegistry,
+    all_has_come: bool,
+) -> None:
+    """A client of HTTP/1.0 stops reading a response without a length, and is given up.
+
+    To such a client the connection's end completes the response, so that it took a part for
+    all of it. Also where its backend has sent everything, and a part waits in this process.
+    """
+    conn.data_received(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    flow = stream(conn, host)
+    flow.push(b"part")
+    transport.unsent = 1
+    if all_has_come:
+        flow.finish()
+    sweep(registry, WRITE_TIMEOUT_SWEEPS + 2)
+    assert transport.aborted
+    assert resets_on_close(conn)
+
+
+def test_a_complete_response_without_a_length_is_not_reset(
+    conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
+) -> None:
+    """All of it has left the process; its client stays, and is given up after a while.
+
+    A reset could destroy what the client's kernel has not received yet.
+    """
+    conn.data_received(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    flow = stream(conn, host)
+    flow.push(b"all")
+    flow.finish()
+    registry.reset_incomplete()
+    sweep(registry, LINGER_TIMEOUT_SWEEPS + 1)
+    assert transport.aborted
+    assert not resets_on_close(conn)
+
+
 def test_the_states_of_a_connection_that_its_client_closes(
     unmade: ClientConnection, transport: Transport, host: Host
 ) -> None:
--- a/tests/proxy/downstream/test_ends.py
+++ b/tests/proxy/downstream/test_ends.py
@@ -6,6 +6,7 @@
 import signal
 import socket
 import subprocess
+from collections.abc import Callable
 
 import pytest
 
@@ -94,3 +95,27 @@
     peer.reset()
     with pytest.raises(ConnectionResetError):
         read_to_end(client.sock)
+
+
+def test_a_response_without_a_length_that_a_stop_cuts_does_not_look_complete(
+    backend: socket.socket, start: Callable[..., Running]
+) -> None:
+    """A client of HTTP/1.0 reads slowly, and the node stops before it has everything.
+
+    The backend has sent all of it, so that the request has ended, and what is left waits in
+    the node. At its exit the kernel ended the connection in order: the client took what it
+    had for the whole response.
+    """
+    proxy = start(limits={"memory_mb": 1024})  # buffers more than the kernel does
+    client = proxy.connect()
+    old = request(rid="old").replace(b"HTTP/1.1", b"HTTP/1.0")
+    peer = reaches_backend(client, backend, old)
+    peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
+    for _ in range(300):
+        peer.send(b"c350\r\n%s\r\n" % bytes(50_000))
+    peer.send(b"0\r\n\r\n")
+    assert peer.ends() == b""  # the node has received all of it
+    proxy.process.send_signal(signal.SIGTERM)
+    assert proxy.process.wait(LIMIT) == 0
+    with pytest.raises(ConnectionResetError):
+        read_to_end(client.sock)
