--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -9,9 +9,9 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import logging
 import socket
+import traceback
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
@@ -24,7 +24,7 @@
 
 MAX_CALLERS = 8
 MAX_CALL_BYTES = 4 << 10  # head and body
-CALL_TIMEOUT_S = 2.0  # for the complete call to come, and then for the caller to leave
+CALL_TIMEOUT_S = 2.0  # for the complete call to come, its answer to go, and the caller to leave
 ACCEPT_RETRY_S = 0.1  # until the next accept, where the system is short of descriptors
 BACKLOG = 64
 DESCRIPTORS = MAX_CALLERS + 2  # with the listener, and one caller that is being closed
@@ -36,6 +36,7 @@
 REQUEST_TIMEOUT = 408
 CONFLICT = 409
 CONTENT_TOO_LARGE = 413
+INTERNAL_ERROR = 500
 SERVICE_UNAVAILABLE = 503
 
 REASONS = {
@@ -46,6 +47,7 @@
     REQUEST_TIMEOUT: "Request Timeout",
     CONFLICT: "Conflict",
     CONTENT_TOO_LARGE: "Content Too Large",
+    INTERNAL_ERROR: "Internal Server Error",
     SERVICE_UNAVAILABLE: "Service Unavailable",
 }
 
@@ -113,20 +115,28 @@
         self.loop.call_later(ACCEPT_RETRY_S, self.loop.add_reader, self._sock, self._accept)
 
     def reply(self, method: str, url: bytes) -> Reply:
-        """The answer to a call."""
+        """The answer to a call.
+
+        Failure: what answers a call raises. Within the caller's parser that would pass for a
+        call that can't be read: the caller is told 400, and the log says nothing.
+        """
         path = url.partition(b"?")[0].decode("latin-1")
         route = self.routes.get(path)
         if route is None:
             return Reply(NOT_FOUND, f"no such call; there are {', '.join(self.routes)}")
         if route.method != method:
             return Reply(METHOD_NOT_ALLOWED, f"{path} takes {route.method}", route.method)
-        return route.answer()
+        try:
+            return route.answer()
+        except Exception:
+            logger.exception("second address: %s: %s", path, traceback.format_exc(limit=-4))
+            return Reply(INTERNAL_ERROR, f"{path} failed; the log says why")
 
 
 class Caller:
     """One connection on the second address; `on_...` are callbacks of its parser."""
 
-    __slots__ = ("_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_url")
+    __slots__ = ("_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_unsent", "_url")
 
     def __init__(self, admin: Admin, sock: socket.socket) -> None:
         self._admin = admin
@@ -134,6 +144,7 @@
         self._size = 0
         self._url = b""
         self._answered = False
+        self._unsent = b""  # of the answer
         self._parser = httptools.HttpRequestParser(self)
         admin.loop.add_reader(sock, self._read)
         self._timer = admin.loop.call_later(CALL_TIMEOUT_S, self._on_timeout)
@@ -145,7 +156,9 @@
             return
         except OSError:
             data = b""
-        if not data:
+        if not data and self._unsent:
+            self._admin.loop.remove_reader(self._sock)  # it may still read: the timer closes
+        elif not data:
             self.close()
         elif not self._answered:  # what follows the one call is dropped
             self._feed(data)
@@ -177,7 +190,7 @@
         self.close()
 
     def _answer(self, reply: Reply) -> None:
-        """Write an answer, which the buffer of any socket holds; the caller closes.
+        """Write an answer; the caller closes.
 
         Failure: a close while bytes of the call are unread resets the connection, and the
         reset may reach the caller before it has read the answer. So only the sending ends.
@@ -189,13 +202,33 @@
             f"HTTP/1.1 {reply.status} {REASONS[reply.status]}\r\nContent-Type: text/plain\r\n"
             f"Content-Length: {len(content)}\r\n{allow}Connection: close\r\n\r\n"
         )
-        with contextlib.suppress(OSError):
-            self._sock.send(head.encode() + content)
-            self._sock.shutdown(socket.SHUT_WR)
+        self._unsent = head.encode() + content
+        self._send()
+        if self._unsent:
+            self._admin.loop.add_writer(self._sock, self._send)
+
+    def _send(self) -> None:
+        """Write what the socket takes, and end the sending after the last byte.
+
+        Failure: an answer is longer than the socket's buffer, as what a fleet of thousands says
+        of its nodes. What one write leaves over would be lost, and the caller get a part.
+        """
+        try:
+            sent = self._sock.send(self._unsent)
+            self._unsent = self._unsent[sent:]
+            if not self._unsent:
+                self._sock.shutdown(socket.SHUT_WR)
+        except BlockingIOError:
+            return
+        except OSError:
+            self._unsent = b""  # the caller has gone
+        if not self._unsent:
+            self._admin.loop.remove_writer(self._sock)
 
     def close(self) -> None:
         """Close the connection; nothing where it is closed."""
         if self._admin.callers.pop(self, self) is None:
             self._timer.cancel()
             self._admin.loop.remove_reader(self._sock)
+            self._admin.loop.remove_writer(self._sock)
             self._sock.close()
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import asyncio
+import logging
 import signal
 import socket
 import threading
@@ -9,7 +11,10 @@
 from pathlib import Path
 
 import pytest
+import uvloop
 
+from loadbalancer.config.address import Address
+from loadbalancer.proxy.admin import OK, Admin, Reply, Route
 from tests.harness import (
     Running,
     accept,
@@ -175,6 +180,63 @@
     assert n.process.wait(20) == 0
 
 
+# ---- the listener alone --------------------------------------------------------------
+
+
+def answer_of(route: Route, half_closes: bool = False) -> bytes:
+    """All that a caller gets, who begins to read only when nothing more is written."""
+
+    async def call() -> bytes:
+        admin = Admin(asyncio.get_running_loop(), {"/call": route})
+        port = admin.listen(Address("127.0.0.1", 0))
+        reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
+        writer.write(b"GET /call HTTP/1.1\r\nHost: x\r\n\r\n")
+        if half_closes:
+            writer.write_eof()
+        await asyncio.sleep(0.2)
+        received = await reader.read()
+        writer.close()
+        return received
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(call())
+
+
+@pytest.mark.parametrize("half_closes", [False, True])
+def test_an_answer_longer_than_the_sockets_buffer_comes_whole(half_closes: bool) -> None:
+    """What a node of a large fleet says of the others is some hundred thousand bytes.
+
+    It was written once, and what the socket's buffer did not take was lost: the caller got a
+    part of the JSON, and the end.
+    """
+    text = "n" * (16 << 20)
+    head, _, content = answer_of(
+        Route("GET", lambda: Reply(OK, text)), half_closes=half_closes
+    ).partition(b"\r\n\r\n")
+    assert head.startswith(b"HTTP/1.1 200 OK\r\n")
+    assert content == text.encode() + b"\n"
+
+
+def test_a_fault_in_answering_a_call_is_not_the_callers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """What answers a call raises, as where a drain fails to begin.
+
+    The caller was told 400, as if it had sent no HTTP, and the log said nothing.
+    """
+    logged: list[str] = []
+    logger = logging.getLogger("loadbalancer.proxy.admin")
+    monkeypatch.setattr(logger, "handle", lambda record: logged.append(record.getMessage()))
+
+    def fail() -> Reply:
+        raise ZeroDivisionError("odd")
+
+    assert answer_of(Route("GET", fail)).startswith(b"HTTP/1.1 500 Internal Server Error\r\n")
+    assert len(logged) == 1
+    assert "/call" in logged[0]
+    assert "odd" in logged[0]
+
+
 def test_an_admin_address_that_is_none_is_one_line_and_status_2(tmp_path: Path) -> None:
     process = launch(config(tmp_path, roster(), 1, admin="here"))
     _, err = process.communicate(timeout=20)
