--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -22,6 +22,7 @@
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Outgoing
 from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.faults import run_logged
 from loadbalancer.gossip_transport.codec import encode, fleet_number
 from loadbalancer.gossip_transport.datagram_filter import DatagramFilter
 from loadbalancer.gossip_transport.settings import FleetFile
@@ -37,6 +38,7 @@
 DATAGRAMS_PER_EVENT = 32  # read in one event of the loop, so that requests come in between
 MAX_DATAGRAM_BYTES = 2048
 RECEIVE_BUFFER_BYTES = 64 << 10  # small, so that a paused node finds few old messages
+FAULT_RETRY_NS = 100 * MS  # from a turn that raised to the next one
 BIND_RETRY_S = 0.1  # while another process of this node has the port
 
 
@@ -180,7 +182,19 @@
     # ---- turns ---------------------------------------------------------------
 
     def _turn(self) -> None:
+        """Take a turn, and arm the next one.
+
+        Failure: a turn raises before it has armed the next one, and none comes any more: this
+        node neither probes nor tells the others anything, and they take it for dead. After a
+        fault the next turn comes a while later, as the time of the regular one may be over.
+        """
         self._timer = None
+        if run_logged(self._take_turn) or self._sock is None or self._timer is not None:
+            return
+        self._timer_due = time.monotonic_ns() + FAULT_RETRY_NS
+        self._timer = self._host.loop.call_later(FAULT_RETRY_NS / SECOND, self._turn)
+
+    def _take_turn(self) -> None:
         now = time.monotonic_ns()
         self._discard_after_pause(now)
         self.bridge.report(now)
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -6,8 +6,8 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.downstream.head_checker import HeadChecker
-from loadbalancer.proxy.faults import run_logged
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.lifecycle import Lifecycle
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from loadbalancer.proxy.faults import run_logged
+from loadbalancer.faults import run_logged
 
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Request
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -22,10 +22,10 @@
 from loadbalancer.config.node import Config, ConfigError, load, reload
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.errors import RoutesError, SourceError
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.admin_calls import AdminCalls
 from loadbalancer.proxy.downstream.connection import SWEEP_S
 from loadbalancer.proxy.downstream.listener import Listener
-from loadbalancer.proxy.faults import run_logged
 from loadbalancer.proxy.host import Node
 from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS, Lifecycle
 from loadbalancer.proxy.reload import apply_configuration, apply_routes
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.proxy.faults import run_logged
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.reload import log_route_counters
 
 if TYPE_CHECKING:
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -19,7 +19,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.proxy.faults import run_logged
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.lifecycle import DRAIN_TICK_NS
 from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.upgrade import handed_state
--- /dev/null
+++ b/tests/gossip_transport/test_turns.py
@@ -0,0 +1,58 @@
+"""The turns of a node's gossip, over a node and a loop that only note what is asked of them."""
+
+from __future__ import annotations
+
+from typing import Any
+from unittest import mock
+
+import pytest
+
+from loadbalancer.gossip_transport.transport import FAULT_RETRY_NS, GossipTransport
+
+NS_PER_SECOND = 1_000_000_000
+
+
+@pytest.fixture
+def transport() -> Any:
+    """One that takes part, between two of its turns."""
+    made: Any = object.__new__(GossipTransport)
+    made._host = mock.Mock()
+    made.node, made.bridge, made._sock = mock.Mock(), mock.Mock(), mock.Mock()
+    made.node.tick.return_value = []
+    made.node.resume_after_pause.return_value = False
+    made.node.next_turn_at = 0
+    made.bridge.collect.return_value = None
+    made._alive, made._caught_up = made.bridge.alive, made.node.caught_up
+    made._list_sharing = made._timer = None
+    made._timer_due = 0
+    return made
+
+
+@pytest.mark.parametrize("step", ["bridge.report", "node.tick", "bridge.collect"])
+def test_a_turn_that_raises_is_followed_by_the_next_one(transport: Any, step: str) -> None:
+    """One step of a turn raises: there was no further turn until a restart.
+
+    The others took the node for dead, and went past its slots while it served on. The next
+    turn does not come at once: a fault that lasts would take all of the process's time.
+    """
+    faulty = transport
+    for name in step.split("."):
+        faulty = getattr(faulty, name)
+    faulty.side_effect = ZeroDivisionError
+    transport._turn()
+    delay_s, turn = transport._host.loop.call_later.call_args.args
+    assert delay_s == FAULT_RETRY_NS / NS_PER_SECOND
+    faulty.side_effect = None
+    turn()
+    assert transport.node.tick.called
+    assert transport._host.loop.call_later.call_count == 2
+
+
+def test_a_turn_that_raises_after_the_socket_has_been_closed_is_the_last(transport: Any) -> None:
+    def close_and_fail(_now: int) -> None:
+        transport._sock = None
+        raise ZeroDivisionError
+
+    transport.bridge.report.side_effect = close_and_fail
+    transport._turn()
+    transport._host.loop.call_later.assert_not_called()
