--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -22,6 +22,7 @@
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Outgoing
 from loadbalancer.core.gossip.settings import GossipSettings
+from loadbalancer.faults import run_logged
 from loadbalancer.gossip_transport.codec import encode, fleet_number
 from loadbalancer.gossip_transport.datagram_filter import DatagramFilter
 from loadbalancer.gossip_transport.settings import FleetFile
@@ -37,6 +38,7 @@
 DATAGRAMS_PER_EVENT = 32  # read in one event of the loop, so that requests come in between
 MAX_DATAGRAM_BYTES = 2048
 RECEIVE_BUFFER_BYTES = 64 << 10  # small, so that a paused node finds few old messages
+FAULT_RETRY_NS = 100 * MS  # from a turn that raised to the next one
 BIND_RETRY_S = 0.1  # while another process of this node has the port
 
 
@@ -70,10 +72,7 @@
         self._filter = DatagramFilter(
             config.peers, config.settings.node, self._fleet, self.counters, now
         )
-        # The wall clock is read here alone, for an incarnation above that of this node's last
-        # start. Where it has jumped back, the others' records raise the incarnation.
-        incarnation = time.time_ns() // MS
-        self.node = GossipNode(_gossip_settings(config, file), config.seed, incarnation, now)
+        self.node = GossipNode(_gossip_settings(config, file), config.seed, _incarnation(), now)
         self.bridge = BalancerBridge(self.node, host.balancer)
         self._list_sharing = self._share_list(config)
         self._caught_up = False  # as last logged
@@ -109,6 +108,16 @@
         logger.info("gossip between %d nodes at %s", len(self._addresses), self._listen)
         self._turn()
 
+    def reopen(self) -> None:
+        """Take part again after `close`: the process that took part for this node has ended.
+
+        Failure: the successor of an upgrade crashes and this process serves on, without a
+        socket. The others take the node for dead, and it learns nothing from them.
+        """
+        if self._sock is None and self._timer is None:
+            self.node.rejoin(time.monotonic_ns(), _incarnation())
+            self.open()
+
     def _retry_open(self, err: OSError) -> None:
         if not self.counters["port taken"]:
             logger.info("gossip between nodes: %s: %s; waiting", self._listen, err.strerror)
@@ -173,7 +182,19 @@
     # ---- turns ---------------------------------------------------------------
 
     def _turn(self) -> None:
+        """Take a turn, and arm the next one.
+
+        Failure: a turn raises before it has armed the next one, and none comes any more: this
+        node neither probes nor tells the others anything, and they take it for dead. After a
+        fault the next turn comes a while later, as the time of the regular one may be over.
+        """
         self._timer = None
+        if run_logged(self._take_turn) or self._sock is None or self._timer is not None:
+            return
+        self._timer_due = time.monotonic_ns() + FAULT_RETRY_NS
+        self._timer = self._host.loop.call_later(FAULT_RETRY_NS / SECOND, self._turn)
+
+    def _take_turn(self) -> None:
         now = time.monotonic_ns()
         self._discard_after_pause(now)
         self.bridge.report(now)
@@ -229,6 +250,15 @@
         return status(self.node, self.counters, time.monotonic_ns())
 
 
+def _incarnation() -> int:
+    """An incarnation above those of this node's earlier processes.
+
+    The wall clock is read here alone. Where it has jumped back, the others' records raise the
+    incarnation.
+    """
+    return time.time_ns() // MS
+
+
 def _fleet_file(config: Config) -> FleetFile:
     if not config.fleet:
         return FleetFile()
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -6,6 +6,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.downstream.head_checker import HeadChecker
 
 if TYPE_CHECKING:
@@ -45,6 +46,10 @@
     def finished(self) -> bool:
         """Whether a stop of the process need not wait for it."""
 
+    @abstractmethod
+    def reset_if_incomplete(self) -> None:
+        """Have the connection's end be a reset where it would complete a response that is cut."""
+
     @abstractmethod
     def check_half_close(self) -> None:
         """Report the client's end of sending, which the loop doesn't while reading is paused."""
@@ -83,13 +88,18 @@
         """One more sweep: clients that have stopped sending or accepting bytes are given up."""
         self.sweeps += 1
         for conn in list(self.connections):
-            conn.sweep(self.sweeps)
+            run_logged(conn.sweep, self.sweeps)  # a fault at one ends no other's time-outs
         self._close_surplus()
 
     def finished(self) -> bool:
         """Whether none holds anything that a stop must wait for."""
         return all(conn.finished() for conn in self.connections)
 
+    def reset_incomplete(self) -> None:
+        """The process is about to exit: what it cuts must not look complete."""
+        for conn in self.connections:
+            run_logged(conn.reset_if_incomplete)
+
     # ---- connections that are not read from ------------------------------
 
     def watch_paused(self, conn: Connection) -> None:
@@ -107,7 +117,7 @@
 
     def _check_paused(self) -> None:
         for conn in list(self.paused):
-            conn.check_half_close()
+            run_logged(conn.check_half_close)
         self._paused_check = None
         if self.paused:
             self._schedule_paused_check()
