--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -18,9 +18,10 @@
 import json
 import time
 from collections.abc import Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
 from loadbalancer.config.address import Address
+from loadbalancer.control.long_polls import LongPolls
 from loadbalancer.core import State
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.endpoints.merged_server import ListedServer
@@ -56,13 +57,6 @@
     }
 
 
-class Wait(NamedTuple):
-    """A watcher without an answer yet: the version it has, and when it is answered at last."""
-
-    version: int
-    timeout: asyncio.TimerHandle
-
-
 class ListRelay:
     """The list by version, and the watchers that wait for its next one."""
 
@@ -72,7 +66,7 @@
         self.updater = ListUpdater(file, self._publish, seed)
         self.revisions: Revisions[Row] = Revisions(time.time_ns() // MS)
         self.connections = 0
-        self._waits: dict[Watcher, Wait] = {}
+        self._waiting: LongPolls[int] = LongPolls(self._answer_waiting)  # versions they have
         # Read once: a boot time that is converted again must give the same row.
         self._wall_offset = time.time_ns() - time.monotonic_ns()
 
@@ -90,35 +84,30 @@
         """Answer now where the list has changed or `hold_s` is 0, else within `hold_s` seconds."""
         del query  # a relay has one list for all
         if since == self.revisions.rev and hold_s > 0:
-            loop = asyncio.get_running_loop()
-            timeout = loop.call_later(hold_s, self._answer_wait, watcher)
-            self._waits[watcher] = Wait(since, timeout)
+            self._waiting.add(watcher, since, hold_s)
         else:
             watcher.reply(OK, self.answer(since))
 
     def is_waiting(self, watcher: Watcher) -> bool:
         """Whether a watcher has no answer yet."""
-        return watcher in self._waits
+        return watcher in self._waiting
 
     def cancel(self, watcher: Watcher) -> None:
         """Cancel a watcher's wait: it gets no answer any more."""
-        wait = self._waits.pop(watcher, None)
-        if wait is not None:
-            wait.timeout.cancel()
+        self._waiting.take(watcher)
 
-    def _answer_wait(self, watcher: Watcher) -> None:
-        wait = self._waits.pop(watcher, None)
-        if wait is not None:
-            wait.timeout.cancel()
-            watcher.reply(OK, self.answer(wait.version))
+    def _answer_waiting(self, watcher: Watcher) -> None:
+        version = self._waiting.take(watcher)
+        if version is not None:
+            watcher.reply(OK, self.answer(version))
 
     def _publish(self) -> None:
         """Take the merged list as the next version, and answer all watchers that wait for it."""
         servers = [s for s in self.updater.merged_list.servers() if s.state != State.GONE]
         rows = {server.uid: discovery_row(server, self._wall_offset) for server in servers}
         if self.revisions.replace(rows):
-            for watcher in [*self._waits]:
-                self._answer_wait(watcher)
+            for watcher in self._waiting:
+                self._answer_waiting(watcher)
 
 
 async def serve(file: ConsulFile, listen: Address, seed: int) -> None:
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-import asyncio
-from dataclasses import dataclass
 from http import HTTPStatus
 
+from loadbalancer.control.long_polls import LongPolls
 from loadbalancer.control.machine.list_form import encode_plain_list
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Row
@@ -13,14 +12,6 @@
 from loadbalancer.sources.watchers import Query, Watcher
 
 
-@dataclass(frozen=True, slots=True)
-class _LongPoll:
-    """A poll that waits for a newer version than `since`, until `timer` ends it."""
-
-    since: int
-    timer: asyncio.TimerHandle
-
-
 class BoundList:
     """The platform's list, with one service's backends, as of the region's accepted changes."""
 
@@ -30,7 +21,7 @@
         self.service = service
         self.region = log.region
         self._log = log
-        self._waiting: dict[Watcher, _LongPoll] = {}
+        self._waiting: LongPolls[int] = LongPolls(self._answer_waiting)  # versions they have
 
     # ---- what a connection calls --------------------------------------------
 
@@ -44,9 +35,7 @@
 
     def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
-        poll = self._waiting.pop(caller, None)
-        if poll is not None:
-            poll.timer.cancel()
+        self._waiting.take(caller)
 
     def on_list_request(
         self,
@@ -64,9 +53,7 @@
         if position > self._log.position:
             watcher.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"behind the version asked from")
         elif hold > 0 and since and self._unchanged(since):
-            loop = asyncio.get_running_loop()
-            timer = loop.call_later(hold, self._answer_waiting, watcher)
-            self._waiting[watcher] = _LongPoll(since, timer)
+            self._waiting.add(watcher, since, hold)
         else:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
@@ -74,14 +61,13 @@
 
     def on_change(self) -> None:
         """The service has changed."""
-        for watcher in [*self._waiting]:
+        for watcher in self._waiting:
             self._answer_waiting(watcher)
 
     def _answer_waiting(self, watcher: Watcher) -> None:
-        poll = self._waiting.pop(watcher, None)
-        if poll is not None:
-            poll.timer.cancel()
-            watcher.reply(HTTPStatus.OK, self._answer(poll.since))
+        since = self._waiting.take(watcher)
+        if since is not None:
+            watcher.reply(HTTPStatus.OK, self._answer(since))
 
     def _unchanged(self, since: int) -> bool:
         delta = self._log.since(position_of(since), (self.service,))
