--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import time
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -10,6 +9,7 @@
 from http import HTTPStatus
 
 from loadbalancer.config.address import Address
+from loadbalancer.control.long_polls import LongPolls
 from loadbalancer.control.machine import list_form
 from loadbalancer.control.machine.list_form import NodeAssignment
 from loadbalancer.control.machine.nodes import NodeRegistry
@@ -43,7 +43,15 @@
     max_request_bytes = MAX_HEAD_BYTES
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
+class ServingReport:
+    """The services that a node serves, as of the assignment of a generation."""
+
+    serving: tuple[str, ...]
+    generation: int
+
+
+@dataclass(frozen=True, slots=True)
 class PollRequest:
     """What a node polls for, while it waits."""
 
@@ -53,7 +61,7 @@
     current: frozenset[str] | None  # services that it has as of `position`; None: it does not say
     redirected: bool
     deadline: int  # when it is answered at the latest, in nanoseconds
-    timer: asyncio.TimerHandle | None = None
+    report: ServingReport | None  # None where the last one still holds
 
 
 class NodeRequests:
@@ -75,8 +83,8 @@
         self._publisher = publisher
         self._replica = replica
         self._addresses = addresses
-        self._waiting: dict[Watcher, PollRequest] = {}
-        self._by_key: dict[Key, Watcher] = {}
+        self._waiting: LongPolls[PollRequest] = LongPolls(self._on_timeout)
+        self._watchers: dict[str, dict[str, Watcher]] = {}  # whose poll waits, by node and region
 
     # ---- what a connection calls --------------------------------------------
 
@@ -93,17 +101,20 @@
         request = self._stop_waiting(caller)
         if request is not None:
             self._publisher.cancel(request.node, request.region)
-            self._nodes.on_response(time.monotonic_ns(), request.node)
+            self._on_poll_ended(time.monotonic_ns(), request.node)
 
     def on_list_request(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
         """A poll: the version that the node has, and for how many seconds it may wait."""
         now = time.monotonic_ns()
         try:
             request = self._decode(now, since, hold, query)
-            self._on_poll(now, request, query)
         except InvalidInputError as err:
             self._refuse(watcher, str(err))
             return
+        self._supersede(request)
+        self._nodes.on_poll(now, request.node)
+        if request.report is not None:
+            self._nodes.on_report(request.node, request.report.serving, request.report.generation)
         self._answer(now, watcher, request, first_poll=since == 0)
 
     # ---- what the machine calls ---------------------------------------------
@@ -112,7 +123,7 @@
         """There may be something new for these nodes in a region."""
         now = time.monotonic_ns()
         for node in nodes:
-            watcher = self._by_key.get((node, region))
+            watcher = self._watchers.get(node, {}).get(region)
             if watcher is not None:
                 self._answer_waiting(now, watcher)
 
@@ -124,7 +135,7 @@
     def push_assignments(self) -> None:
         """Answer the waiting nodes whose assignment has changed."""
         now = time.monotonic_ns()
-        for watcher, request in [*self._waiting.items()]:
+        for watcher, request in self._waiting.items():
             if self._nodes.changed_assignment(now, request.node, request.region) is not None:
                 self._answer_waiting(now, watcher)
 
@@ -132,9 +143,18 @@
         """How many polls wait for an answer."""
         return len(self._waiting)
 
+    def waiting_nodes(self) -> frozenset[str]:
+        """The nodes whose polls wait for an answer."""
+        return frozenset(self._watchers)
+
     # ---- one poll -----------------------------------------------------------
 
     def _decode(self, now: int, since: int, hold: float, query: Query) -> PollRequest:
+        """All of a poll, or an error: from one that is refused nothing may be taken.
+
+        Guards against a poll whose report can't be read: it was noted as one that waits, never
+        answered, and its node counted as present for an hour, dead or not.
+        """
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.is_registered(node):
             raise InvalidInputError(
@@ -145,16 +165,9 @@
             current = frozenset(_names(query["held"][0]))
         redirected = query.get("redirected") == ["1"]
         deadline = now + int(hold * SECOND)
-        return PollRequest(node, region, position_of(since), current, redirected, deadline)
-
-    def _on_poll(self, now: int, request: PollRequest, query: Query) -> None:
-        """Record that the node polls here, and the services that it reports as serving."""
-        self._nodes.on_poll(now, request.node)
-        if "serving" in query:
-            generation = parse_decimal(query.get("generation", ["0"])[0])
-            if generation is None:
-                raise InvalidInputError("generation: [range] no whole number")
-            self._nodes.on_report(request.node, _names(query["serving"][0]), generation)
+        position = position_of(since)
+        report = _report(query)
+        return PollRequest(node, region, position, current, redirected, deadline, report)
 
     def _answer(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
@@ -168,7 +181,7 @@
         if isinstance(answer, Refused):
             place = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
             self._refuse(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
-            self._nodes.on_response(now, node)
+            self._on_poll_ended(now, node)
             return
         self._replica.on_reported(now, region, request.position)
         if isinstance(answer, Redirect):
@@ -205,12 +218,10 @@
 
     def _wait(self, now: int, watcher: Watcher, request: PollRequest, until: int | None) -> None:
         due = request.deadline if until is None else min(request.deadline, until)
-        loop = asyncio.get_running_loop()
-        request.timer = loop.call_later(max(due - now, 0) / SECOND, self._on_timer, watcher)
-        self._waiting[watcher] = request
-        self._by_key[request.node, request.region] = watcher
+        self._waiting.add(watcher, request, max(due - now, 0) / SECOND)
+        self._watchers.setdefault(request.node, {})[request.region] = watcher
 
-    def _on_timer(self, watcher: Watcher) -> None:
+    def _on_timeout(self, watcher: Watcher) -> None:
         self._answer_waiting(time.monotonic_ns(), watcher)
 
     def _answer_waiting(self, now: int, watcher: Watcher) -> None:
@@ -220,16 +231,33 @@
 
     def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
         """The connection's poll, which does not wait any more; None where none waited."""
-        request = self._waiting.pop(watcher, None)
-        if request is None:
-            return None
-        if request.timer is not None:
-            request.timer.cancel()
-        key = (request.node, request.region)
-        if self._by_key.get(key) is watcher:
-            del self._by_key[key]
+        request = self._waiting.take(watcher)
+        if request is not None:
+            watchers = self._watchers[request.node]
+            del watchers[request.region]
+            if not watchers:
+                del self._watchers[request.node]
         return request
 
+    def _supersede(self, request: PollRequest) -> None:
+        """End the node's earlier connection if its poll for the region waits still.
+
+        Guards against a connection that was lost without a sign while the node polls on a new one.
+        When its end came, late, the node counted as absent and was told of no change although its
+        new poll waited; until then, its answers counted as received by the node. With one poll for
+        each node and region, such an end finds no poll that it could concern.
+        """
+        earlier = self._watchers.get(request.node, {}).get(request.region)
+        if earlier is not None:
+            self._stop_waiting(earlier)
+            self._publisher.cancel(request.node, request.region)
+            earlier.abort()
+
+    def _on_poll_ended(self, now: int, node: str, pause: int = 0) -> None:
+        """The node has to poll again after a pause, unless another region's poll of it waits."""
+        if node not in self._watchers:
+            self._nodes.on_response(now, node, pause)
+
     # ---- replies ------------------------------------------------------------
 
     def _refuse(self, watcher: Watcher, why: str) -> None:
@@ -252,7 +280,7 @@
         pause: int = 0,
     ) -> None:
         """Send the answer; `pause`: nanoseconds before the node polls again."""
-        self._nodes.on_response(now, request.node, pause)
+        self._on_poll_ended(now, request.node, pause)
         if assignment is not None:
             self._nodes.on_assignment_sent(request.node, request.region, assignment)
         self.counts["answers"] += 1
@@ -260,6 +288,15 @@
         watcher.reply(HTTPStatus.OK, body)
 
 
+def _report(query: Query) -> ServingReport | None:
+    if "serving" not in query:
+        return None
+    generation = parse_decimal(query.get("generation", ["0"])[0])
+    if generation is None:
+        raise InvalidInputError("generation: [range] no whole number")
+    return ServingReport(tuple(_names(query["serving"][0])), generation)
+
+
 def _names(text: str) -> list[str]:
     names = [name for name in text.split(",") if name]
     if len(names) > MAX_NAMES:
--- a/tests/control/machine/test_subscriber.py
+++ b/tests/control/machine/test_subscriber.py
@@ -35,12 +35,8 @@
         return self.region.do(lambda: set(self.holder.rows(service) or ()))
 
     def polls(self, name: str) -> bool:
-        return self.holder.name in self.region.do(
-            lambda: {
-                request.node
-                for request in self.region.machines[name].node_requests._waiting.values()
-            }
-        )
+        requests = self.region.machines[name].node_requests
+        return self.holder.name in self.region.do(requests.waiting_nodes)
 
     def close(self) -> None:
         self.region.do(self.subscriber.close)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -369,20 +369,17 @@
     connection = SubscriberConnection(host)
     connection.data_received(data)
     ((since, hold, query),) = asked
-    nodes: Any = mock.Mock()
-    nodes.on_report.return_value = None
-    questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
+    questions = NodeRequests(mock.Mock(), mock.Mock(), mock.Mock(), {}, 1)
     question = questions._decode(0, since, hold, query)
-    questions._on_poll(0, question, query)
-    report = nodes.on_report.call_args
+    report = question.report
     return {
         "node": question.node,
         "region": question.region,
         "position": _plain("position", question.position),
         "hold_ms": question.deadline // 1_000_000,
         "held": None if question.current is None else sorted(question.current),
-        "serving": report and sorted(report.args[1]),
-        "generation": report.args[2] if report else 0,
+        "serving": report and sorted(report.serving),
+        "generation": report.generation if report else 0,
         "redirected": question.redirected,
     }
 
