--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -50,6 +50,7 @@
         self.on_message = on_message
         self.counts: Counter[str] = Counter()
         self.incoming: set[asyncio.Transport] = set()
+        self._incoming_from: dict[str, asyncio.Transport] = {}  # the newest one, by machine
         self._others = dict(others)
         self._backlog_bytes = backlog_bytes
         self._on_connected = on_connected
@@ -81,6 +82,25 @@
         """Whether a first frame is of another machine of the same fleet."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
+    def on_hello(self, machine: str, transport: asyncio.Transport) -> None:
+        """A machine has dialled: end its earlier stream, if that has not ended yet.
+
+        Guards against frames of an earlier connection, or of the machine's earlier process, that
+        come after newer ones: an old grant or list of present nodes would replace the newest one.
+        A machine has one stream to each other at a time, so what comes on it is in order.
+        """
+        earlier = self._incoming_from.get(machine)
+        self._incoming_from[machine] = transport
+        if earlier is not None:
+            self.counts["replaced"] += 1
+            earlier.abort()
+
+    def on_incoming_lost(self, machine: str, transport: asyncio.Transport) -> None:
+        """A stream has ended that was dialled by a machine, "" where it has sent no hello."""
+        self.incoming.discard(transport)
+        if self._incoming_from.get(machine) is transport:
+            del self._incoming_from[machine]
+
     def send(self, machine: str, message: Any) -> None:
         """Send a message; it is lost where there is no stream, or too much waits for it."""
         transport = self._outgoing.get(machine)
@@ -157,12 +177,14 @@
         """Forget the stream."""
         del exc
         if self._transport is not None:
-            self._streams.incoming.discard(self._transport)
+            self._streams.on_incoming_lost(self._sender, self._transport)
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Handle each complete frame."""
+        """Handle each complete frame; none that follows the stream's end."""
+        if self._transport is None or self._transport.is_closing():
+            return
         self._buffer += data
         start, size = 0, len(self._buffer)
         while size - start >= _LENGTH.size:
@@ -194,6 +216,8 @@
         self._sender = message.machine
         if self._timer is not None:
             self._timer.cancel()
+        if self._transport is not None:
+            self._streams.on_hello(self._sender, self._transport)
         return True
 
     def _abort(self, counter: str) -> None:
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -2,11 +2,18 @@
 
 from __future__ import annotations
 
+import asyncio
 import socket
 import struct
+from typing import Any
+from unittest import mock
 
 import pytest
 
+from loadbalancer.config.address import Address
+from loadbalancer.control.machine.messages import codec
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
+from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from tests.control_machines import Machines
 from tests.harness import until
 
@@ -32,3 +39,56 @@
         sock.sendall(data)
         assert sock.recv(1) == b""
     until(lambda: region.status("east-a")["counts"]["streams"].get(counter, 0) == before + 1)
+
+
+class Stream:
+    """An incoming stream without a socket."""
+
+    def __init__(self, streams: PeerStreams) -> None:
+        self.transport: Any = mock.Mock()
+        self.transport.is_closing = lambda: self.transport.abort.called
+        self._protocol = _Incoming(streams)
+        self._protocol.connection_made(self.transport)
+
+    def receive(self, message: Any) -> None:
+        data = codec().encode(message)
+        self._protocol.data_received(struct.pack(">I", len(data)) + data)
+
+    def lose(self) -> None:
+        self._protocol.connection_lost(None)
+
+
+@pytest.mark.parametrize("sender", ["east-b", "east-c"])
+def test_frames_of_a_machines_earlier_stream_do_not_follow_those_of_its_newer_one(
+    sender: str,
+) -> None:
+    """A link fails and the machine dials again. Its last grant, or that of its earlier process,
+    comes on the old connection after the newest grant, which withdrew it: taken, it would let a
+    node release a service whose other holders are lost. Streams of other machines go on.
+    """
+    received: list[Any] = []
+
+    async def play() -> None:
+        others = {name: Address("127.0.0.1", 9) for name in ("east-b", "east-c")}
+        streams = PeerStreams(
+            Hello("east-a", "f"), others, codec(), 1 << 20,
+            lambda _, message: received.append(message), lambda _: None,
+        )  # fmt: skip
+        earlier, newer = Stream(streams), Stream(streams)
+        old = ReleaseGrant("east", 1, (NodeRelease("n1", ("cart",)),))
+        new = ReleaseGrant("east", 1, ())
+        earlier.receive(Hello("east-b", "f"))
+        earlier.receive(old)
+        newer.receive(Hello(sender, "f"))
+        newer.receive(new)
+        earlier.receive(old)
+        assert received == ([old, new] if sender == "east-b" else [old, new, old])
+        assert streams.counts["replaced"] == (sender == "east-b")
+        earlier.lose()
+        newer.receive(new)
+        assert received[-1] == new
+        assert not newer.transport.abort.called
+        newer.lose()
+        assert not streams.incoming
+
+    asyncio.run(play())
