--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -113,8 +113,10 @@
             return
         self._supersede(request)
         self._nodes.on_poll(now, request.node)
-        if request.report is not None:
-            self._nodes.on_report(request.node, request.report.serving, request.report.generation)
+        report = request.report
+        if report is not None:
+            self._nodes.on_report(request.node, report.serving, report.generation)
+            self._nodes.on_generation(request.node, request.region, report.generation)
         self._answer(now, watcher, request, first_poll=since == 0)
 
     # ---- what the machine calls ---------------------------------------------
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -95,6 +95,17 @@
         """The assignment went out with an answer for this region."""
         self._sent[node, region] = assignment
 
+    def on_generation(self, node: str, region: str, generation: int) -> None:
+        """The node reports that this is the generation of the last answer that it received.
+
+        Guards against an answer that was lost with its connection: the assignment in it counted as
+        sent, and was not sent again until it changed. The node did not hold its new services, and
+        its reports did not count.
+        """
+        sent = self._sent.get((node, region))
+        if sent is not None and generation < sent.generation:
+            del self._sent[node, region]
+
     # ---- polls and reports of nodes -------------------------------------
 
     def on_poll(self, now: int, node: str) -> None:
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -50,7 +50,7 @@
         self.on_message = on_message
         self.counts: Counter[str] = Counter()
         self.incoming: set[asyncio.Transport] = set()
-        self._incoming_from: dict[str, asyncio.Transport] = {}  # the newest one, by machine
+        self._incoming_from: dict[str, _Incoming] = {}  # the newest one, by machine
         self._others = dict(others)
         self._backlog_bytes = backlog_bytes
         self._on_connected = on_connected
@@ -82,7 +82,7 @@
         """Whether a first frame is of another machine of the same fleet."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
-    def on_hello(self, machine: str, transport: asyncio.Transport) -> None:
+    def on_hello(self, machine: str, stream: _Incoming) -> None:
         """A machine has dialled: end its earlier stream, if that has not ended yet.
 
         Guards against frames of an earlier connection, or of the machine's earlier process, that
@@ -90,15 +90,13 @@
         A machine has one stream to each other at a time, so what comes on it is in order.
         """
         earlier = self._incoming_from.get(machine)
-        self._incoming_from[machine] = transport
+        self._incoming_from[machine] = stream
         if earlier is not None:
-            self.counts["replaced"] += 1
-            earlier.abort()
+            earlier.abort("replaced")
 
-    def on_incoming_lost(self, machine: str, transport: asyncio.Transport) -> None:
-        """A stream has ended that was dialled by a machine, "" where it has sent no hello."""
-        self.incoming.discard(transport)
-        if self._incoming_from.get(machine) is transport:
+    def on_lost(self, machine: str, stream: _Incoming) -> None:
+        """A stream that this machine had dialled has ended."""
+        if self._incoming_from.get(machine) is stream:
             del self._incoming_from[machine]
 
     def send(self, machine: str, message: Any) -> None:
@@ -163,6 +161,7 @@
         self._streams = streams
         self._buffer = bytearray()
         self._sender = ""  # until its Hello
+        self._aborted = False
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -171,26 +170,27 @@
         self._transport = cast(asyncio.Transport, transport)
         self._streams.incoming.add(self._transport)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(HELLO_TIMEOUT_S, self._abort, "no hello")
+        self._timer = loop.call_later(HELLO_TIMEOUT_S, self.abort, "no hello")
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forget the stream."""
         del exc
         if self._transport is not None:
-            self._streams.on_incoming_lost(self._sender, self._transport)
+            self._streams.incoming.discard(self._transport)
+        self._streams.on_lost(self._sender, self)
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
         """Handle each complete frame; none that follows the stream's end."""
-        if self._transport is None or self._transport.is_closing():
+        if self._aborted:
             return
         self._buffer += data
         start, size = 0, len(self._buffer)
         while size - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer, start)
             if length > MAX_FRAME_BYTES:
-                self._abort("frame too long")
+                self.abort("frame too long")
                 return
             end = start + _LENGTH.size + length
             if end > size:
@@ -205,22 +205,23 @@
         try:
             message = self._streams.codec.decode(frame)
         except BadMessageError as err:
-            self._abort(str(err))
+            self.abort(str(err))
             return False
         if self._sender:
             self._streams.on_message(self._sender, message)
             return True
         if not isinstance(message, Hello) or not self._streams.accepts(message):
-            self._abort("stranger")
+            self.abort("stranger")
             return False
         self._sender = message.machine
         if self._timer is not None:
             self._timer.cancel()
-        if self._transport is not None:
-            self._streams.on_hello(self._sender, self._transport)
+        self._streams.on_hello(self._sender, self)
         return True
 
-    def _abort(self, counter: str) -> None:
+    def abort(self, counter: str) -> None:
+        """End the stream, and count that under this name."""
+        self._aborted = True
         self._streams.counts[counter] += 1
         if self._transport is not None:
             self._transport.abort()
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -17,6 +17,7 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 from random import Random
+from typing import NamedTuple
 from urllib.parse import quote
 
 from loadbalancer.config.address import Address, parse_address
@@ -57,6 +58,13 @@
     max_retry_s: float = 2.0
 
 
+class _Report(NamedTuple):
+    """What a node tells a machine that it serves, as of a generation of that machine."""
+
+    generation: int
+    serving: str  # the names as the poll has them
+
+
 @dataclass(slots=True)
 class _Region:
     """The polls of one region's log."""
@@ -69,7 +77,8 @@
     stay_until: float = 0.0  # until then, it asks to be answered by the machine that it polls
     first_poll: bool = True  # the machine has sent nothing yet: it can't know what is held
     snapshot: bool = False  # the last update did not follow what is held: poll for a snapshot
-    reported: tuple[int, str] | None = None  # generation and services of the last report
+    generation: int = 0  # of the last assignment from the machine that is polled
+    reported: _Report | None = None  # the last report to that machine
 
 
 @dataclass(slots=True)
@@ -100,7 +109,6 @@
     ) -> None:
         self.holder = holder
         self.counts = Counts()
-        self.generation = 0  # of the last assignment received
         self._machines = tuple(machines)
         self._on_update = on_update
         self._on_released = on_released
@@ -129,7 +137,7 @@
         state = self._regions[region]
         state.timer = None
         target = self._target(region, state)
-        address = state.redirect or self._machines[state.machine]
+        address = self._address(state)
         timing = self._timing
         self.counts.sent += HEAD_BYTES + len(target) + len(str(address))
         self.counts.events["questions"] += 1
@@ -158,14 +166,32 @@
         behind = current != self.holder.subscription(region)
         if (state.first_poll or behind) and position != START:
             parts.append(f"held={_names(current) or ','}")
-        report = (self.generation, _names(self.holder.serving()))
+        report = _Report(self._generation(state), _names(self.holder.serving()))
         if state.reported != report:
             state.reported = report
-            parts.append(f"serving={report[1]}&generation={report[0]}")
+            parts.append(f"serving={report.serving}&generation={report.generation}")
         if time.monotonic() < state.stay_until:
             parts.append("redirected=1")
         return "&".join(parts)
 
+    def _address(self, state: _Region) -> Address:
+        """The machine that a region's log is polled at."""
+        return state.redirect or self._machines[state.machine]
+
+    def _polled_alike(self, state: _Region) -> list[_Region]:
+        """The regions whose logs are polled at the same machine as this one's, itself included."""
+        address = self._address(state)
+        return [other for other in self._regions.values() if self._address(other) == address]
+
+    def _generation(self, state: _Region) -> int:
+        """The generation of the last assignment from the machine that is polled, 0 for none.
+
+        Machines number their generations each for itself. Guards against a report that one counts
+        by a generation of another: it could count although it was made before the node learnt what
+        this machine wants back.
+        """
+        return max(other.generation for other in self._polled_alike(state))
+
     def _poll_later(self, region: str, seconds: float) -> None:
         """Poll after a time, in the next turn of the loop at the earliest."""
         loop = asyncio.get_running_loop()
@@ -197,7 +223,7 @@
         state.machine = (state.machine + 1) % len(self._machines)
         state.redirect = None
         state.stay_until = time.monotonic() + STAY_S
-        state.first_poll, state.reported = True, None
+        self._forget_machine(state)
         pause = min(timing.retry_s * 2 ** min(state.failures, MAX_DOUBLINGS), timing.max_retry_s)
         state.failures += 1
         self._poll_later(region, pause * self._random.uniform(*RETRY_JITTER))
@@ -208,7 +234,7 @@
             self._move(region, state, parse_address(response.redirect_address))
             return
         if response.assignment is not None:
-            self._on_assignment(response.assignment)
+            self._on_assignment(state, response.assignment)
         if response.update is not None:
             self._apply(region, state, response.update)
         else:
@@ -233,11 +259,24 @@
         state.stay_until = time.monotonic() + STAY_S
         if address in self._machines:
             state.machine = self._machines.index(address)
-        state.first_poll, state.reported = True, None
+        self._forget_machine(state)
         self._poll_later(region, self._timing.retry_s if again else 0.0)
 
-    def _on_assignment(self, assignment: NodeAssignment) -> None:
-        self.generation = assignment.generation
+    def _forget_machine(self, state: _Region) -> None:
+        """Another machine is polled from now on, or the same one anew."""
+        state.first_poll, state.reported, state.generation = True, None, 0
+
+    def _on_assignment(self, state: _Region, assignment: NodeAssignment) -> None:
+        if assignment.generation < state.generation:
+            # One region's answers come in order: the machine has restarted and numbers anew.
+            for other in self._polled_alike(state):
+                other.generation = 0
+        elif assignment.generation < self._generation(state):
+            # Late: a newer one has come with another region's answer. Taken, it would bring back
+            # services that have moved away since, or drop those that have come.
+            self.counts.events["older assignments"] += 1
+            return
+        state.generation = assignment.generation
         exceeding = self.holder.on_wanted(
             time.monotonic_ns(), assignment.wanted, assignment.releasable
         )
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -46,7 +46,6 @@
 
     def __init__(self, streams: PeerStreams) -> None:
         self.transport: Any = mock.Mock()
-        self.transport.is_closing = lambda: self.transport.abort.called
         self._protocol = _Incoming(streams)
         self._protocol.connection_made(self.transport)
 
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -30,7 +30,7 @@
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
 from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
-from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region
+from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region, _Report
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encoder import Encoder, stub_cluster
 from loadbalancer.control.xds.wire import ResponseEncoder, decode_delta_request, decode_request
@@ -345,12 +345,13 @@
         serving=lambda: serving,
     )
     timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
-    asker = Subscriber(holder, [plain["region"]], [], lambda *_: None, 1, timing)
-    asker.generation = plain["generation"]
-    state = _Region(0, first_poll=plain["held"] is not None)
+    machines = [parse_address(ASKED)]
+    asker = Subscriber(holder, [plain["region"]], machines, lambda *_: None, 1, timing)
+    state = _Region(0, first_poll=plain["held"] is not None, generation=plain["generation"])
+    asker._regions[plain["region"]] = state
     state.stay_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
-        state.reported = (asker.generation, "")
+        state.reported = _Report(plain["generation"], "")
     target = asker._target(plain["region"], state)
 
     async def head() -> str:
