--- a/loadbalancer/core/replicated_log/fetch_server.py
+++ b/loadbalancer/core/replicated_log/fetch_server.py
@@ -10,6 +10,7 @@
     Fetch,
     FetchResponse,
     InstallSnapshot,
+    Outgoing,
     ServiceRows,
 )
 
@@ -45,21 +46,21 @@
             self._pending.pop(sender, None)
         return answer
 
-    def on_log_advanced(self) -> list[tuple[str, Response]]:
+    def on_log_advanced(self) -> list[Outgoing]:
         """The log has new changes: answers to the fetches that waited for them."""
         answers = []
         for sender, pending in list(self._pending.items()):
             if (answer := self._answer(sender, pending.fetch)) is not None:
                 del self._pending[sender]
-                answers.append((sender, answer))
+                answers.append(Outgoing(sender, answer))
         return answers
 
-    def on_tick(self, now: int) -> list[tuple[str, FetchResponse]]:
+    def on_tick(self, now: int) -> list[Outgoing]:
         """Answers without changes to the fetches that have reached their deadline."""
         due = [(sender, one) for sender, one in self._pending.items() if one.deadline <= now]
         for sender, _ in due:
             del self._pending[sender]
-        return [(sender, self._changes(one.fetch, ())) for sender, one in due]
+        return [Outgoing(sender, self._changes(one.fetch, ())) for sender, one in due]
 
     def _changes(self, fetch: Fetch, changes: tuple[Change, ...]) -> FetchResponse:
         return FetchResponse(fetch.region, fetch.request_id, self._log.position, changes)
--- a/loadbalancer/core/replicated_log/learner.py
+++ b/loadbalancer/core/replicated_log/learner.py
@@ -13,6 +13,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 from itertools import pairwise
+from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import START, Change, Position, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
@@ -22,6 +23,13 @@
 MAX_CHUNKS = 65_536  # of one snapshot; an answer that names more is not plausible
 
 
+class OutgoingFetch(NamedTuple):
+    """A fetch to be sent, and the machine that it goes to."""
+
+    source: str
+    fetch: Fetch
+
+
 class Learner:
     """Fetches one region's committed changes."""
 
@@ -42,8 +50,8 @@
         """Somebody has this position of the region's log; the next fetch passes it on."""
         self._highest_reported = highest(self._highest_reported, position)
 
-    def poll(self, now: int) -> tuple[str, Fetch] | None:
-        """The next fetch and the machine to send it to; None while one is pending."""
+    def poll(self, now: int) -> OutgoingFetch | None:
+        """The next fetch; None while one is pending."""
         if not self._sources:
             return None
         if self._pending is not None:
@@ -60,7 +68,7 @@
             first = self._chunks[0]
             fetch = replace(fetch, snapshot=first.position, chunk=len(self._chunks))
         self._pending = fetch
-        return self._sources[self._source % len(self._sources)], fetch
+        return OutgoingFetch(self._sources[self._source % len(self._sources)], fetch)
 
     def stop(self) -> None:
         """Fetch nothing for now; an answer on its way is dropped."""
--- a/loadbalancer/core/replicated_log/messages.py
+++ b/loadbalancer/core/replicated_log/messages.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import START, Change, Position, Row
 
@@ -148,3 +149,10 @@
     | RecoveryRequest
     | RecoveryResponse
 )
+
+
+class Outgoing(NamedTuple):
+    """A message to be sent, and the machine that it goes to."""
+
+    recipient: str
+    message: Message
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -25,7 +25,7 @@
     RequestVoteResponse,
 )
 from loadbalancer.core.replicated_log.model import Role, Timing
-from loadbalancer.core.replicated_log.raft_log import RaftLog
+from loadbalancer.core.replicated_log.raft_log import Committed, RaftLog
 from loadbalancer.core.replicated_log.recovery import Recovery
 from loadbalancer.core.replicated_log.state import Membership, Outbox, RaftState
 
@@ -103,10 +103,10 @@
         """Load all services from their source; see `needs_load`."""
         self._leader.load(services)
 
-    def drain_committed(self) -> tuple[list[Change], bool]:
+    def drain_committed(self) -> Committed:
         """Changes committed since the last call, and whether they replaced the change log."""
         state = self.state
-        drained = state.committed, state.replaced
+        drained = Committed(state.committed, state.replaced)
         state.committed, state.replaced = [], False
         return drained
 
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import (
     START,
@@ -27,6 +28,7 @@
     FetchResponse,
     InstallSnapshot,
     Message,
+    Outgoing,
 )
 from loadbalancer.core.replicated_log.model import Role, Timing, highest, is_plausible
 from loadbalancer.core.replicated_log.raft import RaftMember
@@ -54,6 +56,13 @@
     rule: str = ""  # where WRONG_REGION
 
 
+class CommittedChange(NamedTuple):
+    """A change that was appended to the log of a region."""
+
+    region: str
+    change: Change
+
+
 class Replica:
     """One machine's logs, by region."""
 
@@ -81,7 +90,7 @@
         self._machines = {spec.name: spec.region for spec in machines if spec != machine}
         self._counts: Counter[str] = Counter()
         self._outbox: Outbox = []
-        self._committed: list[tuple[str, Change]] = []
+        self._committed: list[CommittedChange] = []
         self._restored: list[str] = []
         members = tuple(spec.name for spec in machines if spec.region == machine.region)
         self._member = RaftMember(
@@ -188,8 +197,8 @@
 
     # ---- drained by the owner --------------------------------------------
 
-    def committed(self) -> list[tuple[str, Change]]:
-        """Drain the (region, change) pairs that were appended to the logs since the last call."""
+    def committed(self) -> list[CommittedChange]:
+        """Drain the changes that were appended to the logs since the last call."""
         drained, self._committed = self._committed, []
         return drained
 
@@ -201,8 +210,8 @@
         drained, self._restored = self._restored, []
         return drained
 
-    def outgoing(self) -> list[tuple[str, Message]]:
-        """Drain the (recipient, message) pairs to send."""
+    def outgoing(self) -> list[Outgoing]:
+        """Drain the messages to send."""
         drained = list(self._outbox)
         self._outbox.clear()
         return drained
@@ -221,8 +230,8 @@
     def _poll(self, now: int, region: str, learner: Learner) -> None:
         if region == self._region and self._member.has_leader(now):
             learner.stop()
-        elif fetch := learner.poll(now):
-            self._outbox.append(fetch)
+        elif polled := learner.poll(now):
+            self._outbox.append(Outgoing(polled.source, polled.fetch))
 
     def on_message(self, now: int, sender: str, message: Message) -> None:
         """Handle another control machine's message; one that can't be used is counted."""
@@ -258,7 +267,7 @@
             self._member.on_reported(now, reported)
         answer = self._servers[fetch.region].on_fetch(now, sender, fetch)
         if answer is not None:
-            self._outbox.append((sender, answer))
+            self._outbox.append(Outgoing(sender, answer))
 
     def _apply(self, region: str, changes: Sequence[Change]) -> None:
         if not changes:
@@ -268,7 +277,7 @@
         else:
             for change in changes:
                 self._logs[region].append(change)
-        self._committed += [(region, change) for change in changes]
+        self._committed += [CommittedChange(region, change) for change in changes]
         self._answer_fetches(region)
 
     def _install(self, region: str, snapshot: LogSnapshot | None) -> None:
@@ -290,7 +299,7 @@
             self._restored.append(self._region)
         elif not changes:
             return
-        self._committed += [(self._region, change) for change in changes]
+        self._committed += [CommittedChange(self._region, change) for change in changes]
         self._answer_fetches(self._region)
 
     def _answer_fetches(self, region: str) -> None:
--- a/loadbalancer/core/replicated_log/state.py
+++ b/loadbalancer/core/replicated_log/state.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from loadbalancer.core.assignment.model import START, Change, Position
-from loadbalancer.core.replicated_log.messages import Message, RequestVote
+from loadbalancer.core.replicated_log.messages import Message, Outgoing, RequestVote
 from loadbalancer.core.replicated_log.model import Role, Timing, highest, is_plausible
 from loadbalancer.core.replicated_log.raft_log import RaftLog
 
@@ -19,7 +19,7 @@
 INDEX_STRIDE = 1_000_000  # its first index likewise: a block is 45 days at 22,000 changes a day
 NONCE_BITS = 48
 
-Outbox = list[tuple[str, Message]]  # recipient and message, in the order of sending
+Outbox = list[Outgoing]  # in the order of sending
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,4 +149,4 @@
 
     def send(self, recipient: str, message: Message) -> None:
         """Leave a message to be sent."""
-        self._outbox.append((recipient, message))
+        self._outbox.append(Outgoing(recipient, message))
--- a/tests/core/replicated_log/test_learner.py
+++ b/tests/core/replicated_log/test_learner.py
@@ -26,7 +26,7 @@
     ):
         polled = learner.poll(0)
         assert polled is not None
-        request_id = polled[1].request_id
+        request_id = polled.fetch.request_id
         chunk = InstallSnapshot("east", request_id, position, 0, chunks, (), 0, (), START)
         assert learner.on_chunk(chunk) is None
         assert learner.counts["useless images"] == number + 1
