--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -46,7 +46,7 @@
     return rows_size(change.service, change.rows) + removed
 
 
-def applied(rows: Rows, change: Change) -> Rows:
+def applied(rows: Rows, change: Change) -> dict[str, Row]:
     """The rows of a service after a change; the given ones are not modified."""
     if change.deleted:
         return {}
@@ -73,6 +73,15 @@
     history: Position = START  # as in `ChangeLog.reset`
 
 
+@dataclass(frozen=True, slots=True)
+class _Service:
+    """A service as of its last change."""
+
+    rows: Rows
+    size: int  # of the rows, in bytes
+    last_changed: int  # revision
+
+
 @dataclass(frozen=True, slots=True)
 class _Logged:
     """A change in the log, and its size in bytes."""
@@ -106,11 +115,9 @@
         self.position = Position(0, history.revision)
         self.history = history
         self.size_bytes = 0  # of the changes in the log
-        self._rows: dict[str, Rows] = {}
-        self._sizes: dict[str, int] = {}
+        self._services: dict[str, _Service] = {}
         self._log: deque[_Logged] = deque()
         self._by_service: dict[str, deque[Change]] = {}
-        self._last_changed: dict[str, int] = {}  # revision of each service's last change
         self._compacted: dict[str, int] = {}  # each service's last revision that left the log
         self._last_deletion = 0  # revision of the last deletion of any service
         self._compacted_deletion = 0  # deletions up to this revision may have left the log
@@ -145,20 +152,18 @@
 
     def _apply(self, change: Change) -> None:
         service = change.service
-        if service not in self._rows and service not in self._by_service:
+        if service not in self._services and service not in self._by_service:
             # A service of this name may have been deleted, and its deletion compacted away. A
             # subscriber that still has the old one must not get the new one as a delta.
             self._compacted.setdefault(service, self._compacted_deletion)
-        rows = applied(self._rows.get(service, {}), change)
+        before = self._services.get(service)
         if change.deleted:
             self._last_deletion = change.position.revision
-            self._rows.pop(service, None)
-            self._sizes.pop(service, None)
-            self._last_changed.pop(service, None)
+            self._services.pop(service, None)
         else:
-            self._rows[service] = rows
-            self._sizes[service] = rows_size(service, rows.values())
-            self._last_changed[service] = change.position.revision
+            rows = applied(before.rows if before else {}, change)
+            size = rows_size(service, rows.values())
+            self._services[service] = _Service(rows, size, change.position.revision)
         self._by_service.setdefault(service, deque()).append(change)
 
     def _compact(self) -> None:
@@ -173,7 +178,7 @@
         self._compacted[service] = oldest.change.position.revision
         if not logged:
             del self._by_service[service]
-            if service not in self._rows:
+            if service not in self._services:
                 self._compacted_deletion = max(
                     self._compacted_deletion, self._compacted.pop(service)
                 )
@@ -192,13 +197,12 @@
         self.reset()
         self.position = snapshot.position
         self.history = snapshot.history
-        self._rows = dict(snapshot.rows)
-        self._sizes = {name: rows_size(name, rows.values()) for name, rows in self._rows.items()}
-        self._last_changed = dict(snapshot.last_changed)
-        # No change up to the snapshot is logged: count each service's last one as compacted.
-        self._compacted = {
-            name: self._last_changed.get(name, snapshot.position.revision) for name in snapshot.rows
-        }
+        for name, rows in snapshot.rows.items():
+            last_changed = snapshot.last_changed.get(name, snapshot.position.revision)
+            size = rows_size(name, rows.values())
+            self._services[name] = _Service(rows, size, last_changed)
+            # No change up to the snapshot is logged: count each service's last one as compacted.
+            self._compacted[name] = last_changed
         self._last_deletion = self._compacted_deletion = snapshot.last_deletion
         self._epoch_starts = list(snapshot.epoch_starts)
 
@@ -206,9 +210,11 @@
 
     def log_snapshot(self) -> LogSnapshot:
         """The region as of now, unaffected by later changes. Cost is linear in its services."""
+        rows = {name: service.rows for name, service in self._services.items()}
+        last_changed = {name: service.last_changed for name, service in self._services.items()}
         return LogSnapshot(
-            self.position, dict(self._rows), dict(self._last_changed), self._last_deletion,
-            tuple(self._epoch_starts), self.history,
+            self.position, rows, last_changed, self._last_deletion, tuple(self._epoch_starts),
+            self.history,
         )  # fmt: skip
 
     def contains(self, position: Position) -> bool:
@@ -238,7 +244,7 @@
         compacted = self._compacted.get(service)
         if compacted is not None:
             return compacted
-        return 0 if service in self._rows else self._compacted_deletion
+        return 0 if service in self._services else self._compacted_deletion
 
     def since(self, position: Position, services: Iterable[str]) -> Delta | None:
         """What changed in these services after `position`, up to now.
@@ -268,27 +274,30 @@
         return tuple(self._replacement(service) for service in services)
 
     def _replacement(self, service: str) -> Change:
-        rows = self._rows.get(service)
+        rows = self.rows(service)
         if rows is None:
             return Change(self.position, service, deleted=True, complete=True)
         return Change(self.position, service, tuple(rows.values()), complete=True)
 
     def snapshot(self, services: Iterable[str]) -> Snapshot:
         """A subscriber's snapshot of these services, without those the region does not know."""
-        found = {name: self._rows[name] for name in services if name in self._rows}
+        known = self._services
+        found = {name: known[name].rows for name in services if name in known}
         return Snapshot(self.region, self.position, found)
 
     def size(self, services: Iterable[str]) -> int:
         """The approximate size in bytes of all rows of these services."""
-        return sum(self._sizes.get(name, CHANGE_OVERHEAD) for name in services)
+        known = self._services
+        return sum(known[name].size if name in known else CHANGE_OVERHEAD for name in services)
 
     def rows(self, service: str) -> Rows | None:
         """The rows of a service; None where the region does not know it."""
-        return self._rows.get(service)
+        found = self._services.get(service)
+        return None if found is None else found.rows
 
     def services(self) -> Iterator[str]:
         """Every service of the region."""
-        return iter(self._rows)
+        return iter(self._services)
 
     def after(self, position: Position, max_bytes: int) -> tuple[Change, ...] | None:
         """All changes after `position`, in order, up to about `max_bytes` and at least one.
--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import Change, Delta, Position, Row
+from loadbalancer.core.replicated_log.change_log import applied
 from loadbalancer.core.subscription.limits import ROW_BYTES
 
 Rows = dict[str, Row]  # by uid
@@ -62,13 +63,7 @@
 
 def rows_after(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
     """A service's rows after a change; None where it was deleted."""
-    if change.deleted:
-        return None
-    rows = {} if change.complete or before is None else dict(before)
-    for uid in change.removed:
-        rows.pop(uid, None)
-    rows.update((row.uid, row) for row in change.rows)
-    return rows
+    return None if change.deleted else applied(before or {}, change)
 
 
 def rows_without_removed(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
