--- /dev/null
+++ b/tests/core/gossip/test_failure_detector.py
@@ -0,0 +1,69 @@
+"""Acks that come late, twice, from another member, or for an earlier probe."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core.gossip.failure_detector import RELAY_TTL_NS, FailureDetector
+from loadbalancer.core.gossip.membership import PROTOCOL_PERIOD_NS, Membership
+from loadbalancer.core.gossip.messages import Kind, MemberStatus, Message, Outgoing
+
+
+@pytest.mark.parametrize(
+    ("serial_offset", "from_target", "about_target", "status"),
+    [
+        (0, True, True, MemberStatus.ALIVE),
+        (0, False, True, MemberStatus.ALIVE),  # relayed
+        (0, False, False, MemberStatus.SUSPECT),  # of another member
+        (-1, True, True, MemberStatus.SUSPECT),  # late: to an earlier probe, or process
+        (1, True, True, MemberStatus.SUSPECT),  # never asked for
+    ],
+)
+def test_a_probe_ends_only_with_an_ack_to_itself(
+    serial_offset: int, from_target: bool, about_target: bool, status: MemberStatus
+) -> None:
+    """A member has died; an ack that it sent before, or that of another member, comes now.
+
+    Taken for the ack of this probe, it would hide the death for a round.
+    """
+    members = Membership(0, 4, 1, 1)
+    detector = FailureDetector(members)
+    (ping,) = detector.tick(0)
+    target = ping.to
+    other = next(peer for peer in members.peers if peer != target)
+    ack = Message(
+        Kind.ACK,
+        target if from_target else other,
+        1,
+        ping.message.serial + serial_offset,
+        target if about_target else other,
+    )
+    for _ in range(2):  # and twice
+        assert detector.on_message(1, ack) == []
+    for period in (1, 2):
+        detector.tick(period * PROTOCOL_PERIOD_NS)
+    assert members.peers[target].status is status
+
+
+def test_an_ack_is_relayed_once_and_from_its_target_alone() -> None:
+    """A helper pings a member for another one. Acks of other members, a second ack, or one that
+    comes long after must not reach the member that asked.
+    """
+    members = Membership(0, 4, 1, 1)
+    detector = FailureDetector(members)
+    request = Message(Kind.PING_REQUEST, 1, 1, 77, 2)
+    (ping,) = detector.on_message(0, request)
+    assert (ping.to, ping.message.kind) == (2, Kind.PING)
+
+    def ack(origin: int, serial: int) -> list[Outgoing]:
+        return detector.on_message(1, Message(Kind.ACK, origin, 1, serial, origin))
+
+    assert ack(3, ping.message.serial) == []
+    (relayed,) = ack(2, ping.message.serial)
+    assert relayed.to == 1
+    assert (relayed.message.kind, relayed.message.serial) == (Kind.ACK, 77)
+    assert relayed.message.subject == 2
+    assert ack(2, ping.message.serial) == []
+    (ping,) = detector.on_message(2, request)
+    detector.tick(RELAY_TTL_NS + 2)
+    assert ack(2, ping.message.serial) == []
--- a/tests/core/gossip/test_membership.py
+++ b/tests/core/gossip/test_membership.py
@@ -4,6 +4,8 @@
 
 from itertools import permutations, product
 
+import pytest
+
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import MemberRecord, MemberStatus
 
@@ -27,3 +29,22 @@
     assert members.incarnation == 10
     members.merge(0, 1, MemberRecord(0, 4, MemberStatus.DEAD))
     assert members.incarnation == 10
+
+
+@pytest.mark.parametrize(
+    ("incarnation", "is_accepted", "status"),
+    [
+        (4, False, MemberStatus.DEAD),  # late: of an earlier process
+        (5, True, MemberStatus.DEAD),  # of the one that died: it has to refute that
+        (6, True, MemberStatus.ALIVE),
+    ],
+)
+def test_only_a_message_of_a_later_incarnation_brings_a_dead_member_back(
+    incarnation: int, is_accepted: bool, status: MemberStatus
+) -> None:
+    """A member is dead in its fifth incarnation; a message that was under way comes now."""
+    members = Membership(0, 3, 1, 1)
+    members.merge(0, 2, MemberRecord(1, 5, MemberStatus.DEAD))
+    assert members.on_message(1, 1, incarnation) is is_accepted
+    assert members.peers[1].status is status
+    assert members.peers[1].incarnation == max(incarnation, 5)
