--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -140,7 +140,7 @@
         names = frozenset(held_services(int(node[1:]), REGION_SERVICES))
         answer = publisher.subscribe(now, node, "east", START, names, None, True)
         if isinstance(answer, RetryAfter):
-            heappush(due, (now + answer.delay, node))
+            heappush(due, (now + answer.delay_ns, node))
         elif isinstance(answer, SendUpdate):
             sent[now // SECOND] += answer.size
             answered[now // SECOND] += 1
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -41,7 +41,7 @@
         self,
         watcher: Watcher,
         since: int,
-        hold: float,
+        hold_s: float,
         query: Query,  # noqa: ARG002 - part of `watchers.ListHost`; this list has one service
     ) -> None:
         """A poll: the version that the node has, and for how many seconds it may wait."""
@@ -52,8 +52,8 @@
             return
         if position > self._log.position:
             watcher.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"behind the version asked from")
-        elif hold > 0 and since and self._unchanged(since):
-            self._waiting.add(watcher, since, hold)
+        elif hold_s > 0 and since and self._unchanged(since):
+            self._waiting.add(watcher, since, hold_s)
         else:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -32,7 +32,7 @@
 MAX_HEAD_BYTES = 64 << 10  # of a poll: it may name the services of a node
 MAX_NAMES = 1024  # services that one poll may name
 MAX_QUOTED = 64  # characters of a wrong name that an answer repeats
-REDIRECT_PAUSE = 2 * SECOND  # for a redirected node to poll the other machine
+REDIRECT_PAUSE_NS = 2 * SECOND  # for a redirected node to poll the other machine
 
 Key = tuple[str, str]  # node and region
 
@@ -60,7 +60,7 @@
     position: Position
     current: frozenset[str] | None  # services that it has as of `position`; None: it does not say
     redirected: bool
-    deadline: int  # when it is answered at the latest, in nanoseconds
+    deadline_ns: int  # when it is answered at the latest
     report: ServingReport | None  # None where the last one still holds
 
 
@@ -103,11 +103,11 @@
             self._publisher.cancel(request.node, request.region)
             self._on_poll_ended(time.monotonic_ns(), request.node)
 
-    def on_list_request(self, watcher: Watcher, since: int, hold: float, query: Query) -> None:
+    def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
         """A poll: the version that the node has, and for how many seconds it may wait."""
         now = time.monotonic_ns()
         try:
-            request = self._decode(now, since, hold, query)
+            request = self._decode(now, since, hold_s, query)
         except InvalidInputError as err:
             self._refuse(watcher, str(err))
             return
@@ -151,7 +151,7 @@
 
     # ---- one poll -----------------------------------------------------------
 
-    def _decode(self, now: int, since: int, hold: float, query: Query) -> PollRequest:
+    def _decode(self, now: int, since: int, hold_s: float, query: Query) -> PollRequest:
         """All of a poll, or an error: from one that is refused nothing may be taken.
 
         Guards against a poll whose report can't be read: it was noted as one that waits, never
@@ -166,10 +166,10 @@
         if "held" in query:
             current = frozenset(_names(query["held"][0]))
         redirected = query.get("redirected") == ["1"]
-        deadline = now + int(hold * SECOND)
+        deadline_ns = now + int(hold_s * SECOND)
         position = position_of(since)
         report = _report(query)
-        return PollRequest(node, region, position, current, redirected, deadline, report)
+        return PollRequest(node, region, position, current, redirected, deadline_ns, report)
 
     def _answer(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
@@ -207,20 +207,20 @@
         node, region = request.node, request.region
         assignment = self._nodes.changed_assignment(now, node, region, first_poll)
         if isinstance(answer, RetryAfter):
-            pause = max(answer.delay // MS, 1)
+            pause = max(answer.delay_ns // MS, 1)
             body = list_form.encode_empty(request.position, pause_ms=pause)
-            self._reply(now, watcher, request, body, None, answer.delay)
+            self._reply(now, watcher, request, body, None, answer.delay_ns)
         elif assignment is not None:
             body = list_form.encode_assignment(request.position, assignment)
             self._reply(now, watcher, request, body, assignment)
-        elif request.deadline <= now:
+        elif request.deadline_ns <= now:
             self._reply(now, watcher, request, list_form.encode_empty(request.position), None)
         else:
-            self._wait(now, watcher, request, answer.until)
+            self._wait(now, watcher, request, answer.until_ns)
 
-    def _wait(self, now: int, watcher: Watcher, request: PollRequest, until: int | None) -> None:
-        due = request.deadline if until is None else min(request.deadline, until)
-        self._waiting.add(watcher, request, max(due - now, 0) / SECOND)
+    def _wait(self, now: int, watcher: Watcher, request: PollRequest, until_ns: int | None) -> None:
+        due_ns = request.deadline_ns if until_ns is None else min(request.deadline_ns, until_ns)
+        self._waiting.add(watcher, request, max(due_ns - now, 0) / SECOND)
         self._watchers.setdefault(request.node, {})[request.region] = watcher
 
     def _on_timeout(self, watcher: Watcher) -> None:
@@ -255,10 +255,10 @@
             self._publisher.cancel(request.node, request.region)
             earlier.abort()
 
-    def _on_poll_ended(self, now: int, node: str, pause: int = 0) -> None:
+    def _on_poll_ended(self, now: int, node: str, pause_ns: int = 0) -> None:
         """The node has to poll again after a pause, unless another region's poll of it waits."""
         if node not in self._watchers:
-            self._nodes.on_response(now, node, pause)
+            self._nodes.on_response(now, node, pause_ns)
 
     # ---- replies ------------------------------------------------------------
 
@@ -270,7 +270,7 @@
         self.counts["sent elsewhere"] += 1
         address = str(self._addresses[machine])
         body = list_form.encode_empty(request.position, elsewhere=machine, address=address)
-        self._reply(now, watcher, request, body, None, REDIRECT_PAUSE)
+        self._reply(now, watcher, request, body, None, REDIRECT_PAUSE_NS)
 
     def _reply(
         self,
@@ -279,10 +279,10 @@
         request: PollRequest,
         body: bytes,
         assignment: NodeAssignment | None,
-        pause: int = 0,
+        pause_ns: int = 0,
     ) -> None:
-        """Send the answer; `pause`: nanoseconds before the node polls again."""
-        self._on_poll_ended(now, request.node, pause)
+        """Send the answer; `pause_ns`: before the node polls again."""
+        self._on_poll_ended(now, request.node, pause_ns)
         if assignment is not None:
             self._nodes.on_assignment_sent(request.node, request.region, assignment)
         self.counts["answers"] += 1
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -19,17 +19,18 @@
 from loadbalancer.core.assignment.release import ReleaseAuthority, ReleaseGrant, ReleaseRules
 from loadbalancer.core.balancing.model import MS, SECOND
 
-# Times in nanoseconds.
-POLL_GRACE = 2 * SECOND  # after an answer, until a node that does not poll again counts as absent
-MAX_OPEN_POLL = 3600 * SECOND  # the same for a poll without an answer; `on_response` ends it before
-FIRST_POLL_WAIT = 30 * SECOND  # after this machine's start, for nodes to poll for the first time
-MAX_TICK_GAP = 3 * SECOND  # between two ticks; after a longer one this machine was stopped
-NODE_TIMEOUT = 10 * SECOND  # nodes of a lost machine find another within this
-SETTLE_TIME = 2 * SECOND  # without a further loss or return, before services move
-MAX_SETTLE_TIME = 15 * SECOND  # from the first loss or return, however many follow
+# After an answer, until a node that does not poll again counts as absent.
+POLL_GRACE_NS = 2 * SECOND
+# The same for a poll without an answer; `on_response` ends it before.
+MAX_OPEN_POLL_NS = 3600 * SECOND
+FIRST_POLL_WAIT_NS = 30 * SECOND  # after this machine's start, for nodes to poll for the first time
+MAX_TICK_GAP_NS = 3 * SECOND  # between two ticks; after a longer one this machine was stopped
+NODE_TIMEOUT_NS = 10 * SECOND  # nodes of a lost machine find another within this
+SETTLE_TIME_NS = 2 * SECOND  # without a further loss or return, before services move
+MAX_SETTLE_TIME_NS = 15 * SECOND  # from the first loss or return, however many follow
 REPORTS_PER_MESSAGE = 512
 # Ticks and grants come once a second: one may be late or lost.
-RELEASE_RULES = ReleaseRules(lease_duration=2500 * MS, max_pause=2500 * MS)
+RELEASE_RULES = ReleaseRules(lease_duration_ns=2500 * MS, max_pause_ns=2500 * MS)
 
 Send = Callable[[object], None]
 
@@ -49,7 +50,7 @@
         self._released: Mapping[str, frozenset[str]] = {}  # as of the last tick, by node
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
-        self.liveness = Liveness(now, names, LivenessRules(timeout=NODE_TIMEOUT))
+        self.liveness = Liveness(now, names, LivenessRules(timeout_ns=NODE_TIMEOUT_NS))
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False
@@ -110,16 +111,16 @@
 
     def on_poll(self, now: int, node: str) -> None:
         """The node polls here."""
-        self._deadlines[node] = now + MAX_OPEN_POLL
+        self._deadlines[node] = now + MAX_OPEN_POLL_NS
         self.presence.on_present(node)
         self.liveness.on_heartbeat(now, node)
 
-    def on_response(self, now: int, node: str, pause: int = 0) -> None:
+    def on_response(self, now: int, node: str, pause_ns: int = 0) -> None:
         """Its poll was answered, or its connection was lost.
 
-        It has to poll again after a pause in nanoseconds.
+        It has to poll again after a pause.
         """
-        self._deadlines[node] = now + pause + POLL_GRACE
+        self._deadlines[node] = now + pause_ns + POLL_GRACE_NS
 
     def on_report(self, node: str, serving: Collection[str], generation: int) -> None:
         """The node reports what it serves, as of the assignment of this generation."""
@@ -174,7 +175,7 @@
         """Once a second: which nodes live. True where the assignment has changed."""
         self._expire_polls(now)
         self.presence.on_time(now)
-        if now - self._last_tick > MAX_TICK_GAP or self._is_cut_off(now):
+        if now - self._last_tick > MAX_TICK_GAP_NS or self._is_cut_off(now):
             self._restart_first_polls(now)
         self._last_tick = now
         self._pass_heartbeats(now)
@@ -201,7 +202,7 @@
         """Nodes that poll anywhere are alive; so are those with time left for their first poll."""
         present = self.presence.present()
         self._not_seen -= present
-        starting = self._not_seen if now - self._started < FIRST_POLL_WAIT else ()
+        starting = self._not_seen if now - self._started < FIRST_POLL_WAIT_NS else ()
         for node in (*present, *starting):
             self.liveness.on_heartbeat(now, node)
 
@@ -211,8 +212,8 @@
         A rack or a zone fails and returns over some seconds. An assignment in the midst of that
         would move services which the next one moves again.
         """
-        paused = now - self._last_change >= SETTLE_TIME
-        return paused or now - self._unsettled_since >= MAX_SETTLE_TIME
+        paused = now - self._last_change >= SETTLE_TIME_NS
+        return paused or now - self._unsettled_since >= MAX_SETTLE_TIME_NS
 
     def _is_cut_off(self, now: int) -> bool:
         """Whether too few machines are connected to conclude anything from a node's silence.
--- a/loadbalancer/core/assignment/presence.py
+++ b/loadbalancer/core/assignment/presence.py
@@ -13,7 +13,7 @@
 
 from loadbalancer.core.balancing.model import SECOND
 
-MACHINE_TIMEOUT = 3 * SECOND  # without a message of a machine, its updates are discarded
+MACHINE_TIMEOUT_NS = 3 * SECOND  # without a message of a machine, its updates are discarded
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
 class Presence:
     """The nodes that poll here, those that poll at other machines, and which machines are up."""
 
-    def __init__(self, nodes: Iterable[str], machine_timeout: int = MACHINE_TIMEOUT) -> None:
+    def __init__(self, nodes: Iterable[str], machine_timeout_ns: int = MACHINE_TIMEOUT_NS) -> None:
         """`nodes` are the registered ones; others are ignored."""
-        self._machine_timeout = machine_timeout
+        self._machine_timeout_ns = machine_timeout_ns
         self._nodes = frozenset(nodes)
         self._local: set[str] = set()
         self._joined: set[str] = set()  # here, since the last update sent
@@ -80,7 +80,7 @@
     def on_time(self, now: int) -> None:
         """Forget the updates of machines that have timed out."""
         for machine, last in self._last_message.items():
-            if now - last > self._machine_timeout:
+            if now - last > self._machine_timeout_ns:
                 self._remote_serials.pop(machine, None)
                 self._remote.pop(machine, None)
 
@@ -110,5 +110,5 @@
         return frozenset(
             machine
             for machine, last in self._last_message.items()
-            if now - last <= self._machine_timeout
+            if now - last <= self._machine_timeout_ns
         )
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -24,26 +24,32 @@
     """The times of grants, and the bound of one.
 
     Attributes:
-        leadership_delay: nanoseconds of leading after which a leader knows what its predecessors
+        leadership_delay_ns: nanoseconds of leading after which a leader knows what its predecessors
             granted, and grants itself.
-        lease_duration: nanoseconds that a grant is valid, from its arrival.
-        max_pause: nanoseconds between two ticks; after a longer pause the machine was stopped.
+        lease_duration_ns: nanoseconds that a grant is valid, from its arrival.
+        max_pause_ns: nanoseconds between two ticks; after a longer pause the machine was stopped.
         max_pairs: pairs of node and service in one grant.
 
     Raises:
         InvalidInputError: one of them is not positive.
     """
 
-    leadership_delay: int = 5 * SECOND
-    lease_duration: int = 1500 * MS
-    max_pause: int = 200 * MS
+    leadership_delay_ns: int = 5 * SECOND
+    lease_duration_ns: int = 1500 * MS
+    max_pause_ns: int = 200 * MS
     max_pairs: int = 65_536
 
     def __post_init__(self) -> None:
-        figures = (self.leadership_delay, self.lease_duration, self.max_pause, self.max_pairs)
+        figures = (
+            self.leadership_delay_ns,
+            self.lease_duration_ns,
+            self.max_pause_ns,
+            self.max_pairs,
+        )
         if min(figures) < 1:
             raise InvalidInputError(
-                "release: leadership_delay, lease_duration, max_pause and max_pairs must be over 0"
+                "release: leadership_delay_ns, lease_duration_ns, max_pause_ns and max_pairs must be"
+                " over 0"
             )
 
 
@@ -116,7 +122,7 @@
         """
         if self._epoch is None or self._paused(now):
             return None
-        if now - self._led_since < self.rules.leadership_delay:
+        if now - self._led_since < self.rules.leadership_delay_ns:
             return None
         grant = ReleaseGrant(self._machine.region, self._epoch, self._releases(releasable))
         self._accept(now, grant)
@@ -144,7 +150,7 @@
     def _valid_grants(self, now: int) -> list[_AcceptedGrant]:
         if self._paused(now):
             return []
-        lease = self.rules.lease_duration
+        lease = self.rules.lease_duration_ns
         return [grant for grant in self._grants.values() if now - grant.arrived < lease]
 
     def _paused(self, now: int) -> bool:
@@ -154,7 +160,7 @@
         that is timed from their arrival could outlast the leader's. So nothing counts until the
         next tick, and what was accepted before is void for good.
         """
-        return now - self._last_tick > self.rules.max_pause
+        return now - self._last_tick > self.rules.max_pause_ns
 
     def _void_grants(self) -> None:
         """No grant counts any more; their epochs still do, against older grants."""
--- a/loadbalancer/core/subscription/answers.py
+++ b/loadbalancer/core/subscription/answers.py
@@ -29,10 +29,10 @@
 class Wait:
     """There is nothing to send yet: a long poll, until `on_change` or another event names the node.
 
-    Then, and at the time `until` where that is not None, `Publisher.subscribe` is called again.
+    Then, and at the time `until_ns` where that is not None, `Publisher.subscribe` is called again.
     """
 
-    until: int | None = None
+    until_ns: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """The subscriber is to poll again after `delay` nanoseconds."""
+    """The subscriber is to poll again after `delay_ns`."""
 
-    delay: int
+    delay_ns: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -29,7 +29,7 @@
 from loadbalancer.core.subscription.placement import Placement
 from loadbalancer.core.subscription.subscribers import Key, Subscriber, Subscribers
 
-NOT_READY_DELAY = 500 * MS  # for a subscriber of a log that has nothing yet
+NOT_READY_DELAY_NS = 500 * MS  # for a subscriber of a log that has nothing yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
             return self._behind(node, redirected)
         if log.position == START:
             self.counts["not ready"] += 1
-            return RetryAfter(NOT_READY_DELAY)
+            return RetryAfter(NOT_READY_DELAY_NS)
         subscriber = self._subscribers.update(node, region, services)
         if current is None:
             current = subscriber.sent if subscriber.position == position else frozenset()
@@ -168,7 +168,7 @@
         others = self._placement.others(node, self._living - {self._name})
         if others and not redirected:
             return Redirect(others[0])
-        return RetryAfter(NOT_READY_DELAY)
+        return RetryAfter(NOT_READY_DELAY_NS)
 
     def _snapshot(self, now: int, key: Key, log: ChangeLog, subscriber: Subscriber) -> Answer:
         size = log.size(subscriber.services)
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -77,7 +77,8 @@
             now,
             [node.name for node in topology.nodes],
             LivenessRules(
-                timeout=size.slowed(NODE_TIMEOUT), recovery_time=size.slowed(NODE_RECOVERY_TIME)
+                timeout_ns=size.slowed(NODE_TIMEOUT),
+                recovery_time_ns=size.slowed(NODE_RECOVERY_TIME),
             ),
         )
         self._handover = Handover(topology.nodes)
@@ -88,7 +89,8 @@
             topology.machines,
             topology.home,
             ReleaseRules(
-                lease_duration=size.slowed(RELEASE_LEASE), max_pause=2 * size.slowed(TICK_INTERVAL)
+                lease_duration_ns=size.slowed(RELEASE_LEASE),
+                max_pause_ns=2 * size.slowed(TICK_INTERVAL),
             ),
         )
         self._heard_at = dict.fromkeys(range(len(topology.machines)), now)
@@ -218,7 +220,7 @@
         answer: Answer | None = self._ask_publisher(poll, assignment)
         if isinstance(answer, Wait):
             if poll.assignment == assignment and environment.now < opened.deadline:
-                opened.retry_at = answer.until
+                opened.retry_at = answer.until_ns
                 return
             answer = None
         del self.open_polls[PollKey(poll.node, poll.region)]
--- a/simulation/control_world/node.py
+++ b/simulation/control_world/node.py
@@ -128,7 +128,7 @@
             self._polled_machine[poll.region] = environment.topology.machine_index[answer.machine]
             self._poll_later(poll, POLL_DELAY, redirected=True)
         elif isinstance(answer, RetryAfter):
-            self._poll_later(poll, answer.delay)
+            self._poll_later(poll, answer.delay_ns)
         elif isinstance(answer, Refused):
             environment.breach(f"{self.spec.name} was refused: {answer.reason.value}")
             self._poll_later(poll, REFUSED_POLL_DELAY)
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -33,7 +33,7 @@
 
     for name in NAMES:
         releases = region.machines[name].releases
-        monkeypatch.setattr(releases, "rules", replace(releases.rules, leadership_delay=1))
+        monkeypatch.setattr(releases, "rules", replace(releases.rules, leadership_delay_ns=1))
         view(name, *(("pay",) if name in others else ()))
     for _ in range(2):
         for name in NAMES:
--- a/tests/core/assignment/test_liveness.py
+++ b/tests/core/assignment/test_liveness.py
@@ -9,10 +9,10 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 
 RULES = LivenessRules(
-    timeout=3 * SECOND,
-    recovery_time=5 * SECOND,
-    max_recovery_time=60 * SECOND,
-    flap_memory=600 * SECOND,
+    timeout_ns=3 * SECOND,
+    recovery_time_ns=5 * SECOND,
+    max_recovery_time_ns=60 * SECOND,
+    flap_memory_ns=600 * SECOND,
 )
 STEP = 500 * MS
 NOTHING = LivenessChange((), ())
@@ -56,13 +56,13 @@
 def test_all_count_as_alive_at_first_and_die_of_silence() -> None:
     run = Run()
     assert run.liveness.alive == {"n", "other"}
-    assert run.die() == RULES.timeout
+    assert run.die() == RULES.timeout_ns
     assert run.liveness.alive == {"other"}
 
 
 def test_a_short_silence_is_no_death() -> None:
     liveness = Liveness(0, ["n"], RULES)
-    for now in range(0, 60 * SECOND, RULES.timeout - 1):
+    for now in range(0, 60 * SECOND, RULES.timeout_ns - 1):
         assert liveness.advance(now) == NOTHING
         liveness.on_heartbeat(now, "n")
 
@@ -70,7 +70,7 @@
 def test_one_is_back_only_after_it_has_stayed() -> None:
     run = Run()
     run.die()
-    assert run.come_back() == RULES.recovery_time + STEP  # from its first heartbeat on
+    assert run.come_back() == RULES.recovery_time_ns + STEP  # from its first heartbeat on
     assert run.liveness.alive == {"n", "other"}
 
 
@@ -78,10 +78,10 @@
     run = Run()
     run.die()
     run.live(4 * SECOND)
-    run.now += RULES.timeout
+    run.now += RULES.timeout_ns
     run.liveness.on_heartbeat(run.now, "other")
     assert run.liveness.advance(run.now) == NOTHING
-    assert run.come_back() == RULES.recovery_time + STEP
+    assert run.come_back() == RULES.recovery_time_ns + STEP
 
 
 def test_each_return_takes_longer_up_to_a_bound() -> None:
@@ -99,9 +99,9 @@
     for _ in range(4):
         run.die()
         run.come_back()
-    run.live(RULES.flap_memory)
+    run.live(RULES.flap_memory_ns)
     run.die()
-    assert run.come_back() == RULES.recovery_time + STEP
+    assert run.come_back() == RULES.recovery_time_ns + STEP
 
 
 def test_a_rack_that_goes_and_comes_at_once_is_one_change_each_way() -> None:
@@ -129,13 +129,13 @@
 @pytest.mark.parametrize(
     ("rules", "message"),
     [
-        ({"timeout": 0}, "timeout is 0, must be over 0"),
-        ({"recovery_time": -1}, "recovery_time must be 0 to max_recovery_time"),
+        ({"timeout_ns": 0}, "timeout_ns is 0, must be over 0"),
+        ({"recovery_time_ns": -1}, "recovery_time_ns must be 0 to max_recovery_time_ns"),
         (
-            {"recovery_time": 2, "max_recovery_time": 1},
-            "recovery_time must be 0 to max_recovery_time",
+            {"recovery_time_ns": 2, "max_recovery_time_ns": 1},
+            "recovery_time_ns must be 0 to max_recovery_time_ns",
         ),
-        ({"flap_memory": -1}, "flap_memory is -1, must not be negative"),
+        ({"flap_memory_ns": -1}, "flap_memory_ns is -1, must not be negative"),
     ],
 )
 def test_rules_out_of_range_are_refused(rules: dict[str, int], message: str) -> None:
--- a/tests/core/assignment/test_release.py
+++ b/tests/core/assignment/test_release.py
@@ -16,7 +16,7 @@
 MACHINES = [MachineSpec(f"{region}-{i}", region, "z") for region in ("east", "west") for i in "ab"]
 HOMES = {"pay": "east", "cart": "east", "far": "west"}
 RULES = ReleaseRules(
-    leadership_delay=5 * SECOND, lease_duration=2 * SECOND, max_pause=SECOND, max_pairs=3
+    leadership_delay_ns=5 * SECOND, lease_duration_ns=2 * SECOND, max_pause_ns=SECOND, max_pairs=3
 )
 GRANT = ReleaseGrant("east", 4, (NodeRelease("n1", ("pay",)),))
 
@@ -132,4 +132,4 @@
 
 def test_rules_out_of_range_are_refused() -> None:
     with pytest.raises(InvalidInputError, match="must be over 0"):
-        ReleaseRules(lease_duration=0)
+        ReleaseRules(lease_duration_ns=0)
--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -65,7 +65,7 @@
         wanted = frozenset({"s0"} if index < 3 else {"s1"})
         answer = rig.publisher.subscribe(0, node, "east", position, wanted, wanted)
         assert isinstance(answer, Wait)
-        assert answer.until is None
+        assert answer.until_ns is None
     woken = rig.publisher.on_change("east", rig.change("s0"))
     assert sorted(woken) == sorted(rig.mine[:3])
     answer = rig.publisher.subscribe(0, woken[0], "east", position, frozenset({"s0"}))
@@ -161,7 +161,7 @@
         polls[node] += 1
         answer = rig.publisher.subscribe(now, node, "east", START, SERVICES)
         if isinstance(answer, RetryAfter):
-            due.append((now + answer.delay, node))
+            due.append((now + answer.delay_ns, node))
         else:
             assert isinstance(answer, SendUpdate)
             assert isinstance(answer.update, Snapshot)
@@ -190,9 +190,9 @@
     position = rig.log.position
     waits = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, current)
     assert isinstance(waits, Wait)
-    assert waits.until is not None
+    assert waits.until_ns is not None
     assert rig.node in rig.publisher.on_change("east", rig.change("s0"))  # and wakes all the same
-    later = rig.publisher.subscribe(waits.until, rig.node, "east", position, SERVICES, current)
+    later = rig.publisher.subscribe(waits.until_ns, rig.node, "east", position, SERVICES, current)
     assert isinstance(later, SendUpdate)
     assert isinstance(later.update, Delta)
     complete = {change.service for change in later.update.changes if change.complete}
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -377,7 +377,7 @@
         "node": question.node,
         "region": question.region,
         "position": _plain("position", question.position),
-        "hold_ms": question.deadline // 1_000_000,
+        "hold_ms": question.deadline_ns // 1_000_000,
         "held": None if question.current is None else sorted(question.current),
         "serving": report and sorted(report.serving),
         "generation": report.generation if report else 0,
