--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -48,8 +48,8 @@
         )
         if min(figures) < 1:
             raise InvalidInputError(
-                "release: leadership_delay_ns, lease_duration_ns, max_pause_ns and max_pairs must be"
-                " over 0"
+                "release: leadership_delay_ns, lease_duration_ns, max_pause_ns and max_pairs"
+                " must be over 0"
             )
 
 
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -83,3 +83,44 @@
     assert not node.members.hears_nobody(60 * SECOND)  # it was this node that was silent
     assert not any(o.message.records for o in out)  # none of its old records
     assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
+
+
+def test_only_its_own_peers_end_a_catch_up_and_none_of_an_earlier_one() -> None:
+    """A node catches up, is stopped, and catches up again. A DONE that was under way, or of a node
+    that it has not asked, would let it pass on records as they were before.
+    """
+    node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
+    first = {o.to for o in node.tick(0) if o.message.kind == Kind.DIGEST}
+    assert first
+    node.receive(1, Message(Kind.DONE, next(n for n in range(1, 8) if n not in first), 1))
+    assert not node.caught_up
+    assert node.resume_after_pause(60 * SECOND)
+    for peer in first:
+        node.receive(60 * SECOND, Message(Kind.DONE, peer, 1))
+    assert not node.caught_up
+    asked = {o.to for o in node.tick(60 * SECOND) if o.message.kind == Kind.DIGEST}
+    node.receive(60 * SECOND, Message(Kind.DONE, asked.pop(), 1))
+    assert node.caught_up
+
+
+def test_a_nodes_own_observation_that_comes_back_is_not_taken() -> None:
+    """An observation of a node's earlier process comes back from a peer: only its writer can
+    retract it, and this process did not write it.
+    """
+    node = GossipNode(GossipSettings(4, 0), 1, 9, 0)
+    record = observation(9, 0, failures=3)
+    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(record,)))
+    assert node.records.servers() == []
+    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(record._replace(origin=2),)))
+    assert node.records.servers() == [9]
+
+
+def test_leases_of_a_grantor_that_died_are_not_used() -> None:
+    """Other nodes go past a dead node's slots at once: its leases must end with it, not in time."""
+    node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
+    for grantor, serial in node.leases.requests(0, [1, 2], more=True):
+        node.leases.on_grant(0, grantor, serial, 7)
+    assert {grantor for grantor, _ in node.lease_exchange.usable(1)} == {1, 2}
+    node.members.merge(1, 2, MemberRecord(1, 0, MemberStatus.DEAD))
+    assert node.lease_exchange.usable(1) == [(2, 7)]
+    assert {grantor for grantor, _ in node.leases.usable(1)} == {1, 2}
--- a/tests/core/replicated_log/test_append_answers.py
+++ b/tests/core/replicated_log/test_append_answers.py
@@ -61,6 +61,17 @@
     assert not message.entries
 
 
+def test_a_rejection_that_names_more_than_the_log_has_is_probed_at_its_end() -> None:
+    """A follower names an index that is not in the leader's log, as after a restart of all."""
+    outbox: Outbox = []
+    member = leader(outbox)
+    member.on_message(NOW, GROUP[1], answer(99, success=False))
+    ((_, message),) = outbox
+    assert isinstance(message, AppendEntries)
+    assert message.prev_log == member.log.last
+    assert not message.needs_snapshot
+
+
 def test_many_late_rejections_cause_one_probe() -> None:
     """A link delivers ten duplicates of a rejection at once. A message for each would double the
     messages with each round.
--- /dev/null
+++ b/tests/core/replicated_log/test_append_messages.py
@@ -0,0 +1,98 @@
+"""AppendEntries that come late, twice, out of order, or of another leader."""
+
+from __future__ import annotations
+
+import pytest
+
+from loadbalancer.core.assignment.model import START, Change, Position
+from loadbalancer.core.replicated_log.messages import AppendEntries, AppendEntriesResponse
+from loadbalancer.core.replicated_log.model import Role
+from loadbalancer.core.replicated_log.state import Outbox
+from tests.core.replicated_log.members import (
+    COMMITTED,
+    GROUP,
+    NOW,
+    TERM,
+    heartbeat,
+    leader,
+    member_of_five,
+)
+
+SECOND_ENTRY, THIRD_ENTRY = (Change(Position(TERM, index), "a") for index in (2, 3))
+OTHER_ENTRY = Change(Position(TERM + 1, 2), "b")  # of the next leader, in place of these
+
+
+def append(
+    prev_log: Position, *entries: Change, commit: int = 1, term: int = TERM
+) -> AppendEntries:
+    return AppendEntries("east", term, START, prev_log, entries, commit)
+
+
+BOTH = append(COMMITTED, SECOND_ENTRY, THIRD_ENTRY)
+FIRST_OF_BOTH = append(COMMITTED, SECOND_ENTRY)
+REST = append(SECOND_ENTRY.position, THIRD_ENTRY)
+BOTH_COMMITTED = append(COMMITTED, SECOND_ENTRY, THIRD_ENTRY, commit=3)
+LAST = THIRD_ENTRY.position
+
+
+@pytest.mark.parametrize(
+    ("messages", "last", "commit_index", "answers"),
+    [
+        ([FIRST_OF_BOTH, REST], LAST, 1, [(True, 2), (True, 3)]),
+        ([BOTH, BOTH], LAST, 1, [(True, 3), (True, 3)]),  # twice
+        ([BOTH, FIRST_OF_BOTH], LAST, 1, [(True, 3), (True, 2)]),  # late
+        ([REST, FIRST_OF_BOTH, REST], LAST, 1, [(False, 1), (True, 2), (True, 3)]),  # overtaken
+        ([BOTH_COMMITTED, FIRST_OF_BOTH], LAST, 3, [(True, 3), (True, 3)]),
+        ([BOTH_COMMITTED, append(COMMITTED)], LAST, 3, [(True, 3), (True, 3)]),
+        # A leader that says how far it has committed, and not yet what: these are another's.
+        ([BOTH, append(COMMITTED, commit=3, term=4)], LAST, 1, [(True, 3), (True, 1)]),
+        (
+            [BOTH, append(COMMITTED, OTHER_ENTRY, commit=2, term=4)],
+            OTHER_ENTRY.position,
+            2,
+            [(True, 3), (True, 2)],
+        ),
+        ([BOTH, append(Position(4, 3), term=4)], LAST, 1, [(True, 3), (False, 1)]),
+        ([BOTH, append(Position(4, 9), term=4)], LAST, 1, [(True, 3), (False, 3)]),
+        (
+            [append(COMMITTED, OTHER_ENTRY, commit=2, term=4), BOTH_COMMITTED],  # a former leader's
+            OTHER_ENTRY.position,
+            2,
+            [(True, 2), (False, 2)],
+        ),
+    ],
+)
+def test_entries_in_any_order_leave_what_the_last_leader_has_sent(
+    messages: list[AppendEntries],
+    last: Position,
+    commit_index: int,
+    answers: list[tuple[bool, int]],  # success and match index
+) -> None:
+    """Entries come twice, late, in another order, or from a former leader.
+
+    A late message that removed entries which the follower has answered for could undo what is
+    committed; one that commits what does not match its leader's log would commit other entries.
+    """
+    outbox: Outbox = []
+    member = member_of_five(outbox)
+    for message in messages:
+        member.on_message(NOW, GROUP[1], message)
+    assert member.log.last == last
+    assert member.log.commit_index == commit_index
+    responses = [sent.message for sent in outbox]
+    assert [
+        (one.success, one.match_index)
+        for one in responses
+        if isinstance(one, AppendEntriesResponse)
+    ] == answers
+
+
+def test_a_leader_takes_no_entries_of_its_own_term() -> None:
+    """Another member sends as the leader of the same term, which no correct one does."""
+    outbox: Outbox = []
+    member = leader(outbox)
+    member.on_message(NOW, GROUP[1], heartbeat())
+    assert member.role is Role.LEADER
+    assert member.leader == GROUP[0]
+    assert member.counts["nonsense epochs"] == 1
+    assert not outbox
