--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -129,15 +129,13 @@
                 raise InvalidInputError(
                     f"entries after {previous}: {entry.position} is out of order"
                 )
-        if previous.revision >= self._base.revision:
-            if self.position_at(previous.revision) != previous:
-                return False
-        elif previous.revision + len(entries) < self._base.revision:
-            return True  # all of them are committed here
+        base = self._base.revision
+        if previous.revision >= base and self.position_at(previous.revision) != previous:
+            return False
         for entry in entries:
-            offset = entry.position.revision - self._base.revision - 1
+            offset = entry.position.revision - base - 1
             if offset < 0:
-                continue
+                continue  # committed here already
             if offset < len(self._uncommitted):
                 if self._uncommitted[offset].position == entry.position:
                     continue
--- /dev/null
+++ b/tests/core/replicated_log/test_learner_messages.py
@@ -0,0 +1,132 @@
+"""Answers to a learner's fetches that come late, twice, out of order, or of another history."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+import pytest
+
+from loadbalancer.core.assignment.model import START, Change, Position, Row
+from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
+from loadbalancer.core.replicated_log.learner import Learner
+from loadbalancer.core.replicated_log.messages import (
+    Fetch,
+    FetchResponse,
+    InstallSnapshot,
+    ServiceRows,
+)
+
+SOURCES = ("east-0", "east-1")
+LAST = Position(3, 5)  # of the learner's log
+OFFERED = Position(4, 9)  # of the snapshots
+
+
+def learner() -> Learner:
+    """One whose log ends with `LAST`."""
+    log = ChangeLog("east", 100, 1 << 20)
+    for revision in range(1, LAST.revision + 1):
+        log.append(Change(Position(3, revision), "a"))
+    return Learner(log, SOURCES, SECOND)
+
+
+def fetched(one: Learner, now: int = 0) -> Fetch:
+    polled = one.poll(now)
+    assert polled is not None
+    return polled.fetch
+
+
+def answered(one: Learner, request_id: int, *positions: tuple[int, int]) -> Sequence[Position]:
+    """The positions of the changes to apply, of an answer with changes at these."""
+    changes = tuple(Change(Position(*position), "a") for position in positions)
+    response = FetchResponse("east", request_id, LAST, changes)
+    return [change.position for change in one.on_response(response)]
+
+
+@pytest.mark.parametrize(
+    ("positions", "applied", "counted"),
+    [
+        ([(3, 6), (3, 7)], [(3, 6), (3, 7)], ""),
+        ([(4, 6), (5, 7)], [(4, 6), (5, 7)], ""),
+        ([(3, 4), (3, 5), (3, 6)], [(3, 6)], ""),  # the log has gone on since the fetch
+        ([(3, 4), (3, 5)], [], ""),
+        ([], [], ""),
+        ([(3, 7)], [], ""),  # one is missing before it
+        ([(3, 6), (3, 8)], [], "out of order"),
+        ([(4, 6), (3, 7)], [], "out of order"),
+        ([(2, 6)], [], ""),  # of an older history
+    ],
+)
+def test_only_changes_that_follow_the_log_are_applied(
+    positions: list[tuple[int, int]], applied: list[tuple[int, int]], counted: str
+) -> None:
+    """A source has another history, or the learner's log has gone on while the answer was under
+    way. A change that does not follow must not enter the log: it would be lost or applied twice.
+    """
+    one = learner()
+    assert answered(one, fetched(one).request_id, *positions) == applied
+    assert one.counts == ({counted: 1} if counted else {})
+
+
+def test_an_answer_counts_once_and_only_for_the_pending_fetch() -> None:
+    """A source answers after the learner has turned to the next one, or twice."""
+    one = learner()
+    first = fetched(one)
+    assert one.poll(SECOND - 1) is None
+    second = fetched(one, SECOND)
+    assert answered(one, first.request_id, (3, 6)) == []
+    assert answered(one, second.request_id, (3, 6)) == [(3, 6)]
+    assert answered(one, second.request_id, (3, 6)) == []
+    assert one.counts == {"unanswered": 1, "late answers": 2}
+    third = fetched(one, SECOND)
+    one.stop()  # a leader's entries come instead
+    assert answered(one, third.request_id, (3, 6)) == []
+
+
+def chunk(request_id: int, number: int, position: Position = OFFERED) -> InstallSnapshot:
+    """The first or second chunk of a snapshot of two, each with one service."""
+    service = ServiceRows(f"s{number}", 1, (Row("u", "x"),))
+    return InstallSnapshot("east", request_id, position, number, 2, (service,), 0, (), START)
+
+
+def received(one: Learner, numbers: Sequence[int], *, doubled: bool = False) -> LogSnapshot | None:
+    """What comes of chunks with these numbers, each in answer to a fetch."""
+    snapshot = None
+    for number in numbers:
+        request_id = fetched(one).request_id
+        snapshot = one.on_chunk(chunk(request_id, number))
+        if doubled:
+            assert one.on_chunk(chunk(request_id, number)) is None
+    return snapshot
+
+
+@pytest.mark.parametrize(
+    ("numbers", "is_complete"),
+    [([0, 1], True), ([1], False), ([1, 0], False), ([0, 0], False), ([0, 0, 1], True)],
+)
+@pytest.mark.parametrize("doubled", [False, True])
+def test_a_snapshot_is_complete_with_all_its_chunks_in_order(
+    numbers: list[int], is_complete: bool, doubled: bool
+) -> None:
+    """Chunks come twice or in another order; one that is missing would be missing services."""
+    snapshot = received(learner(), numbers, doubled=doubled)
+    assert (snapshot is not None) is is_complete
+    if snapshot is not None:
+        assert snapshot.rows.keys() == {"s0", "s1"}
+
+
+def test_chunks_of_two_snapshots_are_not_joined() -> None:
+    """The source's log goes on between two fetches, or the learner turns to another source."""
+    one = learner()
+    assert received(one, [0]) is None
+    fetch = fetched(one)
+    assert (fetch.snapshot, fetch.chunk) == (OFFERED, 1)
+    assert one.on_chunk(chunk(fetch.request_id, 1, Position(4, 10))) is None
+    assert fetched(one).snapshot is None
+
+    one = learner()
+    assert received(one, [0]) is None
+    fetched(one)  # lost
+    fetch = fetched(one, SECOND)
+    assert fetch.snapshot is None
+    assert one.on_chunk(chunk(fetch.request_id, 1)) is None
--- a/tests/core/replicated_log/test_recovery.py
+++ b/tests/core/replicated_log/test_recovery.py
@@ -7,6 +7,7 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog, LogSnapshot
 from loadbalancer.core.replicated_log.messages import (
     AppendEntries,
+    InstallSnapshot,
     RecoveryResponse,
     RequestVote,
     RequestVoteResponse,
@@ -167,6 +168,26 @@
     assert member.accepts_snapshot(LogSnapshot(Position(256, 1_000_001), history=log.history))
 
 
+def test_a_member_does_not_install_a_snapshot_of_an_older_history() -> None:
+    """A member hears no leader and fetches. The machine that answers has not heard of the new
+    history: its snapshot, of a later term, must not replace what the member has committed.
+    """
+    group = started()
+    member = next(name for name in EAST if name != group.leader())
+    cut(group, member)
+    group.run(3 * SECOND)
+    replica, log = group.replicas[member], group.logs[member]["east"]
+    pending = replica._learners["east"]._pending
+    assert pending is not None
+    before = log.log_snapshot()
+    assert before.history > START
+    later = Position(before.position.epoch + 50, 5)
+    old = InstallSnapshot("east", pending.request_id, later, 0, 1, (), 0, (later,), START)
+    replica.on_message(group.now, "west-0", old)
+    assert replica._learners["east"]._pending != pending
+    assert log.log_snapshot() == before
+
+
 def test_a_reload_is_not_granted_below_a_reported_term() -> None:
     """Machines without logs elect a leader to load the log; a subscriber knows a later term.
 
--- a/tests/core/replicated_log/test_replication.py
+++ b/tests/core/replicated_log/test_replication.py
@@ -98,6 +98,7 @@
     group.replicas[follower].on_message(group.now, leader, wrong)
     assert (group.logs["east-0"]["east"].position, replica.current_term) == before
     assert sum(replica.counts.values()) >= 5
+    assert replica.counts["messages of no member"] == 1
     assert group.replicas[follower].counts["unsound messages"] == 1
     group.propose(group.leader(), "on")
     assert group.run(2 * SECOND, lambda: group.everywhere("on"))
--- a/tests/core/replicated_log/test_vote_messages.py
+++ b/tests/core/replicated_log/test_vote_messages.py
@@ -153,3 +153,17 @@
     later = RequestVote("east", TERM + 1, START, LAST)
     member.on_message(NOW + SECOND, "east-2", later)
     assert getattr(outbox[-1].message, "vote_granted", None) is True
+
+
+def test_a_vote_stands_while_its_leader_is_heard() -> None:
+    """A member has voted for the leader of its term, which falls silent. Another candidate's
+    request, of the same term, comes late: granted, the term could have two leaders.
+    """
+    outbox: Outbox = []
+    member = member_of_five(outbox)
+    request = RequestVote("east", TERM, START, LAST)
+    member.on_message(NOW, "east-1", request)
+    member.on_message(NOW, "east-1", heartbeat())
+    member.on_message(NOW + 10 * SECOND, "east-2", request)
+    responses = [sent.message for sent in outbox if isinstance(sent.message, RequestVoteResponse)]
+    assert [one.vote_granted for one in responses] == [True, False]
--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -97,6 +97,23 @@
     assert isinstance(again, Wait)
 
 
+def test_what_was_sent_in_a_lost_answer_does_not_count_as_held() -> None:
+    """An answer with a newly assigned service is lost, and the node polls again from where it was.
+    A delta of that service would not follow what it holds.
+    """
+    rig = Rig()
+    position = rig.log.position
+    services = frozenset({"s0", "s1"})
+    rig.change("s0")
+    lost = rig.publisher.subscribe(0, rig.node, "east", position, services, frozenset({"s0"}))
+    assert isinstance(lost, SendUpdate)
+    rig.change("s1")
+    again = rig.publisher.subscribe(1, rig.node, "east", position, services)
+    assert isinstance(again, SendUpdate)
+    assert isinstance(again.update, Delta)
+    assert {change.service for change in again.update.changes if change.complete} == services
+
+
 def test_a_subscriber_slower_than_the_changes_gets_complete_services() -> None:
     """A subscriber was away for so long that the log has dropped changes of one of its services."""
     rig = Rig(max_changes=10)
