--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -114,6 +114,30 @@
     assert {change.service for change in again.update.changes if change.complete} == services
 
 
+def test_a_position_of_another_history_is_answered_with_a_snapshot() -> None:
+    """A node has an entry that was never committed: its leader was lost with it. A delta from
+    there would leave that entry's rows with the node.
+    """
+    rig = Rig()
+    revision = rig.log.position.revision + 1
+    rig.log.append(Change(Position(3, revision), "s0", (Row("committed", "x"),)))
+    lost = Position(2, revision)
+    answer = rig.publisher.subscribe(0, rig.node, "east", lost, SERVICES, SERVICES)
+    assert isinstance(answer, SendUpdate)
+    assert isinstance(answer.update, Snapshot)
+    assert "committed" in answer.update.services["s0"]
+
+
+def test_changes_of_services_that_are_not_assigned_are_not_sent() -> None:
+    """A node names a service that has moved away from it as one that it still holds."""
+    rig = Rig()
+    position = rig.log.position
+    assigned, held = frozenset({"s0"}), frozenset({"s0", "s1"})
+    assert isinstance(rig.publisher.subscribe(0, rig.node, "east", position, assigned, held), Wait)
+    assert rig.publisher.on_change("east", rig.change("s1")) == ()
+    assert isinstance(rig.publisher.subscribe(0, rig.node, "east", position, assigned, held), Wait)
+
+
 def test_a_subscriber_slower_than_the_changes_gets_complete_services() -> None:
     """A subscriber was away for so long that the log has dropped changes of one of its services."""
     rig = Rig(max_changes=10)
