--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -15,7 +15,8 @@
 MAX_INCARNATION = 1 << 48  # milliseconds since 1970 stay below it for thousands of years
 MAX_SERIAL = 1 << 32  # an answer repeats it in five bytes of MessagePack
 MAX_FAILURES = 15  # consecutive failures or rejections in an observation
-MAX_RATIO = 160  # latency ratio in sixteenths: 10
+RATIO_UNIT = 16  # latency ratios, relative to the fleet's, are sent in sixteenths
+MAX_RATIO_16THS = 10 * RATIO_UNIT
 MAX_INTEGER = 1 << 63  # the largest number that MessagePack can carry
 
 
@@ -68,7 +69,7 @@
     failures: int  # consecutive failures without an answer between
     cold: int  # 1 where its process seems to have ended, so that it returns cold; else 0
     rejections: int  # consecutive attempts rejected as over capacity
-    ratio: int  # latency relative to the fleet's, in sixteenths
+    ratio_16ths: int  # latency relative to the fleet's
     age: int  # ns
 
 
@@ -164,5 +165,5 @@
         and 0 <= record.failures <= MAX_FAILURES
         and record.cold in (0, 1)
         and 0 <= record.rejections <= MAX_FAILURES
-        and 0 <= record.ratio <= MAX_RATIO
+        and 0 <= record.ratio_16ths <= MAX_RATIO_16THS
     )
--- a/loadbalancer/core/gossip/own_observations.py
+++ b/loadbalancer/core/gossip/own_observations.py
@@ -7,15 +7,14 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.gossip.local_list import LocalList
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Observation
+from loadbalancer.core.gossip.messages import RATIO_UNIT, Observation
 from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS, RecordStore
 from loadbalancer.core.gossip.update_sender import UpdateSender
 
 REPEAT_INTERVAL_NS = 5 * SECOND  # of unchanged results, well below OBSERVATION_TTL_NS
 MAX_PUBLISHED = 3  # consecutive failures or rejections: more make no difference
-RATIO_UNIT = 16  # latency ratios are sent in sixteenths
-FIRST_RATIO_STEP = 24.0  # sixteenths; smaller ratios are not published
-MAX_RATIO_STEP = 110  # sixteenths, from which no larger step follows
+FIRST_RATIO_STEP_16THS = 24.0  # smaller ratios are not published
+MAX_RATIO_STEP_16THS = 110  # from which no larger step follows
 
 
 class Results(NamedTuple):
@@ -24,7 +23,7 @@
     failures: int
     cold: int
     rejections: int
-    ratio: int
+    ratio_16ths: int
 
 
 class Published(NamedTuple):
@@ -105,16 +104,16 @@
         min(failures, MAX_PUBLISHED),
         int(cold and failures > 0),
         min(rejections, MAX_PUBLISHED),
-        _coarse_ratio(latency_ratio),
+        _coarse_ratio_16ths(latency_ratio),
     )
 
 
-def _coarse_ratio(ratio: float) -> int:
+def _coarse_ratio_16ths(latency_ratio: float) -> int:
     """A latency ratio in sixteenths, rounded down to powers of 1.5; 0 below the first step."""
-    sixteenths = ratio * RATIO_UNIT
-    step = FIRST_RATIO_STEP
+    sixteenths = latency_ratio * RATIO_UNIT
+    step = FIRST_RATIO_STEP_16THS
     if sixteenths < step:
         return 0
-    while step * 1.5 <= sixteenths and step < MAX_RATIO_STEP:
+    while step * 1.5 <= sixteenths and step < MAX_RATIO_STEP_16THS:
         step *= 1.5
     return int(step)
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -8,17 +8,16 @@
 
 from loadbalancer.core.balancing.model import MS, ReportedState, State
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import DrainRecord, Observation
+from loadbalancer.core.gossip.messages import RATIO_UNIT, DrainRecord, Observation
 from loadbalancer.core.gossip.records import RecordStore
 
 MIN_FAILURES = 3  # of all witnesses together, for a server to count as failing
 MIN_FAILURE_WITNESSES = 2  # or fewer in a small fleet; a single witness may itself be cut off
 ISOLATED_WITNESS_SERVERS = 3  # a witness of failures of more than one server in so many ...
 MIN_ISOLATED_WITNESS_SERVERS = 3  # ... and of more than so many servers is not trusted
-MIN_SLOW_RATIO = 24  # sixteenths: half as slow again as the fleet
+MIN_SLOW_RATIO_16THS = 24  # half as slow again as the fleet
 MIN_REJECTIONS = 3  # consecutive rejections, of all witnesses together, for a server to be full
 REPEAT_INTERVAL_NS = 500 * MS  # after which unchanged verdicts are reported again
-RATIO_UNIT = 16  # latency ratios are sent in sixteenths
 
 
 class Verdict(NamedTuple):
@@ -29,7 +28,7 @@
     """
 
     kind: ReportedState
-    ratio: int  # latency relative to the fleet's, in sixteenths
+    ratio_16ths: int  # latency relative to the fleet's
     observed_at: int
     cold: bool
 
@@ -79,7 +78,7 @@
             verdict = self.assess(server, boot, trusted)
             if verdict is not None:
                 self._reported[server] = verdict.kind
-                ratio = verdict.ratio / RATIO_UNIT
+                ratio = verdict.ratio_16ths / RATIO_UNIT
                 changes.append(
                     VerdictChange(server, verdict.kind, ratio, verdict.observed_at, verdict.cold)
                 )
@@ -118,8 +117,8 @@
             return Verdict(kind, 0, observed_at, any(record.cold for record in failing))
         if sum(record.rejections for record in records) >= MIN_REJECTIONS:
             return Verdict(ReportedState.FULL, 0, observed_at, cold=False)
-        ratios = sorted(record.ratio for record in records if record.ratio)
-        if ratios and ratios[len(ratios) // 2] >= MIN_SLOW_RATIO:
+        ratios = sorted(record.ratio_16ths for record in records if record.ratio_16ths)
+        if ratios and ratios[len(ratios) // 2] >= MIN_SLOW_RATIO_16THS:
             return Verdict(ReportedState.SLOW, ratios[len(ratios) // 2], observed_at, cold=False)
         return None
 
@@ -145,6 +144,6 @@
     """A record's writer and contents, in the operators' terms."""
     if isinstance(record, DrainRecord):
         return "list", f"{State(record.state).name.lower()} by list {record.rev}"
-    ratio = record.ratio / RATIO_UNIT
+    ratio = record.ratio_16ths / RATIO_UNIT
     text = f"failures {record.failures} full {record.rejections} slow {ratio:g}"
     return record.origin, text
--- a/tests/core/gossip/builders.py
+++ b/tests/core/gossip/builders.py
@@ -11,7 +11,7 @@
 
 def observation(server: int, origin: int, number: int = 1, **results: int) -> Observation:
     """An observation of start 7 of a server, from incarnation 1 of its writer."""
-    fields = {"failures": 0, "cold": 0, "rejections": 0, "ratio": 0, "age": 0} | results
+    fields = {"failures": 0, "cold": 0, "rejections": 0, "ratio_16ths": 0, "age": 0} | results
     return Observation(server, 7, origin, 1, number, **fields)
 
 
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -21,7 +21,7 @@
         ([observation(9, 1, failures=3), observation(9, 3, failures=3)], 2, None),
         ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, ReportedState.SILENT),
         ([observation(9, 1, rejections=2), observation(9, 2, rejections=2)], 1, ReportedState.FULL),
-        ([observation(9, 1, ratio=54)], 1, ReportedState.SLOW),
+        ([observation(9, 1, ratio_16ths=54)], 1, ReportedState.SLOW),
         # retracted
         ([observation(9, 1, failures=3), observation(9, 1, 2), observation(9, 2, failures=1)], 1,
          None),
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -86,7 +86,7 @@
 FIELDS = {  # the wire's word for a field -> its name
     "life": {"standing": "status"},
     "listed": {},
-    "observation": {"full": "rejections"},
+    "observation": {"full": "rejections", "ratio": "ratio_16ths"},
     "reading": {"how": "state", "mark": "checksum"},
     "piece": {"mark": "checksum", "check": "delta_checksum"},
 }
