--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -148,6 +148,32 @@
     assert handover.wanted("z1-0") == frozenset()
 
 
+def test_a_dead_nodes_earlier_report_takes_nothing_back_from_its_later_ones() -> None:
+    """A node dies before it serves, returns and serves. A report from before its death, that it
+    serves nothing, arrives after that: the old holder, released meanwhile, is not needed again.
+    """
+    handover = moving(("z1-1",), ("z1-0",))
+    said = handover.generation
+    handover.on_dead("z1-0")
+    handover.on_report("z1-0", ("s",), handover.generation)
+    assert handover.releasable("z1-1") == {"s"}
+    handover.on_report("z1-0", (), said)
+    assert handover.releasable("z1-1") == {"s"}
+    handover.on_report("z1-0", (), handover.generation)
+    assert handover.releasable("z1-1") == frozenset()
+
+
+def test_a_node_that_may_release_does_not_count_as_serving_by_a_late_report() -> None:
+    """A node was told that it may release a service; its report from before that arrives."""
+    handover = moving(("z1-0",), ("z1-1",))
+    assert handover.on_serving("z1-1", "s")
+    generation = handover.generation
+    assert not handover.on_serving("z1-0", "s", generation)
+    assert handover.releasable("z1-0") == {"s"}
+    assert handover.wanted("z1-0") == frozenset()
+    assert handover.generation == generation
+
+
 def test_a_restarted_machine_releases_nobody_before_it_knows_who_serves() -> None:
     """A control machine restarts with no state and hears of one old holder first."""
     handover = Handover(NODES)
--- a/tests/core/assignment/test_liveness.py
+++ b/tests/core/assignment/test_liveness.py
@@ -119,6 +119,14 @@
     assert changes == [LivenessChange(tuple(rack), ()), LivenessChange((), tuple(rack))]
 
 
+def test_a_heartbeat_that_is_counted_late_does_not_age_its_node() -> None:
+    """A heartbeat of a second ago is counted after a newer one, as from another machine."""
+    run = Run()
+    run.live(10 * SECOND)
+    assert run.liveness.on_heartbeat(run.now - SECOND, "n")
+    assert run.die() == RULES.timeout_ns
+
+
 def test_heartbeats_of_unregistered_nodes_are_ignored() -> None:
     liveness = Liveness(0, ["n"], RULES)
     assert not liveness.on_heartbeat(1, "x")
--- a/tests/core/xds/test_load_reports.py
+++ b/tests/core/xds/test_load_reports.py
@@ -161,6 +161,19 @@
     assert aggregator.add_report(21 * SECOND, "nobody", new, REPORT_INTERVAL, loads) != ""
 
 
+def test_what_a_proxy_has_reported_counts_on_after_it_reconnects() -> None:
+    """A stream breaks. Without the reports before, the server would count as one of no requests."""
+    aggregator = LoadReportAggregator(REPORT_INTERVAL)
+    stream = aggregator.open_stream(0, "p")
+    loads = [EndpointLoad(1, 100, 0, 1)]
+    assert aggregator.add_report(REPORT_INTERVAL, "p", stream, REPORT_INTERVAL, loads) == ""
+    before = aggregator.assess()
+    aggregator.open_stream(REPORT_INTERVAL + 1, "p")
+    assert before
+    assert aggregator.assess() == before
+    assert aggregator.counts("p").counted == 1
+
+
 def test_a_late_report_is_not_counted_and_the_next_one_is() -> None:
     aggregator = LoadReportAggregator(REPORT_INTERVAL)
     stream = aggregator.open_stream(0, "p")
--- a/tests/core/xds/test_session.py
+++ b/tests/core/xds/test_session.py
@@ -231,6 +231,24 @@
     assert not nacks_of(session)  # answered already
 
 
+@BOTH_VARIANTS
+def test_only_incremental_requests_take_names_with_an_older_nonce(incremental: bool) -> None:
+    """A request that answers an older response comes after the newest one was sent. In the state of
+    the world it names all that the proxy subscribed to then: taken, it would take back what was
+    added since, until the proxy answers. An incremental one names what is added now.
+    """
+    session = Session(incremental, snapshot_of({"a": 1, "b": 1}))
+    (first,) = session.request(DiscoveryRequest(CLUSTER, ("c-a",)))
+    names = ("c-b",) if incremental else ("c-a", "c-b")
+    (second,) = session.request(DiscoveryRequest(CLUSTER, names, response_nonce=first.nonce))
+    late = ("c-z",)
+    assert not session.request(DiscoveryRequest(CLUSTER, late, response_nonce=first.nonce))
+    session.request(DiscoveryRequest(CLUSTER, names, response_nonce=second.nonce))
+    assert session.acked_versions(CLUSTER).keys() == {"c-a", "c-b"}
+    names_now = session._subscriptions[CLUSTER].resource_names
+    assert names_now == {"c-a", "c-b"} | ({"c-z"} if incremental else set())
+
+
 def test_a_name_that_does_not_exist_is_reported_as_removed() -> None:
     (response,) = Session(True, EMPTY).request(DiscoveryRequest(ENDPOINTS, ("e-x",)))
     assert response.removed_resources == ("e-x",)
