--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -26,7 +26,12 @@
 from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
-from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost, Reply
+from loadbalancer.control.machine.operator_calls import (
+    OperatorConnection,
+    OperatorHost,
+    OperatorResponse,
+    Reply,
+)
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
 from loadbalancer.control.machine.version import position_of, version_of
@@ -244,18 +249,18 @@
         self.submissions.submit(body, reply)
         self._process_output()
 
-    def log_after(self, region: str, version: int) -> tuple[int, bytes]:
-        """HTTP status and body: committed changes after a version, about LOG_ANSWER_BYTES."""
+    def log_after(self, region: str, version: int) -> OperatorResponse:
+        """Committed changes after a version, about LOG_ANSWER_BYTES."""
         log = self.logs.get(region)
         if log is None:
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
-            return HTTPStatus.BAD_REQUEST, text.encode()
+            return OperatorResponse(HTTPStatus.BAD_REQUEST, text.encode())
         try:
             changes = log.after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
-            return HTTPStatus.BAD_REQUEST, str(err).encode()
+            return OperatorResponse(HTTPStatus.BAD_REQUEST, str(err).encode())
         if changes is None:
-            return HTTPStatus.GONE, b"the log does not reach back to it"
+            return OperatorResponse(HTTPStatus.GONE, b"the log does not reach back to it")
         rows = [
             {
                 "version": version_of(change.position),
@@ -268,7 +273,7 @@
             for change in changes
         ]
         answer = {"version": version_of(log.position), "changes": rows}
-        return HTTPStatus.OK, json.dumps(answer).encode()
+        return OperatorResponse(HTTPStatus.OK, json.dumps(answer).encode())
 
     def status(self) -> dict[str, Any]:
         """The machine's state for GET /status."""
--- a/loadbalancer/control/machine/operator_calls.py
+++ b/loadbalancer/control/machine/operator_calls.py
@@ -12,7 +12,7 @@
 import json
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import MAX_REQUEST_BYTES, Query, ServerConnection
@@ -22,14 +22,21 @@
 Reply = Callable[[int, bytes], None]  # HTTP status and body
 
 
+class OperatorResponse(NamedTuple):
+    """The answer to one call."""
+
+    status: int  # of HTTP
+    body: bytes
+
+
 class OperatedMachine(Protocol):
     """A machine as its operators' calls see it."""
 
     def status(self) -> dict[str, Any]:
         """Its state."""
 
-    def log_after(self, region: str, version: int) -> tuple[int, bytes]:
-        """HTTP status and body: the committed changes after a version."""
+    def log_after(self, region: str, version: int) -> OperatorResponse:
+        """The committed changes after a version."""
 
     def submit(self, body: bytes, reply: Reply) -> None:
         """Propose the changes in a body; `reply` is called once."""
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -5,12 +5,13 @@
 import asyncio
 import json
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from http import HTTPStatus
 from typing import Any
 
 from loadbalancer.control.machine.list_form import ListFormError, row_of
+from loadbalancer.control.machine.operator_calls import Reply
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Change, Position, Row
 from loadbalancer.core.errors import ProtocolError
@@ -22,8 +23,6 @@
 MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
 KEYS = frozenset({"service", "rows", "removed", "deleted"})
 
-Reply = Callable[[int, bytes], None]  # HTTP status and body
-
 
 class BadChangeError(ProtocolError, ValueError):
     """A change that can't be used; the text names the place and the rule."""
