--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -26,6 +26,7 @@
     Wait,
 )
 from loadbalancer.core.subscription.publisher import Publisher
+from loadbalancer.core.subscription.subscribers import SubscriberKey
 from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import Query, Watcher
 
@@ -34,8 +35,6 @@
 MAX_QUOTED = 64  # characters of a wrong name that an answer repeats
 REDIRECT_PAUSE_NS = 2 * SECOND  # for a redirected node to poll the other machine
 
-Key = tuple[str, str]  # node and region
-
 
 class SubscriberConnection(Watcher):
     """One connection of a node that knows of services."""
@@ -129,7 +128,7 @@
             if watcher is not None:
                 self._answer_waiting(now, watcher)
 
-    def wake_keys(self, keys: Iterable[Key]) -> None:
+    def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
         """There may be something new for these nodes in these regions."""
         for node, region in keys:
             self.wake(region, (node,))
--- a/loadbalancer/core/gossip/lease_exchange.py
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -5,7 +5,7 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
 from loadbalancer.core.gossip.settings import GossipSettings
-from loadbalancer.core.gossip.slot_leases import SlotLeases
+from loadbalancer.core.gossip.slot_leases import SlotLeases, UsableLease
 
 
 class LeaseExchange:
@@ -55,13 +55,10 @@
         """Whether this node needs slots of other nodes."""
         return self.keeps_leases or self.wants_more
 
-    def usable(self, now: int) -> list[tuple[int, int]]:
-        """(grantor, classes) of the leases that may be used.
+    def usable(self, now: int) -> list[UsableLease]:
+        """The leases that may be used.
 
         Those of a dead grantor end at once, since the other nodes go past its slots.
         """
-        return [
-            (grantor, classes)
-            for grantor, classes in self._leases.usable(now)
-            if self._members.is_alive(grantor)
-        ]
+        leases = self._leases.usable(now)
+        return [lease for lease in leases if self._members.is_alive(lease.grantor)]
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -42,7 +42,21 @@
     expires_at: int
 
 
-class LeaseRequest(NamedTuple):
+class UsableLease(NamedTuple):
+    """The classes of one grantor that may be used now, a bit each."""
+
+    grantor: int
+    classes: int
+
+
+class NewRequest(NamedTuple):
+    """A request to send."""
+
+    grantor: int
+    serial: int  # that the grant repeats
+
+
+class OpenRequest(NamedTuple):
     """A request that has not been answered yet."""
 
     grantor: int
@@ -60,7 +74,7 @@
         self._restrained = True
         self._random = Random(seed)
         self._serial = self._random.getrandbits(30)
-        self._requests: dict[int, LeaseRequest] = {}  # by serial
+        self._requests: dict[int, OpenRequest] = {}  # by serial
         self._declined_until: dict[int, int] = {}  # by grantor
         self._next_request_at = 0
 
@@ -91,12 +105,16 @@
 
     # ---- holder ------------------------------------------------------------
 
-    def usable(self, now: int) -> list[tuple[int, int]]:
-        """(grantor, classes) of the leases that are valid at this moment."""
-        return [(n, lease.classes) for n, lease in self.active.items() if now < lease.expires_at]
+    def usable(self, now: int) -> list[UsableLease]:
+        """The leases that are valid at this moment."""
+        return [
+            UsableLease(n, lease.classes)
+            for n, lease in self.active.items()
+            if now < lease.expires_at
+        ]
 
-    def requests(self, now: int, grantors: list[int], more: bool) -> list[tuple[int, int]]:
-        """(grantor, serial) of the requests to send now.
+    def requests(self, now: int, grantors: list[int], more: bool) -> list[NewRequest]:
+        """The requests to send now.
 
         Leases whose term is half over are renewed; with `more`, further grantors get requests too.
         """
@@ -115,8 +133,8 @@
         requests = []
         for grantor in recipients:
             self._serial += 1
-            self._requests[self._serial] = LeaseRequest(grantor, now)
-            requests.append((grantor, self._serial))
+            self._requests[self._serial] = OpenRequest(grantor, now)
+            requests.append(NewRequest(grantor, self._serial))
         return requests
 
     def on_grant(self, now: int, grantor: int, serial: int, classes: int) -> None:
--- a/loadbalancer/core/subscription/pacing.py
+++ b/loadbalancer/core/subscription/pacing.py
@@ -9,11 +9,10 @@
 
 from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
+from loadbalancer.core.subscription.subscribers import SubscriberKey
 
 RESERVATION_TTL = 30 * SECOND  # from the reserved time until the reservation lapses
 
-Key = tuple[str, str]  # node and region
-
 
 class Pacer:
     """Reserves times for snapshots: `rate` bytes a second after `burst` bytes.
@@ -28,9 +27,9 @@
         self._rate = rate
         self._burst_ns = burst * SECOND // rate  # the time in which the burst is sent at the rate
         self._next = 0  # the first time that is not reserved yet, in nanoseconds
-        self._reservations: dict[Key, int] = {}  # the reserved times, in nanoseconds
+        self._reservations: dict[SubscriberKey, int] = {}  # the reserved times, in nanoseconds
 
-    def wait(self, now: int, key: Key, size: int) -> int:
+    def wait(self, now: int, key: SubscriberKey, size: int) -> int:
         """Nanoseconds until `size` bytes may go; 0 means now, and consumes the reservation."""
         time = self._reservations.get(key)
         if time is None or now > time + RESERVATION_TTL:
@@ -44,7 +43,7 @@
         """Count bytes that go at once, whatever the pace."""
         self._reserve(now, size)
 
-    def forget(self, key: Key) -> None:
+    def forget(self, key: SubscriberKey) -> None:
         """Drop the reservation: the subscriber has moved away."""
         self._reservations.pop(key, None)
 
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -27,7 +27,7 @@
 )
 from loadbalancer.core.subscription.pacing import Pacer
 from loadbalancer.core.subscription.placement import Placement
-from loadbalancer.core.subscription.subscribers import Key, Subscriber, Subscribers
+from loadbalancer.core.subscription.subscribers import Subscriber, SubscriberKey, Subscribers
 
 NOT_READY_DELAY_NS = 500 * MS  # for a subscriber of a log that has nothing yet
 
@@ -74,17 +74,17 @@
             if node not in nodes:
                 self._forget(node, region)
 
-    def on_living(self, living: Iterable[str]) -> tuple[Key, ...]:
+    def on_living(self, living: Iterable[str]) -> tuple[SubscriberKey, ...]:
         """Replace the set of living control machines.
 
-        Returns the waiting (node, region) pairs that belong to another machine now and are to be
+        Returns the waiting subscribers that belong to another machine now and are to be
         answered again.
         """
         self._living = frozenset(living)
         moved = [
-            (node, region)
-            for node, region in self._subscribers
-            if self._placement.machine_for(node, self._living) != self._name
+            key
+            for key in self._subscribers
+            if self._placement.machine_for(key.node, self._living) != self._name
         ]
         woken = tuple(key for key in moved if self._subscribers.waiting(*key))
         for node, region in moved:
@@ -97,7 +97,7 @@
 
     def _forget(self, node: str, region: str) -> None:
         self._subscribers.remove(node, region)
-        self._pacer.forget((node, region))
+        self._pacer.forget(SubscriberKey(node, region))
 
     # ---- answers ------------------------------------------------------------
 
@@ -131,12 +131,13 @@
         if log.position == START:
             self.counts["not ready"] += 1
             return RetryAfter(NOT_READY_DELAY_NS)
+        key = SubscriberKey(node, region)
         subscriber = self._subscribers.update(node, region, services)
         if current is None:
             current = subscriber.sent if subscriber.position == position else frozenset()
         if position == START or not log.contains(position):
-            return self._snapshot(now, (node, region), log, subscriber)
-        return self._changes(now, (node, region), log, subscriber, position, current & services)
+            return self._snapshot(now, key, log, subscriber)
+        return self._changes(now, key, log, subscriber, position, current & services)
 
     def _refusal(
         self, node: str, region: str, position: Position, services: frozenset[str]
@@ -170,7 +171,9 @@
             return Redirect(others[0])
         return RetryAfter(NOT_READY_DELAY_NS)
 
-    def _snapshot(self, now: int, key: Key, log: ChangeLog, subscriber: Subscriber) -> Answer:
+    def _snapshot(
+        self, now: int, key: SubscriberKey, log: ChangeLog, subscriber: Subscriber
+    ) -> Answer:
         size = log.size(subscriber.services)
         delay = self._pacer.wait(now, key, size)
         if delay:
@@ -183,7 +186,7 @@
     def _changes(
         self,
         now: int,
-        key: Key,
+        key: SubscriberKey,
         log: ChangeLog,
         subscriber: Subscriber,
         position: Position,
@@ -211,7 +214,7 @@
         self.counts["deltas"] += 1
         return self._send(subscriber, update, size + log.size(complete), current | complete)
 
-    def _delay(self, now: int, key: Key, size: int) -> int:
+    def _delay(self, now: int, key: SubscriberKey, size: int) -> int:
         """Nanoseconds until services may be sent completely: a few at once, yet counted."""
         if size <= self._limits.unpaced_bytes:
             self._pacer.spend(now, size)
--- a/loadbalancer/core/subscription/subscribers.py
+++ b/loadbalancer/core/subscription/subscribers.py
@@ -4,10 +4,16 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import START, Position
 
-Key = tuple[str, str]  # node and region
+
+class SubscriberKey(NamedTuple):
+    """One node's subscription to one region's log."""
+
+    node: str
+    region: str
 
 
 @dataclass(slots=True)
@@ -27,30 +33,32 @@
     """
 
     def __init__(self) -> None:
-        self._subscribers: dict[Key, Subscriber] = {}
+        self._subscribers: dict[SubscriberKey, Subscriber] = {}
         self._by_service: dict[tuple[str, str], dict[str, None]] = {}  # region, service: nodes
 
     def __len__(self) -> int:
         """How many there are."""
         return len(self._subscribers)
 
-    def __iter__(self) -> Iterator[Key]:
+    def __iter__(self) -> Iterator[SubscriberKey]:
         """Each one's node and region."""
         return iter(self._subscribers)
 
     def get(self, node: str, region: str) -> Subscriber | None:
         """One subscriber; None where it has not subscribed here."""
-        return self._subscribers.get((node, region))
+        return self._subscribers.get(SubscriberKey(node, region))
 
     def waiting(self, node: str, region: str) -> bool:
         """Whether this subscriber is here and waits."""
-        subscriber = self._subscribers.get((node, region))
+        subscriber = self._subscribers.get(SubscriberKey(node, region))
         return subscriber is not None and subscriber.waiting
 
     def waiting_for_service(self, region: str, service: str) -> tuple[str, ...]:
         """The waiting nodes that subscribe to a service."""
         nodes = self._by_service.get((region, service), ())
-        return tuple(node for node in nodes if self._subscribers[node, region].waiting)
+        return tuple(
+            node for node in nodes if self._subscribers[SubscriberKey(node, region)].waiting
+        )
 
     def waiting_for_region(self, region: str) -> tuple[str, ...]:
         """The waiting nodes of a region's log."""
@@ -62,7 +70,7 @@
 
     def update(self, node: str, region: str, services: frozenset[str]) -> Subscriber:
         """Take note of a subscription to these services, which is to be answered now."""
-        subscriber = self._subscribers.setdefault((node, region), Subscriber())
+        subscriber = self._subscribers.setdefault(SubscriberKey(node, region), Subscriber())
         for name in services - subscriber.services:
             self._by_service.setdefault((region, name), {})[node] = None
         self._remove_from_index(node, region, subscriber.services - services)
@@ -72,7 +80,7 @@
 
     def remove(self, node: str, region: str) -> None:
         """Forget one subscriber, which is here."""
-        subscriber = self._subscribers.pop((node, region))
+        subscriber = self._subscribers.pop(SubscriberKey(node, region))
         self._remove_from_index(node, region, subscriber.services)
 
     def _remove_from_index(self, node: str, region: str, services: frozenset[str]) -> None:
