--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -65,7 +65,7 @@
         wanted = frozenset({"s0"} if index < 3 else {"s1"})
         answer = rig.publisher.subscribe(0, node, "east", position, wanted, wanted)
         assert isinstance(answer, Wait)
-        assert answer.until is None
+        assert answer.until_ns is None
     woken = rig.publisher.on_change("east", rig.change("s0"))
     assert sorted(woken) == sorted(rig.mine[:3])
     answer = rig.publisher.subscribe(0, woken[0], "east", position, frozenset({"s0"}))
@@ -97,6 +97,47 @@
     assert isinstance(again, Wait)
 
 
+def test_what_was_sent_in_a_lost_answer_does_not_count_as_held() -> None:
+    """An answer with a newly assigned service is lost, and the node polls again from where it was.
+    A delta of that service would not follow what it holds.
+    """
+    rig = Rig()
+    position = rig.log.position
+    services = frozenset({"s0", "s1"})
+    rig.change("s0")
+    lost = rig.publisher.subscribe(0, rig.node, "east", position, services, frozenset({"s0"}))
+    assert isinstance(lost, SendUpdate)
+    rig.change("s1")
+    again = rig.publisher.subscribe(1, rig.node, "east", position, services)
+    assert isinstance(again, SendUpdate)
+    assert isinstance(again.update, Delta)
+    assert {change.service for change in again.update.changes if change.complete} == services
+
+
+def test_a_position_of_another_history_is_answered_with_a_snapshot() -> None:
+    """A node has an entry that was never committed: its leader was lost with it. A delta from
+    there would leave that entry's rows with the node.
+    """
+    rig = Rig()
+    revision = rig.log.position.revision + 1
+    rig.log.append(Change(Position(3, revision), "s0", (Row("committed", "x"),)))
+    lost = Position(2, revision)
+    answer = rig.publisher.subscribe(0, rig.node, "east", lost, SERVICES, SERVICES)
+    assert isinstance(answer, SendUpdate)
+    assert isinstance(answer.update, Snapshot)
+    assert "committed" in answer.update.services["s0"]
+
+
+def test_changes_of_services_that_are_not_assigned_are_not_sent() -> None:
+    """A node names a service that has moved away from it as one that it still holds."""
+    rig = Rig()
+    position = rig.log.position
+    assigned, held = frozenset({"s0"}), frozenset({"s0", "s1"})
+    assert isinstance(rig.publisher.subscribe(0, rig.node, "east", position, assigned, held), Wait)
+    assert rig.publisher.on_change("east", rig.change("s1")) == ()
+    assert isinstance(rig.publisher.subscribe(0, rig.node, "east", position, assigned, held), Wait)
+
+
 def test_a_subscriber_slower_than_the_changes_gets_complete_services() -> None:
     """A subscriber was away for so long that the log has dropped changes of one of its services."""
     rig = Rig(max_changes=10)
@@ -161,7 +202,7 @@
         polls[node] += 1
         answer = rig.publisher.subscribe(now, node, "east", START, SERVICES)
         if isinstance(answer, RetryAfter):
-            due.append((now + answer.delay, node))
+            due.append((now + answer.delay_ns, node))
         else:
             assert isinstance(answer, SendUpdate)
             assert isinstance(answer.update, Snapshot)
@@ -190,9 +231,9 @@
     position = rig.log.position
     waits = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, current)
     assert isinstance(waits, Wait)
-    assert waits.until is not None
+    assert waits.until_ns is not None
     assert rig.node in rig.publisher.on_change("east", rig.change("s0"))  # and wakes all the same
-    later = rig.publisher.subscribe(waits.until, rig.node, "east", position, SERVICES, current)
+    later = rig.publisher.subscribe(waits.until_ns, rig.node, "east", position, SERVICES, current)
     assert isinstance(later, SendUpdate)
     assert isinstance(later.update, Delta)
     complete = {change.service for change in later.update.changes if change.complete}
