--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -27,7 +27,7 @@
 from fakes.load import Clients
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.sources.endpoint_list import backend_id
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.troubles import Trouble, cause
 from simulation.service_world.world import ServiceWorld
@@ -229,7 +229,7 @@
 
 
 def world(nodes: int, servers: int, loss: float, drains_of: int) -> dict[str, Any]:
-    w = World(nodes, servers, 1)
+    w = GossipWorld(nodes, servers, 1)
     w.links.loss = loss
     w.start_all()
     w.run(6 * SECOND)
@@ -240,7 +240,7 @@
     for i in range(drains_of):
         began = w.now
         w.nodes[0].on_local_list(w.clock(0), 2 + i, [(i, 0, State.DRAINING)], False)
-        w._arm(0, w.now + 1)
+        w.schedule_turn(0, w.now + 1)
         left = set(range(1, nodes))
         while left and w.now < began + 20 * SECOND:
             w.run(w.now + SECOND // 200)
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -12,7 +12,7 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.gossip.messages import Outgoing
 from loadbalancer.gossip_transport.codec import encode
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 
 SETTLED = 6 * SECOND  # after which the start's own messages are over
 STRETCH_S = 2  # of the world's time, for one reading
@@ -20,7 +20,7 @@
 HEADERS = 28  # bytes of IPv4 and UDP around a datagram
 
 
-class CountedWorld(World):
+class CountedWorld(GossipWorld):
     """A world that counts the bytes of what its nodes send, as datagrams."""
 
     bytes_sent = 0
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -4,9 +4,10 @@
     python -m simulation.control_faults --seed 17            # one again
     python -m simulation.control_faults --digest --seeds 20  # a digest of each seed's run
 
-Drawn from each seed: loss, delay, doubled messages, one-way cuts, cut regions, control machines and
-nodes killed, paused and started without state, a zone gone and back, all while services change.
-Then all heals, and every machine and node must converge to what the sources say.
+Drawn from each seed: loss, delay, duplicated messages, one-way partitions, partitioned
+regions, control machines and nodes killed, paused and started without state, a zone killed and
+started again, all while services change. Then all heals, and every
+machine and node must converge to what the sources say.
 """
 
 from __future__ import annotations
--- a/simulation/control_world/event_loop.py
+++ b/simulation/control_world/event_loop.py
@@ -1,44 +1,28 @@
-"""Simulated time: callbacks run in the order of their times, and of their scheduling in a tie."""
+"""The control world's time, by delays from now."""
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Callable
-from typing import NamedTuple
 
 from simulation.control_world.settings import CONDITION_INTERVAL
+from simulation.event_queue import EventQueue
 
 
-class _Event(NamedTuple):
-    due: int
-    number: int  # unique, so that callbacks are never compared
-    callback: Callable[[], None]
-
-
-class EventLoop:
-    """Times are integer nanoseconds since the start of the world."""
-
-    def __init__(self) -> None:
-        self.now = 0
-        self._events: list[_Event] = []
-        self._scheduled = 0
+class EventLoop(EventQueue):
+    """Runs what is due; times are integer nanoseconds since the start of the world."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Run `callback` once, `delay` nanoseconds from now."""
-        self._scheduled += 1
-        heapq.heappush(self._events, _Event(self.now + delay, self._scheduled, callback))
+        self.call_at(self.now + delay, callback)
 
     def run(self, duration: int, condition: Callable[[], bool] | None = None) -> bool:
         """Run events for `duration` nanoseconds, or until `condition` holds.
 
-        Returns whether the condition holds; False where there is none.
+        The condition is checked at intervals. Returns whether it holds; False where there is none.
         """
         until = self.now + duration
         next_check = self.now
-        while self._events and self._events[0].due <= until:
-            event = heapq.heappop(self._events)
-            self.now = event.due
-            event.callback()
+        while self.run_next(until):
             if condition is not None and self.now >= next_check:
                 if condition():
                     return True
--- a/simulation/control_world/faults.py
+++ b/simulation/control_world/faults.py
@@ -27,7 +27,7 @@
 NODE_RESTART_WITHIN = 10 * SECOND
 NODE_PAUSE_WITHIN = 8 * SECOND
 
-CUTS_AT_ONCE = 4
+BLOCKED_AT_ONCE = 4
 FROM_MACHINE_PROBABILITY = 0.5
 HEALTHY_JITTER = 5 * MS
 
@@ -143,7 +143,7 @@
 
 
 class LinkFaults:
-    """Links that lose, delay and double messages, and cuts."""
+    """Links that lose, delay and duplicate messages, and network partitions."""
 
     def __init__(self, world: World, random: Random) -> None:
         self._world = world
@@ -154,28 +154,28 @@
         """Draw how good all links are from now on."""
         self._links.loss = self._random.choice([0.0, 0.0, 0.05, 0.2])
         self._links.jitter = self._random.choice([5 * MS, 50 * MS, SECOND])
-        self._links.double = self._random.choice([0.0, 0.2])
+        self._links.duplication = self._random.choice([0.0, 0.2])
 
-    def cut_one_way(self) -> None:
-        """Cut some links of machines, each in one direction."""
+    def block_links(self) -> None:
+        """Block some links of machines, each in one direction."""
         topology = self._world.topology
         addresses = len(topology.machines) + len(topology.nodes)
-        for _ in range(CUTS_AT_ONCE):
+        for _ in range(BLOCKED_AT_ONCE):
             machine = self._random.randrange(len(topology.machines))
             other = self._random.randrange(addresses)
             if self._random.random() < FROM_MACHINE_PROBABILITY:
-                self._links.cut.add((machine, other))
+                self._links.block([machine], [other])
             else:
-                self._links.cut.add((other, machine))
+                self._links.block([other], [machine])
 
-    def mend_cuts(self) -> None:
+    def unblock(self) -> None:
         """Let messages pass everywhere again."""
-        self._links.cut.clear()
+        self._links.unblock()
 
     def heal(self) -> None:
-        """Mend all cuts; no message is lost, doubled or late any more."""
-        self.mend_cuts()
-        self._links.loss, self._links.double = 0.0, 0.0
+        """End all partitions; no message is lost, duplicated or late any more."""
+        self.unblock()
+        self._links.loss, self._links.duplication = 0.0, 0.0
         self._links.jitter = HEALTHY_JITTER
 
 
@@ -200,14 +200,14 @@
             self._nodes.kill_one,
             self._nodes.pause_one,
             self._nodes.kill_zone,
-            self._links.cut_one_way,
-            self._links.cut_one_way,
+            self._links.block_links,
+            self._links.block_links,
             self._send_stale_updates,
             self._send_stale_updates,
             self._send_stale_updates,
-            world.network.cut_regions,
-            self._links.mend_cuts,
-            self._links.mend_cuts,
+            world.network.partition_regions,
+            self._links.unblock,
+            self._links.unblock,
         )
 
     def draw_link_quality(self) -> None:
--- a/simulation/control_world/network.py
+++ b/simulation/control_world/network.py
@@ -1,4 +1,4 @@
-"""Messages between machines and nodes, over links that lose, delay, double and cut them.
+"""Messages between machines and nodes, over links that lose, delay, duplicate and block them.
 
 What arrives at a paused process waits for it; what arrives at one that is gone is lost. Replies to
 nodes arrive whatever has become of the poll: nothing but the node's own rules guards it.
@@ -37,9 +37,9 @@
     machines: ProcessGroup[ControlMachine]
     nodes: ProcessGroup[HollowNode]
 
-    def cut_regions(self) -> None:
+    def partition_regions(self) -> None:
         """Let nothing pass between the regions."""
-        self.links.part(self.topology.addresses_in(EAST), self.topology.addresses_in(WEST))
+        self.links.partition(self.topology.addresses_in(EAST), self.topology.addresses_in(WEST))
 
     def replicate(self, sender: int, recipient: str, message: Message) -> None:
         """Send a replica's message to a machine, on a connection that ends with its process."""
@@ -119,7 +119,7 @@
         deliver: Callable[[], None],
     ) -> None:
         """Deliver each copy that the links let pass; source and target are addresses."""
-        delays = self.links.passing(source, target)
+        delays = self.links.draw_delays(source, target)
         self.recorder.message(source, target, content, delays)
         for delay in delays:
             self.loop.call_later(delay, deliver)
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -4,8 +4,9 @@
     python -m simulation.fleet_faults --seed 17            # one again
     python -m simulation.fleet_faults --digest --seeds 20  # a digest of each seed's run
 
-Drawn from each seed: nodes, servers, loss, delay, doubled messages, cuts, nodes killed, paused and
-started, drains, servers that fall silent. Then all heals, and the nodes must agree.
+Drawn from each seed: nodes, servers, loss, delay, duplicated messages, network partitions, nodes
+killed, paused and started, drains, servers that fall silent. Then all heals, and the nodes
+must agree.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 MASS_KILL_PROBABILITY = 0.5
 CALM_BEFORE_MASS_KILL = 6 * SECOND
 DEATHS_KNOWN_AFTER = 9 * SECOND
-IN_CUT_SIDE_PROBABILITY = 0.5
-ONE_WAY_CUTS = 3
+FIRST_SIDE_PROBABILITY = 0.5
+BLOCKED_AT_ONCE = 3
 MIN_READY = 2  # servers that no drain is drawn for
 
 
@@ -44,9 +45,9 @@
         self._world = world
         self._random = random
         self._kinds: Sequence[Callable[[], None]] = (
-            self._cut,
-            self._cut_one_way,
-            self._mend_cuts,
+            self._partition,
+            self._block_links,
+            self._unblock_links,
             self._kill_node,
             self._start_nodes,
             self._pause_node,
@@ -60,7 +61,7 @@
         links = self._world.links
         links.loss = self._random.choice([0.0, 0.1, 0.3])
         links.jitter = self._random.choice([MS, 50 * MS, 2 * SECOND])
-        links.double = self._random.choice([0.0, 0.2])
+        links.duplication = self._random.choice([0.0, 0.2])
 
     def cause_next(self) -> None:
         """Cause one fault, or mend one."""
@@ -70,7 +71,7 @@
         """Nanoseconds until the next one."""
         return self._random.randrange(MIN_PAUSE, MAX_PAUSE)
 
-    def kill_most_nodes(self) -> None:
+    def kill_majority(self) -> None:
         """Kill seven nodes in ten at once, with the rest well linked, and let these notice."""
         world = self._world
         self.heal()
@@ -82,28 +83,28 @@
     def heal(self) -> None:
         """Mend all: everything runs and is linked well."""
         links = self._world.links
-        self._mend_cuts()
+        self._unblock_links()
         links.loss, links.jitter = 0.0, HEALTHY_JITTER
         for server in self._world.pool:
             server.silent = False
         self._resume_nodes()
         self._start_nodes()
 
-    def _cut(self) -> None:
-        """Cut the nodes into two sides."""
-        nodes = set(range(len(self._world.terms)))
-        side = {node for node in nodes if self._random.random() < IN_CUT_SIDE_PROBABILITY}
-        self._world.links.part(side, nodes - side)
+    def _partition(self) -> None:
+        """Divide the nodes into two sides that don't reach each other."""
+        nodes = set(range(self._world.node_count))
+        side = {node for node in nodes if self._random.random() < FIRST_SIDE_PROBABILITY}
+        self._world.links.partition(side, nodes - side)
 
-    def _cut_one_way(self) -> None:
-        nodes = len(self._world.terms)
-        self._world.links.cut |= {
-            (self._random.randrange(nodes), self._random.randrange(nodes))
-            for _ in range(ONE_WAY_CUTS)
-        }
+    def _block_links(self) -> None:
+        """Block some links, each in one direction."""
+        nodes = self._world.node_count
+        for _ in range(BLOCKED_AT_ONCE):
+            source, target = self._random.randrange(nodes), self._random.randrange(nodes)
+            self._world.links.block([source], [target])
 
-    def _mend_cuts(self) -> None:
-        self._world.links.cut = set()
+    def _unblock_links(self) -> None:
+        self._world.links.unblock()
 
     def _kill_node(self) -> None:
         running = list(self._world.hosts)
@@ -111,7 +112,7 @@
             self._world.kill(self._random.choice(running))
 
     def _start_nodes(self) -> None:
-        for node in range(len(self._world.terms)):
+        for node in range(self._world.node_count):
             if node not in self._world.hosts:
                 self._world.start(node)
 
@@ -119,12 +120,12 @@
         running = list(self._world.hosts)
         if running:
             node = self._random.choice(running)
-            if node not in self._world.stopped:
-                self._world.stop(node)
+            if node not in self._world.paused:
+                self._world.pause(node)
 
     def _resume_nodes(self) -> None:
-        for node in list(self._world.stopped):
-            self._world.go_on(node)
+        for node in list(self._world.paused):
+            self._world.resume(node)
 
     def _drain_server(self) -> None:
         """Drain a server, notified to one node first."""
@@ -156,7 +157,7 @@
         faults.cause_next()
         world.run(world.now + faults.draw_pause())
     if random.random() < MASS_KILL_PROBABILITY:
-        faults.kill_most_nodes()
+        faults.kill_majority()
         checker.check_survivors()
     faults.heal()
     world.run(world.now + HEALED_FOR)
@@ -166,7 +167,7 @@
 
 
 def _draw_plan(seed: int, random: Random) -> ServicePlan:
-    """Every other seed has few slots, and one node that gets most of what all servers can do."""
+    """Every other seed has few slots, and one node that gets more than half of all requests."""
     nodes, servers = random.randint(3, 9), random.randint(4, 8)
     is_uneven = bool(seed % 2)
     return ServicePlan(
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -54,7 +54,7 @@
         self._first_seen: dict[ObservationKey, int] = {}  # by any node
         self._drained: dict[EndpointKey, int] = {}  # the node's incarnation that knew of it
         self._used_since: dict[EndpointKey, int] = {}  # though the node knows that it drains
-        world.later(CHECK_INTERVAL, self._check)
+        world.call_at(CHECK_INTERVAL, self._check)
 
     def check_survivors(self) -> None:
         """With most nodes dead and known as such, the living use the dead ones' slots."""
@@ -62,7 +62,7 @@
         living = len(world.hosts)
         limits = [host.balancer.concurrency_limit for host in world.hosts.values()]
         lowest, highest = SURVIVOR_LIMITS
-        if living * 2 > len(world.terms) or any(x > highest or x < lowest for x in limits):
+        if living * 2 > world.node_count or any(x > highest or x < lowest for x in limits):
             return
         if any(world.nodes[n].members.alive_count() != living for n in world.hosts):
             return
@@ -78,7 +78,7 @@
                 for endpoint in endpoints
             ):
                 used += sum(endpoint.cap for endpoint in endpoints)
-                available += min(mean_limit, world.terms[0].slots * living / len(world.terms))
+                available += min(mean_limit, world.settings[0].slots * living / world.node_count)
         if used < MIN_SLOT_USE * available:
             world.breach(f"{living} living nodes use {used} slots of {available:.0f}")
 
@@ -107,7 +107,7 @@
                 self._check_observations(key)
                 self._check_return(key, host)
                 self._check_drain(key, host)
-        world.later(world.now + CHECK_INTERVAL, self._check)
+        world.call_at(world.now + CHECK_INTERVAL, self._check)
 
     def _check_observations(self, key: EndpointKey) -> None:
         """No observation counts for longer than its time since any node first had it."""
@@ -118,7 +118,7 @@
                 continue
             name = ObservationKey(record.server, record.origin, record.incarnation, record.number)
             age = world.now - self._first_seen.setdefault(name, world.now)
-            if age > OBSERVATION_TTL_NS + MAX_TRANSIT and key.node not in world.stopped:
+            if age > OBSERVATION_TTL_NS + MAX_TRANSIT and key.node not in world.paused:
                 world.breach(f"node {key.node} uses an observation of {age / SECOND:.0f} s ago")
 
     def _check_return(self, key: EndpointKey, host: NodeHost) -> None:
@@ -139,7 +139,7 @@
         is_used = (
             knows_of_drain
             and host.balancer.endpoints[key.server].state == State.READY
-            and key.node not in world.stopped
+            and key.node not in world.paused
         )
         # A node drains only so many servers that its own list has as ready.
         if not is_used or len(local_list.drained) >= local_list.max_drained():
@@ -150,10 +150,10 @@
     def _check_slots(self) -> None:
         """All nodes' caps at a server are at most its slots, or what the least depth needs."""
         world = self._world
-        slots = world.terms[0].slots
+        slots = world.settings[0].slots
         hosts = world.hosts.values()
         all_alive = all(
-            world.nodes[node].members.alive_count() == len(world.terms) for node in world.hosts
+            world.nodes[node].members.alive_count() == world.node_count for node in world.hosts
         )
         # Under pressure the living use the slots of dead nodes.
         if not all_alive and any(host.balancer.concurrency_limit > slots - 1 for host in hosts):
@@ -161,10 +161,10 @@
         ready = {_ready_servers(host) for host in hosts}
         if len(ready) > 1:
             return  # slots are allocated by the list, and nodes have different ones
-        needed = -(-MIN_DEPTH * len(world.terms) // max(len(min(ready, default=())), 1))
+        needed = -(-MIN_DEPTH * world.node_count // max(len(min(ready, default=())), 1))
         for server in range(len(world.pool)):
             # A paused node sends nothing, and adjusts its caps before it does again.
-            active = [host for node, host in world.hosts.items() if node not in world.stopped]
+            active = [host for node, host in world.hosts.items() if node not in world.paused]
             endpoints = [host.balancer.endpoints[server] for host in active]
             if any(endpoint.cold_until for endpoint in endpoints):
                 continue  # allocated by how warm it is, as without gossip
--- a/simulation/links.py
+++ b/simulation/links.py
@@ -2,30 +2,54 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
 from loadbalancer.core.balancing.model import MS
 
 
+class Link(NamedTuple):
+    """One direction between two addresses."""
+
+    source: int
+    target: int
+
+
 @dataclass
 class Links:
-    """Delays in nanoseconds; `cut` names directed pairs that nothing passes."""
+    """The quality of all links, and the links that are blocked.
+
+    `loss` and `duplication` are probabilities for each message. A message takes `delay`
+    nanoseconds and up to `jitter` more.
+    """
 
     random: Random
     loss: float = 0.0
     delay: int = MS // 5
     jitter: int = MS
-    double: float = 0.0
-    cut: set[tuple[int, int]] = field(default_factory=set)
+    duplication: float = 0.0
+    blocked: set[Link] = field(default_factory=set)
 
-    def passing(self, source: int, target: int) -> list[int]:
-        """How long each copy of a message is on its way; none where it is lost."""
-        if (source, target) in self.cut or self.random.random() < self.loss:
+    def draw_delays(self, source: int, target: int) -> list[int]:
+        """When each copy of a message arrives, in nanoseconds from now; none where it is lost."""
+        if (source, target) in self.blocked or self.random.random() < self.loss:
             return []
-        copies = 2 if self.random.random() < self.double else 1
-        return [self.delay + int(self.random.random() * self.jitter) for _ in range(copies)]
-
-    def part(self, one: set[int], other: set[int]) -> None:
-        """Cut both ways between two sides."""
-        self.cut |= {(a, b) for a in one for b in other} | {(b, a) for a in one for b in other}
+        arrivals = 2 if self.random.random() < self.duplication else 1
+        return [self.delay + int(self.random.random() * self.jitter) for _ in range(arrivals)]
+
+    def block(self, sources: Iterable[int], targets: Iterable[int]) -> None:
+        """Let nothing pass from any of the sources to any of the targets."""
+        targets = tuple(targets)
+        self.blocked |= {Link(source, target) for source in sources for target in targets}
+
+    def partition(self, one: Iterable[int], other: Iterable[int]) -> None:
+        """Let nothing pass between two sides, in both directions."""
+        one, other = tuple(one), tuple(other)
+        self.block(one, other)
+        self.block(other, one)
+
+    def unblock(self) -> None:
+        """End all partitions."""
+        self.blocked.clear()
--- a/simulation/list_world.py
+++ b/simulation/list_world.py
@@ -23,7 +23,7 @@
 from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 
 LINES = 200  # a second, for all callers
 PATIENCE = 3 * SECOND  # a call that has waited so long is turned away, as on the platform
@@ -73,7 +73,7 @@
 class ListService:
     """One service for all; `down` refuses, `refusing` turns away that part, `old` lies."""
 
-    def __init__(self, world: World, rows: Mapping[str, str]) -> None:
+    def __init__(self, world: GossipWorld, rows: Mapping[str, str]) -> None:
         self.world = world
         self.list: Revisions[str] = Revisions(41)
         self.list.rows = dict(rows)
@@ -108,7 +108,7 @@
             self._end(asked, self.world.now + TRIP, None)
         elif asked.since == self._rev():
             self._watching.append(asked)
-            self.world.later(self.world.now + asked.hold, self._nothing, asked)
+            self.world.call_at(self.world.now + asked.hold, self._nothing, asked)
         else:
             self._serve(asked)
 
@@ -139,7 +139,7 @@
         self._end(asked, self.free + TRIP, (self._rev(), dict(said), whole))
 
     def _end(self, asked: Asked, due: int, answer: Answer | None) -> None:
-        self.world.later(due, asked.asker.answered, asked.number, answer)
+        self.world.call_at(due, asked.asker.answered, asked.number, answer)
 
     def forget(self, asker: ListClient) -> None:
         """Its connection has gone."""
@@ -151,7 +151,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: GossipWorld,
         node: int,
         service: ListService,
         known: tuple[int, dict[str, str]],
@@ -189,7 +189,7 @@
             return
         if self.world.now < self._not_before:
             due, self._not_before = self._not_before, 0
-            self.world.later(due, self.watch)
+            self.world.call_at(due, self.watch)
             return
         self._watching = True
         unread = shared is not None and not shared.replica.version.epoch
@@ -203,15 +203,15 @@
         asked = Asked(self, self._calls, since, hold)
         limit = hold + HOLD_MARGIN_NS if hold else self._caller.answer_timeout(len(self.rows))
         self._asked_at, self._limit = self.world.now, limit
-        self.world.later(self.world.now + TRIP, self.service.call, asked)
-        self.world.later(self.world.now + limit, self.answered, self._calls, None)
+        self.world.call_at(self.world.now + TRIP, self.service.call, asked)
+        self.world.call_at(self.world.now + limit, self.answered, self._calls, None)
 
     def answered(self, number: int, answer: Answer | None) -> None:
         """What the program's discovery does with it."""
         if not (self._alive() and self._watching) or number != self._calls:
             return
-        if self.node in self.world.stopped:
-            self.world.later(self.world.now + 100 * MS, self.answered, number, answer)
+        if self.node in self.world.paused:
+            self.world.call_at(self.world.now + 100 * MS, self.answered, number, answer)
             return
         now = self.world.clock(self.node)
         shared = self._fleet.shared_list
@@ -234,7 +234,7 @@
         taken = ListUpdate(*answer)
         if shared is not None:
             self._fleet.on_list_read(now, *taken)
-            self.world.poke(self.node)
+            self.world.reschedule_turn(self.node)
         self._take(taken)
         self._next(self.rev, HOLD_NS)
 
@@ -269,7 +269,7 @@
     def __init__(self, world: ListWorld, node: int) -> None:
         self.world, self.node = world, node
         self.ready = -1  # when it first could serve
-        terms = world.terms[node]
+        terms = world.settings[node]
         settings = Settings((CLASS,), node=node, nodes=terms.nodes, poll=True)
         self.balancer = Balancer(settings, world.random.getrandbits(32), self)
         known = world.known(node)
@@ -284,7 +284,7 @@
             self.ready = self.world.now
         if update == Update.DELTA and not rows:
             return  # without requests all it does is to deal the same servers anew
-        skew = self.world.skew[self.node]
+        skew = self.world.clock_offsets[self.node]
         found = [listing(uid, text, skew) for uid, text in rows.items()]
         self.balancer.on_members(self.world.clock(self.node), update, found)
 
@@ -294,7 +294,7 @@
     def set_timer(self, token: int, due: int) -> None:
         if token == Timer.CYCLE:
             return  # no requests: nothing to balance
-        self.world.later(due - self.world.skew[self.node], self._timer, token)
+        self.world.call_at(due - self.world.clock_offsets[self.node], self._timer, token)
 
     def _timer(self, token: int) -> None:
         if self.world.starters.get(self.node) is self and self.node in self.world.nodes:
@@ -304,7 +304,7 @@
         return lambda *_: None  # no requests here
 
 
-class ListWorld(World):
+class ListWorld(GossipWorld):
     """See the module's docstring; `readers` 0 is the program with each node on its own."""
 
     def __init__(self, nodes: int, servers: int, seed: int, readers: int) -> None:
@@ -324,21 +324,21 @@
         self.service.forget(self.starters[node].list)
 
     def send(self, node: int, out: list[Outgoing]) -> None:
-        if self.terms[0].readers:
+        if self.settings[0].readers:
             super().send(node, out)
 
-    def _turn(self, node: int, due: int) -> None:
-        if not any(terms.readers for terms in self.terms):
+    def _take_turn(self, node: int, due: int) -> None:
+        if not any(terms.readers for terms in self.settings):
             return  # nobody speaks: there is nothing to say and nothing to hear
-        super()._turn(node, due)
+        super()._take_turn(node, due)
         self._after(node)
 
-    def _deliver(self, source: int, target: int, word: Message) -> None:
-        super()._deliver(source, target, word)
+    def deliver(self, source: int, target: int, word: Message) -> None:
+        super().deliver(source, target, word)
         self._after(target)
 
     def _after(self, node: int) -> None:
-        if node in self.nodes and node not in self.stopped:
+        if node in self.nodes and node not in self.paused:
             self.starters[node].list.after()
 
     def current(self) -> bool:
--- a/simulation/service_world/attempts.py
+++ b/simulation/service_world/attempts.py
@@ -43,7 +43,7 @@
         """Take an attempt to a server, with its timeout in nanoseconds."""
         world, server = self._world, self._world.pool[index]
         self._check_drain(host, index)
-        world.later(world.now + timeout, self._on_timeout, host, key)
+        world.call_at(world.now + timeout, self._on_timeout, host, key)
         server.accept()
         if not server.gone and server.is_overwhelmed(world.now):
             world.endpoint_list.restart_overwhelmed(index)
@@ -85,7 +85,7 @@
     def _end_later(
         self, delay: int, host: NodeHost, key: AttemptKey, server: Server, outcome: Outcome
     ) -> None:
-        self._world.later(self._world.now + delay, self._end, host, key, server, outcome)
+        self._world.call_at(self._world.now + delay, self._end, host, key, server, outcome)
 
     def _end(self, host: NodeHost, key: AttemptKey, server: Server, outcome: Outcome) -> None:
         if key in host.open_attempts and host.is_running():
--- a/simulation/service_world/clients.py
+++ b/simulation/service_world/clients.py
@@ -35,7 +35,7 @@
 
     def run(self, until: int) -> None:
         """Send requests from now on until a time of the world."""
-        self._world.later(self._world.now + self._interval, self._request, until)
+        self._world.call_at(self._world.now + self._interval, self._request, until)
 
     def _request(self, until: int) -> None:
         world = self._world
@@ -47,7 +47,7 @@
             world.count(Count.ASKED)
             world.count(Count.NO_NODE)
             return
-        if node in world.stopped:
+        if node in world.paused:
             world.count(Count.AT_PAUSED_NODE)
             return
         self._requests += 1
--- a/simulation/service_world/endpoint_list.py
+++ b/simulation/service_world/endpoint_list.py
@@ -83,7 +83,7 @@
         world, states, first_nodes = self._world, tuple(self.states), frozenset(first)
         for node in list(world.hosts):
             delay = 0 if node in first_nodes else LIST_DELAY
-            world.later(world.now + delay, self._push, node, self._rev, states)
+            world.call_at(world.now + delay, self._push, node, self._rev, states)
 
     def replace(self, server: int, first: Iterable[int]) -> None:
         """Drain a server and add another; the first is gone once its grace is over."""
@@ -93,7 +93,7 @@
         if self.service is not None:
             self.restart([len(world.pool) - 1])
         self.change(server, State.DRAINING, first)
-        world.later(world.now + DRAIN_GRACE, self._remove, server)
+        world.call_at(world.now + DRAIN_GRACE, self._remove, server)
 
     def restart(self, servers: Sequence[int]) -> None:
         """Start these servers anew, cold, and list them so at once."""
@@ -107,7 +107,7 @@
         world = self._world
         world.count(Count.OVERWHELMED)
         world.pool[server].gone = True
-        world.later(world.now + RESTART_TIME, self.restart, (server,))
+        world.call_at(world.now + RESTART_TIME, self.restart, (server,))
 
     def start_all_cold(self) -> None:
         """Let all servers have started now, where the list is polled and no node runs yet."""
@@ -125,8 +125,8 @@
         world, host = self._world, self._world.hosts.get(node)
         if host is None or world.nodes[node].local_list.rev >= rev:
             return
-        if node in world.stopped:
-            world.later(world.now + PAUSED_LIST_DELAY, self._push, node, rev, states)
+        if node in world.paused:
+            world.call_at(world.now + PAUSED_LIST_DELAY, self._push, node, rev, states)
             return
         known = host.known_states
         changed = [(server, s) for server, s in enumerate(states) if known.get(server) != s]
--- a/simulation/service_world/node_host.py
+++ b/simulation/service_world/node_host.py
@@ -42,7 +42,7 @@
         settings = Settings(
             CLASSES,
             node=node,
-            nodes=len(world.terms),
+            nodes=world.node_count,
             drain_grace=DRAIN_GRACE,
             max_attempts=MAX_ATTEMPTS,
             max_retry_after=MAX_RETRY_AFTER,
@@ -104,7 +104,7 @@
 
     def set_timer(self, token: int, due: int) -> None:
         """Run the Balancer's timer at `due` by the node's clock."""
-        self.world.later(due - self.world.skew[self.node], self._on_timer, token)
+        self.world.call_at(due - self.world.clock_offsets[self.node], self._on_timer, token)
 
     def watch(self) -> None:
         """Poll the list; where there is no service to poll, the list is pushed."""
@@ -140,15 +140,15 @@
     def _on_timer(self, token: int) -> None:
         if not self.is_running():
             return
-        if self.node in self.world.stopped:
-            self.world.later(self.world.now + PAUSED_TIMER_DELAY, self._on_timer, token)
+        if self.node in self.world.paused:
+            self.world.call_at(self.world.now + PAUSED_TIMER_DELAY, self._on_timer, token)
             return
         self.balancer.on_timer(self.now, token)
 
     def _on_polled_list(self, update: Update, rows: Mapping[str, str | None]) -> None:
         """Pass on a list from the service or from another node, or that a poll has failed."""
         world, now = self.world, self.now
-        skew = world.skew[self.node]
+        skew = world.clock_offsets[self.node]
         found = [listing(uid, text, skew) for uid, text in rows.items()]
         if update != Update.FAILED:
             gossip_node = world.nodes[self.node]
--- a/simulation/service_world/troubles.py
+++ b/simulation/service_world/troubles.py
@@ -71,7 +71,7 @@
 
 
 def _kill(world: ServiceWorld) -> None:
-    for node in range(len(world.terms) * 7 // 10):
+    for node in range(world.node_count * 7 // 10):
         world.kill(node)
     _silence(world, _few())
 
@@ -84,5 +84,5 @@
     replaced = len(world.pool) * 6 // 10
     for server in range(replaced):
         at = world.now + server * REPLACED_WITHIN // replaced
-        first = world.random.randrange(len(world.terms))
-        world.later(at, world.endpoint_list.replace, server, [first])
+        first = world.random.randrange(world.node_count)
+        world.call_at(at, world.endpoint_list.replace, server, [first])
--- a/simulation/service_world/world.py
+++ b/simulation/service_world/world.py
@@ -8,7 +8,7 @@
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
 from loadbalancer.core.gossip.messages import Message, Outgoing
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 from simulation.service_world.attempts import Attempts
 from simulation.service_world.clients import Clients
 from simulation.service_world.counters import Count
@@ -18,7 +18,7 @@
 from simulation.service_world.settings import ServicePlan
 
 
-class ServiceWorld(World):
+class ServiceWorld(GossipWorld):
     """Nodes with Balancers and gossip, servers, a list and clients."""
 
     def __init__(self, plan: ServicePlan) -> None:
@@ -38,7 +38,7 @@
 
     def incarnation(self, node: int) -> int:
         """How often a node has started."""
-        return self._lives[node]
+        return self.starts[node]
 
     def breach(self, text: str) -> None:
         """Note that an invariant does not hold."""
@@ -85,21 +85,21 @@
         if self.gossip:
             super().send(node, out)
 
-    def _turn(self, node: int, due: int) -> None:
+    def _take_turn(self, node: int, due: int) -> None:
         bridge = self.bridges.get(node)
-        if bridge is not None and node not in self.stopped:
+        if bridge is not None and node not in self.paused:
             bridge.report(self.clock(node))
-        super()._turn(node, due)
+        super()._take_turn(node, due)
         self._apply_gossip(node)
 
-    def _deliver(self, source: int, target: int, message: Message) -> None:
-        super()._deliver(source, target, message)
+    def deliver(self, source: int, target: int, message: Message) -> None:
+        super().deliver(source, target, message)
         self._apply_gossip(target)
 
     def _apply_gossip(self, node: int) -> None:
         """Pass on to the Balancer what the node has learned from others."""
         host, bridge = self.hosts.get(node), self.bridges.get(node)
-        if host is None or bridge is None or node in self.stopped:
+        if host is None or bridge is None or node in self.paused:
             return
         if host.list_client is not None:
             host.list_client.after()
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -280,10 +280,10 @@
     reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls}
     world.run(world.now + 4 * SECOND)
     far = {n for n in range(30) if n not in reads and n % 2}
-    world.links.part(far, set(range(30)) - far)
+    world.links.partition(far, set(range(30)) - far)
     world.service.change({f"s{i}": row(i, 2) for i in range(20)})
     assert world.run(world.now + 30 * SECOND, world.current)
-    world.links.cut = set()
+    world.links.unblock()
     world.service.change({"s0": None, "s77": row(77)})
     assert world.run(world.now + 20 * SECOND, world.current)
     world.run(world.now + 10 * SECOND)
@@ -331,7 +331,7 @@
 def test_during_a_roll_out_of_readers_all_nodes_have_the_list() -> None:
     """Every other node is of the version before, reads for itself and passes nothing on."""
     world = ListWorld(24, 40, 10, 2)
-    world.terms = [replace(t, readers=0) if t.me % 2 else t for t in world.terms]
+    world.settings = [replace(t, readers=0) if t.me % 2 else t for t in world.settings]
     world.start_all()
     assert world.run(20 * SECOND, world.current)
     world.service.change({"s3": None, "s90": row(90)})
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -52,7 +52,7 @@
     assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.ASKED]
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
-    assert max(server.max_in_flight for server in world.pool) <= world.terms[0].slots
+    assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots
     # Every message lost: leases end, and what pressure alone would give is there within 4 s.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
@@ -77,10 +77,10 @@
     holder, grantor = 0, next(iter(world.nodes[0].leases.active))
     assert world.nodes[grantor].leases.grants
     for node in (holder, grantor):
-        world.stop(node)
+        world.pause(node)
     world.run(72 * SECOND)
     for node in (holder, grantor):
-        world.go_on(node)
+        world.resume(node)
         assert not world.nodes[node].leases.active
         assert not world.nodes[node].leases.grants
     world.run(world.now + 1)  # their first turns
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -12,35 +12,38 @@
     MemberStatus,
     Message,
     Observation,
+    Outgoing,
 )
 from loadbalancer.core.gossip.own_observations import results_of
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 
 
-def settled(nodes: int, servers: int = 30, seed: int = 1, zones: int = 1) -> World:
-    world = World(nodes, servers, seed, zones)
+def settled(nodes: int, servers: int = 30, seed: int = 1, zones: int = 1) -> GossipWorld:
+    world = GossipWorld(nodes, servers, seed, zones)
     world.start_all()
     world.run(5 * SECOND)
     assert all(f.caught_up for f in world.nodes.values())
     return world
 
 
-def drain(world: World, node: int, rev: int, server: int, state: State = State.DRAINING) -> None:
+def drain(
+    world: GossipWorld, node: int, rev: int, server: int, state: State = State.DRAINING
+) -> None:
     """This node alone reads it from the list service."""
     world.nodes[node].on_local_list(world.clock(node), rev, [(server, 0, state)], False)
 
 
-def drained(world: World, server: int) -> int:
+def drained(world: GossipWorld, server: int) -> int:
     """How many know."""
     states = (f.effective_state(server, 0, State.READY) for f in world.nodes.values())
     return sum(state != State.READY for state in states)
 
 
-def dead_views(world: World) -> set[int]:
+def dead_views(world: GossipWorld) -> set[int]:
     return {record.node for f in world.nodes.values() for record in f.members.not_alive()}
 
 
-def converged(world: World) -> bool:
+def converged(world: GossipWorld) -> bool:
     return len({(*f.records.digest, f.members.digest()) for f in world.nodes.values()}) == 1
 
 
@@ -78,10 +81,10 @@
 
 def test_one_way_links_and_a_leave_are_no_deaths() -> None:
     world = settled(9)
-    world.links.cut = {(0, n) for n in range(2, 9)}  # only node 1 receives node 0's messages
+    world.links.block([0], range(2, 9))  # only node 1 receives node 0's messages
     world.run(world.now + 10 * SECOND)
     assert all(f.members.is_alive(0) for f in world.nodes.values())
-    world.links.cut = set()
+    world.links.unblock()
     world.send(4, world.nodes[4].leave())
     world.kill(4)
     others = list(world.nodes.values())
@@ -95,14 +98,14 @@
 def test_two_sides_that_went_apart_come_to_converged(seed: int) -> None:
     """2 and 3: a server drains on one side, another is replaced on the other; both heal."""
     world = settled(5, seed=seed)
-    world.links.part({0, 1}, {2, 3, 4})
+    world.links.partition({0, 1}, {2, 3, 4})
     world.run(world.now + 6 * SECOND)
     drain(world, 0, 2, 7)
     drain(world, 3, 3, 8, State.GONE)
     world.run(world.now + 6 * SECOND)
     assert world.nodes[1].members.alive_count() == 2
     assert world.nodes[2].members.alive_count() == 3
-    world.links.cut = set()
+    world.links.unblock()
     world.links.loss = 0.1
     world.run(world.now + 12 * SECOND)
     world.links.loss = 0.0
@@ -116,14 +119,14 @@
 def test_a_node_paused_for_a_minute_restores_no_old_records() -> None:
     world = settled(9)
     world.nodes[4].observe(world.clock(4), 5, results_of(3, True, 0, 1.0), world.clock(4))
-    world.stop(4)
+    world.pause(4)
     world.run(world.now + 20 * SECOND)
     assert dead_views(world) == {4}
     drain(world, 0, 2, 7)
     world.run(world.now + 40 * SECOND)
     for fleet in world.nodes.values():
         fleet.records.changed.clear()
-    world.go_on(4)
+    world.resume(4)
     assert world.run(world.now + 5 * SECOND, lambda: world.nodes[4].caught_up)
     world.run(world.now + 3 * SECOND)
     assert not dead_views(world)
@@ -139,8 +142,8 @@
     world.nodes[3].observe(world.clock(3), 5, results_of(3, True, 0, 1.0), world.clock(3))
     world.run(world.now + SECOND)
     for node in (2, 3, 6):
-        world.skew[node] += 60 * SECOND
-        world._arm(node, world.now)
+        world.clock_offsets[node] += 60 * SECOND
+        world.schedule_turn(node, world.now)
     assert world.run(world.now + 5 * SECOND, lambda: all(f.caught_up for f in world.nodes.values()))
     world.run(world.now + 3 * SECOND)
     assert not dead_views(world)
@@ -153,7 +156,7 @@
 def test_a_node_that_restarts_with_an_earlier_clock_is_accepted_again() -> None:
     world = settled(9)
     world.kill(4)
-    world._lives[4] = -10_000_000  # some hours before its last start
+    world.starts[4] = -10_000_000  # some hours before its last start
     world.start(4)
     assert world.run(
         world.now + 12 * SECOND,
@@ -201,11 +204,11 @@
     requests: dict[int, int] = {}
     send = world.send
 
-    def counted(node: int, out: list) -> None:  # type: ignore[type-arg]
-        for to, message in out:
-            if message.kind == Kind.DIGEST and message.subject == to:
-                requests[to] = requests.get(to, 0) + 1
-        send(node, out)
+    def counted(node: int, outgoing: list[Outgoing]) -> None:
+        for target, message in outgoing:
+            if message.kind == Kind.DIGEST and message.subject == target:
+                requests[target] = requests.get(target, 0) + 1
+        send(node, outgoing)
 
     world.send = counted  # type: ignore[method-assign]
     for victim in range(70):
@@ -257,7 +260,7 @@
         )  # fmt: skip
         message = Message(Kind.GOSSIP, 8, incarnation, records=records)
         for to in range(8):
-            world.later(began + i * MS, world._deliver, 8, to, message)
+            world.call_at(began + i * MS, world.deliver, 8, to, message)
     world.run(began + 3 * SECOND)
     assert all(f.members.is_alive(3) for f in world.nodes.values())
     assert drained(world, 7) >= 7
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -160,21 +160,21 @@
     """
     world = converged_world()
     east = leader(world, "east")
-    world.links.cut |= {(other, east) for other in range(6)}  # it is heard and hears nobody
-    world.links.cut |= {(1, world.topology.node_address(node)) for node in range(12)}
+    world.links.block(range(6), [east])  # it is heard and hears nobody
+    world.links.block([1], map(world.topology.node_address, range(12)))
     run_with_changes(world, 12 * SECOND)
     assert world.run(25 * SECOND, lambda: not world.sources["east"].outstanding)
-    world.links.cut.clear()
+    world.links.unblock()
     assert_converges(world)
 
 
 def test_deltas_lost_doubled_late_and_after_a_gap() -> None:
     """Updates come late, twice or not at all, so that nodes get old ones and ones after a gap."""
     world = converged_world(5)
-    world.links.loss, world.links.double, world.links.jitter = 0.1, 0.5, 3 * SECOND
+    world.links.loss, world.links.duplication, world.links.jitter = 0.1, 0.5, 3 * SECOND
     run_with_changes(world, 30 * SECOND)
     assert world.update_statuses[UpdateStatus.OLDER] + world.update_statuses[UpdateStatus.GAP] > 10
-    world.links.loss, world.links.double, world.links.jitter = 0.0, 0.0, 5 * MS
+    world.links.loss, world.links.duplication, world.links.jitter = 0.0, 0.0, 5 * MS
     assert_converges(world)
 
 
@@ -272,7 +272,7 @@
         nodes_per_zone=1, services_per_region=3, max_changes=50, timing=slow, slowdown=8
     )
     world = converged_world(2, size)
-    world.network.cut_regions()
+    world.network.partition_regions()
     world.run(10 * SECOND)  # what was on its way has come
     last_received = max(machine.logs["west"].position for machine in world.active_machines("east"))
     held = {
@@ -295,5 +295,5 @@
         for machine in world.active_machines(region):
             proposal = machine.replica.propose(f"{other}-s0", ())
             assert proposal.outcome.value == "wrong region"
-    world.links.cut.clear()
+    world.links.unblock()
     assert_converges(world, 60 * SECOND)
