--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -24,7 +24,8 @@
 from fakes.discovery import target
 from fakes.fleet import backends, started
 from loadbalancer.core.balancing.model import SECOND
-from simulation.list_world import ListWorld
+from simulation.list_world.rows import KnownList
+from simulation.list_world.world import ListWorld
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.world import ServiceWorld
 
@@ -89,14 +90,16 @@
     w = ListWorld(nodes, servers, seed, readers)
     w.links.loss = loss
     w.start_all()
-    done = w.run(30 * SECOND, w.current)
+    done = w.run(30 * SECOND, w.is_current)
     counts = w.service.counts
+    ready_at = [n.ready_at for n in w.list_nodes.values() if n.ready_at is not None]
     return {
         "last_s": round(w.now / SECOND, 2) if done else None,
-        "with_a_list": sum(s.ready >= 0 for s in w.starters.values()),
-        "first_list_s": round(min(s.ready for s in w.starters.values() if s.ready >= 0) / 1e9, 2),
+        "with_a_list": len(ready_at),
+        "first_list_s": round(min(ready_at) / 1e9, 2),
         "lists": counts["whole lists"], "calls": counts["calls"],
-        "turned_away": counts["turned away"], "most_lines_s": max(w.service.lines.values()),
+        "turned_away": counts["turned away"],
+        "most_lines_s": max(w.service.lines_by_second.values()),
     }  # fmt: skip
 
 
@@ -104,7 +107,7 @@
     """Lines that one node costs which starts so many times with nothing, the first of readers."""
     w = ListWorld(20, 100, 1, readers)
     w.start_all()
-    w.run(20 * SECOND, w.current)
+    w.run(20 * SECOND, w.is_current)
     w.run(w.now + 2 * SECOND)
     reads = [n for n, f in w.nodes.items() if f.shared_list is not None and f.shared_list.polls]
     first = reads[0] if reads else 0
@@ -133,7 +136,8 @@
     service = w.endpoint_list.service
     if not words:
         # Each for itself would still wait for its list: without words it has it already.
-        w.endpoint_list.known_at_start = lambda _n: (41, dict(service.rows) if service else {})
+        known = KnownList(41, dict(service.rows) if service else {})
+        w.endpoint_list.known_at_start = lambda _n: known
     w.start_cold()
     w.clients.run(10 * SECOND)
     w.run(10 * SECOND)
--- a/simulation/list_callers.py
+++ b/simulation/list_callers.py
@@ -3,7 +3,7 @@
 Each caller goes by the product's own `PollBackoff` and asks the pauses of a Balancer beside it; the
 service works through calls in turn, so many lines a second, turns away who has waited too long,
 and works on for callers that have given up. Thousands of callers in seconds of real time, which
-`simulation/list_world.py` with its whole nodes is too slow for.
+`simulation/list_world` with its complete nodes is too slow for.
 
     python -m simulation.list_callers --seeds 100  # all cores; each seed that fails as a command
     python -m simulation.list_callers --seed 17            # one again
--- a/simulation/service_world/endpoint_list.py
+++ b/simulation/service_world/endpoint_list.py
@@ -11,7 +11,9 @@
 
 from loadbalancer.core import Listing, State, Update
 from loadbalancer.core.balancing.model import MS
-from simulation.list_world import ListService, row
+from simulation.list_world.rows import KnownList, encode_row
+from simulation.list_world.service import ListService
+from simulation.list_world.world import knows_nothing
 from simulation.service_world.counters import Count
 from simulation.service_world.server import Server
 from simulation.service_world.settings import (
@@ -26,13 +28,6 @@
     from simulation.service_world.node_host import NodeHost
     from simulation.service_world.world import ServiceWorld
 
-# A list's version and its rows by uid.
-KnownList = tuple[int, dict[str, str]]
-
-
-def _knows_nothing(_node: int) -> KnownList:
-    return 0, {}
-
 
 def _uid(server: int) -> str:
     return f"s{server}"
@@ -43,10 +38,10 @@
 
     def __init__(self, world: ServiceWorld, plan: ServicePlan) -> None:
         self.states = [State.READY] * plan.servers
-        self.known_at_start: Callable[[int], KnownList] = _knows_nothing  # by node, if polled
+        self.known_at_start: Callable[[int], KnownList] = knows_nothing  # by node, if polled
         self.service: ListService | None = None
         if plan.list_readers is not None:
-            self.service = ListService(world, {_uid(i): row(i) for i in range(plan.servers)})
+            self.service = ListService(world, {_uid(i): encode_row(i) for i in range(plan.servers)})
         self._world = world
         self._rev = 1
 
@@ -74,11 +69,9 @@
         self.states[server] = state
         if self.service is not None:
             started_ms = self._world.pool[server].started_at // MS
-            text = "active" if state == State.READY else "leaving"
-            is_gone = state == State.GONE
-            self.service.change(
-                {_uid(server): None if is_gone else row(server, 0, text, started_ms)}
-            )
+            is_listed = state != State.GONE
+            row = encode_row(server, 0, state, started_ms) if is_listed else None
+            self.service.change({_uid(server): row})
             return
         world, states, first_nodes = self._world, tuple(self.states), frozenset(first)
         for node in list(world.hosts):
@@ -115,7 +108,7 @@
         now = self._world.now
         for index, server in enumerate(self._world.pool):
             server.started_at = now
-            self.service.rows[_uid(index)] = row(index, 0, "active", now // MS)
+            self.service.rows[_uid(index)] = encode_row(index, 0, State.READY, now // MS)
 
     def _remove(self, server: int) -> None:
         self._world.pool[server].gone = True
--- a/simulation/service_world/node_host.py
+++ b/simulation/service_world/node_host.py
@@ -7,7 +7,8 @@
 
 from loadbalancer.core import Balancer, Outcome, Settings, Update
 from loadbalancer.core.balancing.model import MS, SECOND
-from simulation.list_world import ListClient, listing
+from simulation.list_world.client import ListClient
+from simulation.list_world.rows import decode_row
 from simulation.service_world.counters import Count
 from simulation.service_world.settings import CLASSES, DRAIN_GRACE, PAUSED_TIMER_DELAY
 
@@ -148,13 +149,13 @@
     def _on_polled_list(self, update: Update, rows: Mapping[str, str | None]) -> None:
         """Pass on a list from the service or from another node, or that a poll has failed."""
         world, now = self.world, self.now
-        skew = world.clock_offsets[self.node]
-        found = [listing(uid, text, skew) for uid, text in rows.items()]
+        clock_offset = world.clock_offsets[self.node]
+        found = [decode_row(uid, text, clock_offset) for uid, text in rows.items()]
         if update != Update.FAILED:
             gossip_node = world.nodes[self.node]
             is_complete = update in (Update.FULL, Update.CACHED)
             assert self.list_client is not None  # only its own answers come here
-            local = [(r.backend, max(r.boot - skew, 0) // MS, r.state) for r in found]
+            local = [(r.backend, max(r.boot - clock_offset, 0) // MS, r.state) for r in found]
             gossip_node.on_local_list(now, self.list_client.rev, local, is_complete)
             for row in found:
                 world.endpoint_list.on_notified(self.node, row.backend, row.state)
--- a/simulation/service_world/world.py
+++ b/simulation/service_world/world.py
@@ -77,7 +77,7 @@
         if host is None:
             return
         if host.list_client is not None:
-            host.list_client.service.forget(host.list_client)
+            host.list_client.service.disconnect(host.list_client)
         self.attempts.abandon(host)
 
     def send(self, node: int, out: list[Outgoing]) -> None:
@@ -102,7 +102,7 @@
         if host is None or bridge is None or node in self.paused:
             return
         if host.list_client is not None:
-            host.list_client.after()
+            host.list_client.apply_shared()
         update = bridge.collect(self.clock(node))
         if update is not None:
             if self.digest is not None:
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -23,7 +23,8 @@
     fleet_pause_bound,
 )
 from simulation.list_callers import CallWorld, ServicePlan
-from simulation.list_world import ListWorld
+from simulation.list_world.service import ServiceCount
+from simulation.list_world.world import ListWorld
 from tests.recording_host import PURE
 
 ROWS = 200
@@ -205,9 +206,12 @@
 def test_two_hundred_cold_nodes_of_the_world_all_have_the_list_in_time() -> None:
     """Whole nodes' own Balancers say when to poll; each for itself, 270 rows of 200 a second."""
     world = ListWorld(200, 270, 1, 0)
-    world.service.patience = 5 * SECOND
+    world.service.max_queue_time = 5 * SECOND
     world.start_all()
     needed = 270 * SECOND
-    ready = lambda: all(s.ready >= 0 for s in world.starters.values())  # noqa: E731
-    assert world.run(needed * 11 // 10, ready)
-    assert world.service.counts["whole lists"] == 200
+
+    def all_ready() -> bool:
+        return all(node.ready_at is not None for node in world.list_nodes.values())
+
+    assert world.run(needed * 11 // 10, all_ready)
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] == 200
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -32,7 +32,9 @@
     ReaderRecord,
     ReaderState,
 )
-from simulation.list_world import LINES, ListWorld, row
+from simulation.list_world.rows import KnownList, encode_row
+from simulation.list_world.service import LINES_PER_S, ServiceCount
+from simulation.list_world.world import ListWorld
 
 
 def send_delta(shared: SharedList, delta: ListDelta, origin: int, root: int) -> list[Outgoing]:
@@ -50,15 +52,15 @@
 def test_a_delta_without_its_checksum_or_its_base_changes_nothing() -> None:
     """Forged, early, old and spanning deltas arrive: the replica stays a list that was read."""
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
-    rows = {f"s{i}": row(i) for i in range(8)}
+    rows = {f"s{i}": encode_row(i) for i in range(8)}
     shared.replica.begin(41, rows)
     before = shared.replica.version
-    forged = ListDelta(41, ListVersion(1, 43, 77), {"s1": row(1, 9)})
+    forged = ListDelta(41, ListVersion(1, 43, 77), {"s1": encode_row(1, 9)})
     send_delta(shared, forged, 1, 1)
     assert shared.counters["steps that disagree"] == 1
     writer = ListReplica()
     writer.begin(41, rows)
-    first = writer.read(42, {"s1": row(1, 5)}, False)
+    first = writer.read(42, {"s1": encode_row(1, 5)}, False)
     second = writer.read(43, {"s2": None}, False)
     assert first is not None
     assert second is not None
@@ -81,7 +83,7 @@
     assert last is not None
     send_delta(shared, last, 1, 1)
     flapped.begin(41, rows)
-    flapped.read(43, {"s1": row(1, 5), "s2": None}, False)
+    flapped.read(43, {"s1": encode_row(1, 5), "s2": None}, False)
     spanning = flapped.read(45, {"s4": None}, False)
     assert spanning is not None
     assert spanning.base == 43
@@ -143,7 +145,7 @@
         shared.readers.merge(now + MS, ReaderRecord(node, 9, 1, ReaderState.POLLING, 0, 0, 0, 0))
     shared.tick(now + 2 * MS)
     assert shared.polls
-    shared.on_answer(now + 3 * MS, 41, {"s1": row(1)}, True)
+    shared.on_answer(now + 3 * MS, 41, {"s1": encode_row(1)}, True)
     shared.tick(now + 4 * MS)
     assert not shared.polls
 
@@ -154,7 +156,7 @@
     members = Membership(0, nodes, 1, 1)
     order = [n for n in sorted(range(nodes), key=reader_rank) if n != 0]
     shared = SharedList(members, nodes, 2, 256, 1, 0)
-    rows = {f"s{i}": row(i) for i in range(8)}
+    rows = {f"s{i}": encode_row(i) for i in range(8)}
     shared.replica.begin(41, rows)
     writer = ListReplica()
     writer.begin(41, rows)
@@ -175,7 +177,7 @@
 
 def assert_within_service_rate(world: ListWorld) -> None:
     """The list service never answered with more lines a second than it can."""
-    assert max(world.service.lines.values(), default=0) <= LINES
+    assert max(world.service.lines_by_second.values(), default=0) <= LINES_PER_S
 
 
 @pytest.mark.parametrize(
@@ -187,18 +189,18 @@
     world = ListWorld(nodes, servers, 3, 2)
     world.links.loss = loss
     world.start_all()
-    assert world.run(limit * SECOND, world.current)
-    assert world.service.counts["whole lists"] == 2
-    assert not world.service.counts["turned away"]
+    assert world.run(limit * SECOND, world.is_current)
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] == 2
+    assert not world.service.counts[ServiceCount.REJECTED]
     assert_within_service_rate(world)
 
 
 def test_without_readers_each_node_reads_a_list_in_turn() -> None:
     alone = ListWorld(20, 100, 3, 0)
     alone.start_all()
-    assert not alone.run(9 * SECOND, alone.current)
-    assert alone.run(15 * SECOND, alone.current)
-    assert alone.service.counts["whole lists"] == 20
+    assert not alone.run(9 * SECOND, alone.is_current)
+    assert alone.run(15 * SECOND, alone.is_current)
+    assert alone.service.counts[ServiceCount.COMPLETE_LISTS] == 20
     assert_within_service_rate(alone)
 
 
@@ -218,19 +220,19 @@
             world.kill(node)
             killed.append(node)
         for node, fleet in world.nodes.items():  # what they had pushed is lost as well
-            world.starters[node].list.rows = {}
+            world.list_nodes[node].list_client.rows = {}
             assert fleet.shared_list is not None
             fleet.shared_list.assembler.partial.clear()
             fleet.shared_list.replica = ListReplica()
-    assert world.run(world.now + 25 * SECOND, world.current)
+    assert world.run(world.now + 25 * SECOND, world.is_current)
     assert len(killed) >= 4
-    assert world.service.counts["turned away"] == 0
+    assert world.service.counts[ServiceCount.REJECTED] == 0
     for node in killed:
         world.start(node)
-    read_before = world.service.counts["whole lists"]
-    assert world.run(world.now + 10 * SECOND, world.current)
+    read_before = world.service.counts[ServiceCount.COMPLETE_LISTS]
+    assert world.run(world.now + 10 * SECOND, world.is_current)
     assert (
-        world.service.counts["whole lists"] <= read_before + 2
+        world.service.counts[ServiceCount.COMPLETE_LISTS] <= read_before + 2
     )  # the others got it from their peers
     assert_within_service_rate(world)
 
@@ -238,94 +240,109 @@
 def test_a_service_that_rejects_calls_is_down_lags_and_restarts_its_numbers() -> None:
     world = ListWorld(30, 60, 5, 2)
     service = world.service
-    service.refusing = 2 / 3
+    service.rejection_probability = 2 / 3
     world.start_all()
-    assert world.run(30 * SECOND, world.current)
-    assert service.counts["whole lists"] <= 4
+    assert world.run(30 * SECOND, world.is_current)
+    assert service.counts[ServiceCount.COMPLETE_LISTS] <= 4
     # Down for 10 s: the list stays, and the fleet makes a few calls in all.
-    service.refusing, service.down = 0.0, True
-    for starter in world.starters.values():
-        service.forget(starter.list)
-    calls = service.counts["calls"]
+    service.rejection_probability, service.down = 0.0, True
+    for node in world.list_nodes.values():
+        service.disconnect(node.list_client)
+    calls = service.counts[ServiceCount.CALLS]
     world.run(world.now + 10 * SECOND)
-    assert service.counts["calls"] - calls <= 40
-    assert world.current()
+    assert service.counts[ServiceCount.CALLS] - calls <= 40
+    assert world.is_current()
     service.down = False
-    service.change({"s3": None, "s90": row(90)})
-    assert world.run(world.now + 10 * SECOND, world.current)
+    service.change({"s3": None, "s90": encode_row(90)})
+    assert world.run(world.now + 10 * SECOND, world.is_current)
     # A lagging replica answers with an older list: nobody takes it at once.
-    rev = service.list.rev
-    service.old = rev - 5, {u: r for u, r in list(service.rows.items())[:30]}
-    for starter in world.starters.values():
-        service.forget(starter.list)
-    lagging = lambda: max(s.list.lag.older for s in world.starters.values()) >= 1  # noqa: E731
-    assert world.run(world.now + 5 * SECOND, lagging)  # a silent watch is given up after 3.5 s
-    assert all(s.list.rev == rev for s in world.starters.values())
-    service.old = None
+    rev = service.revisions.rev
+    service.stale_list = KnownList(rev - 5, dict(list(service.rows.items())[:30]))
+    for node in world.list_nodes.values():
+        service.disconnect(node.list_client)
+    clients = [node.list_client for node in world.list_nodes.values()]
+
+    def an_older_answer_has_come() -> bool:
+        return any(client.older_answers.older for client in clients)
+
+    assert world.run(
+        world.now + 5 * SECOND, an_older_answer_has_come
+    )  # a silent watch is given up after 3.5 s
+    assert all(client.rev == rev for client in clients)
+    service.stale_list = None
     # It restarts its numbers: after some answers all take the new list, and keep it.
     service.change({"s4": None}, rev=7)
-    assert world.run(world.now + 60 * SECOND, world.current)
+    assert world.run(world.now + 60 * SECOND, world.is_current)
     epochs = {f.shared_list.replica.version[:2] for f in world.nodes.values() if f.shared_list}
     assert len(epochs) == 1
     assert min(epochs)[0] >= 2
-    service.change({"s91": row(91)})
-    assert world.run(world.now + 3 * SECOND, world.current)
-    assert all(s.list.rev == 8 for s in world.starters.values())
+    service.change({"s91": encode_row(91)})
+    assert world.run(world.now + 3 * SECOND, world.is_current)
+    assert all(client.rev == 8 for client in clients)
 
 
 def test_both_sides_of_a_partition_read_and_converge_to_one_list() -> None:
     world = ListWorld(30, 60, 6, 2)
     world.start_all()
-    assert world.run(5 * SECOND, world.current)
+    assert world.run(5 * SECOND, world.is_current)
     reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls}
     world.run(world.now + 4 * SECOND)
     far = {n for n in range(30) if n not in reads and n % 2}
     world.links.partition(far, set(range(30)) - far)
-    world.service.change({f"s{i}": row(i, 2) for i in range(20)})
-    assert world.run(world.now + 30 * SECOND, world.current)
+    world.service.change({f"s{i}": encode_row(i, 2) for i in range(20)})
+    assert world.run(world.now + 30 * SECOND, world.is_current)
     world.links.unblock()
-    world.service.change({"s0": None, "s77": row(77)})
-    assert world.run(world.now + 20 * SECOND, world.current)
+    world.service.change({"s0": None, "s77": encode_row(77)})
+    assert world.run(world.now + 20 * SECOND, world.is_current)
     world.run(world.now + 10 * SECOND)
     assert {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls} == reads
     # Every message is lost: each node reads for itself, as without gossip.
     world.links.loss = 1.0
-    world.service.change({"s78": row(78)})
-    assert world.run(world.now + 20 * SECOND, world.current)
+    world.service.change({"s78": encode_row(78)})
+    assert world.run(world.now + 20 * SECOND, world.is_current)
     assert_within_service_rate(world)
 
 
 def test_servers_replaced_at_a_high_rate_are_known_to_all_at_once() -> None:
     world = ListWorld(60, 100, 8, 2)
     world.start_all()
-    assert world.run(3 * SECOND, world.current)
-    before = world.service.counts["lines"]
+    assert world.run(3 * SECOND, world.is_current)
+    before = world.service.counts[ServiceCount.LINES]
     times = []
     for i in range(60):
         world.run(world.now + SECOND // 9)
-        world.service.change({f"s{i}": None, f"s{100 + i}": row(100 + i)})
+        world.service.change({f"s{i}": None, f"s{100 + i}": encode_row(100 + i)})
         began = world.now
         if i % 6 == 0:
-            assert world.run(world.now + 3 * SECOND, world.current)
+            assert world.run(world.now + 3 * SECOND, world.is_current)
             times.append((world.now - began) / SECOND)
-    assert world.run(world.now + 3 * SECOND, world.current)
+    assert world.run(world.now + 3 * SECOND, world.is_current)
     assert sorted(times)[len(times) // 2] < 0.3
-    assert world.service.counts["lines"] - before <= 2 * 2 * 60 + 20
+    assert world.service.counts[ServiceCount.LINES] - before <= 2 * 2 * 60 + 20
 
 
 def test_a_list_of_the_configuration_precedes_every_list_that_was_read() -> None:
     """Nothing, an older version, a later one, the same number, each with rows of that day."""
     world = ListWorld(24, 40, 11, 2)
-    other = {f"s{i}": row(i, 7) for i in range(20, 60)}
-    old = {f"s{i}": row(i) for i in range(30)}
-    had = [(0, {}), (35, other), (500, other), (41, other), (35, old), (41, world.service.rows)]
-    world.known = lambda node: (had[node % 6][0], dict(had[node % 6][1]))
+    other = {f"s{i}": encode_row(i, 7) for i in range(20, 60)}
+    old = {f"s{i}": encode_row(i) for i in range(30)}
+    known = [
+        KnownList(0, {}),
+        KnownList(35, other),
+        KnownList(500, other),
+        KnownList(41, other),
+        KnownList(35, old),
+        KnownList(41, dict(world.service.rows)),
+    ]
+    world.known_at_start = lambda node: known[node % 6]
     world.start_all()
-    assert world.run(6 * SECOND, world.current)
-    assert world.service.counts["whole lists"] == 2  # from the start, whatever the readers had
+    assert world.run(6 * SECOND, world.is_current)
+    assert (
+        world.service.counts[ServiceCount.COMPLETE_LISTS] == 2
+    )  # from the start, whatever the readers had
     assert_within_service_rate(world)
     world.service.change({"s3": None})
-    assert world.run(world.now + 2 * SECOND, world.current)
+    assert world.run(world.now + 2 * SECOND, world.is_current)
 
 
 def test_during_a_roll_out_of_readers_all_nodes_have_the_list() -> None:
@@ -333,20 +350,20 @@
     world = ListWorld(24, 40, 10, 2)
     world.settings = [replace(t, readers=0) if t.me % 2 else t for t in world.settings]
     world.start_all()
-    assert world.run(20 * SECOND, world.current)
-    world.service.change({"s3": None, "s90": row(90)})
-    assert world.run(world.now + 12 * SECOND, world.current)
+    assert world.run(20 * SECOND, world.is_current)
+    world.service.change({"s3": None, "s90": encode_row(90)})
+    assert world.run(world.now + 12 * SECOND, world.is_current)
     reading = [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls]
     assert 1 <= len(reading) <= 2
     # The old nodes read for themselves; of the others the readers, and those that stepped in for
     # old nodes among the first, which never announce that they read.
-    assert world.service.counts["whole lists"] <= 12 + 6
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] <= 12 + 6
 
 
 def test_a_reader_that_names_versions_which_nobody_has_is_distrusted() -> None:
     world = ListWorld(12, 30, 9, 2)
     world.start_all()
-    assert world.run(5 * SECOND, world.current)
+    assert world.run(5 * SECOND, world.is_current)
     false_reader = next(
         n for n, f in world.nodes.items() if f.shared_list and not f.shared_list.polls
     )
@@ -367,8 +384,10 @@
     assert requests > 10
     world.run(world.now + 3 * SECOND)
     assert sum(s.counters["asked for what is missing"] for s in shared_lists) == requests
-    calls = world.service.counts["whole lists"]
+    calls = world.service.counts[ServiceCount.COMPLETE_LISTS]
     world.service.change({"s3": None})
-    assert world.run(world.now + 3 * SECOND, world.current)
-    assert world.service.counts["whole lists"] == calls  # and nobody read the complete list
+    assert world.run(world.now + 3 * SECOND, world.is_current)
+    assert (
+        world.service.counts[ServiceCount.COMPLETE_LISTS] == calls
+    )  # and nobody read the complete list
     assert sum(s.counters["versions that nobody has"] for s in shared_lists) >= 10
