--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -19,7 +19,7 @@
 from simulation.control_world.faults import Faults
 from simulation.control_world.world import World
 from simulation.digest import Digest
-from simulation.seeds import run
+from simulation.seeds import SeededWorld
 
 SEEDS = 200
 PROCESSES = 6
@@ -76,10 +76,8 @@
     return digest.value()
 
 
-def main() -> int:
-    """Run the command line; returns 0 where no seed breaks an invariant, 1 where one does."""
-    return run(__doc__, "simulation.control_faults", play, SEEDS, PROCESSES, digest_of)
+WORLD = SeededWorld("simulation.control_faults", __doc__, SEEDS, play, digest_of, PROCESSES)
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    sys.exit(WORLD.main())
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -19,7 +19,7 @@
 from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS
 from simulation.digest import Digest
 from simulation.fleet_invariants import InvariantChecker
-from simulation.seeds import run
+from simulation.seeds import SeededWorld
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.world import ServiceWorld
 
@@ -189,10 +189,8 @@
     return digest.value()
 
 
-def main() -> int:
-    """Run the command line; returns 0 where no seed breaks an invariant, 1 where one does."""
-    return run(__doc__, "simulation.fleet_faults", play, SEEDS, None, digest_of)
+WORLD = SeededWorld("simulation.fleet_faults", __doc__, SEEDS, play, digest_of)
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    sys.exit(WORLD.main())
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -22,14 +22,19 @@
     classify_failure,
     fleet_pause_bound,
 )
-from simulation.list_callers import CallWorld, ServicePlan
+from simulation.caller_world import (
+    FIRST_CALLS_WITHIN,
+    CallCount,
+    CallersPlan,
+    CallerWorld,
+    ListServicePlan,
+)
 from simulation.list_world.service import ServiceCount
 from simulation.list_world.world import ListWorld
 from tests.recording_host import PURE
 
 ROWS = 200
 FLEETS = [40, 200, 7800]
-SPREAD = 2500 * MS  # of first calls, as by default in the settings
 
 
 def new_backoff(nodes: int = 40, poll: bool = True) -> PollBackoff:
@@ -153,53 +158,55 @@
 @pytest.mark.parametrize(
     "plan",
     [
-        ServicePlan(),
-        ServicePlan(patience=3 * SECOND),
-        ServicePlan(refuses_until=10 * SECOND),
-        ServicePlan(silent_until=10 * SECOND),
-        ServicePlan(lines=20),
+        ListServicePlan(),
+        ListServicePlan(max_queue_time=3 * SECOND),
+        ListServicePlan(rejects_until=10 * SECOND),
+        ListServicePlan(unreachable_until=10 * SECOND),
+        ListServicePlan(lines_per_s=20),
     ],
 )
 @pytest.mark.parametrize(("nodes", "servers"), [(40, 100), (200, 270)])
 def test_a_cold_fleet_has_its_lists_as_soon_as_the_service_can_give_them(
-    plan: ServicePlan, nodes: int, servers: int
+    plan: ListServicePlan, nodes: int, servers: int
 ) -> None:
-    world = CallWorld(nodes, 0, servers, plan, SPREAD)
-    needed = nodes * servers / plan.lines
-    returns_at_s = max(plan.refuses_until, plan.silent_until) / SECOND
+    world = CallerWorld(CallersPlan(nodes, servers), plan)
+    needed = nodes * servers / plan.lines_per_s
+    returns_at_s = max(plan.rejects_until, plan.unreachable_until) / SECOND
     assert world.run(int((returns_at_s + 1.1 * needed) * SECOND))
-    assert world.counts["lines for nobody"] == 0
-    assert world.counts["lines"] == nodes * servers
+    assert world.counts[CallCount.WASTED_LINES] == 0
+    assert world.counts[CallCount.LINES] == nodes * servers
 
 
 @pytest.mark.parametrize("rows", [0, 270])
 def test_a_fleet_of_thousands_stays_under_what_the_service_can_answer(rows: int) -> None:
     """From the second round on; the first call of each is the protocol's own."""
-    plan = ServicePlan()
-    world = CallWorld(7800, rows, 270, plan, SPREAD)
+    plan = ListServicePlan()
+    world = CallerWorld(CallersPlan(7800, 270, known_rows=rows), plan)
     world.run(150 * SECOND)
-    settled = SPREAD // SECOND + 2 * 5 + 3
-    assert max(world.calls[s] for s in range(settled, 150)) < MIN_LINES_PER_S
+    settled = FIRST_CALLS_WITHIN // SECOND + 2 * 5 + 3
+    assert max(world.calls_by_second[s] for s in range(settled, 150)) < MIN_LINES_PER_S
     # With a list, calls of the quick first rounds are given up: what the queue took in, once each.
-    max_wasted = QUICK_FAILURES * plan.lines * (plan.patience / SECOND + 2) if rows else 0
-    assert world.counts["lines for nobody"] <= max_wasted
+    max_wasted = (
+        QUICK_FAILURES * plan.lines_per_s * (plan.max_queue_time / SECOND + 2) if rows else 0
+    )
+    assert world.counts[CallCount.WASTED_LINES] <= max_wasted
 
 
 @pytest.mark.parametrize(("nodes", "lines"), [(40, 100), (200, 270)])
 def test_a_fleet_with_an_old_list_gets_the_new_one_without_a_storm(nodes: int, lines: int) -> None:
-    world = CallWorld(nodes, lines, lines, ServicePlan(), SPREAD)
+    world = CallerWorld(CallersPlan(nodes, lines, known_rows=lines), ListServicePlan())
     wasted = QUICK_FAILURES * 200 * 7  # lines: what the queue takes in during the quick rounds
     assert world.run((nodes * lines + wasted) * SECOND // 200)
-    assert world.counts["lines for nobody"] <= wasted
+    assert world.counts[CallCount.WASTED_LINES] <= wasted
 
 
 def test_a_fleet_whose_changes_can_be_answered_in_time_has_them_in_time() -> None:
     """Six seconds after the service is back, at 200 nodes and a line each."""
     for plan in (
-        ServicePlan(refuses_until=20 * SECOND),
-        ServicePlan(silent_until=20 * SECOND),
+        ListServicePlan(rejects_until=20 * SECOND),
+        ListServicePlan(unreachable_until=20 * SECOND),
     ):
-        world = CallWorld(200, 270, 1, plan, SPREAD)
+        world = CallerWorld(CallersPlan(200, 1, known_rows=270), plan)
         assert world.run(20 * SECOND + timing.MAX_NOTIFICATION_NS)
 
 
