--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -173,7 +173,7 @@
     source.propose_outstanding()
     proposal = source.outstanding[service]
     assert proposal is not None  # without faults the leader takes it at once
-    while not world.referee.accepted("east", proposal.position):
+    while not world.log_checker.is_accepted("east", proposal.position):
         world.run(MS)
     accepted = world.now
     rows = source.desired.get(service)
--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: the project's own decisions in one deterministic world, with a referee."""
+"""Simulations: the project's own decisions in deterministic worlds, before invariant checkers."""
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -54,13 +54,13 @@
 
 
 def _restart_node_in_calm(world: World, node: int) -> None:
-    """Kill a node and start it again while nothing else is wrong, before stricter rules."""
-    world.referee.calm = True
+    """Kill a node and start it again while nothing else is wrong, under the strict rule."""
+    world.release_checker.is_strict = True
     world.kill_node(node)
     world.run(NODE_GONE_FOR)
     world.start_node(node)
     world.run(NODE_BACK_FOR)
-    world.referee.calm = False
+    world.release_checker.is_strict = False
 
 
 def play_mutant(name: str, seed: int) -> list[str]:
--- a/simulation/control_world/environment.py
+++ b/simulation/control_world/environment.py
@@ -11,7 +11,10 @@
 from loadbalancer.core.assignment.rules import AssignmentRules
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.subscription.updates import UpdateStatus
-from simulation.control_invariants import Referee
+from simulation.control_invariants.history import AcceptedHistory
+from simulation.control_invariants.log_checker import LogChecker
+from simulation.control_invariants.node_checker import NodeChecker
+from simulation.control_invariants.release_checker import ReleaseChecker
 from simulation.control_world.event_loop import EventLoop
 from simulation.control_world.network import Network
 from simulation.control_world.processes import ProcessGroup
@@ -27,7 +30,7 @@
 
 
 class Environment:
-    """Time, randomness, the network, the processes and the invariant checker of one world."""
+    """Time, randomness, the network, the processes and the invariant checkers of one world."""
 
     def __init__(self, seed: int, size: WorldSize, digest: Digest | None) -> None:
         self.size = size
@@ -46,13 +49,10 @@
         self.assigner = Assigner(self.topology.nodes, self.topology.services, rules)
         self.update_statuses: Counter[UpdateStatus] = Counter()  # what came of updates at nodes
         self.breaches: list[str] = []
-        self.referee = Referee(
-            self.topology.home,
-            lambda: self.loop.now,
-            self.breach,
-            self._zones_serving_beside,
-            self._assigned_zones,
-        )
+        history = AcceptedHistory()
+        self.log_checker = LogChecker(self, history)
+        self.node_checker = NodeChecker(self, history)
+        self.release_checker = ReleaseChecker(self, history)
 
     @property
     def now(self) -> int:
@@ -84,7 +84,7 @@
         alive = [node.spec.name for node in self.nodes.running.values()]
         return self.assigner.with_alive(alive)
 
-    def _zones_serving_beside(self, service: str, name: str) -> list[str]:
+    def zones_serving_beside(self, service: str, name: str) -> list[str]:
         """The zones of all nodes but the named one that serve a service."""
         return [
             node.spec.zone
@@ -92,7 +92,7 @@
             if node.spec.name != name and service in node.holder.serving()
         ]
 
-    def _assigned_zones(self, service: str) -> list[str]:
+    def assigned_zones(self, service: str) -> list[str]:
         """The zones of the nodes that a service is assigned to."""
         topology = self.topology
         holders = self.assignment().holders[service]
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -147,11 +147,11 @@
             environment.network.replicate(self.index, recipient, message)
         for region in self.replica.restored():
             log = self.logs[region]
-            environment.referee.on_restored(self.spec.name, log)
+            environment.log_checker.on_restored(self.spec.name, log)
             environment.recorder.decision(self.index, self.incarnation, region, log.position)
             self._wake(region, self.publisher.on_restored(region))
         for region, change in self.replica.committed():
-            environment.referee.on_committed(self.spec.name, region, change)
+            environment.log_checker.on_committed(self.spec.name, region, change)
             environment.recorder.decision(
                 self.index, self.incarnation, region, change.position, change.service
             )
@@ -161,7 +161,7 @@
         """Load the region's log from its source, where this leader's is empty."""
         if self.replica.needs_load():
             desired = self._source.desired
-            self._environment.referee.on_load(self.spec.region, desired)
+            self._environment.log_checker.on_load(self.spec.region, desired)
             self.replica.load({name: rows.values() for name, rows in desired.items()})
 
     def _advance_liveness(self) -> None:
--- a/simulation/control_world/node.py
+++ b/simulation/control_world/node.py
@@ -13,7 +13,7 @@
 )
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.limits import HolderLimits
-from simulation.control_invariants import NodeLife
+from simulation.control_invariants.node_checker import NodeIncarnation
 from simulation.control_world.messages import NodeAssignment, Poll, PollReply
 from simulation.control_world.settings import (
     POLL_DELAY,
@@ -35,10 +35,10 @@
         self.incarnation: int = environment.nodes.incarnations[index]
         self.holder = Holder(self.spec.name, REGIONS, HolderLimits())
         self._environment = environment
-        self._identity = NodeLife(self.spec.name, self.incarnation)
+        self._identity = NodeIncarnation(self.spec.name, self.incarnation)
         self._polled_machine = dict.fromkeys(REGIONS, self._random_machine())
         self._serials = dict.fromkeys(REGIONS, 0)
-        self._assignments: dict[int, NodeAssignment] = {}  # the last told, by machine
+        self._assignments: dict[int, NodeAssignment] = {}  # the last received, by machine
         self._generations: dict[int, int] = {}  # of the handover, by machine
 
     def start(self) -> None:
@@ -66,7 +66,8 @@
             self._take_assignment(reply)
         if isinstance(reply.answer, SendUpdate):
             self._apply(reply.answer, poll)
-        environment.referee.look_at(self._identity, self.holder)
+        environment.node_checker.check(self._identity, self.holder)
+        environment.release_checker.check(self._identity, self.holder)
         if is_current:
             self._poll_again(poll, reply.answer)
 
@@ -119,7 +120,9 @@
         environment.recorder.decision(
             self._identity, poll.region, position, result.status, result.changed
         )
-        environment.referee.on_update(self._identity, self.holder, answer.update, result.status)
+        environment.node_checker.on_update(
+            self._identity, self.holder, answer.update, result.status
+        )
 
     def _poll_again(self, poll: Poll, answer: Answer | None) -> None:
         """Schedule the next poll as the answer says."""
--- a/simulation/control_world/source.py
+++ b/simulation/control_world/source.py
@@ -86,7 +86,7 @@
         for service, proposal in list(self.outstanding.items()):
             if proposal is None:
                 self._propose(service)
-            elif environment.referee.accepted(self.region, proposal.position):
+            elif environment.log_checker.is_accepted(self.region, proposal.position):
                 del self.outstanding[service]
             elif environment.now - proposal.proposed_at >= PROPOSAL_TIMEOUT:
                 self._propose(service)
@@ -115,7 +115,7 @@
                     machine.index, self.region, position, service, content
                 )
                 proposed = None if rows is None else dict(rows)
-                environment.referee.on_proposed(self.region, position, service, proposed)
+                environment.log_checker.on_proposed(self.region, position, service, proposed)
                 self.outstanding[service] = Proposal(position, environment.now)
                 machine.settle()
                 return
--- a/simulation/control_world/world.py
+++ b/simulation/control_world/world.py
@@ -80,7 +80,7 @@
         """End a node; what it served may be taken for served a while longer."""
         node = self.nodes.kill(index)
         if node is not None:
-            self.referee.on_node_gone(node.holder)
+            self.release_checker.on_node_killed(node.holder)
 
     def differences(self) -> list[str]:
         """What is not everywhere as the sources say; empty once the world has converged."""
@@ -103,7 +103,7 @@
                 self.breach(f"not healed: {difference}")
         for machine in self.machines.running.values():
             for log in machine.logs.values():
-                self.referee.compare(machine.spec.name, log)
+                self.log_checker.check_log(machine.spec.name, log)
 
     def _node_differences(self) -> list[str]:
         assigned = self.assignment().services_by_node
@@ -124,7 +124,7 @@
 
     def _check(self) -> None:
         """Check at each interval what is not checked at an event."""
-        self.referee.look()
+        self.node_checker.check_drains()
         for machine in self.machines.running.values():
             self._check_bounds(machine)
         self.loop.call_later(CHECK_INTERVAL, self._check)
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -53,7 +53,7 @@
     """Everything becomes as the sources say, and no invariant was broken on the way."""
     world.expect_convergence(duration)
     assert world.breaches == []
-    assert world.referee.checks > 50
+    assert world.node_checker.checks > 50
 
 
 @pytest.mark.parametrize("seed", range(12))
