--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,8 +28,8 @@
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.sources.endpoint_list import backend_id
 from simulation.gossip_world import GossipWorld
+from simulation.service_world.faults import Fault, cause
 from simulation.service_world.settings import ServicePlan
-from simulation.service_world.troubles import Trouble, cause
 from simulation.service_world.world import ServiceWorld
 
 NODES = 12
@@ -296,7 +296,7 @@
     w.run(8 * SECOND)
     w.counts.clear()
     if what != "uneven":
-        cause(w, Trouble(what))
+        cause(w, Fault(what))
     if what == "silent":
         # Before its first attempt is timed out no node can know: what follows counts.
         w.run(w.now + 3 * SECOND // 2)
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -27,9 +27,9 @@
 FAULTS_FOR = 60 * SECOND
 HEALED_WITHIN = 90 * SECOND
 CHANGE_INTERVALS = (300 * MS, SECOND, 3 * SECOND)  # between a region's changes, by seed
-# Longer than the invariant checker counts what a dead node served as still served.
-NODE_GONE_FOR = 9 * SECOND
-NODE_BACK_FOR = 12 * SECOND
+# Longer than the invariant checker counts what a dead node served as served.
+NODE_DOWN_FOR = 9 * SECOND
+NODE_RESTARTED_FOR = 12 * SECOND
 
 
 def play(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
@@ -57,9 +57,9 @@
     """Kill a node and start it again while nothing else is wrong, under the strict rule."""
     world.release_checker.is_strict = True
     world.kill_node(node)
-    world.run(NODE_GONE_FOR)
+    world.run(NODE_DOWN_FOR)
     world.start_node(node)
-    world.run(NODE_BACK_FOR)
+    world.run(NODE_RESTARTED_FOR)
     world.release_checker.is_strict = False
 
 
--- a/simulation/control_mutants.py
+++ b/simulation/control_mutants.py
@@ -19,9 +19,9 @@
         for name in sorted(self._services.in_region(snapshot.region))
     }
     changes = [
-        Change(snapshot.position, name, tuple(held.values()), complete=True)
-        for name, held in rows.items()
-        if held is not None
+        Change(snapshot.position, name, tuple(backends.values()), complete=True)
+        for name, backends in rows.items()
+        if backends is not None
     ]
     result: UpdateResult = self._apply_all(changes, True)
     return result
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -91,14 +91,14 @@
                 lease_duration=size.slowed(RELEASE_LEASE), max_pause=2 * size.slowed(TICK_INTERVAL)
             ),
         )
-        self._heard_at = dict.fromkeys(range(len(topology.machines)), now)
+        self._received_at = dict.fromkeys(range(len(topology.machines)), now)
         self._living = frozenset(topology.machine_index)
         self._pinged_at = 0
 
     def on_message(self, sender: int, message: Message) -> None:
         """Take another replica's message."""
         environment = self._environment
-        self._heard_at[sender] = environment.now
+        self._received_at[sender] = environment.now
         name = environment.topology.machines[sender].name
         self.replica.on_message(environment.now, name, message)
         self.settle()
@@ -106,7 +106,7 @@
     def on_ping(self, sender: int, grant: ReleaseGrant | None) -> None:
         """Take another machine's ping, and its grant of releases if it leads its region."""
         environment = self._environment
-        self._heard_at[sender] = environment.now
+        self._received_at[sender] = environment.now
         if grant is not None:
             name = environment.topology.machines[sender].name
             self._releases.on_grant(environment.now, name, grant)
@@ -191,7 +191,7 @@
         living = frozenset(
             spec.name
             for other, spec in enumerate(environment.topology.machines)
-            if other == self.index or environment.now - self._heard_at[other] < timeout
+            if other == self.index or environment.now - self._received_at[other] < timeout
         )
         if living != self._living:
             self._living = living
@@ -215,7 +215,7 @@
         """Answer a poll if there is an update or a new assignment, or if its deadline has come."""
         environment, poll = self._environment, opened.poll
         assignment = self._assignment(poll.node)
-        answer: Answer | None = self._ask_publisher(poll, assignment)
+        answer: Answer | None = self._subscribe(poll, assignment)
         if isinstance(answer, Wait):
             if poll.assignment == assignment and environment.now < opened.deadline:
                 opened.retry_at = answer.until
@@ -226,7 +226,7 @@
         generation = self._handover.generation
         environment.network.reply(PollReply(self.index, poll, answer, assignment, generation))
 
-    def _ask_publisher(self, poll: Poll, assignment: NodeAssignment) -> Answer:
+    def _subscribe(self, poll: Poll, assignment: NodeAssignment) -> Answer:
         environment, subscription = self._environment, poll.subscription
         home = environment.topology.home
         wanted = {name for name in assignment.wanted if home[name] == poll.region}
--- a/simulation/digest.py
+++ b/simulation/digest.py
@@ -1,7 +1,7 @@
 """One number for all that a seed's run sent and decided, to compare a run before and after.
 
-Only values count: what a type, a field or a module is called doesn't. Messages that have a form
-on the wire are added as those bytes, so that records may also be cut otherwise.
+Only values count, and not the names of types, fields and modules. Messages that have a form on the
+wire are added as those bytes, so that a digest does not depend on how records are divided either.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
         self._hash = sha256()
 
     def add(self, now: int, *values: object) -> None:
-        """Something was sent or decided at this time of the world."""
+        """Add what was sent or decided at this time of the world, in nanoseconds."""
         self._hash.update(repr((now, *map(plain, values))).encode() + b"\n")
 
     def value(self) -> str:
-        """Of all that was added, in hexadecimal."""
+        """The digest of all that was added, in hexadecimal."""
         return self._hash.hexdigest()
 
 
@@ -49,7 +49,7 @@
     if isinstance(value, set | frozenset):
         return tuple(sorted(map(plain, value), key=repr))
     if isinstance(value, Mapping):
-        return tuple((plain(key), plain(held)) for key, held in value.items())
+        return tuple((plain(key), plain(entry)) for key, entry in value.items())
     if is_dataclass(value) and not isinstance(value, type):
         return tuple(plain(getattr(value, field.name)) for field in fields(value))
     raise TypeError(f"no plain form of a {kind.__name__}")
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -2,7 +2,7 @@
 
 Nodes keep to drains that they know of, no observation counts past its time, all nodes together
 use no more slots of a server than it has, messages keep to their rate, and after all faults every
-node has the same records and holds nobody for dead.
+node has the same records and considers no node dead.
 """
 
 from __future__ import annotations
@@ -86,9 +86,9 @@
         """After all faults, and some time: nodes agree, and have kept to the rate of messages."""
         world = self._world
         for node, gossip_node in world.nodes.items():
-            dead = [life.node for life in gossip_node.members.not_alive()]
+            dead = [member.node for member in gossip_node.members.not_alive()]
             if dead:
-                world.breach(f"node {node} still holds {dead} for dead")
+                world.breach(f"node {node} still considers {dead} dead")
         if not world.run(world.now + AGREEMENT_WITHIN, lambda: len(self._record_digests()) == 1):
             world.breach(f"{len(self._record_digests())} different sets of records at the end")
         highest_rate = max(world.sent.values()) * SECOND / world.now
@@ -112,8 +112,8 @@
     def _check_observations(self, key: EndpointKey) -> None:
         """No observation counts for longer than its time since any node first had it."""
         world = self._world
-        for held in world.nodes[key.node].records.of_server(key.server):
-            record = held.record
+        for entry in world.nodes[key.node].records.of_server(key.server):
+            record = entry.record
             if not isinstance(record, Observation):
                 continue
             name = ObservationKey(record.server, record.origin, record.incarnation, record.number)
@@ -129,12 +129,12 @@
             self._world.breach(f"server {key.server} came back at node {key.node}")
 
     def _check_drain(self, key: EndpointKey, host: NodeHost) -> None:
-        """A node that another has told of a drain stops using the server."""
+        """A node that another has notified of a drain stops using the server."""
         world, gossip_node = self._world, self._world.nodes[key.node]
         local_list = gossip_node.local_list
         knows_of_drain = any(
-            isinstance(held.record, DrainRecord) and held.record.rev > local_list.rev
-            for held in gossip_node.records.of_server(key.server)
+            isinstance(entry.record, DrainRecord) and entry.record.rev > local_list.rev
+            for entry in gossip_node.records.of_server(key.server)
         )
         is_used = (
             knows_of_drain
--- a/simulation/fleet_mutants.py
+++ b/simulation/fleet_mutants.py
@@ -16,19 +16,19 @@
 UNBOUNDED_LEASE = 20 * SECOND
 
 
-def _believe_any_incarnation(self: Any, now: int, _accuser: int, life: Any) -> bool:
+def _believe_any_incarnation(self: Any, now: int, _accuser: int, member: Any) -> bool:
     """Merge whatever came last, also of an incarnation that has passed."""
-    if life.node == self.me:
+    if member.node == self.me:
         return False
-    self.peers[life.node].incarnation = life.incarnation
-    self._set_status(now, life.node, MemberStatus(life.status))
+    self.peers[member.node].incarnation = member.incarnation
+    self._set_status(now, member.node, MemberStatus(member.status))
     return True
 
 
 def _get_without_age(self: Any, _now: int, key: tuple[int, int]) -> Any:
     """Pass a record on as if it had just been made."""
-    held = self._records.get(key[0], {}).get(key[1])
-    return held and held.record
+    entry = self._records.get(key[0], {}).get(key[1])
+    return entry and entry.record
 
 
 def _forget_drain(_self: Any, _server: int, _boot: int, _rev: int) -> None:
--- a/simulation/service_world/__init__.py
+++ b/simulation/service_world/__init__.py
@@ -4,11 +4,11 @@
 
 - `settings`: what a world consists of, request classes, constants.
 - `server`: one server's queue, its limits and how cold it is.
-- `endpoint_list`: what the list service says, and when nodes hear of it.
+- `endpoint_list`: the states of all servers, and when nodes are notified of them.
 - `node_host`: carries out one Balancer's actions.
-- `attempts`: what becomes of an attempt at a server.
+- `attempts`: attempts at servers and their outcomes.
 - `clients`: requests at a steady rate.
-- `troubles`: faults by kind.
+- `faults`: faults by kind.
 - `counters`: what is counted in a run.
 - `world`: all of it together, on the gossip world's time and links.
 """
--- a/simulation/service_world/attempts.py
+++ b/simulation/service_world/attempts.py
@@ -45,10 +45,10 @@
         self._check_drain(host, index)
         world.call_at(world.now + timeout, self._on_timeout, host, key)
         server.accept()
-        if not server.gone and server.is_overwhelmed(world.now):
+        if not server.down and server.is_overwhelmed(world.now):
             world.endpoint_list.restart_overwhelmed(index)
-        if server.gone:
-            world.count(Count.SENT_TO_GONE)
+        if server.down:
+            world.count(Count.SENT_TO_DOWN)
             self._end_later(NETWORK_DELAY, host, key, server, Outcome.CONNECT_FAILED)
         elif server.silent:
             world.count(Count.SENT_TO_SILENT)
--- a/simulation/service_world/clients.py
+++ b/simulation/service_world/clients.py
@@ -44,7 +44,7 @@
         node = world.random.choice(self._nodes) if self._nodes else None
         host = None if node is None else world.hosts.get(node)
         if host is None:
-            world.count(Count.ASKED)
+            world.count(Count.REQUESTS)
             world.count(Count.NO_NODE)
             return
         if node in world.paused:
@@ -55,7 +55,7 @@
         if has_side_effect:
             world.attempts.expect_one_run(host, self._requests)
         request_class = CREDIT if has_side_effect else BALANCE
-        world.count(Count.ASKED)
+        world.count(Count.REQUESTS)
         host.balancer.on_request(
             host.now, self._requests, int(has_side_effect), request_class.deadline
         )
--- a/simulation/service_world/counters.py
+++ b/simulation/service_world/counters.py
@@ -6,9 +6,9 @@
 
 
 class Count(StrEnum):
-    """The keys of a world's counters."""
+    """The keys of a world's counters; the values are their names in benchmarks."""
 
-    ASKED = "asked"  # requests
+    REQUESTS = "asked"
     NO_NODE = "no node to ask"
     AT_PAUSED_NODE = "at a stopped node"
     SERVED = "served"
@@ -17,7 +17,7 @@
     LOST = "attempts lost"
     REJECTED = "turned away"  # attempts at a server at its capacity
     SENT_TO_DRAINED = "sent to a drained server"
-    SENT_TO_GONE = "sent to a server that is gone"
+    SENT_TO_DOWN = "sent to a server that is gone"
     SENT_TO_SILENT = "sent to a silent server"
     SENT_TO_SILENT_FIRST = "sent to a silent server unmet"  # by a node that saw no failure of it
     OVERWHELMED = "falls of cold servers"
--- a/simulation/service_world/endpoint_list.py
+++ b/simulation/service_world/endpoint_list.py
@@ -1,7 +1,7 @@
-"""What the list service says of the servers, and how it reaches the nodes.
+"""The states of the servers in the list, and how these reach the nodes.
 
 A pushed list's change is notified to some nodes at once and to the others within the time that
-the rules allow. A polled one is asked of a `ListService`.
+the rules allow. A polled one is served by a `ListService`.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
             world.call_at(world.now + delay, self._push, node, self._rev, states)
 
     def replace(self, server: int, first: Iterable[int]) -> None:
-        """Drain a server and add another; the first is gone once its grace is over."""
+        """Drain a server and add another; the first is down once its grace period has ended."""
         world = self._world
         world.pool.append(Server())
         self.states.append(State.READY)
@@ -96,22 +96,22 @@
             self.change(server, State.READY, list(world.hosts))
 
     def restart_overwhelmed(self, server: int) -> None:
-        """A cold server got more than it can bear: it is gone, and back after a while."""
+        """A cold server got more than it can bear: it is down, and restarts after a while."""
         world = self._world
         world.count(Count.OVERWHELMED)
-        world.pool[server].gone = True
+        world.pool[server].down = True
         world.call_at(world.now + RESTART_TIME, self.restart, (server,))
 
     def start_all_cold(self) -> None:
         """Let all servers have started now, where the list is polled and no node runs yet."""
-        assert self.service is not None  # a pushed list says nothing of starts
+        assert self.service is not None  # a pushed list has no start times
         now = self._world.now
         for index, server in enumerate(self._world.pool):
             server.started_at = now
             self.service.rows[_uid(index)] = encode_row(index, 0, State.READY, now // MS)
 
     def _remove(self, server: int) -> None:
-        self._world.pool[server].gone = True
+        self._world.pool[server].down = True
 
     def _push(self, node: int, rev: int, states: tuple[State, ...]) -> None:
         """A version reaches a node in full: what has changed for the node is an update."""
--- a/simulation/service_world/server.py
+++ b/simulation/service_world/server.py
@@ -18,11 +18,11 @@
 
 
 class Server:
-    """A silent server accepts attempts and answers none; one that is gone refuses connections."""
+    """A silent server accepts attempts and answers none; one that is down refuses connections."""
 
     def __init__(self) -> None:
         self.silent = False
-        self.gone = False
+        self.down = False
         self.slowdown = 1  # factor on its service times
         self.capacity = SERVER_CAPACITY
         self.in_flight = 0
@@ -35,7 +35,7 @@
     def restart(self, now: int) -> None:
         """Start it anew, cold."""
         self.started_at = now
-        self.gone = False
+        self.down = False
         self._arrivals.clear()
 
     def accept(self) -> None:
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -9,8 +9,8 @@
 from simulation.fleet_invariants import InvariantChecker
 from simulation.fleet_mutants import MUTANTS
 from simulation.service_world.counters import Count
+from simulation.service_world.faults import Fault, cause
 from simulation.service_world.settings import ServicePlan
-from simulation.service_world.troubles import Trouble, cause
 from simulation.service_world.world import ServiceWorld
 
 
@@ -20,7 +20,7 @@
     world.start_all()
     world.clients.run(14 * SECOND)
     world.run(5 * SECOND)
-    cause(world, Trouble.DRAIN)
+    cause(world, Fault.DRAIN)
     world.run(12 * SECOND)
     return world
 
@@ -49,14 +49,14 @@
     world.run(9 * SECOND)
     world.counts.clear()
     world.run(14 * SECOND)
-    assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.ASKED]
+    assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.REQUESTS]
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
     assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots
     # Every message lost: leases end, and what pressure alone would give is there within 4 s.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
-    cause(world, Trouble.CUT)
+    cause(world, Fault.GOSSIP_LOSS)
     world.run(18 * SECOND)
     assert all(s.isolated and not s.leases for s in slots)
     world.links.loss = 0.0
@@ -120,4 +120,4 @@
     assert not world.breaches
     # They go from a tenth of their capacity to all of it, 0.55 in the mean.
     could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
-    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.ASKED]
+    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.REQUESTS]
