--- a/simulation/caller_world.py
+++ b/simulation/caller_world.py
@@ -1,4 +1,4 @@
-"""Callers of one list service and nothing else: what a whole fleet's calls come to.
+"""Callers of one list service and nothing else: the sum of a fleet's calls.
 
 Each caller goes by the product's own `PollBackoff`, and by the pauses of a Balancer beside it. The
 service works through calls in turn, so many lines a second, rejects what has waited too long, and
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -32,7 +32,7 @@
 NODE_RESTARTED_FOR = 12 * SECOND
 
 
-def play(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
+def run_seed(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
     """Run one seed, with faults for so many nanoseconds; returns the breaches.
 
     All that is sent and decided goes into `digest`.
@@ -63,20 +63,20 @@
     world.release_checker.is_strict = False
 
 
-def play_mutant(name: str, seed: int) -> list[str]:
+def run_mutant(name: str, seed: int) -> list[str]:
     """Run one seed with a mutant's fault in the product's code; returns the breaches."""
     with MUTANTS[name].applied():
-        return play(seed)
+        return run_seed(seed)
 
 
 def digest_of(seed: int) -> str:
     """The digest of one seed's run."""
     digest = Digest()
-    play(seed, digest=digest)
+    run_seed(seed, digest=digest)
     return digest.value()
 
 
-WORLD = SeededWorld("simulation.control_faults", __doc__, SEEDS, play, digest_of, PROCESSES)
+WORLD = SeededWorld("simulation.control_faults", __doc__, SEEDS, run_seed, digest_of, PROCESSES)
 
 
 if __name__ == "__main__":
--- a/simulation/control_world/__init__.py
+++ b/simulation/control_world/__init__.py
@@ -7,7 +7,7 @@
 - `settings`: regions, intervals and how large a world is.
 - `topology`: the machines, nodes and services of a world.
 - `event_loop`: simulated time.
-- `processes`: which incarnations run, are paused or are gone.
+- `processes`: which incarnations run, are paused or have ended.
 - `network`: messages between processes, over links with faults.
 - `messages`: what nodes and machines send each other, and its form in a digest.
 - `machine`, `node`, `source`: the participants.
--- a/simulation/control_world/faults.py
+++ b/simulation/control_world/faults.py
@@ -180,7 +180,7 @@
 
 
 class Faults:
-    """Draws what goes wrong next, or is mended."""
+    """Draws the next fault, or the end of one."""
 
     def __init__(self, world: World, seed: int) -> None:
         self._world = world
@@ -215,7 +215,7 @@
         self._links.draw_quality()
 
     def cause_next(self) -> None:
-        """Cause one fault, or mend one."""
+        """Cause one fault, or end one."""
         self._random.choice(self._kinds)()
 
     def draw_pause(self) -> int:
@@ -223,7 +223,7 @@
         return self._random.randrange(MIN_PAUSE, MAX_PAUSE)
 
     def heal(self) -> None:
-        """Mend all: everything runs and is linked well."""
+        """End all faults: everything runs and all links are good."""
         self._links.heal()
         self._machines.resume_all()
         self._nodes.resume_all()
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -45,7 +45,7 @@
 
     poll: Poll
     deadline: int  # then it is answered without an update
-    retry_at: int | None = None  # then the publisher is asked again
+    retry_at: int | None = None  # then the publisher is queried again
 
     def due(self, now: int) -> bool:
         """Whether its deadline or its retry has come."""
--- a/simulation/control_world/messages.py
+++ b/simulation/control_world/messages.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAssignment:
-    """What a machine tells a node to hold and what it may release."""
+    """Which services a machine assigns to a node, and which the node may release."""
 
     wanted: frozenset[str] = frozenset()
     releasable: frozenset[str] = frozenset()
@@ -33,7 +33,7 @@
     incarnation: int  # of the node
     serial: int  # grows by one with each of the node's polls for the region
     subscription: Subscription
-    # The last that the polled machine told this incarnation of the node; None before the first.
+    # The last that this incarnation received from the polled machine; None before the first.
     assignment: NodeAssignment | None
     redirected: bool
 
--- a/simulation/control_world/network.py
+++ b/simulation/control_world/network.py
@@ -1,7 +1,7 @@
 """Messages between machines and nodes, over links that lose, delay, duplicate and block them.
 
-What arrives at a paused process waits for it; what arrives at one that is gone is lost. Replies to
-nodes arrive whatever has become of the poll: nothing but the node's own rules guards it.
+What arrives at a paused process waits for it; what arrives at one that has ended is lost. Replies
+to nodes arrive whatever has become of the poll: nothing but the node's own rules guards it.
 """
 
 from __future__ import annotations
--- a/simulation/control_world/node.py
+++ b/simulation/control_world/node.py
@@ -47,7 +47,7 @@
             self._poll(region, redirected=False)
 
     def send_heartbeats(self) -> None:
-        """Tell every machine that the node lives, and what it serves."""
+        """Send every machine a heartbeat with the services that the node serves."""
         serving = self.holder.serving()
         for machine in range(len(self._environment.topology.machines)):
             generation = self._generations.get(machine, 0)
--- a/simulation/control_world/world.py
+++ b/simulation/control_world/world.py
@@ -1,4 +1,4 @@
-"""A whole world: its participants' starts and ends, how a run goes on, and when it has converged.
+"""A complete world: starts and ends of its participants, runs, and whether it has converged.
 
 A source in each region proposes each change until it is accepted, and loads the region's log where
 that was lost.
--- a/simulation/fleet_faults.py
+++ b/simulation/fleet_faults.py
@@ -39,7 +39,7 @@
 
 
 class Faults:
-    """Draws what goes wrong next, or is mended; the order of the draws is part of a run."""
+    """Draws the next fault, or the end of one; the order of the draws is part of a run."""
 
     def __init__(self, world: ServiceWorld, random: Random) -> None:
         self._world = world
@@ -64,7 +64,7 @@
         links.duplication = self._random.choice([0.0, 0.2])
 
     def cause_next(self) -> None:
-        """Cause one fault, or mend one."""
+        """Cause one fault, or end one."""
         self._random.choice(self._kinds)()
 
     def draw_pause(self) -> int:
@@ -81,7 +81,7 @@
         world.run(world.now + DEATHS_KNOWN_AFTER)
 
     def heal(self) -> None:
-        """Mend all: everything runs and is linked well."""
+        """End all faults: everything runs and all links are good."""
         links = self._world.links
         self._unblock_links()
         links.loss, links.jitter = 0.0, HEALTHY_JITTER
@@ -141,7 +141,7 @@
         server.silent = not server.silent
 
 
-def play(seed: int, digest: Digest | None = None) -> list[str]:
+def run_seed(seed: int, digest: Digest | None = None) -> list[str]:
     """Run one seed; returns the breaches. All that is sent and decided goes into `digest`."""
     random = Random(seed)
     world = ServiceWorld(_draw_plan(seed, random))
@@ -185,11 +185,11 @@
 def digest_of(seed: int) -> str:
     """The digest of one seed's run."""
     digest = Digest()
-    play(seed, digest)
+    run_seed(seed, digest)
     return digest.value()
 
 
-WORLD = SeededWorld("simulation.fleet_faults", __doc__, SEEDS, play, digest_of)
+WORLD = SeededWorld("simulation.fleet_faults", __doc__, SEEDS, run_seed, digest_of)
 
 
 if __name__ == "__main__":
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -21,7 +21,7 @@
 MAX_TRANSIT = 8 * SECOND
 # A node takes up what its own list allows with its next turn.
 MAX_DRAIN_DELAY = 3 * CHECK_INTERVAL
-MAX_MESSAGE_RATE = 45  # a second and node over the whole run: gossip, SWIM's probes, answers
+MAX_MESSAGE_RATE = 45  # a second and node over the complete run: gossip, SWIM's probes, answers
 MIN_DEPTH = 3  # nodes that each server is allocated to at least
 AGREEMENT_WITHIN = 3 * SECOND
 # After a mass kill, for limits between these, living nodes use at least this part of the slots.
--- a/simulation/list_callers.py
+++ b/simulation/list_callers.py
@@ -1,4 +1,4 @@
-"""Runs of a whole fleet's calls to one list service, drawn from a seed.
+"""Runs of a complete fleet's calls to one list service, drawn from a seed.
 
     python -m simulation.list_callers --seeds 100  # all cores; each seed that fails as a command
     python -m simulation.list_callers --seed 17            # one again
@@ -25,7 +25,7 @@
 GIVEN_UP_MARGIN_S = 2
 
 
-def play(seed: int, digest: Digest | None = None) -> list[str]:
+def run_seed(seed: int, digest: Digest | None = None) -> list[str]:
     """Run one seed; returns the breaches. All that is called and decided goes into `digest`."""
     draw = Random(seed)
     nodes, lines = draw.randint(40, 200), draw.randint(100, 270)
@@ -65,11 +65,11 @@
 def digest_of(seed: int) -> str:
     """The digest of one seed's run."""
     digest = Digest()
-    play(seed, digest)
+    run_seed(seed, digest)
     return digest.value()
 
 
-WORLD = SeededWorld("simulation.list_callers", __doc__, SEEDS, play, digest_of)
+WORLD = SeededWorld("simulation.list_callers", __doc__, SEEDS, run_seed, digest_of)
 
 
 if __name__ == "__main__":
--- a/simulation/list_world/client.py
+++ b/simulation/list_world/client.py
@@ -133,7 +133,7 @@
         world.call_at(world.now + self._timeout, self.on_answer, self._calls, None)
 
     def _elapsed(self) -> int:
-        """How long an answer at once has taken, in nanoseconds; a watch tells nothing of that."""
+        """How long an answer at once has taken, in nanoseconds; 0 for a watch."""
         return 0 if self._is_watch else self._world.now - self._called_at
 
     def _on_failure(self, was_answered: bool) -> None:
--- a/simulation/list_world/service.py
+++ b/simulation/list_world/service.py
@@ -23,7 +23,7 @@
 MAX_QUEUE_TIME = 3 * SECOND  # a call that has waited so long is rejected, as on the platform
 ROUND_TRIP = MS  # to the service and back
 FIRST_REV = 41
-NO_REV = -1  # a call from no version asks for the complete list
+NO_REV = -1  # a call from no version requests the complete list
 
 
 class ServiceCount(StrEnum):
--- a/simulation/list_world/world.py
+++ b/simulation/list_world/world.py
@@ -1,4 +1,4 @@
-"""The whole world of starts, on the gossip world's time, links, kills and pauses."""
+"""The complete world of starts, on the gossip world's time, links, kills and pauses."""
 
 from __future__ import annotations
 
--- a/simulation/seeds.py
+++ b/simulation/seeds.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededWorld:
-    """A world's runs: `play` runs a seed and returns its breaches, `digest_of` its digest.
+    """A world's runs: `run_seed` runs a seed and returns its breaches, `digest_of` its digest.
 
     `module` is the world's command, `seeds` how many are run where no number is given, in so many
     `processes`, None for one for each core.
@@ -21,7 +21,7 @@
     module: str
     description: str | None
     seeds: int
-    play: Callable[[int], list[str]]
+    run_seed: Callable[[int], list[str]]
     digest_of: Callable[[int], str]
     processes: int | None = None
 
@@ -49,14 +49,14 @@
 
     def _run_one(self, seed: int) -> int:
         """Run one seed and print its breaches."""
-        breaches = self.play(seed)
+        breaches = self.run_seed(seed)
         print("\n".join(breaches) or "no rule broken")
         return 1 if breaches else 0
 
     def _run_all(self, seeds: int, processes: int | None) -> int:
         """Run seeds from 0 on; each that fails is printed as a command that runs it again."""
         with Pool(processes) as pool:
-            results = pool.map(self.play, range(seeds), chunksize=SEEDS_AT_ONCE)
+            results = pool.map(self.run_seed, range(seeds), chunksize=SEEDS_AT_ONCE)
         failed = [seed for seed, breaches in enumerate(results) if breaches]
         for seed in failed:
             print(f"python -m {self.module} --seed {seed}  # {results[seed][0]}")
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.core.balancing.model import SECOND
-from simulation.fleet_faults import play
+from simulation.fleet_faults import run_seed
 from simulation.fleet_invariants import InvariantChecker
 from simulation.fleet_mutants import MUTANTS
 from simulation.service_world.counters import Count
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_invariant_is_broken_under_faults_drawn_by_seed(seed: int) -> None:
-    assert play(seed) == []
+    assert run_seed(seed) == []
 
 
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
@@ -103,7 +103,7 @@
     owner, method = MUTANTS[mutant].owner, MUTANTS[mutant].method
     assert callable(getattr(owner, method))
     monkeypatch.setattr(owner, method, MUTANTS[mutant].faulty)
-    assert any(play(seed) for seed in range(8))
+    assert any(run_seed(seed) for seed in range(8))
 
 
 @pytest.mark.parametrize("load", [0.5, 1.5])
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -9,7 +9,7 @@
 from loadbalancer.core.replicated_log.replication import Role, Timing
 from loadbalancer.core.subscription.publisher import PublisherLimits
 from loadbalancer.core.subscription.updates import UpdateStatus
-from simulation.control_faults import play, play_mutant
+from simulation.control_faults import run_mutant, run_seed
 from simulation.control_mutants import MUTANTS
 from simulation.control_world.settings import REGIONS, WorldSize
 from simulation.control_world.world import World
@@ -58,13 +58,13 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_invariant_is_broken_under_faults_drawn_by_seed(seed: int) -> None:
-    assert play(seed, 20 * SECOND) == []
+    assert run_seed(seed, 20 * SECOND) == []
 
 
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
 def test_the_invariant_checker_finds(mutant: str) -> None:
     """Each fault in the product's code breaks an invariant within three seeds."""
-    assert any(play_mutant(mutant, seed) for seed in (1, 0, 2))
+    assert any(run_mutant(mutant, seed) for seed in (1, 0, 2))
 
 
 def test_a_leader_killed_while_changes_are_distributed() -> None:
