--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "message"),
+    ("arguments", "message"),
     [
         (["check", "--config", "none.json", "none.toml"], "check: none.json holds no settings"),
         (["peers", "127.0.0.1"], "peers: '127.0.0.1' is no host:port"),
@@ -50,9 +50,9 @@
     ],
 )
 def test_what_can_not_be_used_is_one_line_and_status_2(
-    words: list[str], message: str, capsys: pytest.CaptureFixture[str]
+    arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(words) == 2
+    assert main(arguments) == 2
     error = capsys.readouterr().err
     assert error.startswith(message)
     assert error.count("\n") == 1
@@ -61,9 +61,9 @@
 # ---- as processes ------------------------------------------------------------
 
 
-def run(*words: str) -> subprocess.CompletedProcess[str]:
+def run(*arguments: str) -> subprocess.CompletedProcess[str]:
     """Run the program with these arguments to its end."""
-    command = [sys.executable, "-m", "loadbalancer", *words]
+    command = [sys.executable, "-m", "loadbalancer", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
 
--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_hostile.py
@@ -84,8 +84,8 @@
 
 
 def resource_names(state: dict[str, Any]) -> dict[str, set[str]]:
-    """The names of what a proxy holds, by type."""
-    return {kind: set(held) for kind, held in state["versions"].items()}
+    """The names of the resources that a proxy has, by type."""
+    return {kind: set(versions) for kind, versions in state["versions"].items()}
 
 
 def incomplete_proxies(process: Process, *except_for: str) -> dict[str, Any]:
--- a/tests/core/balancing/test_four_rules.py
+++ b/tests/core/balancing/test_four_rules.py
@@ -125,10 +125,10 @@
     for kind, value in [*events, ("drain out", 0)]:
         if kind == "request":
             rid = len(world.requests)
-            left = 100 * MS + value % 800 * MS
-            world.requests[rid] = {"cls": value % len(CLASSES), "by": world.now + left}
+            remaining = 100 * MS + value % 800 * MS
+            world.requests[rid] = {"cls": value % len(CLASSES), "by": world.now + remaining}
             world.tries[rid] = []
-            balancer.on_request(world.now, rid, value % len(CLASSES), left, value % 2)
+            balancer.on_request(world.now, rid, value % len(CLASSES), remaining, value % 2)
         elif kind == "answer":
             out = [
                 (r, i)
@@ -181,10 +181,10 @@
     spec = CLASSES[int(str(world.requests[rid]["cls"]))]
     ran = [old for old in world.tries[rid] if old["code"] in RAN]
     late = ran and spec.effect == Effect.TOKEN and world.now >= ran[0]["sent"] + spec.repeat_window
-    gone = rid in world.ended or rid in world.silent
+    has_ended = rid in world.ended or rid in world.silent
     leaves = world.rows[t["backend"]].state != State.READY
     may = balancer.may_begin(world.now, rid, i)
-    assert may == (not (gone or leaves or late))
+    assert may == (not (has_ended or leaves or late))
     if not may:
         deliver(world, balancer, rid, i, 8)
 
--- a/tests/core/balancing/test_hedging.py
+++ b/tests/core/balancing/test_hedging.py
@@ -64,10 +64,10 @@
 
 def test_no_hedge_is_sent_without_a_free_slot_nor_ahead_of_queued_requests() -> None:
     fleet = Fleet(2)
-    asked = 0
+    requests = 0
     while not fleet.balancer.state.queued:
-        asked += 1
-        fleet.request(0, asked, COPY)
+        requests += 1
+        fleet.request(0, requests, COPY)
     sent = len(fleet.host.named("send"))
     fleet.wake(50 * MS)
     assert len(fleet.host.named("send")) == sent
@@ -90,8 +90,8 @@
         fleet.wake(now + 50 * MS)
         for attempt in range(len(fleet.sends(rid))):
             fleet.end(now + 60 * MS, rid, attempt, Outcome.OK, 60 * MS)
-    copies = len(fleet.host.named("send")) - 400
-    assert 15 <= copies <= 0.05 * 400 + 2
+    hedges = len(fleet.host.named("send")) - 400
+    assert 15 <= hedges <= 0.05 * 400 + 2
 
 
 @pytest.mark.parametrize(
--- a/tests/core/balancing/test_request_classes.py
+++ b/tests/core/balancing/test_request_classes.py
@@ -126,9 +126,9 @@
                 chosen: dict[str, RequestClass] = {}
                 for spec in random.sample(specs, random.randrange(1, 5)):
                     chosen[spec.name] = spec
-                most = random.randrange(1, 5)
+                max_attempts = random.randrange(1, 5)
                 classes = tuple(chosen.values())
-                balancer.on_settings(now, Settings(classes=classes, max_attempts=most))
+                balancer.on_settings(now, Settings(classes=classes, max_attempts=max_attempts))
             elif act < 6:
                 rid += 1
                 cls = random.randrange(len(balancer.settings.classes))
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -117,14 +117,16 @@
     assert fleet.host.named("fail") == [("fail", 1)]  # it may have run: no refusal
 
 
-@pytest.mark.parametrize(("taken", "sends"), [(5 * MS, 2), (40 * MS, 1)])
-def test_a_keyed_route_is_repeated_within_its_own_window_and_zone(taken: int, sends: int) -> None:
+@pytest.mark.parametrize(("duration", "sends"), [(5 * MS, 2), (40 * MS, 1)])
+def test_a_keyed_route_is_repeated_within_its_own_window_and_zone(
+    duration: int, sends: int
+) -> None:
     settings = replace(SETTINGS, zones=2)
     fleet = Fleet(0, settings=settings)
     fleet.balancer.on_members(0, Update.FULL, [*rows(2, zone=0), *rows(6, zone=1, first=200)])
     keyed = replace(SAFE, effect=Effect.TOKEN, scope=Scope.ZONE, window=30 * MS)
     fleet.request(0, 1, keyed)
-    fleet.end(taken, 1, 0, Outcome.RESET, taken)
+    fleet.end(duration, 1, 0, Outcome.RESET, duration)
     assert len(fleet.sends(1)) == sends
     assert len({send[2] // 100 for send in fleet.sends(1)}) == 1
 
--- a/tests/core/balancing/test_settings.py
+++ b/tests/core/balancing/test_settings.py
@@ -98,12 +98,12 @@
 }
 
 
-@pytest.mark.parametrize("says", BAD)
-def test_a_file_with_a_fault_is_one_line_and_changes_nothing(tmp_path: Path, says: str) -> None:
+@pytest.mark.parametrize("fault", BAD)
+def test_a_file_with_a_fault_is_one_line_and_changes_nothing(tmp_path: Path, fault: str) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        replace_config(tmp_path, changed(tmp_path, BAD[says]))
+        replace_config(tmp_path, changed(tmp_path, BAD[fault]))
         n.process.send_signal(signal.SIGHUP)
-        n.says(says)
+        n.says(fault)
         client = n.connect()
         client.send(request())
         peer = serve(backend, client)
@@ -114,12 +114,12 @@
 
 def test_files_that_are_empty_or_cut_off_change_nothing(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        whole = (tmp_path / "config.json").read_text()
-        for text in ("", whole[: len(whole) // 2], "\0", "null"):
+        complete = (tmp_path / "config.json").read_text()
+        for text in ("", complete[: len(complete) // 2], "\0", "null"):
             replace_config(tmp_path, text)
             n.process.send_signal(signal.SIGHUP)
             n.says("going on as before")
-        replace_config(tmp_path, whole)
+        replace_config(tmp_path, complete)
         n.process.send_signal(signal.SIGHUP)
         n.says("reloaded the configuration")
         client = n.connect()
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -117,8 +117,8 @@
         merged.update(second * SECOND, "consul", pool(100, *unhealthy), complete=True)
         assert len(ready(merged)) >= 75
     servers = merged.servers()
-    held = [s for s in servers if s.state == State.READY and "not believed" in s.reason]
-    assert len(held) == 25
+    retained = [s for s in servers if s.state == State.READY and "not believed" in s.reason]
+    assert len(retained) == 25
 
 
 def test_critical_servers_that_attempts_find_dead_are_drained_at_once() -> None:
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -71,11 +71,11 @@
         peer = accept(self.sock)
         return peer, peer.message()[0]
 
-    def answers(self, query: str, *targets: dict[str, object], rev: int, whole: bool) -> None:
+    def answers(self, query: str, *targets: dict[str, object], rev: int, complete: bool) -> None:
         """The next call has this query, and gets these targets."""
         peer, line = self.call()
         assert query in line, line
-        peer.send(answer(json.dumps(roster(*targets, rev=rev, whole=whole)).encode()))
+        peer.send(answer(json.dumps(roster(*targets, rev=rev, whole=complete)).encode()))
         peer.close()
 
 
@@ -84,12 +84,12 @@
         rows = [target(f"s-{i}", s.getsockname()[1]) for i, s in enumerate((first, second))]
         with node(tmp_path, roster(*rows, rev=7), discovery.getsockname()[1]) as n:
             scripted = ScriptedDiscovery(discovery)
-            scripted.answers("from=7&hold_ms=1 ", rev=7, whole=False)
+            scripted.answers("from=7&hold_ms=1 ", rev=7, complete=False)
             watch, line = scripted.call()
             began = time.monotonic()
             assert f"from=7&hold_ms={timing.HOLD_NS // MS} " in line
             leaves = rows[0] | {"state": "leaving"}  # the silent watch never reports it
-            scripted.answers("from=7&hold_ms=1 ", leaves, rev=8, whole=False)
+            scripted.answers("from=7&hold_ms=1 ", leaves, rev=8, complete=False)
             assert time.monotonic() - began < timing.MAX_NOTIFICATION_NS / SECOND
             assert watch.ends() == b""
             _watch, line = scripted.call()
@@ -104,10 +104,10 @@
         row = target("s-1", backend.getsockname()[1])
         with node(tmp_path, roster(row, rev=7), discovery.getsockname()[1]) as n:
             scripted = ScriptedDiscovery(discovery)
-            scripted.answers("from=7&hold_ms=1 ", rev=7, whole=False)
+            scripted.answers("from=7&hold_ms=1 ", rev=7, complete=False)
             watch, _ = scripted.call()
             watch.reset()
-            scripted.answers("from=7&hold_ms=1 ", rev=9, whole=False)
+            scripted.answers("from=7&hold_ms=1 ", rev=9, complete=False)
             assert "from=9" in scripted.call()[1]
             assert n.stop() == 0
 
@@ -150,8 +150,10 @@
             assert line == LIST
             assert first.ends() == b""
             broken.reset()
-            scripted.answers(LIST, rev=50, whole=False)  # not the complete list that was requested
-            scripted.answers(LIST, rows[1], rev=3, whole=True)
+            scripted.answers(
+                LIST, rev=50, complete=False
+            )  # not the complete list that was requested
+            scripted.answers(LIST, rows[1], rev=3, complete=True)
             assert "from=3" in scripted.call()[1]
             served_by(n, backend)
             assert n.stop() == 0
@@ -164,7 +166,7 @@
         rows = [target("s-1", removed.getsockname()[1]), target("s-2", backend.getsockname()[1])]
         with node(tmp_path, roster(rows[0], rev=41), discovery.getsockname()[1]) as n:
             scripted = ScriptedDiscovery(discovery)
-            scripted.answers("from=41&hold_ms=1 ", rev=3, whole=False)
+            scripted.answers("from=41&hold_ms=1 ", rev=3, complete=False)
             began = time.monotonic()
             while True:  # an older list is refused a few times: a replica may lag
                 peer, line = scripted.call()
--- a/tests/core/routes/test_route_file.py
+++ b/tests/core/routes/test_route_file.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.routes.faults import Fault
 from loadbalancer.core.routes.file import Result, decode
 from tests.harness import ROOT
-from tests.routefiles import GOOD, line_of, spoilt
+from tests.routefiles import GOOD, line_of, with_changes
 
 SETTINGS = Settings(
     classes=(
@@ -53,7 +53,7 @@
 ROUTE = '\n[[service.route]]\nname = "more"\n'
 REST = 'name = "rest"\nprefix = "/"\ndeny = true\n'
 
-# name: (changes, then for each fault expected: a mark in the spoilt file's line, and its rule)
+# name: (changes, then for each fault expected: a mark in the faulty file's line, and its rule)
 BAD: dict[str, tuple[list[tuple[str, str]], list[tuple[str, str]]]] = {
     "no TOML": ([("version = 1", "version = ")], [("version", "syntax")]),
     "key twice": ([("attempts = 3", "attempts = 3\nattempts = 2")], [("attempts = 2", "syntax")]),
@@ -281,7 +281,7 @@
 @pytest.mark.parametrize("name", BAD)
 def test_a_bad_file_is_refused_at_its_line_and_rule(name: str) -> None:
     changes, expected = BAD[name]
-    text = spoilt(*changes)
+    text = with_changes(*changes)
     want = sorted((line_of(text, mark), rule) for mark, rule in expected if rule)
     assert sorted(found(text)) == want
     assert checked(text).table is None
@@ -303,13 +303,13 @@
 @pytest.mark.parametrize("name", AGAINST)
 def test_a_file_that_the_settings_contradict_is_refused(name: str) -> None:
     changes, mark, rule = AGAINST[name]
-    text = spoilt(*changes)
+    text = with_changes(*changes)
     assert (line_of(text, mark), rule) in found(text, SETTINGS)
 
 
 def test_a_class_that_the_file_leaves_out_is_held_to_its_rules() -> None:
     """credit is in the settings alone; the defaults must not reach it."""
-    text = spoilt(
+    text = with_changes(
         ("[defaults]", "[defaults]\nattempts = 2"),
         (GOOD[GOOD.index("[class.credit]") : GOOD.index("[class.topup]")], ""),
         ('window = "5s"', 'window = "5s"\nattempts = 1'),
@@ -319,7 +319,7 @@
 
 def test_check_prints_every_fault_and_tells_by_its_status(tmp_path: Path) -> None:
     bad, good = tmp_path / "bad.toml", tmp_path / "good.toml"
-    bad.write_text(spoilt(("attempts = 3", "atempts = 3"), ('"800ms"', '"800"')))
+    bad.write_text(with_changes(("attempts = 3", "atempts = 3"), ('"800ms"', '"800"')))
     good.write_text(GOOD)
     out = io.StringIO()
     assert run_command(["check", str(bad), str(good), "--explain"], out) == 2
--- a/tests/core/routes/test_routes.py
+++ b/tests/core/routes/test_routes.py
@@ -20,7 +20,7 @@
     Table,
     condition,
 )
-from tests.routefiles import GOOD, spoilt
+from tests.routefiles import GOOD, with_changes
 
 NONE: frozenset[bytes] = frozenset()
 SEGMENTS = st.sampled_from([b"a", b"b", b"c", None])
@@ -112,7 +112,7 @@
         assert found.name == name, path
 
 
-def test_a_host_chooses_its_service_and_no_other_is_asked() -> None:
+def test_a_host_chooses_its_service_and_no_other_is_queried() -> None:
     exact = Service("exact", ["a.b.org"], [route("r", b"x")])
     near = Service("near", ["*.b.org"], [])
     far = Service("far", ["*.org"], [])
@@ -137,10 +137,10 @@
     first: list[bytes | None], p: bool, second: list[bytes | None], q: bool
 ) -> None:
     a, b = Pattern(tuple(first), p or not first), Pattern(tuple(second), q or not second)
-    words = [b"a", b"b", b"c", b"z"]
-    paths: list[list[bytes]] = [[w] for w in words]
+    segments = [b"a", b"b", b"c", b"z"]
+    paths: list[list[bytes]] = [[segment] for segment in segments]
     for _ in range(3):
-        paths += [[*p, w] for p in paths for w in words if len(p) < 4]
+        paths += [[*p, segment] for p in paths for segment in segments if len(p) < 4]
 
     def fits(pattern: Pattern, path: list[bytes]) -> bool:
         service = Service("s", ["*"], [route("r", *pattern.segments, prefix=pattern.prefix)])
@@ -202,8 +202,8 @@
         if place in text:
             before, _, rest = text.partition(place)
             section, mark, after = rest.partition("\n\n")
-            kept = "\n".join(x for x in section.split("\n") if not x.startswith(f"{key} ="))
-            text = f"{before}{place}{kept}\n{line}{mark}{after}"
+            others = "\n".join(x for x in section.split("\n") if not x.startswith(f"{key} ="))
+            text = f"{before}{place}{others}\n{line}{mark}{after}"
     raw, lines = parse(text.encode())
     result = decode(raw, lines)
     if result.faults:
@@ -243,7 +243,7 @@
 
 
 def test_a_part_of_a_path_is_no_route_of_its_own() -> None:
-    raw, lines = parse(spoilt(("deny = true", 'class = "credit"')).encode())
+    raw, lines = parse(with_changes(("deny = true", 'class = "credit"')).encode())
     table = decode(raw, lines).table
     assert table is not None
     service = table.service(b"topup.example.org")
--- a/tests/core/xds/test_plan.py
+++ b/tests/core/xds/test_plan.py
@@ -23,7 +23,7 @@
 from loadbalancer.core.xds.plan import Plan, make_plan
 from loadbalancer.core.xds.snapshot import ResourceType, Snapshot
 from loadbalancer.core.xds.target_proxies import ProxyKind, TargetProxies, proxy_kind_of
-from tests.routefiles import GOOD, spoilt
+from tests.routefiles import GOOD, with_changes
 
 SETTINGS = Settings(
     classes=(
@@ -123,7 +123,7 @@
     budget = cluster(planned(server(1))).circuit_breakers.thresholds[0].retry_budget
     assert budget.budget_percent.value == pytest.approx(5.0)  # of second copies
     assert budget.min_retry_concurrency.value == 3
-    no_copy = spoilt(('second_copy = { after = "80ms", most = 0.05 }\n', ""))
+    no_copy = with_changes(('second_copy = { after = "80ms", most = 0.05 }\n', ""))
     budget = cluster(planned(server(1), text=no_copy)).circuit_breakers.thresholds[0].retry_budget
     assert budget.budget_percent.value == pytest.approx(20.0)
 
@@ -155,7 +155,7 @@
 
 
 def test_a_route_that_takes_its_class_from_the_path_is_a_path_for_each_class() -> None:
-    text = spoilt(('prefix = "/"\ndeny = true', 'prefix = "/"'))
+    text = with_changes(('prefix = "/"\ndeny = true', 'prefix = "/"'))
     plan = planned(server(1), text=text)
     assert not plan.unsupported
     patterns = {
@@ -167,7 +167,7 @@
 
 
 def test_grpcs_calls_are_all_post() -> None:
-    text = spoilt(
+    text = with_changes(
         ('prefix = "/balance"', 'prefix = "/balance"\nmethods = ["GET"]'),
         ('prefix = "/credit"', 'prefix = "/credit"\nmethods = ["POST", "GET"]'),
     )
@@ -225,7 +225,9 @@
 def test_a_proxy_without_circuit_breaking_is_not_served_and_the_reason_is_named() -> None:
     plan = planned(server(1), target=replace(ENVOY, kind=ProxyKind.GRPC_UNBOUNDED))
     assert plan.unsupported == ("bounds nothing in flight, or tells no version",)
-    wild = spoilt(('hosts = ["topup.example.org", "*.example.org"]', 'hosts = ["*.example.org"]'))
+    wild = with_changes(
+        ('hosts = ["topup.example.org", "*.example.org"]', 'hosts = ["*.example.org"]')
+    )
     assert "exact host" in planned(server(1), target=GRPC, text=wild).unsupported[0]
     assert not planned(server(1), text=wild).unsupported
 
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -1,6 +1,6 @@
 """The control side's product code as the recorded bytes need it: `encode` and `decode` by kind.
 
-Only this file names product code. The words on the left are those of the recorded files and
+Only this file names product code. The names on the left are those of the recorded files and
 stay; where a class or an attribute gets another name, the right side alone is edited.
 """
 
@@ -71,8 +71,8 @@
 
 REFUSED = (ValueError, ScaleFileError)
 
-# A record's class and fields: WORD, WORD=ATTRIBUTE where they differ, WORD:RECORD or
-# WORD:RECORD* where the value is another record or several.
+# A record's class and fields: KEY, KEY=ATTRIBUTE where they differ, KEY:RECORD or
+# KEY:RECORD* where the value is another record or several.
 RECORDS: dict[str, tuple[Any, str]] = {
     "position": (Position, "epoch revision"),
     "row": (Row, "uid body leaving=draining"),
@@ -155,27 +155,27 @@
 
 @cache
 def _fields(record: str) -> list[tuple[str, str, str, bool]]:
-    """Each field's word, attribute, record or "", and whether it is several of these."""
+    """Each field's key, attribute, record or "", and whether it is several of these."""
     found = []
     for text in RECORDS[record][1].split():
         name, _, inner = text.partition(":")
-        word, _, attribute = name.partition("=")
-        found.append((word, attribute or word, inner.rstrip("*"), inner.endswith("*")))
+        key, _, attribute = name.partition("=")
+        found.append((key, attribute or key, inner.rstrip("*"), inner.endswith("*")))
     return found
 
 
 def _plain(record: str, value: Any) -> Any:
-    """A record as plain values by the recorded files' words."""
+    """A record as plain values by the names in the recorded files."""
     if value is None:
         return None
     found: dict[str, Any] = {}
-    for word, attribute, inner, several in _fields(record):
+    for key, attribute, inner, several in _fields(record):
         one = getattr(value, attribute)
         if several:
             one = [_plain(inner, part) for part in one]
         elif inner:
             one = _plain(inner, one)
-        found[word] = list(one) if isinstance(one, tuple) else one
+        found[key] = list(one) if isinstance(one, tuple) else one
     return found
 
 
@@ -184,8 +184,8 @@
     if plain is None:
         return None
     found: dict[str, Any] = {}
-    for word, attribute, inner, several in _fields(record):
-        one = plain[word]
+    for key, attribute, inner, several in _fields(record):
+        one = plain[key]
         if several:
             one = tuple(_built(inner, part) for part in one)
         elif inner:
@@ -362,13 +362,13 @@
 
 
 def _read_question(data: bytes) -> Any:
-    asked: list[Any] = []
+    requests: list[Any] = []
     host: Any = mock.Mock(max_connections=1, connections=0)
     host.is_waiting.return_value = False
-    host.on_list_request = lambda _, *rest: asked.append(rest)
+    host.on_list_request = lambda _, *request: requests.append(request)
     connection = SubscriberConnection(host)
     connection.data_received(data)
-    ((since, hold, query),) = asked
+    ((since, hold, query),) = requests
     nodes: Any = mock.Mock()
     nodes.on_report.return_value = None
     questions = NodeRequests(nodes, mock.Mock(), mock.Mock(), {}, 1)
@@ -533,12 +533,12 @@
         for service in table.services
     ]
     host, port = plain["listen"]
-    picture = Encoder(proxy, (host, port)).build(plans)
+    snapshot = Encoder(proxy, (host, port)).build(plans)
     return [
         {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.references),
          "hex": one.body.hex()}
         for word, kind in RESOURCE_TYPES.items()
-        for one in picture.of_type(kind).values()
+        for one in snapshot.of_type(kind).values()
     ]  # fmt: skip
 
 
@@ -547,9 +547,9 @@
     return json_format.MessageToDict(any_pb2.Any.FromString(data))
 
 
-def _type_word(url: str) -> str:
-    words = {"Cluster": "CDS", "ClusterLoadAssignment": "EDS", "Listener": "LDS"}
-    return words.get(url.rpartition(".")[2], "RDS")
+def _type_name(url: str) -> str:
+    names = {"Cluster": "CDS", "ClusterLoadAssignment": "EDS", "Listener": "LDS"}
+    return names.get(url.rpartition(".")[2], "RDS")
 
 
 def _write_discovery_answer(plain: Any) -> bytes:
@@ -571,7 +571,7 @@
     ]  # fmt: skip
     return {
         "incremental": True,
-        "type": _type_word(message.type_url),
+        "type": _type_name(message.type_url),
         "version": message.system_version_info,
         "nonce": message.nonce,
         "resources": rows,
@@ -588,7 +588,7 @@
         rows.append({"name": said["name"], "version": "", "hex": body.hex()})
     return {
         "incremental": False,
-        "type": _type_word(message.type_url),
+        "type": _type_name(message.type_url),
         "version": message.version_info,
         "nonce": message.nonce,
         "resources": rows,
@@ -598,7 +598,7 @@
 
 def _discovery_request(message: Any, read: Callable[[Any, Any], Any], data: bytes) -> Any:
     found = message.FromString(data)
-    request = read(RESOURCE_TYPES[_type_word(found.type_url)], found)
+    request = read(RESOURCE_TYPES[_type_name(found.type_url)], found)
     return {
         "type": next(
             word for word, kind in RESOURCE_TYPES.items() if kind is request.resource_type
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -256,9 +256,11 @@
         return {"from": "predecessor"}
 
 
-def _link(heard: Callable[[PairMessage], None] = lambda _message: None) -> tuple[Link, _Transport]:
+def _link(
+    on_message: Callable[[PairMessage], None] = lambda _message: None,
+) -> tuple[Link, _Transport]:
     transport: Any = _Transport()
-    made = Link(heard, lambda: None)
+    made = Link(on_message, lambda: None)
     made.connection_made(transport)
     return made, transport
 
@@ -355,41 +357,43 @@
     raise AssertionError("no configuration was to be read")
 
 
-def _decode_word(data: bytes) -> Plain:
-    """A frame as the side that hears it takes it."""
-    heard: dict[str, Any] = {}
+def _decode_message(data: bytes) -> Plain:
+    """A frame as the side that receives it takes it."""
+    received: dict[str, Any] = {}
     host = _process(
         use_limit_share=lambda _part: None,
-        set_other_process_descriptors=lambda count: heard.update(says="keeps", descriptors=count),
+        set_other_process_descriptors=lambda count: received.update(
+            says="keeps", descriptors=count
+        ),
         discovery=SimpleNamespace(
-            on_forwarded=lambda body: heard.update(says="news", answer=body.decode())
+            on_forwarded=lambda body: received.update(says="news", answer=body.decode())
         ),
     )
-    host.reload = lambda passed_on: heard.update(says="reload")
-    host.set_standby = lambda on: heard.update(says="standby", on=on)
+    host.reload = lambda passed_on: received.update(says="reload")
+    host.set_standby = lambda on: received.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
     awaited: Any = SimpleNamespace(
-        done=lambda: False, set_result=lambda state: heard.update(says="state", state=state)
+        done=lambda: False, set_result=lambda state: received.update(says="state", state=state)
     )
     reported: Any = SimpleNamespace(done=lambda: True)
     with (
-        mock.patch.object(elder, "_relieve", lambda: heard.update(says="serving")),
+        mock.patch.object(elder, "_relieve", lambda: received.update(says="serving")),
         mock.patch.object(handed, "parse", lambda raw, _now: raw),
     ):
         made, _ = _link(heir._on_message)
         heir._state = AwaitingState(made, awaited)
         made.data_received(data)
-        if not heard:
+        if not received:
             sharing = heir._state = Sharing(made, reported)
             made.data_received(data)
-        if not heard:
+        if not received:
             _link(elder._on_message)[0].data_received(data)
-    if heard["says"] == "keeps":
-        heard["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
-        heard["labels"] = sorted(
+    if received["says"] == "keeps":
+        received["keeps"] = {str(server): slots for server, slots in sharing.share.retained.items()}
+        received["labels"] = sorted(
             label.decode("latin-1") for label in host.node.other_process_request_ids
         )
-    return heard
+    return received
 
 
 def _encode_state(plain: Plain) -> bytes:
@@ -421,11 +425,11 @@
 
 def _decode_state(data: bytes) -> Plain:
     try:
-        left = handed.parse(json.loads(data), NOW)
+        learned_state = handed.parse(json.loads(data), NOW)
     except ValueError:
         return {"refused": "not what a process leaves"}
     members = []
-    for row, address, boot_ms in left.members:
+    for row, address, boot_ms in learned_state.members:
         members.append(
             {
                 "server": row.backend, "state": int(row.state), "zone": row.zone, "cell": row.cell,
@@ -434,9 +438,9 @@
                 "boot_ms": boot_ms,
             }
         )  # fmt: skip
-    learned = left.learned
+    learned = learned_state.learned
     return {
-        "rev": left.rev, "members": members, "standby": left.standby,
+        "rev": learned_state.rev, "members": members, "standby": learned_state.standby,
         "learned": {
             "level": learned.concurrency_limit, "send_rate": learned.send_rate,
             "retry_credit": learned.retry_credit,
@@ -481,7 +485,7 @@
 
 
 def _peers() -> link.GossipTransport:
-    """The first of four nodes, which has heard of the others what `status` shows."""
+    """The first of four nodes, which knows of the others what `status` shows."""
     host: Any = SimpleNamespace(log=lambda _text: None)
     config: Any = _node_config()
     host.discovery = Discovery(config, lambda *_: None, host.log)
@@ -547,7 +551,7 @@
 def _encode_discovery(plain: Plain) -> bytes:
     """The call for what has changed since `from`, or for the whole list where it has none."""
 
-    async def ask() -> bytes:
+    async def call() -> bytes:
         discovery = Discovery(_node_config(), lambda *_: None)
         discovery.endpoint_list.rev = plain["from"] or 0
         address = parse_address(plain["address"])
@@ -564,7 +568,7 @@
         discovery.close()
         return found[0][1]
 
-    return asyncio.run(ask())
+    return asyncio.run(call())
 
 
 def _asked(data: bytes) -> tuple[Plain, Watcher, _Transport]:
@@ -658,7 +662,7 @@
         ServiceApi(plain["read"]), plain["shard_by"],
     )  # fmt: skip
 
-    async def ask() -> bytes:
+    async def call() -> bytes:
         # Under the same clock as its calls: a machine that is up for longer than NOW would
         # have it begin later than they come.
         with mock.patch("time.monotonic_ns", lambda: NOW):
@@ -683,7 +687,7 @@
         reader.close()
         return sent
 
-    return asyncio.run(ask())
+    return asyncio.run(call())
 
 
 def _decode_servers(data: bytes, catalog: bool) -> Plain:
@@ -722,7 +726,7 @@
     "rows": _decode_rows,
     "hello read": _decode_hello,
     "frame": _decode_frame,
-    "word": _decode_word,
+    "word": _decode_message,
     "state": _decode_state,
     "question": _decode_question,
     "listing": _decode_listing,
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -171,10 +171,10 @@
     def connect(self) -> Peer:
         return Peer(socket.create_connection(("127.0.0.1", self.port), LIMIT))
 
-    def call(self, first: str, rest: str = "") -> tuple[str, dict[str, str], bytes]:
+    def call(self, first: str, headers: str = "") -> tuple[str, dict[str, str], bytes]:
         """One call on the second address, and its answer."""
         peer = self.caller()
-        peer.send(f"{first} HTTP/1.1\r\nHost: x\r\n{rest}\r\n".encode())
+        peer.send(f"{first} HTTP/1.1\r\nHost: x\r\n{headers}\r\n".encode())
         answer = peer.message()
         assert peer.ends() == b""
         peer.close()
--- a/tests/proxy/downstream/test_half_close.py
+++ b/tests/proxy/downstream/test_half_close.py
@@ -63,12 +63,12 @@
     frees the slot, and with less time than its class's expected latency it would be
     rejected instead of queued.
     """
-    gone = patient_proxy.connect()
-    gone.sock.settimeout(SOON_S)  # it may wait for a slot for some ten seconds
+    disconnected = patient_proxy.connect()
+    disconnected.sock.settimeout(SOON_S)  # it may wait for a slot for some ten seconds
     path, body = ("/credit/7f3a", b"x" * size) if size else ("/balance/7f3a", None)
-    gone.send(request(path, body, rid="gone", timeout=LONG_MS))
-    end_sending(gone)
-    assert gone.message()[0] == "HTTP/1.1 503 Service Unavailable"
+    disconnected.send(request(path, body, rid="gone", timeout=LONG_MS))
+    end_sending(disconnected)
+    assert disconnected.message()[0] == "HTTP/1.1 503 Service Unavailable"
     later = patient_proxy.connect()
     later.send(request(rid="later", timeout=LONG_MS))
     client, peer = in_flight[0]
--- a/tests/routefiles.py
+++ b/tests/routefiles.py
@@ -1,4 +1,4 @@
-"""A good routes file to be spoilt, line by line."""
+"""A good routes file to be made faulty, line by line."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 """
 
 
-def spoilt(*changes: tuple[str, str]) -> str:
+def with_changes(*changes: tuple[str, str]) -> str:
     """The good file with each (old, new) replaced once."""
     text = GOOD
     for old, new in changes:
--- a/tests/upgrade/support.py
+++ b/tests/upgrade/support.py
@@ -40,8 +40,8 @@
     return headers
 
 
-def ask_ready(client: Peer) -> dict[str, str]:
-    """Ask for readiness on this connection, be told yes; the answer's headers."""
+def get_ready(client: Peer) -> dict[str, str]:
+    """Request readiness on this connection, which must be given; returns the answer's headers."""
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     line, headers, _ = client.message()
     assert line == SERVED
--- a/tests/upgrade/test_one_node.py
+++ b/tests/upgrade/test_one_node.py
@@ -30,7 +30,7 @@
     PATIENT,
     SERVED,
     StartProcess,
-    ask_ready,
+    get_ready,
     receive_request,
     stop_both,
     wait_until_draining,
@@ -107,7 +107,7 @@
     send_list(receive_poll(discovery, 7), *two.rows, rev=9)
     old_watch = receive_poll(discovery, 9)
     client = old.connect()
-    ask_ready(client)
+    get_ready(client)
     new = start(two.environ)
     new_watch = receive_poll(discovery, 9)
     assert old_watch.ends() == b""
--- a/tests/upgrade/test_takeover.py
+++ b/tests/upgrade/test_takeover.py
@@ -11,7 +11,7 @@
 from tests.upgrade.support import (
     SERVED,
     StartProcess,
-    ask_ready,
+    get_ready,
     receive_request,
     send_request,
     serve_one,
@@ -31,13 +31,13 @@
     old = start()
     client, idle = send_request(old, "open"), old.connect()
     peer = receive_request(backend)
-    ask_ready(idle)
+    get_ready(idle)
     new = start()
     assert new.port == old.port
     assert new.call("GET /status")[0] == SERVED
     wait_until_draining(old)
     serve_one(backend, send_request(new, "fresh"))
-    assert ask_ready(idle)["connection"] == "close"
+    assert get_ready(idle)["connection"] == "close"
     peer.send(answer(b"open"))
     _, headers, body = client.message()
     assert (headers["connection"], body) == ("close", b"open")
