--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -28,7 +28,9 @@
 from fakes.discovery import target
 from fakes.processes import Process, running_backends, running_process
 from loadbalancer.core.balancing.model import SECOND
-from simulation.list_world import ListWorld
+from simulation.list_world.rows import KnownList
+from simulation.list_world.service import ServiceCount
+from simulation.list_world.world import ListWorld
 from simulation.service_world.counters import Count
 from simulation.service_world.settings import ServicePlan
 from simulation.service_world.world import ServiceWorld
@@ -41,7 +43,7 @@
 READERS = 2
 
 
-class KnownList(StrEnum):
+class KnownAtStart(StrEnum):
     """The list in a node's configuration as it starts."""
 
     EMPTY = "empty"
@@ -57,7 +59,7 @@
 
     nodes: int
     servers: int
-    known: KnownList
+    known: KnownAtStart
     readers: int  # 0: each node polls for itself
 
     @property
@@ -109,9 +111,9 @@
     discovery.call("POST", "/standin/targets", rows)
     # The fake's empty list is version 1, so the old one is 2 and the full one 3.
     version, targets = {
-        KnownList.EMPTY: (0, []),
-        KnownList.OLD: (2, old),
-        KnownList.FRESH: (3, rows),
+        KnownAtStart.EMPTY: (0, []),
+        KnownAtStart.OLD: (2, old),
+        KnownAtStart.FRESH: (3, rows),
     }[case.known]
     return {"rev": version, "all": True, "targets": targets}
 
@@ -159,17 +161,18 @@
     world = ListWorld(case.nodes, case.servers, 1, case.readers)
     world.links.loss = case.loss
     world.start_all()
-    is_current = world.run(30 * SECOND, world.current)
-    ready = [starter.ready for starter in world.starters.values() if starter.ready >= 0]
+    is_current = world.run(30 * SECOND, world.is_current)
+    list_nodes = world.list_nodes.values()
+    ready_at = [node.ready_at for node in list_nodes if node.ready_at is not None]
     counters = world.service.counts
     return {
         "last_s": round(world.now / SECOND, 2) if is_current else None,
-        "with_a_list": len(ready),
-        "first_list_s": round(min(ready) / SECOND, 2),
-        "lists": counters["whole lists"],
-        "calls": counters["calls"],
-        "turned_away": counters["turned away"],
-        "most_lines_s": max(world.service.lines.values()),
+        "with_a_list": len(ready_at),
+        "first_list_s": round(min(ready_at) / SECOND, 2),
+        "lists": counters[ServiceCount.COMPLETE_LISTS],
+        "calls": counters[ServiceCount.CALLS],
+        "turned_away": counters[ServiceCount.REJECTED],
+        "most_lines_s": max(world.service.lines_by_second.values()),
     }
 
 
@@ -177,16 +180,16 @@
     """Rows sent because one node starts so many times without a list; a reader if there is one."""
     world = ListWorld(20, 100, 1, readers)
     world.start_all()
-    world.run(20 * SECOND, world.current)
+    world.run(20 * SECOND, world.is_current)
     world.run(world.now + 2 * SECOND)
     node = next((n for n in world.nodes if is_reader(world, n)), 0)
-    before = world.service.counts["lines"]
+    before = world.service.counts[ServiceCount.LINES]
     for _ in range(starts):
         world.kill(node)
         world.start(node)
         world.run(world.now + 2 * SECOND)
     world.run(world.now + 10 * SECOND)
-    return world.service.counts["lines"] - before
+    return world.service.counts[ServiceCount.LINES] - before
 
 
 def is_reader(world: ListWorld, node: int) -> bool:
@@ -237,13 +240,12 @@
     service = world.endpoint_list.service
     if not case.gossip:
         # Each node for itself would still wait for its list: here it has the list of its start.
-        world.endpoint_list.known_at_start = lambda _node: (
-            KNOWN_VERSION, dict(service.rows) if service else {},
-        )  # fmt: skip
+        known = KnownList(KNOWN_VERSION, dict(service.rows) if service else {})
+        world.endpoint_list.known_at_start = lambda _node: known
     world.start_cold()
     world.clients.run(BLACK_START_S * SECOND)
     world.run(BLACK_START_S * SECOND)
-    served = world.counts[Count.SERVED] / world.counts[Count.ASKED]
+    served = world.counts[Count.SERVED] / world.counts[Count.REQUESTS]
     return {
         "served_of_possible": served / case.possible,
         "falls": float(world.counts[Count.OVERWHELMED] + len(world.breaches)),
@@ -301,7 +303,7 @@
     starts = [
         StartCase(nodes, servers, known, readers)
         for nodes, servers in plan.real_sizes
-        for known in KnownList
+        for known in KnownAtStart
         for readers in (0, READERS)
     ]
     return {
--- a/benchmarks/fleet/dissemination.py
+++ b/benchmarks/fleet/dissemination.py
@@ -7,7 +7,7 @@
 
 from benchmarks.stats import p50_and_p99, spread
 from loadbalancer.core.balancing.model import SECOND, State
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 
 START_NS = 6 * SECOND
 MESSAGES_MEASURED_S = 5
@@ -20,7 +20,7 @@
 
 def dissemination_figures(nodes: int, servers: int, loss: float, drains: int) -> dict[str, Any]:
     """Seconds until all nodes know, after so many drains and one death; messages a second."""
-    world = World(nodes, servers, SEED)
+    world = GossipWorld(nodes, servers, SEED)
     world.links.loss = loss
     world.start_all()
     world.run(START_NS)
@@ -43,19 +43,19 @@
     }
 
 
-def _messages_per_second(world: World) -> list[float]:
+def _messages_per_second(world: GossipWorld) -> list[float]:
     """What each node sends."""
     before = world.sent.copy()
     world.run(world.now + MESSAGES_MEASURED_S * SECOND)
     return [(world.sent[node] - before[node]) / MESSAGES_MEASURED_S for node in world.nodes]
 
 
-def _drain_times(world: World, server: int) -> list[float]:
+def _drain_times(world: GossipWorld, server: int) -> list[float]:
     """Notify node 0 of a drain: seconds until each other node knows."""
     version = 2 + server
     draining = [(server, 0, State.DRAINING)]
     world.nodes[0].on_local_list(world.clock(0), version, draining, complete=False)
-    world._arm(0, world.now + 1)  # its next turn is at once
+    world.schedule_turn(0, world.now + 1)  # its next turn is at once
 
     def knows(node: int) -> bool:
         return world.nodes[node].effective_state(server, 0, State.READY) != State.READY
@@ -64,7 +64,7 @@
     return _times_until(world, knows, others, DRAIN_STEP_NS, DRAIN_TIMEOUT_NS)
 
 
-def _death_times(world: World, killed: int) -> list[float]:
+def _death_times(world: GossipWorld, killed: int) -> list[float]:
     """Kill a node: seconds until each other node knows."""
     world.kill(killed)
 
@@ -75,7 +75,11 @@
 
 
 def _times_until(
-    world: World, knows: Callable[[int], bool], nodes: Iterable[int], step_ns: int, timeout_ns: int
+    world: GossipWorld,
+    knows: Callable[[int], bool],
+    nodes: Iterable[int],
+    step_ns: int,
+    timeout_ns: int,
 ) -> list[float]:
     """Simulated seconds until each of these nodes knows; those that never do are left out."""
     began = world.now
--- a/benchmarks/fleet/service.py
+++ b/benchmarks/fleet/service.py
@@ -10,8 +10,8 @@
 from benchmarks.stats import spread
 from loadbalancer.core.balancing.model import SECOND
 from simulation.service_world.counters import Count
+from simulation.service_world.faults import Fault, cause
 from simulation.service_world.settings import ServicePlan
-from simulation.service_world.troubles import Trouble, cause
 from simulation.service_world.world import ServiceWorld
 
 SERVER_RATE = 200  # requests a second that one server can do
@@ -24,7 +24,7 @@
 
 
 class Scenario(StrEnum):
-    """What happens to the fleet, by its name in the result; all but UNEVEN are `Trouble`s."""
+    """What happens to the fleet, by its name in the result; all but UNEVEN are `Fault`s."""
 
     DRAIN = "drain"
     SILENT = "silent"
@@ -65,7 +65,7 @@
 FUTILE_ATTEMPTS = {
     Scenario.DRAIN: Count.SENT_TO_DRAINED,
     Scenario.SILENT: Count.SENT_TO_SILENT,
-    Scenario.REPLACED: Count.SENT_TO_GONE,
+    Scenario.REPLACED: Count.SENT_TO_DOWN,
     Scenario.TIGHT: Count.REJECTED,
 }
 
@@ -97,7 +97,7 @@
     world.run(SCENARIO_BEGINS_NS)
     world.counts.clear()
     if scenario is not Scenario.UNEVEN:
-        cause(world, Trouble(scenario.value))
+        cause(world, Fault(scenario.value))
     if scenario is Scenario.SILENT:
         world.run(world.now + FIRST_TIMEOUT_NS)
         world.counts.clear()
@@ -106,7 +106,7 @@
         raise RuntimeError(world.breaches[0])
     futile = FUTILE_ATTEMPTS.get(scenario)
     return Service(
-        served=world.counts[Count.SERVED] / world.counts[Count.ASKED],
+        served=world.counts[Count.SERVED] / world.counts[Count.REQUESTS],
         futile=0 if futile is None else world.counts[futile],
         futile_first=world.counts[Count.SENT_TO_SILENT_FIRST],
     )
--- a/benchmarks/scale/gossip.py
+++ b/benchmarks/scale/gossip.py
@@ -13,7 +13,7 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.gossip.messages import Outgoing
 from loadbalancer.gossip_transport.codec import encode
-from simulation.gossip_world import World
+from simulation.gossip_world import GossipWorld
 
 SETTLED_NS = 6 * SECOND  # of simulated time, after which the start's own messages have ended
 INTERVAL_S = 2  # of simulated time, for one reading
@@ -21,7 +21,7 @@
 HEADER_BYTES = 28  # of IPv4 and UDP around a datagram
 
 
-class CountedWorld(World):
+class CountedWorld(GossipWorld):
     """A world that counts the bytes of what its nodes send, as datagrams."""
 
     bytes_sent = 0
--- a/simulation/control_faults.py
+++ b/simulation/control_faults.py
@@ -4,9 +4,10 @@
     python -m simulation.control_faults --seed 17            # one again
     python -m simulation.control_faults --digest --seeds 20  # a digest of each seed's run
 
-Drawn from each seed: loss, delay, doubled messages, one-way cuts, cut regions, control machines and
-nodes killed, paused and started without state, a zone gone and back, all while services change.
-Then all heals, and every machine and node must converge to what the sources say.
+Drawn from each seed: loss, delay, duplicated messages, one-way partitions, partitioned
+regions, control machines and nodes killed, paused and started without state, a zone killed and
+started again, all while services change. Then all heals, and every
+machine and node must converge to what the sources say.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from simulation.control_world.faults import Faults
 from simulation.control_world.world import World
 from simulation.digest import Digest
-from simulation.seeds import run
+from simulation.seeds import SeededWorld
 
 SEEDS = 200
 PROCESSES = 6
@@ -26,12 +27,12 @@
 FAULTS_FOR = 60 * SECOND
 HEALED_WITHIN = 90 * SECOND
 CHANGE_INTERVALS = (300 * MS, SECOND, 3 * SECOND)  # between a region's changes, by seed
-# Longer than the invariant checker counts what a dead node served as still served.
-NODE_GONE_FOR = 9 * SECOND
-NODE_BACK_FOR = 12 * SECOND
+# Longer than the invariant checker counts what a dead node served as served.
+NODE_DOWN_FOR = 9 * SECOND
+NODE_RESTARTED_FOR = 12 * SECOND
 
 
-def play(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
+def run_seed(seed: int, faults_for: int = FAULTS_FOR, digest: Digest | None = None) -> list[str]:
     """Run one seed, with faults for so many nanoseconds; returns the breaches.
 
     All that is sent and decided goes into `digest`.
@@ -53,32 +54,30 @@
 
 
 def _restart_node_in_calm(world: World, node: int) -> None:
-    """Kill a node and start it again while nothing else is wrong, before stricter rules."""
-    world.referee.calm = True
+    """Kill a node and start it again while nothing else is wrong, under the strict rule."""
+    world.release_checker.is_strict = True
     world.kill_node(node)
-    world.run(NODE_GONE_FOR)
+    world.run(NODE_DOWN_FOR)
     world.start_node(node)
-    world.run(NODE_BACK_FOR)
-    world.referee.calm = False
+    world.run(NODE_RESTARTED_FOR)
+    world.release_checker.is_strict = False
 
 
-def play_mutant(name: str, seed: int) -> list[str]:
+def run_mutant(name: str, seed: int) -> list[str]:
     """Run one seed with a mutant's fault in the product's code; returns the breaches."""
     with MUTANTS[name].applied():
-        return play(seed)
+        return run_seed(seed)
 
 
 def digest_of(seed: int) -> str:
     """The digest of one seed's run."""
     digest = Digest()
-    play(seed, digest=digest)
+    run_seed(seed, digest=digest)
     return digest.value()
 
 
-def main() -> int:
-    """Run the command line; returns 0 where no seed breaks an invariant, 1 where one does."""
-    return run(__doc__, "simulation.control_faults", play, SEEDS, PROCESSES, digest_of)
+WORLD = SeededWorld("simulation.control_faults", __doc__, SEEDS, run_seed, digest_of, PROCESSES)
 
 
 if __name__ == "__main__":
-    sys.exit(main())
+    sys.exit(WORLD.main())
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -45,7 +45,7 @@
 
     poll: Poll
     deadline: int  # then it is answered without an update
-    retry_at: int | None = None  # then the publisher is asked again
+    retry_at: int | None = None  # then the publisher is queried again
 
     def due(self, now: int) -> bool:
         """Whether its deadline or its retry has come."""
@@ -93,14 +93,14 @@
                 max_pause_ns=2 * size.slowed(TICK_INTERVAL),
             ),
         )
-        self._heard_at = dict.fromkeys(range(len(topology.machines)), now)
+        self._received_at = dict.fromkeys(range(len(topology.machines)), now)
         self._living = frozenset(topology.machine_index)
         self._pinged_at = 0
 
     def on_message(self, sender: int, message: Message) -> None:
         """Take another replica's message."""
         environment = self._environment
-        self._heard_at[sender] = environment.now
+        self._received_at[sender] = environment.now
         name = environment.topology.machines[sender].name
         self.replica.on_message(environment.now, name, message)
         self.settle()
@@ -108,7 +108,7 @@
     def on_ping(self, sender: int, grant: ReleaseGrant | None) -> None:
         """Take another machine's ping, and its grant of releases if it leads its region."""
         environment = self._environment
-        self._heard_at[sender] = environment.now
+        self._received_at[sender] = environment.now
         if grant is not None:
             name = environment.topology.machines[sender].name
             self._releases.on_grant(environment.now, name, grant)
@@ -149,11 +149,11 @@
             environment.network.replicate(self.index, recipient, message)
         for region in self.replica.restored():
             log = self.logs[region]
-            environment.referee.on_restored(self.spec.name, log)
+            environment.log_checker.on_restored(self.spec.name, log)
             environment.recorder.decision(self.index, self.incarnation, region, log.position)
             self._wake(region, self.publisher.on_restored(region))
         for region, change in self.replica.committed():
-            environment.referee.on_committed(self.spec.name, region, change)
+            environment.log_checker.on_committed(self.spec.name, region, change)
             environment.recorder.decision(
                 self.index, self.incarnation, region, change.position, change.service
             )
@@ -163,7 +163,7 @@
         """Load the region's log from its source, where this leader's is empty."""
         if self.replica.needs_load():
             desired = self._source.desired
-            self._environment.referee.on_load(self.spec.region, desired)
+            self._environment.log_checker.on_load(self.spec.region, desired)
             self.replica.load({name: rows.values() for name, rows in desired.items()})
 
     def _advance_liveness(self) -> None:
@@ -193,7 +193,7 @@
         living = frozenset(
             spec.name
             for other, spec in enumerate(environment.topology.machines)
-            if other == self.index or environment.now - self._heard_at[other] < timeout
+            if other == self.index or environment.now - self._received_at[other] < timeout
         )
         if living != self._living:
             self._living = living
@@ -217,7 +217,7 @@
         """Answer a poll if there is an update or a new assignment, or if its deadline has come."""
         environment, poll = self._environment, opened.poll
         assignment = self._assignment(poll.node)
-        answer: Answer | None = self._ask_publisher(poll, assignment)
+        answer: Answer | None = self._subscribe(poll, assignment)
         if isinstance(answer, Wait):
             if poll.assignment == assignment and environment.now < opened.deadline:
                 opened.retry_at = answer.until_ns
@@ -228,7 +228,7 @@
         generation = self._handover.generation
         environment.network.reply(PollReply(self.index, poll, answer, assignment, generation))
 
-    def _ask_publisher(self, poll: Poll, assignment: NodeAssignment) -> Answer:
+    def _subscribe(self, poll: Poll, assignment: NodeAssignment) -> Answer:
         environment, subscription = self._environment, poll.subscription
         home = environment.topology.home
         wanted = {name for name in assignment.wanted if home[name] == poll.region}
--- a/simulation/service_world/endpoint_list.py
+++ b/simulation/service_world/endpoint_list.py
@@ -1,7 +1,7 @@
-"""What the list service says of the servers, and how it reaches the nodes.
+"""The states of the servers in the list, and how these reach the nodes.
 
 A pushed list's change is notified to some nodes at once and to the others within the time that
-the rules allow. A polled one is asked of a `ListService`.
+the rules allow. A polled one is served by a `ListService`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,9 @@
 
 from loadbalancer.core import Listing, State, Update
 from loadbalancer.core.balancing.model import MS
-from simulation.list_world import ListService, row
+from simulation.list_world.rows import KnownList, encode_row
+from simulation.list_world.service import ListService
+from simulation.list_world.world import knows_nothing
 from simulation.service_world.counters import Count
 from simulation.service_world.server import Server
 from simulation.service_world.settings import (
@@ -26,13 +28,6 @@
     from simulation.service_world.node_host import NodeHost
     from simulation.service_world.world import ServiceWorld
 
-# A list's version and its rows by uid.
-KnownList = tuple[int, dict[str, str]]
-
-
-def _knows_nothing(_node: int) -> KnownList:
-    return 0, {}
-
 
 def _uid(server: int) -> str:
     return f"s{server}"
@@ -43,10 +38,10 @@
 
     def __init__(self, world: ServiceWorld, plan: ServicePlan) -> None:
         self.states = [State.READY] * plan.servers
-        self.known_at_start: Callable[[int], KnownList] = _knows_nothing  # by node, if polled
+        self.known_at_start: Callable[[int], KnownList] = knows_nothing  # by node, if polled
         self.service: ListService | None = None
         if plan.list_readers is not None:
-            self.service = ListService(world, {_uid(i): row(i) for i in range(plan.servers)})
+            self.service = ListService(world, {_uid(i): encode_row(i) for i in range(plan.servers)})
         self._world = world
         self._rev = 1
 
@@ -74,26 +69,24 @@
         self.states[server] = state
         if self.service is not None:
             started_ms = self._world.pool[server].started_at // MS
-            text = "active" if state == State.READY else "leaving"
-            is_gone = state == State.GONE
-            self.service.change(
-                {_uid(server): None if is_gone else row(server, 0, text, started_ms)}
-            )
+            is_listed = state != State.GONE
+            row = encode_row(server, 0, state, started_ms) if is_listed else None
+            self.service.change({_uid(server): row})
             return
         world, states, first_nodes = self._world, tuple(self.states), frozenset(first)
         for node in list(world.hosts):
             delay = 0 if node in first_nodes else LIST_DELAY
-            world.later(world.now + delay, self._push, node, self._rev, states)
+            world.call_at(world.now + delay, self._push, node, self._rev, states)
 
     def replace(self, server: int, first: Iterable[int]) -> None:
-        """Drain a server and add another; the first is gone once its grace is over."""
+        """Drain a server and add another; the first is down once its grace period has ended."""
         world = self._world
         world.pool.append(Server())
         self.states.append(State.READY)
         if self.service is not None:
             self.restart([len(world.pool) - 1])
         self.change(server, State.DRAINING, first)
-        world.later(world.now + DRAIN_GRACE, self._remove, server)
+        world.call_at(world.now + DRAIN_GRACE, self._remove, server)
 
     def restart(self, servers: Sequence[int]) -> None:
         """Start these servers anew, cold, and list them so at once."""
@@ -103,30 +96,30 @@
             self.change(server, State.READY, list(world.hosts))
 
     def restart_overwhelmed(self, server: int) -> None:
-        """A cold server got more than it can bear: it is gone, and back after a while."""
+        """A cold server got more than it can bear: it is down, and restarts after a while."""
         world = self._world
         world.count(Count.OVERWHELMED)
-        world.pool[server].gone = True
-        world.later(world.now + RESTART_TIME, self.restart, (server,))
+        world.pool[server].down = True
+        world.call_at(world.now + RESTART_TIME, self.restart, (server,))
 
     def start_all_cold(self) -> None:
         """Let all servers have started now, where the list is polled and no node runs yet."""
-        assert self.service is not None  # a pushed list says nothing of starts
+        assert self.service is not None  # a pushed list has no start times
         now = self._world.now
         for index, server in enumerate(self._world.pool):
             server.started_at = now
-            self.service.rows[_uid(index)] = row(index, 0, "active", now // MS)
+            self.service.rows[_uid(index)] = encode_row(index, 0, State.READY, now // MS)
 
     def _remove(self, server: int) -> None:
-        self._world.pool[server].gone = True
+        self._world.pool[server].down = True
 
     def _push(self, node: int, rev: int, states: tuple[State, ...]) -> None:
         """A version reaches a node in full: what has changed for the node is an update."""
         world, host = self._world, self._world.hosts.get(node)
         if host is None or world.nodes[node].local_list.rev >= rev:
             return
-        if node in world.stopped:
-            world.later(world.now + PAUSED_LIST_DELAY, self._push, node, rev, states)
+        if node in world.paused:
+            world.call_at(world.now + PAUSED_LIST_DELAY, self._push, node, rev, states)
             return
         known = host.known_states
         changed = [(server, s) for server, s in enumerate(states) if known.get(server) != s]
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -5,12 +5,12 @@
 import pytest
 
 from loadbalancer.core.balancing.model import SECOND
-from simulation.fleet_faults import play
+from simulation.fleet_faults import run_seed
 from simulation.fleet_invariants import InvariantChecker
 from simulation.fleet_mutants import MUTANTS
 from simulation.service_world.counters import Count
+from simulation.service_world.faults import Fault, cause
 from simulation.service_world.settings import ServicePlan
-from simulation.service_world.troubles import Trouble, cause
 from simulation.service_world.world import ServiceWorld
 
 
@@ -20,7 +20,7 @@
     world.start_all()
     world.clients.run(14 * SECOND)
     world.run(5 * SECOND)
-    cause(world, Trouble.DRAIN)
+    cause(world, Fault.DRAIN)
     world.run(12 * SECOND)
     return world
 
@@ -49,14 +49,14 @@
     world.run(9 * SECOND)
     world.counts.clear()
     world.run(14 * SECOND)
-    assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.ASKED]
+    assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.REQUESTS]
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
-    assert max(server.max_in_flight for server in world.pool) <= world.terms[0].slots
+    assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots
     # Every message lost: leases end, and what pressure alone would give is there within 4 s.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
-    cause(world, Trouble.CUT)
+    cause(world, Fault.GOSSIP_LOSS)
     world.run(18 * SECOND)
     assert all(s.isolated and not s.leases for s in slots)
     world.links.loss = 0.0
@@ -77,10 +77,10 @@
     holder, grantor = 0, next(iter(world.nodes[0].leases.active))
     assert world.nodes[grantor].leases.grants
     for node in (holder, grantor):
-        world.stop(node)
+        world.pause(node)
     world.run(72 * SECOND)
     for node in (holder, grantor):
-        world.go_on(node)
+        world.resume(node)
         assert not world.nodes[node].leases.active
         assert not world.nodes[node].leases.grants
     world.run(world.now + 1)  # their first turns
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_invariant_is_broken_under_faults_drawn_by_seed(seed: int) -> None:
-    assert play(seed) == []
+    assert run_seed(seed) == []
 
 
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
@@ -103,7 +103,7 @@
     owner, method = MUTANTS[mutant].owner, MUTANTS[mutant].method
     assert callable(getattr(owner, method))
     monkeypatch.setattr(owner, method, MUTANTS[mutant].faulty)
-    assert any(play(seed) for seed in range(8))
+    assert any(run_seed(seed) for seed in range(8))
 
 
 @pytest.mark.parametrize("load", [0.5, 1.5])
@@ -120,4 +120,4 @@
     assert not world.breaches
     # They go from a tenth of their capacity to all of it, 0.55 in the mean.
     could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
-    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.ASKED]
+    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.REQUESTS]
