--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -136,7 +136,10 @@
 class Caller:
     """One connection on the second address; `on_...` are callbacks of its parser."""
 
-    __slots__ = ("_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_unsent", "_url")
+    __slots__ = (
+        "_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_unsent", "_url",
+        "_watches_writable",
+    )  # fmt: skip
 
     def __init__(self, admin: Admin, sock: socket.socket) -> None:
         self._admin = admin
@@ -145,6 +148,7 @@
         self._url = b""
         self._answered = False
         self._unsent = b""  # of the answer
+        self._watches_writable = False
         self._parser = httptools.HttpRequestParser(self)
         admin.loop.add_reader(sock, self._read)
         self._timer = admin.loop.call_later(CALL_TIMEOUT_S, self._on_timeout)
@@ -204,8 +208,6 @@
         )
         self._unsent = head.encode() + content
         self._send()
-        if self._unsent:
-            self._admin.loop.add_writer(self._sock, self._send)
 
     def _send(self) -> None:
         """Write what the socket takes, and end the sending after the last byte.
@@ -219,10 +221,19 @@
             if not self._unsent:
                 self._sock.shutdown(socket.SHUT_WR)
         except BlockingIOError:
-            return
+            pass  # its buffer is full
         except OSError:
             self._unsent = b""  # the caller has gone
-        if not self._unsent:
+        self._watch_writable(bool(self._unsent))
+
+    def _watch_writable(self, on: bool) -> None:
+        """Have `_send` called whenever the socket takes bytes again, or no longer."""
+        if on == self._watches_writable:
+            return
+        self._watches_writable = on
+        if on:
+            self._admin.loop.add_writer(self._sock, self._send)
+        else:
             self._admin.loop.remove_writer(self._sock)
 
     def close(self) -> None:
@@ -230,5 +241,5 @@
         if self._admin.callers.pop(self, self) is None:
             self._timer.cancel()
             self._admin.loop.remove_reader(self._sock)
-            self._admin.loop.remove_writer(self._sock)
+            self._watch_writable(False)
             self._sock.close()
