--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -87,7 +87,12 @@
         newer.receive(new)
         assert received[-1] == new
         assert not newer.transport.abort.called
+        newest = Stream(streams)
+        newest.receive(Hello(sender, "f"))
+        assert newer.transport.abort.called
         newer.lose()
+        newest.lose()
         assert not streams.incoming
+        assert not streams._incoming_from
 
     asyncio.run(play())
--- a/tests/control/machine/test_submitted_changes.py
+++ b/tests/control/machine/test_submitted_changes.py
@@ -2,11 +2,18 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
+from typing import Any
+from unittest import mock
 
 import pytest
 
 from benchmarks.scale.fleet import call
+from loadbalancer.control.machine import submitted_changes
+from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
+from loadbalancer.core.assignment.model import Change, Position
+from loadbalancer.core.replicated_log.replication import Outcome, Proposal
 from tests.control_machines import NAMES, Machines, rows
 
 
@@ -42,3 +49,44 @@
     status, text = call(region.address(other), "POST", "/changes", body)
     assert status == 409
     assert json.loads(text) == {"rule": "not leader", "leader": leader}
+
+
+FIRST, SECOND = Position(1, 1), Position(1, 2)  # of the two changes of a call
+
+
+@pytest.mark.parametrize(
+    ("committed", "status"),
+    [
+        ([("east", FIRST), ("east", SECOND)], 200),
+        ([("east", SECOND), ("east", FIRST), ("east", FIRST)], 200),
+        ([("east", FIRST), ("east", FIRST)], 504),  # one of the two
+        ([("east", FIRST), ("west", SECOND)], 504),  # another region's entry of that position
+        ([("east", FIRST), ("east", Position(2, 2))], 504),  # the next leader's, in its place
+    ],
+)
+def test_a_call_is_answered_once_when_its_own_entries_are_committed(
+    committed: list[tuple[str, Position]], status: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A leader is replaced before its entries are committed, and another entry takes the place of
+    one; or entries are committed after the call was answered. An operator who is told that a change
+    is in force, while it is lost, would not repeat it.
+    """
+    monkeypatch.setattr(submitted_changes, "COMMIT_TIMEOUT_S", 0.01)
+    replica: Any = mock.Mock()
+    proposals = [Proposal(Outcome.PROPOSED, position) for position in (FIRST, SECOND)]
+    replica.propose.side_effect = proposals
+    answers: list[int] = []
+
+    async def play() -> None:
+        submissions = ChangeSubmissions(replica, "east", {"cart": "east"})
+        body = json.dumps([{"service": "cart", "rows": rows(uid)} for uid in ("u1", "u2")])
+        submissions.submit(body.encode(), lambda status, _: answers.append(status))
+        for region, position in committed:
+            submissions.on_committed(region, Change(position, "cart"))
+        await asyncio.sleep(0.05)
+        for position in (FIRST, SECOND):  # late
+            submissions.on_committed("east", Change(position, "cart"))
+        assert not submissions._pending
+
+    asyncio.run(play())
+    assert answers == [status]
