--- a/tests/core/replicated_log/test_append_answers.py
+++ b/tests/core/replicated_log/test_append_answers.py
@@ -5,6 +5,7 @@
 import pytest
 
 from loadbalancer.core.assignment.model import START, Change, Position, Row
+from loadbalancer.core.replicated_log import leader as leader_module
 from loadbalancer.core.replicated_log.messages import AppendEntries, AppendEntriesResponse
 from loadbalancer.core.replicated_log.state import Outbox
 from tests.core.replicated_log.members import COMMITTED, GROUP, NOW, TERM, answer, leader
@@ -61,6 +62,21 @@
     assert not message.entries
 
 
+def test_a_late_answer_does_not_hold_back_new_entries(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A follower has answered all; an earlier answer of it comes after that. Counted as the last
+    one, it would leave the bound on unanswered entries reached, and nothing more would be sent.
+    """
+    monkeypatch.setattr(leader_module, "MAX_UNANSWERED", 1)
+    outbox: Outbox = []
+    member = leader(outbox)
+    for index in (2, COMMITTED.revision):
+        member.on_message(NOW, GROUP[1], answer(index))
+    outbox.clear()
+    member.propose(Change(START, "a", (Row("u", "x"),)))
+    sent = [one.message for one in outbox if one.recipient == GROUP[1]]
+    assert [len(one.entries) for one in sent if isinstance(one, AppendEntries)] == [1]
+
+
 def test_a_rejection_that_names_more_than_the_log_has_is_probed_at_its_end() -> None:
     """A follower names an index that is not in the leader's log, as after a restart of all."""
     outbox: Outbox = []
