--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -125,7 +125,10 @@
     def on_report(self, node: str, serving: Collection[str], generation: int) -> None:
         """The node reports what it serves, as of the assignment of this generation."""
         named = tuple(sorted(name for name in serving if name in self.regions))
-        self.handover.on_report(node, named, generation)
+        # Guards against a generation of this machine's earlier process, which may be above all of
+        # this one: it says nothing of what the node has received from this one.
+        received = generation if generation <= self.handover.generation else 0
+        self.handover.on_report(node, named, received)
         self.changed = True
         if self._reports.get(node) != named:
             self._reports[node] = self._unsent_reports[node] = named
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -4,6 +4,8 @@
 
 from pathlib import Path
 
+import pytest
+
 from loadbalancer.control.machine.file import read_scale
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.core.assignment.presence import Presence
@@ -107,3 +109,18 @@
         changed.append(nodes.changed)
         nodes.changed = False
     assert changed == [True, False, True, False]
+
+
+@pytest.mark.parametrize(("ahead", "counts"), [(-1, False), (0, True), (1, False), (40, False)])
+def test_a_report_of_a_generation_that_never_was_does_not_count(
+    tmp_path: Path, ahead: int, counts: bool
+) -> None:
+    """A machine restarts while its nodes pause between two polls. A node's next report names the
+    generation of the machine's earlier process, which is above all of this one: it knew nothing of
+    what this one takes back, and yet counted as the newest.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes.on_report("n1", ("cart",), nodes.handover.generation)
+    nodes.on_report("n1", (), nodes.handover.generation)  # released
+    nodes.on_report("n1", ("cart",), nodes.handover.generation + ahead)
+    assert ("n1" in nodes.handover._serving.get("cart", ())) is counts
