--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -7,6 +7,7 @@
 import pytest
 
 from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.messages import NodeReport
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.core.assignment.presence import Presence
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
@@ -124,3 +125,14 @@
     nodes.on_report("n1", (), nodes.handover.generation)  # released
     nodes.on_report("n1", ("cart",), nodes.handover.generation + ahead)
     assert ("n1" in nodes.handover._serving.get("cart", ())) is counts
+
+
+def test_another_machines_reports_of_unknown_nodes_and_services_are_passed_over(
+    tmp_path: Path,
+) -> None:
+    """Machines of two versions of the file are connected for a while. A report that one can't use
+    must not end the stream, nor keep it from those that follow.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes.on_reports([NodeReport("nobody", ("cart",)), NodeReport("n1", ("cart", "unheard-of"))])
+    assert nodes.handover._serving == {"cart": {"n1"}}
