--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_hostile.py
@@ -91,8 +91,8 @@
 def incomplete_proxies(process: Process, *except_for: str) -> dict[str, Any]:
     """What those proxies hold that do not hold all resources yet, by proxy."""
     states = states_without_error(process)
-    held = {n: resource_names(s) for n, s in states.items() if n not in except_for}
-    return {n: names for n, names in held.items() if names != ALL_RESOURCES}
+    found = {n: resource_names(s) for n, s in states.items() if n not in except_for}
+    return {n: names for n, names in found.items() if names != ALL_RESOURCES}
 
 
 def consistent_states(process: Process, *except_for: str) -> dict[str, Any]:
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -67,14 +67,14 @@
     assert fleet.answers(1) == ran
 
 
-@pytest.mark.parametrize("most", [1, 2, 3])
-def test_attempts_end_with_what_the_policy_grants(most: int) -> None:
+@pytest.mark.parametrize("attempts", [1, 2, 3])
+def test_attempts_end_with_what_the_policy_grants(attempts: int) -> None:
     fleet = Fleet()
-    fleet.request(0, 1, replace(SAFE, attempts=most))
-    for number in range(most):
+    fleet.request(0, 1, replace(SAFE, attempts=attempts))
+    for number in range(attempts):
         assert len(fleet.sends(1)) == number + 1
         fleet.end((number + 1) * 5 * MS, 1, number, Outcome.ERROR)
-    assert len(fleet.sends(1)) == most
+    assert len(fleet.sends(1)) == attempts
     assert fleet.answers(1) == 1
 
 
--- a/tests/core/balancing/test_settings.py
+++ b/tests/core/balancing/test_settings.py
@@ -34,8 +34,8 @@
         client = n.connect()
         client.send(request("/fresh/1"))
         assert client.message()[0] == "HTTP/1.1 404 Not Found"
-        held = n.connect()
-        held.send(request("/credit/7", b"x", rid="held"))
+        in_flight = n.connect()
+        in_flight.send(request("/credit/7", b"x", rid="held"))
         peer = accept(backend)
         peer.message()
 
@@ -47,7 +47,7 @@
         n.process.send_signal(signal.SIGHUP)
         n.says("new settings: classes fresh, balance")
         peer.reset()  # may have run: by the rules of its admission it is not sent again
-        assert held.message()[0] == "HTTP/1.1 502 Bad Gateway"
+        assert in_flight.message()[0] == "HTTP/1.1 502 Bad Gateway"
         client = n.connect()
         client.send(request("/fresh/1", rid="f"))
         peer = serve(backend, client)
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -75,7 +75,7 @@
         """The next call has this query, and gets these targets."""
         peer, line = self.call()
         assert query in line, line
-        peer.send(answer(json.dumps(roster(*targets, rev=rev, whole=complete)).encode()))
+        peer.send(answer(json.dumps(roster(*targets, rev=rev, complete=complete)).encode()))
         peer.close()
 
 
--- a/tests/core/routes/test_route_file.py
+++ b/tests/core/routes/test_route_file.py
@@ -51,7 +51,7 @@
 
 
 ROUTE = '\n[[service.route]]\nname = "more"\n'
-REST = 'name = "rest"\nprefix = "/"\ndeny = true\n'
+CATCH_ALL = 'name = "rest"\nprefix = "/"\ndeny = true\n'
 
 # name: (changes, then for each fault expected: a mark in the faulty file's line, and its rule)
 BAD: dict[str, tuple[list[tuple[str, str]], list[tuple[str, str]]]] = {
@@ -105,13 +105,13 @@
         [('prefix = "/credit"', "captures-stricter")],
     ),
     "a part of credit's path as a safe class": (
-        [(REST, 'name = "by-id"\npath = "/credit/{id}"\nclass = "balance"\n'
-          "\n[[service.route]]\n" + REST)],
+        [(CATCH_ALL, 'name = "by-id"\npath = "/credit/{id}"\nclass = "balance"\n'
+          "\n[[service.route]]\n" + CATCH_ALL)],
         [('path = "/credit/{id}"', "captures-stricter")],
     ),
     "credit's path by a parameter": (
-        [(REST, 'name = "by-id"\npath = "/{any}/{id}"\nclass = "balance"\n'
-          "\n[[service.route]]\n" + REST), ('prefix = "/credit"', 'prefix = "/pay"')],
+        [(CATCH_ALL, 'name = "by-id"\npath = "/{any}/{id}"\nclass = "balance"\n'
+          "\n[[service.route]]\n" + CATCH_ALL), ('prefix = "/credit"', 'prefix = "/pay"')],
         [('path = "/{any}', "captures-stricter")],
     ),
     "everything as a safe class": (
@@ -225,14 +225,14 @@
     "no service": ([(GOOD[GOOD.index("[[service]]") :], "")], [("version", "missing-key")]),
     "no catch": ([('prefix = "/"\n', 'prefix = "/rest"\n')], [("[[service]]", "no-catch")]),
     "equal routes": (
-        [(REST, 'name = "b2"\nprefix = "/balance"  # again\nclass = "balance"\n'
-          "\n[[service.route]]\n" + REST)],
+        [(CATCH_ALL, 'name = "b2"\nprefix = "/balance"  # again\nclass = "balance"\n'
+          "\n[[service.route]]\n" + CATCH_ALL)],
         [("# again", "equal-routes")],
     ),
     "routes equal where their methods meet": (
         [('prefix = "/balance"\nclass', 'path = "/balance"\nmethods = ["GET"]\nclass'),
-         (REST, 'name = "b2"\npath = "/balance"  # again\nmethods = ["GET", "POST"]\n'
-          "\n[[service.route]]\n" + REST)],
+         (CATCH_ALL, 'name = "b2"\npath = "/balance"  # again\nmethods = ["GET", "POST"]\n'
+          "\n[[service.route]]\n" + CATCH_ALL)],
         [("# again", "equal-routes")],
     ),
     "a route that its methods hide": (
@@ -240,10 +240,10 @@
         [('prefix = "/balance"', "unreachable-route")],
     ),
     "a route that two others hide together": (
-        [(REST, 'name = "g"\npath = "/x"\nmethods = ["GET"]\ndeny = true\n'
+        [(CATCH_ALL, 'name = "g"\npath = "/x"\nmethods = ["GET"]\ndeny = true\n'
           '\n[[service.route]]\nname = "p"\npath = "/x"\nmethods = ["POST"]\ndeny = true\n'
           '\n[[service.route]]\nname = "x"\npath = "/x"  # hidden\n'
-          "\n[[service.route]]\n" + REST)],
+          "\n[[service.route]]\n" + CATCH_ALL)],
         [("# hidden", "unreachable-route")],
     ),
     "path and prefix": (
--- a/tests/core/routes/test_routes.py
+++ b/tests/core/routes/test_routes.py
@@ -122,8 +122,9 @@
     assert table.service(b"b.org") is far
     assert table.service(b"org") is None
     assert table.service(b"[::1]") is None
-    rest = Service("rest", ["*"], [])
-    assert Table([rest, exact], DEFAULT_NODE_BUDGET).service(b"org") is rest
+    catch_all = Service("rest", ["*"], [])
+    table = Table([catch_all, exact], DEFAULT_NODE_BUDGET)
+    assert table.service(b"org") is catch_all
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -135,7 +135,7 @@
     "CDS": ResourceType.CLUSTER, "EDS": ResourceType.ENDPOINTS,
     "LDS": ResourceType.LISTENER, "RDS": ResourceType.ROUTES,
 }  # fmt: skip
-ASKED = "127.0.0.1:7001"
+POLLED_ADDRESS = "127.0.0.1:7001"
 SERVICES = {"cart": "east", "pay": "east", "empty": "east"}  # and their home regions
 CONTROL_FILE = """\
 version = 1
@@ -354,7 +354,7 @@
     target = asker._target(plain["region"], state)
 
     async def head() -> str:
-        call = OutgoingCall(parse_address(ASKED), target, 1.0, lambda _: None)
+        call = OutgoingCall(parse_address(POLLED_ADDRESS), target, 1.0, lambda _: None)
         call.drop()
         return call._head
 
@@ -535,9 +535,9 @@
     host, port = plain["listen"]
     snapshot = Encoder(proxy, (host, port)).build(plans)
     return [
-        {"type": word, "name": one.name, "version": one.version, "depends": sorted(one.references),
+        {"type": name, "name": one.name, "version": one.version, "depends": sorted(one.references),
          "hex": one.body.hex()}
-        for word, kind in RESOURCE_TYPES.items()
+        for name, kind in RESOURCE_TYPES.items()
         for one in snapshot.of_type(kind).values()
     ]  # fmt: skip
 
@@ -579,7 +579,7 @@
     }
 
 
-def _read_whole_answer(data: bytes) -> Any:
+def _read_complete_answer(data: bytes) -> Any:
     message = discovery_pb2.DiscoveryResponse.FromString(data)
     rows = []
     for one in message.resources:
@@ -601,7 +601,7 @@
     request = read(RESOURCE_TYPES[_type_name(found.type_url)], found)
     return {
         "type": next(
-            word for word, kind in RESOURCE_TYPES.items() if kind is request.resource_type
+            name for name, kind in RESOURCE_TYPES.items() if kind is request.resource_type
         ),
         "names": list(request.resource_names),
         "gone": list(request.unsubscribe),
@@ -644,7 +644,7 @@
     "nodes-file": lambda data: _read_lines("nodes_file", "nodes", "node-spec", data),
     "services-file": lambda data: _read_lines("services_file", "services", "service-spec", data),
     "control-file": _read_control_file,
-    "discovery-answer": _read_whole_answer,
+    "discovery-answer": _read_complete_answer,
     "incremental-discovery-answer": _read_incremental_answer,
     "discovery-request": lambda data: _discovery_request(
         discovery_pb2.DiscoveryRequest, decode_request, data
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -147,14 +147,14 @@
 
 
 def _fields(name: str, plain: Plain) -> dict[str, Any]:
-    """Values by the names of fields, from values by the wire's words."""
-    return {FIELDS[name].get(word, word): value for word, value in plain.items()}
+    """Values by the names of fields, from values by the names on the wire."""
+    return {FIELDS[name].get(recorded, recorded): value for recorded, value in plain.items()}
 
 
-def _words(name: str, fields: dict[str, Any]) -> dict[str, Any]:
+def _recorded_names(name: str, fields: dict[str, Any]) -> dict[str, Any]:
     """The other way round."""
-    words = {field: word for word, field in FIELDS[name].items()}
-    return {words.get(field, field): value for field, value in fields.items()}
+    names = {field: recorded for recorded, field in FIELDS[name].items()}
+    return {names.get(field, field): value for field, value in fields.items()}
 
 
 def _message(plain: Plain) -> Message:
@@ -186,7 +186,7 @@
     records = []
     for record in message.records:
         name = next(name for name, made in RECORDS.items() if isinstance(record, made))
-        figures: dict[str, Any] = {"is": name} | _words(name, record._asdict())
+        figures: dict[str, Any] = {"is": name} | _recorded_names(name, record._asdict())
         if "age" in figures:
             figures["age_ms"] = figures.pop("age") // MS
         records.append(figures)
@@ -196,7 +196,7 @@
         "records": records, "body": message.body.hex(),
     }  # fmt: skip
     if message.kind == Kind.PIECE:
-        return plain | {"piece": _words("piece", Piece(*message.digest)._asdict())}
+        return plain | {"piece": _recorded_names("piece", Piece(*message.digest)._asdict())}
     return plain | {"digest": list(message.digest)}
 
 
@@ -288,7 +288,7 @@
     return SimpleNamespace(node=node, loop=None)
 
 
-def _encode_word(plain: Plain) -> bytes:
+def _encode_message(plain: Plain) -> bytes:
     """A frame as the side that says it builds it."""
     made, transport = _link()
     says = plain["says"]
@@ -571,16 +571,16 @@
     return asyncio.run(call())
 
 
-def _asked(data: bytes) -> tuple[Plain, Watcher, _Transport]:
-    """What a service that serves the list takes a call for."""
+def _received_call(data: bytes) -> tuple[Plain, Watcher, _Transport]:
+    """A call as a service that serves the list reads it."""
     got: dict[str, Any] = {}
 
-    def asked(_watcher: Watcher, since: int, hold: float, _query: Any) -> None:
+    def on_list_request(_watcher: Watcher, since: int, hold: float, _query: Any) -> None:
         got.update({"from": since, "hold_ms": round(hold * 1000)})
 
     host: Any = SimpleNamespace(
         max_connections=1, connections=0, is_waiting=lambda _c: False, cancel=lambda _c: None,
-        ready=lambda: True, on_list_request=asked,
+        ready=lambda: True, on_list_request=on_list_request,
     )  # fmt: skip
     transport: Any = _Transport()
 
@@ -595,7 +595,7 @@
 
 
 def _decode_question(data: bytes) -> Plain:
-    got, _, transport = _asked(data)
+    got, _, transport = _received_call(data)
     return got or {"refused": transport.written.decode()}
 
 
@@ -713,7 +713,7 @@
     "rows": _encode_rows,
     "hello": _encode_hello,
     "frame": _encode_frame,
-    "word": _encode_word,
+    "word": _encode_message,
     "state": _encode_state,
     "reply": _encode_reply,
     "discovery": _encode_discovery,
--- a/tests/golden/check_digests.py
+++ b/tests/golden/check_digests.py
@@ -39,10 +39,10 @@
 
 
 def differing(world: str, processes: int) -> list[int]:
-    """The seeds of a world whose runs are others than they were."""
-    kept = recorded(world)
-    found = digests(WORLDS[world], sorted(kept), processes)
-    return [seed for seed in kept if found[seed] != kept[seed]]
+    """The seeds of a world whose runs differ from the recorded ones."""
+    expected = recorded(world)
+    found = digests(WORLDS[world], sorted(expected), processes)
+    return [seed for seed in expected if found[seed] != expected[seed]]
 
 
 def main() -> int:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -96,8 +96,8 @@
     }
 
 
-def roster(*targets: dict[str, object], rev: int = 1, whole: bool = True) -> dict[str, object]:
-    return {"rev": rev, "all": whole, "targets": list(targets)}
+def roster(*targets: dict[str, object], rev: int = 1, complete: bool = True) -> dict[str, object]:
+    return {"rev": rev, "all": complete, "targets": list(targets)}
 
 
 class Peer:
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -135,8 +135,8 @@
     tmp_path: Path,
 ) -> None:
     """The process may hold 64, as its configuration says, and discovery is down meanwhile."""
-    with listen() as discovery, listen() as gone, listen() as backend:
-        known = roster(target("s-1", gone.getsockname()[1]), rev=7)
+    with listen() as discovery, listen() as removed, listen() as backend:
+        known = roster(target("s-1", removed.getsockname()[1]), rev=7)
         port = discovery.getsockname()[1]
         with node(tmp_path, known, port, limits={"sockets": 64}) as n:
             resource.prlimit(n.process.pid, resource.RLIMIT_NOFILE, (64, 64))
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -54,7 +54,7 @@
             probe = proxy.connect()  # answered once the request before it has been read
             probe.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             probe.message()
-            change = roster(rows[0] | {"state": "leaving"}, rows[1], rev=8, whole=False)
+            change = roster(rows[0] | {"state": "leaving"}, rows[1], rev=8, complete=False)
             poll.send(answer(json.dumps(change).encode()))
             peer = accept(second)
             assert peer.message()[1]["x-request-id"] == "waits"
--- a/tests/sources/test_discovery_list.py
+++ b/tests/sources/test_discovery_list.py
@@ -86,7 +86,7 @@
         if since in self.lists and since <= rev:
             changes = [(uid, state) for at, uid, state in self._changes if since < at <= rev]
             rows = [target(uid, 9, state) for uid, state in changes]
-            return roster(*rows, rev=rev, whole=False)
+            return roster(*rows, rev=rev, complete=False)
         rows = [target(uid, 9, state) for uid, state in self.lists[rev].items()]
         return roster(*rows, rev=rev)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -38,12 +38,12 @@
 
 BAD = "tests/test_it.py::test_bad"
 GOOD = "tests/test_it.py::test_good"
-REST = "pytest, seed 7 | the fault | 35"
+DETAILS = "pytest, seed 7 | the fault | 35"
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "2")])
 def test_a_listed_failure_is_borne_and_printed(tmp_path: Path, workers: tuple[str, ...]) -> None:
-    status, text = run_suite(tmp_path, f"{BAD} | {REST}\n", *workers)
+    status, text = run_suite(tmp_path, f"{BAD} | {DETAILS}\n", *workers)
     assert status == 0, text
     assert "the fault shows" in text
     assert "the fault (issue 35; pytest, seed 7)" in text
@@ -54,8 +54,8 @@
     ("known_red", "message"),
     [
         ("", "1 failed"),
-        (f"{BAD} | {REST}\n{GOOD} | pytest | none | 35\n", "[XPASS(strict)]"),
-        (f"{BAD} | {REST}\ntests/test_it.py::test_gone | x | y | 3\n", "no test is called"),
+        (f"{BAD} | {DETAILS}\n{GOOD} | pytest | none | 35\n", "[XPASS(strict)]"),
+        (f"{BAD} | {DETAILS}\ntests/test_it.py::test_gone | x | y | 3\n", "no test is called"),
         (f"{BAD} | the fault\n", "KNOWN-RED.txt:1"),
         (f"{BAD} | the fault | 35\n", "KNOWN-RED.txt:1"),
         (f"{BAD} | pytest, seed 7 | | 35\n", "KNOWN-RED.txt:1"),
@@ -73,7 +73,7 @@
 
 
 def test_a_part_of_the_suite_may_leave_listed_tests_out(tmp_path: Path) -> None:
-    status, text = run_suite(tmp_path, f"{BAD} | {REST}\n", "-k", "good")
+    status, text = run_suite(tmp_path, f"{BAD} | {DETAILS}\n", "-k", "good")
     assert status == 0, text
 
 
--- a/tests/upgrade/test_one_node.py
+++ b/tests/upgrade/test_one_node.py
@@ -111,7 +111,7 @@
     new = start(two.environ)
     new_watch = receive_poll(discovery, 9)
     assert old_watch.ends() == b""
-    send_list(new_watch, two.rows[0] | {"state": "leaving"}, rev=10, whole=False)
+    send_list(new_watch, two.rows[0] | {"state": "leaving"}, rev=10, complete=False)
     later_watch = receive_poll(discovery, 10)
     client.send(request(rid="open", timeout=LONG_MS))
     receive_request(two.second).send(answer(b"open"))
@@ -165,7 +165,7 @@
     new_watch = receive_poll(discovery, 7)
     new.process.send_signal(signal.SIGSTOP)
     poll = receive_poll(discovery, 7)
-    send_list(poll, two.rows[0] | {"state": "leaving"}, rev=8, whole=False)
+    send_list(poll, two.rows[0] | {"state": "leaving"}, rev=8, complete=False)
     watch = receive_poll(discovery, 8)
     peer.send(answer(b"a", "200 OK", "Connection: close"))
     assert client.message()[2] == b"a"
