--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -345,7 +345,7 @@
         serving=lambda: serving,
     )
     timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
-    machines = [parse_address(ASKED)]
+    machines = [parse_address(POLLED_ADDRESS)]
     asker = Subscriber(holder, [plain["region"]], machines, lambda *_: None, 1, timing)
     state = _Region(0, first_poll=plain["held"] is not None, generation=plain["generation"])
     asker._regions[plain["region"]] = state
--- a/tests/sources/test_discovery_faults.py
+++ b/tests/sources/test_discovery_faults.py
@@ -20,7 +20,7 @@
 from tests.harness import LIMIT, config, roster, target
 from tests.sources.test_discovery_list import HeldCall, response_of
 
-DELTA = roster(target("s-1", 9), rev=8, whole=False)
+DELTA = roster(target("s-1", 9), rev=8, complete=False)
 COMPLETE = roster(target("s-1", 9), rev=8)
 
 
