--- a/loadbalancer/sources/consul/list_updater.py
+++ b/loadbalancer/sources/consul/list_updater.py
@@ -78,13 +78,13 @@
         changed = self.merged_list.update(now, source, reports, complete)
         return self._after_update(now, changed or complete)
 
-    def _after_update(self, now: int, has_news: bool) -> bool:
-        """Set the timer, and call `on_change` where there is news; whether it was called."""
+    def _after_update(self, now: int, has_update: bool) -> bool:
+        """Set the timer, and call `on_change` where there is an update; whether it was called."""
         reassess_at = self.merged_list.reassess_at(now)
         if reassess_at and self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later((reassess_at - now) / SECOND, self._reassess)
-        if has_news and self.merged_list.is_complete():
+        if has_update and self.merged_list.is_complete():
             self._on_change()
             return True
         return False
