--- a/tests/core/balancing/test_repeated_events.py
+++ b/tests/core/balancing/test_repeated_events.py
@@ -172,6 +172,15 @@
     assert balancer.state.ejected == 0
 
 
+def test_what_peers_report_of_an_endpoint_that_drains_is_skipped() -> None:
+    """The report was on its way when the list changed: a drained endpoint is ejected by no one."""
+    balancer, _ = build()
+    balancer.on_members(1, Update.DELTA, [Listing(100, State.DRAINING)])
+    balancer.on_peer_report(2, 100, ReportedState.SILENT, 1.0, cold=True)
+    endpoint = balancer.endpoints[100]
+    assert (balancer.state.ejected, endpoint.ejected_until, endpoint.cold_until) == (0, 0, 0)
+
+
 def test_a_load_report_that_comes_twice_ejects_once() -> None:
     balancer, _ = build()
     for now in (SECOND, SECOND + 1):
--- a/tests/core/endpoints/test_list_readers.py
+++ b/tests/core/endpoints/test_list_readers.py
@@ -20,6 +20,7 @@
     ReaderRecord,
     ReaderState,
 )
+from loadbalancer.core.gossip.records import MERGE_RULES
 
 Sign = tuple[int, ReaderState, int]  # place by rank, state, seconds ago
 
@@ -35,6 +36,21 @@
     return found
 
 
+def test_a_record_that_is_late_of_an_earlier_incarnation_or_of_this_node_is_not_merged() -> None:
+    """Records go round for a while: what was true of a reader before must not become so again."""
+    version = ListVersion(1, 41, 7)
+    found = ListReaders(0, 6, 2, 0)
+    ttl_ns = MERGE_RULES[ReaderRecord].ttl_ns
+    assert not found.merge(SECOND, ReaderRecord(1, 2, 5, ReaderState.READ, *version, ttl_ns))
+    assert found.merge(SECOND, ReaderRecord(1, 2, 5, ReaderState.READ, *version, 0))
+    for incarnation, number in ((2, 4), (1, 9)):
+        late = ReaderRecord(1, incarnation, number, ReaderState.FAILED, 0, 0, 0, 0)
+        assert not found.merge(2 * SECOND, late)
+    assert found.nodes_with(version) == [1]
+    assert not found.merge(SECOND, ReaderRecord(0, 9, 9, ReaderState.READ, 9, 9, 9, 0))
+    assert found.latest_version() == version
+
+
 def test_with_any_members_alive_the_configured_number_reads() -> None:
     for nodes, count in itertools.product((1, 2, 3, 5), (1, 2)):
         for members in range(1, 1 << nodes):
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.endpoints.delta_sender import PIECE_HEAD_BYTES
-from loadbalancer.core.endpoints.list_pieces import Piece
+from loadbalancer.core.endpoints.list_pieces import Piece, PieceRequest
 from loadbalancer.core.endpoints.list_readers import (
     FIRST_STEP_NS,
     reader_rank,
@@ -98,6 +98,44 @@
     assert "s3" in shared.replica.rows
 
 
+def test_pieces_of_a_known_version_are_neither_stored_nor_passed_on() -> None:
+    """A copy of a piece comes late, after the version that it leads to: it must not go round."""
+    shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
+    for node in range(1, 5):
+        shared._members.on_message(0, node, 9)
+    writer = ListReplica()
+    delta = writer.read(41, {f"s{i}": row(i) for i in range(8)}, True)
+    assert delta is not None
+    assert send_delta(shared, delta, 1, 0)
+    assert shared.replica.version == delta.target
+    shared.updates.clear()
+    assert not send_delta(shared, delta, 1, 0)
+    assert not shared.assembler.partial
+    assert not shared.updates
+
+
+def test_messages_with_too_few_numbers_are_ignored() -> None:
+    shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
+    for kind in (Kind.PIECE, Kind.WANT):
+        assert shared.receive(MS, Message(kind, 1, 9, digest=(1, 41, 7), body=b"x")) == []
+
+
+def test_a_node_answers_only_requests_of_nodes_that_lack_its_version() -> None:
+    """A request comes late, when this node has nothing, or no later version than the other."""
+    shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
+
+    def answers(version: ListVersion) -> int:
+        request = Message(Kind.WANT, 1, 9, digest=PieceRequest(version).numbers())
+        return len(shared.receive(MS, request))
+
+    shared.replica.begin(40, {"s1": row(1)})
+    assert not answers(NO_VERSION)  # from a configuration: it may be old
+    shared.replica.read(41, {"s2": row(2)}, False)
+    assert answers(NO_VERSION)
+    assert not answers(shared.replica.version)
+    assert not answers(shared.replica.version._replace(rev=42))
+
+
 def test_each_node_is_reached_once_down_the_tree_of_a_reader() -> None:
     for nodes in (2, 5, 6, 40, 200):
         reached = {7 % nodes: 0}
