--- a/tests/core/balancing/test_repeated_events.py
+++ b/tests/core/balancing/test_repeated_events.py
@@ -12,7 +12,7 @@
 from loadbalancer.core.balancing.records import FIRST_EJECTION
 from loadbalancer.core.balancing.request_classes import RETIRE_AFTER_NS
 from tests.core.balancing.policy_fleet import COPY, Fleet
-from tests.recording_host import PURE, UNSAFE, build
+from tests.recording_host import KEYED, PURE, UNSAFE, build, rows
 
 UNKNOWN = 77  # a request, or an endpoint
 
@@ -256,6 +256,39 @@
     assert len(fleet.sends(2)) == 1
 
 
+def test_a_wake_of_another_purpose_begins_no_hedge_and_no_retry() -> None:
+    """The end of a request's wait in the queue comes while its hedge is not due yet."""
+    fleet = Fleet(count=0)
+    fleet.request(0, 1, COPY)
+    first_wait = fleet.balancer.state.requests[1].wait_until
+    fleet.balancer.on_members(first_wait - 10 * MS, Update.DELTA, rows(4))
+    assert len(fleet.sends(1)) == 1
+    fleet.wake(first_wait)
+    assert len(fleet.sends(1)) == 1
+    fleet.wake(first_wait + 40 * MS)
+    assert len(fleet.sends(1)) == 2
+
+
+def test_a_queued_request_under_a_policy_is_answered_once_its_wait_is_over() -> None:
+    fleet = Fleet(count=0)
+    fleet.request(0, 1, COPY)
+    fleet.wake(fleet.balancer.state.requests[1].wait_until)
+    assert fleet.answers(1) == 1
+    assert fleet.balancer.state.queued == 0
+
+
+def test_a_queued_retry_is_not_sent_once_its_repeat_window_has_ended() -> None:
+    """A free slot comes late: endpoints have forgotten the request's key by then."""
+    balancer, host = build(count=1)
+    balancer.on_request(0, 1, 2, SECOND)
+    balancer.on_members(MS, Update.DELTA, [Listing(100, State.DRAINING)])
+    balancer.on_outcome(2 * MS, 1, 0, Outcome.RESET, MS, False)
+    assert balancer.state.queued == 1
+    balancer.on_members(KEYED.repeat_window + MS, Update.DELTA, [Listing(101, State.READY)])
+    assert len(host.named("send")) == 1
+    assert host.named("fail") == [("fail", 1)]
+
+
 # ---- settings ------------------------------------------------------------------------
 
 
--- a/tests/core/endpoints/test_list_pieces.py
+++ b/tests/core/endpoints/test_list_pieces.py
@@ -95,3 +95,7 @@
     assert all(assembler.add(0, p, b"x") == refused for p in invalid)
     assert assembler.add(0, valid, b"x" * 41) == refused
     assert assembler.add(0, valid, b"") == refused
+    assert assembler.add(0, valid, b"x").status is PieceStatus.STORED
+    assert assembler.add(0, valid, b"x") == refused
+    assert assembler.add(0, valid._replace(total=3, number=1), b"x") == refused
+    assert assembler.add(0, valid._replace(number=1), b"x").status is PieceStatus.COMPLETED
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -114,6 +114,35 @@
     assert not shared.updates
 
 
+def test_a_piece_that_comes_twice_is_passed_on_once() -> None:
+    shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
+    for node in range(1, 5):
+        shared._members.on_message(0, node, 9)
+    body = bytes(shared.sender.piece_bytes)
+    piece = Piece(1, 41, 7, FULL_LIST, 2, 0, 9, 0)
+    message = Message(Kind.PIECE, 1, 9, digest=tuple(piece), body=body)
+    assert shared.receive(MS, message)
+    assert shared.receive(2 * MS, message) == []
+    assert shared.counters["pieces twice or unsound"] == 1
+
+
+def test_a_reader_does_not_push_what_another_one_pushes() -> None:
+    """Both have read one version; the other's first piece comes before this one's turn."""
+    order = sorted(range(5), key=reader_rank)
+    me, other = order[1], order[0]
+    for has_heard in (False, True):
+        shared = SharedList(Membership(me, 5, 1, 1), 5, 2, 256, 1, 0)
+        for node in set(order) - {me}:
+            shared._members.on_message(0, node, 9)
+        shared.readers.merge(0, ReaderRecord(other, 9, 1, ReaderState.READ, 1, 40, 7, 0))
+        shared.on_answer(MS, 41, {"s1": row(1)}, True)
+        if has_heard:
+            piece = Piece(*shared.replica.version, FULL_LIST, 2, 0, 9, other)
+            shared.receive(2 * MS, Message(Kind.PIECE, other, 9, digest=tuple(piece), body=b"x"))
+        pieces = [o for o in shared.tick(SECOND) if o.message.kind == Kind.PIECE]
+        assert bool(pieces) != has_heard
+
+
 def test_messages_with_too_few_numbers_are_ignored() -> None:
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     for kind in (Kind.PIECE, Kind.WANT):
--- a/tests/core/test_learned_state.py
+++ b/tests/core/test_learned_state.py
@@ -73,3 +73,16 @@
 def test_data_of_another_form_is_refused_completely(key: str, value: object) -> None:
     with pytest.raises(ValueError, match="not what a Balancer has learned"):
         learned_state.parse(learned() | {key: value})
+
+
+def test_what_was_learned_late_permits_no_more_than_is_known_here() -> None:
+    """A process has spent credit, and the list has named a new start, before the data comes."""
+    balancer, _ = build(Settings((PURE,), cold=10 * SECOND), count=0)
+    old, _ = build(Settings((PURE,), cold=10 * SECOND), count=0)
+    old.on_members(0, Update.FULL, [Listing(100, State.READY, boot=SECOND)])
+    learned = learned_state.parse(learned_state.export(old, 9 * SECOND))
+    balancer.on_members(9 * SECOND, Update.FULL, [Listing(100, State.READY, boot=9 * SECOND)])
+    balancer.state.retry_credit = 1.0
+    learned_state.restore(balancer, 9 * SECOND, learned)
+    assert balancer.state.retry_credit == 1.0
+    assert balancer.endpoints[100].cold_until == 19 * SECOND
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -79,3 +79,12 @@
     balancer.update_caps()
     balancer.dispatch(1)
     assert {call[2] for call in host.named("send")} == {100, 101, 102, 103}
+
+
+def test_what_the_older_process_has_released_it_never_takes_again() -> None:
+    """Its need grows once more: the newer process may use the slots by then."""
+    share = PredecessorShare()
+    share.begin([EndpointUse(1, 40, 0, False)])
+    released = share.release([EndpointUse(1, 40, 0, False)], 0.25)[1]
+    assert share.release([EndpointUse(1, 40, 30, False)], 1.0) == {}
+    assert share.of(1, 40) == released
