--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.control.machine.file import read_scale
-from loadbalancer.control.machine.messages import NodeReport
+from loadbalancer.control.machine.messages import NodeReport, Reports
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.core.assignment.presence import Presence
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
@@ -136,3 +136,29 @@
     nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
     nodes.on_reports([NodeReport("nobody", ("cart",)), NodeReport("n1", ("cart", "unheard-of"))])
     assert nodes.handover._serving == {"cart": {"n1"}}
+
+
+def test_a_report_is_sent_once_and_not_after_its_node_has_gone(tmp_path: Path) -> None:
+    """A node reports twice the same, and then polls elsewhere. A machine that connects later must
+    not be sent its report: it may be older than the one made to the other machine.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    sent: list[object] = []
+
+    def reports() -> list[object]:
+        found = [message for message in sent if isinstance(message, Reports)]
+        sent.clear()
+        return list(found)
+
+    report = Reports((NodeReport("n1", ("cart",)),))
+    nodes.on_poll(0, "n1")
+    for expected in ([report], []):
+        nodes.on_report("n1", ("cart",), 0)
+        nodes.send_changes(sent.append)
+        assert reports() == expected
+    nodes.on_response(0, "n1")
+    nodes.send_full_state(sent.append)
+    assert reports() == [report]
+    nodes.on_time(5 * SECOND)
+    nodes.send_full_state(sent.append)
+    assert reports() == []
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -31,6 +31,7 @@
     def play(rig: Rig) -> None:
         earlier, newer = rig.waiting(), rig.waiting()
         event(rig, earlier)
+        assert earlier.ended, "nobody reads it, and it counts against the bound on connections"
         assert not newer.answers
         assert rig.machine.node_requests.waiting_count() == 1
         rig.change("cart")
@@ -47,6 +48,20 @@
     in_loop(tmp_path, play)
 
 
+def test_a_poll_that_has_ended_is_woken_by_no_change(tmp_path: Path) -> None:
+    """A node's connection ends while its poll waits, and the node does not come back."""
+
+    def play(rig: Rig) -> None:
+        connection = rig.waiting()
+        assert rig.machine.publisher._subscribers.waiting("n1", "east")
+        connection.host.cancel(connection)
+        assert not rig.machine.publisher._subscribers.waiting("n1", "east")
+        rig.change("cart")
+        assert not connection.answers
+
+    in_loop(tmp_path, play)
+
+
 def test_an_answer_for_one_region_leaves_the_poll_for_another_alone(tmp_path: Path) -> None:
     """A node polls for two regions. One of its polls is refused or redirected, and does not come
     again here; the other one waits. The node must not count as absent meanwhile.
