--- a/tests/control/machine/test_log_loader.py
+++ b/tests/control/machine/test_log_loader.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 from pathlib import Path
+from typing import Any
+from unittest import mock
 
 import pytest
 
@@ -35,3 +38,30 @@
         assert machines.do(lambda: set(log.rows("pay") or ())) == {"p1"}
     finally:
         machines.close()
+
+
+@pytest.mark.parametrize("is_needed", [True, False])
+def test_a_log_is_read_once_and_loaded_only_where_that_is_still_needed(
+    tmp_path: Path, is_needed: bool
+) -> None:
+    """While a leader reads the source, another one is elected, or the ticks go on."""
+    replica: Any = mock.Mock()
+    replica.needs_load.return_value = True
+    loaded = mock.Mock()
+    source = tmp_path / "backends.jsonl"
+    source.write_text(json.dumps({"service": "pay", "targets": rows("p1")}) + "\n")
+
+    async def play() -> None:
+        loader = log_loader.LogLoader(replica, "east", ["pay"], source, loaded)
+        for _ in range(3):
+            loader.start_if_needed()
+        task = loader._task
+        assert task is not None
+        await asyncio.sleep(0)
+        replica.needs_load.return_value = is_needed
+        loader.start_if_needed()
+        await task
+
+    asyncio.run(play())
+    assert replica.load.call_count == int(is_needed)
+    assert loaded.call_count == int(is_needed)
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -4,11 +4,17 @@
 
 import json
 from dataclasses import replace
+from pathlib import Path
+from typing import Any
 
 import pytest
 
+from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.machine import ControlMachine
+from loadbalancer.control.machine.messages import PresenceRequest
+from loadbalancer.core.assignment.presence import PresenceUpdate
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
-from tests.control_machines import NAMES, Machines
+from tests.control_machines import NAMES, TIMING, Machines, write_file
 from tests.harness import until
 
 
@@ -50,3 +56,17 @@
     view(leader)
     tick(leader)
     until(lambda: releasable() == [[], [], []])
+
+
+def test_a_presence_update_that_does_not_follow_is_asked_for_anew(tmp_path: Path) -> None:
+    """An update of another machine was lost with its stream. Without a complete one, nodes that
+    came or went with it would be counted wrongly until that machine's end.
+    """
+    file = read_scale(str(write_file(tmp_path)))
+    machine = ControlMachine(file, file.machine("east-a"), TIMING)
+    sent: list[tuple[str, Any]] = []
+    machine.streams.send = lambda *message: sent.append(message)  # type: ignore[method-assign]
+    for serial, complete, is_asked in ((4, False, True), (5, True, False), (6, False, False)):
+        sent.clear()
+        machine._on_message("east-b", PresenceUpdate(serial, complete, ("n1",)))
+        assert sent == ([("east-b", PresenceRequest())] if is_asked else [])
--- a/tests/control/machine/test_operator_calls.py
+++ b/tests/control/machine/test_operator_calls.py
@@ -3,8 +3,13 @@
 from __future__ import annotations
 
 import json
+from typing import Any
+from unittest import mock
+
+import pytest
 
 from benchmarks.scale.fleet import call
+from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
 from tests.control_machines import Machines, rows
 
 
@@ -20,3 +25,21 @@
     status, body = call(region.address(region.leader()), "GET", "/log?region=moon&from=0")
     assert status == 400
     assert b"[unknown-region]" in body
+
+
+@pytest.mark.parametrize("is_lost", [False, True])
+def test_a_late_answer_is_for_the_connection_that_still_waits_for_it(is_lost: bool) -> None:
+    """Changes are committed, or their time is up, after the operator has gone, or twice."""
+    machine: Any = mock.Mock()
+    host = OperatorHost(machine, 1 << 20)
+    connection = OperatorConnection(host)
+    with mock.patch.object(connection, "reply") as reply:
+        host.submit(connection, b"[]")
+        assert host.is_waiting(connection)
+        if is_lost:
+            host.cancel(connection)
+        ((_, answer), _) = machine.submit.call_args
+        answer(200, b"")
+        answer(504, b"")
+        assert reply.call_args_list == ([] if is_lost else [mock.call(200, b"")])
+    assert not host.is_waiting(connection)
