--- a/loadbalancer/core/gossip/failure_detector.py
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -49,6 +49,13 @@
     sent_at: int
 
 
+class EndedProbes(NamedTuple):
+    """What came of a period's probes that had no ack."""
+
+    pings: list[Outgoing]  # to repeat those that have a period left
+    failed: bool  # the probe of an alive member has failed
+
+
 class FailureDetector:
     """Probes the members of a table and suspects those that do not answer."""
 
@@ -127,11 +134,8 @@
                 out.append(self._ping(probe))
         return out
 
-    def _end_probes(self, now: int) -> tuple[list[Outgoing], bool]:
-        """Repeat the unanswered probes, or suspect their members.
-
-        Returns the pings to send, and whether the probe of an alive member has failed.
-        """
+    def _end_probes(self, now: int) -> EndedProbes:
+        """Repeat the unanswered probes, or suspect their members."""
         out = []
         failed = False
         for probe in list(self._probes.values()):
@@ -145,7 +149,7 @@
                 del self._probes[probe.serial]
                 failed = failed or alive
                 self._members.suspect(now, probe.node)
-        return out, failed
+        return EndedProbes(out, failed)
 
     def _ping(self, probe: Probe) -> Outgoing:
         """A ping; to a member that is not ALIVE with its record, so that it refutes (Lifeguard)."""
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -75,6 +75,13 @@
         return cast(R, self.record._replace(age=max(now - self.written_at, 0)))
 
 
+class RankedWitness(NamedTuple):
+    """A witness of a server; the one with the lowest rank counts first."""
+
+    rank: int
+    node: int
+
+
 class RecordKey(NamedTuple):
     """Identifies an update: a server, and the witness or LIST_SERVICE as its writer."""
 
@@ -105,15 +112,22 @@
     return (record.incarnation, record.number, *record[1:2], *record[5:9])
 
 
-def join(old: StoredRecord[R] | None, now: int, record: R) -> tuple[StoredRecord[R], bool]:
-    """Join a received record with the stored one; returns the result, and whether it is new."""
+class Joined(NamedTuple, Generic[R]):
+    """A received record joined with the stored one."""
+
+    stored: StoredRecord[R]
+    is_new: bool  # the received one has won
+
+
+def join(old: StoredRecord[R] | None, now: int, record: R) -> Joined[R]:
+    """Join a received record with the stored one."""
     received = StoredRecord(cast(R, record._replace(age=0)), now - record.age)
     if old is None or precedence(record) > precedence(old.record):
-        return received, True
+        return Joined(received, is_new=True)
     if precedence(record) == precedence(old.record) and received.written_at < old.written_at:
         # Keep the earlier time of writing, so that a record that circulates still expires.
-        return old._replace(written_at=received.written_at), False
-    return old, False
+        return Joined(old._replace(written_at=received.written_at), is_new=False)
+    return Joined(old, is_new=False)
 
 
 class RecordStore:
@@ -152,14 +166,14 @@
             return True
         if last < (witness_rank(server, writer), writer):
             return False
-        self._remove(server, last[1])
+        self._remove(server, last.node)
         return True
 
-    def _last_witness(self, server: int, node: int) -> tuple[int, int] | None:
+    def _last_witness(self, server: int, node: int) -> RankedWitness | None:
         """The lowest ranked witness of a node's zone; None while there are few enough."""
         zone = node % self._zones
         ranks = [
-            (witness_rank(server, writer), writer)
+            RankedWitness(witness_rank(server, writer), writer)
             for writer in self._records.get(server, {})
             if writer >= 0 and writer % self._zones == zone
         ]
