--- a/tests/core/balancing/test_slot_ranks.py
+++ b/tests/core/balancing/test_slot_ranks.py
@@ -94,7 +94,7 @@
     max_in_flight = RESERVE_REACH * (int(max(*limits, floor)) + 1)
     if world.zones > 1:
         max_in_flight += RESERVE_REACH * (int(OTHER_ZONES_PART * max(*limits, floor)) + 1)
-    assert max(server.most_out for server in world.servers) <= max_in_flight
+    assert max(server.max_out for server in world.servers) <= max_in_flight
 
 
 def check_slots_beyond_its_own(balancer: Balancer) -> None:
--- a/tests/core/routes/test_routes.py
+++ b/tests/core/routes/test_routes.py
@@ -226,12 +226,14 @@
     assert isinstance(policy, Policy)
     values, _ = parse(text.encode())
     repeat = values["class"][policy.cls]["repeat"]
-    most = policy.attempts or 4
+    max_attempts = policy.attempts or 4
     for number in range(1, 11):
         for outcome in Outcome:
             for connected in (False, True):
                 cause = condition(outcome, connected)
-                granted = number < most and (policy.retry_on is None or cause in policy.retry_on)
+                granted = number < max_attempts and (
+                    policy.retry_on is None or cause in policy.retry_on
+                )
                 may_have_run = outcome not in (3, 5, 8)
                 if repeat == "never" and granted and may_have_run:
                     raise AssertionError(f"{policy.name}: {cause} after attempt {number}")
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -232,7 +232,7 @@
     kinds = {type_: kind for kind, (type_, _) in MESSAGES.items()}
     found: dict[str, Any] = {"messages": []}
 
-    def told(sender: str, message: Any) -> None:
+    def on_message(sender: str, message: Any) -> None:
         assert sender == found["hello"]["machine"]
         kind = kinds[type(message)]
         found["messages"].append({"kind": kind, "fields": _plain(kind, message)})
@@ -242,7 +242,7 @@
         return True
 
     async def read() -> None:
-        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, told, lambda _: None)
+        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, on_message, lambda _: None)
         with mock.patch.object(streams, "accepts", accepts):
             incoming = _Incoming(streams)
             incoming.connection_made(mock.Mock())
@@ -268,11 +268,11 @@
 def _update(plain: Any) -> Any:
     if plain["form"] == "delta":
         return _built("delta", plain)
-    held = {
+    services = {
         name: {row["uid"]: _built("row", row) for row in rows}
         for name, rows in plain["services"].items()
     }
-    return WholeServices(plain["region"], _built("position", plain["position"]), held)
+    return WholeServices(plain["region"], _built("position", plain["position"]), services)
 
 
 def _plain_update(update: Any) -> Any:
@@ -280,12 +280,12 @@
         return None
     if isinstance(update, Delta):
         return {"form": "delta"} | _plain("delta", update)
-    held = {
+    services = {
         name: [_plain("row", row) for row in rows.values()]
         for name, rows in update.services.items()
     }
     position = _plain("position", update.position)
-    return {"form": "whole", "region": update.region, "position": position, "services": held}
+    return {"form": "whole", "region": update.region, "position": position, "services": services}
 
 
 def _orders(plain: Any) -> listform.NodeAssignment | None:
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -289,10 +289,10 @@
 
 
 def _encode_message(plain: Plain) -> bytes:
-    """A frame as the side that says it builds it."""
+    """A frame as the side that sends it builds it."""
     made, transport = _link()
-    says = plain["says"]
-    if says == "keeps":
+    kind = plain["says"]
+    if kind == "keeps":
         labels = {label.encode("latin-1"): None for label in plain["labels"]}  # in this order
         node: Any = SimpleNamespace(
             clients=1,
@@ -305,7 +305,7 @@
         drain = Drain(node)
         drain.need = 0.0 if plain["empty"] else 1.0
         made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
-    elif says == "state":
+    elif kind == "state":
         side = Predecessor(_process())
         side._process.lifecycle = SimpleNamespace(standby=False)  # type: ignore[assignment]
         with (
@@ -313,10 +313,10 @@
             mock.patch.object(predecessor_module, "release_socket"),
         ):
             asyncio.run(_begin(side, made, transport))
-    elif says in ("serving", "news"):
+    elif kind in ("serving", "news"):
         heir = Successor(_process(discovery=SimpleNamespace(forward=None)))
         heir._state = Starting(made)
-        if says == "news":
+        if kind == "news":
             heir._forward_list(plain["answer"].encode())
         else:
             asyncio.run(_serve(heir))
@@ -329,7 +329,7 @@
             config=None,
         )
         calls = AdminCalls(run)
-        if says == "reload":
+        if kind == "reload":
             with (
                 mock.patch.dict("os.environ", clear=True),  # nothing to read: told all the same
                 mock.patch.object(process, "apply_configuration", _refuse),
@@ -447,7 +447,7 @@
             "classes": {
                 name: [*c[:4], list(c.remaining_histogram)] for name, c in learned.classes.items()
             },
-            "backends": {str(server): list(held) for server, held in learned.endpoints.items()},
+            "backends": {str(server): list(one) for server, one in learned.endpoints.items()},
         },
     }  # fmt: skip
 
@@ -631,13 +631,13 @@
             relay = ListRelay(file, 1)
         relay.revisions.rev = relay.revisions._first_known = plain["first_rev"]
         for members in plain["lists"]:
-            told: list[Any] = [
+            merged: list[Any] = [
                 SimpleNamespace(**m | {"state": State[m["state"].upper()], "boot": m["boot_ns"]})
                 for m in members
             ]
             relay.updater = SimpleNamespace(  # type: ignore[assignment]
                 merged_list=SimpleNamespace(
-                    servers=lambda told=told: told, is_complete=lambda: plain["complete"]
+                    servers=lambda merged=merged: merged, is_complete=lambda: plain["complete"]
                 )
             )
             relay._publish()
--- a/tests/many_nodes.py
+++ b/tests/many_nodes.py
@@ -35,11 +35,11 @@
     slow: float = 1.0  # times the usual work
     silent: bool = False  # takes what comes and answers nothing
     free: int = 0  # when it is done with what it holds
-    held: int = 0
+    in_flight: int = 0
     out: int = 0  # attempts of all nodes that have not ended
-    most_out: int = 0
+    max_out: int = 0
     came: deque[int] = field(default_factory=deque)
-    most: float = 0.0  # of N + 2 x root of N + 2, over all windows
+    max_arrivals: float = 0.0  # of N + 2 x root of N + 2, over all windows
 
     def warmth(self, now: int, s: Settings) -> float:
         if not self.boot:
@@ -54,7 +54,7 @@
         while self.came[0] <= now - s.fall:
             self.came.popleft()
         usual = s.fall_multiple * warm * s.fall / WORK
-        self.most = max(self.most, len(self.came) / (usual + 2 * sqrt(usual) + 2))
+        self.max_arrivals = max(self.max_arrivals, len(self.came) / (usual + 2 * sqrt(usual) + 2))
 
 
 class Host:
@@ -128,7 +128,7 @@
         total = load * servers * SECOND / WORK
         for host, weight in zip(self.hosts, weights, strict=True):
             host.balancer.start(self.now)
-            self.told([host], Update.CACHED, range(servers))
+            self.notify([host], Update.CACHED, range(servers))
             self.traffic(host, SECOND * sum(weights) / weight / total)
 
     def later(self, due: int, event: Callable[[], None]) -> None:
@@ -143,7 +143,7 @@
 
         self.later(self.now + int(self.random.expovariate(1.0 / gap)), come)
 
-    def told(self, hosts: list[Host], update: Update, servers: range | list[int]) -> None:
+    def notify(self, hosts: list[Host], update: Update, servers: range | list[int]) -> None:
         rows = [
             Listing(i + 1, State.READY, i % self.zones, boot=self.servers[i].boot) for i in servers
         ]
@@ -156,14 +156,14 @@
             self.servers[i] = Server(boot=self.now)
         for host in self.hosts:
             due = self.now + int(spread * self.random.random())
-            self.later(due, lambda h=host: self.told([h], Update.DELTA, servers))  # type: ignore[misc]
+            self.later(due, lambda h=host: self.notify([h], Update.DELTA, servers))  # type: ignore[misc]
 
     def attempt(self, host: Host, request: int, attempt: int, backend: int, timeout: int) -> None:
         server, s = self.servers[backend - 1], self.settings
         sent = self.now
         server.count(sent, s)
         server.out += 1
-        server.most_out = max(server.most_out, server.out)
+        server.max_out = max(server.max_out, server.out)
         ended = False
 
         def end(outcome: Outcome) -> None:
@@ -178,16 +178,16 @@
             )
 
         def done() -> None:
-            server.held -= 1
+            server.in_flight -= 1
             end(Outcome.OK)
 
         self.later(sent + timeout, lambda: end(Outcome.TIMEOUT))
         if server.silent:
             return
-        if server.held > QUEUE:
+        if server.in_flight > QUEUE:
             self.later(sent + MS, lambda: end(Outcome.FULL))
             return
-        server.held += 1
+        server.in_flight += 1
         work = self.random.expovariate(1.0 / WORK) * server.slow / server.warmth(sent, s)
         if self.heavy and self.random.random() < self.heavy:
             work *= HEAVY
@@ -202,4 +202,4 @@
         self.now = end
 
     def worst(self) -> float:
-        return max(s.most for s in self.servers)
+        return max(s.max_arrivals for s in self.servers)
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -77,8 +77,8 @@
 
 
 def test_a_standby_ends_each_connection_with_its_answer(n: Running, backend: socket.socket) -> None:
-    held, idle, silent = n.connect(), n.connect(), n.connect()
-    held.send(request())
+    in_flight, idle, silent = n.connect(), n.connect(), n.connect()
+    in_flight.send(request())
     peer = accept(backend)
     peer.message()
     idle.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -96,9 +96,9 @@
     assert (body, headers["connection"]) == (b"late", "close")
     # A request under way is not cut: its answer comes, and ends its connection.
     peer.send(answer(b"served"))
-    line, headers, body = held.message()
+    line, headers, body = in_flight.message()
     assert (line, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"served")
-    assert held.ends() == b""
+    assert in_flight.ends() == b""
     assert idle.ends() == b""
     assert silent.ends() == b""
     assert n.call("POST /active")[2] == b"active\n"
@@ -116,8 +116,8 @@
     """What was taken before the call is answered, then its connection ends."""
     long = b"z" * 1_000_000
     uploading, behind = n.connect(), n.connect()
-    whole = request("/credit/1", long, rid="long")
-    uploading.send(whole[:200_000])
+    upload = request("/credit/1", long, rid="long")
+    uploading.send(upload[:200_000])
     first = accept(backend)
     while len(first.buffer) < 100_000:
         assert first.more()
@@ -125,7 +125,7 @@
     second = accept(backend)
     assert second.message()[1]["x-request-id"] == "p1"
     n.call("POST /standby")
-    thread = threading.Thread(target=uploading.sock.sendall, args=(whole[200_000:],))
+    thread = threading.Thread(target=uploading.sock.sendall, args=(upload[200_000:],))
     thread.start()
     second.send(answer(b"p1"))
     assert second.message()[1]["x-request-id"] == "p2"
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -67,13 +67,13 @@
         port = discovery.getsockname()[1]
         settings = {"registry_mode": "ask"}
         with node(tmp_path, roster(), port, admin="127.0.0.1:0", settings=settings) as n:
-            asked = accept(discovery)
-            asked.message()
+            poll = accept(discovery)
+            poll.message()
             assert not n.ready()
             line, _, body = n.call("GET /status")
             assert (line[9:12], body) == ("503", b"no list of servers yet\n")
             rows = [target("s-1", backend.getsockname()[1])] * servers
-            asked.send(answer(json.dumps(roster(*rows, rev=2)).encode()))
+            poll.send(answer(json.dumps(roster(*rows, rev=2)).encode()))
             n.says("ready: a list has been taken over")
             assert n.ready()
             assert n.call("GET /status")[2] == b"active\n"
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "fault"),
     [
         (None, "can't read"),
         ("{", "not JSON"),
@@ -122,7 +122,7 @@
     ],
 )
 def test_a_bad_configuration_is_one_line_and_status_2(
-    tmp_path: Path, text: str | None, says: str
+    tmp_path: Path, text: str | None, fault: str
 ) -> None:
     environ = config(tmp_path, roster(), 1)
     if text is None:
@@ -136,7 +136,7 @@
         process.kill()
         raise
     assert process.returncode == 2
-    assert says in err
+    assert fault in err
     assert len(err.splitlines()) == 1
     assert "config.json" in err  # which file
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -23,19 +23,19 @@
     """PROXY_DISCOVERY still names the old one; the first list of the new one is used at once."""
     with listen() as first, listen() as second, listen() as backend:
         old, new, serves = (s.getsockname()[1] for s in (first, second, backend))
-        gone = target("s-1", 1)
-        with node(tmp_path, roster(gone, rev=41), old) as n:
+        removed = target("s-1", 1)
+        with node(tmp_path, roster(removed, rev=41), old) as n:
             watch = accept(first)
             assert "from=41" in watch.message()[0]
             text = json.loads((tmp_path / "config.json").read_text())
             text["discovery"] = f"127.0.0.1:{new}"
             replace_config(tmp_path, json.dumps(text))
             n.process.send_signal(signal.SIGHUP)
-            asked = accept(second)
-            assert asked.message()[0] == "GET /registry/instances HTTP/1.1"
-            assert watch.ends() == b""  # nothing is asked of the old one any more
+            poll = accept(second)
+            assert poll.message()[0] == "GET /registry/instances HTTP/1.1"
+            assert watch.ends() == b""  # the old one is polled no more
             body = json.dumps(roster(target("s-2", serves), rev=3)).encode()
-            asked.send(answer(body))
+            poll.send(answer(body))
             assert "from=3" in accept(second).message()[0]
             served_by(n, backend)
             assert n.stop() == 0
--- a/tests/proxy/test_route_files.py
+++ b/tests/proxy/test_route_files.py
@@ -62,8 +62,8 @@
             client.send(request(rid="r1"))
             peer = accept(backend)
             peer.message()
-            gone = routes_text().replace('prefix = "/balance"', 'prefix = "/saldo"')
-            reload(n, tmp_path, gone)
+            changed = routes_text().replace('prefix = "/balance"', 'prefix = "/saldo"')
+            reload(n, tmp_path, changed)
             n.says("reloaded the configuration")
             assert exchange(n, "balance", "r2")[0].split(" ")[1] == "403"
             peer.send(answer(b"", "500 Oops"))
--- a/tests/proxy/upstream/test_unfinished_uploads.py
+++ b/tests/proxy/upstream/test_unfinished_uploads.py
@@ -76,12 +76,12 @@
     peer = accept_upload(backend)
     peer.sock.shutdown(socket.SHUT_WR)
     time.sleep(SETTLE_S)  # for the node to learn of it
-    held = len(peer.ends())
+    buffered = len(peer.ends())
     client.message()
     sender.join()
     client.close()
     peer.close()
-    return held
+    return buffered
 
 
 def test_an_upload_that_waits_in_the_node_ends_with_its_client(
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -22,7 +22,7 @@
         self.received: Counter[str] = Counter()  # whole requests by id
         self.paths: list[str] = []
         self.heads: list[dict[str, str]] = []
-        self.gone = 0  # connections that the node has ended
+        self.disconnected = 0  # connections that the node has ended
         self._lock = threading.Lock()
         self._sock = listen()
         self._peers: list[Peer] = []
@@ -60,7 +60,7 @@
             while self._one(peer):
                 pass
         except (EOFError, OSError):
-            self.gone += 1
+            self.disconnected += 1
 
     def _one(self, peer: Peer) -> bool:
         line, headers, _body = peer.message()
@@ -82,6 +82,6 @@
             return False
         else:
             peer.ends()
-            self.gone += 1
+            self.disconnected += 1
             return False
         return True
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -275,7 +275,7 @@
     world.network.partition_regions()
     world.run(10 * SECOND)  # what was on its way has come
     last_received = max(machine.logs["west"].position for machine in world.active_machines("east"))
-    held = {
+    rows_before = {
         name: world.nodes.running[0].holder.rows(name)
         for name in world.topology.services_of("west")
     }
@@ -286,7 +286,7 @@
     assert all(
         world.nodes.running[node].holder.position("west") <= last_received for node in (0, 1)
     )
-    for name, rows in held.items():
+    for name, rows in rows_before.items():
         assert rows is None or world.nodes.running[0].holder.rows(name) == rows
     assert all(leader(world, region) in world.machines.running for region in REGIONS)
     assert all(len(source.outstanding) <= 2 for source in world.sources.values())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -96,13 +96,13 @@
 
 
 def test_unknown_ids_are_ignored() -> None:
-    left = bytes.fromhex("14 00000003 0e6f2b19")
+    departed = bytes.fromhex("14 00000003 0e6f2b19")
     timer = bytes.fromhex("10 00000003 000000000000004d")
     stranger = bytes.fromhex("10 00000009 000000000000004d")
     reporting = PROBED[:-1] + b"\2" + bytes(8)
     note = bytes.fromhex("1a 00000003 00000002 0004 68692037")
     started = bytes.fromhex("15 00000003 5d3a91c4 0000 03124a07 00000000008d24d0")
-    every = (OK, left, timer, stranger, PROBED, reporting, note, started)
+    every = (OK, departed, timer, stranger, PROBED, reporting, note, started)
     assert records(replies(frame(hello(), catalog(1), MEMBERS) + frame(*every, seq=2))[1]) == []
 
 
--- a/tests/sources/consul/test_agent_client.py
+++ b/tests/sources/consul/test_agent_client.py
@@ -16,7 +16,7 @@
 from tests.sources.consul.support import write_file
 
 READERS = 21
-GONE = ResponseError("no whole answer")
+DISCONNECTED = ResponseError("no whole answer")
 
 logger = logging.getLogger(__name__)
 
@@ -37,9 +37,9 @@
     """With two agents: counted twice, the failure would lead back to the agent that is gone."""
     client = client_of(file)
     for _ in range(2):
-        client.on_failure(GONE, 0)
+        client.on_failure(DISCONNECTED, 0)
     assert client.agent_number == 1
-    client.on_failure(GONE, 1)
+    client.on_failure(DISCONNECTED, 1)
     assert client.agent_number == 2
 
 
@@ -51,7 +51,7 @@
 
     def delays(seed: int) -> list[float]:
         client = client_of(file, seed)
-        return [client.jittered(client.on_failure(GONE, number)) for number in range(8)]
+        return [client.jittered(client.on_failure(DISCONNECTED, number)) for number in range(8)]
 
     delays_of_all = [delays(seed) for seed in range(READERS)]
     first = sorted(found[0] for found in delays_of_all)
@@ -67,7 +67,7 @@
     caplog.set_level(logging.INFO, __name__)
     client = client_of(file)
     for number in range(3):
-        client.on_failure(GONE, number)
+        client.on_failure(DISCONNECTED, number)
     client.on_success()
     client.on_success()
     assert caplog.messages == [
