--- a/tests/harness.py
+++ b/tests/harness.py
@@ -195,14 +195,14 @@
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(LIMIT)
 
-    def says(self, words: str) -> None:
-        """Read the log up to a line with these words."""
+    def says(self, text: str) -> None:
+        """Read the log up to a line with this text."""
         assert self.process.stderr is not None
         with bounded(self.process):
             for line in self.process.stderr:
-                if words in line:
+                if text in line:
                     return
-        raise AssertionError(f"the log ended without {words!r}")
+        raise AssertionError(f"the log ended without {text!r}")
 
     def descriptors(self) -> int:
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
@@ -212,17 +212,20 @@
         return int(re.findall(r"VmRSS:\s+(\d+)", status)[0]) / 1024
 
 
-def config(tmp_path: Path, known: dict[str, object], discovery: int, **over: Any) -> dict[str, str]:
+def config(
+    tmp_path: Path, known: dict[str, object], discovery: int, **overrides: Any
+) -> dict[str, str]:
     """Write a configuration; returns the environment that names it."""
     raw = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": f"127.0.0.1:{discovery}",
         "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256} | (over.pop("limits", {}) or {}),
+        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 256}
+        | (overrides.pop("limits", {}) or {}),
         "known": known,
-        "settings": SETTINGS | over.pop("settings", {}),
-    } | over
+        "settings": SETTINGS | overrides.pop("settings", {}),
+    } | overrides
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     return {
--- a/tests/proxy/full_backlog.py
+++ b/tests/proxy/full_backlog.py
@@ -12,10 +12,10 @@
 NS_PER_MS = 1_000_000
 
 
-def patient_settings(**over: Any) -> dict[str, Any]:
+def patient_settings(**overrides: Any) -> dict[str, Any]:
     """Settings under which connecting may take long, and so may a request's wait for a slot."""
     limits = SETTINGS["limits"] | {"dial_timeout": LONG_MS * NS_PER_MS}
-    return {"limits": limits, "classes": patient_classes()} | over
+    return {"limits": limits, "classes": patient_classes()} | overrides
 
 
 class FullBacklog:
--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -154,13 +154,13 @@
 
 
 def test_links_cut_in_one_direction() -> None:
-    """The eastern leader is heard and hears nobody; no node hears another machine.
+    """The eastern leader sends but receives nothing; no node receives from another machine.
 
     The leader can't commit, and must give way to one that can.
     """
     world = converged_world()
     east = leader(world, "east")
-    world.links.block(range(6), [east])  # it is heard and hears nobody
+    world.links.block(range(6), [east])  # it sends but receives nothing
     world.links.block([1], map(world.topology.node_address, range(12)))
     run_with_changes(world, 12 * SECOND)
     assert world.run(25 * SECOND, lambda: not world.sources["east"].outstanding)
