--- a/tests/simulation/test_control_world.py
+++ b/tests/simulation/test_control_world.py
@@ -154,13 +154,13 @@
 
 
 def test_links_cut_in_one_direction() -> None:
-    """The eastern leader is heard and hears nobody; no node hears another machine.
+    """The eastern leader sends but receives nothing; no node receives from another machine.
 
     The leader can't commit, and must give way to one that can.
     """
     world = converged_world()
     east = leader(world, "east")
-    world.links.block(range(6), [east])  # it is heard and hears nobody
+    world.links.block(range(6), [east])  # it sends but receives nothing
     world.links.block([1], map(world.topology.node_address, range(12)))
     run_with_changes(world, 12 * SECOND)
     assert world.run(25 * SECOND, lambda: not world.sources["east"].outstanding)
@@ -275,7 +275,7 @@
     world.network.partition_regions()
     world.run(10 * SECOND)  # what was on its way has come
     last_received = max(machine.logs["west"].position for machine in world.active_machines("east"))
-    held = {
+    rows_before = {
         name: world.nodes.running[0].holder.rows(name)
         for name in world.topology.services_of("west")
     }
@@ -286,7 +286,7 @@
     assert all(
         world.nodes.running[node].holder.position("west") <= last_received for node in (0, 1)
     )
-    for name, rows in held.items():
+    for name, rows in rows_before.items():
         assert rows is None or world.nodes.running[0].holder.rows(name) == rows
     assert all(leader(world, region) in world.machines.running for region in REGIONS)
     assert all(len(source.outstanding) <= 2 for source in world.sources.values())
