--- a/tests/core/replicated_log/test_vote_messages.py
+++ b/tests/core/replicated_log/test_vote_messages.py
@@ -155,7 +155,7 @@
     assert getattr(outbox[-1].message, "vote_granted", None) is True
 
 
-def test_a_vote_stands_while_its_leader_is_heard() -> None:
+def test_a_vote_stands_after_its_leader_has_sent() -> None:
     """A member has voted for the leader of its term, which falls silent. Another candidate's
     request, of the same term, comes late: granted, the term could have two leaders.
     """
