--- a/loadbalancer/cli/commands.py
+++ b/loadbalancer/cli/commands.py
@@ -26,12 +26,17 @@
 
 
 COMMANDS = (
-    Command("check", "loadbalancer.cli.check", "FILE...", "check files under deploy/"),
+    Command(
+        "check",
+        "loadbalancer.cli.check",
+        "FILE...",
+        "check the files of deploy/ but balancer.toml",
+    ),
     Command("control", "loadbalancer.cli.control", "FILE", "serve other proxies over xDS"),
     Command("members", "loadbalancer.cli.members", "FILE", "list Consul's servers and their state"),
     Command("peers", "loadbalancer.cli.peers", "ADDRESS", "show what a node has from the others"),
     Command("scale", "loadbalancer.cli.scale", "FILE --machine NAME", "run one control machine"),
-    Command("demo", "loadbalancer.cli.demo", "", "play a node, fake servers and a short load"),
+    Command("demo", "loadbalancer.cli.demo", "", "run a node before fake servers, under load"),
 )
 
 
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -17,6 +17,7 @@
 RATE = 150.0  # requests a second
 FAULT = {"error": 0.3, "slow": 10.0, "refuse": 0.1}
 OK, UNAVAILABLE, NO_ANSWER = 200, 503, 0
+POLICY_COUNTS = "route policies: "  # begins the text of the node's log line with them
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -55,8 +56,8 @@
     _print_clients(clients, out)
     _print_servers(states, out)
     for line in node.log_text.splitlines():
-        if "policies: " in line:
-            print(f"\nthe node's own records: {line.partition('policies: ')[2]}", file=out)
+        if POLICY_COUNTS in line:
+            print(f"\nthe node's own counts: {line.partition(POLICY_COUNTS)[2]}", file=out)
     attempts = sum(state.get("received", 0) for state in states)
     unanswered = sum(results.statuses[NO_ANSWER] for results in clients.results.values())
     print(
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -163,9 +163,9 @@
         stale = self._stale_lists()
         if bool(stale) != self._was_stale:
             if stale:
-                logger.info("list is old, proxies keep it: %s", stale)
+                logger.info("endpoint list is stale, proxies keep it: %s", stale)
             else:
-                logger.info("list is fresh again")
+                logger.info("endpoint list is fresh again")
         self._was_stale = bool(stale)
         asyncio.get_running_loop().call_later(ASSESS_INTERVAL_S, self._assess)
 
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -85,10 +85,10 @@
 
     def _switch_polling(self) -> None:
         if self._polls:
-            logger.info("asks for the list")
+            logger.info("polls the list service")
             self._discovery.watch()
         else:
-            logger.info("leaves the list to others")
+            logger.info("stops polling the list service: other nodes poll it")
             self._discovery.close()
 
     def _apply(self, update: ListUpdate) -> None:
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -273,7 +273,7 @@
     # A list that is pushed costs nothing to ask for, and Consul has readers of its own.
     readers = file.readers if settings.poll and not config.consul else 0
     if readers != file.readers:
-        logger.info("readers: of no use where lists are pushed, or come from Consul")
+        logger.info("readers: ignored, as lists are pushed or come from Consul")
     return GossipSettings(
         len(config.peers), settings.node, settings.zones, file.messages, file.datagram, file.slots,
         readers,
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -90,7 +90,7 @@
             self.leave()
 
     def _log_fault(self) -> None:
-        logger.info("the decision module raised: %s", traceback.format_exc(limit=-4))
+        logger.info("the balancer raised: %s", traceback.format_exc(limit=-4))
 
     # ---- outcomes ----------------------------------------------------------
 
--- a/loadbalancer/proxy/downstream/request_parser.py
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -130,7 +130,7 @@
         if isinstance(cause, BadRequestError):
             self._reject(cause.status, cause.text)
         else:
-            logger.info("reading a request: %r", cause)
+            logger.info("reading a request raised %r", cause)
             self._reject(400)
 
     # ---- callbacks of the parser; where a request begins and ends: RequestQueue ----
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -75,7 +75,7 @@
     def _on_list_usable(self) -> None:
         if not self.lifecycle.has_usable_list:
             self.lifecycle.has_usable_list = True
-            logger.info("ready: a list has been taken over")
+            logger.info("ready: an endpoint list is in use")
 
     # ---- start -------------------------------------------------------------
 
--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -86,7 +86,7 @@
     policies = node.policies
     if policies is not None:
         logger.info(
-            "by the routes' policies: %d further attempts, %d second copies, %d held back",
+            "route policies: %d retries, %d hedged requests, %d held back by budgets",
             policies.retries,
             policies.hedges,
             policies.unpaid,
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -134,7 +134,7 @@
         except OSError:
             link.close()
             return
-        logger.info("upgrade: a successor has come")
+        logger.info("upgrade: a successor has connected")
         if not run_logged(self._send_state, link):
             link.close()  # the successor starts without; it would wait, and then do the same
 
@@ -172,7 +172,7 @@
             logger.exception("upgrade: the drain can't begin: %s", traceback.format_exc(limit=-4))
             state.link.close()
             return
-        logger.info("upgrade: the successor serves; %d connections to empty", node.clients)
+        logger.info("upgrade: the successor serves; draining %d connections", node.clients)
         self._advance(state)
 
     def _begin_drain(self, state: Draining) -> None:
@@ -214,7 +214,7 @@
         run_logged(process.node.end_sharing)  # a fault there must not end the accepting
         if process.lifecycle.stopping:
             return
-        logger.info("upgrade: the successor has gone; serving again")
+        logger.info("upgrade: the successor has exited; serving again")
         process.listener.accept_again()
         process.node.discovery.resume()
         if process.node.peers is not None:
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -215,10 +215,10 @@
             logger.info(NOT_HANDED_OVER, "the connection has ended")
             state.inheritance.set_result(None)
         if isinstance(state, Starting):
-            logger.info("upgrade: the predecessor has gone before this process served")
+            logger.info("upgrade: the predecessor has exited before this process served")
         if isinstance(state, Sharing):
             if not state.first_report.done():
                 state.first_report.set_result(None)
-            logger.info("upgrade: the predecessor has gone")
+            logger.info("upgrade: the predecessor has exited")
         self._process.node.discovery.forward = None
         self._process.node.end_sharing()
