--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -62,7 +62,7 @@
     def come_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
         """A request's back-off is over, or its hedge due."""
 
-    def cancel_others(self, request: Request, kept: int) -> None:
+    def cancel_others(self, request: Request, retained: int) -> None:
         """Cancel a request's open attempts but the one of this number."""
 
     def ended(self, policy_state: RequestPolicyState) -> None:
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -146,10 +146,10 @@
         elif request.in_flight == 1 and hedging.may_hedge(self._state, request):
             self._hedge(now, request, policy_state)
 
-    def cancel_others(self, request: Request, kept: int) -> None:
+    def cancel_others(self, request: Request, retained: int) -> None:
         """Cancel a request's open attempts but the one of this number."""
         for number, attempt in enumerate(request.attempts):
-            if attempt.state is not AttemptState.ENDED and number != kept:
+            if attempt.state is not AttemptState.ENDED and number != retained:
                 self._state.actions.cancel(request.id, number)
 
     def ended(self, policy_state: RequestPolicyState) -> None:
--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -107,9 +107,9 @@
         for server in servers:
             self._assess(now, server)
         self._drain_waiting(now, [s for s in servers if s.waiting_since is not None])
-        gone = table.remove_gone(uids | table.to_reassess)
-        if gone:
-            self._intake.forget(gone)
+        removed = table.drop_removed(uids | table.to_reassess)
+        if removed:
+            self._intake.forget(removed)
         self._unsettled_uids = {
             uid for uid in uids if uid in table.servers and self._is_unsettled(table.servers[uid])
         }
--- a/loadbalancer/core/endpoints/merged_server.py
+++ b/loadbalancer/core/endpoints/merged_server.py
@@ -105,7 +105,7 @@
 
         return max(self.reports.items(), key=precedence)[1].report
 
-    def is_gone(self) -> bool:
+    def is_removed(self) -> bool:
         """Whether it is not listed, and no source reports it any more."""
         return self.state == State.GONE and all(
             stored.report.health == Health.GONE for stored in self.reports.values()
--- a/loadbalancer/core/endpoints/report_intake.py
+++ b/loadbalancer/core/endpoints/report_intake.py
@@ -47,7 +47,7 @@
             return
         named = {self._merge_report(now, source, report) for report in by_uid.values()}
         if complete:
-            self._mark_gone(now, source, named)
+            self._mark_removed(now, source, named)
 
     def is_complete(self) -> bool:
         """Whether all sources of some rank have sent complete lists."""
@@ -71,7 +71,7 @@
         stored_reports = (s.reports.get(source) for s in self._table.servers.values())
         return any(s is not None and s.report.health != Health.GONE for s in stored_reports)
 
-    def _mark_gone(self, now: int, source: str, named: set[str]) -> None:
+    def _mark_removed(self, now: int, source: str, named: set[str]) -> None:
         """Store that a source does not report its other servers any more."""
         for server in self._table.servers.values():
             stored = server.reports.get(source)
--- a/loadbalancer/core/endpoints/server_table.py
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -89,10 +89,10 @@
         """Servers drained on health checks alone."""
         return sum(server.is_unconfirmed for server in self.servers.values())
 
-    def remove_gone(self, among: Iterable[str]) -> set[str]:
+    def drop_removed(self, among: Iterable[str]) -> set[str]:
         """Remove servers that no source reports any more; returns their ids."""
         present = [self.servers[uid] for uid in among if uid in self.servers]
-        gone = {server.uid for server in present if server.is_gone()}
-        for uid in gone:
+        removed = {server.uid for server in present if server.is_removed()}
+        for uid in removed:
             self.release_address(self.servers.pop(uid))
-        return gone
+        return removed
