--- a/loadbalancer/faults.py
+++ b/loadbalancer/faults.py
@@ -1,15 +1,12 @@
-"""Work that goes on after a fault in one of its steps, as periodic work has to."""
+"""Runs one step of periodic work or of a stop: an exception is logged, and the next step runs."""
 
 from __future__ import annotations
 
 import logging
-import traceback
 from collections.abc import Callable
 
 logger = logging.getLogger(__name__)
 
-TRACEBACK_FRAMES = 4  # the innermost ones
-
 
 def run_logged(step: Callable[..., object], *args: object) -> bool:
     """Run one step, and log what it raises; returns whether it has returned.
@@ -21,7 +18,6 @@
     try:
         step(*args)
     except Exception:
-        name = getattr(step, "__qualname__", repr(step))
-        logger.exception("%s raised: %s", name, traceback.format_exc(limit=-TRACEBACK_FRAMES))
+        logger.exception("%s raised", getattr(step, "__qualname__", repr(step)))
         return False
     return True
--- a/loadbalancer/logs.py
+++ b/loadbalancer/logs.py
@@ -9,15 +9,19 @@
 import logging
 import sys
 import time
+import traceback
 from typing import TextIO
 
 ROOT = "loadbalancer"
 NS_PER_SECOND = 1_000_000_000
+TRACEBACK_FRAMES = 4  # the innermost ones
 
 
 class LineHandler(logging.Handler):
     """Writes each record as `prefix: message`, or the message alone where the prefix is empty.
 
+    An exception logged with the record follows the message, as a traceback.
+
     A log that nobody reads any more, or not fast enough, raises OSError on a non-blocking
     standard error. The line is lost then: a log must stop no request.
     """
@@ -31,11 +35,19 @@
         """Write one line, or lose it."""
         stream = self._stream or sys.stderr
         try:
-            print(f"{self._prefix}{record.getMessage()}", file=stream, flush=True)
+            print(f"{self._prefix}{_text_of(record)}", file=stream, flush=True)
         except OSError:
             return
 
 
+def _text_of(record: logging.LogRecord) -> str:
+    message = record.getMessage()
+    if not record.exc_info:
+        return message
+    lines = traceback.format_exception(*record.exc_info, limit=-TRACEBACK_FRAMES)
+    return f"{message}: {''.join(lines).rstrip()}"
+
+
 class RateLimit(logging.Filter):
     """Drops lines past a number a second, so that a fault that repeats can't fill the log."""
 
--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -11,7 +11,6 @@
 import asyncio
 import logging
 import socket
-import traceback
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
@@ -129,7 +128,7 @@
         try:
             return route.answer()
         except Exception:
-            logger.exception("second address: %s: %s", path, traceback.format_exc(limit=-4))
+            logger.exception("second address: %s raised", path)
             return Reply(INTERNAL_ERROR, f"{path} failed; the log says why")
 
 
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -10,7 +10,6 @@
 import asyncio
 import logging
 import time
-import traceback
 from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -90,7 +89,7 @@
             self.leave()
 
     def _log_fault(self) -> None:
-        logger.info("the balancer raised: %s", traceback.format_exc(limit=-4))
+        logger.exception("the balancer raised")
 
     # ---- outcomes ----------------------------------------------------------
 
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -15,7 +15,6 @@
 import logging
 import socket
 import time
-import traceback
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.balancing.model import SECOND
@@ -169,7 +168,7 @@
             # ticks. Left so, it would hold its clients and caps back and report nothing; and
             # the link's end would be taken for that of a successor which never served. The
             # state above says otherwise, so that closing the link undoes what was begun.
-            logger.exception("upgrade: the drain can't begin: %s", traceback.format_exc(limit=-4))
+            logger.exception("upgrade: the drain can't begin")
             state.link.close()
             return
         logger.info("upgrade: the successor serves; draining %d connections", node.clients)
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -226,7 +226,7 @@
     """
     logged: list[str] = []
     logger = logging.getLogger("loadbalancer.proxy.admin")
-    monkeypatch.setattr(logger, "handle", lambda record: logged.append(record.getMessage()))
+    monkeypatch.setattr(logger, "handle", lambda r: logged.append(f"{r.getMessage()} {r.exc_info}"))
 
     def fail() -> Reply:
         raise ZeroDivisionError("odd")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -24,6 +24,19 @@
     assert capsys.readouterr().err == "n3: listening on 127.0.0.1:8080\n"
 
 
+def test_an_exception_follows_its_message(capsys: pytest.CaptureFixture[str]) -> None:
+    """A line that only says that something failed leaves its reader on call without the cause."""
+    logs.configure("n3")
+    logger = logging.getLogger("loadbalancer.sources.discovery")
+    try:
+        int("seven")
+    except ValueError:
+        logger.exception("the list was not taken over")
+    lines = capsys.readouterr().err.splitlines()
+    assert lines[0] == "n3: the list was not taken over: Traceback (most recent call last):"
+    assert lines[-1] == "ValueError: invalid literal for int() with base 10: 'seven'"
+
+
 def test_lines_past_the_limit_of_a_second_are_dropped(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
