--- a/loadbalancer/sources/consul/datacentre_reader.py
+++ b/loadbalancer/sources/consul/datacentre_reader.py
@@ -221,14 +221,12 @@
         return scheduler.completed_rounds != completed
 
     def _report(self, reports: list[ServerReport], *, complete: bool) -> None:
-        """Report servers; a fault of whoever takes them is logged, and reading goes on."""
+        """Report servers; a fault of the receiver is logged, and reading goes on."""
         try:
             self._on_reports(self._source, reports, complete)
         except Exception:
-            # Failure: whoever takes the reports raises, and the query or pause that follows is
-            # never begun: the datacentre's servers stay as they are, with one line in the log.
-            # All reports pass through here, and both callers go on; what the taker missed it gets
-            # again with the next complete round.
+            # Failure: the receiver raises, and no further query is sent: the datacentre's servers
+            # stay as they are. It gets the missed reports with the next complete round.
             self._logger.exception("%s: its reports were not taken over", self._source)
 
     def _complete_round(self) -> None:
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -37,12 +37,6 @@
 
 logger = logging.getLogger(__name__)
 
-# Failure: whoever takes an answer raises. The next call was begun after that, so there was none:
-# the list stood until a restart, with one line in the log. The fault ends here, at each of the
-# three places that an answer comes from, and a call follows. It is for the complete list: the
-# present version counts as known, and no delta would repeat what was missed.
-NOT_TAKEN = "the list was not taken over: the complete list is polled for"
-
 SourceLogger = logging.Logger | logging.LoggerAdapter[logging.Logger]
 OnUpdate = Callable[[Update, list[Listing], list[int]], None]
 
@@ -184,9 +178,10 @@
         try:
             self._apply_answer(body, own=False)
         except Exception:
-            self._logger.exception(NOT_TAKEN)
-            self._needs_full = True  # see `NOT_TAKEN`
-            self.resume()  # the other process does not send this answer again
+            self._on_not_taken()
+            # The other process does not send this answer again. From here on both poll, as where
+            # it has fallen silent: one watch more at the list service, until one of them ends.
+            self.resume()
 
     def _await_peer(self, limit_ns: int) -> None:
         """Watch again unless the other process is heard within this time; 0 for no limit."""
@@ -217,10 +212,20 @@
                 self.forward(json.dumps(raw).encode())
             self._on_update(decoded.update, decoded.listings, stale)
         except Exception as err:
-            self._logger.exception(NOT_TAKEN)
-            self._needs_full = True  # see `NOT_TAKEN`
+            self._on_not_taken()
             raise ListError("it was not taken over") from err
 
+    def _on_not_taken(self) -> None:
+        """Note that an answer was not taken over; to be called with its exception.
+
+        Failure: the receiver of an answer raises, and the call that follows an answer never
+        begins: the list stays as it is until a restart. Each of the three places that an answer
+        comes from catches the exception, calls this, and lets a call follow. That one is for the
+        complete list: the present version counts as known, so that no delta repeats what was missed.
+        """
+        self._logger.exception("the list was not taken over: the complete list is polled for")
+        self._needs_full = True
+
     def _may_poll(self) -> bool:
         return self.readers is None or self.readers.may_poll()
 
@@ -309,8 +314,7 @@
         try:
             is_applied = self._apply_answer(body)
         except Exception:
-            self._logger.exception(NOT_TAKEN)
-            self._needs_full = True  # see `NOT_TAKEN`
+            self._on_not_taken()
             self._fail(PollFailure.UNUSABLE)
             return
         if is_applied:
