--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -177,7 +177,7 @@
             self._await_peer(self._timings.hold + self._timings.hold_margin)
         try:
             self._apply_answer(body, own=False)
-        except Exception:
+        except Exception:  # noqa: BLE001 -- logged there, and a call follows
             self._on_not_taken()
             # The other process does not send this answer again. From here on both poll, as where
             # it has fallen silent: one watch more at the list service, until one of them ends.
@@ -221,7 +221,7 @@
         Failure: the receiver of an answer raises, and the call that follows an answer never
         begins: the list stays as it is until a restart. Each of the three places that an answer
         comes from catches the exception, calls this, and lets a call follow. That one is for the
-        complete list: the present version counts as known, so that no delta repeats what was missed.
+        complete list: the present version counts as known, and no delta repeats what was missed.
         """
         self._logger.exception("the list was not taken over: the complete list is polled for")
         self._needs_full = True
@@ -313,7 +313,7 @@
         body = response.body if response is not None and is_ok else None
         try:
             is_applied = self._apply_answer(body)
-        except Exception:
+        except Exception:  # noqa: BLE001 -- logged there, and a call follows
             self._on_not_taken()
             self._fail(PollFailure.UNUSABLE)
             return
