--- a/simulation/service_world/world.py
+++ b/simulation/service_world/world.py
@@ -93,6 +93,7 @@
         self._apply_gossip(node)
 
     def deliver(self, source: int, target: int, message: Message) -> None:
+        """Bring a message to a node, and pass on to its Balancer what it learned."""
         super().deliver(source, target, message)
         self._apply_gossip(target)
 
