--- a/loadbalancer/control/xds/member_file.py
+++ b/loadbalancer/control/xds/member_file.py
@@ -11,6 +11,7 @@
 
 from loadbalancer.config.node import Config
 from loadbalancer.core import Listing, Update
+from loadbalancer.faults import run_logged
 from loadbalancer.sources.endpoint_list import EndpointList, ListError
 
 POLL_INTERVAL_S = 0.5
@@ -84,8 +85,10 @@
         except OSError:
             stamp = None  # between a removal and the next file: the list stays
         if stamp is not None and stamp != self._stamp:
-            self._stamp = stamp
-            self._update()
+            # Failure: the receiver of the list raises, no further look follows, and every later
+            # change of the file is missed. The exception is logged and the file read again.
+            is_taken = run_logged(self._update)
+            self._stamp = stamp if is_taken else None
         self.watch()
 
     def _update(self) -> None:
