--- a/loadbalancer/upgrade/link.py
+++ b/loadbalancer/upgrade/link.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
+from loadbalancer.faults import run_logged
 from loadbalancer.upgrade.codec import FrameReader, MessageError, decode, encode
 from loadbalancer.upgrade.messages import Message
 
@@ -17,11 +18,14 @@
 class Link(asyncio.Protocol):
     """Messages over a connected socket.
 
-    `on_message` is called with each message, and may raise MessageError for one that it can't
-    use; `on_closed` is called once, whichever side closes.
+    `on_message` is called with each message; `on_closed` is called once, whichever side closes.
 
     Failure: the peer is another version, or another program, and sends what is no message.
     The link is closed then, as if the peer had ended, and the process goes on alone.
+
+    Failure: `on_message` raises, as where a reload has a fault. An exception that reached the
+    event loop would end the link: each process would take the other for dead while both serve,
+    and use the whole of every cap. It is logged, and the link goes on with the next message.
     """
 
     def __init__(
@@ -63,7 +67,7 @@
             while self.is_open and (fields := self._frames.next_frame()) is not None:
                 message = decode(fields)
                 if message is not None:
-                    self._on_message(message)
+                    run_logged(self._on_message, message)
         except MessageError as err:
             logger.info("upgrade: the other process sent what can't be used: %s", err)
             self.close()
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -137,12 +137,21 @@
         state.start = self._process.loop.create_task(self._start_link(link, caller))
 
     async def _start_link(self, link: Link, caller: socket.socket) -> None:
+        """Connect the link and send the state.
+
+        Failure: a fault ends this task unseen, and the state says for good that a successor
+        starts: every later one is rejected. So whatever is raised closes the link.
+        """
         try:
             transport, _ = await self._process.loop.connect_accepted_socket(lambda: link, caller)
             release_socket(transport, caller)
         except OSError:
             link.close()
             return
+        except Exception:
+            logger.exception("upgrade: not handed over: %s", traceback.format_exc(limit=-4))
+            link.close()
+            return
         logger.info("upgrade: a successor has connected")
         if not run_logged(self._send_state, link):
             link.close()  # the successor starts without; it would wait, and then do the same
@@ -177,10 +186,8 @@
         try:
             self._begin_drain(state)
         except Exception:
-            # Failure: a fault here, after this process has ceased to accept, and before its
-            # ticks. Left so, it would hold its clients and caps back and report nothing; and
-            # the link's end would be taken for that of a successor which never served. The
-            # state above says otherwise, so that closing the link undoes what was begun.
+            # Failure: a fault here leaves a process that neither accepts nor drains. Closing
+            # the link undoes what was begun.
             logger.exception("upgrade: the drain can't begin: %s", traceback.format_exc(limit=-4))
             state.link.close()
             return
@@ -231,15 +238,20 @@
         self._resume()
 
     def _resume(self) -> None:
-        """Be the whole node again; a process that stops does not accept again."""
+        """Be the whole node again; a process that stops does not accept again.
+
+        Failure: one step raises, and no later one comes. The process would accept again but
+        poll no discovery, or not gossip, or no further successor would find it, until a
+        restart. So each step is followed by the next whatever it raises.
+        """
         process = self._process
-        process.lifecycle.successor_gone()
-        run_logged(process.node.end_sharing)  # a fault there must not end the accepting
+        run_logged(process.lifecycle.successor_gone)
+        run_logged(process.node.end_sharing)
         if process.lifecycle.stopping:
             return
         logger.info("upgrade: the successor has exited; serving again")
-        process.listener.accept_again()
-        process.node.discovery.resume()
+        run_logged(process.listener.accept_again)
+        run_logged(process.node.discovery.resume)
         if process.node.peers is not None:
-            process.node.peers.reopen()
-        self.open()
+            run_logged(process.node.peers.reopen)
+        run_logged(self.open)
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -17,6 +17,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core.process_pair import SuccessorShare
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.sockets import release_socket
 from loadbalancer.upgrade import handed_state
 from loadbalancer.upgrade.greeting import request_listener
@@ -232,4 +233,4 @@
                 state.first_report.set_result(None)
             logger.info("upgrade: the predecessor has exited")
         self._process.node.discovery.forward = None
-        self._process.node.end_sharing()
+        run_logged(self._process.node.end_sharing)  # a fault there must not end a start
