--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -249,7 +249,7 @@
         run_logged(process.node.end_sharing)
         if process.lifecycle.stopping:
             return
-        logger.info("upgrade: the successor has exited; serving again")
+        logger.info("upgrade: the link to the successor has closed; serving again")
         run_logged(process.listener.accept_again)
         run_logged(process.node.discovery.resume)
         if process.node.peers is not None:
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import socket
 from types import SimpleNamespace
 from typing import Any
@@ -176,3 +177,23 @@
     assert set(reported) == {1, 2}
     assert all(slots <= 1 for slots in reported.values())
     assert drain.advance().slots == {}
+
+
+def test_the_log_does_not_say_that_a_successor_exited_which_still_serves(
+    process: Any, caplog: pytest.LogCaptureFixture
+) -> None:
+    """The drain could not begin, and this process closed the link itself.
+
+    The log then said that the successor had exited: whoever read it did not look for the
+    process that went on accepting beside this one.
+    """
+    caplog.set_level(logging.INFO)
+    made = Predecessor(process)
+    made._upgrade_listener = mock.Mock()
+    link = Link(made._on_message, made._on_closed)
+    made._state = HandingOver(link)
+    process.listener.hold_back.side_effect = ZeroDivisionError
+    link.data_received(encode(Serving()))
+    assert "the drain can't begin" in caplog.text
+    assert "the link to the successor has closed; serving again" in caplog.text
+    assert "exited" not in caplog.text
