--- a/tests/upgrade/test_calls_while_handing_over.py
+++ b/tests/upgrade/test_calls_while_handing_over.py
@@ -3,6 +3,10 @@
 from __future__ import annotations
 
 import asyncio
+import signal
+import socket
+import time
+from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
 from unittest import mock
@@ -12,7 +16,7 @@
 from loadbalancer.config.address import Address
 from loadbalancer.core import learned_state
 from loadbalancer.upgrade import handed_state
-from loadbalancer.upgrade.codec import encode
+from loadbalancer.upgrade.codec import FrameReader, encode
 from loadbalancer.upgrade.handed_state import Inheritance
 from loadbalancer.upgrade.link import Link
 from loadbalancer.upgrade.messages import (
@@ -25,6 +29,8 @@
 )
 from loadbalancer.upgrade.predecessor import HandingOver, Predecessor
 from loadbalancer.upgrade.successor import Connected, Successor
+from tests.harness import LIMIT
+from tests.upgrade.support import StartProcess, call_upgrade_socket, take_listener
 
 LEARNED = learned_state.LearnedState(10.0, 0.0, 0.0, {}, {})
 
@@ -203,3 +209,33 @@
     inheritance = asyncio.run(start())
     assert inheritance is not None
     assert inheritance.standby is on
+
+
+def receive_kinds(link: socket.socket, *wanted: str) -> None:
+    """Read a predecessor's frames until each of these keys has come."""
+    frames = FrameReader()
+    missing = set(wanted)
+    link.settimeout(LIMIT)
+    give_up_at = time.monotonic() + LIMIT  # a drain reports at each tick, without end
+    while missing:
+        assert time.monotonic() < give_up_at, f"without {missing}"
+        data = link.recv(1 << 16)
+        assert data, f"closed before {missing}"
+        frames.feed(data)
+        while (frame := frames.next_frame()) is not None:
+            missing -= set(frame)
+
+
+def test_a_process_repeats_a_call_and_a_signal_to_its_successor(
+    start: StartProcess, upgrade_socket: Path
+) -> None:
+    """The whole process, its second address and SIGHUP, before a successor that starts slowly."""
+    old = start()
+    with call_upgrade_socket(upgrade_socket) as caller, take_listener(caller):
+        receive_kinds(caller, "state")
+        old.call("POST /standby")
+        old.process.send_signal(signal.SIGHUP)
+        old.says("reloaded")
+        caller.sendall(encode(Serving()))
+        receive_kinds(caller, "keeps", "standby", "reload")
+    assert old.stop() == 0
