--- a/loadbalancer/upgrade/link.py
+++ b/loadbalancer/upgrade/link.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 from typing import cast
 
+from loadbalancer.faults import run_logged
 from loadbalancer.upgrade.codec import FrameReader, MessageError, decode, encode
 from loadbalancer.upgrade.messages import Message
 
@@ -17,11 +18,14 @@
 class Link(asyncio.Protocol):
     """Messages over a connected socket.
 
-    `on_message` is called with each message, and may raise MessageError for one that it can't
-    use; `on_closed` is called once, whichever side closes.
+    `on_message` is called with each message; `on_closed` is called once, whichever side closes.
 
     Failure: the peer is another version, or another program, and sends what is no message.
     The link is closed then, as if the peer had ended, and the process goes on alone.
+
+    Failure: `on_message` raises, as where a reload has a fault. An exception that reached the
+    event loop would end the link: each process would take the other for dead while both serve,
+    and use the whole of every cap. It is logged, and the link goes on with the next message.
     """
 
     def __init__(
@@ -31,6 +35,7 @@
         self._on_closed: Callable[[], None] | None = on_closed
         self._frames = FrameReader()
         self._transport: asyncio.Transport | None = None
+        self._unsent: list[Message] = []  # of the time before the transport
 
     @property
     def is_open(self) -> bool:
@@ -40,10 +45,19 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop."""
         self._transport = cast(asyncio.Transport, transport)
+        unsent, self._unsent = self._unsent, []
+        for message in unsent:
+            self.send(message)
 
     def send(self, message: Message) -> None:
-        """Send a message; it is lost where the link is closed or not connected yet."""
-        if self._transport is not None and self.is_open:
+        """Send a message; it is lost where the link is closed.
+
+        Failure: an operator's call comes in the turns of the loop before the transport is made.
+        Dropped, it would hold for one of the two processes. It is sent with the transport.
+        """
+        if self._transport is None:
+            self._unsent.append(message)
+        elif self.is_open:
             self._transport.write(encode(message))
 
     def data_received(self, data: bytes) -> None:
@@ -53,7 +67,7 @@
             while self.is_open and (fields := self._frames.next_frame()) is not None:
                 message = decode(fields)
                 if message is not None:
-                    self._on_message(message)
+                    run_logged(self._on_message, message)
         except MessageError as err:
             logger.info("upgrade: the other process sent what can't be used: %s", err)
             self.close()
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -52,11 +52,14 @@
 class HandingOver:
     """A successor has the listening socket and starts; this process serves as before."""
 
-    __slots__ = ("link", "start")
+    __slots__ = ("link", "reload_requested", "standby_called", "start")
 
     def __init__(self, link: Link) -> None:
         self.link = link
         self.start: asyncio.Task[None] | None = None  # the loop itself holds no task
+        # Whether these have come while the successor starts, at either process.
+        self.standby_called = False
+        self.reload_requested = False
 
 
 class Draining:
@@ -98,12 +101,18 @@
         self._upgrade_listener.close()
 
     def pass_on(self, message: Message) -> None:
-        """Send a message to the successor, where there is one that serves.
+        """Send a message to the successor; one that still starts is told once it serves.
 
-        One that still starts reads the configuration by itself, and is handed the standby.
+        Failure: a call or SIGHUP comes after the successor was handed the standby and has read
+        the configuration. Not passed on, the successor serves as active while its operator was
+        answered `standby`, or serves with the replaced settings. `_send_missed` repeats it.
         """
-        if isinstance(self._state, Draining):
-            self._state.link.send(message)
+        state = self._state
+        if isinstance(state, Draining):
+            state.link.send(message)
+        elif isinstance(state, HandingOver):
+            state.standby_called |= isinstance(message, SetStandby)
+            state.reload_requested |= isinstance(message, Reload)
 
     # ---- handing over ------------------------------------------------------
 
@@ -127,12 +136,21 @@
         state.start = self._process.loop.create_task(self._start_link(link, caller))
 
     async def _start_link(self, link: Link, caller: socket.socket) -> None:
+        """Connect the link and send the state.
+
+        Failure: a fault ends this task unseen, and the state says for good that a successor
+        starts: every later one is rejected. So whatever is raised closes the link.
+        """
         try:
             transport, _ = await self._process.loop.connect_accepted_socket(lambda: link, caller)
             release_socket(transport, caller)
         except OSError:
             link.close()
             return
+        except Exception:
+            logger.exception("upgrade: not handed over")
+            link.close()
+            return
         logger.info("upgrade: a successor has connected")
         if not run_logged(self._send_state, link):
             link.close()  # the successor starts without; it would wait, and then do the same
@@ -150,28 +168,30 @@
             case Reload():
                 self._process.reload(passed_on=True)
             case SetStandby(on):
+                if isinstance(self._state, HandingOver):
+                    self._state.standby_called = True  # it may cross the standby handed over
                 self._process.set_standby(on)
 
     # ---- draining ----------------------------------------------------------
 
     def _relieve(self) -> None:
         """Accept nothing more and begin to drain: the successor serves."""
-        if not isinstance(self._state, HandingOver):
+        handing_over = self._state
+        if not isinstance(handing_over, HandingOver):
             return
         node = self._process.node
-        state = Draining(self._state.link, Drain(node))
+        state = Draining(handing_over.link, Drain(node))
         self._state = state
         try:
             self._begin_drain(state)
         except Exception:
-            # Failure: a fault here, after this process has ceased to accept, and before its
-            # ticks. Left so, it would hold its clients and caps back and report nothing; and
-            # the link's end would be taken for that of a successor which never served. The
-            # state above says otherwise, so that closing the link undoes what was begun.
+            # Failure: a fault here leaves a process that neither accepts nor drains. Closing
+            # the link undoes what was begun.
             logger.exception("upgrade: the drain can't begin")
             state.link.close()
             return
         logger.info("upgrade: the successor serves; draining %d connections", node.clients)
+        run_logged(self._send_missed, handing_over)
         self._advance(state)
 
     def _begin_drain(self, state: Draining) -> None:
@@ -186,6 +206,16 @@
             node.peers.close(leaving=False)
         state.link.send(state.drain.begin())
 
+    def _send_missed(self, handing_over: HandingOver) -> None:
+        """Send what the successor was not told while it started.
+
+        Only where a call has come: a needless SetStandby could cross one at the successor.
+        """
+        if handing_over.standby_called:
+            handing_over.link.send(SetStandby(self._process.lifecycle.standby))
+        if handing_over.reload_requested:
+            handing_over.link.send(Reload())
+
     def _advance(self, state: Draining) -> None:
         """Close idle clients, release what is no longer needed, and say so; then once a tick."""
         run_logged(self._process.listener.send_away, time.monotonic_ns())
@@ -207,15 +237,20 @@
         self._resume()
 
     def _resume(self) -> None:
-        """Be the whole node again; a process that stops does not accept again."""
+        """Be the whole node again; a process that stops does not accept again.
+
+        Failure: one step raises, and no later one comes. The process would accept again but
+        poll no discovery, or not gossip, or no further successor would find it, until a
+        restart. So each step is followed by the next whatever it raises.
+        """
         process = self._process
-        process.lifecycle.successor_gone()
-        run_logged(process.node.end_sharing)  # a fault there must not end the accepting
+        run_logged(process.lifecycle.successor_gone)
+        run_logged(process.node.end_sharing)
         if process.lifecycle.stopping:
             return
-        logger.info("upgrade: the successor has exited; serving again")
-        process.listener.accept_again()
-        process.node.discovery.resume()
+        logger.info("upgrade: the link to the successor has closed; serving again")
+        run_logged(process.listener.accept_again)
+        run_logged(process.node.discovery.resume)
         if process.node.peers is not None:
-            process.node.peers.reopen()
-        self.open()
+            run_logged(process.node.peers.reopen)
+        run_logged(self.open)
