--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -38,6 +38,9 @@
         """Send a request's next attempt; `timeout` in nanoseconds, 0 for the request's own."""
         open_request = self.requests.get(request)
         if open_request is None:
+            # Failure: the Balancer has a request that the host has forgotten, as both their ends
+            # of it raised. It shows as this line, and as a slot in use that no outcome frees: an
+            # outcome names its attempt by the number, which only the forgotten request had.
             logger.info("send for request %d, which is not open", request)
             return
         now = self.now
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -17,6 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loadbalancer.core import Outcome
+from loadbalancer.faults import run_logged
 from loadbalancer.proxy.flow_control import BufferBudget
 from loadbalancer.proxy.open_requests import BAD_GATEWAY, OpenRequests
 from loadbalancer.proxy.timers import TimerHeap
@@ -24,7 +25,7 @@
 if TYPE_CHECKING:
     from loadbalancer.config.node import Config
     from loadbalancer.core import Balancer
-    from loadbalancer.proxy.exchange import Attempt
+    from loadbalancer.proxy.exchange import Attempt, Request
 
 logger = logging.getLogger(__name__)
 
@@ -32,10 +33,10 @@
 
 
 class BalancerEvents(OpenRequests, ABC):
-    """Brackets each event: `enter`, one call of the Balancer, `leave`.
+    """Brackets each event: `enter`, calls of the Balancer, `leave`.
 
-    A fault of the Balancer's is logged and ends neither the process nor the event's
-    bracket.
+    Every `enter` is followed by `leave`, also after an exception. A fault of the Balancer's in
+    an event of a request is logged and ends neither the process nor the event.
 
     Failure: an exception leaves an event between the two, as from new settings or a new share
     of the limits. Every outcome after that would be queued for an event that never ends: none
@@ -86,8 +87,9 @@
             event(now, *args)
         except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
             self._log_fault()
-        if not inside:
-            self.leave()
+        finally:
+            if not inside:
+                self.leave()
 
     def _log_fault(self) -> None:
         logger.info("the balancer raised: %s", traceback.format_exc(limit=-4))
@@ -152,5 +154,20 @@
             self._log_fault()
             # 502 and no rejection: an attempt may have been executed.
             if not request.open_attempts:
-                self.finish(request, BAD_GATEWAY)
-        self.forget(request)
+                self.end_unanswered(request, BAD_GATEWAY)
+        finally:
+            self.forget(request)
+
+    def end_unanswered(self, request: Request, status: int) -> None:
+        """End a request that the Balancer gives no answer to, here and at the Balancer.
+
+        Failure: the Balancer raises in an event of a request, and the host alone forgets it. In
+        the Balancer it is still queued: it is dispatched later, for no client, and its slot is
+        in use for good, as the host has nothing to send and no outcome comes. With each such
+        fault the concurrency limit has one slot less. So the Balancer learns of the end too.
+
+        Failure: the client's connection raises as it is answered. The outcomes that are queued
+        behind this request's would wait for the next event. So that is logged, and no more.
+        """
+        run_logged(self.finish, request, status)
+        self.notify_balancer(self.balancer.on_client_disconnected, request.id)
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -61,7 +61,7 @@
         except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
             self._log_fault()
             if not request.open_attempts:
-                self.finish(request, BAD_GATEWAY)
+                self.end_unanswered(request, BAD_GATEWAY)
         finally:
             self.leave()
         return request
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -76,5 +76,4 @@
         if request.ended:
             return
         logger.info("request %d was overdue", request.id)
-        self.finish(request, GATEWAY_TIMEOUT)
-        self.notify_balancer(self.balancer.on_client_disconnected, request.id)
+        self.end_unanswered(request, GATEWAY_TIMEOUT)
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -16,6 +16,11 @@
 BACKEND = 1
 
 
+def raise_fault() -> None:
+    """What a faulty step does."""
+    raise ZeroDivisionError
+
+
 class Clock:
     """The monotonic clock, moved by the test."""
 
