--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -30,6 +30,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.config.node import Config
+    from loadbalancer.core import Settings
     from loadbalancer.core.balancing.ports import LimitShare
     from loadbalancer.core.balancing.route_policies import RoutePolicies
     from loadbalancer.gossip_transport.transport import GossipTransport
@@ -68,6 +69,8 @@
         self.upstream = ConnectionPool(self)
         self.discovery: Discovery | ConsulMembers = self._endpoint_source()
         self.balancer = Balancer(config.settings, config.seed, self)
+        # What the Balancer has taken over whole; None where it has raised on further settings.
+        self.applied_settings: Settings | None = config.settings
         self.peers: GossipTransport | None = None  # where gossip between nodes is allowed
         # With a routes file, see `reload`: what is in force, and what counts for open requests.
         self.routing: Routing | None = None
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -177,6 +177,10 @@
         except (ConfigError, RoutesError) as err:
             logger.info("reload: %s; going on as before", err)
             return
+        except Exception:
+            # Not "as before": the Balancer may have begun to use the new settings.
+            logger.exception("reload: the new settings were not taken over: SIGHUP tries again")
+            return
         self.config = config
         self.node.discovery.move(config.discovery, config.settings)
         logger.info("reloaded the configuration")
--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -25,19 +25,24 @@
         RoutesError: its routes file can't be used with its settings; nothing has changed.
     """
     # Failure: the routes file is replaced by one with a fault while it is read a second time. The
-    # new settings were in force by then, beside the old routes, and the log said that all went on
-    # as before. It is read once, before anything is changed; what was read can't fail any more.
+    # new settings are in force by then, beside the old routes, and the log says that all goes on
+    # as before. It is read once, before anything is changed: a file that can't be used shows here.
     table = _read_routes(config)
-    changed = config.settings != node.config.settings
-    node.config = config
-    if changed:
+    if config.settings != node.applied_settings:
+        # Failure: the Balancer raises on the new settings, and the node counts them as in force.
+        # The next SIGHUP finds nothing changed, logs `reloaded the configuration`, and they are
+        # never applied. Until the Balancer has taken them over whole it has none: the next reload
+        # applies its own, also those of before, of which a part may be replaced.
+        node.applied_settings = None
         now = node.enter()
         try:
             node.balancer.on_settings(now, config.settings)
         finally:
             node.leave()
+        node.applied_settings = config.settings
         names = ", ".join(spec.name for spec in config.settings.classes)
         logger.info("new settings: classes %s", names)
+    node.config = config
     _use_routes(node, table)
 
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -3,19 +3,25 @@
 from __future__ import annotations
 
 import json
+import logging
 import signal
 import socket
 from dataclasses import replace
 from pathlib import Path
+from typing import Any, cast
+from unittest import mock
 
 import pytest
 
+from loadbalancer.config.node import Config
 from loadbalancer.config.routes_file import check_file
 from loadbalancer.core import Settings
 from loadbalancer.core.routes.file import Result
 from loadbalancer.proxy.host import Node
+from loadbalancer.proxy.process import Process
 from loadbalancer.proxy.reload import apply_configuration
 from tests.harness import Running, accept, answer, listen, node, request, roster, served_by, target
+from tests.proxy.host_fakes import Balancer, raise_fault
 from tests.proxy.routed_node import routes_text
 
 
@@ -94,3 +100,58 @@
     assert host.config is new
     assert host.routing is not None
     assert host.routing.table.services
+
+
+def bare_process(node: Node, monkeypatch: pytest.MonkeyPatch, config: Config) -> Process:
+    """A process that was not started, whose file holds this configuration from now on."""
+    made: Any = object.__new__(Process)
+    made.node = node
+    made.config = node.config
+    made._successor = made._predecessor = None
+    node.discovery = mock.Mock()
+    monkeypatch.setattr("loadbalancer.proxy.process.reload", lambda _environ, _config: config)
+    return cast(Process, made)
+
+
+def test_settings_on_which_the_balancer_raised_are_applied_by_the_next_reload(
+    host: Node,
+    balancer: Balancer,
+    monkeypatch: pytest.MonkeyPatch,
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    """The Balancer raises as it takes new settings over, and the operator sends SIGHUP again.
+
+    The node had the new configuration already. So the second reload found nothing changed,
+    logged that it had reloaded, and the settings were never applied; of the first one no line
+    of the log said that it had failed.
+    """
+    caplog.set_level(logging.INFO)
+    monkeypatch.setattr(logging.getLogger("loadbalancer"), "propagate", True)
+    old = host.config
+    new = replace(old, settings=replace(old.settings, tick=old.settings.tick + 1))
+    process = bare_process(host, monkeypatch, new)
+    balancer.acts = raise_fault
+    process.reload()
+    assert (process.config, host.config) == (old, old)
+    assert any(line.startswith("reload: ") for line in caplog.messages)
+    assert "reloaded the configuration" not in caplog.messages
+    process.reload()
+    assert [event[2] for event in balancer.events] == [new.settings, new.settings]
+    assert (process.config, host.config) == (new, new)
+
+
+def test_the_former_settings_are_applied_again_after_others_that_raised(
+    host: Node, balancer: Balancer
+) -> None:
+    """The Balancer raises on new settings, and the operator puts the old file back.
+
+    Where the settings of the node's configuration are compared, these are its present ones and
+    not applied: what the Balancer had taken over of the new ones before it raised stays in force.
+    """
+    old = host.config
+    new = replace(old, settings=replace(old.settings, tick=old.settings.tick + 1))
+    balancer.acts = raise_fault
+    with pytest.raises(ZeroDivisionError):
+        apply_configuration(host, new)
+    apply_configuration(host, old)
+    assert [event[2] for event in balancer.events] == [new.settings, old.settings]
