--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -13,6 +14,8 @@
     from loadbalancer.proxy.lifecycle import Lifecycle
     from loadbalancer.proxy.ports import ClientHost
 
+logger = logging.getLogger(__name__)
+
 MIN_IDLE_SWEEPS = 9  # without a request, after which a connection may be closed for capacity
 PAUSED_CHECK_S = 0.05  # seconds between checks whether paused clients have ended their sending
 FRESH_SWEEPS = 1  # for a new connection's first bytes, while clients are sent away
@@ -80,6 +83,7 @@
         self.fresh: dict[Connection, None] = {}
         self.lingering: dict[Connection, Lingering] = {}  # longest first
         self.paused: dict[Connection, None] = {}  # not read from
+        self._unknown: set[Connection] = set()  # those whose `finished` has raised
         self.sweeps = 0
         self.max_idle = int(MAX_IDLE_PART * host.config.sockets)
         self._paused_check: asyncio.TimerHandle | None = None
@@ -92,8 +96,21 @@
         self._close_surplus()
 
     def finished(self) -> bool:
-        """Whether none holds anything that a stop must wait for."""
-        return all(conn.finished() for conn in self.connections)
+        """Whether none holds anything that a stop must wait for.
+
+        Failure: one connection raises here, and again with each look. The stop would go on for
+        its full time, though all clients have their answers. Nothing can be learned of that
+        connection, so it is logged once and not waited for.
+        """
+        return all(conn in self._unknown or self._is_finished(conn) for conn in self.connections)
+
+    def _is_finished(self, conn: Connection) -> bool:
+        try:
+            return conn.finished()
+        except Exception:
+            logger.exception("stopping: a connection is not waited for, as its state raised")
+            self._unknown.add(conn)
+            return True
 
     def reset_incomplete(self) -> None:
         """The process is about to exit: what it cuts must not look complete."""
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import logging
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -26,6 +27,7 @@
 KILL_MARGIN_S = 0.7  # after the longest deadline the node may be killed
 LAST_ANSWERS_S = 0.12  # before that: to write the last answers, and to exit
 POLL_INTERVAL_S = 0.01
+FALLBACK_DEADLINE_S = 5.0  # taken for the longest one where a fault hides the classes' own
 
 
 class Shutdown:
@@ -58,6 +60,7 @@
         self._before_close = before_close
         self._fail_all_at_s = 0.0  # on the loop's clock
         self._is_finished = False  # nothing is left to wait for
+        self._has_look_raised = False
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def begin(self) -> None:
@@ -65,14 +68,22 @@
         if self._lifecycle.stopping:
             return
         self._lifecycle.stopping = True
+        # Failure: something below raises before the timer of the next step is set. The stop has
+        # begun and never ends, and a second signal changes nothing. So the timer comes first.
+        self._loop.call_later(ACCEPT_S, self._close)
+        self._set_last_moment(FALLBACK_DEADLINE_S)
         logger.info("stopping")
         node = self._node
         if node.peers is not None:
             run_logged(node.peers.close, not self._lifecycle.relieved)
         run_logged(log_route_counters, node)
-        longest_s = max(c.spec.deadline for c in node.balancer.classes) / SECOND
+        run_logged(self._use_longest_deadline)
+
+    def _use_longest_deadline(self) -> None:
+        self._set_last_moment(max(c.spec.deadline for c in self._node.balancer.classes) / SECOND)
+
+    def _set_last_moment(self, longest_s: float) -> None:
         self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_ANSWERS_S
-        self._loop.call_later(ACCEPT_S, self._close)
 
     def _close(self) -> None:
         run_logged(self._before_close)
@@ -85,7 +96,7 @@
         if is_late:
             run_logged(self._node.fail_all)
         else:
-            run_logged(self._look_whether_finished)
+            self._look_whether_finished()
         if is_late or self._is_finished:
             run_logged(self._node.discovery.close)
             # One more turn of the loop, in which the last answers are written.
@@ -94,6 +105,18 @@
             self._loop.call_later(POLL_INTERVAL_S, self._wait)
 
     def _look_whether_finished(self) -> None:
+        """See whether the listener is finished; where that raises it counts as not.
+
+        Failure: it raises each time, a hundred times a second. The log's allowance of lines is
+        used up by it, and those of other faults are dropped. So only the first is logged.
+        """
+        if self._has_look_raised:
+            with contextlib.suppress(Exception):
+                self._ask_listener()
+        else:
+            self._has_look_raised = not run_logged(self._ask_listener)
+
+    def _ask_listener(self) -> None:
         self._is_finished = self._listener.close_idle_and_is_finished()
 
     def _end(self) -> None:
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -15,7 +15,7 @@
 from loadbalancer.proxy.host import Node
 from loadbalancer.proxy.lifecycle import Lifecycle
 from loadbalancer.proxy.process import Process
-from loadbalancer.proxy.shutdown import KILL_MARGIN_S, Shutdown
+from loadbalancer.proxy.shutdown import FALLBACK_DEADLINE_S, KILL_MARGIN_S, Shutdown
 from tests.proxy.host_fakes import Client, admit
 
 DEADLINE_S = 2.0
@@ -206,6 +206,59 @@
     assert any("StepError" in line for line in logged)
 
 
+def test_a_stop_whose_longest_deadline_raises_ends_in_time(loop: Loop, logged: list[str]) -> None:
+    """A signal begins the stop, and the longest deadline of the classes can't be had.
+
+    The stop had begun without a timer of its next step: it never ended, and a second signal
+    changed nothing, as the stop had begun.
+    """
+    stop = Stop(loop)
+    stop.node.balancer.classes = []
+    stop.shutdown.begin()
+    for _ in range(4):
+        loop.turn()
+    stop.listener.stop_accepting.assert_called_once_with()
+    stop.node.fail_all.assert_not_called()
+    loop.now_s = FALLBACK_DEADLINE_S + KILL_MARGIN_S
+    for _ in range(3):
+        loop.turn()
+    assert stop.has_ended
+    stop.node.fail_all.assert_called_once_with()
+    assert any("raised" in line for line in logged)
+
+
+def test_a_look_that_raises_each_time_is_logged_once(loop: Loop, logged: list[str]) -> None:
+    """While a process stops, the look at its connections raises, each 10 ms.
+
+    Each was logged, and with twenty lines a second the log dropped those of other faults.
+    """
+    stop = Stop(loop)
+    stop.listener.close_idle_and_is_finished.side_effect = StepError
+    stop.shutdown.begin()
+    for _ in range(9):
+        loop.turn()
+    assert stop.listener.close_idle_and_is_finished.call_count > 1
+    assert len([line for line in logged if "raised" in line]) == 1
+
+
+def test_one_connection_that_raises_does_not_hold_a_stop(
+    registry: ConnectionRegistry, logged: list[str]
+) -> None:
+    """All clients have their answers, and one connection raises when asked whether it is done.
+
+    The stop went on to its last moment for it, however long the longest deadline was.
+    """
+    faulty, other = two_connections()
+    registry.connections.update((faulty, other))
+    faulty.finished.side_effect = StepError
+    other.finished.return_value = False
+    assert not registry.finished()
+    other.finished.return_value = True
+    assert registry.finished()
+    assert registry.finished()
+    assert len(logged) == 1
+
+
 def test_a_client_whose_answer_raises_costs_no_others_answer_at_a_stops_end(host: Node) -> None:
     """The last moment of a stop fails the open requests, and the first one's client raises.
 
