--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -93,24 +93,29 @@
         elif progress is CONTENT and self._must_stream():
             self._begin_streaming()
         else:
-            self._await_more(self.attempt)
+            self._discard_if_unwanted(self.attempt)
+            self._restart_timeout()
 
-    def _await_more(self, attempt: Attempt) -> None:
-        """The response is not complete: give it up if nothing more of it comes.
+    def _discard_if_unwanted(self, attempt: Attempt) -> None:
+        """Drop the content of a response that is not complete and that nobody gets.
 
         Failure: its client has left, so that it is not streamed, and the attempt goes on to its
         outcome, as it may have been executed and is not to be sent again. Buffered, up to
         MAX_MESSAGE_BYTES of each such attempt would lie outside the budget, and a few would
         take the process past its memory. Nobody gets the content, so it is dropped as it comes.
         """
-        is_content = self.reader.state is CONTENT
-        if is_content and attempt.request.ended:
+        if self.reader.state is CONTENT and attempt.request.ended:
             self.reader.take_chunks()
-        if self.request_written:
-            self._stop_timer()
-            factor = CONTENT_TIMEOUT_FACTOR if is_content else HEAD_TIMEOUT_FACTOR
-            limit = factor * self.host.config.settings.connect_timeout / SECOND
-            self._timer = self.host.loop.call_later(limit, self._fail, Outcome.ERROR)
+
+    def _restart_timeout(self) -> None:
+        """Give the response up if nothing more of it comes; its time begins anew."""
+        if not self.request_written:
+            return
+        self._stop_timer()
+        is_content = self.reader.state is CONTENT
+        factor = CONTENT_TIMEOUT_FACTOR if is_content else HEAD_TIMEOUT_FACTOR
+        limit_s = factor * self.host.config.settings.connect_timeout / SECOND
+        self._timer = self.host.loop.call_later(limit_s, self._fail, Outcome.ERROR)
 
     def eof_received(self) -> bool:
         """The backend has ended its sending: its response is complete, or never will be.
