--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -115,8 +115,8 @@
         out before the connect does, nothing else shows that the backend is gone. A short
         wait may be this process's own lateness, and does not count against the backend.
         """
-        waited = self.now - attempt.sent
-        is_long = waited * CONNECT_TIMEOUT_FRACTION >= self.config.settings.connect_timeout
+        waited_ns = self.now - attempt.sent
+        is_long = waited_ns * CONNECT_TIMEOUT_FRACTION >= self.config.settings.connect_timeout
         return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and is_long else Outcome.MOOT
 
     def give_up_unwritten(self, request: Request) -> None:
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -23,7 +23,7 @@
         super().__init__(config, loop)
         self._last_id = 0
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
+    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
         """Admit a client's request; None where it has to come again.
 
         That is where as many are open as the configuration allows, and where new settings
@@ -32,14 +32,14 @@
         Args:
             client: the connection that it came on; its answer may be given to it at once.
             incoming: the request.
-            waited: how much of its timeout has passed since it was read, in nanoseconds.
+            waited_ns: how much of its timeout has passed since it was read, in nanoseconds.
         """
         if self.open_count >= self.config.max_open or incoming.cls.number < 0:
             return None
         now = self.enter()
         self._last_id += 1
         number = self._last_id
-        remaining = incoming.timeout - waited
+        remaining = incoming.timeout - waited_ns
         max_attempts = self.config.settings.max_attempts
         request = Request(number, client, incoming, now, remaining, max_attempts)
         self.requests[number] = request
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -80,8 +80,8 @@
             self._release_content(incoming)
             self._reject(409)
             return
-        waited = time.monotonic_ns() - incoming.received
-        request = host.request(self, incoming, waited)
+        waited_ns = time.monotonic_ns() - incoming.received
+        request = host.request(self, incoming, waited_ns)
         if request is None:
             self._release_content(incoming)
             self.respond_empty(503, 0)
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -65,11 +65,11 @@
             head += b"Content-Type: %s\r\n" % content_type
         self._write_response(head, chunks)
 
-    def respond_empty(self, status: int, retry_after: int) -> None:
-        """Send a response without content; `retry_after` in nanoseconds, 0 for none."""
+    def respond_empty(self, status: int, retry_after_ns: int) -> None:
+        """Send a response without content; `retry_after_ns` in nanoseconds, 0 for none."""
         head = EMPTY_HEADS[status]
-        if retry_after:
-            head += b"Retry-After: %.3f\r\n" % (retry_after / NS_PER_SECOND)
+        if retry_after_ns:
+            head += b"Retry-After: %.3f\r\n" % (retry_after_ns / NS_PER_SECOND)
         self._write_response(head)
 
     def _write_response(self, head: bytes, chunks: list[bytes] | None = None) -> None:
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -20,8 +20,8 @@
     def respond(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         """Send a complete 200 response."""
 
-    def respond_empty(self, status: int, retry_after: int) -> None:
-        """Send a response without content; `retry_after` in nanoseconds, 0 for none."""
+    def respond_empty(self, status: int, retry_after_ns: int) -> None:
+        """Send a response without content; `retry_after_ns` in nanoseconds, 0 for none."""
 
     def begin_streaming(self, content_type: bytes, length: int, flow: Flow) -> None:
         """Send the head of a 200 response whose content follows through `flow`.
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -179,11 +179,11 @@
 
     # ---- further actions of the Balancer -----------------------------------
 
-    def refuse(self, request: int, retry_after: int) -> None:
-        """Reject a request: a retry is harmless, after `retry_after` nanoseconds."""
+    def refuse(self, request: int, retry_after_ns: int) -> None:
+        """Reject a request: a retry is harmless, after `retry_after_ns` nanoseconds."""
         open_request = self.requests.get(request)
         if open_request is not None:
-            self.finish(open_request, SERVICE_UNAVAILABLE, retry_after)
+            self.finish(open_request, SERVICE_UNAVAILABLE, retry_after_ns)
 
     def fail(self, request: int) -> None:
         """Fail a request: it may have been executed."""
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -34,7 +34,7 @@
         self.open_request_ids: set[bytes] = set()
         self.other_process_request_ids: set[bytes] = set()
 
-    def finish(self, request: Request, status: int, retry_after: int = 0) -> None:
+    def finish(self, request: Request, status: int, retry_after_ns: int = 0) -> None:
         """Give a request its final answer without service, unless it has ended.
 
         A client that has a part of a response sees that as incomplete instead.
@@ -42,7 +42,7 @@
         Args:
             request: the request.
             status: the status of the answer.
-            retry_after: when the client may come again, in nanoseconds; 0 for no such field.
+            retry_after_ns: when the client may come again, in nanoseconds; 0 for no such field.
         """
         if request.ended:
             return
@@ -51,7 +51,7 @@
         if client is not None and started:
             client.abort_response()
         elif client is not None:
-            client.respond_empty(status, retry_after)
+            client.respond_empty(status, retry_after_ns)
 
     def fail_all(self) -> None:
         """At the very end of a stop: fail all requests that are still open."""
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -82,7 +82,7 @@
     balancer: Balancer
     routing: Routing | None
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited: int) -> Request | None:
+    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
         """Admit a request; None where its client has to come again."""
 
     def client_disconnected(self, request: Request) -> None:
@@ -129,8 +129,8 @@
     def body_sent(self, attempt: Attempt) -> None:
         """A long body has been written to its end, by this attempt."""
 
-    def finish(self, request: Request, status: int, retry_after: int = 0) -> None:
-        """Give a request its final answer without service; `retry_after` in nanoseconds."""
+    def finish(self, request: Request, status: int, retry_after_ns: int = 0) -> None:
+        """Give a request its final answer without service; `retry_after_ns` in nanoseconds."""
 
     def may_open_upstream(self) -> bool:
         """Whether one more connection to a backend may be opened."""
