--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -112,11 +112,11 @@
         """
         if self._has_look_raised:
             with contextlib.suppress(Exception):
-                self._ask_listener()
+                self._update_finished()
         else:
-            self._has_look_raised = not run_logged(self._ask_listener)
+            self._has_look_raised = not run_logged(self._update_finished)
 
-    def _ask_listener(self) -> None:
+    def _update_finished(self) -> None:
         self._is_finished = self._listener.close_idle_and_is_finished()
 
     def _end(self) -> None:
