--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -26,6 +26,7 @@
 from loadbalancer.core.xds.drains import MARGIN_FRACTION, DrainReport
 from loadbalancer.core.xds.load_reports import ReportCounts
 from loadbalancer.core.xds.snapshot import Snapshot
+from loadbalancer.faults import run_logged
 
 logger = logging.getLogger(__name__)
 
@@ -158,8 +159,17 @@
     # ---- load reports, status -----------------------------------------------
 
     def _assess(self) -> None:
+        """Assess the load reports, and arm the next assessment.
+
+        Failure: one pool's assessment raises before the timer is set. From then on no pool's
+        weights follow its load reports. A fault costs only the step that raises it.
+        """
         for pool in self._pools:
-            pool.assess_reports()
+            run_logged(pool.assess_reports)
+        run_logged(self._log_stale_lists)
+        asyncio.get_running_loop().call_later(ASSESS_INTERVAL_S, self._assess)
+
+    def _log_stale_lists(self) -> None:
         stale = self._stale_lists()
         if bool(stale) != self._was_stale:
             if stale:
@@ -167,7 +177,6 @@
             else:
                 logger.info("endpoint list is fresh again")
         self._was_stale = bool(stale)
-        asyncio.get_running_loop().call_later(ASSESS_INTERVAL_S, self._assess)
 
     def _stale_lists(self) -> str:
         return "; ".join(filter(None, (pool.stale_list() for pool in self._pools)))
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -123,7 +123,9 @@
             logger.info("gossip between nodes: %s: %s; waiting", self._listen, err.strerror)
         self.counters["port taken"] += 1
         # Where the port is never free this node must come to serve as one without gossip.
-        self._update_host(time.monotonic_ns())
+        # Failure: a fault there, before the timer is set, and the port is never tried again: this
+        # node takes no part in gossip until a restart. It is logged, and the timer set.
+        run_logged(self._update_host, time.monotonic_ns())
         self._timer = self._host.loop.call_later(BIND_RETRY_S, self.open)
 
     def close(self, leaving: bool) -> None:
--- /dev/null
+++ b/tests/control/xds/test_assessment.py
@@ -0,0 +1,36 @@
+"""The periodic assessment of load reports, without sockets."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+from unittest import mock
+
+import pytest
+
+from loadbalancer.control.xds import service
+from loadbalancer.control.xds.service import ControlService
+
+
+@pytest.mark.parametrize("step", ["assess_reports", "stale_list"])
+def test_an_assessment_that_raises_is_followed_by_the_next_one(
+    step: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """One pool's assessment raises. There was no further one of any pool until a restart, and
+    weights no longer followed the load reports.
+    """
+    monkeypatch.setattr(service, "ASSESS_INTERVAL_S", 0.001)
+    pools: list[Any] = [mock.Mock(), mock.Mock()]
+    for pool in pools:
+        pool.stale_list.return_value = ""
+    getattr(pools[0], step).side_effect = ZeroDivisionError
+    made: Any = object.__new__(ControlService)
+    made._pools, made._was_stale = pools, False
+
+    async def play() -> None:
+        made._assess()
+        async with asyncio.timeout(5.0):
+            while pools[1].assess_reports.call_count < 3:
+                await asyncio.sleep(0.001)
+
+    asyncio.run(play())
--- a/tests/gossip_transport/test_turns.py
+++ b/tests/gossip_transport/test_turns.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import errno
+from collections import Counter
 from typing import Any
 from unittest import mock
 
 import pytest
 
-from loadbalancer.gossip_transport.transport import FAULT_RETRY_NS, GossipTransport
+from loadbalancer.gossip_transport.transport import BIND_RETRY_S, FAULT_RETRY_NS, GossipTransport
 
 NS_PER_SECOND = 1_000_000_000
 
@@ -56,3 +58,15 @@
     transport.bridge.report.side_effect = close_and_fail
     transport._turn()
     transport._host.loop.call_later.assert_not_called()
+
+
+def test_a_fault_while_the_port_is_taken_does_not_end_the_attempts(transport: Any) -> None:
+    """Another process has the port, and passing on that this node has no gossip raises.
+
+    The port was not tried again: this node took no part in gossip until a restart.
+    """
+    transport._sock, transport._listen = None, ("127.0.0.1", 9)
+    transport.counters = Counter()
+    transport.bridge.collect.side_effect = ZeroDivisionError
+    transport._retry_open(OSError(errno.EADDRINUSE, "Address already in use"))
+    transport._host.loop.call_later.assert_called_once_with(BIND_RETRY_S, transport.open)
