--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -9,6 +9,7 @@
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog
+from loadbalancer.faults import run_logged
 from loadbalancer.sources.watchers import Query, Watcher
 
 
@@ -62,7 +63,7 @@
     def on_change(self) -> None:
         """The service has changed."""
         for watcher in self._waiting:
-            self._answer_waiting(watcher)
+            run_logged(self._answer_waiting, watcher)  # a fault at one costs no other's answer
 
     def _answer_waiting(self, watcher: Watcher) -> None:
         since = self._waiting.take(watcher)
--- a/loadbalancer/control/machine/log_loader.py
+++ b/loadbalancer/control/machine/log_loader.py
@@ -41,18 +41,29 @@
             self._task = asyncio.get_running_loop().create_task(self._load())
 
     async def _load(self) -> None:
+        """Load once, or log why not and pause.
+
+        Failure: a fault other than a bad source ends the task, which counts as under way for
+        ever: the region is never loaded, and the log has no line. Whatever ends the task, the
+        next tick may begin another one.
+        """
         try:
-            rows = await self._read()
+            await self._load_once()
         except InvalidInputError as err:
             logger.info("region %s is not loaded: %s", self._region, err)
             await asyncio.sleep(RETRY_S)
+        except Exception:
+            logger.exception("region %s is not loaded", self._region)
+            await asyncio.sleep(RETRY_S)
+        finally:
             self._task = None
-            return
+
+    async def _load_once(self) -> None:
+        rows = await self._read()
         if self._replica.needs_load():
             self._replica.load(rows)
             logger.info("region %s is loaded: %d services", self._region, len(self._services))
             self._on_loaded()
-        self._task = None
 
     async def _read(self) -> Mapping[str, Sequence[Row]]:
         if self._source is None:
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -35,13 +35,14 @@
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
 from loadbalancer.control.machine.version import position_of, version_of
-from loadbalancer.core.assignment.model import InvalidInputError
+from loadbalancer.core.assignment.model import Change, InvalidInputError
 from loadbalancer.core.assignment.presence import PresenceUpdate
 from loadbalancer.core.assignment.release import ReleaseAuthority, ReleaseGrant
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.messages import Message
 from loadbalancer.core.replicated_log.replication import Replica, Role, Timing
 from loadbalancer.core.subscription.publisher import Publisher, PublisherLimits
+from loadbalancer.faults import run_logged
 from loadbalancer.sources.watchers import Watcher
 
 REPLICA_TICK_S = 0.05
@@ -172,8 +173,8 @@
     # ---- time ------------------------------------------------------------
 
     def _tick_replica(self) -> None:
-        self.replica.on_tick(time.monotonic_ns())
-        self._loader.start_if_needed()
+        run_logged(self.replica.on_tick, time.monotonic_ns())
+        run_logged(self._loader.start_if_needed)
         self._process_output()
 
     def _tick_nodes(self) -> None:
@@ -190,9 +191,10 @@
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
-        if self.nodes.changed:
-            self.nodes.changed = False
-            self.node_requests.push_assignments()
+        # Failure: a fault in the push, and the nodes whose turn had not come learn of their new
+        # services only after a further change. What was not pushed is left to the next tick.
+        if self.nodes.take_changed() and not self.node_requests.push_assignments():
+            self.nodes.changed = True
 
     def live_machines(self, now: int) -> frozenset[str]:
         """The names of the machines that were heard lately, this one included."""
@@ -224,23 +226,34 @@
         self._process_output()
 
     def _process_output(self) -> None:
-        """Publish what the replica has committed, and send its messages."""
+        """Publish what the replica has committed, and send its messages.
+
+        Failure: the replica's lists are drained before they are walked, and one item raises. What
+        follows it is lost: operators get a 504 for changes that are committed, nodes are not told
+        of them, and the replica's messages are not sent. A fault costs only the step that raises.
+        """
         for region in self.replica.restored():
-            self.node_requests.wake(region, self.publisher.on_restored(region))
+            run_logged(self._wake_restored, region)
             self._update_bound(region, "")
         for region, change in self.replica.committed():
-            self.submissions.on_committed(region, change)
+            run_logged(self.submissions.on_committed, region, change)
             if change.service:
-                self.node_requests.wake(region, self.publisher.on_change(region, change))
+                run_logged(self._wake_changed, region, change)
                 self._update_bound(region, change.service)
         for recipient, message in self.replica.outgoing():
-            self.streams.send(recipient, message)
+            run_logged(self.streams.send, recipient, message)
+
+    def _wake_restored(self, region: str) -> None:
+        self.node_requests.wake(region, self.publisher.on_restored(region))
+
+    def _wake_changed(self, region: str, change: Change) -> None:
+        self.node_requests.wake(region, self.publisher.on_change(region, change))
 
     def _update_bound(self, region: str, service: str) -> None:
         """Notify bound listeners of a change of a region's service, "" for all of its services."""
         for _, bound in self.bound:
             if bound.region == region and service in ("", bound.service):
-                bound.on_change()
+                run_logged(bound.on_change)
 
     # ---- operators' calls ------------------------------------------------
 
@@ -281,6 +294,12 @@
 
 
 async def _every(seconds: float, work: Callable[[], None]) -> None:
+    """Do this work at this interval for ever.
+
+    Failure: one tick raises, and the task ends with it. The machine accepts polls still, but no
+    longer takes part in elections, or no longer notices that nodes die, and the log has no line.
+    Each tick's fault is logged, and the next tick comes.
+    """
     while True:
         await asyncio.sleep(seconds)
-        work()
+        run_logged(work)
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -27,6 +27,7 @@
 )
 from loadbalancer.core.subscription.publisher import Publisher
 from loadbalancer.core.subscription.subscribers import SubscriberKey
+from loadbalancer.faults import run_logged
 from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import Query, Watcher
 
@@ -133,12 +134,18 @@
         for node, region in keys:
             self.wake(region, (node,))
 
-    def push_assignments(self) -> None:
-        """Answer the waiting nodes whose assignment has changed."""
+    def push_assignments(self) -> bool:
+        """Answer the waiting nodes whose assignment has changed; False after a fault at one."""
         now = time.monotonic_ns()
-        for watcher, request in self._waiting.items():
-            if self._nodes.changed_assignment(now, request.node, request.region) is not None:
-                self._answer_waiting(now, watcher)
+        pushed = [
+            run_logged(self._push_assignment, now, watcher, request)
+            for watcher, request in self._waiting.items()
+        ]
+        return all(pushed)
+
+    def _push_assignment(self, now: int, watcher: Watcher, request: PollRequest) -> None:
+        if self._nodes.changed_assignment(now, request.node, request.region) is not None:
+            self._answer_waiting(now, watcher)
 
     def waiting_count(self) -> int:
         """How many polls wait for an answer."""
@@ -226,9 +233,16 @@
         self._answer_waiting(time.monotonic_ns(), watcher)
 
     def _answer_waiting(self, now: int, watcher: Watcher) -> None:
+        """Answer a waiting poll.
+
+        Failure: the answer raises. The walk over the other waiting polls ends with it, and this
+        one gets no answer, while its node counts as present for an hour, dead or not. A fault ends
+        this connection alone, and its node has to poll again in time.
+        """
         request = self._stop_waiting(watcher)
-        if request is not None:
-            self._answer(now, watcher, request)
+        if request is not None and not run_logged(self._answer, now, watcher, request):
+            self._on_poll_ended(now, request.node)
+            watcher.abort()
 
     def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
         """The connection's poll, which does not wait any more; None where none waited."""
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -38,7 +38,8 @@
 class NodeRegistry:
     """All registered nodes, as one control machine sees them.
 
-    `changed` says that assignments may differ from those that nodes were sent; the owner resets it.
+    `changed` says that assignments may differ from those that nodes were sent, until the owner has
+    taken that.
     """
 
     def __init__(self, file: ScaleFile, now: int, releases: ReleaseAuthority | None = None) -> None:
@@ -92,6 +93,11 @@
             return None
         return assignment
 
+    def take_changed(self) -> bool:
+        """Whether assignments may differ from those that nodes were sent; False from then on."""
+        changed, self.changed = self.changed, False
+        return changed
+
     def on_assignment_sent(self, node: str, region: str, assignment: NodeAssignment) -> None:
         """The assignment went out with an answer for this region."""
         self._sent[node, region] = assignment
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 import struct
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -17,12 +18,15 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine.codec import BadMessageError, Codec
+from loadbalancer.faults import run_logged
 
 MAX_FRAME_BYTES = 32 << 20
 REDIAL_S = 0.5
 HELLO_TIMEOUT_S = 5.0  # for the first frame to come
 _LENGTH = struct.Struct(">I")
 
+logger = logging.getLogger(__name__)
+
 
 @dataclass(frozen=True, slots=True)
 class Hello:
@@ -120,25 +124,37 @@
             self.send(machine, message)
 
     async def _dial(self, machine: str, address: Address) -> None:
-        """Maintain a stream to this machine: dial again whenever it ends."""
-        loop = asyncio.get_running_loop()
+        """Maintain a stream to this machine: dial again whenever it ends.
+
+        Failure: a fault as a stream begins ends the task, unlogged. That machine is not dialled
+        again until a restart, and hears nothing from this one. Any fault is logged, and the
+        machine is dialled again like after a lost stream.
+        """
         while True:
-            ended: asyncio.Future[None] = loop.create_future()
             try:
-                transport, _ = await loop.create_connection(
-                    lambda ended=ended: _Outgoing(ended),  # type: ignore[misc]
-                    address.host,
-                    address.port,
-                )
+                await self._stream_until_lost(machine, address)
             except OSError:
-                await asyncio.sleep(REDIAL_S)
-                continue
-            self._outgoing[machine] = transport
+                pass  # it does not listen
+            except Exception:
+                logger.exception("stream to %s", machine)
+            await asyncio.sleep(REDIAL_S)
+
+    async def _stream_until_lost(self, machine: str, address: Address) -> None:
+        loop = asyncio.get_running_loop()
+        ended: asyncio.Future[None] = loop.create_future()
+        transport, _ = await loop.create_connection(
+            lambda: _Outgoing(ended), address.host, address.port
+        )
+        self._outgoing[machine] = transport
+        try:
             self.send(machine, self.hello)
-            self._on_connected(machine)
+            # After a fault there the stream stays, for the log's messages: a machine that misses
+            # an update of who is present asks for the full state.
+            run_logged(self._on_connected, machine)
             await ended
+        finally:
             self._outgoing.pop(machine, None)
-            await asyncio.sleep(REDIAL_S)
+            transport.abort()
 
 
 class _Outgoing(asyncio.Protocol):
