--- a/loadbalancer/control/long_polls.py
+++ b/loadbalancer/control/long_polls.py
@@ -40,10 +40,15 @@
         """Connections and polls."""
         return [(watcher, waiting.poll) for watcher, waiting in self._waiting.items()]
 
-    def add(self, watcher: Watcher, poll: T, seconds: float) -> None:
-        """Let a connection's poll wait for at most this time; none of it may wait already."""
+    def add(self, watcher: Watcher, poll: T, timeout_s: float) -> None:
+        """Let a connection's poll wait for at most this time; it replaces an earlier one of it.
+
+        Failure: the earlier poll's timer stays armed, and answers the newer poll before its time.
+        The earlier one is taken first, which cancels its timer.
+        """
+        self.take(watcher)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(seconds, self._on_timeout, watcher)
+        timer = loop.call_later(timeout_s, self._on_timeout, watcher)
         self._waiting[watcher] = _Waiting(poll, timer)
 
     def take(self, watcher: Watcher) -> T | None:
--- a/tests/control/test_long_polls.py
+++ b/tests/control/test_long_polls.py
@@ -72,3 +72,21 @@
             assert reply.called is not is_lost
 
     asyncio.run(play())
+
+
+def test_a_poll_that_replaces_another_waits_for_its_own_time() -> None:
+    """A connection's poll is added while an earlier one waits. The earlier one's timer stayed
+    armed, and answered the newer poll before its time.
+    """
+
+    async def play() -> None:
+        ended: list[Watcher] = []
+        polls: LongPolls[str] = LongPolls(ended.append)
+        watcher = Watcher(mock.Mock())
+        polls.add(watcher, "earlier", 0.01)
+        polls.add(watcher, "newer", 60.0)
+        await asyncio.sleep(0.05)
+        assert not ended
+        assert polls.take(watcher) == "newer"
+
+    asyncio.run(play())
