--- a/loadbalancer/control/machine/codec.py
+++ b/loadbalancer/control/machine/codec.py
@@ -20,11 +20,17 @@
 Decoder = Callable[[Any], Any]
 Encoder = Callable[[Any], Any]
 
-MALFORMED = "unsound"  # a status counter's name on GET /status
+# Counters of `counts.streams` in GET /status.
+MALFORMED = "unsound"
+UNKNOWN_KIND = "unknown kind"
 
 
 class BadMessageError(ProtocolError, ValueError):
-    """Bytes that are no message; the text is the name of the status counter that counts it."""
+    """Bytes that are no message; `counter` names the status counter that counts them."""
+
+    def __init__(self, counter: str) -> None:
+        super().__init__(counter)
+        self.counter = counter
 
 
 class Codec:
@@ -49,11 +55,16 @@
         """
         try:
             number, values = msgpack.unpackb(data, use_list=True)
-            if type(number) is not int or not 0 <= number < len(self._decoders):
-                raise BadMessageError("unknown kind")
-            return self._decoders[number](values)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
             raise BadMessageError(MALFORMED) from err
+        # Failure: raised within a `try`, this one is caught as the ValueError that it is, and a
+        # message of another version's kind is counted as a broken one.
+        if type(number) is not int or not 0 <= number < len(self._decoders):
+            raise BadMessageError(UNKNOWN_KIND)
+        try:
+            return self._decoders[number](values)
+        except (ValueError, TypeError) as err:
+            raise BadMessageError(MALFORMED) from err
 
 
 class _Field(NamedTuple):
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -92,6 +92,9 @@
         Guards against frames of an earlier connection, or of the machine's earlier process, that
         come after newer ones: an old grant or list of present nodes would replace the newest one.
         A machine has one stream to each other at a time, so what comes on it is in order.
+
+        Where the Hello of the earlier connection is read last, it is the newer one that ends. The
+        machine sees that, and dials again after REDIAL_S: its next Hello ends the earlier one.
         """
         earlier = self._incoming_from.get(machine)
         self._incoming_from[machine] = stream
@@ -99,7 +102,7 @@
             earlier.abort("replaced")
 
     def on_lost(self, machine: str, stream: _Incoming) -> None:
-        """A stream that this machine had dialled has ended."""
+        """A stream that `machine` had dialled has ended."""
         if self._incoming_from.get(machine) is stream:
             del self._incoming_from[machine]
 
@@ -221,7 +224,7 @@
         try:
             message = self._streams.codec.decode(frame)
         except BadMessageError as err:
-            self.abort(str(err))
+            self.abort(err.counter)
             return False
         if self._sender:
             self._streams.on_message(self._sender, message)
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("is_hello", [True, False])
-def test_a_machine_is_heard_by_another_after_a_fault_as_their_stream_began(
+def test_messages_reach_another_machine_after_a_fault_as_the_stream_began(
     is_hello: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What follows a new stream's connection raises. The machine at its other end was not dialled
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -24,6 +24,7 @@
         (struct.pack(">I", 1 << 30), "frame too long"),
         (struct.pack(">I", 3) + b"abc", "unsound"),
         (struct.pack(">I", 4) + b"\x92\x00\x92\xa1", "unsound"),
+        (struct.pack(">I", 3) + b"\x92\x7f\x90", "unknown kind"),
         (struct.pack(">I", 9) + b"\x92\x00\x92\xa1x\xa3abc", "stranger"),
     ],
 )
