--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -109,12 +109,14 @@
         try:
             request = self._decode(now, since, hold_s, query)
         except InvalidInputError as err:
-            self._refuse(watcher, str(err))
+            self._reject(watcher, str(err))
             return
         self._supersede(request)
         self._nodes.on_poll(now, request.node)
         report = request.report
-        if report is not None:
+        if report is None:
+            self._nodes.on_report_unchanged(request.node)
+        else:
             self._nodes.on_report(request.node, report.serving, report.generation)
             self._nodes.on_generation(request.node, request.region, report.generation)
         self._answer(now, watcher, request, first_poll=since == 0)
@@ -158,10 +160,10 @@
     # ---- one poll -----------------------------------------------------------
 
     def _decode(self, now: int, since: int, hold_s: float, query: Query) -> PollRequest:
-        """All of a poll, or an error: from one that is refused nothing may be taken.
+        """All of a poll, or an error: from one that is rejected nothing may be taken.
 
-        Guards against a poll whose report can't be read: it was noted as one that waits, never
-        answered, and its node counted as present for an hour, dead or not.
+        Failure: a poll is noted as one that waits before its report turns out to be unreadable. It
+        is never answered, and its node counts as present for an hour, dead or not.
         """
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.is_registered(node):
@@ -188,7 +190,7 @@
         )
         if isinstance(answer, Refused):
             place = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
-            self._refuse(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
+            self._reject(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
             self._on_poll_ended(now, node)
             return
         self._replica.on_reported(now, region, request.position)
@@ -257,10 +259,9 @@
     def _supersede(self, request: PollRequest) -> None:
         """End the node's earlier connection if its poll for the region waits still.
 
-        Guards against a connection that was lost without a sign while the node polls on a new one.
-        When its end came, late, the node counted as absent and was told of no change although its
-        new poll waited; until then, its answers counted as received by the node. With one poll for
-        each node and region, such an end finds no poll that it could concern.
+        Failure: a connection is lost unnoticed, and the node polls on a new one. Answers on the
+        lost one count as received; its late end makes the node absent although its new poll waits.
+        With one poll for each node and region, that end finds no poll to cancel.
         """
         earlier = self._watchers.get(request.node, {}).get(request.region)
         if earlier is not None:
@@ -275,7 +276,7 @@
 
     # ---- replies ------------------------------------------------------------
 
-    def _refuse(self, watcher: Watcher, why: str) -> None:
+    def _reject(self, watcher: Watcher, why: str) -> None:
         self.counts["refused"] += 1
         watcher.reply(HTTPStatus.BAD_REQUEST, why.encode())
 
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -55,14 +55,15 @@
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False
-        self.touched = 0  # nodes whose services differ by the last assignment
+        self.nodes_changed_by_last_assignment = 0  # whose services differ by it
         self._machine_count = len(file.machines)
         self._started = self._last_tick = now
         self._not_seen = set(names)  # nodes that have polled nowhere since this machine started
-        self._unsettled_since = 0  # of losses and returns that have not moved services, 0 for none
+        self._unsettled_since: int | None = None  # first loss or return that moved no service yet
         self._last_change = 0
         self._deadlines: dict[str, int] = {}  # of nodes that poll here: when to poll again
         self._reports: dict[str, tuple[str, ...]] = {}  # of the nodes that poll here
+        self._absent_reports: dict[str, tuple[str, ...]] = {}  # of those that polled here before
         self._unsent_reports: dict[str, tuple[str, ...]] = {}  # to the other machines
         self._sent: dict[tuple[str, str], NodeAssignment] = {}  # by node and region
 
@@ -105,9 +106,9 @@
     def on_generation(self, node: str, region: str, generation: int) -> None:
         """The node reports that this is the generation of the last answer that it received.
 
-        Guards against an answer that was lost with its connection: the assignment in it counted as
-        sent, and was not sent again until it changed. The node did not hold its new services, and
-        its reports did not count.
+        Failure: an answer is lost with its connection, and the assignment in it counts as sent.
+        Until it changes, the node does not hold its new services, and its reports do not count.
+        A node that reports an earlier generation is sent its assignment again.
         """
         sent = self._sent.get((node, region))
         if sent is not None and generation < sent.generation:
@@ -133,12 +134,30 @@
         named = tuple(sorted(name for name in serving if name in self.regions))
         # Guards against a generation of this machine's earlier process, which may be above all of
         # this one: it says nothing of what the node has received from this one.
+        # Not guarded against: an earlier process's generation that is not above this one's. A
+        # report does not name the process, so it counts as received, although the node made it
+        # before it learnt what this process wants. A node sends one if the restart falls between
+        # two polls of a region, or while another region's poll has not failed yet; it ends with
+        # the first answer, which has this process's generation.
         received = generation if generation <= self.handover.generation else 0
         self.handover.on_report(node, named, received)
         self.changed = True
+        self._absent_reports.pop(node, None)
         if self._reports.get(node) != named:
             self._reports[node] = self._unsent_reports[node] = named
 
+    def on_report_unchanged(self, node: str) -> None:
+        """The node polls without a report: the last one that it made here still holds.
+
+        Failure: a node polls again a little late, its report is dropped, and it makes no other
+        until it serves something else. A machine that connects meanwhile is not sent the report,
+        takes the node to serve nothing, and lets no earlier holder release services to it. A node
+        that has polled elsewhere makes its report anew, so an old one is not revived.
+        """
+        report = self._absent_reports.pop(node, None)
+        if report is not None:
+            self._reports[node] = report
+
     # ---- the other machines ---------------------------------------------
 
     def on_reports(self, reports: Iterable[NodeReport]) -> None:
@@ -193,10 +212,11 @@
             self._on_dead(node)
         if change.died or change.returned:
             self._last_change = now
-            self._unsettled_since = self._unsettled_since or now
-        if not self._unsettled_since or not self._is_settled(now):
+            if self._unsettled_since is None:
+                self._unsettled_since = now
+        if self._unsettled_since is None or not self._is_settled(now, self._unsettled_since):
             return False
-        self._unsettled_since = 0
+        self._unsettled_since = None
         self._assign()
         return True
 
@@ -204,7 +224,9 @@
         """Nodes that have not polled again in time are absent."""
         for node in [node for node, deadline in self._deadlines.items() if deadline <= now]:
             del self._deadlines[node]
-            self._reports.pop(node, None)
+            report = self._reports.pop(node, None)
+            if report is not None:
+                self._absent_reports[node] = report
             self.presence.on_absent(node)
 
     def _pass_heartbeats(self, now: int) -> None:
@@ -215,14 +237,14 @@
         for node in (*present, *starting):
             self.liveness.on_heartbeat(now, node)
 
-    def _is_settled(self, now: int) -> bool:
+    def _is_settled(self, now: int, unsettled_since: int) -> bool:
         """Whether losses and returns have paused for long enough to move services.
 
         A rack or a zone fails and returns over some seconds. An assignment in the midst of that
         would move services which the next one moves again.
         """
         paused = now - self._last_change >= SETTLE_TIME_NS
-        return paused or now - self._unsettled_since >= MAX_SETTLE_TIME_NS
+        return paused or now - unsettled_since >= MAX_SETTLE_TIME_NS
 
     def _is_cut_off(self, now: int) -> bool:
         """Whether too few machines are connected to conclude anything from a node's silence.
@@ -242,6 +264,7 @@
 
     def _on_dead(self, node: str) -> None:
         self.handover.on_dead(node)
+        self._absent_reports.pop(node, None)
         for region in set(self.regions.values()):
             self._sent.pop((node, region), None)
 
@@ -249,7 +272,7 @@
         before = self.assignment.services_by_node
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
-        self.touched = sum(
+        self.nodes_changed_by_last_assignment = sum(
             1
             for node, services in self.assignment.services_by_node.items()
             if services != before.get(node)
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -102,7 +102,7 @@
         "pairs": sum(map(len, nodes.assignment.holders.values())),
         "moving": nodes.handover.moving(),
         "unmet": len(nodes.assignment.unmet),
-        "touched": nodes.touched,
+        "touched": nodes.nodes_changed_by_last_assignment,
     }
 
 
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -74,7 +74,7 @@
     timer: asyncio.TimerHandle | None = None
     failures: int = 0  # in a row
     redirect: Address | None = None  # where the last answer sent it
-    stay_until: float = 0.0  # until then, it asks to be answered by the machine that it polls
+    stay_until: float = 0.0  # until then its polls ask not to be redirected (`redirected=1`)
     first_poll: bool = True  # the machine has sent nothing yet: it can't know what is held
     snapshot: bool = False  # the last update did not follow what is held: poll for a snapshot
     generation: int = 0  # of the last assignment from the machine that is polled
@@ -171,14 +171,14 @@
             state.reported = report
             parts.append(f"serving={report.serving}&generation={report.generation}")
         if time.monotonic() < state.stay_until:
-            parts.append("redirected=1")
+            parts.append("redirected=1")  # asks not to be redirected
         return "&".join(parts)
 
     def _address(self, state: _Region) -> Address:
         """The machine that a region's log is polled at."""
         return state.redirect or self._machines[state.machine]
 
-    def _polled_alike(self, state: _Region) -> list[_Region]:
+    def _at_same_machine(self, state: _Region) -> list[_Region]:
         """The regions whose logs are polled at the same machine as this one's, itself included."""
         address = self._address(state)
         return [other for other in self._regions.values() if self._address(other) == address]
@@ -190,7 +190,7 @@
         by a generation of another: it could count although it was made before the node learnt what
         this machine wants back.
         """
-        return max(other.generation for other in self._polled_alike(state))
+        return max(other.generation for other in self._at_same_machine(state))
 
     def _poll_later(self, region: str, seconds: float) -> None:
         """Poll after a time, in the next turn of the loop at the earliest."""
@@ -269,7 +269,7 @@
     def _on_assignment(self, state: _Region, assignment: NodeAssignment) -> None:
         if assignment.generation < state.generation:
             # One region's answers come in order: the machine has restarted and numbers anew.
-            for other in self._polled_alike(state):
+            for other in self._at_same_machine(state):
                 other.generation = 0
         elif assignment.generation < self._generation(state):
             # Late: a newer one has come with another region's answer. Taken, it would bring back
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -162,3 +162,47 @@
     nodes.on_time(5 * SECOND)
     nodes.send_full_state(sent.append)
     assert reports() == []
+
+
+@pytest.mark.parametrize("is_dead", [False, True])
+def test_the_report_of_a_node_that_polls_again_late_is_sent_to_machines_that_connect(
+    tmp_path: Path, is_dead: bool
+) -> None:
+    """A node polls again a little late, without a report as it serves what it last reported. A
+    machine that connected later was not sent the report: it took the node to serve nothing, and
+    let no earlier holder release services to it. What a dead node reported holds no longer.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    sent: list[object] = []
+    nodes.on_poll(0, "n1")
+    nodes.on_report("n1", ("cart",), 0)
+    nodes.send_changes(sent.append)
+    nodes.on_response(0, "n1")
+    seconds = 60 if is_dead else 5
+    for second in range(1, seconds):
+        nodes.presence.on_machine_heartbeat(second * SECOND, "east-b")
+        nodes.on_time(second * SECOND)
+    assert ("n1" in nodes.liveness.alive) is not is_dead
+    nodes.on_poll(seconds * SECOND, "n1")
+    nodes.on_report_unchanged("n1")
+    sent.clear()
+    nodes.send_changes(sent.append)
+    assert not [message for message in sent if isinstance(message, Reports)], "others have it"
+    nodes.send_full_state(sent.append)
+    reports = [message for message in sent if isinstance(message, Reports)]
+    assert reports == ([] if is_dead else [Reports((NodeReport("n1", ("cart",)),))])
+
+
+def test_a_report_that_a_late_node_makes_again_is_sent_again(tmp_path: Path) -> None:
+    """A node reports here, then another report elsewhere, and here the first one again: the other
+    machines have the second one, and must be sent the first anew.
+    """
+    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    for second in (0, 10):
+        sent: list[object] = []
+        nodes.on_poll(second * SECOND, "n1")
+        nodes.on_report("n1", ("cart",), 0)
+        nodes.send_changes(sent.append)
+        assert Reports((NodeReport("n1", ("cart",)),)) in sent
+        nodes.on_response(second * SECOND, "n1")
+        nodes.on_time((second + 5) * SECOND)
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+import time
 from collections.abc import Callable
 from pathlib import Path
 
 import pytest
 
+from loadbalancer.control.machine.messages import NodeReport, Reports
 from loadbalancer.core.assignment.model import Position
+from loadbalancer.core.balancing.model import SECOND
 from tests.control.machine.socketless import Connection, Rig, in_loop
 
 
@@ -96,3 +99,22 @@
         assert not rig.is_present(30)
 
     in_loop(tmp_path, play)
+
+
+def test_a_late_poll_without_a_report_keeps_the_last_one(tmp_path: Path) -> None:
+    """A node polls again after its time, without a report as nothing has changed. Machines that
+    connected later were not sent what it serves.
+    """
+
+    def play(rig: Rig) -> None:
+        nodes = rig.machine.nodes
+        connection = rig.connect()
+        connection.poll(Position(0, 0), serving="cart", generation="0")
+        assert connection.answers
+        nodes.on_time(time.monotonic_ns() + 5 * SECOND)
+        connection.poll(rig.log.position)
+        sent: list[object] = []
+        nodes.send_full_state(sent.append)
+        assert Reports((NodeReport("n1", ("cart",)),)) in sent
+
+    in_loop(tmp_path, play)
