--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -119,7 +119,7 @@
         else:
             self._nodes.on_report(request.node, report.serving, report.generation)
             self._nodes.on_generation(request.node, request.region, report.generation)
-        self._answer(now, watcher, request, first_poll=since == 0)
+        self._answer_or_end(now, watcher, request, first_poll=since == 0)
 
     # ---- what the machine calls ---------------------------------------------
 
@@ -235,14 +235,20 @@
         self._answer_waiting(time.monotonic_ns(), watcher)
 
     def _answer_waiting(self, now: int, watcher: Watcher) -> None:
-        """Answer a waiting poll.
+        request = self._stop_waiting(watcher)
+        if request is not None:
+            self._answer_or_end(now, watcher, request)
+
+    def _answer_or_end(
+        self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
+    ) -> None:
+        """Answer a poll that does not wait, or end its connection.
 
         Failure: the answer raises. The walk over the other waiting polls ends with it, and this
         one gets no answer, while its node counts as present for an hour, dead or not. A fault ends
         this connection alone, and its node has to poll again in time.
         """
-        request = self._stop_waiting(watcher)
-        if request is not None and not run_logged(self._answer, now, watcher, request):
+        if not run_logged(self._answer, now, watcher, request, first_poll):
             self._on_poll_ended(now, request.node)
             watcher.abort()
 
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -136,8 +136,12 @@
     # ---- drains -------------------------------------------------------------
 
     def _on_drain(self, pool: Pool) -> None:
-        """Publish a drain at once; proxies that do not answer get it without waiting."""
-        self._publish()
+        """Publish a drain at once; proxies that do not answer get it without waiting.
+
+        Failure: the publication raises, and the drain is neither pushed later nor reported. A
+        fault is logged, and both timers are set.
+        """
+        run_logged(self._publish)
         loop = asyncio.get_running_loop()
         grace_s = pool.config.settings.drain_grace / SECOND
         loop.call_later(grace_s * PUSH_FRACTION, self._push_drain, pool)
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -240,3 +240,20 @@
         assert [call.args[0] for call in answer.call_args_list] == watchers
 
     asyncio.run(play())
+
+
+def test_a_fault_in_the_answer_to_a_new_poll_leaves_no_poll_open(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The answer to a poll that has just come raises. Its connection ended, and its node counted
+    as present for an hour, dead or not.
+    """
+
+    def play(rig: Rig) -> None:
+        monkeypatch.setattr(rig.machine.publisher, "subscribe", failing_first())
+        connection = rig.connect()
+        connection.poll(rig.log.position)
+        assert connection.ended
+        assert not rig.is_present(5)
+
+    in_loop(tmp_path, play)
--- a/tests/control/xds/test_assessment.py
+++ b/tests/control/xds/test_assessment.py
@@ -1,4 +1,4 @@
-"""The periodic assessment of load reports, without sockets."""
+"""The periodic assessment of load reports, and drains, without sockets."""
 
 from __future__ import annotations
 
@@ -34,3 +34,26 @@
                 await asyncio.sleep(0.001)
 
     asyncio.run(play())
+
+
+def test_a_drain_is_pushed_and_reported_after_a_publication_that_raised(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Publishing a drain raises. Proxies were not sent it later, within its grace, either, and the
+    log did not say who had missed it.
+    """
+    made: Any = object.__new__(ControlService)
+    steps = {name: mock.Mock() for name in ("_publish", "_push_drain", "_report_drains")}
+    steps["_publish"].side_effect = ZeroDivisionError
+    for name, step in steps.items():
+        monkeypatch.setattr(made, name, step)
+    pool: Any = mock.Mock()
+    pool.config.settings.drain_grace = 10_000_000  # 10 ms
+
+    async def play() -> None:
+        made._on_drain(pool)
+        async with asyncio.timeout(5.0):
+            while not all(step.called for step in steps.values()):
+                await asyncio.sleep(0.001)
+
+    asyncio.run(play())
