--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -103,7 +103,7 @@
     def event(self) -> Event:
         """An event that doesn't come with each request; those use `enter` and `leave`.
 
-        A context manager costs about 0.2 us more a pair, and a request has several.
+        A context manager costs more than the calls, and a request has several pairs.
         """
         return Event(self)
 
