--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -30,7 +30,7 @@
     """What is logged meanwhile."""
     lines: list[str] = []
     handler = logging.Handler()
-    handler.emit = lambda record: lines.append(record.getMessage())  # type: ignore[method-assign]
+    handler.emit = lambda r: lines.append(f"{r.getMessage()} {r.exc_info}")  # type: ignore[method-assign]
     root = logging.getLogger("loadbalancer")
     root.addHandler(handler)
     yield lines
