--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -25,12 +25,22 @@
     """What a step raises here."""
 
 
+class Collector(logging.Handler):
+    """Collects each message with its exception."""
+
+    def __init__(self, lines: list[str]) -> None:
+        super().__init__()
+        self._lines = lines
+
+    def emit(self, record: logging.LogRecord) -> None:
+        self._lines.append(f"{record.getMessage()} {record.exc_info}")
+
+
 @pytest.fixture(autouse=True)
 def logged() -> Iterator[list[str]]:
     """What is logged meanwhile."""
     lines: list[str] = []
-    handler = logging.Handler()
-    handler.emit = lambda r: lines.append(f"{r.getMessage()} {r.exc_info}")  # type: ignore[method-assign]
+    handler = Collector(lines)
     root = logging.getLogger("loadbalancer")
     root.addHandler(handler)
     yield lines
