--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -62,10 +62,12 @@
         """Note that a request's client has its answer, or is owed none any more."""
         request.ended = True
         request.client = None
-        if request.flow is not None:
-            request.flow.discard()
+        # Counted before its body is discarded: where that raises, the request would count as open
+        # for good, hold a stop to its last moment, and have its id rejected as open already.
         self.open_count -= 1
         self.open_request_ids.discard(request.label)
+        if request.flow is not None:
+            request.flow.discard()
         self.forget(request)
 
     def forget(self, request: Request) -> None:
--- a/loadbalancer/upgrade/upgrade_listener.py
+++ b/loadbalancer/upgrade/upgrade_listener.py
@@ -45,8 +45,10 @@
         """Listen from now on.
 
         Where the socket can't be made, the process serves on: its successor finds none and
-        shares the port instead of taking over.
+        shares the port instead of taking over. Where it listens already, nothing changes.
         """
+        if self._upgrade_socket.listener is not None:
+            return
         try:
             listener = self._upgrade_socket.listen()
         except OSError as err:
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -265,6 +265,8 @@
     host.conclude(request.attempts[0], Outcome.RESET)
     host.leave()
     assert not host.requests
+    assert host.open_count == 0  # a stop waits for those that are open
+    assert not host.open_request_ids
 
 
 # ---- the end of requests -------------------------------------------------------
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -5,6 +5,8 @@
 import asyncio
 import logging
 import socket
+import tempfile
+from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
 from unittest import mock
@@ -18,6 +20,7 @@
 from loadbalancer.upgrade.messages import Message, Reload, RetainedCapacity, Serving, SetStandby
 from loadbalancer.upgrade.predecessor import HandingOver, Predecessor, Sole
 from loadbalancer.upgrade.successor import Sharing, Successor
+from loadbalancer.upgrade.upgrade_listener import UpgradeListener
 
 
 @pytest.fixture
@@ -197,3 +200,19 @@
     assert "the drain can't begin" in caplog.text
     assert "the link to the successor has closed; serving again" in caplog.text
     assert "exited" not in caplog.text
+
+
+def test_an_upgrade_socket_that_is_open_is_not_opened_again(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    """The drain can't begin, before the upgrade's socket is closed, and this process resumes.
+
+    The socket was opened a second time: the first one and its reader stayed for good.
+    """
+    monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
+    loop = mock.Mock()
+    listener = UpgradeListener(loop, Address("127.0.0.1", 8080), lambda: True, mock.Mock())
+    listener.open()
+    listener.open()
+    assert loop.add_reader.call_count == 1
+    listener.close()
