--- a/benchmarks/scale/accepted.py
+++ b/benchmarks/scale/accepted.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from benchmarks.scale.steps import row_checksum
-from loadbalancer.control.machine.list_form import body_of, row_of
+from loadbalancer.control.machine.list_format import body_of, row_of
 from loadbalancer.control.machine.version import position_of
 
 
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 from loadbalancer.control.long_polls import LongPolls
-from loadbalancer.control.machine.list_form import encode_plain_list
+from loadbalancer.control.machine.list_format import encode_plain_list
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Row
 from loadbalancer.core.replicated_log.change_log import ChangeLog
--- a/loadbalancer/control/machine/list_form.py
+++ b/loadbalancer/control/machine/list_format.py
@@ -32,7 +32,7 @@
 STATE_REMOVED = "left"
 
 
-class ListFormError(ProtocolError, ValueError):
+class ListFormatError(ProtocolError, ValueError):
     """An answer that is no update; the text says why."""
 
 
@@ -69,13 +69,13 @@
     """A target as a row.
 
     Raises:
-        ListFormError: it is no target.
+        ListFormatError: it is no target.
     """
     if not isinstance(target, dict):
-        raise ListFormError("a target is no object")
+        raise ListFormatError("a target is no object")
     uid = target.get("uid")
     if not isinstance(uid, str) or not uid:
-        raise ListFormError(f"{uid!r} is no uid")
+        raise ListFormatError(f"{uid!r} is no uid")
     return Row(uid, body_of(target), target.get("state") == STATE_DRAINING)
 
 
@@ -162,7 +162,7 @@
     """An answer of a control machine.
 
     Raises:
-        ListFormError: it is no answer, or its assignment names over `max_services` services.
+        ListFormatError: it is no answer, or its assignment names over `max_services` services.
     """
     try:
         raw = _object(json.loads(body))
@@ -175,10 +175,10 @@
             _text(raw.get("address", "")),
             pause if type(pause) is int and pause >= 0 else 0,
         )
-    except ListFormError:
+    except ListFormatError:
         raise
     except (ValueError, TypeError, KeyError, RecursionError) as err:
-        raise ListFormError(f"{type(err).__name__}: {err}") from None
+        raise ListFormatError(f"{type(err).__name__}: {err}") from None
 
 
 def _decode_update(raw: Mapping[str, Any]) -> Update:
@@ -200,7 +200,7 @@
         )
         start = end
     if start != len(targets):
-        raise ListFormError("targets and changes differ in number")
+        raise ListFormatError("targets and changes differ in number")
     region = _text(raw["region"])
     if raw["all"] is not True:
         base = position_of(_non_negative(raw["from"]))
@@ -217,23 +217,23 @@
     }
     releasable = frozenset(_text(service) for service in raw["releasable"])
     if len(wanted) + len(releasable) > max_services:
-        raise ListFormError(f"names over {max_services} services")
+        raise ListFormatError(f"names over {max_services} services")
     return NodeAssignment(wanted, releasable, _non_negative(raw["generation"]))
 
 
 def _object(value: Any) -> Mapping[str, Any]:
     if not isinstance(value, dict):
-        raise ListFormError("no object")
+        raise ListFormatError("no object")
     return value
 
 
 def _non_negative(value: Any) -> int:
     if type(value) is not int or value < 0:
-        raise ListFormError(f"{value!r} is no whole number")
+        raise ListFormatError(f"{value!r} is no whole number")
     return value
 
 
 def _text(value: Any) -> str:
     if not isinstance(value, str):
-        raise ListFormError(f"{value!r} is no text")
+        raise ListFormatError(f"{value!r} is no text")
     return value
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -10,8 +10,8 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.control.long_polls import LongPolls
-from loadbalancer.control.machine import list_form
-from loadbalancer.control.machine.list_form import NodeAssignment
+from loadbalancer.control.machine import list_format
+from loadbalancer.control.machine.list_format import NodeAssignment
 from loadbalancer.control.machine.nodes import NodeRegistry
 from loadbalancer.control.machine.version import position_of
 from loadbalancer.core.assignment.model import InvalidInputError, Position
@@ -198,7 +198,7 @@
             self._redirect(now, watcher, request, answer.machine)
         elif isinstance(answer, SendUpdate):
             assignment = self._nodes.changed_assignment(now, node, region, first_poll)
-            body = list_form.encode(answer.update, assignment)
+            body = list_format.encode(answer.update, assignment)
             self._reply(now, watcher, request, body, assignment)
         else:
             self._answer_without_update(now, watcher, request, answer, first_poll)
@@ -216,13 +216,13 @@
         assignment = self._nodes.changed_assignment(now, node, region, first_poll)
         if isinstance(answer, RetryAfter):
             pause = max(answer.delay_ns // MS, 1)
-            body = list_form.encode_empty(request.position, pause_ms=pause)
+            body = list_format.encode_empty(request.position, pause_ms=pause)
             self._reply(now, watcher, request, body, None, answer.delay_ns)
         elif assignment is not None:
-            body = list_form.encode_assignment(request.position, assignment)
+            body = list_format.encode_assignment(request.position, assignment)
             self._reply(now, watcher, request, body, assignment)
         elif request.deadline_ns <= now:
-            self._reply(now, watcher, request, list_form.encode_empty(request.position), None)
+            self._reply(now, watcher, request, list_format.encode_empty(request.position), None)
         else:
             self._wait(now, watcher, request, answer.until_ns)
 
@@ -289,7 +289,7 @@
     def _redirect(self, now: int, watcher: Watcher, request: PollRequest, machine: str) -> None:
         self.counts["sent elsewhere"] += 1
         address = str(self._addresses[machine])
-        body = list_form.encode_empty(request.position, elsewhere=machine, address=address)
+        body = list_format.encode_empty(request.position, elsewhere=machine, address=address)
         self._reply(now, watcher, request, body, None, REDIRECT_PAUSE_NS)
 
     def _reply(
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from loadbalancer.control.machine.file import ScaleFile
-from loadbalancer.control.machine.list_form import NodeAssignment
+from loadbalancer.control.machine.list_format import NodeAssignment
 from loadbalancer.control.machine.messages import NodeReport, Reports
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.handover import Handover
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -21,8 +21,8 @@
 from urllib.parse import quote
 
 from loadbalancer.config.address import Address, parse_address
-from loadbalancer.control.machine import list_form
-from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment, PollResponse
+from loadbalancer.control.machine import list_format
+from loadbalancer.control.machine.list_format import ListFormatError, NodeAssignment, PollResponse
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import START, InvalidInputError, Update
 from loadbalancer.core.subscription.holder import Holder
@@ -208,8 +208,8 @@
             return
         self.counts.received += _size(answer)
         try:
-            self._on_response(region, state, list_form.decode(answer.body, MAX_SERVICES))
-        except (ListFormError, InvalidInputError):
+            self._on_response(region, state, list_format.decode(answer.body, MAX_SERVICES))
+        except (ListFormatError, InvalidInputError):
             self._on_failure(region, state, "unusable answers")
 
     def _on_failure(self, region: str, state: _Region, why: str) -> None:
--- a/tests/control/machine/socketless.py
+++ b/tests/control/machine/socketless.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from loadbalancer.control.machine import list_form
+from loadbalancer.control.machine import list_format
 from loadbalancer.control.machine.file import read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.node_requests import SubscriberConnection
@@ -24,11 +24,11 @@
 
     def __init__(self, machine: ControlMachine) -> None:
         super().__init__(machine.node_requests)
-        self.answers: list[tuple[int, list_form.PollResponse | None]] = []
+        self.answers: list[tuple[int, list_format.PollResponse | None]] = []
         self.ended = False
 
     def reply(self, status: int, body: bytes) -> None:
-        answer = list_form.decode(body, 100) if status == 200 else None
+        answer = list_format.decode(body, 100) if status == 200 else None
         self.answers.append((status, answer))
 
     def abort(self) -> None:
--- a/tests/control/machine/test_generations.py
+++ b/tests/control/machine/test_generations.py
@@ -10,7 +10,7 @@
 import pytest
 
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine.list_form import NodeAssignment, PollResponse
+from loadbalancer.control.machine.list_format import NodeAssignment, PollResponse
 from loadbalancer.control.machine.subscriber import Subscriber
 from loadbalancer.core.assignment.model import START
 from loadbalancer.core.subscription.holder import Holder
--- a/tests/control/machine/test_list_form.py
+++ b/tests/control/machine/test_list_format.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.list_form import ListFormError, NodeAssignment, decode, encode
+from loadbalancer.control.machine.list_format import ListFormatError, NodeAssignment, decode, encode
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import (
     Change,
@@ -60,5 +60,5 @@
     ],
 )  # fmt: skip
 def test_invalid_answers_are_refused(raw: bytes) -> None:
-    with pytest.raises(ListFormError):
+    with pytest.raises(ListFormatError):
         decode(raw, 2)
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -17,7 +17,7 @@
 
 from benchmarks.scale.fleet import call
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine import list_form
+from loadbalancer.control.machine import list_format
 from loadbalancer.control.machine.file import ScaleFile, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.assignment.model import Row
@@ -79,7 +79,7 @@
 
 def row(uid: str, state: str = "active") -> Row:
     """A backend as the log has it."""
-    return list_form.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
+    return list_format.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
 
 
 def rows(*uids: str, state: str = "active") -> list[dict[str, Any]]:
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -21,7 +21,7 @@
 
 from loadbalancer.config.address import parse_address
 from loadbalancer.config.toml_file import parse
-from loadbalancer.control.machine import list_form as listform
+from loadbalancer.control.machine import list_format as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
