--- a/benchmarks/scale/accepted.py
+++ b/benchmarks/scale/accepted.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from benchmarks.scale.steps import row_checksum
-from loadbalancer.control.machine.list_format import body_of, row_of
+from loadbalancer.control.machine.list_format import canonical_json, row_from_target
 from loadbalancer.control.machine.version import position_of
 
 
@@ -50,7 +50,7 @@
         self.versions: dict[str, int] = {}  # of each region's log, as far as it was read
         self._services: dict[str, _Service] = {}
         for service, rows in backends.items():
-            bodies = {uid: body_of(row) for uid, row in rows.items()}
+            bodies = {uid: canonical_json(row) for uid, row in rows.items()}
             checksums = {uid: row_checksum(uid, body) for uid, body in bodies.items()}
             self._services[service] = _Service(bodies, checksums, [0], [sum(checksums.values())])
 
@@ -75,7 +75,7 @@
             service.rows.pop(uid, None)
             service.checksums.pop(uid, None)
         for body in change["rows"]:
-            row = row_of(json.loads(body))
+            row = row_from_target(json.loads(body))
             service.rows[row.uid] = row.body
             service.checksums[row.uid] = row_checksum(row.uid, row.body)
         service.revisions.append(revision)
--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 from pathlib import Path
 
-from loadbalancer.control.machine.list_format import ListFormatError, row_of
+from loadbalancer.control.machine.list_format import ListFormatError, row_from_target
 from loadbalancer.core.assignment.model import InvalidInputError, Row
 
 MAX_FILE_BYTES = 1 << 30
@@ -42,7 +42,7 @@
         raw = json.loads(line)
         service = raw["service"]
         if service in found:
-            found[service] = tuple([row_of(target) for target in raw["targets"]])
+            found[service] = tuple([row_from_target(target) for target in raw["targets"]])
     except (ValueError, TypeError, KeyError, RecursionError, ListFormatError) as err:
         right = 'write {"service": NAME, "targets": [...]}'
         raise InvalidInputError(
--- a/loadbalancer/control/machine/list_format.py
+++ b/loadbalancer/control/machine/list_format.py
@@ -60,12 +60,12 @@
 # ---- rows ---------------------------------------------------------------
 
 
-def body_of(target: Mapping[str, Any]) -> str:
+def canonical_json(target: Mapping[str, Any]) -> str:
     """A target's canonical JSON: the same text wherever it is written."""
     return json.dumps(target, separators=(",", ":"), sort_keys=True)
 
 
-def row_of(target: Any) -> Row:
+def row_from_target(target: Any) -> Row:
     """A target as a row.
 
     Raises:
@@ -76,11 +76,11 @@
     uid = target.get("uid")
     if not isinstance(uid, str) or not uid:
         raise ListFormatError(f"{uid!r} is no uid")
-    return Row(uid, body_of(target), target.get("state") == STATE_DRAINING)
+    return Row(uid, canonical_json(target), target.get("state") == STATE_DRAINING)
 
 
 def _removed_target(uid: str) -> str:
-    return body_of({"uid": uid, "state": STATE_REMOVED})
+    return canonical_json({"uid": uid, "state": STATE_REMOVED})
 
 
 # ---- encoding -----------------------------------------------------------
@@ -91,7 +91,7 @@
 ) -> bytes:
     """The platform's own answer, for a node that knows of no services."""
     targets = [row.body for row in rows]
-    targets += [body_of(removed_row(uid)) for uid in removed]
+    targets += [canonical_json(removed_row(uid)) for uid in removed]
     return _head(version, complete, targets).encode() + b"}"
 
 
@@ -192,7 +192,7 @@
             Change(
                 position_of(_non_negative(version)),
                 _text(service),
-                tuple([row_of(target) for target in targets[start:rows_end]]),
+                tuple([row_from_target(target) for target in targets[start:rows_end]]),
                 tuple([_text(target["uid"]) for target in targets[rows_end:end]]),
                 deleted is True,
                 complete is True,
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -10,7 +10,7 @@
 from http import HTTPStatus
 from typing import Any
 
-from loadbalancer.control.machine.list_format import ListFormatError, row_of
+from loadbalancer.control.machine.list_format import ListFormatError, row_from_target
 from loadbalancer.control.machine.operator_calls import Reply
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Change, Position, Row
@@ -154,7 +154,7 @@
     rows, removed = raw.get("rows", []), raw.get("removed", [])
     _check_rows(place, rows, removed)
     try:
-        decoded = tuple([row_of(row) for row in rows])
+        decoded = tuple([row_from_target(row) for row in rows])
     except ListFormatError as err:
         raise BadChangeError(f"{place}: [bad-value] {err}") from None
     return SubmittedChange(service, decoded, tuple(removed), raw.get("deleted") is True)
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -79,7 +79,7 @@
 
 def row(uid: str, state: str = "active") -> Row:
     """A backend as the log has it."""
-    return list_format.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
+    return list_format.row_from_target({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
 
 
 def rows(*uids: str, state: str = "active") -> list[dict[str, Any]]:
