--- a/benchmarks/scale/realnodes.py
+++ b/benchmarks/scale/realnodes.py
@@ -16,7 +16,7 @@
     """One real node for each bound listener of the file."""
 
     def __init__(self, file: ScaleFile, folder: Path, budget: Budget) -> None:
-        self._bound = file.bound
+        self._bound_listeners = file.bound_listeners
         self._folder = folder
         self._budget = budget
         self._stack = contextlib.ExitStack()
@@ -24,7 +24,7 @@
 
     def start(self) -> None:
         """Start all nodes."""
-        for i, bound in enumerate(self._bound):
+        for i, bound in enumerate(self._bound_listeners):
             path = write_config(self._folder / f"real-{i}.json", SETTINGS, None)
             environment = {"PROXY_CONFIG": str(path), "PROXY_DISCOVERY": str(bound.listen)}
             process = self._stack.enter_context(
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class BoundListener:
     """A listener of one machine that serves one service to a node that knows of no others."""
 
     machine: str
@@ -83,7 +83,7 @@
     machines: tuple[Machine, ...]
     nodes: tuple[NodeSpec, ...]
     services: tuple[ServiceSpec, ...]
-    bound: tuple[Bound, ...] = ()
+    bound_listeners: tuple[BoundListener, ...] = ()
     limits: Limits = field(default_factory=Limits)
     seed: int = 0
     rules: AssignmentRules = field(default_factory=AssignmentRules)
@@ -240,12 +240,12 @@
         backends = tables.integer(table, "backends", 0, 0, MAX_BACKENDS)
         return ServiceSpec(name, region, tuple(zones), tables.rate(table, "rate"), backends)
 
-    def bound(self, table: Section) -> Bound:
+    def bound(self, table: Section) -> BoundListener:
         """One [[bound]]."""
         machine, service = table.text("machine"), table.text("service")
         tables.check_known(table, "machine", self._names["machine"], machine)
         tables.check_known(table, "service", self._names["service"], service)
-        return Bound(machine, service, self._address(table, "listen"))
+        return BoundListener(machine, service, self._address(table, "listen"))
 
     def _name(self, table: Section, kind: str) -> str:
         """Its name, unique among its kind, printable and bounded."""
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -58,7 +58,7 @@
 logger = logging.getLogger(__name__)
 
 
-class BoundListener(NamedTuple):
+class _OpenBoundListener(NamedTuple):
     """A listener that serves one service to a node that knows of no others."""
 
     address: Address
@@ -99,7 +99,7 @@
             file.limits.subscribers,
         )
         self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
-        self.bound = self._bound_listeners()
+        self.bound_listeners = self._bound_listeners()
         self.streams = self._peer_streams()
         services = [name for name, home in self.nodes.regions.items() if home == spec.region]
         self._loader = LogLoader(
@@ -109,15 +109,15 @@
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _bound_listeners(self) -> list[BoundListener]:
+    def _bound_listeners(self) -> list[_OpenBoundListener]:
         return [
-            BoundListener(
+            _OpenBoundListener(
                 one.listen,
                 BoundList(
                     self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
                 ),
             )
-            for one in self.file.bound
+            for one in self.file.bound_listeners
             if one.machine == self.machine.spec.name
         ]
 
@@ -159,7 +159,7 @@
             ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
-        for one in self.bound:
+        for one in self.bound_listeners:
             yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
@@ -251,7 +251,7 @@
 
     def _update_bound(self, region: str, service: str) -> None:
         """Notify bound listeners of a change of a region's service, "" for all of its services."""
-        for _, bound in self.bound:
+        for _, bound in self.bound_listeners:
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
 
--- a/tests/control/machine/test_bound_list.py
+++ b/tests/control/machine/test_bound_list.py
@@ -16,7 +16,7 @@
     server = listen()
     row = target("c1", server.getsockname()[1])
     region.change({"service": "cart", "rows": [row]}, {"service": "pay", "rows": rows("p9")})
-    port = region.file.bound[0].listen.port
+    port = region.file.bound_listeners[0].listen.port
     environ = config(tmp_path, {"rev": 0, "all": True, "targets": []}, port)
     with started(environ | {"PROXY_DISCOVERY": f"127.0.0.1:{port}"}) as node:
         until(node.ready)
@@ -36,7 +36,7 @@
 def test_a_bound_list_sends_changes_and_refuses_a_node_that_is_ahead(region: Machines) -> None:
     (answer,) = region.change({"service": "cart", "rows": rows("c5")})
     since = answer["version"]
-    address = region.file.bound[0].listen
+    address = region.file.bound_listeners[0].listen
     until(lambda: region.status("east-a")["logs"]["east"]["version"] >= since)
     region.change({"service": "cart", "rows": rows("c6"), "removed": ["c5"]})
     path = f"/registry/instances?from={since}&hold_ms=5000"
--- a/tests/control/machine/test_file.py
+++ b/tests/control/machine/test_file.py
@@ -26,7 +26,7 @@
 def test_the_example_is_good() -> None:
     found = read_scale(str(ROOT / "deploy" / "scale.toml"))
     assert [machine.spec.name for machine in found.machines] == ["east-a", "east-b", "east-c"]
-    assert found.bound[0].service == "checkout"
+    assert found.bound_listeners[0].service == "checkout"
     assert run_command(["check", str(ROOT / "deploy" / "scale.toml")]) == 0
 
 
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -24,7 +24,7 @@
 from loadbalancer.control.machine import list_format as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
 from loadbalancer.control.machine.backends import read_backends
-from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
+from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.messages import NodeReport, PresenceRequest, Reports, codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
@@ -85,7 +85,7 @@
     "machine-spec": (MachineSpec, "name region zone"),
     "node-spec": (NodeSpec, "name region zone capacity rate"),
     "service-spec": (ServiceSpec, "name region zones rate backends"),
-    "bound": (Bound, "machine service"),
+    "bound": (BoundListener, "machine service"),
     "limits": (Limits, "subscribers change_bytes backlog snapshot_rate"),
 }
 MESSAGES: dict[str, tuple[Any, str]] = {
@@ -488,7 +488,9 @@
         ],
         "nodes": [_plain("node-spec", one) for one in file.nodes],
         "services": [_plain("service-spec", one) for one in file.services],
-        "bound": [_plain("bound", one) | {"listen": str(one.listen)} for one in file.bound],
+        "bound": [
+            _plain("bound", one) | {"listen": str(one.listen)} for one in file.bound_listeners
+        ],
         "limits": _plain("limits", file.limits),
         "seed": file.seed,
         "assignment": {
