--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -23,7 +23,7 @@
 from loadbalancer.control.machine.file import Machine, ScaleFile
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.log_loader import LogLoader
-from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
+from loadbalancer.control.machine.messages import NodeReports, PresenceRequest, codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import (
@@ -214,7 +214,7 @@
                 self.streams.send(sender, PresenceRequest())
         elif isinstance(message, PresenceRequest):
             self._on_connected(sender)
-        elif isinstance(message, Reports):
+        elif isinstance(message, NodeReports):
             self.nodes.on_reports(message.reports)
         elif isinstance(message, ReleaseGrant):
             self.releases.on_grant(now, sender, message)
--- a/loadbalancer/control/machine/messages.py
+++ b/loadbalancer/control/machine/messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reports:
+class NodeReports:
     """Reports of some nodes."""
 
     reports: tuple[NodeReport, ...]
@@ -34,7 +34,7 @@
 
 # The order is part of the wire format: a message begins with its type's number here.
 MESSAGE_TYPES: tuple[type, ...] = (
-    Hello, PresenceUpdate, PresenceRequest, Reports, *typing.get_args(Message), ReleaseGrant,
+    Hello, PresenceUpdate, PresenceRequest, NodeReports, *typing.get_args(Message), ReleaseGrant,
 )  # fmt: skip
 
 
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.control.machine.file import ScaleFile
 from loadbalancer.control.machine.list_format import NodeAssignment
-from loadbalancer.control.machine.messages import NodeReport, Reports
+from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.handover import Handover
 from loadbalancer.core.assignment.liveness import Liveness, LivenessRules
@@ -289,4 +289,4 @@
 def _send_reports(send: Send, reports: Mapping[str, tuple[str, ...]]) -> None:
     rows = iter([NodeReport(node, serving) for node, serving in reports.items()])
     while batch := tuple(islice(rows, REPORTS_PER_MESSAGE)):
-        send(Reports(batch))
+        send(NodeReports(batch))
--- a/tests/control/machine/test_codec.py
+++ b/tests/control/machine/test_codec.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.control.machine.codec import BadMessageError
-from loadbalancer.control.machine.messages import NodeReport, Reports, codec
+from loadbalancer.control.machine.messages import NodeReport, NodeReports, codec
 from loadbalancer.core.assignment.model import Change, Position
 from loadbalancer.core.assignment.presence import PresenceUpdate
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
@@ -23,7 +23,7 @@
         Fetch("west", AT, 1),
         Fetch("west", AT, 1, snapshot=LATER),
         PresenceUpdate(1, False, ("n1",), ("n2",)),
-        Reports((NodeReport("n1", ("cart", "pay")),)),
+        NodeReports((NodeReport("n1", ("cart", "pay")),)),
         ReleaseGrant("east", 3, (NodeRelease("n1", ("cart", "pay")),)),
     ):
         assert form.decode(form.encode(message)) == message
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.control.machine.file import read_scale
-from loadbalancer.control.machine.messages import NodeReport, Reports
+from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.core.assignment.presence import Presence
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseAuthority, ReleaseGrant
@@ -146,11 +146,11 @@
     sent: list[object] = []
 
     def reports() -> list[object]:
-        found = [message for message in sent if isinstance(message, Reports)]
+        found = [message for message in sent if isinstance(message, NodeReports)]
         sent.clear()
         return list(found)
 
-    report = Reports((NodeReport("n1", ("cart",)),))
+    report = NodeReports((NodeReport("n1", ("cart",)),))
     nodes.on_poll(0, "n1")
     for expected in ([report], []):
         nodes.on_report("n1", ("cart",), 0)
@@ -188,12 +188,12 @@
     sent.clear()
     nodes.send_changes(sent.append)
     # Again to all: a machine that connected meanwhile, or took the node for dead, lacks it.
-    again = [message for message in sent if isinstance(message, Reports)]
-    assert again == ([] if is_dead else [Reports((NodeReport("n1", ("cart",)),))])
+    again = [message for message in sent if isinstance(message, NodeReports)]
+    assert again == ([] if is_dead else [NodeReports((NodeReport("n1", ("cart",)),))])
     sent.clear()
     nodes.send_full_state(sent.append)
-    reports = [message for message in sent if isinstance(message, Reports)]
-    assert reports == ([] if is_dead else [Reports((NodeReport("n1", ("cart",)),))])
+    reports = [message for message in sent if isinstance(message, NodeReports)]
+    assert reports == ([] if is_dead else [NodeReports((NodeReport("n1", ("cart",)),))])
 
 
 def test_a_report_that_a_late_node_makes_again_is_sent_again(tmp_path: Path) -> None:
@@ -206,6 +206,6 @@
         nodes.on_poll(second * SECOND, "n1")
         nodes.on_report("n1", ("cart",), 0)
         nodes.send_changes(sent.append)
-        assert Reports((NodeReport("n1", ("cart",)),)) in sent
+        assert NodeReports((NodeReport("n1", ("cart",)),)) in sent
         nodes.on_response(second * SECOND, "n1")
         nodes.on_time((second + 5) * SECOND)
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.messages import NodeReport, Reports
+from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.balancing.model import SECOND
 from tests.control.machine.socketless import Connection, Rig, in_loop
@@ -115,6 +115,6 @@
         connection.poll(rig.log.position)
         sent: list[object] = []
         nodes.send_full_state(sent.append)
-        assert Reports((NodeReport("n1", ("cart",)),)) in sent
+        assert NodeReports((NodeReport("n1", ("cart",)),)) in sent
 
     in_loop(tmp_path, play)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -26,7 +26,7 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
-from loadbalancer.control.machine.messages import NodeReport, PresenceRequest, Reports, codec
+from loadbalancer.control.machine.messages import NodeReport, NodeReports, PresenceRequest, codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
 from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
@@ -92,7 +92,7 @@
     "hello": (Hello, "machine fleet"),
     "presence-update": (PresenceUpdate, "serial whole=complete came=joined left=departed"),
     "presence-wanted": (PresenceRequest, ""),
-    "reports": (Reports, "reports:node-report*"),
+    "reports": (NodeReports, "reports:node-report*"),
     "vote-request": (
         RequestVote,
         "region epoch=term history:position last=last_log:position trial=pre_vote reload transfer",
