--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -23,7 +23,7 @@
 from loadbalancer.control.machine.file import Machine, ScaleFile
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.log_loader import LogLoader
-from loadbalancer.control.machine.messages import NodeReports, PresenceRequest, codec
+from loadbalancer.control.machine.messages import NodeReports, PresenceRequest, message_codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import (
@@ -126,7 +126,7 @@
         return PeerStreams(
             Hello(spec.name, fleet_digest(self.file)),
             {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
-            codec(),
+            message_codec(),
             self.file.limits.backlog,
             self._on_message,
             self._on_connected,
--- a/loadbalancer/control/machine/messages.py
+++ b/loadbalancer/control/machine/messages.py
@@ -38,6 +38,6 @@
 )  # fmt: skip
 
 
-def codec() -> Codec:
+def message_codec() -> Codec:
     """The codec of a stream between control machines."""
     return Codec(MESSAGE_TYPES)
--- a/simulation/digest.py
+++ b/simulation/digest.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from loadbalancer.control.machine.codec import Codec
-from loadbalancer.control.machine.messages import codec as machine_codec
+from loadbalancer.control.machine.messages import message_codec
 from loadbalancer.core.gossip.messages import Message
 from loadbalancer.gossip_transport import codec
 
@@ -62,7 +62,7 @@
 
 @cache
 def _machine_codec() -> Codec:
-    return machine_codec()
+    return message_codec()
 
 
 def machine_bytes(message: object) -> bytes:
--- a/tests/control/machine/test_codec.py
+++ b/tests/control/machine/test_codec.py
@@ -5,7 +5,7 @@
 import pytest
 
 from loadbalancer.control.machine.codec import BadMessageError
-from loadbalancer.control.machine.messages import NodeReport, NodeReports, codec
+from loadbalancer.control.machine.messages import NodeReport, NodeReports, message_codec
 from loadbalancer.core.assignment.model import Change, Position
 from loadbalancer.core.assignment.presence import PresenceUpdate
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
@@ -16,7 +16,7 @@
 
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
-    form = codec()
+    form = message_codec()
     change = Change(AT, "cart", (row("a"),), ("b",))
     for message in (
         AppendEntries("east", 3, AT, AT, (change,), 7),
@@ -35,12 +35,12 @@
 )
 def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
     with pytest.raises(BadMessageError):
-        codec().decode(data)
+        message_codec().decode(data)
 
 
 def test_a_field_of_another_type_is_refused() -> None:
     """A peer of another release, or a broken one, sends a field of another type."""
-    form = codec()
+    form = message_codec()
     good = form.encode(PresenceUpdate(1, False, ("n1",)))
     for old, new in ((b"\xc2", b"\x01"), (b"\xa2n1", b"\x01"), (b"\x01\xc2", b"\xa1x\xc2")):
         with pytest.raises(BadMessageError):
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -15,7 +15,7 @@
 from loadbalancer.control.machine import log_loader, stream
 from loadbalancer.control.machine.bound_list import BoundList
 from loadbalancer.control.machine.machine import _every
-from loadbalancer.control.machine.messages import codec
+from loadbalancer.control.machine.messages import message_codec
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.core.assignment.model import Change, Position
 from loadbalancer.core.assignment.presence import Presence
@@ -62,7 +62,7 @@
 
     async def play() -> None:
         server = PeerStreams(
-            Hello("east-b", "f"), {"east-a": Address("127.0.0.1", 9)}, codec(), 1 << 20,
+            Hello("east-b", "f"), {"east-a": Address("127.0.0.1", 9)}, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
         )  # fmt: skip
         server._others = {}  # it dials none
@@ -70,7 +70,7 @@
         server._others = {"east-a": Address("127.0.0.1", 9)}
         on_connected = mock.Mock() if is_hello else failing_first()
         client = PeerStreams(
-            Hello("east-a", "f"), {"east-b": Address("127.0.0.1", port)}, codec(), 1 << 20,
+            Hello("east-a", "f"), {"east-b": Address("127.0.0.1", port)}, message_codec(), 1 << 20,
             lambda *_: None, on_connected,
         )  # fmt: skip
         if is_hello:
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -11,7 +11,7 @@
 import pytest
 
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine.messages import codec
+from loadbalancer.control.machine.messages import message_codec
 from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from tests.control_machines import Machines
@@ -51,7 +51,7 @@
         self._protocol.connection_made(self.transport)
 
     def receive(self, message: Any) -> None:
-        data = codec().encode(message)
+        data = message_codec().encode(message)
         self._protocol.data_received(struct.pack(">I", len(data)) + data)
 
     def lose(self) -> None:
@@ -71,7 +71,7 @@
     async def play() -> None:
         others = {name: Address("127.0.0.1", 9) for name in ("east-b", "east-c")}
         streams = PeerStreams(
-            Hello("east-a", "f"), others, codec(), 1 << 20,
+            Hello("east-a", "f"), others, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
         )  # fmt: skip
         earlier, newer = Stream(streams), Stream(streams)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -26,7 +26,12 @@
 from loadbalancer.control.machine.backends import read_backends
 from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale
 from loadbalancer.control.machine.machine import ControlMachine
-from loadbalancer.control.machine.messages import NodeReport, NodeReports, PresenceRequest, codec
+from loadbalancer.control.machine.messages import (
+    NodeReport,
+    NodeReports,
+    PresenceRequest,
+    message_codec,
+)
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
 from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
@@ -197,14 +202,14 @@
 def encode(kind: str, plain: Any) -> bytes:
     """The bytes that the code writes for these values."""
     if kind in MESSAGES:
-        return codec().encode(_built(kind, plain))
+        return message_codec().encode(_built(kind, plain))
     return WRITERS[kind](plain)
 
 
 def decode(kind: str, data: bytes) -> Any:
     """The values that the code reads from these bytes; one of REFUSED where it takes none."""
     if kind in MESSAGES:
-        message = codec().decode(data)
+        message = message_codec().decode(data)
         assert type(message) is MESSAGES[kind][0]
         return _plain(kind, message)
     return READERS[kind](data)
@@ -220,7 +225,7 @@
         is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=sent.append
     )
     hello = _built("hello", plain["hello"])
-    streams = PeerStreams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
+    streams = PeerStreams(hello, {}, message_codec(), 1 << 20, lambda *_: None, lambda _: None)
     streams._outgoing["other"] = transport  # type: ignore[assignment]
     streams.send("other", hello)
     for message in plain["messages"]:
@@ -242,7 +247,9 @@
         return True
 
     async def read() -> None:
-        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, on_message, lambda _: None)
+        streams = PeerStreams(
+            Hello("", ""), {}, message_codec(), 1 << 20, on_message, lambda _: None
+        )
         with mock.patch.object(streams, "accepts", accepts):
             incoming = _Incoming(streams)
             incoming.connection_made(mock.Mock())
