--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -54,7 +54,7 @@
         self.on_message = on_message
         self.counts: Counter[str] = Counter()
         self.incoming: set[asyncio.Transport] = set()
-        self._incoming_from: dict[str, _Incoming] = {}  # the newest one, by machine
+        self._incoming_from: dict[str, _IncomingStream] = {}  # the newest one, by machine
         self._others = dict(others)
         self._backlog_bytes = backlog_bytes
         self._on_connected = on_connected
@@ -69,7 +69,9 @@
             OSError: the address can't be listened on.
         """
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Incoming(self), listen.host, listen.port)
+        self._server = await loop.create_server(
+            lambda: _IncomingStream(self), listen.host, listen.port
+        )
         self._dials = [loop.create_task(self._dial(*other)) for other in self._others.items()]
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -86,7 +88,7 @@
         """Whether a first frame is of another machine of the same fleet."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
-    def on_hello(self, machine: str, stream: _Incoming) -> None:
+    def on_hello(self, machine: str, stream: _IncomingStream) -> None:
         """A machine has dialled: end its earlier stream, if that has not ended yet.
 
         Guards against frames of an earlier connection, or of the machine's earlier process, that
@@ -101,7 +103,7 @@
         if earlier is not None:
             earlier.abort("replaced")
 
-    def on_lost(self, machine: str, stream: _Incoming) -> None:
+    def on_lost(self, machine: str, stream: _IncomingStream) -> None:
         """A stream that `machine` had dialled has ended."""
         if self._incoming_from.get(machine) is stream:
             del self._incoming_from[machine]
@@ -146,7 +148,7 @@
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[None] = loop.create_future()
         transport, _ = await loop.create_connection(
-            lambda: _Outgoing(ended), address.host, address.port
+            lambda: _OutgoingStream(ended), address.host, address.port
         )
         self._outgoing[machine] = transport
         try:
@@ -160,7 +162,7 @@
             transport.abort()
 
 
-class _Outgoing(asyncio.Protocol):
+class _OutgoingStream(asyncio.Protocol):
     """A stream that this machine has dialled: it only sends."""
 
     def __init__(self, ended: asyncio.Future[None]) -> None:
@@ -173,7 +175,7 @@
             self._ended.set_result(None)
 
 
-class _Incoming(asyncio.Protocol):
+class _IncomingStream(asyncio.Protocol):
     """A stream that another machine has dialled: it is only received from."""
 
     def __init__(self, streams: PeerStreams) -> None:
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -58,7 +58,7 @@
     max_retry_s: float = 2.0
 
 
-class _Report(NamedTuple):
+class _ServingReport(NamedTuple):
     """What a node tells a machine that it serves, as of a generation of that machine."""
 
     generation: int
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class _Region:
+class _RegionPolls:
     """The polls of one region's log."""
 
     machine: int  # index of the one that is polled
@@ -78,7 +78,7 @@
     first_poll: bool = True  # the machine has sent nothing yet: it can't know what is held
     snapshot: bool = False  # the last update did not follow what is held: poll for a snapshot
     generation: int = 0  # of the last assignment from the machine that is polled
-    reported: _Report | None = None  # the last report to that machine
+    reported: _ServingReport | None = None  # the last report to that machine
 
 
 @dataclass(slots=True)
@@ -114,7 +114,7 @@
         self._on_released = on_released
         self._random = Random(seed)
         self._timing = timing or PollTiming()
-        self._regions = {region: _Region(0) for region in regions}
+        self._regions = {region: _RegionPolls(0) for region in regions}
 
     def start(self) -> None:
         """Poll now."""
@@ -153,7 +153,7 @@
             connect_timeout_s=timing.connect_s,
         )
 
-    def _target(self, region: str, state: _Region) -> str:
+    def _target(self, region: str, state: _RegionPolls) -> str:
         """The request target: path and query."""
         position = START if state.snapshot else self.holder.position(region)
         parts = [
@@ -166,7 +166,7 @@
         behind = current != self.holder.subscription(region)
         if (state.first_poll or behind) and position != START:
             parts.append(f"held={_names(current) or ','}")
-        report = _Report(self._generation(state), _names(self.holder.serving()))
+        report = _ServingReport(self._generation(state), _names(self.holder.serving()))
         if state.reported != report:
             state.reported = report
             parts.append(f"serving={report.serving}&generation={report.generation}")
@@ -174,16 +174,16 @@
             parts.append("redirected=1")  # asks not to be redirected
         return "&".join(parts)
 
-    def _address(self, state: _Region) -> Address:
+    def _address(self, state: _RegionPolls) -> Address:
         """The machine that a region's log is polled at."""
         return state.redirect or self._machines[state.machine]
 
-    def _at_same_machine(self, state: _Region) -> list[_Region]:
+    def _at_same_machine(self, state: _RegionPolls) -> list[_RegionPolls]:
         """The regions whose logs are polled at the same machine as this one's, itself included."""
         address = self._address(state)
         return [other for other in self._regions.values() if self._address(other) == address]
 
-    def _generation(self, state: _Region) -> int:
+    def _generation(self, state: _RegionPolls) -> int:
         """The generation of the last assignment from the machine that is polled, 0 for none.
 
         Machines number their generations each for itself. Guards against a report that one counts
@@ -212,7 +212,7 @@
         except (ListFormatError, InvalidInputError):
             self._on_failure(region, state, "unusable answers")
 
-    def _on_failure(self, region: str, state: _Region, why: str) -> None:
+    def _on_failure(self, region: str, state: _RegionPolls, why: str) -> None:
         """Poll the next machine, which knows nothing of what is held here.
 
         It may not know yet that this one is lost, and would redirect the node back: for a while the
@@ -228,7 +228,7 @@
         state.failures += 1
         self._poll_later(region, pause * self._random.uniform(*RETRY_JITTER))
 
-    def _on_response(self, region: str, state: _Region, response: PollResponse) -> None:
+    def _on_response(self, region: str, state: _RegionPolls, response: PollResponse) -> None:
         state.failures = 0
         if response.redirect_address:
             self._move(region, state, parse_address(response.redirect_address))
@@ -247,7 +247,7 @@
             pause *= self._random.uniform(*PAUSE_JITTER)
         self._poll_later(region, pause)
 
-    def _move(self, region: str, state: _Region, address: Address) -> None:
+    def _move(self, region: str, state: _RegionPolls, address: Address) -> None:
         """Poll another machine; one redirect that follows another costs a pause.
 
         Otherwise two machines that each take the other for the right one would be polled in a loop
@@ -262,11 +262,11 @@
         self._forget_machine(state)
         self._poll_later(region, self._timing.retry_s if again else 0.0)
 
-    def _forget_machine(self, state: _Region) -> None:
+    def _forget_machine(self, state: _RegionPolls) -> None:
         """Another machine is polled from now on, or the same one anew."""
         state.first_poll, state.reported, state.generation = True, None, 0
 
-    def _on_assignment(self, state: _Region, assignment: NodeAssignment) -> None:
+    def _on_assignment(self, state: _RegionPolls, assignment: NodeAssignment) -> None:
         if assignment.generation < state.generation:
             # One region's answers come in order: the machine has restarted and numbers anew.
             for other in self._at_same_machine(state):
@@ -283,7 +283,7 @@
         if exceeding:
             self.counts.events["services over the bound"] += len(exceeding)
 
-    def _apply(self, region: str, state: _Region, update: Update) -> None:
+    def _apply(self, region: str, state: _RegionPolls, update: Update) -> None:
         if update.region != region:
             raise InvalidInputError(
                 f"update: region {update.region!r} where {region!r} was asked for"
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine.messages import message_codec
-from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _IncomingStream
 from loadbalancer.core.assignment.release import NodeRelease, ReleaseGrant
 from tests.control_machines import Machines
 from tests.harness import until
@@ -47,7 +47,7 @@
 
     def __init__(self, streams: PeerStreams) -> None:
         self.transport: Any = mock.Mock()
-        self._protocol = _Incoming(streams)
+        self._protocol = _IncomingStream(streams)
         self._protocol.connection_made(self.transport)
 
     def receive(self, message: Any) -> None:
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -34,8 +34,13 @@
 )
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
-from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
-from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region, _Report
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _IncomingStream
+from loadbalancer.control.machine.subscriber import (
+    PollTiming,
+    Subscriber,
+    _RegionPolls,
+    _ServingReport,
+)
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encoder import Encoder, stub_cluster
 from loadbalancer.control.xds.wire import ResponseEncoder, decode_delta_request, decode_request
@@ -251,7 +256,7 @@
             Hello("", ""), {}, message_codec(), 1 << 20, on_message, lambda _: None
         )
         with mock.patch.object(streams, "accepts", accepts):
-            incoming = _Incoming(streams)
+            incoming = _IncomingStream(streams)
             incoming.connection_made(mock.Mock())
             for at in range(0, len(data), 7):  # frames come in pieces
                 incoming.data_received(data[at : at + 7])
@@ -354,11 +359,11 @@
     timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
     machines = [parse_address(POLLED_ADDRESS)]
     asker = Subscriber(holder, [plain["region"]], machines, lambda *_: None, 1, timing)
-    state = _Region(0, first_poll=plain["held"] is not None, generation=plain["generation"])
+    state = _RegionPolls(0, first_poll=plain["held"] is not None, generation=plain["generation"])
     asker._regions[plain["region"]] = state
     state.stay_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
-        state.reported = _Report(plain["generation"], "")
+        state.reported = _ServingReport(plain["generation"], "")
     target = asker._target(plain["region"], state)
 
     async def head() -> str:
