--- a/benchmarks/scale/cluster.py
+++ b/benchmarks/scale/cluster.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.ports import first_of_free_ports
 from benchmarks.scale.realnodes import RealNodes
 from benchmarks.scale.world import REGIONS, BoundListener, World
-from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.file import read_scale_file
 
 PORTS = 40  # that one run uses, in a row
 CONTROL_PORTS = 18  # of them: three for each of the six control machines
@@ -42,7 +42,7 @@
         self.budget = Budget(int(options.memory_gb * GB), options.processes)
         self.world = World(options.sizes, options.seed, options.every)
         path = self._write_files(options)
-        self._file = read_scale(str(path))
+        self._file = read_scale_file(str(path))
         self.controls = controls_of(self._file, path, folder, self.budget)
         regions = {service.name: service.region for service in self.world.services}
         self.accepted = AcceptedServices(self.world.backends, regions)
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -102,7 +102,7 @@
         raise ScaleFileError(f"--machine: [unknown-machine] no {name!r}; nearest is {near[0]!r}")
 
 
-def read_scale(path: str) -> ScaleFile:
+def read_scale_file(path: str) -> ScaleFile:
     """Read and decode a control file.
 
     Raises:
--- a/loadbalancer/control/machine/process.py
+++ b/loadbalancer/control/machine/process.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from loadbalancer import logs
-from loadbalancer.control.machine.file import ScaleFile, ScaleFileError, read_scale
+from loadbalancer.control.machine.file import ScaleFile, ScaleFileError, read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.assignment.model import InvalidInputError
 
@@ -39,7 +39,7 @@
     """Run the machine; 0 after a stop, 2 where the file or an address can't be used."""
     logs.configure(f"loadbalancer scale {name}", logs.SERVICE_LINES_PER_SECOND)
     try:
-        uvloop.run(serve(read_scale(path), name))
+        uvloop.run(serve(read_scale_file(path), name))
     except (ScaleFileError, InvalidInputError) as err:
         print(err, file=sys.stderr)
         return EXIT_UNUSABLE
--- a/tests/control/machine/socketless.py
+++ b/tests/control/machine/socketless.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from loadbalancer.control.machine import list_format
-from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.file import read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.node_requests import SubscriberConnection
 from loadbalancer.control.machine.version import version_of
@@ -46,7 +46,7 @@
     """One machine without sockets, with a log of two services."""
 
     def __init__(self, folder: Path) -> None:
-        file = read_scale(str(write_file(folder)))
+        file = read_scale_file(str(write_file(folder)))
         self.machine = ControlMachine(file, file.machine("east-a"), TIMING)
         self.log = self.machine.logs["east"]
         self.change("cart")
--- a/tests/control/machine/test_file.py
+++ b/tests/control/machine/test_file.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.cli.commands import main as run_command
-from loadbalancer.control.machine.file import ScaleFileError, read_scale
+from loadbalancer.control.machine.file import ScaleFileError, read_scale_file
 from tests.harness import ROOT
 
 GOOD = (ROOT / "deploy" / "scale.toml").read_text()
@@ -19,12 +19,12 @@
     path = tmp_path / "scale.toml"
     path.write_text(text)
     with pytest.raises(ScaleFileError) as caught:
-        read_scale(str(path))
+        read_scale_file(str(path))
     return [line.removeprefix(f"{path}:") for line in str(caught.value).splitlines()]
 
 
 def test_the_example_is_good() -> None:
-    found = read_scale(str(ROOT / "deploy" / "scale.toml"))
+    found = read_scale_file(str(ROOT / "deploy" / "scale.toml"))
     assert [machine.spec.name for machine in found.machines] == ["east-a", "east-b", "east-c"]
     assert found.bound_listeners[0].service == "checkout"
     assert run_command(["check", str(ROOT / "deploy" / "scale.toml")]) == 0
@@ -76,7 +76,7 @@
     good = '{"name": "n3", "region": "east", "zone": "east-1", "capacity": 4}\n'
     (tmp_path / "nodes.jsonl").write_text(good)
     (tmp_path / "scale.toml").write_text(wide)
-    assert [node.name for node in read_scale(str(tmp_path / "scale.toml")).nodes] == [
+    assert [node.name for node in read_scale_file(str(tmp_path / "scale.toml")).nodes] == [
         "n1", "n2", "n3",
     ]  # fmt: skip
     bad = good + good + '{"name": "n4", "region": "east", "zone": "west-1"}\n[1]\n'
@@ -95,4 +95,4 @@
 
 def test_a_machine_that_the_file_lacks() -> None:
     with pytest.raises(ScaleFileError, match=r"^--machine: \[unknown-machine\] no 'est-b'; "):
-        read_scale(str(ROOT / "deploy" / "scale.toml")).machine("est-b")
+        read_scale_file(str(ROOT / "deploy" / "scale.toml")).machine("est-b")
--- a/tests/control/machine/test_fleet_digest.py
+++ b/tests/control/machine/test_fleet_digest.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.file import read_scale_file
 from loadbalancer.control.machine.fleet_digest import RULES_FIELDS, fleet_digest
 from loadbalancer.core.assignment.model import NodeSpec
 from loadbalancer.core.assignment.rules import AssignmentRules
@@ -21,7 +21,7 @@
     """Machines are upgraded one by one. If the digest of the same file changed with a release,
     the upgraded machines would refuse the others' streams, and a region could lose its majority.
     """
-    assert fleet_digest(read_scale(str(write_file(tmp_path)))) == FIRST_RELEASE
+    assert fleet_digest(read_scale_file(str(write_file(tmp_path)))) == FIRST_RELEASE
 
 
 def test_every_field_of_the_rules_is_digested() -> None:
@@ -44,5 +44,5 @@
 def test_files_that_differ_have_different_digests(
     tmp_path: Path, difference: dict[str, Any]
 ) -> None:
-    file = read_scale(str(write_file(tmp_path)))
+    file = read_scale_file(str(write_file(tmp_path)))
     assert fleet_digest(replace(file, **difference)) != fleet_digest(file)
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.file import read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.messages import PresenceRequest
 from loadbalancer.core.assignment.presence import PresenceUpdate
@@ -62,7 +62,7 @@
     """An update of another machine was lost with its stream. Without a complete one, nodes that
     came or went with it would be counted wrongly until that machine's end.
     """
-    file = read_scale(str(write_file(tmp_path)))
+    file = read_scale_file(str(write_file(tmp_path)))
     machine = ControlMachine(file, file.machine("east-a"), TIMING)
     sent: list[tuple[str, Any]] = []
     machine.streams.send = lambda *message: sent.append(message)  # type: ignore[method-assign]
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.file import read_scale
+from loadbalancer.control.machine.file import read_scale_file
 from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.core.assignment.presence import Presence
@@ -19,7 +19,7 @@
     """Two nodes die a second apart. An assignment for each would move the first one's services
     twice.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     east = Presence(("n1", "n2"))
     east.on_present("n1")
     east.on_present("n2")
@@ -42,7 +42,7 @@
     """A machine is stopped for 20 seconds, and later hears no other machine. It received no sign
     of life meanwhile; if it took that for deaths, it would move every service.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     both = ("n1", "n2")
     others = [Presence(both), Presence(both)]
     others[0].on_present("n1")
@@ -75,7 +75,7 @@
 
 def test_nodes_have_time_for_their_first_poll_and_none_after(tmp_path: Path) -> None:
     """A control machine has started. One node polls once and stops, another never polls."""
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
 
     def turn(second: int) -> None:
         for name in ("east-b", "east-c"):
@@ -97,7 +97,7 @@
 
 def test_assignments_change_when_a_grant_comes_and_when_it_ends(tmp_path: Path) -> None:
     """Waiting nodes must hear of a permission to release, and that it ended."""
-    file = read_scale(str(write_file(tmp_path)))
+    file = read_scale_file(str(write_file(tmp_path)))
     specs = [one.spec for one in file.machines]
     releases = ReleaseAuthority(0, specs[0], specs, {"cart": "east"}, RELEASE_RULES)
     nodes = NodeRegistry(file, 0, releases)
@@ -120,7 +120,7 @@
     generation of the machine's earlier process, which is above all of this one: it knew nothing of
     what this one takes back, and yet counted as the newest.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     nodes.on_report("n1", ("cart",), nodes.handover.generation)
     nodes.on_report("n1", (), nodes.handover.generation)  # released
     nodes.on_report("n1", ("cart",), nodes.handover.generation + ahead)
@@ -133,7 +133,7 @@
     """Machines of two versions of the file are connected for a while. A report that one can't use
     must not end the stream, nor keep it from those that follow.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     nodes.on_reports([NodeReport("nobody", ("cart",)), NodeReport("n1", ("cart", "unheard-of"))])
     assert nodes.handover._serving == {"cart": {"n1"}}
 
@@ -142,7 +142,7 @@
     """A node reports twice the same, and then polls elsewhere. A machine that connects later must
     not be sent its report: it may be older than the one made to the other machine.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     sent: list[object] = []
 
     def reports() -> list[object]:
@@ -172,7 +172,7 @@
     machine that connected later was not sent the report: it took the node to serve nothing, and
     let no earlier holder release services to it. What a dead node reported holds no longer.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     sent: list[object] = []
     nodes.on_poll(0, "n1")
     nodes.on_report("n1", ("cart",), 0)
@@ -200,7 +200,7 @@
     """A node reports here, then another report elsewhere, and here the first one again: the other
     machines have the second one, and must be sent the first anew.
     """
-    nodes = NodeRegistry(read_scale(str(write_file(tmp_path))), 0)
+    nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     for second in (0, 10):
         sent: list[object] = []
         nodes.on_poll(second * SECOND, "n1")
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.fleet import call
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine import list_format
-from loadbalancer.control.machine.file import ScaleFile, read_scale
+from loadbalancer.control.machine.file import ScaleFile, read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.assignment.model import Row
 from loadbalancer.core.balancing.model import MS
@@ -212,7 +212,7 @@
     begin again at other ports.
     """
     for _ in range(START_ATTEMPTS):
-        machines = Machines(read_scale(str(write_file(folder, top))))
+        machines = Machines(read_scale_file(str(write_file(folder, top))))
         try:
             for name in NAMES:
                 machines.start(name)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -24,7 +24,7 @@
 from loadbalancer.control.machine import list_format as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
 from loadbalancer.control.machine.backends import read_backends
-from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale
+from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.control.machine.messages import (
     NodeReport,
@@ -482,7 +482,7 @@
         (Path(folder) / "lines.jsonl").write_bytes(data)
         path = Path(folder) / "scale.toml"
         path.write_text(CONTROL_FILE.format(key=key))
-        rows = getattr(read_scale(str(path)), attribute)
+        rows = getattr(read_scale_file(str(path)), attribute)
     return [_plain(record, row) for row in rows]
 
 
@@ -490,7 +490,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "scale.toml"
         path.write_bytes(data)
-        file = read_scale(str(path))
+        file = read_scale_file(str(path))
     return {
         "regions": {name: list(zones) for name, zones in file.regions.items()},
         "machines": [
