--- a/benchmarks/scale/hollow/host.py
+++ b/benchmarks/scale/hollow/host.py
@@ -50,8 +50,8 @@
             node = self._nodes.pop(name, None)
             if node is not None:
                 node.close()
-                self._sent += node.subscriber.counts.sent
-                self._received += node.subscriber.counts.received
+                self._sent += node.subscriber.counts.sent_bytes
+                self._received += node.subscriber.counts.received_bytes
                 self._events.update(node.subscriber.counts.events)
                 self._shared.steps.write(node.number, DOWN)
 
@@ -75,8 +75,8 @@
             services=len(services),
             rows=sum(service.row_count for service in services),
             bytes_held=sum(node.holder.retained_bytes for node in nodes),
-            sent=self._sent + sum(counts.sent for counts in subscribers),
-            received=self._received + sum(counts.received for counts in subscribers),
+            sent=self._sent + sum(counts.sent_bytes for counts in subscribers),
+            received=self._received + sum(counts.received_bytes for counts in subscribers),
             cpu_s=usage.ru_utime + usage.ru_stime,
             rss=_resident_bytes(),
             behind_s=self._loop_delay_s,
--- a/benchmarks/scale/hollow/node.py
+++ b/benchmarks/scale/hollow/node.py
@@ -51,7 +51,7 @@
     @property
     def control_bytes(self) -> int:
         """Bytes that the node has sent to control machines and received from them."""
-        return self.subscriber.counts.sent + self.subscriber.counts.received
+        return self.subscriber.counts.sent_bytes + self.subscriber.counts.received_bytes
 
     def start(self) -> None:
         """Begin to poll and to probe."""
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -82,11 +82,11 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class SubscriberCounts:
     """What one subscriber has done."""
 
-    sent: int = 0  # bytes, HTTP heads included
-    received: int = 0
+    sent_bytes: int = 0  # bytes, HTTP heads included
+    received_bytes: int = 0
     events: Counter[str] = field(default_factory=Counter)
 
 
@@ -108,7 +108,7 @@
         on_released: OnReleased | None = None,
     ) -> None:
         self.holder = holder
-        self.counts = Counts()
+        self.counts = SubscriberCounts()
         self._machines = tuple(machines)
         self._on_update = on_update
         self._on_released = on_released
@@ -139,7 +139,7 @@
         target = self._target(region, state)
         address = self._address(state)
         timing = self._timing
-        self.counts.sent += HEAD_BYTES + len(target) + len(str(address))
+        self.counts.sent_bytes += HEAD_BYTES + len(target) + len(str(address))
         self.counts.events["questions"] += 1
 
         def on_answer(answer: Response | None) -> None:
@@ -206,7 +206,7 @@
             why = "silent" if answer is None else f"status {answer.status}"
             self._on_failure(region, state, why)
             return
-        self.counts.received += _size(answer)
+        self.counts.received_bytes += _size(answer)
         try:
             self._on_response(region, state, list_format.decode(answer.body, MAX_SERVICES))
         except (ListFormatError, InvalidInputError):
