--- a/loadbalancer/core/process_pair.py
+++ b/loadbalancer/core/process_pair.py
@@ -20,7 +20,7 @@
 HASH_RANGE = 1 << 64
 
 
-class EndpointUse(NamedTuple):
+class EndpointUsage(NamedTuple):
     """One endpoint as the predecessor sees it."""
 
     backend: int
@@ -29,10 +29,10 @@
     cold: bool
 
 
-def endpoint_use(balancer: Balancer, now: int) -> list[EndpointUse]:
+def endpoint_usage(balancer: Balancer, now: int) -> list[EndpointUsage]:
     """Every endpoint as this Balancer sees it."""
     return [
-        EndpointUse(e.id, e.node_cap, e.in_flight, e.cold_until > now)
+        EndpointUsage(e.id, e.node_cap, e.in_flight, e.cold_until > now)
         for e in balancer.endpoints.values()
     ]
 
@@ -49,13 +49,13 @@
         """This process's part of a node's cap."""
         return min(cap, self.slots.get(backend, 0))
 
-    def begin(self, rows: Iterable[EndpointUse]) -> dict[int, int]:
+    def begin(self, rows: Iterable[EndpointUsage]) -> dict[int, int]:
         """Retain half of every warm endpoint's slots, and what is in flight at the others."""
         for row in rows:
             self.slots[row.backend] = _retained(row, 1.0)
         return dict(self.slots)
 
-    def release(self, rows: Iterable[EndpointUse], need: float) -> dict[int, int]:
+    def release(self, rows: Iterable[EndpointUsage], need: float) -> dict[int, int]:
         """Release slots down to `need` (0 to 1) times RETAINED_PART, but no slot in use.
 
         Returns what has changed, with 0 for what is no longer retained at all.
@@ -95,7 +95,7 @@
                 self.retained.pop(backend, None)
 
 
-def _retained(row: EndpointUse, need: float) -> int:
+def _retained(row: EndpointUsage, need: float) -> int:
     """The slots of an endpoint that the predecessor needs."""
     share = 0.0 if row.cold else RETAINED_PART * need
     return max(row.in_flight, _rounded(row.backend, row.cap * share))
--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -5,7 +5,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from loadbalancer.core.process_pair import EndpointUse, PredecessorShare, endpoint_use
+from loadbalancer.core.process_pair import EndpointUsage, PredecessorShare, endpoint_usage
 from loadbalancer.upgrade.messages import RetainedCapacity
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         """Divide the node's slots; what this process retains of them."""
         self._initial_clients = max(self._node.clients, 1)
         self._initial_idle = self._node.upstream.idle_count()
-        retained = self._share.begin(self._endpoint_use())
+        retained = self._share.begin(self._endpoint_usage())
         self._node.use_limit_share(self._share)
         return self.report(retained)
 
@@ -45,7 +45,7 @@
         """Release what the clients that have left no longer need."""
         node = self._node
         self.need = min(self.need, node.clients / self._initial_clients)
-        self._unreported |= self._share.release(self._endpoint_use(), self.need)
+        self._unreported |= self._share.release(self._endpoint_usage(), self.need)
         node.upstream.trim(int(self._initial_idle * self.need))
         node.use_limit_share(self._share)
         report = self.report(self._unreported)
@@ -61,5 +61,5 @@
             slots, node.descriptors(), tuple(node.open_request_ids), drained=self.need == 0
         )
 
-    def _endpoint_use(self) -> list[EndpointUse]:
-        return endpoint_use(self._node.balancer, time.monotonic_ns())
+    def _endpoint_usage(self) -> list[EndpointUsage]:
+        return endpoint_usage(self._node.balancer, time.monotonic_ns())
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -6,10 +6,10 @@
 
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.core.process_pair import (
-    EndpointUse,
+    EndpointUsage,
     PredecessorShare,
     SuccessorShare,
-    endpoint_use,
+    endpoint_usage,
 )
 from tests.recording_host import build
 
@@ -23,7 +23,7 @@
         old, new = PredecessorShare(), SuccessorShare()
         in_flight = {b: random.randrange(0, cap[b] + 1) for b in cap}
         ours = dict.fromkeys(cap, 0)
-        messages = [old.begin(EndpointUse(b, cap[b], in_flight[b], b % 7 == 0) for b in cap)]
+        messages = [old.begin(EndpointUsage(b, cap[b], in_flight[b], b % 7 == 0) for b in cap)]
         new.update(messages.pop())
         need = 1.0
         for _ in range(300):
@@ -38,7 +38,7 @@
             elif act == 3:
                 need *= random.random()
                 messages.append(
-                    old.release([EndpointUse(b, cap[b], in_flight[b], False) for b in cap], need)
+                    old.release([EndpointUsage(b, cap[b], in_flight[b], False) for b in cap], need)
                 )
             elif act == 4 and messages:
                 new.update(messages.pop(0))
@@ -48,19 +48,19 @@
             assert all(in_flight[b] <= old.slots.get(b, 0) for b in cap)
         for message in messages:
             new.update(message)
-        new.update(old.release([EndpointUse(b, cap[b], 0, False) for b in cap], 0.0))
+        new.update(old.release([EndpointUsage(b, cap[b], 0, False) for b in cap], 0.0))
         assert all(new.of(b, cap[b]) == cap[b] for b in cap)
 
 
 def test_caps_of_one_fall_to_both_sides_and_cold_ones_to_the_new_one() -> None:
     old = PredecessorShare()
-    retained = old.begin(EndpointUse(b, 1, 0, False) for b in range(1, 101))
+    retained = old.begin(EndpointUsage(b, 1, 0, False) for b in range(1, 101))
     assert 40 <= sum(retained.values()) <= 60
     assert (
-        sum(PredecessorShare().begin(EndpointUse(b, 3, 0, True) for b in range(1, 101)).values())
+        sum(PredecessorShare().begin(EndpointUsage(b, 3, 0, True) for b in range(1, 101)).values())
         == 0
     )
-    assert PredecessorShare().begin([EndpointUse(1, 3, 2, True)]) == {1: 2}
+    assert PredecessorShare().begin([EndpointUsage(1, 3, 2, True)]) == {1: 2}
 
 
 def test_a_balancer_sends_within_its_part_and_gets_the_other_one_back() -> None:
@@ -72,7 +72,7 @@
     for rid in range(1, 20):
         balancer.on_request(1, rid, 0, 900 * MS)
     assert {call[2] for call in host.named("send")} == {100}
-    assert [row.cap for row in endpoint_use(balancer, 1)] == [
+    assert [row.cap for row in endpoint_usage(balancer, 1)] == [
         b.node_cap for b in balancer.endpoints.values()
     ]
     balancer.state.limit_share = None
@@ -84,7 +84,7 @@
 def test_what_the_older_process_has_released_it_never_takes_again() -> None:
     """Its need grows once more: the newer process may use the slots by then."""
     share = PredecessorShare()
-    share.begin([EndpointUse(1, 40, 0, False)])
-    released = share.release([EndpointUse(1, 40, 0, False)], 0.25)[1]
-    assert share.release([EndpointUse(1, 40, 30, False)], 1.0) == {}
+    share.begin([EndpointUsage(1, 40, 0, False)])
+    released = share.release([EndpointUsage(1, 40, 0, False)], 0.25)[1]
+    assert share.release([EndpointUsage(1, 40, 30, False)], 1.0) == {}
     assert share.of(1, 40) == released
