--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -68,19 +68,21 @@
     has restarted its numbers: then its list is accepted.
     """
 
-    __slots__ = ("older",)
+    __slots__ = ("consecutive_older",)
 
     def __init__(self) -> None:
-        self.older = 0  # consecutive older answers
+        self.consecutive_older = 0  # consecutive older answers
 
     def accepts(self, rev: int, complete: bool, present_rev: int) -> bool:
         """Whether an answer of version `rev` is to be used, where this node has `present_rev`."""
-        self.older = self.older + 1 if rev < present_rev else 0
-        accepted = not self.older or (complete and self.older >= MAX_OLDER_ANSWERS)
+        self.consecutive_older = self.consecutive_older + 1 if rev < present_rev else 0
+        accepted = not self.consecutive_older or (
+            complete and self.consecutive_older >= MAX_OLDER_ANSWERS
+        )
         if accepted:
-            self.older = 0
+            self.consecutive_older = 0
         return accepted
 
     def accept_next(self) -> None:
         """Accept the next complete list: the present one may be of another list service."""
-        self.older = MAX_OLDER_ANSWERS
+        self.consecutive_older = MAX_OLDER_ANSWERS
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -373,7 +373,7 @@
             if body is not None:
                 self._logger.info("discovery answer not used: %s", err)
             if self.readers is not None and own:
-                self.readers.failed(raw is not None and self._older_answers.older > 0)
+                self.readers.failed(raw is not None and self._older_answers.consecutive_older > 0)
             return False
         self._needs_full = False
         stale = self.endpoint_list.apply(raw["rev"], *decoded)
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -367,7 +367,7 @@
     clients = [node.list_client for node in world.list_nodes.values()]
 
     def an_older_answer_has_come() -> bool:
-        return any(client.older_answers.older for client in clients)
+        return any(client.older_answers.consecutive_older for client in clients)
 
     assert world.run(
         world.now + 5 * SECOND, an_older_answer_has_come
