--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -195,7 +195,7 @@
 def is_reader(world: ListWorld, node: int) -> bool:
     """Whether the node polls the list service for all."""
     shared_list = world.nodes[node].shared_list
-    return shared_list is not None and shared_list.polls
+    return shared_list is not None and shared_list.is_polling
 
 
 # ---- a black start ----------------------------------------------------------
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -91,8 +91,8 @@
 
     # ---- who reads ----------------------------------------------------------------
 
-    def is_chosen(self, now: int, is_alive: Callable[[int], bool], polls: bool) -> bool:
-        """Whether this node is to be a reader now; `polls`: it is one already.
+    def is_chosen(self, now: int, is_alive: Callable[[int], bool], is_polling: bool) -> bool:
+        """Whether this node is to be a reader now; `is_polling`: it is one already.
 
         It steps in where the nodes that precede it have been silent, and passes them over.
         """
@@ -101,7 +101,7 @@
             for node, (record, failed_at) in self.records.items()
             if record.state == ReaderState.FAILED and now - failed_at < FAILED_NS
         }
-        if failed and not polls:
+        if failed and not is_polling:
             doublings = min(len(failed) - 1, MAX_PAUSE_DOUBLINGS)
             if now - max(failed.values()) < min(PAUSE_NS << doublings, MAX_PAUSE_NS):
                 return False
--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -22,7 +22,7 @@
     def __init__(self, members: Membership, readers: ListReaders, now: int) -> None:
         self._members = members
         self._readers = readers
-        self.polls = False  # this node polls the list service
+        self.is_polling = False  # this node polls the list service
         self.record_changed = False  # its own record is to be disseminated
         self._polls_since = now
         self._read_unannounced = False
@@ -36,7 +36,7 @@
 
     def on_failure(self, now: int, older: bool, version: ListVersion) -> None:
         """A call has failed, or answered with an `older` version, which alone is no failure."""
-        if self.polls:
+        if self.is_polling:
             state = ReaderState.POLLING if older else ReaderState.FAILED
             self._announce(now, state, version)
 
@@ -58,20 +58,20 @@
         own = readers.records.get(members.me)
         record_age = now if own is None else now - own.written_at
         polling = own is not None and own.record.state == ReaderState.POLLING
-        chosen = readers.is_chosen(now, members.is_alive, self.polls)
+        chosen = readers.is_chosen(now, members.is_alive, self.is_polling)
         # A call that has begun goes on: most of its cost to the service is spent already.
-        begun = self.polls and polling and now - self._polls_since < FIRST_ANSWER_NS
-        deferred = defer and not self.polls
-        polls = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
-        if polls and not self.polls:
+        begun = self.is_polling and polling and now - self._polls_since < FIRST_ANSWER_NS
+        deferred = defer and not self.is_polling
+        should_poll = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
+        if should_poll and not self.is_polling:
             self._polls_since = now
             self._announce(now, ReaderState.POLLING, version)
-        elif polls and polling and record_age >= SIGN_INTERVAL_NS:
+        elif should_poll and polling and record_age >= SIGN_INTERVAL_NS:
             self._announce(now, ReaderState.POLLING, version)
         elif self._read_unannounced and record_age >= ANNOUNCE_INTERVAL_NS:
             self._announce(now, ReaderState.READ, version)
-        self.polls = polls
+        self.is_polling = should_poll
 
     def update_unconnected(self, now: int) -> None:
         """Without a connection to the gossip: poll once no messages have come for a while."""
-        self.polls = self._members.hears_nobody(now)
+        self.is_polling = self._members.hears_nobody(now)
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -81,9 +81,9 @@
         self._removal_since: int | None = None  # a delta waits for a second reader
 
     @property
-    def polls(self) -> bool:
+    def is_polling(self) -> bool:
         """Whether this node polls the list service."""
-        return self.role.polls
+        return self.role.is_polling
 
     @property
     def busy(self) -> bool:
@@ -230,6 +230,6 @@
         ]
         version = self.replica.version
         return {
-            "epoch": version.epoch, "rev": version.rev, "reads": self.polls,
+            "epoch": version.epoch, "rev": version.rev, "reads": self.is_polling,
             "rows": len(self.replica.rows), "readers": rows, "counts": dict(self.counters),
         }  # fmt: skip
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -76,8 +76,8 @@
         shared_list = self._shared_list
         if not connected:
             shared_list.on_unconnected(now)
-        if shared_list.polls != self._polls:
-            self._polls = shared_list.polls
+        if shared_list.is_polling != self._polls:
+            self._polls = shared_list.is_polling
             self._switch_polling()
         updates, shared_list.updates = shared_list.updates, []
         for update in updates:
@@ -106,7 +106,7 @@
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
-        return self._shared_list.polls
+        return self._shared_list.is_polling
 
     def unread(self) -> bool:
         """Whether the list in hand is from the configuration, and no node has read it."""
--- a/simulation/list_world/client.py
+++ b/simulation/list_world/client.py
@@ -67,7 +67,11 @@
     def watch(self) -> None:
         """Poll from now on, or once the pause after a failure is over."""
         shared = self._shared
-        if self._polling or not self._is_running() or (shared is not None and not shared.polls):
+        if (
+            self._polling
+            or not self._is_running()
+            or (shared is not None and not shared.is_polling)
+        ):
             return
         if self._world.now < self._not_before:
             due, self._not_before = self._not_before, 0
@@ -103,8 +107,8 @@
         shared = self._shared
         if shared is None or not self._is_running():
             return
-        if shared.polls != self._was_reader:
-            self._was_reader = shared.polls
+        if shared.is_polling != self._was_reader:
+            self._was_reader = shared.is_polling
             if self._was_reader:
                 self.watch()
             else:
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -210,14 +210,14 @@
     now = FIRST_STEP_NS + MS
     shared._members.on_message(now, order[0], 9)
     shared.tick(now)
-    assert shared.polls  # no reader gave a sign
+    assert shared.is_polling  # no reader gave a sign
     for node in order[:2]:
         shared.readers.merge(now + MS, ReaderRecord(node, 9, 1, ReaderState.POLLING, 0, 0, 0, 0))
     shared.tick(now + 2 * MS)
-    assert shared.polls
+    assert shared.is_polling
     shared.on_answer(now + 3 * MS, 41, {"s1": encode_row(1)}, True)
     shared.tick(now + 4 * MS)
-    assert not shared.polls
+    assert not shared.is_polling
 
 
 def test_one_reader_alone_can_not_remove_half_of_the_list() -> None:
@@ -282,11 +282,15 @@
 
     def partly() -> bool:
         shared_lists = [f.shared_list for f in world.nodes.values() if f.shared_list]
-        return any(s.assembler.partial for s in shared_lists) and any(s.polls for s in shared_lists)
+        return any(s.assembler.partial for s in shared_lists) and any(
+            s.is_polling for s in shared_lists
+        )
 
     for _ in range(3):
         assert world.run(world.now + 20 * SECOND, partly)
-        for node in [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls]:
+        for node in [
+            n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
+        ]:
             world.kill(node)
             killed.append(node)
         for node, fleet in world.nodes.items():  # what they had pushed is lost as well
@@ -315,7 +319,9 @@
     world.start_all()
     lists = world.list_nodes
     assert world.run(60 * SECOND, lambda: any(n.list_client.rows for n in lists.values()))
-    killed = [n for n, node in world.nodes.items() if node.shared_list and node.shared_list.polls]
+    killed = [
+        n for n, node in world.nodes.items() if node.shared_list and node.shared_list.is_polling
+    ]
     for node in killed:
         world.kill(node)
     world.service.rejection_probability = 0.3
@@ -389,7 +395,7 @@
     world = ListWorld(30, 60, 6, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.is_current)
-    reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls}
+    reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling}
     world.run(world.now + 4 * SECOND)
     far = {n for n in range(30) if n not in reads and n % 2}
     world.links.partition(far, set(range(30)) - far)
@@ -399,7 +405,9 @@
     world.service.change({"s0": None, "s77": encode_row(77)})
     assert world.run(world.now + 20 * SECOND, world.is_current)
     world.run(world.now + 10 * SECOND)
-    assert {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls} == reads
+    assert {
+        n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
+    } == reads
     # Every message is lost: each node reads for itself, as without gossip.
     world.links.loss = 1.0
     world.service.change({"s78": encode_row(78)})
@@ -457,7 +465,7 @@
     assert world.run(20 * SECOND, world.is_current)
     world.service.change({"s3": None, "s90": encode_row(90)})
     assert world.run(world.now + 12 * SECOND, world.is_current)
-    reading = [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.polls]
+    reading = [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling]
     assert 1 <= len(reading) <= 2
     # The old nodes read for themselves; of the others the readers, and those that stepped in for
     # old nodes among the first, which never announce that they read.
@@ -469,7 +477,7 @@
     world.start_all()
     assert world.run(5 * SECOND, world.is_current)
     false_reader = next(
-        n for n, f in world.nodes.items() if f.shared_list and not f.shared_list.polls
+        n for n, f in world.nodes.items() if f.shared_list and not f.shared_list.is_polling
     )
     fleet = world.nodes[false_reader]
     assert fleet.shared_list is not None
