--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -49,7 +49,7 @@
         self._packings = TokenBucket(PACKINGS_PER_S, PACKINGS_PER_S, now)
 
     @property
-    def busy(self) -> bool:
+    def has_queued_pieces(self) -> bool:
         """Whether pieces wait for the rate."""
         return bool(self._queue)
 
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -86,9 +86,9 @@
         return self.role.is_polling
 
     @property
-    def busy(self) -> bool:
+    def has_queued_pieces(self) -> bool:
         """Whether pieces wait for the rate alone."""
-        return self.sender.busy
+        return self.sender.has_queued_pieces
 
     # ---- the list service's answers ------------------------------------------------
 
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -128,7 +128,7 @@
         out = self._charge_and_piggyback(now, out)
         if self.shared_list is not None:
             out += self.shared_list.receive(now, message)
-            if self.shared_list.busy:
+            if self.shared_list.has_queued_pieces:
                 self._updates.send_soon(now)
         if members.peers[message.origin].status != MemberStatus.ALIVE and self._updates.take(now):
             # It is dead here under the incarnation that it still uses: let it refute that.
@@ -211,7 +211,7 @@
 
     def _hurries(self, now: int) -> bool:
         """Whether anything queued may be sent before the next regular turn."""
-        if self.shared_list is not None and self.shared_list.busy:
+        if self.shared_list is not None and self.shared_list.has_queued_pieces:
             return True
         return self._updates.gossip_pending and self._updates.may_send(now)
 
