--- a/loadbalancer/core/endpoints/poll_backoff.py
+++ b/loadbalancer/core/endpoints/poll_backoff.py
@@ -82,13 +82,13 @@
     """One node's consecutive failures, and its timeouts and pauses. No I/O; seeded random."""
 
     __slots__ = (
-        "_callers", "_overload_failures", "_random", "_shared", "_timed_out", "_timings",
+        "_callers", "_overload_failures", "_random", "_has_list_readers", "_timed_out", "_timings",
         "failures", "paced",
     )  # fmt: skip
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._random = random
-        self._shared = False
+        self._has_list_readers = False
         self.configure(settings)
         self.reset()
 
@@ -98,9 +98,9 @@
         self._callers = settings.nodes
         self.paced = settings.poll  # an agent on the node's own machine answers at no cost
 
-    def share(self) -> None:
+    def use_list_readers(self) -> None:
         """The fleet has list readers, which pace their calls themselves (`list_readers.py`)."""
-        self._shared = True
+        self._has_list_readers = True
 
     def reset(self) -> None:
         """Forget all failures: another list service is polled from now on."""
@@ -137,7 +137,7 @@
             self._overload_failures += 1
         if failure == PollFailure.TIMED_OUT and elapsed >= FIRST_LIST_TIMEOUT_NS:
             self._timed_out += 1
-        if not self.paced or self._shared:
+        if not self.paced or self._has_list_readers:
             return 0
         if rows:
             bound = self._bound_with_list(failure, elapsed, rows)
@@ -165,7 +165,7 @@
 
     def _active_callers(self) -> int:
         """How many nodes call the service."""
-        return READERS if self._shared else self._callers
+        return READERS if self._has_list_readers else self._callers
 
 
 def _doubled(first: int, times: int) -> int:
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -93,7 +93,7 @@
     @readers.setter
     def readers(self, readers: ListReaders) -> None:
         self._readers = readers
-        self._backoff.share()
+        self._backoff.use_list_readers()
 
     # ---- what the host calls -----------------------------------------------------
 
--- a/simulation/list_world/client.py
+++ b/simulation/list_world/client.py
@@ -49,7 +49,7 @@
         self._listener = listener
         self._backoff = PollBackoff(settings, Random(world.random.getrandbits(32)))
         if self._shared is not None:
-            self._backoff.share()
+            self._backoff.use_list_readers()
         self._polling = False
         self._was_reader = False  # at the last update from others
         self._calls = 0  # the number of the last call
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -145,7 +145,7 @@
 
 def test_agents_and_shared_lists_are_polled_at_the_usual_pace() -> None:
     agent, reader = new_backoff(7800, poll=False), new_backoff(7800)
-    reader.share()
+    reader.use_list_readers()
     for backoff in (agent, reader):
         assert {backoff.on_failure(PollFailure.UNREACHABLE, MS, 0) for _ in range(20)} == {0}
     assert reader.probe_interval() == SECOND
