--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -72,6 +72,6 @@
             self._announce(now, ReaderState.READ, version)
         self.is_polling = should_poll
 
-    def update_unconnected(self, now: int) -> None:
+    def update_disconnected(self, now: int) -> None:
         """Without a connection to the gossip: poll once no messages have come for a while."""
         self.is_polling = self._members.hears_nobody(now)
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -107,9 +107,9 @@
         """A call of this node has failed, or answered with an `older` version."""
         self.role.on_failure(now, older, self.replica.version)
 
-    def on_unconnected(self, now: int) -> None:
+    def on_gossip_disconnected(self, now: int) -> None:
         """Not connected to the gossip: this node polls itself after a while without messages."""
-        self.role.update_unconnected(now)
+        self.role.update_disconnected(now)
 
     # ---- messages ------------------------------------------------------------------
 
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -75,7 +75,7 @@
         """
         shared_list = self._shared_list
         if not connected:
-            shared_list.on_unconnected(now)
+            shared_list.on_gossip_disconnected(now)
         if shared_list.is_polling != self._polls:
             self._polls = shared_list.is_polling
             self._switch_polling()
