--- a/loadbalancer/core/endpoints/list_replica.py
+++ b/loadbalancer/core/endpoints/list_replica.py
@@ -38,7 +38,7 @@
         """The rows by id."""
         return self._list.rows
 
-    def begin(self, rev: int, rows: Mapping[str, str]) -> None:
+    def load_configured_list(self, rev: int, rows: Mapping[str, str]) -> None:
         """Start from the list in the configuration, which may be old: its epoch is 0."""
         self._advance(ListVersion(0, rev, self._checksum_with(rows)), rows)
 
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -64,7 +64,7 @@
         self._refused = False  # whether the last update could not be used
         rows = {uid: row for uid, row in rows_of(known).items() if row is not None}
         if rows:
-            self._shared_list.replica.begin(known["rev"], rows)
+            self._shared_list.replica.load_configured_list(known["rev"], rows)
 
     def update(self, now: int, connected: bool) -> None:
         """After each turn and message: start or stop polling, and apply what others have read.
--- a/simulation/list_world/client.py
+++ b/simulation/list_world/client.py
@@ -61,7 +61,7 @@
     def begin(self) -> None:
         """Pass on the list that the node has at its start."""
         if self._shared is not None and self.rows:
-            self._shared.replica.begin(self.rev, self.rows)
+            self._shared.replica.load_configured_list(self.rev, self.rows)
         self._listener(Update.CACHED, self.rows)
 
     def watch(self) -> None:
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -56,13 +56,13 @@
     """Forged, early, old and spanning deltas arrive: the replica stays a list that was read."""
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     rows = {f"s{i}": encode_row(i) for i in range(8)}
-    shared.replica.begin(41, rows)
+    shared.replica.load_configured_list(41, rows)
     before = shared.replica.version
     forged = ListDelta(41, ListVersion(1, 43, 77), {"s1": encode_row(1, 9)})
     send_delta(shared, forged, 1, 1)
     assert shared.counters["steps that disagree"] == 1
     writer = ListReplica()
-    writer.begin(41, rows)
+    writer.load_configured_list(41, rows)
     first = writer.read(42, {"s1": encode_row(1, 5)}, False)
     second = writer.read(43, {"s2": None}, False)
     assert first is not None
@@ -85,7 +85,7 @@
     flapped, last = ListReplica(), writer.read(44, {"s3": None}, False)
     assert last is not None
     send_delta(shared, last, 1, 1)
-    flapped.begin(41, rows)
+    flapped.load_configured_list(41, rows)
     flapped.read(43, {"s1": encode_row(1, 5), "s2": None}, False)
     spanning = flapped.read(45, {"s4": None}, False)
     assert spanning is not None
@@ -162,7 +162,7 @@
         request = Message(Kind.WANT, 1, 9, digest=PieceRequest(version).numbers())
         return len(shared.receive(MS, request))
 
-    shared.replica.begin(40, {"s1": encode_row(1)})
+    shared.replica.load_configured_list(40, {"s1": encode_row(1)})
     assert not answers(NO_VERSION)  # from a configuration: it may be old
     shared.replica.read(41, {"s2": encode_row(2)}, False)
     assert answers(NO_VERSION)
@@ -227,9 +227,9 @@
     order = [n for n in sorted(range(nodes), key=reader_rank) if n != 0]
     shared = SharedList(members, nodes, 2, 256, 1, 0)
     rows = {f"s{i}": encode_row(i) for i in range(8)}
-    shared.replica.begin(41, rows)
+    shared.replica.load_configured_list(41, rows)
     writer = ListReplica()
-    writer.begin(41, rows)
+    writer.load_configured_list(41, rows)
     delta = writer.read(42, {u: None for u in list(rows)[:6]}, False)
     assert delta is not None
     send_delta(shared, delta, order[0], order[0])
