--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -64,7 +64,7 @@
         random = Random(seed)
         self.replica = ListReplica()
         self.readers = ListReaders(members.me, nodes, count, now)
-        self.role = PollingRole(members, self.readers, now)
+        self.polling_role = PollingRole(members, self.readers, now)
         self.sender = DeltaSender(members, nodes, datagram, random, now)
         self.assembler = PieceAssembler(self.sender.piece_bytes)
         self.counters = self.sender.counters
@@ -83,7 +83,7 @@
     @property
     def is_polling(self) -> bool:
         """Whether this node polls the list service."""
-        return self.role.is_polling
+        return self.polling_role.is_polling
 
     @property
     def has_queued_pieces(self) -> bool:
@@ -101,15 +101,15 @@
             due = now + PUSH_DELAY_NS * self.readers.active_preceding(now)
             self._push = PendingPush(due, self.replica.packed(delta))
             self._apply_waiting(now)
-        self.role.on_answer(now, self.replica.version)
+        self.polling_role.on_answer(now, self.replica.version)
 
     def on_failure(self, now: int, older: bool) -> None:
         """A call of this node has failed, or answered with an `older` version."""
-        self.role.on_failure(now, older, self.replica.version)
+        self.polling_role.on_failure(now, older, self.replica.version)
 
     def on_gossip_disconnected(self, now: int) -> None:
         """Not connected to the gossip: this node polls itself after a while without messages."""
-        self.role.update_disconnected(now)
+        self.polling_role.update_disconnected(now)
 
     # ---- messages ------------------------------------------------------------------
 
@@ -203,7 +203,7 @@
         self._apply_waiting(now)  # a second reader may have confirmed a removal
         requests = self._request_missing(now)
         defer = not self.caught_up or self._repair.may_arrive(now)
-        self.role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
+        self.polling_role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
         if self._push is not None and now >= self._push.due:
             self.sender.push(self._push.packed)
             self._push = None
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -222,8 +222,8 @@
             return []
         shared_list.caught_up = self.caught_up
         out = shared_list.tick(now)
-        if shared_list.role.record_changed:
-            shared_list.role.record_changed = False
+        if shared_list.polling_role.record_changed:
+            shared_list.polling_role.record_changed = False
             self._updates.add(RecordKey(READER, self.members.me))
             self._updates.gossip_pending = True
         return out
