--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -115,7 +115,7 @@
         }
         return table.changes != before
 
-    def reassess_at(self, now: int) -> int:
+    def next_reassessment_at(self, now: int) -> int:
         """When `reassess` may change something by time alone; 0 where nothing waits."""
         servers = (self._table.servers[uid] for uid in self._unsettled_uids)
         waits = any(
--- a/loadbalancer/sources/consul/list_updater.py
+++ b/loadbalancer/sources/consul/list_updater.py
@@ -80,10 +80,10 @@
 
     def _after_update(self, now: int, has_update: bool) -> bool:
         """Set the timer, and call `on_change` where there is an update; whether it was called."""
-        reassess_at = self.merged_list.reassess_at(now)
-        if reassess_at and self._timer is None:
+        next_reassessment_at = self.merged_list.next_reassessment_at(now)
+        if next_reassessment_at and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later((reassess_at - now) / SECOND, self._reassess)
+            self._timer = loop.call_later((next_reassessment_at - now) / SECOND, self._reassess)
         if has_update and self.merged_list.is_complete():
             self._on_change()
             return True
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -57,12 +57,12 @@
     merged.update(SECOND, "consul", pool(9), complete=True)
     last = server(merged, "s-10")
     assert (last.state, last.reason) == (State.DRAINING, "gone")
-    assert merged.reassess_at(SECOND) == 2 * SECOND
+    assert merged.next_reassessment_at(SECOND) == 2 * SECOND
     merged.reassess(2 * SECOND)
     assert server(merged, "s-10").state == State.DRAINING
     merged.reassess(3 * SECOND)
     assert "s-10" not in {found.uid for found in merged.servers()}
-    assert merged.reassess_at(3 * SECOND) == 0
+    assert merged.next_reassessment_at(3 * SECOND) == 0
 
 
 # ---- empty and missing answers ---------------------------------------------
