--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -64,7 +64,7 @@
         self._refused = False  # whether the last update could not be used
         rows = {uid: row for uid, row in rows_of(known).items() if row is not None}
         if rows:
-            self._shared_list.replica.begin(known["rev"], rows)
+            self._shared_list.replica.load_configured_list(known["rev"], rows)
 
     def update(self, now: int, connected: bool) -> None:
         """After each turn and message: start or stop polling, and apply what others have read.
@@ -75,9 +75,9 @@
         """
         shared_list = self._shared_list
         if not connected:
-            shared_list.on_unconnected(now)
-        if shared_list.polls != self._polls:
-            self._polls = shared_list.polls
+            shared_list.on_gossip_disconnected(now)
+        if shared_list.is_polling != self._polls:
+            self._polls = shared_list.is_polling
             self._switch_polling()
         updates, shared_list.updates = shared_list.updates, []
         for update in updates:
@@ -106,7 +106,7 @@
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
-        return self._shared_list.polls
+        return self._shared_list.is_polling
 
     def unread(self) -> bool:
         """Whether the list in hand is from the configuration, and no node has read it."""
