--- a/benchmarks/assignment.py
+++ b/benchmarks/assignment.py
@@ -136,7 +136,7 @@
 
 def timed_assignment(assigner: Assigner, alive: frozenset[str]) -> Timed:
     """The assignment to these living nodes, and the time it took."""
-    return Timed(*timed(lambda: assigner.with_alive(alive)))
+    return Timed(*timed(lambda: assigner.assign(alive)))
 
 
 def retained_bytes(work: Callable[[], object]) -> int:
@@ -194,7 +194,7 @@
         name: loss_figures(before, [timed_assignment(assigner, alive - lost) for lost in sets])
         for name, sets in lost_sets.items()
     }
-    assert assigner.with_alive(alive) == before
+    assert assigner.assign(alive) == before
     return result
 
 
@@ -236,11 +236,11 @@
     half = scale.zone_nodes // 2
     runs = min(scale.loss_runs, NEXT_LOSS_RUNS)
     alive = frozenset(assigner.nodes) - first_nodes(half)
-    before = assigner.with_alive(alive)
+    before = assigner.assign(alive)
     others = 0
     for _ in range(runs):
         node = f"{ZONES[0]}-{random.randrange(half, scale.zone_nodes):04}"
-        after = assigner.with_alive(alive - {node})
+        after = assigner.assign(alive - {node})
         moved = {name for name in before.holders if before.holders[name] != after.holders[name]}
         others += len(moved - set(before.services_by_node[node]))
     return {"losses": runs, "services_moved_that_it_did_not_hold": others}
@@ -262,7 +262,7 @@
     result = {"pairs": sum(map(len, before.holders.values()))}
     for name, (changed_nodes, changed_services) in tables.items():
         changed = Assigner(changed_nodes, changed_services, assigner.rules)
-        after = changed.with_alive(frozenset(changed.nodes))
+        after = changed.assign(frozenset(changed.nodes))
         result[name] = difference(before, after).lost_pairs
     return result
 
@@ -283,7 +283,7 @@
 def handover_figures(assigner: Assigner, lost: frozenset[str]) -> dict[str, float]:
     """Milliseconds of each step until the nodes that were lost serve again, and moves under way."""
     alive = frozenset(assigner.nodes)
-    full, without = assigner.with_alive(alive), assigner.with_alive(alive - lost)
+    full, without = assigner.assign(alive), assigner.assign(alive - lost)
     handover = Handover(assigner.nodes.values())
 
     def lose_nodes() -> None:
@@ -332,7 +332,7 @@
         "deal_ms": median(ms for ms, _ in runs),
         "with_all_ms": first_ms,
         "deal_bytes": retained_bytes(lambda: Assigner(nodes, services, rules)),
-        "assignment_bytes": retained_bytes(lambda: assigner.with_alive(one_dead)),
+        "assignment_bytes": retained_bytes(lambda: assigner.assign(one_dead)),
         "spread": spread_of(before),
         "lost": losses(assigner, before, scale),
         "partly_lost": partial_losses(assigner, scale),
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -177,7 +177,7 @@
         world.run(MS)
     accepted = world.now
     rows = source.desired.get(service)
-    holders = world.assigner.with_alive(world.topology.node_index).holders[service]
+    holders = world.assigner.assign(world.topology.node_index).holders[service]
     nodes = [world.nodes.running[world.topology.node_index[name]] for name in holders]
     while any(node.holder.rows(service) != rows for node in nodes):
         world.run(MS)
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -52,7 +52,7 @@
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
         self.liveness = Liveness(now, names, LivenessRules(timeout_ns=NODE_TIMEOUT_NS))
-        self.assignment = self.assigner.with_alive(self.liveness.alive)
+        self.assignment = self.assigner.assign(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False
         self.nodes_changed_by_last_assignment = 0  # whose services differ by it
@@ -271,7 +271,7 @@
 
     def _assign(self) -> None:
         before = self.assignment.services_by_node
-        self.assignment = self.assigner.with_alive(self.liveness.alive)
+        self.assignment = self.assigner.assign(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.nodes_changed_by_last_assignment = sum(
             1
--- a/loadbalancer/core/assignment/assigner.py
+++ b/loadbalancer/core/assignment/assigner.py
@@ -52,7 +52,7 @@
         self.services = self._base.services
         self.rules = rules
 
-    def with_alive(self, alive: Collection[str]) -> Assignment:
+    def assign(self, alive: Collection[str]) -> Assignment:
         """The assignment while these nodes live.
 
         The cost follows what the dead nodes held, beside a copy of the tables.
--- a/simulation/control_world/environment.py
+++ b/simulation/control_world/environment.py
@@ -82,7 +82,7 @@
     def assignment(self) -> Assignment:
         """The assignment while exactly those nodes live that run."""
         alive = [node.spec.name for node in self.nodes.running.values()]
-        return self.assigner.with_alive(alive)
+        return self.assigner.assign(alive)
 
     def zones_serving_beside(self, service: str, name: str) -> list[str]:
         """The zones of all nodes but the named one that serve a service."""
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -82,7 +82,7 @@
             ),
         )
         self._handover = Handover(topology.nodes)
-        self._handover.on_assignment(environment.assigner.with_alive(self._liveness.alive))
+        self._handover.on_assignment(environment.assigner.assign(self._liveness.alive))
         self._releases = ReleaseAuthority(
             now,
             self.spec,
@@ -172,7 +172,7 @@
             self._handover.on_dead(node)
         if turned.died or turned.returned:
             assigner = self._environment.assigner
-            self._handover.on_assignment(assigner.with_alive(self._liveness.alive))
+            self._handover.on_assignment(assigner.assign(self._liveness.alive))
 
     def _ping(self) -> None:
         """Ping all other machines, with a grant if this one leads its region."""
--- a/tests/core/assignment/fleets.py
+++ b/tests/core/assignment/fleets.py
@@ -25,7 +25,7 @@
     rules: AssignmentRules,
 ) -> Assignment:
     """One assignment; an `Assigner` costs less for further sets of living nodes."""
-    return Assigner(nodes, services, rules).with_alive(alive)
+    return Assigner(nodes, services, rules).assign(alive)
 
 
 def moved(before: Assignment, after: Assignment) -> set[str]:
@@ -64,7 +64,7 @@
 
 @cache
 def full_assignment() -> Assignment:
-    return full().with_alive(names(FULL_NODES))
+    return full().assign(names(FULL_NODES))
 
 
 SMALL_NODES = make_nodes(12)
--- a/tests/core/assignment/test_assignment.py
+++ b/tests/core/assignment/test_assignment.py
@@ -71,14 +71,14 @@
     before = full_assignment()
     alive = names(FULL_NODES)
     rack = frozenset(f"east-1-{number:04}" for number in range(40))
-    after = full().with_alive(alive - rack)
+    after = full().assign(alive - rack)
     assert_consistent(after)
     affected = {service for node in rack for service in before.services_by_node[node]}
     assert moved(before, after) == affected
     assert moved_slots(before, after) == sum(len(before.services_by_node[node]) for node in rack)
     assert not any(after.services_by_node[node] for node in rack)
     assert after.unmet == before.unmet  # each has a substitute in its zone
-    assert full().with_alive(alive) == before
+    assert full().assign(alive) == before
 
 
 def test_a_lost_zone_moves_nothing_and_its_return_gives_the_earlier_bytes() -> None:
@@ -87,12 +87,12 @@
     """
     before = full_assignment()
     lost = frozenset(node.name for node in FULL_NODES if node.zone == "west-1")
-    after = full().with_alive(names(FULL_NODES) - lost)
+    after = full().assign(names(FULL_NODES) - lost)
     assert_consistent(after)
     for name, holders in before.holders.items():
         assert after.holders[name] == tuple(node for node in holders if node not in lost)
     assert sum(one.constraint is Constraint.MINIMUM for one in after.unmet) == len(FULL_SERVICES)
-    again = full().with_alive(names(FULL_NODES))
+    again = full().assign(names(FULL_NODES))
     assert again == before
     assert again.digest == before.digest
 
@@ -128,12 +128,12 @@
 def test_a_loss_moves_only_the_services_of_the_lost_node(dead: set[str], node: str) -> None:
     """One more node dies, whichever others are dead already."""
     alive = names(SMALL_NODES) - dead - {node}
-    with_it = small().with_alive(alive | {node})
-    without = small().with_alive(alive)
+    with_it = small().assign(alive | {node})
+    without = small().assign(alive)
     assert_consistent(without)
     assert moved(with_it, without) <= set(with_it.services_by_node[node])
     assert moved_slots(with_it, without) == len(with_it.services_by_node[node])
-    again = Assigner(SMALL_NODES, SMALL_SERVICES, RULES).with_alive(alive | {node})
+    again = Assigner(SMALL_NODES, SMALL_SERVICES, RULES).assign(alive | {node})
     assert again == with_it
 
 
@@ -146,7 +146,7 @@
     random.shuffle(services)
     random.shuffle(alive)
     zones = [replace(spec, zones=tuple(reversed(spec.zones))) for spec in services]
-    expected = small().with_alive(frozenset(alive))
+    expected = small().assign(frozenset(alive))
     got = assign(nodes, alive, zones, RULES)
     assert got == expected
     assert list(got.holders) == list(expected.holders)
@@ -175,8 +175,8 @@
 
 def test_the_digest_tells_assignments_apart() -> None:
     alive = names(SMALL_NODES)
-    digests = {small().with_alive(alive - {node}).digest for node in alive}
-    used = {node for node in alive if small().with_alive(alive).services_by_node[node]}
+    digests = {small().assign(alive - {node}).digest for node in alive}
+    used = {node for node in alive if small().assign(alive).services_by_node[node]}
     assert len(digests) == len(used) + (len(used) < len(alive))
 
 
@@ -184,7 +184,7 @@
     """A zone is lost and its clients come in at the other zones: no node there is overloaded."""
     for lost in ZONES:
         dead = frozenset(node.name for node in SMALL_NODES if node.zone == lost)
-        after = small().with_alive(names(SMALL_NODES) - dead)
+        after = small().assign(names(SMALL_NODES) - dead)
         load: defaultdict[str, float] = defaultdict(float)
         for spec in SMALL_SERVICES:
             for zone in set(ZONES) - {lost}:
@@ -201,15 +201,15 @@
     assigner = Assigner(SMALL_NODES, services, RULES)
     alive = names(SMALL_NODES)
     dead = frozenset(node for node in alive if node.startswith("west-2"))
-    before, after = assigner.with_alive(alive), assigner.with_alive(alive - dead)
+    before, after = assigner.assign(alive), assigner.assign(alive - dead)
     assert {node[:6] for node in before.holders["only"]} == {"west-2"}
     assert {node[:6] for node in after.holders["only"]} == {"west-1"}
     assert len(after.holders["only"]) == len(before.holders["only"])
     assert UnmetConstraint("only", "", Constraint.ZONES) in after.unmet
     region = frozenset(node for node in alive if node.startswith("west"))
-    far = assigner.with_alive(alive - region)
+    far = assigner.assign(alive - region)
     assert {node[:6] for node in far.holders["only"]} == {"east-1", "east-2"}
-    nobody = assigner.with_alive(())
+    nobody = assigner.assign(())
     assert not any(nobody.holders.values())
     assert sum(one.constraint is Constraint.NO_NODE for one in nobody.unmet) == len(services)
 
@@ -218,10 +218,10 @@
     rules = AssignmentRules(on_every_node=frozenset({"service-0039"}))
     assigner = Assigner(SMALL_NODES, SMALL_SERVICES, rules)
     alive = names(SMALL_NODES)
-    before = assigner.with_alive(alive)
+    before = assigner.assign(alive)
     assert set(before.holders["service-0039"]) == alive
     assert UnmetConstraint("service-0039", "", Constraint.CONNECTIONS) in before.unmet
-    after = assigner.with_alive(alive - {"east-2-0005"})
+    after = assigner.assign(alive - {"east-2-0005"})
     assert set(after.holders["service-0039"]) == alive - {"east-2-0005"}
     assert after.unmet == before.unmet
 
@@ -252,7 +252,7 @@
 @given(st.sets(st.sampled_from(sorted(names(TIGHT_NODES)))))
 @settings(max_examples=60, deadline=None, derandomize=True)
 def test_no_node_exceeds_its_limits_and_missing_capacity_is_stated(dead: set[str]) -> None:
-    after = tight().with_alive(names(TIGHT_NODES) - dead)
+    after = tight().assign(names(TIGHT_NODES) - dead)
     assert_consistent(after)
     assert not any(after.services_by_node[node] for node in dead)
     zone_of = {node.name: node.zone for node in TIGHT_NODES}
@@ -284,4 +284,4 @@
     with pytest.raises(
         InvalidInputError, match="alive: unknown node 'x', must be a registered one"
     ):
-        small().with_alive({"x"})
+        small().assign({"x"})
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -197,9 +197,9 @@
 
 def test_substitutes_serve_until_a_returned_rack_does() -> None:
     """Two nodes die and come back empty. Their substitutes serve until they do."""
-    everywhere = ASSIGNER.with_alive(NAMES)
+    everywhere = ASSIGNER.assign(NAMES)
     rack = {"z1-0", "z1-1"}
-    without = ASSIGNER.with_alive(set(NAMES) - rack)
+    without = ASSIGNER.assign(set(NAMES) - rack)
     handover = Handover(NODES)
     handover.on_assignment(everywhere)
     for node, services in everywhere.services_by_node.items():
@@ -226,7 +226,7 @@
 def test_what_a_node_claims_is_bounded() -> None:
     """A faulty node reports 10,000 services that it was never assigned."""
     handover = Handover(NODES)
-    handover.on_assignment(ASSIGNER.with_alive(NAMES))
+    handover.on_assignment(ASSIGNER.assign(NAMES))
     handover.on_report("z1-0", [f"nonsense-{n}" for n in range(10_000)])
     assert len(handover.releasable("z1-0")) == MAX_RETAINED
     assert len(handover.wanted("z1-0")) <= MAX_RETAINED + len(SERVICES)
--- a/tests/core/assignment/test_handover_orders.py
+++ b/tests/core/assignment/test_handover_orders.py
@@ -38,11 +38,11 @@
         self.dead: set[str] = set()
         self.reports: list[tuple[str, frozenset[str], int]] = []
         self.assigner = ASSIGNER
-        self.assignment = ASSIGNER.with_alive(NAMES)
+        self.assignment = ASSIGNER.assign(NAMES)
         self.handover.on_assignment(self.assignment)
 
     def assign(self) -> None:
-        self.assignment = self.assigner.with_alive(set(NAMES) - self.dead)
+        self.assignment = self.assigner.assign(set(NAMES) - self.dead)
         self.handover.on_assignment(self.assignment)
 
     def living(self) -> list[str]:
--- a/tests/core/assignment/test_substitutes.py
+++ b/tests/core/assignment/test_substitutes.py
@@ -68,7 +68,7 @@
     monkeypatch.setattr(zones, "_mix64", counted_rank)
     monkeypatch.setattr(_OpenNodes, "able", counted_able)
     living = CountingNodes(partly_lost(dead))
-    full().with_alive(living)
+    full().assign(living)
     assert living.lookups + counts.total() < MAX_LOOKUPS, (living.lookups, counts)
 
 
@@ -76,7 +76,7 @@
     """1,650 of a zone's 1,950 nodes are dead. The others are used up to their own limits, and
     every service that finds no capacity is stated as such.
     """
-    after = full().with_alive(partly_lost(1650))
+    after = full().assign(partly_lost(1650))
     assert_consistent(after)
     assert after.digest == DIGEST_OF_1650_DEAD
     before = full_assignment()
@@ -104,7 +104,7 @@
         free = RULES.node_rate - min(load[node] for node in others)
         assert rates[service] > free - 1e-6
     assert len(load) == 300
-    assert full().with_alive(names(FULL_NODES)) == before
+    assert full().assign(names(FULL_NODES)) == before
 
 
 def walked(
@@ -139,6 +139,6 @@
 ) -> None:
     random = Random(living)
     sets = [frozenset(random.sample(sorted(names(ONE_ZONE_NODES)), living)) for _ in range(2)]
-    got = [one_zone().with_alive(alive) for alive in sets]
+    got = [one_zone().assign(alive) for alive in sets]
     monkeypatch.setattr(Substitutes, "choose", walked)
-    assert got == [one_zone().with_alive(alive) for alive in sets]
+    assert got == [one_zone().assign(alive) for alive in sets]
