--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -232,15 +232,15 @@
         follows it is lost: operators get a 504 for changes that are committed, nodes are not told
         of them, and the replica's messages are not sent. A fault costs only the step that raises.
         """
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             run_logged(self._wake_restored, region)
             self._update_bound(region, "")
-        for region, change in self.replica.committed():
+        for region, change in self.replica.drain_committed():
             run_logged(self.submissions.on_committed, region, change)
             if change.service:
                 run_logged(self._wake_changed, region, change)
                 self._update_bound(region, change.service)
-        for recipient, message in self.replica.outgoing():
+        for recipient, message in self.replica.drain_outgoing():
             run_logged(self.streams.send, recipient, message)
 
     def _wake_restored(self, region: str) -> None:
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -197,12 +197,12 @@
 
     # ---- drained by the owner --------------------------------------------
 
-    def committed(self) -> list[CommittedChange]:
+    def drain_committed(self) -> list[CommittedChange]:
         """Drain the changes that were appended to the logs since the last call."""
         drained, self._committed = self._committed, []
         return drained
 
-    def restored(self) -> list[str]:
+    def drain_restored(self) -> list[str]:
         """Drain the regions whose log was replaced, by a snapshot or a load, since the last call.
 
         To be called before `committed`, which gives the changes of a load as well.
@@ -210,7 +210,7 @@
         drained, self._restored = self._restored, []
         return drained
 
-    def outgoing(self) -> list[Outgoing]:
+    def drain_outgoing(self) -> list[Outgoing]:
         """Drain the messages to send."""
         drained = list(self._outbox)
         self._outbox.clear()
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -145,14 +145,14 @@
     def settle(self) -> None:
         """Send the replica's messages, and publish what it has restored and committed."""
         environment = self._environment
-        for recipient, message in self.replica.outgoing():
+        for recipient, message in self.replica.drain_outgoing():
             environment.network.replicate(self.index, recipient, message)
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             log = self.logs[region]
             environment.log_checker.on_restored(self.spec.name, log)
             environment.recorder.decision(self.index, self.incarnation, region, log.position)
             self._wake(region, self.publisher.on_restored(region))
-        for region, change in self.replica.committed():
+        for region, change in self.replica.drain_committed():
             environment.log_checker.on_committed(self.spec.name, region, change)
             environment.recorder.decision(
                 self.index, self.incarnation, region, change.position, change.service
--- a/tests/core/replicated_log/group.py
+++ b/tests/core/replicated_log/group.py
@@ -96,11 +96,11 @@
 
     def drain(self, name: str) -> None:
         replica = self.replicas[name]
-        for recipient, message in replica.outgoing():
+        for recipient, message in replica.drain_outgoing():
             self.seen.append(message)
             self.under_way.append(Sent(name, recipient, message))
-        replica.restored()
-        self.committed[name] += [change for region, change in replica.committed()]
+        replica.drain_restored()
+        self.committed[name] += [change for region, change in replica.drain_committed()]
 
     def source(self, region: str) -> dict[str, list[Row]]:
         return {f"{region}-s{i}": [Row(f"u{i}", "loaded")] for i in range(self.services)}
