--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -239,7 +239,7 @@
             self._apply(region, state, response.update)
         else:
             self.holder.on_nothing_newer(time.monotonic_ns(), region, response.position)
-        released = self.holder.released()
+        released = self.holder.drain_released()
         if released and self._on_released is not None:
             self._on_released(released)
         pause = min(response.pause_ms / 1000, MAX_PAUSE_S)
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -215,9 +215,9 @@
             return None
         return self._unknown.on_request(now, service)
 
-    def released(self) -> tuple[str, ...]:
+    def drain_released(self) -> tuple[str, ...]:
         """Drains the services that were dropped since the last call."""
-        return self._services.released()
+        return self._services.drain_released()
 
     # ---- updates ------------------------------------------------------------
 
--- a/loadbalancer/core/subscription/service_table.py
+++ b/loadbalancer/core/subscription/service_table.py
@@ -51,7 +51,7 @@
         self._services: dict[str, ServiceState] = {}
         self._by_region: dict[str, set[str]] = {region: set() for region in regions}
         self._refused: dict[str, int] = {}  # services, with the bytes that each would need
-        self._dropped: dict[str, None] = {}  # since `released` was last called, in order
+        self._dropped: dict[str, None] = {}  # since `drain_released` was last called, in order
 
     def __contains__(self, name: str) -> bool:
         """Whether the service is here."""
@@ -140,7 +140,7 @@
         self.bytes -= service.bytes
         self._dropped[name] = None
 
-    def released(self) -> tuple[str, ...]:
+    def drain_released(self) -> tuple[str, ...]:
         """Drains the services that were dropped since the last call."""
         dropped, self._dropped = tuple(self._dropped), {}
         return dropped
--- a/simulation/control_invariants/release_checker.py
+++ b/simulation/control_invariants/release_checker.py
@@ -39,7 +39,7 @@
 
     def check(self, node: NodeIncarnation, holder: Holder) -> None:
         """What the node served and has released must be served by others."""
-        for service in holder.released():
+        for service in holder.drain_released():
             if service in self._were_serving.get(node, ()):
                 self._check_release(node, service)
         self._were_serving[node] = holder.serving()
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -209,11 +209,11 @@
     assert holder.on_wanted(3, {}, ("s",)) == ()
     holder.on_request_ends("s")
     assert holder.rows("s") is not None
-    assert holder.released() == ()
+    assert holder.drain_released() == ()
     holder.on_request_ends("s")
     assert holder.rows("s") is None
-    assert holder.released() == ("s",)
-    assert holder.released() == ()
+    assert holder.drain_released() == ("s",)
+    assert holder.drain_released() == ()
     assert not holder.on_request_begins("s")
     assert holder.retained_bytes == 0
     assert holder.subscription("r") == frozenset()
@@ -226,7 +226,7 @@
         assert holder.on_update(now, delta(P(2, 10), P(2, 10))).status is UpdateStatus.APPLIED
         assert holder.rows("s") == rows("a", "b")
     assert holder.on_wanted(2, {}, ("s",)) == ()
-    assert holder.released() == ("s",)
+    assert holder.drain_released() == ("s",)
 
 
 def test_a_revoked_release_does_not_count() -> None:
@@ -253,7 +253,7 @@
     holder.on_request_ends("s")
     assert holder.rows("s") is not None
     holder.on_request_ends("s")
-    assert holder.released() == ("s",)
+    assert holder.drain_released() == ("s",)
 
 
 def test_a_service_that_comes_back_serves_on_and_has_to_come_completely() -> None:
@@ -266,14 +266,14 @@
     assert holder.current("r") == frozenset()  # it may not have been followed meanwhile
     holder.on_request_ends("s")
     holder.on_request_ends("s")
-    assert holder.released() == ()
+    assert holder.drain_released() == ()
 
 
 def test_a_service_dropped_and_back_at_once_is_not_named_as_released() -> None:
     holder = holding("s")
     assert holder.on_wanted(1, {}, ("s",)) == ()
     assert holder.on_wanted(2, {"s": "r"}, ()) == ()
-    assert holder.released() == ()
+    assert holder.drain_released() == ()
     assert holder.rows("s") is None
 
 
