--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -73,12 +73,12 @@
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
     def _unchanged(self, since: int) -> bool:
-        delta = self._log.since(position_of(since), (self.service,))
+        delta = self._log.delta_since(position_of(since), (self.service,))
         return delta is not None and not delta.changes
 
     def _answer(self, since: int) -> bytes:
         """What changed since a version, or the complete list."""
-        delta = self._log.since(position_of(since), (self.service,)) if since else None
+        delta = self._log.delta_since(position_of(since), (self.service,)) if since else None
         version = version_of(self._log.position)
         if delta is None or any(change.complete or change.deleted for change in delta.changes):
             backends = self._log.rows(self.service) or {}
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -269,7 +269,7 @@
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
             return OperatorResponse(HTTPStatus.BAD_REQUEST, text.encode())
         try:
-            changes = log.after(position_of(version), LOG_ANSWER_BYTES)
+            changes = log.changes_after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
             return OperatorResponse(HTTPStatus.BAD_REQUEST, str(err).encode())
         if changes is None:
--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -234,7 +234,7 @@
         index = bisect_right(self._epoch_starts, revision, key=lambda start: start.revision)
         return self._epoch_starts[index - 1].epoch if index else None
 
-    def missing(self, position: Position, services: Iterable[str]) -> frozenset[str]:
+    def compacted_since(self, position: Position, services: Iterable[str]) -> frozenset[str]:
         """Of these services, those whose changes since `position` are no longer all logged."""
         revision = position.revision
         return frozenset(name for name in services if self._complete_after(name) > revision)
@@ -246,7 +246,7 @@
             return compacted
         return 0 if service in self._services else self._compacted_deletion
 
-    def since(self, position: Position, services: Iterable[str]) -> Delta | None:
+    def delta_since(self, position: Position, services: Iterable[str]) -> Delta | None:
         """What changed in these services after `position`, up to now.
 
         None where the log no longer reaches back for one of them, or where the position is not
@@ -299,7 +299,7 @@
         """Every service of the region."""
         return iter(self._services)
 
-    def after(self, position: Position, max_bytes: int) -> tuple[Change, ...] | None:
+    def changes_after(self, position: Position, max_bytes: int) -> tuple[Change, ...] | None:
         """All changes after `position`, in order, up to about `max_bytes` and at least one.
 
         None where the log does not reach back to it: a snapshot is needed.
--- a/loadbalancer/core/replicated_log/fetch_server.py
+++ b/loadbalancer/core/replicated_log/fetch_server.py
@@ -71,7 +71,7 @@
         self._chunks.pop(sender, None)
         if fetch.position >= self._log.position:
             return None
-        changes = self._log.after(fetch.position, self._max_bytes)
+        changes = self._log.changes_after(fetch.position, self._max_bytes)
         if changes is not None:
             return self._changes(fetch, changes)
         chunks = self._chunks[sender] = self._snapshot()
--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -101,7 +101,7 @@
         """
         start = previous.revision - self._base.revision
         if start < 0:
-            return self._change_log.after(previous, max_bytes)
+            return self._change_log.changes_after(previous, max_bytes)
         end = start
         size = 0
         while end < len(self._uncommitted):
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -193,7 +193,7 @@
         current: frozenset[str],
     ) -> Answer:
         """The changes of the `current` services, and the others completely, or a wait."""
-        not_logged = log.missing(position, current)
+        not_logged = log.compacted_since(position, current)
         complete = not_logged | (subscriber.services - current)
         until = None
         if complete and (delay := self._delay(now, key, log.size(complete))):
@@ -202,7 +202,7 @@
                 # A delta would move its position past changes that it does not contain.
                 return Wait(until)
             complete = frozenset()
-        delta = log.since(position, current - not_logged)
+        delta = log.delta_since(position, current - not_logged)
         assert delta is not None, "every service that the log does not reach was taken out"
         if not delta.changes and not complete:
             subscriber.waiting = True
--- a/simulation/control_world/stale_updates.py
+++ b/simulation/control_world/stale_updates.py
@@ -36,7 +36,7 @@
         log = newest.logs[region]
         revision = log.position.revision - 1
         base = Position(log.epoch_at(revision) or 0, revision)
-        delta = log.since(base, node.holder.subscription(region))
+        delta = log.delta_since(base, node.holder.subscription(region))
         if base > node.holder.position(region) and delta is not None and delta.changes:
             self._send(newest.index, node, delta)
 
--- a/tests/core/replicated_log/test_change_log.py
+++ b/tests/core/replicated_log/test_change_log.py
@@ -23,17 +23,17 @@
 
 def test_a_subscriber_is_given_the_changes_of_its_services_in_order() -> None:
     log = log_of(change(1, 1), change(1, 2, "b"), change(2, 3), change(2, 4, "c"))
-    delta = log.since(Position(1, 1), ["a", "b"])
+    delta = log.delta_since(Position(1, 1), ["a", "b"])
     assert delta is not None
     assert delta.position == Position(2, 4)
     assert [entry.position.revision for entry in delta.changes] == [2, 3]
-    assert log.since(Position(2, 4), ["a"]).changes == ()  # type: ignore[union-attr]
+    assert log.delta_since(Position(2, 4), ["a"]).changes == ()  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("position", [START, Position(2, 2), Position(1, 9), Position(9, 2)])
 def test_a_position_of_another_history_gets_no_delta(position: Position) -> None:
     log = log_of(change(1, 1), change(1, 2), change(3, 3))
-    assert log.since(position, ["a"]) is None
+    assert log.delta_since(position, ["a"]) is None
     assert not log.contains(position)
     assert log.contains(Position(1, 2))
 
@@ -41,10 +41,10 @@
 def test_a_compacted_log_reaches_back_for_what_has_not_changed_since() -> None:
     log = log_of(*(change(1, n, "a" if n < 4 else "b") for n in range(1, 9)), max_changes=3)
     assert len(log) == 3
-    assert log.missing(Position(1, 3), ["a", "b"]) == {"b"}
-    assert log.since(Position(1, 3), ["a"]) is not None
-    assert log.since(Position(1, 3), ["a", "b"]) is None
-    assert log.since(Position(1, 2), ["a"]) is None
+    assert log.compacted_since(Position(1, 3), ["a", "b"]) == {"b"}
+    assert log.delta_since(Position(1, 3), ["a"]) is not None
+    assert log.delta_since(Position(1, 3), ["a", "b"]) is None
+    assert log.delta_since(Position(1, 2), ["a"]) is None
 
 
 def test_the_log_is_bounded_by_changes_and_by_bytes() -> None:
@@ -66,7 +66,7 @@
     deletion = Change(Position(1, 2), "a", deleted=True)
     filler = [change(1, revision, "b") for revision in range(3, 9)]
     log = log_of(change(1, 1), deletion, *filler, change(1, 9, "a", "u2"), max_changes=3)
-    assert log.missing(Position(1, 1), ["a"]) == {"a"}
+    assert log.compacted_since(Position(1, 1), ["a"]) == {"a"}
     assert [row.uid for row in log.replacements(["a"])[0].rows] == ["u2"]
     assert log.replacements(["x"])[0].deleted
 
@@ -90,8 +90,8 @@
     assert snapshot.position == Position(1, 2)
     other = ChangeLog("east", 10, 1000)
     other.restore(snapshot)
-    assert other.since(Position(1, 1), ["a"]) is not None  # a has not changed since
-    assert other.missing(Position(1, 1), ["b"]) == {"b"}
+    assert other.delta_since(Position(1, 1), ["a"]) is not None  # a has not changed since
+    assert other.compacted_since(Position(1, 1), ["b"]) == {"b"}
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -113,7 +113,7 @@
         else:
             log.append(Change(at, name, (Row(uid, str(revision)),)))
         if draw.random() < 0.3:
-            delta = log.since(position, services)
+            delta = log.delta_since(position, services)
             if delta is None:
                 copy = {k: dict(v) for k, v in log.snapshot(services).services.items()}
             else:
