--- a/benchmarks/assignment.py
+++ b/benchmarks/assignment.py
@@ -296,7 +296,7 @@
     loss_ms = elapsed_ms(lose_nodes)
     report(handover, alive - lost, without)
     return_ms = elapsed_ms(lambda: handover.on_assignment(full))
-    moving = handover.moving()
+    moving = handover.pending_moves()
     served_ms = elapsed_ms(lambda: report(handover, lost, full))
     return {
         "first_ms": first_ms,
@@ -305,7 +305,7 @@
         "back_ms": return_ms,
         "kept_on": moving,
         "cold_ones_serve_ms": served_ms,
-        "kept_on_then": handover.moving(),
+        "kept_on_then": handover.pending_moves(),
     }
 
 
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -75,12 +75,12 @@
 
     def services_in_region(self, node: str, region: str) -> frozenset[str]:
         """The services of this region that the node is to hold."""
-        wanted = self.handover.wanted(node)
+        wanted = self.handover.required(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
     def assignment_for(self, now: int, node: str) -> NodeAssignment:
         """What the node is to hold and may release."""
-        wanted = {name: self.regions[name] for name in self.handover.wanted(node)}
+        wanted = {name: self.regions[name] for name in self.handover.required(node)}
         releasable = self.releases.releasable(now, node) if self.releases else frozenset[str]()
         return NodeAssignment(wanted, releasable, self.handover.generation)
 
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -100,7 +100,7 @@
         "digest": nodes.assignment.digest,
         "generation": nodes.handover.generation,
         "pairs": sum(map(len, nodes.assignment.holders.values())),
-        "moving": nodes.handover.moving(),
+        "moving": nodes.handover.pending_moves(),
         "unmet": len(nodes.assignment.unmet),
         "touched": nodes.nodes_changed_by_last_assignment,
     }
--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -53,7 +53,7 @@
         self._counts_from: dict[str, dict[str, int]] = {}
         self._all_count_from: dict[str, int] = {}
 
-    def wanted(self, node: str) -> frozenset[str]:
+    def required(self, node: str) -> frozenset[str]:
         """The services that the node is to hold: assigned to it, or served until others do.
 
         Raises:
@@ -67,7 +67,7 @@
         return self.assigned(node) | retained
 
     def assigned(self, node: str) -> frozenset[str]:
-        """Those of `wanted` that are the node's own by the assignment.
+        """Those of `required` that are the node's own by the assignment.
 
         Raises:
             InvalidInputError: there is no such node.
@@ -84,7 +84,7 @@
         self._check(node)
         return frozenset(self._releasable_by.get(node, ()))
 
-    def moving(self) -> int:
+    def pending_moves(self) -> int:
         """How many pairs of node and service are retained until others serve."""
         return sum(len(nodes) for nodes in self._retained.values())
 
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -211,7 +211,7 @@
     def _assignment(self, node: int) -> NodeAssignment:
         name = self._environment.topology.nodes[node].name
         releasable = self._releases.releasable(self._environment.now, name)
-        return NodeAssignment(self._handover.wanted(name), releasable)
+        return NodeAssignment(self._handover.required(name), releasable)
 
     def _answer(self, opened: OpenPoll) -> None:
         """Answer a poll if there is an update or a new assignment, or if its deadline has come."""
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -38,15 +38,15 @@
 
 def test_an_old_holder_is_released_only_once_the_new_one_serves() -> None:
     handover = moving(("z1-0", "z1-1"), ("z1-1", "z1-2"))
-    assert handover.wanted("z1-0") == {"s"}
+    assert handover.required("z1-0") == {"s"}
     assert handover.assigned("z1-0") == frozenset()
-    assert handover.wanted("z1-2") == {"s"}
+    assert handover.required("z1-2") == {"s"}
     assert handover.releasable("z1-0") == frozenset()
-    assert handover.moving() == 1
+    assert handover.pending_moves() == 1
     assert handover.on_serving("z1-2", "s")
-    assert handover.wanted("z1-0") == frozenset()
+    assert handover.required("z1-0") == frozenset()
     assert handover.releasable("z1-0") == {"s"}
-    assert handover.moving() == 0
+    assert handover.pending_moves() == 0
     handover.on_released("z1-0", "s")
     assert handover.releasable("z1-0") == frozenset()
 
@@ -81,10 +81,10 @@
     handover = moving(("z1-0",), ("z1-1",))
     for new in ("z1-2", "z1-3", "z1-1", "z2-0"):
         handover.on_assignment(assignment_of({"s": (new,)}))
-        assert handover.wanted("z1-0") == {"s"}
+        assert handover.required("z1-0") == {"s"}
         assert handover.releasable("z1-0") == frozenset()
     handover.on_assignment(assignment_of({"s": ()}))
-    assert handover.wanted("z1-0") == {"s"}
+    assert handover.required("z1-0") == {"s"}
 
 
 def test_a_deleted_service_is_released_at_once() -> None:
@@ -104,9 +104,9 @@
     handover.on_dead("z1-1")
     assert handover.releasable("z1-0") == frozenset()
     assert not handover.on_serving("z1-0", "s", said)  # from before: it may have released
-    assert handover.wanted("z1-0") == frozenset()
+    assert handover.required("z1-0") == frozenset()
     assert handover.on_serving("z1-0", "s", handover.generation)
-    assert handover.wanted("z1-0") == {"s"}
+    assert handover.required("z1-0") == {"s"}
 
 
 def test_a_service_that_comes_back_counts_only_by_a_later_report() -> None:
@@ -133,7 +133,7 @@
     assert not handover.on_serving("z1-0", "s", said)
     handover.on_assignment(assignment_of({"s": ("z1-2",)}))
     handover.on_report("z1-0", ("s",), said)
-    assert handover.wanted("z1-1") == {"s"}
+    assert handover.required("z1-1") == {"s"}
     assert handover.releasable("z1-1") == frozenset()
 
 
@@ -145,7 +145,7 @@
     handover.on_report("z1-0", ("s",), said)
     handover.on_assignment(assignment_of({"s": ("z1-2",)}))
     assert not handover.on_serving("z1-0", "s", said)
-    assert handover.wanted("z1-0") == frozenset()
+    assert handover.required("z1-0") == frozenset()
 
 
 def test_a_dead_nodes_earlier_report_takes_nothing_back_from_its_later_ones() -> None:
@@ -170,7 +170,7 @@
     generation = handover.generation
     assert not handover.on_serving("z1-0", "s", generation)
     assert handover.releasable("z1-0") == {"s"}
-    assert handover.wanted("z1-0") == frozenset()
+    assert handover.required("z1-0") == frozenset()
     assert handover.generation == generation
 
 
@@ -179,7 +179,7 @@
     handover = Handover(NODES)
     assert handover.on_serving("z1-0", "s", 0)  # before any assignment
     assert handover.releasable("z1-0") == frozenset()
-    assert handover.wanted("z1-0") == {"s"}
+    assert handover.required("z1-0") == {"s"}
     handover.on_assignment(assignment_of({"s": ("z1-1", "z1-2")}))
     assert handover.releasable("z1-0") == frozenset()
     handover.on_report("z1-1", ("s",), 0)
@@ -216,11 +216,11 @@
         for service in set(services) - set(everywhere.services_by_node[node])
     }
     assert substitutes
-    assert all(service in handover.wanted(node) for node, service in substitutes)
+    assert all(service in handover.required(node) for node, service in substitutes)
     for node in rack:
         handover.on_report(node, everywhere.services_by_node[node], handover.generation)
     assert all(service in handover.releasable(node) for node, service in substitutes)
-    assert handover.moving() == 0
+    assert handover.pending_moves() == 0
 
 
 def test_what_a_node_claims_is_bounded() -> None:
@@ -229,7 +229,7 @@
     handover.on_assignment(ASSIGNER.assign(NAMES))
     handover.on_report("z1-0", [f"nonsense-{n}" for n in range(10_000)])
     assert len(handover.releasable("z1-0")) == MAX_RETAINED
-    assert len(handover.wanted("z1-0")) <= MAX_RETAINED + len(SERVICES)
+    assert len(handover.required("z1-0")) <= MAX_RETAINED + len(SERVICES)
 
 
 def test_an_unknown_node_is_refused() -> None:
--- a/tests/core/assignment/test_handover_orders.py
+++ b/tests/core/assignment/test_handover_orders.py
@@ -52,7 +52,7 @@
         """Give the node what it is to hold; a busy one drains before it releases."""
         node = self.nodes[name]
         node.generation = self.handover.generation
-        node.wanted = self.handover.wanted(name)
+        node.wanted = self.handover.required(name)
         releasable = self.handover.releasable(name)
         assert not node.wanted & releasable
         node.draining = set()
@@ -203,4 +203,4 @@
     world.settle()
     for name in set(NAMES) - world.dead:
         assert world.nodes[name].loaded == set(world.assignment.services_by_node[name])
-    assert world.handover.moving() == 0
+    assert world.handover.pending_moves() == 0
