--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -198,7 +198,7 @@
 
     def live_machines(self, now: int) -> frozenset[str]:
         """The names of the machines that were heard lately, this one included."""
-        return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
+        return frozenset(self.nodes.presence.live_machines(now) | {self.machine.spec.name})
 
     # ---- the other machines ----------------------------------------------
 
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -203,7 +203,7 @@
     def on_time(self, now: int) -> bool:
         """Once a second: which nodes live. True where the assignment has changed."""
         self._expire_polls(now)
-        self.presence.on_time(now)
+        self.presence.expire_machines(now)
         if now - self._last_tick > MAX_TICK_GAP_NS or self._is_cut_off(now):
             self._restart_first_polls(now)
         self._last_tick = now
@@ -232,7 +232,7 @@
 
     def _pass_heartbeats(self, now: int) -> None:
         """Nodes that poll anywhere are alive; so are those with time left for their first poll."""
-        present = self.presence.present()
+        present = self.presence.present_nodes()
         self._not_seen -= present
         starting = self._not_seen if now - self._started < FIRST_POLL_WAIT_NS else ()
         for node in (*present, *starting):
@@ -252,7 +252,7 @@
 
         The nodes may poll the machines that this one does not hear.
         """
-        return 2 * (len(self.presence.machines(now)) + 1) < self._machine_count
+        return 2 * (len(self.presence.live_machines(now)) + 1) < self._machine_count
 
     def _restart_first_polls(self, now: int) -> None:
         """Give the living nodes the time of a first poll again.
--- a/loadbalancer/core/assignment/presence.py
+++ b/loadbalancer/core/assignment/presence.py
@@ -77,7 +77,7 @@
         self._remote[machine] = (before | joined).difference(update.departed)
         return True
 
-    def on_time(self, now: int) -> None:
+    def expire_machines(self, now: int) -> None:
         """Forget the updates of machines that have timed out."""
         for machine, last in self._last_message.items():
             if now - last > self._machine_timeout_ns:
@@ -97,7 +97,7 @@
         sent = (self._local - self._joined) | self._departed
         return PresenceUpdate(self._serial, complete=True, joined=tuple(sorted(sent)))
 
-    def present(self) -> frozenset[str]:
+    def present_nodes(self) -> frozenset[str]:
         """The nodes that poll at any machine."""
         return frozenset(self._local).union(*self._remote.values())
 
@@ -105,7 +105,7 @@
         """How many nodes poll here."""
         return len(self._local)
 
-    def machines(self, now: int) -> frozenset[str]:
+    def live_machines(self, now: int) -> frozenset[str]:
         """The other machines that have not timed out."""
         return frozenset(
             machine
