--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -79,7 +79,7 @@
 def publisher_of(log: ChangeLog, nodes: int) -> Publisher:
     """Return a machine's publisher of a log, for `nodes` nodes of the region."""
     publisher = Publisher(MACHINES[0], MACHINES, {"east": log}, PublisherLimits())
-    publisher.on_nodes({f"n{i}": "east" for i in range(nodes)})
+    publisher.on_registered_nodes({f"n{i}": "east" for i in range(nodes)})
     return publisher
 
 
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -87,7 +87,7 @@
         rate = file.limits.snapshot_rate
         limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
         self.publisher = Publisher(spec, specs, self.logs, limits)
-        self.publisher.on_nodes({node.name: node.region for node in file.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
         self.nodes = NodeRegistry(file, now, self.releases)
@@ -186,7 +186,7 @@
         if live != self._live_machines:
             self._live_machines = live
             logger.info("control machines alive: %s", ", ".join(sorted(live)))
-            self.node_requests.wake_keys(self.publisher.on_living(live))
+            self.node_requests.wake_keys(self.publisher.on_live_machines(live))
         leads = self.replica.role is Role.LEADER
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -67,14 +67,14 @@
 
     # ---- nodes and machines -------------------------------------------------
 
-    def on_nodes(self, nodes: Mapping[str, str]) -> None:
+    def on_registered_nodes(self, nodes: Mapping[str, str]) -> None:
         """Replace the registered nodes, living or not; `nodes` gives their regions."""
         self._placement = Placement(nodes, self._machines)
         for node, region in list(self._subscribers):
             if node not in nodes:
                 self._forget(node, region)
 
-    def on_living(self, living: Iterable[str]) -> tuple[SubscriberKey, ...]:
+    def on_live_machines(self, living: Iterable[str]) -> tuple[SubscriberKey, ...]:
         """Replace the set of living control machines.
 
         Returns the waiting subscribers that belong to another machine now and are to be
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -72,7 +72,7 @@
             self.spec, topology.machines, self.logs, seed, now, size.timing
         )
         self.publisher = Publisher(self.spec, topology.machines, self.logs, size.publisher_limits)
-        self.publisher.on_nodes({node.name: node.region for node in topology.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in topology.nodes})
         self._liveness = Liveness(
             now,
             [node.name for node in topology.nodes],
@@ -197,7 +197,7 @@
         )
         if living != self._living:
             self._living = living
-            for node, region in self.publisher.on_living(living):
+            for node, region in self.publisher.on_live_machines(living):
                 self._wake(region, (node,))
 
     def _wake(self, region: str, nodes: Iterable[str]) -> None:
--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -44,7 +44,7 @@
         self.publisher = Publisher(
             MACHINES[0], MACHINES, {"east": self.log}, limits or PublisherLimits()
         )
-        self.publisher.on_nodes(NODES)
+        self.publisher.on_registered_nodes(NODES)
         living = [spec.name for spec in MACHINES]
         self.mine = [node for node in NODES if self.publisher.machine_for(node, living) == "east-0"]
         self.node = self.mine[0]
@@ -253,7 +253,7 @@
     rig = Rig()
     living = [spec.name for spec in MACHINES if spec.name != "east-1"]
     position = rig.log.position
-    rig.publisher.on_living(living)
+    rig.publisher.on_live_machines(living)
     guests = [
         node for node in NODES
         if rig.publisher.machine_for(node, living) == "east-0" and node not in rig.mine
@@ -262,7 +262,7 @@
     for node in guests:
         answer = rig.publisher.subscribe(0, node, "east", position, SERVICES, SERVICES)
         assert isinstance(answer, Wait)
-    woken = rig.publisher.on_living([spec.name for spec in MACHINES])
+    woken = rig.publisher.on_live_machines([spec.name for spec in MACHINES])
     assert sorted(woken) == sorted((node, "east") for node in guests)
     assert not len(rig.publisher._subscribers)
     assert not rig.publisher._subscribers._by_service
