--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -238,7 +238,7 @@
         if response.update is not None:
             self._apply(region, state, response.update)
         else:
-            self.holder.on_nothing_newer(time.monotonic_ns(), region, response.position)
+            self.holder.on_up_to_date(time.monotonic_ns(), region, response.position)
         released = self.holder.drain_released()
         if released and self._on_released is not None:
             self._on_released(released)
@@ -277,7 +277,7 @@
             self.counts.events["older assignments"] += 1
             return
         state.generation = assignment.generation
-        exceeding = self.holder.on_wanted(
+        exceeding = self.holder.on_assignment(
             time.monotonic_ns(), assignment.wanted, assignment.releasable
         )
         if exceeding:
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -73,7 +73,7 @@
 
     # ---- what is to be held -------------------------------------------------
 
-    def on_wanted(
+    def on_assignment(
         self, now: int, wanted: Mapping[str, str], releasable: Collection[str]
     ) -> tuple[str, ...]:
         """Follow an assignment: services with their regions, and what may be released.
@@ -243,7 +243,7 @@
         self._services.settle(now)
         return result
 
-    def on_nothing_newer(self, now: int, region: str, position: Position) -> bool:
+    def on_up_to_date(self, now: int, region: str, position: Position) -> bool:
         """Control says that its log is at this position: whether this node is there too.
 
         Raises:
--- a/simulation/control_world/node.py
+++ b/simulation/control_world/node.py
@@ -110,7 +110,7 @@
         self._assignments[reply.machine] = assignment
         self._generations[reply.machine] = reply.generation
         wanted = {name: environment.topology.home[name] for name in assignment.wanted}
-        self.holder.on_wanted(environment.now, wanted, assignment.releasable)
+        self.holder.on_assignment(environment.now, wanted, assignment.releasable)
 
     def _apply(self, answer: SendUpdate, poll: Poll) -> None:
         environment = self._environment
--- a/tests/core/subscription/holders.py
+++ b/tests/core/subscription/holders.py
@@ -28,7 +28,7 @@
 def make(*services: str, limits: HolderLimits | None = None) -> Holder:
     """A holder that is to hold these services of region r, and has been told nothing of them."""
     holder = Holder("n", ["r", "q"], limits or HolderLimits())
-    assert holder.on_wanted(0, dict.fromkeys(services, "r"), ()) == ()
+    assert holder.on_assignment(0, dict.fromkeys(services, "r"), ()) == ()
     return holder
 
 
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -104,7 +104,7 @@
 
 def test_a_service_begins_with_its_first_complete_change() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
     assert not holder.on_request_begins("t")
     assert holder.subscription("r") == {"s", "t"}
@@ -134,13 +134,13 @@
     together = delta(P(2, 10), P(2, 11), complete)
     holder = holding("s")  # the change comes first
     assert holder.on_update(1, before).status is UpdateStatus.NOT_WANTED
-    assert holder.on_wanted(2, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(2, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
     late = Change(P(2, 11), "t", complete.rows, complete=True)
     assert holder.on_update(3, delta(P(2, 11), P(2, 11), late)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", draining=True), "b": row("b")}
     holder = holding("s")  # the move comes first
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.on_update(2, before).status is UpdateStatus.GAP
     assert holder.on_update(3, together).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", draining=True), "b": row("b")}
@@ -153,7 +153,7 @@
     holder = holding("s")
     early = holder.subscribe("r")
     assert early == Subscription("r", P(2, 10), frozenset("s"), frozenset("s"))
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     complete = Change(P(2, 10), "t", (row("a"),), complete=True)
     second = holder.subscribe("r")
     assert second == Subscription("r", P(2, 10), frozenset("st"), frozenset("s"))
@@ -200,13 +200,13 @@
     holder = holding("s")
     assert holder.on_request_begins("s")
     assert holder.on_request_begins("s")
-    assert holder.on_wanted(1, {}, ()) == ()  # moved away, nobody serves yet
+    assert holder.on_assignment(1, {}, ()) == ()  # moved away, nobody serves yet
     assert holder.on_request_begins("s")
     holder.on_request_ends("s")
     assert holder.rows("s") == rows("a", "b")
     drain = Change(P(2, 11), "s", (row("a", draining=True),))
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), drain)).changed == ("s",)
-    assert holder.on_wanted(3, {}, ("s",)) == ()
+    assert holder.on_assignment(3, {}, ("s",)) == ()
     holder.on_request_ends("s")
     assert holder.rows("s") is not None
     assert holder.drain_released() == ()
@@ -221,11 +221,11 @@
 
 def test_an_idle_service_is_retained_until_it_may_be_released() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {}, ()) == ()
+    assert holder.on_assignment(1, {}, ()) == ()
     for now in (1, SECOND, 3600 * SECOND):
         assert holder.on_update(now, delta(P(2, 10), P(2, 10))).status is UpdateStatus.APPLIED
         assert holder.rows("s") == rows("a", "b")
-    assert holder.on_wanted(2, {}, ("s",)) == ()
+    assert holder.on_assignment(2, {}, ("s",)) == ()
     assert holder.drain_released() == ("s",)
 
 
@@ -233,8 +233,8 @@
     """A new holder dies, and control takes the permission to release back."""
     holder = holding("s")
     assert holder.on_request_begins("s")
-    assert holder.on_wanted(1, {}, ("s",)) == ()
-    assert holder.on_wanted(2, {}, ()) == ()
+    assert holder.on_assignment(1, {}, ("s",)) == ()
+    assert holder.on_assignment(2, {}, ()) == ()
     holder.on_request_ends("s")
     assert holder.rows("s") == rows("a", "b")
 
@@ -243,11 +243,11 @@
     """Requests of a service that moved away never pause, so it would never be released."""
     holder = holding("s", limits=HolderLimits(drain_timeout=10))
     assert holder.on_request_begins("s")
-    assert holder.on_wanted(100, {}, ("s",)) == ()
-    assert holder.on_wanted(109, {}, ("s",)) == ()
+    assert holder.on_assignment(100, {}, ("s",)) == ()
+    assert holder.on_assignment(109, {}, ("s",)) == ()
     assert holder.on_request_begins("s")
     assert holder.serving() == {"s"}
-    assert holder.on_wanted(110, {}, ("s",)) == ()
+    assert holder.on_assignment(110, {}, ("s",)) == ()
     assert not holder.on_request_begins("s")
     assert holder.serving() == frozenset()
     holder.on_request_ends("s")
@@ -259,9 +259,9 @@
 def test_a_service_that_comes_back_serves_on_and_has_to_come_completely() -> None:
     holder = holding("s", limits=HolderLimits(drain_timeout=10))
     assert holder.on_request_begins("s")
-    assert holder.on_wanted(100, {}, ("s",)) == ()
-    assert holder.on_wanted(200, {}, ("s",)) == ()  # closed
-    assert holder.on_wanted(201, {"s": "r"}, ()) == ()
+    assert holder.on_assignment(100, {}, ("s",)) == ()
+    assert holder.on_assignment(200, {}, ("s",)) == ()  # closed
+    assert holder.on_assignment(201, {"s": "r"}, ()) == ()
     assert holder.on_request_begins("s")
     assert holder.current("r") == frozenset()  # it may not have been followed meanwhile
     holder.on_request_ends("s")
@@ -271,15 +271,15 @@
 
 def test_a_service_dropped_and_back_at_once_is_not_named_as_released() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {}, ("s",)) == ()
-    assert holder.on_wanted(2, {"s": "r"}, ()) == ()
+    assert holder.on_assignment(1, {}, ("s",)) == ()
+    assert holder.on_assignment(2, {"s": "r"}, ()) == ()
     assert holder.drain_released() == ()
     assert holder.rows("s") is None
 
 
 def test_a_cold_service_that_moves_on_before_it_came_is_dropped() -> None:
     holder = make("s")
-    assert holder.on_wanted(1, {}, ()) == ()
+    assert holder.on_assignment(1, {}, ()) == ()
     assert holder.subscription("r") == frozenset()
     assert holder.retained_bytes == 0
 
@@ -296,9 +296,9 @@
     day = 86_400 * SECOND
     assert holder.on_request_begins("s")
     assert holder.age(10 + day, "r") == day
-    assert not holder.on_nothing_newer(10 + day, "r", P(1, 2))
+    assert not holder.on_up_to_date(10 + day, "r", P(1, 2))
     assert holder.age(10 + day, "r") == day
-    assert holder.on_nothing_newer(10 + day, "r", P(1, 1))
+    assert holder.on_up_to_date(10 + day, "r", P(1, 1))
     assert holder.age(11 + day, "r") == 1
     assert holder.age(11 + day, "q") is None
 
@@ -308,7 +308,7 @@
     with pytest.raises(InvalidInputError, match="unknown region 'x', must be one of q, r"):
         holder.on_update(1, Snapshot("x", P(1, 1)))
     with pytest.raises(InvalidInputError, match="unknown region 'x'"):
-        holder.on_wanted(1, {"t": "r", "u": "x"}, ("s",))
+        holder.on_assignment(1, {"t": "r", "u": "x"}, ("s",))
     with pytest.raises(InvalidInputError, match="service 's' is of region 'r', not 'q'"):
-        holder.on_wanted(1, {"s": "q"}, ())
+        holder.on_assignment(1, {"s": "q"}, ())
     assert holder.subscription("r") == {"s"}
--- a/tests/core/subscription/test_holder_orders.py
+++ b/tests/core/subscription/test_holder_orders.py
@@ -173,7 +173,7 @@
     for message in run:
         if message[0] == "wanted":
             names = SERVICES[message[1] % 3 :] + SERVICES[: message[2] % 3]
-            holder.on_wanted(0, dict.fromkeys(names, "r"), SERVICES[: message[2] % 2])
+            holder.on_assignment(0, dict.fromkeys(names, "r"), SERVICES[: message[2] % 2])
         if message[0] == "again" and sent:
             update, request = sent[message[1] % len(sent)]
         else:
@@ -196,7 +196,7 @@
         assert holder.retained_bytes == sum(bytes_of_service(holder, name) for name in known)
         assert_drains_last(before, holder, history)
     last = len(history.changes)
-    holder.on_wanted(0, dict.fromkeys(SERVICES, "r"), ())
+    holder.on_assignment(0, dict.fromkeys(SERVICES, "r"), ())
     holder.on_update(0, history.snapshot(last, holder.subscription("r")))
     assert holder.current("r") == set(SERVICES)
     assert_as_of_its_position(holder, history)
--- a/tests/core/subscription/test_service_table.py
+++ b/tests/core/subscription/test_service_table.py
@@ -22,9 +22,9 @@
 def test_no_more_services_than_the_bound() -> None:
     holder = holding("s", limits=HolderLimits(max_services=3))
     wanted = dict.fromkeys(("s", "t", "u", "v", "w"), "r")
-    assert holder.on_wanted(1, wanted, ()) == ("v", "w")
+    assert holder.on_assignment(1, wanted, ()) == ("v", "w")
     assert holder.subscription("r") == {"s", "t", "u"}
-    assert holder.on_wanted(2, {"v": "r", "t": "r"}, ("s", "u")) == ()
+    assert holder.on_assignment(2, {"v": "r", "t": "r"}, ("s", "u")) == ()
     assert holder.subscription("r") == {"t", "v"}
 
 
@@ -35,11 +35,11 @@
         holder.on_update(1, Snapshot("r", P(1, 1), {"s": numbered(400)})).status
         is UpdateStatus.APPLIED
     )
-    assert holder.on_wanted(2, {"s": "r", "t": "r"}, ()) == ("t",)
+    assert holder.on_assignment(2, {"s": "r", "t": "r"}, ()) == ("t",)
     assert holder.retained_bytes == limits.max_bytes
     less = Change(P(1, 2), "s", removed=("0001", "0002", "0003", "0004"))
     assert holder.on_update(3, delta(P(1, 1), P(1, 2), less)).status is UpdateStatus.APPLIED
-    assert holder.on_wanted(4, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(4, {"s": "r", "t": "r"}, ()) == ()
 
 
 def test_a_refused_service_takes_nothing_new_and_loses_what_drains() -> None:
@@ -99,5 +99,5 @@
     assert holder.rows("t") is None
     assert not holder.on_request_begins("t")
     assert holder.current("r") == {"s", "t"}
-    assert holder.on_wanted(2, {"t": "r"}, ("s",)) == ()
+    assert holder.on_assignment(2, {"t": "r"}, ("s",)) == ()
     assert holder.current("r") == frozenset()  # t is to come completely now
--- a/tests/core/subscription/test_unknown_services.py
+++ b/tests/core/subscription/test_unknown_services.py
@@ -38,5 +38,5 @@
     assert holder.on_unknown(11 * SECOND, "s") is None  # held
     assert holder.on_unknown(11 * SECOND, "") is None
     assert holder.on_unknown(11 * SECOND, "x" * 257) is None
-    assert holder.on_wanted(12 * SECOND, {"s": "r", "x": "r"}, ()) == ()
+    assert holder.on_assignment(12 * SECOND, {"s": "r", "x": "r"}, ()) == ()
     assert holder.on_unknown(30 * SECOND, "x") is None  # on its way
--- a/tests/simulation/test_control_invariants.py
+++ b/tests/simulation/test_control_invariants.py
@@ -40,7 +40,7 @@
 def holder_with(row: Row) -> Holder:
     """A node's holder after one update with this row."""
     holder = Holder(NODE.name, REGIONS, HolderLimits())
-    holder.on_wanted(0, {SERVICE: EAST}, frozenset())
+    holder.on_assignment(0, {SERVICE: EAST}, frozenset())
     subscription = holder.subscribe(EAST)
     change = Change(FIRST, SERVICE, (row,), complete=True)
     delta = Delta(EAST, subscription.position, FIRST, (change,))
@@ -107,6 +107,6 @@
     environment.loop.run(60 * SECOND)
     holder = holder_with(ACTIVE)
     environment.release_checker.check(NODE, holder)
-    holder.on_wanted(environment.now, {}, frozenset({SERVICE}))
+    holder.on_assignment(environment.now, {}, frozenset({SERVICE}))
     environment.release_checker.check(NODE, holder)
     assert "which nobody else serves" in environment.breaches[0]
