--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -162,8 +162,8 @@
             f"node={quote(self.holder.name)}",
             f"region={quote(region)}",
         ]
-        current = self.holder.current(region)
-        behind = current != self.holder.subscription(region)
+        current = self.holder.current_services(region)
+        behind = current != self.holder.subscribed_services(region)
         if (state.first_poll or behind) and position != START:
             parts.append(f"held={_names(current) or ','}")
         report = _Report(self._generation(state), _names(self.holder.serving()))
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -121,7 +121,7 @@
 
     # ---- what to subscribe to -----------------------------------------------
 
-    def subscription(self, region: str) -> frozenset[str]:
+    def subscribed_services(self, region: str) -> frozenset[str]:
         """The services of a region that control is to send: all that are wanted or still held.
 
         Raises:
@@ -130,18 +130,21 @@
         self._region(region)
         return frozenset(self._services.in_region(region))
 
-    def subscribe(self, region: str) -> Subscription:
+    def make_subscription(self, region: str) -> Subscription:
         """What to poll control for now.
 
         Raises:
             InvalidInputError: the region is unknown.
         """
         return Subscription(
-            region, self.position(region), self.subscription(region), self.current(region)
+            region,
+            self.position(region),
+            self.subscribed_services(region),
+            self.current_services(region),
         )
 
-    def current(self, region: str) -> frozenset[str]:
-        """The services of `subscription` for which deltas suffice; the others must come completely.
+    def current_services(self, region: str) -> frozenset[str]:
+        """Those of `subscribed_services` for which deltas suffice; others must come completely.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -150,13 +153,13 @@
         services = self._services
         return frozenset(name for name in services.in_region(region) if services.is_followed(name))
 
-    def missing(self, region: str) -> frozenset[str]:
-        """Those of `subscription` that have to come completely.
+    def stale_services(self, region: str) -> frozenset[str]:
+        """Those of `subscribed_services` that have to come completely.
 
         Raises:
             InvalidInputError: the region is unknown.
         """
-        return self.subscription(region) - self.current(region)
+        return self.subscribed_services(region) - self.current_services(region)
 
     def position(self, region: str) -> Position:
         """The position in the region's log up to which its services are held.
--- a/simulation/control_invariants/node_checker.py
+++ b/simulation/control_invariants/node_checker.py
@@ -85,7 +85,7 @@
             if position < self._positions.get(key, START):
                 self._environment.breach(f"{node.name} went back to {position} of {region}")
             self._positions[key] = position
-            for service in holder.subscription(region) - holder.missing(region):
+            for service in holder.subscribed_services(region) - holder.stale_services(region):
                 if holder.rows(service) != history.rows_at(service, position):
                     self._environment.breach(
                         f"{node.name}: {service} is not as accepted at {position}"
--- a/simulation/control_world/node.py
+++ b/simulation/control_world/node.py
@@ -82,7 +82,7 @@
             self.index,
             self.incarnation,
             self._serials[region],
-            self.holder.subscribe(region),
+            self.holder.make_subscription(region),
             self._assignments.get(machine),
             redirected,
         )
--- a/simulation/control_world/stale_updates.py
+++ b/simulation/control_world/stale_updates.py
@@ -36,7 +36,7 @@
         log = newest.logs[region]
         revision = log.position.revision - 1
         base = Position(log.epoch_at(revision) or 0, revision)
-        delta = log.delta_since(base, node.holder.subscription(region))
+        delta = log.delta_since(base, node.holder.subscribed_services(region))
         if base > node.holder.position(region) and delta is not None and delta.changes:
             self._send(newest.index, node, delta)
 
@@ -44,7 +44,7 @@
         """Send the snapshot that was made at the last call, and make one for the next."""
         newest = self._newest_machine(region)
         key = _SnapshotKey(node.index, node.incarnation, region)
-        snapshot = newest.logs[region].snapshot(node.holder.subscription(region))
+        snapshot = newest.logs[region].snapshot(node.holder.subscribed_services(region))
         former = self._snapshots.get(key)
         self._snapshots[key] = snapshot
         if former is not None:
@@ -60,7 +60,7 @@
             node=node.index,
             incarnation=node.incarnation,
             serial=0,
-            subscription=node.holder.subscribe(update.region),
+            subscription=node.holder.make_subscription(update.region),
             assignment=None,
             redirected=False,
         )
--- a/tests/control/machine/test_generations.py
+++ b/tests/control/machine/test_generations.py
@@ -102,7 +102,8 @@
     or is another one, an assignment with a lower number is newer.
     """
     in_subscriber(
-        events, lambda subscriber: _assert_equal(subscriber.holder.subscription("east"), wanted)
+        events,
+        lambda subscriber: _assert_equal(subscriber.holder.subscribed_services("east"), wanted),
     )
 
 
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -107,9 +107,9 @@
     assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
     assert not holder.on_request_begins("t")
-    assert holder.subscription("r") == {"s", "t"}
-    assert holder.current("r") == {"s"}
-    assert holder.missing("r") == {"t"}
+    assert holder.subscribed_services("r") == {"s", "t"}
+    assert holder.current_services("r") == {"s"}
+    assert holder.stale_services("r") == {"t"}
     part = Change(P(2, 11), "t", (row("c"),))
     also = Change(P(2, 11), "s", (row("c"),))
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), also, part)) == UpdateResult(
@@ -121,7 +121,7 @@
         UpdateStatus.APPLIED, ("t",)
     )
     assert holder.rows("t") == rows("a")
-    assert holder.current("r") == {"s", "t"}
+    assert holder.current_services("r") == {"s", "t"}
     assert holder.on_update(3, delta(P(2, 10), P(2, 11), also, part)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a", "c")
 
@@ -151,11 +151,11 @@
     the service must not count as current at the answer's position.
     """
     holder = holding("s")
-    early = holder.subscribe("r")
+    early = holder.make_subscription("r")
     assert early == Subscription("r", P(2, 10), frozenset("s"), frozenset("s"))
     assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     complete = Change(P(2, 10), "t", (row("a"),), complete=True)
-    second = holder.subscribe("r")
+    second = holder.make_subscription("r")
     assert second == Subscription("r", P(2, 10), frozenset("st"), frozenset("s"))
     assert (
         holder.on_update(2, delta(P(2, 10), P(2, 10), complete), second).status
@@ -164,7 +164,7 @@
     # In between t's backend was drained; this answer leaves it out, as t was not polled.
     assert holder.on_update(3, delta(P(2, 10), P(2, 11)), early).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a")
-    assert holder.current("r") == {"s"}
+    assert holder.current_services("r") == {"s"}
 
 
 def test_a_snapshot_from_before_an_assignment_leaves_what_it_does_not_name() -> None:
@@ -174,7 +174,7 @@
         is UpdateStatus.APPLIED
     )
     assert holder.rows("t") == rows("a", "b")  # served on with what is held
-    assert holder.current("r") == {"s"}
+    assert holder.current_services("r") == {"s"}
     stale = Change(P(2, 21), "t", (row("d"),))
     assert holder.on_update(2, delta(P(2, 20), P(2, 21), stale)).status is UpdateStatus.GAP
 
@@ -216,7 +216,7 @@
     assert holder.drain_released() == ()
     assert not holder.on_request_begins("s")
     assert holder.retained_bytes == 0
-    assert holder.subscription("r") == frozenset()
+    assert holder.subscribed_services("r") == frozenset()
 
 
 def test_an_idle_service_is_retained_until_it_may_be_released() -> None:
@@ -263,7 +263,7 @@
     assert holder.on_assignment(200, {}, ("s",)) == ()  # closed
     assert holder.on_assignment(201, {"s": "r"}, ()) == ()
     assert holder.on_request_begins("s")
-    assert holder.current("r") == frozenset()  # it may not have been followed meanwhile
+    assert holder.current_services("r") == frozenset()  # it may not have been followed meanwhile
     holder.on_request_ends("s")
     holder.on_request_ends("s")
     assert holder.drain_released() == ()
@@ -280,7 +280,7 @@
 def test_a_cold_service_that_moves_on_before_it_came_is_dropped() -> None:
     holder = make("s")
     assert holder.on_assignment(1, {}, ()) == ()
-    assert holder.subscription("r") == frozenset()
+    assert holder.subscribed_services("r") == frozenset()
     assert holder.retained_bytes == 0
 
 
@@ -311,4 +311,4 @@
         holder.on_assignment(1, {"t": "r", "u": "x"}, ("s",))
     with pytest.raises(InvalidInputError, match="service 's' is of region 'r', not 'q'"):
         holder.on_assignment(1, {"s": "q"}, ())
-    assert holder.subscription("r") == {"s"}
+    assert holder.subscribed_services("r") == {"s"}
--- a/tests/core/subscription/test_holder_orders.py
+++ b/tests/core/subscription/test_holder_orders.py
@@ -113,7 +113,7 @@
     last = len(history.changes)
     first, second = sorted((one % (last + 1), other % (last + 1)))
     here = holder.position("r").revision
-    following = holder.current("r")
+    following = holder.current_services("r")
     match kind:
         case "delta":
             return history.delta(first, second, following)
@@ -121,7 +121,7 @@
             return history.delta(here, min(here + 1 + one % 3, last), following)
         case "request":  # what a control machine answers: changes, and what is missing completely
             there = max(here, second)
-            new = holder.subscription("r") - following
+            new = holder.subscribed_services("r") - following
             update = history.delta(here, there, following)
             complete = tuple(
                 Change(
@@ -134,7 +134,7 @@
             )
             return replace(update, changes=update.changes + complete)
         case "snapshot":
-            return history.snapshot(second, holder.subscription("r"))
+            return history.snapshot(second, holder.subscribed_services("r"))
         case "branch" if history.branch_at < here:
             return history.branch(one % 4)
         case _:
@@ -144,7 +144,7 @@
 def assert_as_of_its_position(holder: Holder, history: History) -> None:
     state = history.states[holder.position("r").revision]
     assert holder.position("r") == history.position(holder.position("r").revision)
-    for service in holder.current("r"):
+    for service in holder.current_services("r"):
         assert holder.rows(service) == state[service]
 
 
@@ -180,7 +180,7 @@
             drawn_now = drawn_update(history, holder, message)
             if drawn_now is None:
                 continue
-            update, request = drawn_now, holder.subscribe("r")
+            update, request = drawn_now, holder.make_subscription("r")
             sent.append((update, request))
             if message[2] % 4 == 3:  # not applied now: late, or lost
                 continue
@@ -192,11 +192,11 @@
             assert holder.position("r") == position
             assert before == {service: holder.rows(service) or {} for service in SERVICES}
         assert_as_of_its_position(holder, history)
-        known = holder.subscription("r")
+        known = holder.subscribed_services("r")
         assert holder.retained_bytes == sum(bytes_of_service(holder, name) for name in known)
         assert_drains_last(before, holder, history)
     last = len(history.changes)
     holder.on_assignment(0, dict.fromkeys(SERVICES, "r"), ())
-    holder.on_update(0, history.snapshot(last, holder.subscription("r")))
-    assert holder.current("r") == set(SERVICES)
+    holder.on_update(0, history.snapshot(last, holder.subscribed_services("r")))
+    assert holder.current_services("r") == set(SERVICES)
     assert_as_of_its_position(holder, history)
--- a/tests/core/subscription/test_service_table.py
+++ b/tests/core/subscription/test_service_table.py
@@ -23,9 +23,9 @@
     holder = holding("s", limits=HolderLimits(max_services=3))
     wanted = dict.fromkeys(("s", "t", "u", "v", "w"), "r")
     assert holder.on_assignment(1, wanted, ()) == ("v", "w")
-    assert holder.subscription("r") == {"s", "t", "u"}
+    assert holder.subscribed_services("r") == {"s", "t", "u"}
     assert holder.on_assignment(2, {"v": "r", "t": "r"}, ("s", "u")) == ()
-    assert holder.subscription("r") == {"t", "v"}
+    assert holder.subscribed_services("r") == {"t", "v"}
 
 
 def test_no_service_is_added_beyond_the_bound_on_bytes() -> None:
@@ -74,7 +74,10 @@
         UpdateStatus.OVER_LIMIT, (), ("s",)
     )
     assert holder.rows("s") == numbered(50)
-    assert holder.current("r") == {"s", "t"}  # changes are enough as long as there is no room
+    assert holder.current_services("r") == {
+        "s",
+        "t",
+    }  # changes are enough as long as there is no room
     drain = Change(P(1, 3), "s", (row("0007", draining=True), row("9999")), ("0003",))
     result = holder.on_update(3, delta(P(1, 2), P(1, 3), drain))
     assert result == UpdateResult(UpdateStatus.OVER_LIMIT, ("s",), ("s",))
@@ -85,7 +88,7 @@
     space = Change(P(1, 4), "t", deleted=True)
     assert holder.on_update(4, delta(P(1, 3), P(1, 4), space)).status is UpdateStatus.APPLIED
     smaller = Change(P(1, 5), "s", removed=tuple(f"{n:04}" for n in range(100, 200)))
-    assert holder.current("r") == {"t"}  # it fits: it is to come completely
+    assert holder.current_services("r") == {"t"}  # it fits: it is to come completely
     assert holder.on_update(5, delta(P(1, 4), P(1, 5), smaller)).status is UpdateStatus.GAP
     anew = Change(P(1, 5), "s", tuple(numbered(100).values()), complete=True)
     assert holder.on_update(6, delta(P(1, 4), P(1, 5), anew)).status is UpdateStatus.APPLIED
@@ -98,6 +101,6 @@
     assert holder.on_update(1, Snapshot("r", P(1, 1), first)).refused == ("t",)
     assert holder.rows("t") is None
     assert not holder.on_request_begins("t")
-    assert holder.current("r") == {"s", "t"}
+    assert holder.current_services("r") == {"s", "t"}
     assert holder.on_assignment(2, {"t": "r"}, ("s",)) == ()
-    assert holder.current("r") == frozenset()  # t is to come completely now
+    assert holder.current_services("r") == frozenset()  # t is to come completely now
--- a/tests/core/subscription/test_unknown_services.py
+++ b/tests/core/subscription/test_unknown_services.py
@@ -27,7 +27,7 @@
         max(sum(start <= now < start + SECOND for now, _ in queries) for start, _ in queries) <= 10
     )
     assert holder.retained_bytes == bytes_of_service(holder, "s")
-    assert holder.subscription("r") == {"s"}
+    assert holder.subscribed_services("r") == {"s"}
 
 
 def test_an_unknown_name_is_queried_once_an_interval() -> None:
--- a/tests/simulation/test_control_invariants.py
+++ b/tests/simulation/test_control_invariants.py
@@ -41,7 +41,7 @@
     """A node's holder after one update with this row."""
     holder = Holder(NODE.name, REGIONS, HolderLimits())
     holder.on_assignment(0, {SERVICE: EAST}, frozenset())
-    subscription = holder.subscribe(EAST)
+    subscription = holder.make_subscription(EAST)
     change = Change(FIRST, SERVICE, (row,), complete=True)
     delta = Delta(EAST, subscription.position, FIRST, (change,))
     assert holder.on_update(0, delta, subscription).status is UpdateStatus.APPLIED
