--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -340,8 +340,8 @@
     holder: Any = SimpleNamespace(
         name=plain["node"],
         position=lambda _: _built("position", plain["position"]),
-        current=lambda _: held,
-        subscription=lambda _: held,
+        current_services=lambda _: held,
+        subscribed_services=lambda _: held,
         serving=lambda: serving,
     )
     timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
