--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -15,7 +15,7 @@
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Change, Position, Row
 from loadbalancer.core.errors import ProtocolError
-from loadbalancer.core.replicated_log.replication import Outcome, Proposal, Replica
+from loadbalancer.core.replicated_log.replication import Proposal, ProposalOutcome, Replica
 
 COMMIT_TIMEOUT_S = 5.0
 MAX_CHANGES = 256  # in one call
@@ -111,7 +111,7 @@
         Those before it may be committed all the same. The call may be repeated: rows replace one
         another, so that a change committed twice has the effect of one.
         """
-        if proposal.outcome is Outcome.BUSY:
+        if proposal.outcome is ProposalOutcome.BUSY:
             text = b"[busy] too many changes wait for a majority"
             self._finish(submission, HTTPStatus.SERVICE_UNAVAILABLE, text)
         else:
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -37,7 +37,7 @@
 ONE_WRITER = "a service's changes are accepted by the machines of its home region alone"
 
 
-class Outcome(Enum):
+class ProposalOutcome(Enum):
     """What became of a proposal; the values appear in the HTTP answers to operators."""
 
     PROPOSED = "proposed"  # in the leader's log; committed once `committed` gives it
@@ -50,7 +50,7 @@
 class Proposal:
     """The answer to `propose`."""
 
-    outcome: Outcome
+    outcome: ProposalOutcome
     position: Position | None = None  # of the change, where PROPOSED
     leader: str = ""  # the machine to turn to, where NOT_LEADER and one is known
     rule: str = ""  # where WRONG_REGION
@@ -159,15 +159,15 @@
         if not service:
             raise InvalidInputError("proposed change: the service has no name")
         if self._home(service, region) != self._region:
-            return Proposal(Outcome.WRONG_REGION, rule=ONE_WRITER)
+            return Proposal(ProposalOutcome.WRONG_REGION, rule=ONE_WRITER)
         member = self._member
         if member.role is not Role.LEADER:
-            return Proposal(Outcome.NOT_LEADER, leader=member.leader)
+            return Proposal(ProposalOutcome.NOT_LEADER, leader=member.leader)
         if not member.has_capacity():
-            return Proposal(Outcome.BUSY)
+            return Proposal(ProposalOutcome.BUSY)
         position = member.propose(Change(START, service, tuple(rows), tuple(removed), deleted))
         self._collect()
-        return Proposal(Outcome.PROPOSED, position)
+        return Proposal(ProposalOutcome.PROPOSED, position)
 
     def _home(self, service: str, region: str | None) -> str:
         if region is not None:
@@ -306,4 +306,4 @@
         self._outbox.extend(self._servers[region].on_log_advanced())
 
 
-__all__ = ["ONE_WRITER", "Outcome", "Proposal", "Replica", "Role", "Timing"]
+__all__ = ["ONE_WRITER", "ProposalOutcome", "Proposal", "Replica", "Role", "Timing"]
--- a/simulation/control_world/source.py
+++ b/simulation/control_world/source.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.core.assignment.model import Position, Row
 from loadbalancer.core.balancing.model import MS
-from loadbalancer.core.replicated_log.replication import Outcome
+from loadbalancer.core.replicated_log.replication import ProposalOutcome
 from simulation.control_world.settings import PROPOSAL_TIMEOUT
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
         removed = self._removed_uids(service, rows) if rows else ()
         for machine in environment.active_machines(self.region):
             result = machine.replica.propose(service, content, removed, deleted=rows is None)
-            if result.outcome is Outcome.PROPOSED and result.position is not None:
+            if result.outcome is ProposalOutcome.PROPOSED and result.position is not None:
                 position = result.position
                 environment.recorder.decision(
                     machine.index, self.region, position, service, content
--- a/tests/control/machine/test_submitted_changes.py
+++ b/tests/control/machine/test_submitted_changes.py
@@ -13,7 +13,7 @@
 from loadbalancer.control.machine import submitted_changes
 from loadbalancer.control.machine.submitted_changes import ChangeSubmissions
 from loadbalancer.core.assignment.model import Change, Position
-from loadbalancer.core.replicated_log.replication import Outcome, Proposal
+from loadbalancer.core.replicated_log.replication import Proposal, ProposalOutcome
 from tests.control_machines import NAMES, Machines, rows
 
 
@@ -73,7 +73,7 @@
     """
     monkeypatch.setattr(submitted_changes, "COMMIT_TIMEOUT_S", 0.01)
     replica: Any = mock.Mock()
-    proposals = [Proposal(Outcome.PROPOSED, position) for position in (FIRST, SECOND)]
+    proposals = [Proposal(ProposalOutcome.PROPOSED, position) for position in (FIRST, SECOND)]
     replica.propose.side_effect = proposals
     answers: list[int] = []
 
--- a/tests/core/replicated_log/group.py
+++ b/tests/core/replicated_log/group.py
@@ -12,7 +12,7 @@
     Message,
 )
 from loadbalancer.core.replicated_log.raft import RaftMember
-from loadbalancer.core.replicated_log.replication import Outcome, Replica, Role, Timing
+from loadbalancer.core.replicated_log.replication import ProposalOutcome, Replica, Role, Timing
 from loadbalancer.core.replicated_log.state import Membership, Outbox
 
 REGIONS = ("east", "west")
@@ -122,7 +122,7 @@
 
     def propose(self, name: str, uid: str) -> Position:
         proposal = self.replicas[name].propose("east-s0", [Row(uid, "x")])
-        assert proposal.outcome is Outcome.PROPOSED
+        assert proposal.outcome is ProposalOutcome.PROPOSED
         assert proposal.position is not None
         self.drain(name)
         return proposal.position
--- a/tests/core/replicated_log/test_leader.py
+++ b/tests/core/replicated_log/test_leader.py
@@ -10,7 +10,7 @@
     AppendEntriesResponse,
     RequestVoteResponse,
 )
-from loadbalancer.core.replicated_log.replication import Outcome, Role
+from loadbalancer.core.replicated_log.replication import ProposalOutcome, Role
 from tests.core.replicated_log.group import EAST, STEP, cut, member_of, started
 
 
@@ -77,7 +77,7 @@
     group.run(SECOND)
     group.stopped.clear()
     stale = group.replicas[leader].propose("east-s0", [Row("stale", "x")])
-    assert stale.outcome is Outcome.PROPOSED  # it does not know yet
+    assert stale.outcome is ProposalOutcome.PROPOSED  # it does not know yet
     group.drain(leader)
     group.run(3 * SECOND)
     assert group.leader() == successor
--- a/tests/core/replicated_log/test_replication.py
+++ b/tests/core/replicated_log/test_replication.py
@@ -10,20 +10,20 @@
     Message,
     RequestVote,
 )
-from loadbalancer.core.replicated_log.replication import ONE_WRITER, Outcome
+from loadbalancer.core.replicated_log.replication import ONE_WRITER, ProposalOutcome
 from tests.core.replicated_log.group import EAST, started
 
 
 def test_one_writer_a_service_and_the_others_name_the_leader() -> None:
     group = started()
     wrong = group.replicas["west-0"].propose("east-s0", [Row("u", "x")])
-    assert wrong.outcome is Outcome.WRONG_REGION
+    assert wrong.outcome is ProposalOutcome.WRONG_REGION
     assert wrong.rule == ONE_WRITER
     stated = group.replicas["east-0"].propose("new", [Row("u", "x")], region="west")
-    assert stated.outcome is Outcome.WRONG_REGION
+    assert stated.outcome is ProposalOutcome.WRONG_REGION
     other = next(name for name in EAST if name != group.leader())
     refused = group.replicas[other].propose("east-s0", [Row("u", "x")])
-    assert refused.outcome is Outcome.NOT_LEADER
+    assert refused.outcome is ProposalOutcome.NOT_LEADER
     assert refused.leader == group.leader()
 
 
@@ -37,7 +37,7 @@
     for _ in range(group.timing.max_uncommitted):
         group.replicas[leader].propose("east-s0", [Row("u", "x")])
     last = group.replicas[leader].propose("east-s0", [Row("u", "x")])
-    assert last.outcome is Outcome.BUSY
+    assert last.outcome is ProposalOutcome.BUSY
 
 
 def test_regions_cut_from_each_other_go_on_and_converge() -> None:
@@ -59,7 +59,7 @@
     group.drops = lambda sent: sent.sender[0] != sent.recipient[0]
     group.propose(group.leader(), "east-alone")
     west = group.replicas[group.leader("west")]
-    assert west.propose("west-s0", [Row("w", "x")]).outcome is Outcome.PROPOSED
+    assert west.propose("west-s0", [Row("w", "x")]).outcome is ProposalOutcome.PROPOSED
     group.drain(group.leader("west"))
     group.run(5 * SECOND)
     assert all(group.has(name, "east-alone") == (name in EAST) for name in group.replicas)
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -60,7 +60,7 @@
     RequestVoteResponse,
     ServiceRows,
 )
-from loadbalancer.core.replicated_log.replication import Outcome, Proposal
+from loadbalancer.core.replicated_log.replication import Proposal, ProposalOutcome
 from loadbalancer.core.routes.file import decode as decode_routes
 from loadbalancer.core.xds.history import make_version_info
 from loadbalancer.core.xds.messages import DiscoveryResponse
@@ -431,7 +431,7 @@
     call = handed_in._Submission(lambda status, body: answers.append(f"{status} ".encode() + body))
     hosts = _handed_in()
     if "outcome" in plain:
-        hosts._refuse(call, Proposal(Outcome(plain["outcome"]), leader=plain["leader"]))
+        hosts._refuse(call, Proposal(ProposalOutcome(plain["outcome"]), leader=plain["leader"]))
     for one in plain.get("accepted", ()):
         call.committed_ns[_built("position", one["position"])] = None
     hosts._pending = dict.fromkeys(call.committed_ns, call)
