--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -140,9 +140,11 @@
         machine = rig.machine
         changes = [Change(Position(1, revision), "cart") for revision in (8, 9)]
         replica: Any = mock.Mock()
-        replica.restored.return_value = ["east", "east"]
-        replica.committed.return_value = [CommittedChange("east", change) for change in changes]
-        replica.outgoing.return_value = [("east-b", "m1"), ("east-b", "m2")]
+        replica.drain_restored.return_value = ["east", "east"]
+        replica.drain_committed.return_value = [
+            CommittedChange("east", change) for change in changes
+        ]
+        replica.drain_outgoing.return_value = [("east-b", "m1"), ("east-b", "m2")]
         machine.replica = replica
         steps: dict[str, Any] = {}
         for owner, name in (
