--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -1,10 +1,10 @@
 """One region's committed changes: the current rows of every service and a bounded log.
 
-A subscriber resumes from its position with the changes of its own services. The log is compacted
-once it exceeds a number of changes or of bytes. How far back it reaches is tracked for each
-service, so that a subscriber can resume from a position that precedes the log as long as its own
-services have not changed since. Cost follows the subscriber's services and their changes, never the
-region's size.
+A subscriber resumes from its position and receives the changes of its own services. The oldest
+changes are compacted away once the log exceeds a number of changes or of bytes. The last compacted
+revision is tracked for each service, so that a subscriber can resume from a position that precedes
+the log as long as its own services have not changed since. The cost of an answer is proportional to
+the subscriber's services and their changes, not to the number of services in the region.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
     Snapshot,
 )
 
-ROW_OVERHEAD = 12  # bytes around one row on the wire: quotes, commas, flags
-CHANGE_OVERHEAD = 32  # bytes around one change on the wire: its position and its flags
-MAX_EPOCHS = 1024  # epochs whose start is remembered; older positions need a snapshot
+ROW_OVERHEAD_BYTES = 12  # of one row on the wire: quotes, commas, flags
+CHANGE_OVERHEAD_BYTES = 32  # of one change on the wire: its position and its flags
+MAX_EPOCHS = 1024  # whose first position is stored; subscribers of older ones need a snapshot
 
 Rows = Mapping[str, Row]
 
 
 def rows_size(service: str, rows: Iterable[Row]) -> int:
-    """The approximate size in bytes of a service with these rows on the wire."""
+    """Return the approximate size in bytes of a service with these rows on the wire."""
     return (
-        CHANGE_OVERHEAD
+        CHANGE_OVERHEAD_BYTES
         + len(service)
-        + sum(len(row.uid) + len(row.body) + ROW_OVERHEAD for row in rows)
+        + sum(len(row.uid) + len(row.body) + ROW_OVERHEAD_BYTES for row in rows)
     )
 
 
 def change_size(change: Change) -> int:
-    """The approximate size in bytes of a change on the wire."""
-    removed = sum(len(uid) + ROW_OVERHEAD for uid in change.removed)
+    """Return the approximate size in bytes of a change on the wire."""
+    removed = sum(len(uid) + ROW_OVERHEAD_BYTES for uid in change.removed)
     return rows_size(change.service, change.rows) + removed
 
 
-def applied(rows: Rows, change: Change) -> dict[str, Row]:
-    """The rows of a service after a change; the given ones are not modified."""
+def apply_change(rows: Rows, change: Change) -> dict[str, Row]:
+    """Return the rows of a service after a change; `rows` is not modified."""
     if change.deleted:
         return {}
     merged = {} if change.complete else dict(rows)
@@ -60,30 +60,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSnapshot:
-    """A change log's state without its changes (Raft, section 7): all that a copy of it needs.
+    """The state of a change log without its logged changes (paper, section 7).
 
-    Rows are shared with the log and never written to.
+    A replica that restores it continues from `position`. The rows are shared with the log and must
+    not be modified.
     """
 
     position: Position
     rows: Mapping[str, Rows] = field(default_factory=dict)  # by service
-    last_changed: Mapping[str, int] = field(default_factory=dict)  # each service's last revision
+    last_changed: Mapping[str, int] = field(default_factory=dict)  # revision, by service
     last_deletion: int = 0  # revision of the last deletion of any service
     epoch_starts: tuple[Position, ...] = ()  # the first position of each epoch, in order
-    history: Position = START  # as in `ChangeLog.reset`
+    history: Position = START  # as described in `ChangeLog.reset`
 
 
 @dataclass(frozen=True, slots=True)
 class _Service:
-    """A service as of its last change."""
+    """The current state of a service."""
 
     rows: Rows
     size: int  # of the rows, in bytes
-    last_changed: int  # revision
+    last_changed: int  # revision of the last change
 
 
 @dataclass(frozen=True, slots=True)
-class _Logged:
+class _LogEntry:
     """A change in the log, and its size in bytes."""
 
     change: Change
@@ -91,48 +92,55 @@
 
 
 class ChangeLog:
-    """The services of one region as of `position`, and the changes that led there."""
+    """The services of one region as of `position`, and the most recent changes before it."""
 
     def __init__(self, region: str, max_changes: int, max_bytes: int) -> None:
-        """Retain at most `max_changes` changes, of at most `max_bytes` bytes in total.
+        """Create an empty log that retains up to `max_changes` changes and `max_bytes` bytes.
 
         Raises:
             InvalidInputError: a bound is not positive.
         """
         if max_changes < 1 or max_bytes < 1:
-            raise InvalidInputError(f"change log of {region}: bounds must be at least 1")
+            raise InvalidInputError(
+                f"change log of {region}: max_changes and max_bytes must be at least 1"
+            )
         self.region = region
         self._max_changes = max_changes
         self._max_bytes = max_bytes
         self.reset()
 
     def reset(self, history: Position = START) -> None:
-        """Discard all services and changes: a new history begins.
+        """Discard all services and changes, and begin a new history.
+
+        A history is the sequence of changes that follows one complete load of the log. A new one
+        begins when a majority has lost the log, or when a subscriber reports a position that the
+        log has not reached.
 
         Args:
-            history: the epoch in which it was begun, and the revision before its first change.
+            history: the epoch in which the history begins, and the revision before its first
+                change.
         """
         self.position = Position(0, history.revision)
         self.history = history
         self.size_bytes = 0  # of the changes in the log
         self._services: dict[str, _Service] = {}
-        self._log: deque[_Logged] = deque()
-        self._by_service: dict[str, deque[Change]] = {}
-        self._compacted: dict[str, int] = {}  # each service's last revision that left the log
+        self._log: deque[_LogEntry] = deque()
+        self._changes_by_service: dict[str, deque[Change]] = {}  # those in the log
+        self._last_compacted: dict[str, int] = {}  # revision of the last change, by service
         self._last_deletion = 0  # revision of the last deletion of any service
-        self._compacted_deletion = 0  # deletions up to this revision may have left the log
+        self._compacted_deletion = 0  # deletions up to this revision may have been compacted
         self._epoch_starts: list[Position] = []  # the first position of each epoch
 
     # ---- writing ----------------------------------------------------------
 
     def append(self, change: Change) -> None:
-        """Apply the next committed change. One without a service moves the position alone.
+        """Apply the next committed change. One without a service only advances the position.
 
         Raises:
-            InvalidInputError: the change does not follow the log's position directly.
+            InvalidInputError: the change's position is not the next one after the log's.
         """
         epoch, revision = change.position
-        # Epochs of changes begin at 1: 0 is that of `START` and of a log that has no change yet.
+        # Epochs of changes start at 1. Epoch 0 is that of `START` and of a log without changes.
         if revision != self.position.revision + 1 or epoch < max(self.position.epoch, 1):
             raise InvalidInputError(
                 f"change log of {self.region}: {change.position} does not follow {self.position}"
@@ -145,46 +153,46 @@
         if change.service:
             self._apply(change)
         size = change_size(change)
-        self._log.append(_Logged(change, size))
+        self._log.append(_LogEntry(change, size))
         self.size_bytes += size
         while len(self._log) > self._max_changes or self.size_bytes > self._max_bytes:
             self._compact()
 
     def _apply(self, change: Change) -> None:
         service = change.service
-        if service not in self._services and service not in self._by_service:
-            # A service of this name may have been deleted, and its deletion compacted away. A
-            # subscriber that still has the old one must not get the new one as a delta.
-            self._compacted.setdefault(service, self._compacted_deletion)
+        if service not in self._services and service not in self._changes_by_service:
+            # An earlier service of this name may have been deleted and the deletion compacted. A
+            # subscriber that still has the old rows must not be sent the new service as a delta.
+            self._last_compacted.setdefault(service, self._compacted_deletion)
         before = self._services.get(service)
         if change.deleted:
             self._last_deletion = change.position.revision
             self._services.pop(service, None)
         else:
-            rows = applied(before.rows if before else {}, change)
+            rows = apply_change(before.rows if before else {}, change)
             size = rows_size(service, rows.values())
             self._services[service] = _Service(rows, size, change.position.revision)
-        self._by_service.setdefault(service, deque()).append(change)
+        self._changes_by_service.setdefault(service, deque()).append(change)
 
     def _compact(self) -> None:
-        """Remove the oldest change from the log (Raft, section 7)."""
+        """Remove the oldest change from the log (paper, section 7)."""
         oldest = self._log.popleft()
         self.size_bytes -= oldest.size
         service = oldest.change.service
         if not service:
             return
-        logged = self._by_service[service]
+        logged = self._changes_by_service[service]
         logged.popleft()
-        self._compacted[service] = oldest.change.position.revision
+        self._last_compacted[service] = oldest.change.position.revision
         if not logged:
-            del self._by_service[service]
+            del self._changes_by_service[service]
             if service not in self._services:
                 self._compacted_deletion = max(
-                    self._compacted_deletion, self._compacted.pop(service)
+                    self._compacted_deletion, self._last_compacted.pop(service)
                 )
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Replace all services by another machine's snapshot, and discard the logged changes.
+        """Replace all services with another machine's snapshot, and discard the logged changes.
 
         Raises:
             InvalidInputError: the snapshot is older than the log.
@@ -201,15 +209,15 @@
             last_changed = snapshot.last_changed.get(name, snapshot.position.revision)
             size = rows_size(name, rows.values())
             self._services[name] = _Service(rows, size, last_changed)
-            # No change up to the snapshot is logged: count each service's last one as compacted.
-            self._compacted[name] = last_changed
+            # The log has no change up to the snapshot, so the last one counts as compacted.
+            self._last_compacted[name] = last_changed
         self._last_deletion = self._compacted_deletion = snapshot.last_deletion
         self._epoch_starts = list(snapshot.epoch_starts)
 
     # ---- reading ----------------------------------------------------------
 
     def log_snapshot(self) -> LogSnapshot:
-        """The region as of now, unaffected by later changes. Cost is linear in its services."""
+        """Return the current state, unaffected by later changes, in time linear in the services."""
         rows = {name: service.rows for name, service in self._services.items()}
         last_changed = {name: service.last_changed for name, service in self._services.items()}
         return LogSnapshot(
@@ -218,39 +226,39 @@
         )  # fmt: skip
 
     def contains(self, position: Position) -> bool:
-        """Whether the log's history went through this position."""
-        # An uncommitted entry of an older epoch can have a higher revision than the log.
+        """Return whether this is the position of a committed change of the current history."""
+        # An uncommitted entry of an older epoch can have a higher revision than the log's.
         if position > self.position or position.revision > self.position.revision:
             return False
-        return self._logged_epoch(position.revision) == position.epoch
+        return self._epoch_of(position.revision) == position.epoch
 
     def epoch_at(self, revision: int) -> int | None:
-        """The epoch of the change with this revision; None where it is not known."""
+        """Return the epoch of the change with this revision, or None if it is unknown."""
         if not 0 < revision <= self.position.revision:
             return None
-        return self._logged_epoch(revision)
+        return self._epoch_of(revision)
 
-    def _logged_epoch(self, revision: int) -> int | None:
+    def _epoch_of(self, revision: int) -> int | None:
         index = bisect_right(self._epoch_starts, revision, key=lambda start: start.revision)
         return self._epoch_starts[index - 1].epoch if index else None
 
     def compacted_since(self, position: Position, services: Iterable[str]) -> frozenset[str]:
-        """Of these services, those whose changes since `position` are no longer all logged."""
+        """Return those of `services` that have changes after `position` which were compacted."""
         revision = position.revision
         return frozenset(name for name in services if self._complete_after(name) > revision)
 
     def _complete_after(self, service: str) -> int:
-        """The log has every change of the service after this revision."""
-        compacted = self._compacted.get(service)
+        """Return the revision after which the log has every change of the service."""
+        compacted = self._last_compacted.get(service)
         if compacted is not None:
             return compacted
         return 0 if service in self._services else self._compacted_deletion
 
     def delta_since(self, position: Position, services: Iterable[str]) -> Delta | None:
-        """What changed in these services after `position`, up to now.
+        """Return the changes of `services` after `position`.
 
-        None where the log no longer reaches back for one of them, or where the position is not
-        one of this log's history. Cost follows the services and the changes returned.
+        None if changes of one of them were compacted, or if the position does not belong to this
+        log's history. The cost is proportional to the services and the changes returned.
         """
         if not self.contains(position):
             return None
@@ -259,7 +267,7 @@
         for service in services:
             if self._complete_after(service) > revision:
                 return None
-            for change in reversed(self._by_service.get(service, ())):
+            for change in reversed(self._changes_by_service.get(service, ())):
                 if change.position.revision <= revision:
                     break
                 changes.append(change)
@@ -267,9 +275,9 @@
         return Delta(self.region, position, self.position, tuple(changes))
 
     def replacements(self, services: Iterable[str]) -> tuple[Change, ...]:
-        """Each service's rows as of `position` as one change that replaces them all.
+        """Return one complete change for each service, with all its rows as of `position`.
 
-        A service that the region does not know is given as deleted.
+        A service that the region does not know is returned as deleted.
         """
         return tuple(self._replacement(service) for service in services)
 
@@ -280,45 +288,48 @@
         return Change(self.position, service, tuple(rows.values()), complete=True)
 
     def snapshot(self, services: Iterable[str]) -> Snapshot:
-        """A subscriber's snapshot of these services, without those the region does not know."""
+        """Return a subscriber's snapshot of those of `services` that the region knows."""
         known = self._services
-        found = {name: known[name].rows for name in services if name in known}
-        return Snapshot(self.region, self.position, found)
+        rows = {name: known[name].rows for name in services if name in known}
+        return Snapshot(self.region, self.position, rows)
 
     def size(self, services: Iterable[str]) -> int:
-        """The approximate size in bytes of all rows of these services."""
+        """Return the approximate size in bytes of all rows of these services on the wire."""
         known = self._services
-        return sum(known[name].size if name in known else CHANGE_OVERHEAD for name in services)
+        return sum(
+            known[name].size if name in known else CHANGE_OVERHEAD_BYTES for name in services
+        )
 
     def rows(self, service: str) -> Rows | None:
-        """The rows of a service; None where the region does not know it."""
-        found = self._services.get(service)
-        return None if found is None else found.rows
+        """Return the rows of a service, or None if the region does not know it."""
+        state = self._services.get(service)
+        return None if state is None else state.rows
 
     def services(self) -> Iterator[str]:
-        """Every service of the region."""
+        """Iterate over the names of all services of the region."""
         return iter(self._services)
 
     def changes_after(self, position: Position, max_bytes: int) -> tuple[Change, ...] | None:
-        """All changes after `position`, in order, up to about `max_bytes` and at least one.
+        """Return the changes of all services after `position`, in order.
 
-        None where the log does not reach back to it: a snapshot is needed.
+        They are limited to about `max_bytes`, but include at least one change. None if the changes
+        after the position were compacted, so that a snapshot is needed.
         """
         if not self.contains(position):
             return None
         skip = position.revision - (self.position.revision - len(self._log))
         if skip < 0:
             return None
-        found: list[Change] = []
+        changes: list[Change] = []
         size = 0
         for index in range(skip, len(self._log)):
             entry = self._log[index]
-            if found and size + entry.size > max_bytes:
+            if changes and size + entry.size > max_bytes:
                 break
-            found.append(entry.change)
+            changes.append(entry.change)
             size += entry.size
-        return tuple(found)
+        return tuple(changes)
 
     def __len__(self) -> int:
-        """Changes in the log."""
+        """Return the number of changes in the log."""
         return len(self._log)
--- a/loadbalancer/core/replicated_log/fetch_server.py
+++ b/loadbalancer/core/replicated_log/fetch_server.py
@@ -1,11 +1,14 @@
-"""Answers learners' fetches of one region's log: changes, chunks of a snapshot, or a long poll."""
+"""Answers learners' fetches of one region's log with changes or with chunks of a snapshot.
+
+A fetch for which there is nothing new waits for the next change (a long poll).
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
 from loadbalancer.core.assignment.model import Change, Row
-from loadbalancer.core.replicated_log.change_log import ROW_OVERHEAD, ChangeLog
+from loadbalancer.core.replicated_log.change_log import ROW_OVERHEAD_BYTES, ChangeLog
 from loadbalancer.core.replicated_log.messages import (
     Fetch,
     FetchResponse,
@@ -22,23 +25,33 @@
     """A fetch that waits for new changes."""
 
     fetch: Fetch
-    deadline: int  # in nanoseconds; answered without changes then
+    deadline: int  # time in nanoseconds at which it is answered without changes
 
 
 class FetchServer:
-    """Answers learners of one region's log."""
+    """Answers the fetches of all learners of one region's log."""
 
     def __init__(self, log: ChangeLog, hold_ns: int, max_bytes: int) -> None:
-        """A fetch waits up to `hold_ns` for new changes; an answer has about `max_bytes`."""
+        """Create a server for `log`.
+
+        Args:
+            log: the log that is served.
+            hold_ns: how long a fetch waits for new changes.
+            max_bytes: the approximate maximum size of an answer.
+        """
         self._log = log
         self._hold_ns = hold_ns
         self._max_bytes = max_bytes
         self._pending: dict[str, _Pending] = {}  # by learner
-        self._chunks: dict[str, list[InstallSnapshot]] = {}  # by learner, while it fetches them
-        self._latest: list[InstallSnapshot] = []  # the last snapshot that was made
+        # The chunks of the snapshot that a learner is fetching, by learner.
+        self._chunks: dict[str, list[InstallSnapshot]] = {}
+        self._latest_snapshot: list[InstallSnapshot] = []
 
     def on_fetch(self, now: int, sender: str, fetch: Fetch) -> Response | None:
-        """The answer; None where the fetch waits, in place of an earlier one of this learner."""
+        """Return the answer, or None if the fetch waits for new changes.
+
+        A waiting fetch replaces an earlier one of the same learner.
+        """
         answer = self._answer(sender, fetch)
         if answer is None:
             self._pending[sender] = _Pending(fetch, now + self._hold_ns)
@@ -47,7 +60,7 @@
         return answer
 
     def on_log_advanced(self) -> list[Outgoing]:
-        """The log has new changes: answers to the fetches that waited for them."""
+        """Return the answers to the waiting fetches, after changes were appended to the log."""
         answers = []
         for sender, pending in list(self._pending.items()):
             if (answer := self._answer(sender, pending.fetch)) is not None:
@@ -56,13 +69,17 @@
         return answers
 
     def on_tick(self, now: int) -> list[Outgoing]:
-        """Answers without changes to the fetches that have reached their deadline."""
-        due = [(sender, one) for sender, one in self._pending.items() if one.deadline <= now]
+        """Return answers without changes to the fetches that have reached their deadline."""
+        due = [
+            (sender, pending)
+            for sender, pending in self._pending.items()
+            if pending.deadline <= now
+        ]
         for sender, _ in due:
             del self._pending[sender]
-        return [Outgoing(sender, self._changes(one.fetch, ())) for sender, one in due]
+        return [Outgoing(sender, self._response(pending.fetch, ())) for sender, pending in due]
 
-    def _changes(self, fetch: Fetch, changes: tuple[Change, ...]) -> FetchResponse:
+    def _response(self, fetch: Fetch, changes: tuple[Change, ...]) -> FetchResponse:
         return FetchResponse(fetch.region, fetch.request_id, self._log.position, changes)
 
     def _answer(self, sender: str, fetch: Fetch) -> Response | None:
@@ -73,8 +90,8 @@
             return None
         changes = self._log.changes_after(fetch.position, self._max_bytes)
         if changes is not None:
-            return self._changes(fetch, changes)
-        chunks = self._chunks[sender] = self._snapshot()
+            return self._response(fetch, changes)
+        chunks = self._chunks[sender] = self._snapshot_chunks()
         return replace(chunks[0], request_id=fetch.request_id)
 
     def _next_chunk(self, sender: str, fetch: Fetch) -> InstallSnapshot | None:
@@ -86,32 +103,35 @@
             del self._chunks[sender]
         return replace(chunk, request_id=fetch.request_id)
 
-    def _snapshot(self) -> list[InstallSnapshot]:
-        """The log's snapshot in chunks; shared by all learners until the log changes."""
-        if not self._latest or self._latest[0].position != self._log.position:
-            self._latest = snapshot_chunks(self._log, self._max_bytes)
-        return self._latest
+    def _snapshot_chunks(self) -> list[InstallSnapshot]:
+        """Return the log's snapshot in chunks, which all learners share until the log changes."""
+        if not self._latest_snapshot or self._latest_snapshot[0].position != self._log.position:
+            self._latest_snapshot = snapshot_chunks(self._log, self._max_bytes)
+        return self._latest_snapshot
 
 
 def snapshot_chunks(log: ChangeLog, max_bytes: int) -> list[InstallSnapshot]:
-    """A log's snapshot in chunks of about `max_bytes`, at least one."""
+    """Split a snapshot of the log into one or more chunks of about `max_bytes`.
+
+    The rows of a large service may be divided among several chunks.
+    """
     snapshot = log.log_snapshot()
     groups: list[list[ServiceRows]] = [[]]
-    free = max_bytes
+    free_bytes = max_bytes
     for service, rows in snapshot.rows.items():
         part: list[Row] = []
         last_changed = snapshot.last_changed[service]
         for row in rows.values():
-            size = len(row.uid) + len(row.body) + ROW_OVERHEAD
-            if size > free and (part or groups[-1]):
+            size = len(row.uid) + len(row.body) + ROW_OVERHEAD_BYTES
+            if size > free_bytes and (part or groups[-1]):
                 if part:
                     groups[-1].append(ServiceRows(service, last_changed, tuple(part)))
                 groups.append([])
-                part, free = [], max_bytes
+                part, free_bytes = [], max_bytes
             part.append(row)
-            free -= size
+            free_bytes -= size
         groups[-1].append(ServiceRows(service, last_changed, tuple(part)))
-        free -= len(service) + ROW_OVERHEAD
+        free_bytes -= len(service) + ROW_OVERHEAD_BYTES
     return [
         InstallSnapshot(
             log.region, 0, snapshot.position, number, len(groups), tuple(group),
--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from loadbalancer.core.assignment.model import Change, Delta, Position, Row
-from loadbalancer.core.replicated_log.change_log import applied
+from loadbalancer.core.replicated_log.change_log import apply_change
 from loadbalancer.core.subscription.limits import ROW_BYTES
 
 Rows = dict[str, Row]  # by uid
@@ -63,7 +63,7 @@
 
 def rows_after(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
     """A service's rows after a change; None where it was deleted."""
-    return None if change.deleted else applied(before or {}, change)
+    return None if change.deleted else apply_change(before or {}, change)
 
 
 def rows_without_removed(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
--- a/tests/core/replicated_log/test_change_log.py
+++ b/tests/core/replicated_log/test_change_log.py
@@ -7,7 +7,7 @@
 import pytest
 
 from loadbalancer.core.assignment.model import START, Change, InvalidInputError, Position, Row
-from loadbalancer.core.replicated_log.change_log import ChangeLog, applied, change_size
+from loadbalancer.core.replicated_log.change_log import ChangeLog, apply_change, change_size
 
 
 def change(epoch: int, revision: int, service: str = "a", uid: str = "u1") -> Change:
@@ -54,7 +54,7 @@
         log.append(change(1, revision, f"s{revision % 7}"))
         assert len(log) <= 10
         assert log.size_bytes <= size * 11
-    assert sum(len(entries) for entries in log._by_service.values()) == len(log)
+    assert sum(len(entries) for entries in log._changes_by_service.values()) == len(log)
 
 
 def test_a_service_deleted_and_created_again_beyond_the_log_is_replaced() -> None:
@@ -118,7 +118,7 @@
                 copy = {k: dict(v) for k, v in log.snapshot(services).services.items()}
             else:
                 for entry in delta.changes:
-                    copy[entry.service] = dict(applied(copy.get(entry.service, {}), entry))
+                    copy[entry.service] = dict(apply_change(copy.get(entry.service, {}), entry))
             position = log.position
             expected = {name: log.rows(name) or {} for name in services}
             assert {name: copy.get(name, {}) for name in services} == expected
