--- a/loadbalancer/core/replicated_log/follower.py
+++ b/loadbalancer/core/replicated_log/follower.py
@@ -1,4 +1,4 @@
-"""The follower: it appends its leader's entries in order, or not at all (paper, section 5.3)."""
+"""The follower's part of log replication: entries are appended in order (paper, section 5.3)."""
 
 from __future__ import annotations
 
@@ -10,20 +10,23 @@
 
 
 class Follower:
-    """The follower's part of one member; a recovering member follows too, without a vote."""
+    """One member's role as a follower.
+
+    A recovering member appends entries as well, but has no vote.
+    """
 
     def __init__(self, state: RaftState, recovery: Recovery) -> None:
         self._state = state
         self._recovery = recovery
 
     def on_append(self, now: int, sender: str, request: AppendEntries) -> None:
-        """Append a leader's entries, and commit as far as the leader has."""
+        """Append a leader's entries, and commit up to the leader's commit index."""
         state = self._state
         if request.term < state.current_term or request.history < state.log.history:
             state.counts["older epochs"] += 1
             self._respond(sender, success=False, match_index=state.log.commit_index)
             return
-        # A term has one leader: where this member is that, no other can send in the same term.
+        # A term has one leader: if it is this member, no other can be the leader of the same term.
         from_second_leader = state.role is Role.LEADER and request.term == state.current_term
         if request.term > MAX_TERM or from_second_leader:
             state.counts["nonsense epochs"] += 1
@@ -39,7 +42,7 @@
         match_index = request.prev_log.revision + len(request.entries)
         state.commit(min(request.leader_commit, match_index))
         self._recovery.complete_if_caught_up(request.term)
-        # Entries committed here are in every later leader's log, whether it sent them or not.
+        # Entries committed here are in every later leader's log, even if it did not send them.
         self._respond(sender, success=True, match_index=max(match_index, state.log.commit_index))
 
     def _follow(self, now: int, leader: str, request: AppendEntries) -> None:
@@ -55,7 +58,7 @@
             self._recovery.on_new_history(now, leader, request.term)
 
     def _retry_index(self, prev_log: Position) -> int:
-        """The last index that may match where `prev_log` does not."""
+        """Return the last index that may match the leader's log, as `prev_log` does not."""
         log = self._state.log
         if prev_log.revision > log.last.revision:
             return log.last.revision
--- a/loadbalancer/core/replicated_log/messages.py
+++ b/loadbalancer/core/replicated_log/messages.py
@@ -1,7 +1,8 @@
-"""Messages between control machines about one region's log; `control.machine.codec` has the bytes.
+"""Messages between control machines about one region's log.
 
-The codec numbers the types by their order in `Message` and writes fields in their order here, so
-that both orders are part of the wire format. Names of types and fields are not.
+`control.machine.codec` encodes them. It numbers the types by their order in `Message`, and writes
+the fields in the order in which they are declared here. So both orders are part of the wire format,
+while the names of types and fields are not.
 """
 
 from __future__ import annotations
@@ -18,16 +19,18 @@
 
     region: str
     term: int
-    history: Position  # of the candidate's log, as in `AppendEntries`
+    history: Position  # of the candidate's log; see `AppendEntries`
     last_log: Position  # the candidate's last entry, committed or not
-    pre_vote: bool = False  # only whether the vote would be granted (thesis, section 9.6)
-    reload: bool = False  # a majority has lost its log, which is to be loaded from its source
-    transfer: bool = False  # the present leader asks, to begin a history above a reported position
+    pre_vote: bool = False  # ask only whether the vote would be granted (thesis, section 9.6)
+    reload: bool = False  # a majority has lost its log; the winner loads it from its source
+    transfer: bool = (
+        False  # sent by the current leader, to begin a history above a reported position
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class RequestVoteResponse:
-    """The answer to a `RequestVote` for `term`."""
+    """A voter's answer to a `RequestVote` for `term`."""
 
     region: str
     term: int
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """The leader's AppendEntries RPC (paper, section 5.3); a heartbeat if it has no entries."""
+    """The leader's AppendEntries RPC (paper, section 5.3); without entries it is a heartbeat."""
 
     region: str
     term: int
@@ -46,7 +49,7 @@
     prev_log: Position  # prevLogTerm and prevLogIndex
     entries: tuple[Change, ...]
     leader_commit: int
-    needs_snapshot: bool = False  # the log does not reach back to the follower: it is to fetch one
+    needs_snapshot: bool = False  # the next entries were compacted: the follower must fetch one
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,25 +59,25 @@
     region: str
     term: int
     success: bool
-    match_index: int  # on success, all up to it match; otherwise the last index that may match
-    voting: bool = True  # False while the follower recovers: its log counts for no majority
+    match_index: int  # on success the logs match up to it; otherwise the last index that may match
+    voting: bool = True  # False while the follower is recovering: it counts for no majority
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """A learner asks a machine for committed changes after `position`; it may be a long poll."""
+    """A learner's request for the committed changes after `position`; it may be a long poll."""
 
     region: str
     position: Position
     request_id: int  # repeated in the answer
-    highest_reported: Position = START  # highest epoch and revision reported to the sender
+    highest_reported: Position = START  # highest epoch and highest revision reported to the sender
     snapshot: Position | None = None  # of the snapshot whose next chunk is requested
     chunk: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FetchResponse:
-    """Committed changes after the position of the `Fetch`."""
+    """The answer to a `Fetch`: committed changes after its position."""
 
     region: str
     request_id: int
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRows:
-    """Rows of one service in a snapshot of the log; a large service takes several."""
+    """Rows of one service in a snapshot chunk; a large service is divided among several."""
 
     service: str
     last_changed: int  # revision of its last change
@@ -93,16 +96,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """One chunk of a log's snapshot as of `position` (paper, section 7), in answer to a `Fetch`.
+    """The answer to a `Fetch`: one chunk of a snapshot as of `position` (paper, section 7).
 
-    The receiver asks for each chunk in turn, and installs the snapshot once it has them all.
+    The receiver fetches the chunks one after the other, and installs the snapshot when it has all.
     """
 
     region: str
     request_id: int
     position: Position  # the last entry that the snapshot includes
-    chunk: int  # from 0
-    chunks: int
+    chunk: int  # number of this chunk, from 0
+    chunks: int  # how many there are
     services: tuple[ServiceRows, ...]
     last_deletion: int  # revision of the last deletion of any service
     epoch_starts: tuple[Position, ...]  # the first position of each epoch
@@ -111,22 +114,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRequest:
-    """A restarted member asks the others for their state (Viewstamped Replication, 4.3)."""
+    """A restarted member's request for the others' state (Viewstamped Replication, 4.3)."""
 
     region: str
-    nonce: int  # drawn at each start: answers to an earlier incarnation do not count
+    nonce: int  # drawn at each start, so that answers to an earlier incarnation are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryResponse:
-    """The answer to a `RecoveryRequest`."""
+    """A member's answer to a `RecoveryRequest`."""
 
     region: str
     nonce: int
-    recovering: bool  # the sender has lost its own log too
+    recovering: bool  # the sender has lost its own log as well
     term: int
     last_log: Position  # its last entry, committed or not
-    highest_reported: Position  # the highest epoch and revision reported to it
+    highest_reported: Position  # the highest epoch and the highest revision reported to it
 
 
 RaftMessage = (
@@ -152,7 +155,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent, and the machine that it goes to."""
+    """A message to send, and the machine to send it to."""
 
     recipient: str
     message: Message
--- a/loadbalancer/core/replicated_log/model.py
+++ b/loadbalancer/core/replicated_log/model.py
@@ -1,4 +1,4 @@
-"""Roles, times and bounds of the replicated log. Times are integer nanoseconds."""
+"""Roles, timeouts and limits of the replicated log. Times are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -8,45 +8,49 @@
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.balancing.model import MS, SECOND
 
-MAX_REPORTED_TERM = 1 << 22  # a report beyond is not plausible and is ignored
-# Higher than a reported term can be: a new history's term is above all reported ones.
-MAX_TERM = 2 * MAX_REPORTED_TERM  # a message beyond is not plausible and is ignored
-MAX_REPORTED_INDEX = 1 << 40  # as MAX_REPORTED_TERM, for the index
+# Reports of a position with a higher term or index are implausible and are ignored.
+MAX_REPORTED_TERM = 1 << 22
+MAX_REPORTED_INDEX = 1 << 40
+# Messages with a higher term are ignored. It exceeds MAX_REPORTED_TERM because a new history's term
+# is above all reported ones.
+MAX_TERM = 2 * MAX_REPORTED_TERM
 
 
 class Role(Enum):
-    """A member's role in its region's group: the paper's section 5.1, and two more states."""
+    """A member's role in its region's Raft group (paper, section 5.1), with two additional ones."""
 
-    RECOVERING = "recovering"  # restarted without its log: neither votes nor counts
+    RECOVERING = "recovering"  # restarted without its log: has no vote, counts for no majority
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"  # asks whether it would win an election (thesis, 9.6)
+    PRE_CANDIDATE = "pre-candidate"  # asks whether it would win an election (thesis, section 9.6)
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Timeouts in nanoseconds, and bounds of messages and queues."""
+    """Timeouts in nanoseconds, and limits of messages and queues."""
 
     heartbeat_interval_ns: int = 200 * MS
-    election_timeout_ns: int = 1_000 * MS  # the minimum; each is drawn from one to two times this
-    fetch_timeout_ns: int = 1_000 * MS  # an unanswered fetch goes to the next machine
-    fetch_hold_ns: int = 400 * MS  # a fetch without new changes is answered after that
+    election_timeout_ns: int = (
+        1_000 * MS
+    )  # minimum; the timeout is drawn from one to two times this
+    fetch_timeout_ns: int = 1_000 * MS  # after which a learner fetches from the next machine
+    fetch_hold_ns: int = 400 * MS  # how long a fetch waits for new changes
     reload_wait_ns: int = 5 * SECOND  # without a leader, before a lost log is loaded again
-    unreachable_wait_ns: int = 30 * SECOND  # as reload_wait_ns, while some member does not answer
-    new_history_interval_ns: int = 30 * SECOND  # at least, between new histories by reports
+    unreachable_wait_ns: int = 30 * SECOND  # the same while a member does not answer
+    new_history_interval_ns: int = 30 * SECOND  # minimum between histories begun above a report
     max_message_bytes: int = 256 * 1024  # of changes in one message
-    max_uncommitted: int = 4096  # entries that wait for a majority
+    max_uncommitted: int = 4096  # entries; above it the leader rejects proposals
 
 
-def highest(one: Position, other: Position) -> Position:
-    """The higher epoch and the higher revision of two positions, each taken separately."""
-    return Position(max(one.epoch, other.epoch), max(one.revision, other.revision))
+def componentwise_max(first: Position, second: Position) -> Position:
+    """Return the higher epoch and the higher revision of two positions, taken separately."""
+    return Position(max(first.epoch, second.epoch), max(first.revision, second.revision))
 
 
 def is_plausible(position: Position) -> bool:
-    """Whether a reported position is within what any log can reach.
+    """Return whether a log could have reached a reported position.
 
-    Without the bound one malformed report would raise every later term and index up to it.
+    Without this check, one malformed report would raise all later terms and indexes above it.
     """
     return 0 <= position.epoch <= MAX_REPORTED_TERM and 0 <= position.revision <= MAX_REPORTED_INDEX
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -1,8 +1,9 @@
-"""One member of the Raft group that holds a region's log: its parts, and who gets which event.
+"""One member of the Raft group that replicates a region's log.
 
-Raft as in the paper, with pre-votes and the leader's check of its quorum as in the thesis, and
-recovery without storage as in Viewstamped Replication. Sans-I/O: given messages and the time in
-nanoseconds, it leaves what is to be sent in the outbox.
+`RaftMember` dispatches events to the parts of a member: election, leader, follower and recovery.
+The protocol is Raft as in the paper, with pre-votes and the leader's quorum check as in the thesis.
+Logs are in memory only; a restarted member recovers as in Viewstamped Replication. Sans-I/O: the
+caller passes in messages and the time in nanoseconds, and sends what is put into the outbox.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class RaftMember:
-    """A member of one region's group."""
+    """A member of one region's Raft group."""
 
     def __init__(
         self,
@@ -42,7 +43,16 @@
         timing: Timing,
         outbox: Outbox,
     ) -> None:
-        """`change_log` is written to here alone; `seed` is to differ at each start."""
+        """Create a member that has just started and begins to recover.
+
+        Args:
+            membership: this member and the others of its group.
+            change_log: the log of committed changes; nothing else may write to it.
+            seed: for election timeouts and nonces; it must differ at each start.
+            now: the time in nanoseconds.
+            timing: timeouts and limits.
+            outbox: receives the messages to send.
+        """
         self.log = RaftLog(change_log)
         self.state = RaftState(membership, self.log, seed, now, timing, outbox)
         self._leader = Leader(self.state, now)
@@ -54,7 +64,7 @@
 
     @property
     def role(self) -> Role:
-        """What this member is in its group."""
+        """This member's role in its group."""
         return self.state.role
 
     @property
@@ -64,47 +74,50 @@
 
     @property
     def leader(self) -> str:
-        """The leader of the current term, "" where none is known."""
+        """The leader of the current term, or "" if unknown."""
         return self.state.leader
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name, messages that could not be used included."""
+        """Counters of events, including rejected messages, by the names shown in GET /status."""
         return self.state.counts
 
     def has_leader(self, now: int) -> bool:
-        """Whether entries come from a leader, or are its own: nothing has to be fetched."""
+        """Return whether this member is the leader or receives entries from one.
+
+        Otherwise it has to fetch committed changes as a learner.
+        """
         if self.state.role is Role.LEADER:
             return True
-        return self.state.hears_leader(now) and not self.state.needs_snapshot
+        return self.state.has_leader_contact(now) and not self.state.needs_snapshot
 
     def needs_load(self) -> bool:
-        """Whether this member leads and has to load the log from its source."""
+        """Return whether this member is the leader and has to load the log from its source."""
         return self._leader.needs_load()
 
     def accepts_snapshot(self, snapshot: LogSnapshot) -> bool:
-        """Whether a snapshot may be installed.
+        """Return whether a snapshot may be installed.
 
-        One of an older history may only where this member has no log of its own, so that it
-        serves the old history on until a newer one comes.
+        A snapshot of an older history is accepted only by a recovering member, which has no log: it
+        serves the old history to subscribers until it receives a newer one.
         """
         return self.role is Role.RECOVERING or snapshot.history >= self.log.history
 
     def has_capacity(self) -> bool:
-        """Whether the leader takes one more change."""
-        waiting = len(self.log.uncommitted)
-        return self.log.is_loaded() and waiting < self.state.timing.max_uncommitted
+        """Return whether the leader accepts another proposal."""
+        uncommitted = len(self.log.uncommitted)
+        return self.log.is_loaded() and uncommitted < self.state.timing.max_uncommitted
 
     def propose(self, change: Change) -> Position:
-        """Append a change as the leader's next entry; returns its position."""
+        """Append a change as the leader's next entry, and return its position."""
         return self._leader.propose(change)
 
     def load(self, services: Mapping[str, Iterable[Row]]) -> None:
-        """Load all services from their source; see `needs_load`."""
+        """Load all services, as read from their source; does nothing unless `needs_load`."""
         self._leader.load(services)
 
     def drain_committed(self) -> Committed:
-        """Changes committed since the last call, and whether they replaced the change log."""
+        """Return the changes committed since the last call, and whether they replaced the log."""
         state = self.state
         drained = Committed(state.committed, state.replaced)
         state.committed, state.replaced = [], False
@@ -113,7 +126,7 @@
     # ---- events ----------------------------------------------------------
 
     def on_tick(self, now: int) -> None:
-        """Time has passed."""
+        """Handle timeouts of the current role."""
         role = self.state.role
         if role is Role.LEADER:
             self._leader.on_tick(now)
@@ -123,17 +136,17 @@
             self._election.start_pre_vote(now)
 
     def on_reported(self, now: int, position: Position) -> None:
-        """Somebody has this position of the region's log."""
+        """Handle a position of this region's log that a subscriber has reported."""
         state = self.state
-        if state.note_reported(position) and self._leader.needs_new_history(now, position):
+        if state.record_reported(position) and self._leader.needs_new_history(now, position):
             self._leader.on_new_history(now)
             self._election.start(now, state.new_history_term(), transfer=True)
 
     def on_message(self, now: int, sender: str, message: RaftMessage) -> None:
-        """Handle a message of another member.
+        """Handle a message from another member.
 
         Raises:
-            InvalidInputError: entries do not follow each other.
+            InvalidInputError: positions of entries in the message are not consecutive.
         """
         match message:
             case AppendEntries():
@@ -149,8 +162,8 @@
             case RecoveryResponse():
                 self._recovery.on_response(now, sender, message)
 
-    def _on_elected(self, now: int, ballot: RequestVote) -> None:
-        """Lead; after a transfer, the new history begins with what the old one had."""
-        self._leader.start(now, new_history=ballot.reload or ballot.transfer)
-        if ballot.transfer:
+    def _on_elected(self, now: int, request: RequestVote) -> None:
+        """Become the leader; after a transfer, load the new history with the committed rows."""
+        self._leader.start(now, new_history=request.reload or request.transfer)
+        if request.transfer:
             self.load(self.log.rows())
--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -1,10 +1,13 @@
-"""One member's Raft log: committed entries in a `ChangeLog`, uncommitted ones after them.
+"""One member's Raft log: committed entries in a `ChangeLog`, followed by uncommitted ones.
 
-An entry is applied to the `ChangeLog` when it is committed, so that `lastApplied` of the paper is
-always the commit index. A log that a majority has lost begins a new history: in the term of the
-leader that loads it, and from a higher index. Entries of a load are not applied until the entry
-that ends it is committed; then they replace the content of the `ChangeLog` at once. A leader's
-first entry of its term, and the last one of a load, has no service.
+An entry is applied to the `ChangeLog` when it is committed, so the paper's `lastApplied` always
+equals the commit index.
+
+When a majority has lost the log, a leader loads it again from its source. The load begins a new
+history, in the leader's term and from an index above all known ones. The entries of a load are not
+applied until the entry that ends it is committed; then all of them replace the content of the
+`ChangeLog` at once. The first entry of a leader's term, and the last entry of a load, are no-ops
+without a service.
 """
 
 from __future__ import annotations
@@ -17,14 +20,14 @@
 
 
 class Committed(NamedTuple):
-    """What a commit added to the change log."""
+    """The changes that a commit applied to the change log."""
 
     changes: Sequence[Change]
-    replaced: bool  # a load has ended: `changes` replaced all that the change log had
+    replaced: bool  # a load was completed: `changes` replaced the content of the change log
 
 
 def no_op(position: Position) -> Change:
-    """The entry with which a leader begins its term (paper, section 8), or ends a load."""
+    """Return the entry that begins a leader's term (paper, section 8) or ends a load."""
     return Change(position, "")
 
 
@@ -32,7 +35,7 @@
     """Committed and uncommitted entries of one region, in order of their index."""
 
     def __init__(self, change_log: ChangeLog) -> None:
-        """Nobody else may write to `change_log`."""
+        """Create a log without uncommitted entries; nothing else may write to `change_log`."""
         self._change_log = change_log
         self._base = change_log.position  # of the entry before the first uncommitted one
         self._uncommitted: list[Change] = []
@@ -46,31 +49,31 @@
 
     @property
     def commit_index(self) -> int:
-        """The index of the last committed entry; none of a load counts until the load ends."""
+        """The index of the last committed entry, not counting those of an incomplete load."""
         return self._base.revision
 
     @property
     def uncommitted(self) -> Sequence[Change]:
-        """Entries that this member does not know to be committed."""
+        """The entries that this member does not know to be committed."""
         return self._uncommitted
 
     def is_loaded(self) -> bool:
-        """Whether there is a log, or at least the end of a load among the uncommitted entries."""
+        """Return whether the log has been loaded, even if the load is not committed yet."""
         if self.loading:
             return any(not entry.service for entry in self._uncommitted)
         return self._base.epoch > 0
 
     def has_committed_in(self, term: int) -> bool:
-        """Whether an entry of this term is committed, and so all entries before it."""
+        """Return whether an entry of this term, and so all entries before it, is committed."""
         return not self.loading and self._base.epoch == term
 
     def rows(self) -> dict[str, tuple[Row, ...]]:
-        """All committed services."""
+        """Return the committed rows by service."""
         log = self._change_log
         return {name: tuple((log.rows(name) or {}).values()) for name in log.services()}
 
     def begin_history(self, history: Position) -> None:
-        """Begin to load a new history; the change log serves the old one until the load ends."""
+        """Begin to load a new history; the change log keeps the old one until the load ends."""
         self.history = history
         self.loading = True
         self._base = Position(0, history.revision)
@@ -83,7 +86,7 @@
         self._uncommitted.append(change)
 
     def position_at(self, index: int) -> Position | None:
-        """The position of the entry with this index; None where it is not known."""
+        """Return the position of the entry with this index, or None if it is unknown."""
         offset = index - self._base.revision
         if offset > len(self._uncommitted):
             return None
@@ -95,9 +98,9 @@
         return None if epoch is None else Position(epoch, index)
 
     def entries_after(self, previous: Position, max_bytes: int) -> tuple[Change, ...] | None:
-        """Entries after this position, up to about `max_bytes` and at least one.
+        """Return the entries after this position, or None if they were compacted.
 
-        None where they were compacted away.
+        They are limited to about `max_bytes`, but include at least one entry if there is any.
         """
         start = previous.revision - self._base.revision
         if start < 0:
@@ -114,20 +117,20 @@
     # ---- follower ----------------------------------------------------------
 
     def append_entries(self, previous: Position, entries: Sequence[Change]) -> bool:
-        """Append a leader's entries after `previous` (paper, figure 2, AppendEntries 2 to 4).
+        """Append a leader's entries after `previous` (paper, figure 2, AppendEntries steps 2 to 4).
 
-        An uncommitted entry that conflicts is removed with all that follow it.
+        An uncommitted entry that conflicts with a new one is removed, with all that follow it.
 
         Returns:
-            False where the log has no entry `previous`.
+            False if the log has no entry `previous`; nothing is appended then.
 
         Raises:
-            InvalidInputError: the entries do not follow each other.
+            InvalidInputError: the positions of the entries are not consecutive.
         """
         for index, entry in enumerate(entries, previous.revision + 1):
             if entry.position.revision != index or entry.position.epoch < previous.epoch:
                 raise InvalidInputError(
-                    f"entries after {previous}: {entry.position} is out of order"
+                    f"entries after {previous}: {entry.position} is not consecutive"
                 )
         base = self._base.revision
         if previous.revision >= base and self.position_at(previous.revision) != previous:
@@ -135,7 +138,7 @@
         for entry in entries:
             offset = entry.position.revision - base - 1
             if offset < 0:
-                continue  # committed here already
+                continue  # already committed here
             if offset < len(self._uncommitted):
                 if self._uncommitted[offset].position == entry.position:
                     continue
@@ -146,7 +149,7 @@
     # ---- commit ----------------------------------------------------------
 
     def commit(self, index: int) -> Committed:
-        """Commit and apply the entries up to `index`, which a majority has."""
+        """Commit the entries up to `index`, which a majority has, and apply them."""
         count = min(index - self._base.revision, len(self._uncommitted))
         entries = self._uncommitted[: max(count, 0)]
         if not entries:
@@ -154,7 +157,7 @@
         replaced = self.loading
         if replaced:
             if all(entry.service for entry in entries):
-                return Committed((), replaced=False)  # the load goes on
+                return Committed((), replaced=False)  # the load is not complete
             self._change_log.reset(self.history)
             self.loading = False
         for entry in entries:
@@ -164,14 +167,14 @@
         return Committed(entries, replaced)
 
     def apply_fetched(self, changes: Sequence[Change]) -> None:
-        """Apply committed changes fetched from any machine; they follow the change log."""
+        """Apply committed changes that were fetched; they directly follow the change log."""
         for change in changes:
             self._change_log.append(change)
         if not self.loading:
             self._rebase()
 
     def install_snapshot(self, snapshot: LogSnapshot) -> None:
-        """Install a snapshot that is later than the change log (paper, section 7).
+        """Install a snapshot that is newer than the change log (paper, section 7).
 
         Raises:
             InvalidInputError: the snapshot is older than the change log.
@@ -182,7 +185,7 @@
             self._rebase()
 
     def _rebase(self) -> None:
-        """Retain those uncommitted entries that follow the change log's new position."""
+        """Keep only the uncommitted entries that follow the change log's new position."""
         position = self._change_log.position
         follows = self.position_at(position.revision) == position
         count = position.revision - self._base.revision
--- a/loadbalancer/core/replicated_log/recovery.py
+++ b/loadbalancer/core/replicated_log/recovery.py
@@ -1,10 +1,12 @@
-"""Recovery of a member that restarted: its log was in memory, and is lost.
+"""Recovery of a restarted member, which has lost its log because logs are in memory only.
 
-It may have acknowledged entries or votes that it no longer has, so that it neither votes, leads
-nor counts for a majority until it has heard from all others of its group, none of them recovering,
-and has caught up with what they had (Liskov and Cowling 2012, "Viewstamped Replication Revisited",
-section 4.3). Where too many have lost their logs for that, a majority elects a leader that loads
-the log again from its source, in a term and from an index above all that anyone has reported.
+The member may have acknowledged entries, or granted votes, that it no longer knows of. So it does
+not vote, lead or count for a majority until all other members of its group have responded, none of
+them recovering, and it has caught up with their logs (Liskov and Cowling 2012, "Viewstamped
+Replication Revisited", section 4.3).
+
+If too many members have lost their logs for that, a majority elects a leader that loads the log
+again from its source, in a term and from an index above all that subscribers have reported.
 """
 
 from __future__ import annotations
@@ -14,32 +16,33 @@
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.replicated_log.election import Election
 from loadbalancer.core.replicated_log.messages import RecoveryRequest, RecoveryResponse
-from loadbalancer.core.replicated_log.model import Role, highest
+from loadbalancer.core.replicated_log.model import Role, componentwise_max
 from loadbalancer.core.replicated_log.state import RaftState
 
-FRESH_FACTOR = 2  # times the minimum election timeout: a response older than that is disregarded
+# A response is ignored once it is older than this many times the minimum election timeout.
+RESPONSE_TTL_FACTOR = 2
 
 
 @dataclass(frozen=True, slots=True)
-class _Received:
-    """A member's last response, and when it came, in nanoseconds."""
+class _ReceivedResponse:
+    """A member's last response, and the time in nanoseconds at which it was received."""
 
     response: RecoveryResponse
-    at: int
+    received_at: int
 
 
 class Recovery:
-    """The recovery of one member, and its answers to others that recover."""
+    """The recovery of one member, and its answers to other members that recover."""
 
     def __init__(self, state: RaftState, election: Election, now: int) -> None:
         self._state = state
         self._election = election
         self._started = now
         self._request_at = now
-        self._received: dict[str, _Received] = {}  # the last response of each other member
+        self._received: dict[str, _ReceivedResponse] = {}  # the last response, by member
 
     def on_tick(self, now: int) -> None:
-        """Ask the others for their state; begin an election where the log counts as lost."""
+        """Ask the other members for their state, and start an election if the log is lost."""
         state = self._state
         if now >= self._request_at:
             self._request_at = now + state.timing.heartbeat_interval_ns
@@ -51,22 +54,26 @@
                 self._election.start(now, state.new_history_term(), reload=True)
 
     def _log_is_lost(self, now: int) -> bool:
-        """Whether no majority with a log answers, for long enough, while a majority does answer."""
+        """Return whether the log has to be loaded again from its source.
+
+        That is the case if a majority responds, but no majority still has a log, and this has
+        lasted for `reload_wait_ns`, or `unreachable_wait_ns` if not all members respond.
+        """
         state, timing = self._state, self._state.timing
-        fresh = [
-            one.response
-            for one in self._received.values()
-            if now - one.at < FRESH_FACTOR * timing.election_timeout_ns
+        recent = [
+            received.response
+            for received in self._received.values()
+            if now - received.received_at < RESPONSE_TTL_FACTOR * timing.election_timeout_ns
         ]
-        if sum(not response.recovering for response in fresh) >= state.majority:
+        if sum(not response.recovering for response in recent) >= state.majority:
             return False
-        all_answer = len(fresh) == len(state.others)
-        wait = timing.reload_wait_ns if all_answer else timing.unreachable_wait_ns
+        all_respond = len(recent) == len(state.others)
+        wait = timing.reload_wait_ns if all_respond else timing.unreachable_wait_ns
         waited = now - max(self._started, state.leader_contact_at)
-        return len(fresh) + 1 >= state.majority and waited >= wait
+        return len(recent) + 1 >= state.majority and waited >= wait
 
     def on_request(self, sender: str, request: RecoveryRequest) -> None:
-        """Answer a member that recovers with this member's state."""
+        """Send this member's state to a member that recovers."""
         state = self._state
         state.send(
             sender,
@@ -77,32 +84,32 @@
         )  # fmt: skip
 
     def on_response(self, now: int, sender: str, response: RecoveryResponse) -> None:
-        """Take another member's state, if it answers this incarnation."""
+        """Store another member's state, if it is the answer to a request of this incarnation."""
         state = self._state
         if response.nonce != state.nonce or state.role is not Role.RECOVERING:
             return
-        reported = highest(response.highest_reported, Position(response.term, 0))
-        state.note_reported(highest(reported, response.last_log))
+        reported = componentwise_max(response.highest_reported, Position(response.term, 0))
+        state.record_reported(componentwise_max(reported, response.last_log))
         if response.recovering:
             state.seen_recovering.add(sender)
-        self._received[sender] = _Received(response, now)
+        self._received[sender] = _ReceivedResponse(response, now)
 
     def on_new_history(self, now: int, leader: str, term: int) -> None:
-        """A leader loads the log again: what this member lost with its restart may be void.
+        """Become a follower if a new history makes this member's lost log irrelevant.
 
-        It is, if the leader was seen recovering since: then the load began after the restart, and
-        nothing that this member acknowledged before can be in it.
+        It does if the leader was itself seen recovering since this member's restart. Then the load
+        began after the restart, so it cannot contain anything that this member acknowledged before.
         """
         state = self._state
         if state.role is Role.RECOVERING and leader in state.seen_recovering:
             state.become_follower(now, term, leader)
 
     def complete_if_caught_up(self, term: int) -> None:
-        """Become a follower once the log has all that the others had when they answered."""
+        """Become a follower once the log has all entries that the others had in their responses."""
         state = self._state
         if state.role is not Role.RECOVERING or len(self._received) < len(state.others):
             return
-        responses = [one.response for one in self._received.values()]
+        responses = [received.response for received in self._received.values()]
         if any(response.recovering for response in responses):
             return
         last_log = max(response.last_log for response in responses)
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -1,7 +1,9 @@
-"""One control machine's logs: its own region's as a Raft member, the others' as a learner.
+"""One control machine's replicas of all regions' logs.
 
-A member that hears no leader learns as well, and every machine serves learners. Sans-I/O: given
-messages and the time in nanoseconds, it leaves what is to be sent in `outgoing`.
+The machine replicates its own region's log as a Raft member, and the other regions' logs as a
+learner. A Raft member without contact to a leader acts as a learner of its own region's log too.
+Every machine serves the fetches of learners. Sans-I/O: the caller passes in messages and the time
+in nanoseconds, and sends the messages that `drain_outgoing` returns.
 """
 
 from __future__ import annotations
@@ -30,20 +32,20 @@
     Message,
     Outgoing,
 )
-from loadbalancer.core.replicated_log.model import Role, Timing, highest, is_plausible
+from loadbalancer.core.replicated_log.model import Role, Timing, componentwise_max, is_plausible
 from loadbalancer.core.replicated_log.raft import RaftMember
 from loadbalancer.core.replicated_log.state import Membership, Outbox
 
-ONE_WRITER = "a service's changes are accepted by the machines of its home region alone"
+SINGLE_WRITER_RULE = "a service's changes are accepted by the machines of its home region alone"
 
 
 class ProposalOutcome(Enum):
-    """What became of a proposal; the values appear in the HTTP answers to operators."""
+    """The result of a proposal; the values appear in the HTTP answers to operators."""
 
-    PROPOSED = "proposed"  # in the leader's log; committed once `committed` gives it
+    PROPOSED = "proposed"  # in the leader's log; committed once `drain_committed` returns it
     NOT_LEADER = "not leader"
     WRONG_REGION = "wrong region"
-    BUSY = "busy"  # too many entries wait for a majority, or the log is being loaded
+    BUSY = "busy"  # too many entries are uncommitted, or the log is being loaded
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,20 +53,20 @@
     """The answer to `propose`."""
 
     outcome: ProposalOutcome
-    position: Position | None = None  # of the change, where PROPOSED
-    leader: str = ""  # the machine to turn to, where NOT_LEADER and one is known
-    rule: str = ""  # where WRONG_REGION
+    position: Position | None = None  # of the change, if PROPOSED
+    leader: str = ""  # the machine to propose to, if NOT_LEADER and the leader is known
+    rule: str = ""  # the rule that the proposal breaks, if WRONG_REGION
 
 
 class CommittedChange(NamedTuple):
-    """A change that was appended to the log of a region."""
+    """A change that was committed to a region's log."""
 
     region: str
     change: Change
 
 
 class Replica:
-    """One machine's logs, by region."""
+    """One control machine's replicas of the regions' logs."""
 
     def __init__(
         self,
@@ -75,7 +77,15 @@
         now: int,
         timing: Timing | None = None,
     ) -> None:
-        """`logs` has one empty log a region, written to here alone; `seed` differs by start.
+        """Create the replicas of a machine that has just started.
+
+        Args:
+            machine: this control machine.
+            machines: all control machines, including this one.
+            logs: an empty log for each region; nothing else may write to them.
+            seed: for random choices; it must differ at each start.
+            now: the time in nanoseconds.
+            timing: timeouts and limits; the defaults if None.
 
         Raises:
             InvalidInputError: the machine is not among `machines`, or a region has no log.
@@ -98,7 +108,7 @@
             timing, self._outbox,
         )  # fmt: skip
         self._learners = {
-            region: Learner(log, self._sources(region, machine.name), timing.fetch_timeout_ns)
+            region: Learner(log, self._fetch_sources(region, machine.name), timing.fetch_timeout_ns)
             for region, log in logs.items()
         }
         self._servers = {
@@ -106,33 +116,37 @@
             for region, log in logs.items()
         }
 
-    def _sources(self, region: str, name: str) -> list[str]:
-        """The region's own machines first, rotated by this machine's name to spread the load."""
-        home = [other for other, where in self._machines.items() if where == region]
-        away = [other for other, where in self._machines.items() if where != region]
-        offset = sum(name.encode()) % len(home) if home else 0
-        return home[offset:] + home[:offset] + away
+    def _fetch_sources(self, region: str, name: str) -> list[str]:
+        """Return the machines to fetch a region's log from, in order of preference.
+
+        The region's own machines come first. They are rotated by a value derived from this
+        machine's name, so that not all learners load the same machine.
+        """
+        members = [other for other, its_region in self._machines.items() if its_region == region]
+        learners = [other for other, its_region in self._machines.items() if its_region != region]
+        offset = sum(name.encode()) % len(members) if members else 0
+        return members[offset:] + members[:offset] + learners
 
     # ---- state -----------------------------------------------------------
 
     @property
     def role(self) -> Role:
-        """What it is in its own region's group."""
+        """This machine's role in its own region's Raft group."""
         return self._member.role
 
     @property
     def current_term(self) -> int:
-        """The highest term of its own region that it has entered."""
+        """The highest term of its own region's group that it has entered."""
         return self._member.current_term
 
     @property
     def leader(self) -> str:
-        """The leader of its own region as far as it knows, "" where it knows none."""
+        """The leader of its own region's group, or "" if unknown."""
         return self._member.leader
 
     @property
     def counts(self) -> Counter[str]:
-        """Events by name, messages that could not be used included."""
+        """Counters of events, including rejected messages, by the names shown in GET /status."""
         total = self._counts + self._member.counts
         for learner in self._learners.values():
             total += learner.counts
@@ -148,28 +162,37 @@
         deleted: bool = False,
         region: str | None = None,
     ) -> Proposal:
-        """Propose a change of a service whose home is `region`, this machine's own by default.
+        """Propose a change of a service.
 
-        A leader's `Proposal` names the position; the change is committed only when `committed`
-        gives it. After a change of leader it may be lost and has to be proposed again.
+        If this machine is the leader, the `Proposal` has the change's position. The change is
+        committed only when `drain_committed` returns it. If the leader changes before that, it may
+        be lost and has to be proposed again.
+
+        Args:
+            service: the service's name.
+            rows: its new or changed backends.
+            removed: the uids of its removed backends.
+            deleted: whether the service itself is deleted.
+            region: the service's home region. If None, it is another region whose log has the
+                service, or else this machine's own.
 
         Raises:
             InvalidInputError: the service has no name.
         """
         if not service:
             raise InvalidInputError("proposed change: the service has no name")
-        if self._home(service, region) != self._region:
-            return Proposal(ProposalOutcome.WRONG_REGION, rule=ONE_WRITER)
+        if self._home_region(service, region) != self._region:
+            return Proposal(ProposalOutcome.WRONG_REGION, rule=SINGLE_WRITER_RULE)
         member = self._member
         if member.role is not Role.LEADER:
             return Proposal(ProposalOutcome.NOT_LEADER, leader=member.leader)
         if not member.has_capacity():
             return Proposal(ProposalOutcome.BUSY)
         position = member.propose(Change(START, service, tuple(rows), tuple(removed), deleted))
-        self._collect()
+        self._collect_committed()
         return Proposal(ProposalOutcome.PROPOSED, position)
 
-    def _home(self, service: str, region: str | None) -> str:
+    def _home_region(self, service: str, region: str | None) -> str:
         if region is not None:
             return region
         for name, log in self._logs.items():
@@ -178,16 +201,19 @@
         return self._region
 
     def needs_load(self) -> bool:
-        """Whether this machine leads a region that has lost its log and waits for `load`."""
+        """Return whether this machine is its region's leader, and the log has to be loaded."""
         return self._member.needs_load()
 
     def load(self, services: Mapping[str, Iterable[Row]]) -> None:
-        """Load all services of this region from their source, where `needs_load`."""
+        """Load all services of this region, as read from their source.
+
+        Does nothing unless `needs_load`.
+        """
         self._member.load(services)
-        self._collect()
+        self._collect_committed()
 
     def on_reported(self, now: int, region: str, position: Position) -> None:
-        """A subscriber has this position of a region's log."""
+        """Handle a position of a region's log that a subscriber has reported."""
         if not is_plausible(position):
             self._counts["nonsense reported"] += 1
         elif region == self._region:
@@ -195,23 +221,23 @@
         elif (learner := self._learners.get(region)) is not None:
             learner.on_reported(position)
 
-    # ---- drained by the owner --------------------------------------------
+    # ---- results for the owner -------------------------------------------
 
     def drain_committed(self) -> list[CommittedChange]:
-        """Drain the changes that were appended to the logs since the last call."""
+        """Return the changes that were appended to the logs since the last call."""
         drained, self._committed = self._committed, []
         return drained
 
     def drain_restored(self) -> list[str]:
-        """Drain the regions whose log was replaced, by a snapshot or a load, since the last call.
+        """Return the regions whose log was replaced, by a snapshot or a load, since the last call.
 
-        To be called before `committed`, which gives the changes of a load as well.
+        To be called before `drain_committed`, which returns the changes of a load as well.
         """
         drained, self._restored = self._restored, []
         return drained
 
     def drain_outgoing(self) -> list[Outgoing]:
-        """Drain the messages to send."""
+        """Return the messages to send since the last call."""
         drained = list(self._outbox)
         self._outbox.clear()
         return drained
@@ -219,13 +245,13 @@
     # ---- events ----------------------------------------------------------
 
     def on_tick(self, now: int) -> None:
-        """Time has passed; to be called every 50 ms or so."""
+        """Handle timeouts; to be called about every 50 ms."""
         self._member.on_tick(now)
         for server in self._servers.values():
             self._outbox.extend(server.on_tick(now))
         for region, learner in self._learners.items():
             self._poll(now, region, learner)
-        self._collect()
+        self._collect_committed()
 
     def _poll(self, now: int, region: str, learner: Learner) -> None:
         if region == self._region and self._member.has_leader(now):
@@ -234,7 +260,7 @@
             self._outbox.append(Outgoing(polled.source, polled.fetch))
 
     def on_message(self, now: int, sender: str, message: Message) -> None:
-        """Handle another control machine's message; one that can't be used is counted."""
+        """Handle another control machine's message; an invalid one is counted and ignored."""
         if sender not in self._machines or message.region not in self._logs:
             self._counts["unknown senders or regions"] += 1
             return
@@ -242,7 +268,7 @@
             self._dispatch(now, sender, message)
         except InvalidInputError:
             self._counts["unsound messages"] += 1
-        self._collect()
+        self._collect_committed()
 
     def _dispatch(self, now: int, sender: str, message: Message) -> None:
         region = message.region
@@ -263,7 +289,7 @@
 
     def _on_fetch(self, now: int, sender: str, fetch: Fetch) -> None:
         if fetch.region == self._region:
-            reported = highest(fetch.position, fetch.highest_reported)
+            reported = componentwise_max(fetch.position, fetch.highest_reported)
             self._member.on_reported(now, reported)
         answer = self._servers[fetch.region].on_fetch(now, sender, fetch)
         if answer is not None:
@@ -292,8 +318,8 @@
         self._restored.append(region)
         self._answer_fetches(region)
 
-    def _collect(self) -> None:
-        """Take over what the member has committed since the last event."""
+    def _collect_committed(self) -> None:
+        """Collect the changes that the Raft member has committed since the last event."""
         changes, replaced = self._member.drain_committed()
         if replaced:
             self._restored.append(self._region)
@@ -306,4 +332,4 @@
         self._outbox.extend(self._servers[region].on_log_advanced())
 
 
-__all__ = ["ONE_WRITER", "ProposalOutcome", "Proposal", "Replica", "Role", "Timing"]
+__all__ = ["SINGLE_WRITER_RULE", "ProposalOutcome", "Proposal", "Replica", "Role", "Timing"]
--- a/tests/core/replicated_log/test_append_answers.py
+++ b/tests/core/replicated_log/test_append_answers.py
@@ -66,7 +66,7 @@
     """A follower has answered all; an earlier answer of it comes after that. Counted as the last
     one, it would leave the bound on unanswered entries reached, and nothing more would be sent.
     """
-    monkeypatch.setattr(leader_module, "MAX_UNANSWERED", 1)
+    monkeypatch.setattr(leader_module, "MAX_ENTRIES_IN_FLIGHT", 1)
     outbox: Outbox = []
     member = leader(outbox)
     for index in (2, COMMITTED.revision):
--- a/tests/core/replicated_log/test_replication.py
+++ b/tests/core/replicated_log/test_replication.py
@@ -10,7 +10,7 @@
     Message,
     RequestVote,
 )
-from loadbalancer.core.replicated_log.replication import ONE_WRITER, ProposalOutcome
+from loadbalancer.core.replicated_log.replication import SINGLE_WRITER_RULE, ProposalOutcome
 from tests.core.replicated_log.group import EAST, started
 
 
@@ -18,7 +18,7 @@
     group = started()
     wrong = group.replicas["west-0"].propose("east-s0", [Row("u", "x")])
     assert wrong.outcome is ProposalOutcome.WRONG_REGION
-    assert wrong.rule == ONE_WRITER
+    assert wrong.rule == SINGLE_WRITER_RULE
     stated = group.replicas["east-0"].propose("new", [Row("u", "x")], region="west")
     assert stated.outcome is ProposalOutcome.WRONG_REGION
     other = next(name for name in EAST if name != group.leader())
