--- a/loadbalancer/core/replicated_log/leader.py
+++ b/loadbalancer/core/replicated_log/leader.py
@@ -67,7 +67,7 @@
         """Step down if a majority is unreachable; otherwise send heartbeats when they are due."""
         state = self._state
         timeout = QUORUM_TIMEOUT_FACTOR * state.timing.election_timeout_ns
-        reachable = sum(now - other.contact_at < timeout for other in self._progress.values())
+        reachable = sum(now - follower.contact_at < timeout for follower in self._progress.values())
         if reachable + 1 < state.majority:  # plus this member
             state.counts["quorum lost"] += 1
             state.become_follower(now, state.current_term, "")
@@ -235,7 +235,7 @@
         state = self._state
         matches = [
             state.log.last.revision,
-            *(other.match_index for other in self._progress.values()),
+            *(follower.match_index for follower in self._progress.values()),
         ]
         index = sorted(matches)[-state.majority]
         position = state.log.position_at(index)
--- a/loadbalancer/core/replicated_log/model.py
+++ b/loadbalancer/core/replicated_log/model.py
@@ -8,12 +8,11 @@
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.balancing.model import MS, SECOND
 
-# Reports of a position with a higher term or index are implausible and are ignored.
-MAX_REPORTED_TERM = 1 << 22
-MAX_REPORTED_INDEX = 1 << 40
-# Messages with a higher term are ignored. It exceeds MAX_REPORTED_TERM because a new history's term
-# is above all reported ones.
+MAX_REPORTED_TERM = 1 << 22  # a report with a higher term is implausible and is ignored
+# A message with a higher term is ignored. The limit exceeds MAX_REPORTED_TERM because the term of a
+# new history is above all reported terms.
 MAX_TERM = 2 * MAX_REPORTED_TERM
+MAX_REPORTED_INDEX = 1 << 40  # a report with a higher index is implausible and is ignored
 
 
 class Role(Enum):
