--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -1,21 +1,24 @@
-"""Moves of services between nodes, as the control side sees them: who may release what, and when.
-
-The rule of release: a node that a service moves away from may release it only once the nodes that
-serve it, without that node, are as many as the assignment asks for. They are counted in the
-node's own zone, or over all zones where the assignment has nobody in that zone. So one node is
-released for each new holder that serves. Time never lifts the rule: a new holder that never serves
-retains an old one, which costs connections and no request. A service that is deleted is released
-at once. Where a holder is lost before an old one has released, the old one is retained again.
-
-A node's report counts only if the node made it after it had received what it is to hold. What takes
-something back from nodes begins a new generation, an answer to a node carries the present one, and
-the node's reports carry that of the last answer it had from this machine (0 if it had none). A node
-that may release a service has perhaps done so at once, so it does not count as serving any more; if
-the service comes back to it, only a report as of that generation or a later one counts. So reports
-may come twice, late and in any order.
-
-This state need not survive a restart: a machine that starts anew learns from the nodes' reports who
-serves what, and releases no node before enough others are known to serve.
+"""Handover of services between nodes: which nodes may release a service, and when.
+
+Release rule. When a service is assigned to other nodes, a former holder may release it only if the
+nodes that serve it, not counting the former holder, are as many as the assignment requires. They
+are counted in the former holder's zone, or over all zones if the assignment has no holder in that
+zone. So one former holder is released for each new holder that serves. The rule has no timeout: if
+a new holder never serves, a former one is retained. That costs connections but fails no requests. A
+deleted service is released at once. If a new holder is lost before a former one has released the
+service, the former one is retained again.
+
+Generations. A node's report is valid only if the node made it after it had received its current
+assignment. The generation is incremented whenever the control machine withdraws something from
+nodes. Each answer to a node contains the current generation, and the node's reports contain that of
+the last answer that it received from this machine (0 if none). A node that may release a service
+may have done so at once, so it no longer counts as serving. If the service is assigned to it again,
+only a report of that generation or a later one counts. For this reason reports may be duplicated,
+delayed and reordered.
+
+The state need not survive a restart. A restarted control machine learns from the nodes' reports
+which services they serve, and lets no node release a service before it knows that enough others
+serve it.
 """
 
 from __future__ import annotations
@@ -26,17 +29,17 @@
 from loadbalancer.core.assignment.assignment import Assignment
 from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec
 
-MAX_RETAINED = 256  # services that are tracked of one node beside its assigned ones
-MAX_GENERATIONS = 1024  # services of one node with a generation of their own
+MAX_RETAINED = 256  # services tracked for one node in addition to its assigned ones
+MAX_GENERATIONS = 1024  # services of one node that have a minimum generation of their own
 
 
 class Handover:
-    """Which nodes are assigned, serve, are retained, and may release.
+    """Tracks for each service which nodes are assigned, serve it, are retained, and may release it.
 
-    A retained node was a holder by an earlier assignment and serves on until others do. State is
-    bounded by the assigned pairs of node and service, and by twice `MAX_RETAINED` services a node
-    beside them. What is beyond that is neither wanted nor releasable: the node holds it, uncounted,
-    until it can be tracked.
+    A retained node was a holder in an earlier assignment, and serves until enough others do. The
+    state is bounded by the assigned pairs of node and service, plus twice `MAX_RETAINED` services
+    for each node. Services beyond that bound are neither required nor releasable: the node holds
+    them, without being counted, until they can be tracked.
     """
 
     def __init__(self, nodes: Iterable[NodeSpec]) -> None:
@@ -49,12 +52,12 @@
         self._retained_by: dict[str, set[str]] = {}  # services, by node
         self._releasable: dict[str, set[str]] = {}  # nodes, by service
         self._releasable_by: dict[str, set[str]] = {}  # services, by node
-        # The generation from which on a node's reports of a service count, and those of anything.
-        self._counts_from: dict[str, dict[str, int]] = {}
-        self._all_count_from: dict[str, int] = {}
+        # Reports of an earlier generation are ignored: for one service, and for all services.
+        self._service_min_generation: dict[str, dict[str, int]] = {}  # by node and service
+        self._node_min_generation: dict[str, int] = {}  # by node
 
     def required(self, node: str) -> frozenset[str]:
-        """The services that the node is to hold: assigned to it, or served until others do.
+        """Return the services that the node must hold: assigned to it, or served until others do.
 
         Raises:
             InvalidInputError: there is no such node.
@@ -67,60 +70,67 @@
         return self.assigned(node) | retained
 
     def assigned(self, node: str) -> frozenset[str]:
-        """Those of `required` that are the node's own by the assignment.
+        """Return the services that the current assignment gives to the node.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
+        self._check_registered(node)
         return frozenset(self._assigned_to.get(node, ()))
 
     def releasable(self, node: str) -> frozenset[str]:
-        """The services that the node need not hold any more, as far as it does.
+        """Return the services that the node may release, if it still holds them.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
+        self._check_registered(node)
         return frozenset(self._releasable_by.get(node, ()))
 
     def pending_moves(self) -> int:
-        """How many pairs of node and service are retained until others serve."""
+        """Return how many pairs of node and service are retained until others serve."""
         return sum(len(nodes) for nodes in self._retained.values())
 
     # ---- events -------------------------------------------------------------
 
     def on_assignment(self, assignment: Assignment) -> None:
-        """Begin to move to this assignment; `on_dead` comes first for the losses that led to it.
+        """Begin to move services according to a new assignment.
+
+        `on_dead` must have been called for the losses that led to it.
 
         Raises:
             InvalidInputError: it names a node that is not registered; nothing has changed then.
         """
         for node in assignment.services_by_node:
-            self._check(node)
+            self._check_registered(node)
         self.generation += 1
-        first = not self._assigned
+        is_first = not self._assigned
         before, self._assigned = self._assigned, assignment.holders
         self._assigned_to = assignment.services_by_node
         for service in sorted(before.keys() | self._assigned.keys()):
             old, new = before.get(service, ()), self._assigned.get(service, ())
             if old != new:
-                self._move(service, frozenset(old), frozenset(new), first)
+                self._move(service, frozenset(old), frozenset(new), is_first)
         for service in sorted(self._retained.keys() - self._assigned.keys()):
             self._settle(service)
 
     def on_serving(self, node: str, service: str, generation: int | None = None) -> bool:
-        """The node reports that it holds the service completely and serves it.
+        """Handle a node's report that it holds the service completely and serves it.
+
+        Args:
+            node: the node.
+            service: the service.
+            generation: that of the last answer that the node received; None for the current one.
 
-        `generation` is the one of the last answer that the node was given, None for the current.
-        False where the report doesn't count: it is of an earlier generation, or the node serves
-        too many services that are not assigned to it.
+        Returns:
+            False if the report is ignored: it is of an earlier generation, or the node serves too
+            many services that are not assigned to it.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
-        if not self._report_counts(node, service, generation):
+        self._check_registered(node)
+        if not self._is_valid_report(node, service, generation):
             return False
         if service not in self._assigned_to.get(node, ()):
             if node in self._releasable.get(service, ()):
@@ -132,46 +142,46 @@
         return True
 
     def on_report(self, node: str, serving: Collection[str], generation: int | None = None) -> None:
-        """The node reports all that it serves: what it doesn't name, it has released or lost.
+        """Handle a node's report of all services that it serves; others it has released or lost.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
-        if generation is not None and generation < self._all_count_from.get(node, 0):
+        self._check_registered(node)
+        if generation is not None and generation < self._node_min_generation.get(node, 0):
             return
-        named = frozenset(serving)
+        reported = frozenset(serving)
         tracked = self.assigned(node) | self._retained_by.get(node, set()) | self.releasable(node)
-        for service in sorted(tracked - named):
+        for service in sorted(tracked - reported):
             self.on_released(node, service)
-        for service in sorted(named):
+        for service in sorted(reported):
             self.on_serving(node, service, generation)
 
     def on_released(self, node: str, service: str) -> None:
-        """The node reports that it does not hold the service.
+        """Handle a node's report that it does not hold the service.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
+        self._check_registered(node)
         tables = (self._serving, self._retained, self._releasable)
         if any(node in table.get(service, ()) for table in tables):
             self.generation += 1
-            self._discount_earlier(node, service)
+            self._ignore_earlier_reports(node, service)
             self._forget(node, service)
             _discard(self._serving, service, node)
             self._settle(service)
 
     def on_dead(self, node: str) -> None:
-        """The node is lost: it serves nothing, and its earlier reports count no more.
+        """Handle the death of a node: it serves nothing, and its earlier reports are ignored.
 
         Raises:
             InvalidInputError: there is no such node.
         """
-        self._check(node)
+        self._check_registered(node)
         self.generation += 1
-        self._all_count_from[node] = self.generation
-        self._counts_from.pop(node, None)
+        self._node_min_generation[node] = self.generation
+        self._service_min_generation.pop(node, None)
         retained = self._retained_by.get(node, set()) | self._releasable_by.get(node, set())
         for service in retained:
             self._forget(node, service)
@@ -179,42 +189,45 @@
             _discard(self._serving, service, node)
             self._settle(service)
 
-    # ---- which reports count ------------------------------------------------
+    # ---- validity of reports ------------------------------------------------
 
-    def _report_counts(self, node: str, service: str, generation: int | None) -> bool:
+    def _is_valid_report(self, node: str, service: str, generation: int | None) -> bool:
         if generation is None:
             return True
-        first = self._counts_from.get(node, {}).get(service, 0)
-        return generation >= max(first, self._all_count_from.get(node, 0))
+        minimum = self._service_min_generation.get(node, {}).get(service, 0)
+        return generation >= max(minimum, self._node_min_generation.get(node, 0))
 
-    def _discount_earlier(self, node: str, service: str) -> None:
-        """From now on, only the node's reports of this generation on count for the service.
+    def _ignore_earlier_reports(self, node: str, service: str) -> None:
+        """Ignore the node's reports on the service that are of an earlier generation.
 
-        Where the bound is reached, the oldest entry applies to all services of the node: that
-        ignores reports which might have counted, and the node reports again.
+        If there are too many entries, the oldest one is applied to all services of the node. That
+        may ignore valid reports, which the node then repeats.
         """
-        counts_from = self._counts_from.setdefault(node, {})
-        counts_from.pop(service, None)
-        counts_from[service] = self.generation
-        if len(counts_from) > MAX_GENERATIONS:
-            oldest = next(iter(counts_from))
-            generation = counts_from.pop(oldest)
-            self._all_count_from[node] = max(self._all_count_from.get(node, 0), generation)
+        generations = self._service_min_generation.setdefault(node, {})
+        generations.pop(service, None)
+        generations[service] = self.generation
+        if len(generations) > MAX_GENERATIONS:
+            oldest = next(iter(generations))
+            generation = generations.pop(oldest)
+            self._node_min_generation[node] = max(
+                self._node_min_generation.get(node, 0), generation
+            )
 
     # ---- moves --------------------------------------------------------------
 
-    def _move(self, service: str, old: frozenset[str], new: frozenset[str], first: bool) -> None:
+    def _move(self, service: str, old: frozenset[str], new: frozenset[str], is_first: bool) -> None:
+        """Move a service from its old to its new holders; `is_first`: by the first assignment."""
         for node in old - new:
             if not self._retain(node, service):
                 _discard(self._serving, service, node)
         for node in new - old:
             self._forget(node, service)
-            if not first and node not in self._serving.get(service, ()):
-                self._discount_earlier(node, service)
+            if not is_first and node not in self._serving.get(service, ()):
+                self._ignore_earlier_reports(node, service)
         self._settle(service)
 
     def _settle(self, service: str) -> None:
-        """Release the retained nodes that are not needed, and retain those again that are."""
+        """Apply the release rule to all nodes that are retained or may release the service."""
         retained = self._retained.get(service, set())
         releasable = self._releasable.get(service, set())
         if not self._assigned or not retained and not releasable:
@@ -223,18 +236,18 @@
             for node in sorted(retained):
                 self._release(node, service)
             return
-        tally = _Tally(self._zones, self._assigned[service], self._serving.get(service, ()))
+        counts = _ZoneCounts(self._zones, self._assigned[service], self._serving.get(service, ()))
         for node in sorted(releasable):
-            if tally.missing(node) > 0:
+            if counts.missing(node) > 0:
                 self._revoke_release(node, service)
         for node in sorted(retained):
             serves = node in self._serving.get(service, ())
-            # Without this node one more is missing if it serves (`serves` adds 0 or 1).
-            if tally.missing(node) + serves <= 0 and self._release(node, service) and serves:
-                tally.remove(node)
+            # The node itself must not count: if it serves, one more is missing without it.
+            if counts.missing(node) + serves <= 0 and self._release(node, service) and serves:
+                counts.remove(node)
 
     def _release(self, node: str, service: str) -> bool:
-        """Let the node release the service; False where too many wait for that already."""
+        """Allow the node to release the service; False if it has too many releasable services."""
         releasable = self._releasable_by.setdefault(node, set())
         if len(releasable) >= MAX_RETAINED:
             return False
@@ -245,14 +258,17 @@
         return True
 
     def _revoke_release(self, node: str, service: str) -> None:
-        """Retain a node that might release, if it has not: its next reports name the service."""
+        """Retain a node that may release the service, in case it has not done so yet.
+
+        Its next report shows whether it still serves the service.
+        """
         self._forget(node, service)
         if self._retain(node, service):
             self.generation += 1
-            self._discount_earlier(node, service)
+            self._ignore_earlier_reports(node, service)
 
     def _retain(self, node: str, service: str) -> bool:
-        """Track the node as a former holder; False where it has too many such services."""
+        """Track the node as a former holder; False if it has too many such services."""
         services = self._retained_by.setdefault(node, set())
         if service not in services and len(services) >= MAX_RETAINED:
             return False
@@ -261,19 +277,19 @@
         return True
 
     def _forget(self, node: str, service: str) -> None:
-        """The node is neither retained for the service nor may it release it."""
+        """Remove the service from those that the node retains or may release."""
         _discard(self._retained, service, node)
         _discard(self._retained_by, node, service)
         _discard(self._releasable, service, node)
         _discard(self._releasable_by, node, service)
 
-    def _check(self, node: str) -> None:
+    def _check_registered(self, node: str) -> None:
         if node not in self._zones:
-            raise InvalidInputError(f"handover: unknown node {node!r}, must be a registered one")
+            raise InvalidInputError(f"handover: unknown node {node!r}, must be a registered node")
 
 
-class _Tally:
-    """How many nodes a service is assigned to and served by, in each zone."""
+class _ZoneCounts:
+    """The number of nodes in each zone that a service is assigned to, and that serve it."""
 
     def __init__(
         self, zones: Mapping[str, str], assigned: Iterable[str], serving: Iterable[str]
@@ -283,14 +299,18 @@
         self._serving = Counter(zones[node] for node in serving)
 
     def missing(self, node: str) -> int:
-        """How many more must serve, in the zone of this node, or in all if it is assigned none."""
+        """Return how many serving nodes are missing to allow a release by `node`.
+
+        They are counted in the node's zone, or over all zones if the service is not assigned to any
+        node of that zone.
+        """
         zone = self._zones[node]
         if zone in self._assigned:
             return self._assigned[zone] - self._serving[zone]
         return max(self._assigned.total(), 1) - self._serving.total()
 
     def remove(self, node: str) -> None:
-        """The node does not serve any more."""
+        """Count a node as no longer serving."""
         self._serving[self._zones[node]] -= 1
 
 
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -1,12 +1,12 @@
-"""Which nodes may release which services: grants of the leader of each region.
+"""Which nodes may release which services: grants by the leader of each region.
 
-Each control machine's `Handover` sees other nodes serve while links fail, so that two machines
-could let the last two holders of a service release it. Only the leader of a service's home region
-decides: once it has led for a while, it sends grants to all machines, and a grant lasts for a
-short time. It is a lease (Gray and Cheriton, 1989) that permits a node to stop serving, timed by
-the receiver's clock.
+While links fail, the `Handover` of two control machines may see different nodes serve, so that each
+could let one of the last two holders of a service release it. For this reason only the leader of a
+service's home region decides. After it has led for a while, it sends grants to all control
+machines. A grant is a lease (Gray and Cheriton 1989) that permits a node to stop serving. It is
+valid for a short time, measured by the receiver's clock.
 
-Pure: time is given in nanoseconds, no I/O.
+Sans-I/O: the caller passes in the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRules:
-    """The times of grants, and the bound of one.
+    """Timing and maximum size of grants; times in nanoseconds.
 
     Attributes:
-        leadership_delay_ns: nanoseconds of leading after which a leader knows what its predecessors
-            granted, and grants itself.
-        lease_duration_ns: nanoseconds that a grant is valid, from its arrival.
-        max_pause_ns: nanoseconds between two ticks; after a longer pause the machine was stopped.
-        max_pairs: pairs of node and service in one grant.
+        leadership_delay_ns: time from the start of leadership until a leader grants releases; it
+            knows what its predecessors granted by then.
+        lease_duration_ns: time for which a grant is valid after it has been received.
+        max_pause_ns: maximum time between two ticks; after a longer one the machine is considered
+            to have been paused.
+        max_pairs: maximum number of pairs of node and service in one grant.
 
     Raises:
-        InvalidInputError: one of them is not positive.
+        InvalidInputError: an attribute is not positive.
     """
 
     leadership_delay_ns: int = 5 * SECOND
@@ -40,22 +41,22 @@
     max_pairs: int = 65_536
 
     def __post_init__(self) -> None:
-        figures = (
+        values = (
             self.leadership_delay_ns,
             self.lease_duration_ns,
             self.max_pause_ns,
             self.max_pairs,
         )
-        if min(figures) < 1:
+        if min(values) < 1:
             raise InvalidInputError(
                 "release: leadership_delay_ns, lease_duration_ns, max_pause_ns and max_pairs"
-                " must be over 0"
+                " must be greater than 0"
             )
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRelease:
-    """What one node may release."""
+    """The services that one node may release."""
 
     node: str
     services: tuple[str, ...]
@@ -63,26 +64,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseGrant:
-    """What the leader of a region in one epoch lets nodes release of its region's services."""
+    """The services of a region that nodes may release, as decided by the region's leader."""
 
     region: str
-    epoch: int
-    releases: tuple[NodeRelease, ...]  # nodes without any are not named
+    epoch: int  # of the leader
+    releases: tuple[NodeRelease, ...]  # only of nodes that may release a service
 
 
 @dataclass(frozen=True, slots=True)
 class _AcceptedGrant:
-    """The last grant that was accepted of one region."""
+    """The last accepted grant of one region."""
 
-    arrived: int
+    received_at: int
     epoch: int
     services: Mapping[str, frozenset[str]]  # by node
 
 
 class ReleaseAuthority:
-    """Makes this machine's grants while it leads, and stores the last one of each region.
+    """Creates this machine's grants while it leads, and stores the last grant of each region.
 
-    State is bounded by one grant a region. `counts` has the grants that were ignored, by reason.
+    The state is bounded by one grant for each region. `counts` has the number of ignored grants by
+    reason.
     """
 
     def __init__(
@@ -93,44 +95,48 @@
         homes: Mapping[str, str],
         rules: ReleaseRules | None = None,
     ) -> None:
-        """`homes` gives each service's home region."""
+        """Create the state without grants; `homes` has each service's home region."""
         self.counts: Counter[str] = Counter()
         self.rules = rules or ReleaseRules()
         self._machine = machine
         self._regions = {spec.name: spec.region for spec in machines}
         self._homes = homes
         self._last_tick = now
-        self._epoch: int | None = None  # that this machine leads in
-        self._led_since = now
+        self._epoch: int | None = None  # in which this machine leads its region
+        self._leading_since = now
         self._grants: dict[str, _AcceptedGrant] = {}  # by region
 
     def on_tick(self, now: int, epoch: int | None) -> None:
-        """Time has passed; `epoch` is the one that this machine leads its region in, if it does."""
+        """Advance the time; `epoch` is the one in which this machine leads its region, if any."""
         paused = self._paused(now)
         if paused:
             self._void_grants()
         if paused or epoch != self._epoch:
-            self._led_since = now
+            self._leading_since = now
         self._epoch = epoch
         self._last_tick = now
 
     def grant(self, now: int, releasable: Mapping[str, Collection[str]]) -> ReleaseGrant | None:
-        """The grant to send to all machines, accepted here too; None where it may not grant.
+        """Return the grant to send to all machines, or None if this machine may not grant.
+
+        The grant is accepted here as well.
 
-        `releasable` is this machine's own view, by node; of other regions' services nothing is
-        granted. Beyond the bound, services wait for a later grant.
+        Args:
+            now: the time in nanoseconds.
+            releasable: the services that each node may release in this machine's view. Services of
+                other regions are ignored. Those that exceed `max_pairs` wait for a later grant.
         """
         if self._epoch is None or self._paused(now):
             return None
-        if now - self._led_since < self.rules.leadership_delay_ns:
+        if now - self._leading_since < self.rules.leadership_delay_ns:
             return None
         grant = ReleaseGrant(self._machine.region, self._epoch, self._releases(releasable))
         self._accept(now, grant)
         return grant
 
     def on_grant(self, now: int, sender: str, grant: ReleaseGrant) -> bool:
-        """Another machine's grant; False where it is ignored and counted."""
-        reason = self._objection(sender, grant)
+        """Handle another machine's grant; return False if it is invalid, and count it."""
+        reason = self._rejection_reason(sender, grant)
         if reason:
             self.counts[reason] += 1
             return False
@@ -138,12 +144,12 @@
         return True
 
     def releasable(self, now: int, node: str) -> frozenset[str]:
-        """What the node may release now."""
+        """Return the services that the node may release now."""
         grants = self._valid_grants(now)
         return frozenset[str]().union(*(grant.services.get(node, ()) for grant in grants))
 
     def all_releasable(self, now: int) -> dict[str, frozenset[str]]:
-        """What each node may release now; nodes without any are not named."""
+        """Return the services that each node may release now; nodes without any are omitted."""
         nodes = {node for grant in self._valid_grants(now) for node in grant.services}
         return {node: self.releasable(now, node) for node in nodes}
 
@@ -151,39 +157,39 @@
         if self._paused(now):
             return []
         lease = self.rules.lease_duration_ns
-        return [grant for grant in self._grants.values() if now - grant.arrived < lease]
+        return [grant for grant in self._grants.values() if now - grant.received_at < lease]
 
     def _paused(self, now: int) -> bool:
-        """Whether this machine was stopped.
+        """Return whether this machine's process was paused.
 
-        Grants may lie in its socket since long before: their age can't be known then, and a lease
-        that is timed from their arrival could outlast the leader's. So nothing counts until the
-        next tick, and what was accepted before is void for good.
+        Grants may then have waited in its socket for an unknown time, and a lease that is measured
+        from their receipt could end later than the leader assumes. So no grant is valid until the
+        next tick, and grants accepted before it become invalid permanently.
         """
         return now - self._last_tick > self.rules.max_pause_ns
 
     def _void_grants(self) -> None:
-        """No grant counts any more; their epochs still do, against older grants."""
+        """Make all accepted grants invalid; their epochs are kept to detect older grants."""
         for region, grant in self._grants.items():
-            self._grants[region] = _AcceptedGrant(grant.arrived, grant.epoch, {})
+            self._grants[region] = _AcceptedGrant(grant.received_at, grant.epoch, {})
 
     def _releases(self, releasable: Mapping[str, Collection[str]]) -> tuple[NodeRelease, ...]:
         remaining = self.rules.max_pairs
         releases: list[NodeRelease] = []
         for node in sorted(releasable):
-            services = tuple(self._at_home(releasable[node])[:remaining])
+            services = tuple(self._of_own_region(releasable[node])[:remaining])
             if services:
                 releases.append(NodeRelease(node, services))
                 remaining -= len(services)
         return tuple(releases)
 
-    def _at_home(self, services: Iterable[str]) -> list[str]:
-        """Those services whose home is this machine's region, sorted."""
+    def _of_own_region(self, services: Iterable[str]) -> list[str]:
+        """Return those services whose home is this machine's region, sorted."""
         region = self._machine.region
         return sorted(service for service in services if self._homes.get(service) == region)
 
-    def _objection(self, sender: str, grant: ReleaseGrant) -> str:
-        """Why a grant can't be accepted, "" where it can."""
+    def _rejection_reason(self, sender: str, grant: ReleaseGrant) -> str:
+        """Return why a grant is invalid, or "" if it is valid."""
         if sender not in self._regions:
             return "unknown machine"
         if self._regions[sender] != grant.region:
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -235,7 +235,7 @@
 def test_an_unknown_node_is_refused() -> None:
     handover = Handover(NODES)
     with pytest.raises(
-        InvalidInputError, match="handover: unknown node 'x', must be a registered one"
+        InvalidInputError, match="handover: unknown node 'x', must be a registered node"
     ):
         handover.on_serving("x", "s")
     with pytest.raises(InvalidInputError, match="unknown node 'x'"):
--- a/tests/core/assignment/test_release.py
+++ b/tests/core/assignment/test_release.py
@@ -131,5 +131,5 @@
 
 
 def test_rules_out_of_range_are_refused() -> None:
-    with pytest.raises(InvalidInputError, match="must be over 0"):
+    with pytest.raises(InvalidInputError, match="must be greater than 0"):
         ReleaseRules(lease_duration_ns=0)
