--- a/loadbalancer/core/assignment/__init__.py
+++ b/loadbalancer/core/assignment/__init__.py
@@ -1,9 +1,9 @@
-"""Which nodes hold which services: placement, liveness, and moves between nodes.
+"""Assignment of services to nodes: placement, liveness of nodes, and handover between nodes.
 
 - `model`: types shared with the replicated log, subscriptions and the control machine
-- `rules`, `validation`: the inputs of an assignment and their bounds
-- `assigner`: the assignment for a set of living nodes, made of `base_assignment` (all nodes
-  living), `reassignment` (dead nodes replaced), `zones` and `substitutes`
-- `liveness`, `presence`: which nodes are alive, and at which control machine they poll
-- `handover`, `release`: when a node that lost a service by an assignment may drop it
+- `rules`, `validation`: the inputs of an assignment and their limits
+- `assigner`: computes the assignment for a set of living nodes, from `base_assignment` (as if all
+  nodes lived) and `reassignment` (substitutes for dead nodes), with `zones` and `substitutes`
+- `liveness`, `presence`: which nodes are alive, and which control machine they poll
+- `handover`, `release`: when a node may release a service that is no longer assigned to it
 """
--- a/loadbalancer/core/assignment/liveness.py
+++ b/loadbalancer/core/assignment/liveness.py
@@ -1,10 +1,10 @@
-"""Which nodes count as alive: a failure detector with damping.
+"""Which nodes count as alive: a failure detector with flap damping.
 
-Without damping, a node that comes and goes would move its services each time. A node counts as dead
-after `timeout_ns` without a heartbeat. It counts as back only once heartbeats have come for
-`recovery_time_ns` without a gap as long as `timeout_ns`; each death within `flap_memory_ns` doubles
-that wait, up to `max_recovery_time_ns`. The doubling is that of route flap damping (RFC 2439) in
-its simplest form.
+A node counts as dead after `timeout_ns` without a heartbeat. It counts as alive again after it has
+sent heartbeats for `recovery_time_ns` without a gap of `timeout_ns`. Without damping, a node that
+flaps would move its services each time. So each death within `flap_memory_ns` of the previous one
+doubles the recovery time, up to `max_recovery_time_ns`. This is a simple form of route flap damping
+(RFC 2439).
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
 
-MAX_DOUBLINGS = 32  # enough for any `max_recovery_time_ns`; bounds the shift
+MAX_DOUBLINGS = 32  # of the recovery time; enough to reach any `max_recovery_time_ns`
 
 
 @dataclass(frozen=True, slots=True)
 class LivenessRules:
-    """When a node counts as dead, and when it counts as back.
+    """When a node counts as dead, and when it counts as alive again.
 
     Attributes:
-        timeout_ns: nanoseconds without a heartbeat after which a node counts as dead.
-        recovery_time_ns: nanoseconds of heartbeats after which it counts as back, after one death.
-        max_recovery_time_ns: nanoseconds that the doubled recovery time does not exceed.
-        flap_memory_ns: nanoseconds; a death so long after the last one counts as the first.
+        timeout_ns: time without a heartbeat after which a node counts as dead.
+        recovery_time_ns: time with heartbeats after which it counts as alive again, after its first
+            death.
+        max_recovery_time_ns: the maximum that the recovery time reaches by doubling.
+        flap_memory_ns: time after a death within which another one doubles the recovery time.
 
     Raises:
         InvalidInputError: a time is out of its range.
@@ -40,9 +41,13 @@
 
     def __post_init__(self) -> None:
         if not self.timeout_ns > 0:
-            raise InvalidInputError(f"liveness: timeout_ns is {self.timeout_ns}, must be over 0")
+            raise InvalidInputError(
+                f"liveness: timeout_ns is {self.timeout_ns}, must be greater than 0"
+            )
         if not 0 <= self.recovery_time_ns <= self.max_recovery_time_ns:
-            raise InvalidInputError("liveness: recovery_time_ns must be 0 to max_recovery_time_ns")
+            raise InvalidInputError(
+                "liveness: recovery_time_ns must be between 0 and max_recovery_time_ns"
+            )
         if self.flap_memory_ns < 0:
             raise InvalidInputError(
                 f"liveness: flap_memory_ns is {self.flap_memory_ns}, must not be negative"
@@ -50,7 +55,7 @@
 
 
 class LivenessChange(NamedTuple):
-    """The nodes that count differently now than before."""
+    """The nodes that died, and those that are alive again, since the last call."""
 
     died: tuple[str, ...]
     returned: tuple[str, ...]
@@ -58,20 +63,20 @@
 
 @dataclass(slots=True)
 class _NodeState:
-    """What is known of one node; times in nanoseconds."""
+    """The state of one node; times in nanoseconds."""
 
     last_heartbeat: int
-    heartbeats_since: int  # start of the present series without a gap as long as `timeout_ns`
+    heartbeats_since: int  # start of the current period without a gap of `timeout_ns`
     alive: bool = True
-    deaths: int = 0  # that follow each other within `flap_memory_ns`
+    deaths: int = 0  # each within `flap_memory_ns` of the previous one
     died_at: int = 0
 
 
 class Liveness:
-    """The state of all registered nodes; heartbeats of others are ignored.
+    """The liveness of all registered nodes; heartbeats of other nodes are ignored.
 
-    All count as alive at first, and have `timeout_ns` for their first heartbeat: a control machine
-    that has just started can't take silence from before its start for a death.
+    At first all nodes count as alive, and have `timeout_ns` to send their first heartbeat: a
+    control machine that has just started cannot know of earlier heartbeats.
     """
 
     def __init__(self, now: int, nodes: Iterable[str], rules: LivenessRules) -> None:
@@ -80,11 +85,11 @@
 
     @property
     def alive(self) -> frozenset[str]:
-        """The nodes that count as alive, as of the last `advance`."""
+        """The nodes that count as alive as of the last call of `advance`."""
         return frozenset(name for name, state in self._nodes.items() if state.alive)
 
     def on_heartbeat(self, now: int, node: str) -> bool:
-        """The node gave a sign of life; False where it is not registered."""
+        """Handle a heartbeat; return False if the node is not registered."""
         state = self._nodes.get(node)
         if state is None:
             return False
@@ -94,7 +99,7 @@
         return True
 
     def advance(self, now: int) -> LivenessChange:
-        """Take time on to `now`: the nodes that died or returned since the last call."""
+        """Advance the time to `now`, and return the nodes that died or returned."""
         died, returned = [], []
         for name, state in self._nodes.items():
             silent = now - state.last_heartbeat >= self.rules.timeout_ns
@@ -107,7 +112,7 @@
         return LivenessChange(tuple(sorted(died)), tuple(sorted(returned)))
 
     def recovery_time_ns(self, node: str) -> int:
-        """Nanoseconds of heartbeats after which the node counts as back."""
+        """Return how long the node must send heartbeats until it counts as alive again."""
         doublings = min(max(self._nodes[node].deaths - 1, 0), MAX_DOUBLINGS)
         return min(self.rules.recovery_time_ns << doublings, self.rules.max_recovery_time_ns)
 
--- a/loadbalancer/core/assignment/model.py
+++ b/loadbalancer/core/assignment/model.py
@@ -1,11 +1,11 @@
 """Types shared by assignment, the replicated log, subscriptions and the control machine.
 
-A region's control machines accept the changes of the services whose home it is; nobody else
-does, so that each service has one writer. Accepted changes form one log a region, ordered by
-`Position`. A node subscribes to the logs of all regions in which a service that it holds is at
-home, and has one position in each.
+Each service has a home region. Only the control machines of that region accept changes of the
+service, so each service has a single writer. The accepted changes of a region form one log, ordered
+by `Position`. A node subscribes to the logs of all home regions of the services that it holds, and
+has one position in each of these logs.
 
-Times are integer nanoseconds, rates are per second, sizes are bytes.
+Times are integer nanoseconds, rates are per second, sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
 
 
 class InvalidInputError(ConfigurationError, ValueError):
-    """An input that can't be used; the message names the place and the rule."""
+    """An invalid input; the message says where it is and which rule it breaks."""
 
 
 class Position(NamedTuple):
-    """A place in one region's log. Positions are ordered; a log's never go back.
+    """A position in one region's log. Positions are ordered, and a log's position never decreases.
 
-    `epoch` grows by one with each new leader of the region (Raft's term), and
-    `revision` by one with each change that the leader accepts. Revisions go on across epochs.
+    `epoch` is the Raft term, which increases with each new leader of the region. `revision` is the
+    log index, which increases by one with each change. It continues across epochs.
     """
 
     epoch: int
     revision: int
 
 
-START = Position(0, 0)  # before any change: a subscriber at this position holds nothing
+START = Position(0, 0)  # before the first change; a subscriber at this position has no data
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """A registered node, whether it is alive or not."""
+    """A registered node, whether alive or not."""
 
     name: str
     region: str
     zone: str
-    capacity: int  # services that it may hold at most
-    rate: float = 0.0  # requests a second that it may take, 0 where none is stated
+    capacity: int  # maximum number of services that it can hold
+    rate: float = 0.0  # maximum requests a second; 0 if not stated
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service and what decides how many nodes hold it."""
+    """A service, and the properties that determine how many nodes hold it."""
 
     name: str
-    region: str  # its home: the region whose control machines accept its changes
-    zones: tuple[str, ...]  # where its clients come in
-    rate: float  # requests a second at the peak, over all zones
+    region: str  # home region, whose control machines accept the service's changes
+    zones: tuple[str, ...]  # whose nodes receive its clients' requests
+    rate: float  # peak requests a second, over all zones
     backends: int
 
 
@@ -67,10 +67,10 @@
 
 
 class Row(NamedTuple):
-    """One backend of a service, in the form of the list service.
+    """One backend of a service, in the format of the list service.
 
-    `body` is the JSON object of one target (`uid`, `endpoint`, `az`, `state`, ...): it is passed
-    on as it is. `draining` repeats what its state says, so that nobody has to parse it.
+    `body` is the JSON object of one target (`uid`, `endpoint`, `az`, `state`, ...), which is passed
+    on unchanged. `draining` duplicates what its `state` says, so that `body` need not be parsed.
     """
 
     uid: str
@@ -80,21 +80,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One accepted change of one service, applied completely or not at all."""
+    """One change of one service, which is applied completely or not at all."""
 
     position: Position
     service: str
     rows: tuple[Row, ...] = ()  # new or changed
     removed: tuple[str, ...] = ()  # uids of backends that were removed
     deleted: bool = False  # the service itself was deleted
-    complete: bool = False  # `rows` are all there are, as in a service's first change at a node
+    complete: bool = False  # `rows` are all rows of the service; earlier ones are replaced
 
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """What follows `base` in one region's log, less what the subscriber does not hold.
+    """The changes after `base` in one region's log, for the services that a subscriber holds.
 
-    It applies to a subscriber whose position is `base` exactly, and takes it to `position`.
+    A subscriber can apply it only if its position is exactly `base`. Its position is then
+    `position`.
     """
 
     region: str
@@ -107,8 +108,8 @@
 class Snapshot:
     """All backends of the services that a subscriber holds, as of `position`.
 
-    It applies whatever the subscriber's position is, unless that is later. `services` names
-    each service that it is to hold of this region, one with no backend included.
+    A subscriber can apply it at any position that is not later. `services` has an entry for each
+    service of this region that the subscriber has to hold, including those without backends.
     """
 
     region: str
--- a/tests/core/assignment/test_liveness.py
+++ b/tests/core/assignment/test_liveness.py
@@ -137,11 +137,11 @@
 @pytest.mark.parametrize(
     ("rules", "message"),
     [
-        ({"timeout_ns": 0}, "timeout_ns is 0, must be over 0"),
-        ({"recovery_time_ns": -1}, "recovery_time_ns must be 0 to max_recovery_time_ns"),
+        ({"timeout_ns": 0}, "timeout_ns is 0, must be greater than 0"),
+        ({"recovery_time_ns": -1}, "recovery_time_ns must be between 0 and max_recovery_time_ns"),
         (
             {"recovery_time_ns": 2, "max_recovery_time_ns": 1},
-            "recovery_time_ns must be 0 to max_recovery_time_ns",
+            "recovery_time_ns must be between 0 and max_recovery_time_ns",
         ),
         ({"flap_memory_ns": -1}, "flap_memory_ns is -1, must not be negative"),
     ],
