--- a/loadbalancer/core/assignment/assigner.py
+++ b/loadbalancer/core/assignment/assigner.py
@@ -1,26 +1,29 @@
-"""Which nodes hold a service: a pure function of the nodes, the living ones and the services.
+"""Assigns services to nodes: a pure function of the registered nodes, the living ones and services.
 
-The base assignment is over all registered nodes of a zone, whether they live or not. Each service
-has in each zone a fixed order of its nodes: probes of a hash ring (multi-probe consistent hashing,
-Appleton and O'Reilly 2015; each service's own probes make the sets of two services independent,
-as in shuffle sharding, AWS Builders' Library), and after the probes all others by rendezvous
-hashing (Thaler and Ravishankar 1998). The service goes to the first nodes of its order that have
-capacity; capacity is bounded by the mean times `load_factor` (consistent hashing with bounded
-loads, Mirrokni, Thorup and Zadimoghaddam 2018) and by what the node itself states.
+The nodes to which a service is assigned are its holders.
 
-A dead node's services, and these alone, go to the next living nodes of their own order that have
-capacity, in the same zone. Nothing depends on the order in which nodes died: the assignment is made
-from the base each time. So the loss of a node changes the holders only of services that it
-held, and its return restores the earlier assignment exactly. The exception: where a substitute is
-full because other nodes died as well, the service that is later in the order of placement goes to
-the next node of its own order.
+Base assignment. It is computed over all registered nodes of a zone, whether alive or not. In each
+zone a service has a fixed preference order of the nodes. First come the nodes found by probes of a
+hash ring (multi-probe consistent hashing, Appleton and O'Reilly 2015). Each service has its own
+probes, so the node sets of two services are independent, as in shuffle sharding (AWS Builders'
+Library). All other nodes follow, ordered by rendezvous hashing (Thaler and Ravishankar 1998). The
+service is assigned to the first nodes of its order that have capacity. Capacity is limited to the
+mean load times `load_factor` (consistent hashing with bounded loads, Mirrokni, Thorup and
+Zadimoghaddam 2018), and by the limits that the node itself states.
 
-How many nodes of a zone hold a service: enough for the rate that the zone sees once any one
-of the service's other zones is lost, so that a lost zone moves nothing: its share falls on
-nodes that hold the service already. Only a service all of whose zones are lost is assigned to
-another zone.
+Dead nodes. Their services, and no others, are assigned to the next living nodes with capacity in
+the services' own order, in the same zone. Each assignment starts from the base assignment, so it
+does not depend on the order in which nodes died. The loss of a node changes the holders only of the
+services that it held, and its return restores the earlier assignment exactly. There is one
+exception: if a substitute is full because other nodes died as well, the service that comes later in
+the order of placement is assigned to the next node of its own order.
 
-Alternatives are weighed in docs/design/scale.md.
+Number of holders. A zone has enough holders of a service for the rate that it receives when any one
+of the service's other zones is lost. So the loss of a zone moves no service: its share of the
+requests goes to nodes that hold the service already. Only if all zones of a service are lost, it is
+assigned to other zones.
+
+docs/design/scale.md discusses the alternatives.
 """
 
 from __future__ import annotations
@@ -36,10 +39,10 @@
 
 
 class Assigner:
-    """The base assignment, made once, and the assignment for any set of living nodes.
+    """Computes the base assignment once, and from it the assignment for any set of living nodes.
 
     Raises:
-        InvalidInputError: the nodes or services can't be used (see `validation`).
+        InvalidInputError: the nodes or services are invalid (see `validation`).
     """
 
     def __init__(
@@ -53,16 +56,17 @@
         self.rules = rules
 
     def assign(self, alive: Collection[str]) -> Assignment:
-        """The assignment while these nodes live.
+        """Return the assignment while the nodes named in `alive` are the living ones.
 
-        The cost follows what the dead nodes held, beside a copy of the tables.
+        Apart from a copy of the tables, the cost is proportional to the services that the dead
+        nodes held.
 
         Raises:
-            InvalidInputError: a name that no registered node has.
+            InvalidInputError: a name is not that of a registered node.
         """
         living = alive if isinstance(alive, set | frozenset) else frozenset(alive)
         for name in living:
             if name not in self.nodes:
-                raise InvalidInputError(f"alive: unknown node {name!r}, must be a registered one")
+                raise InvalidInputError(f"alive: unknown node {name!r}, must be a registered node")
         dead = [name for name in self.nodes if name not in living]
         return Reassignment(self._base, living, dead).run()
--- a/loadbalancer/core/assignment/assignment.py
+++ b/loadbalancer/core/assignment/assignment.py
@@ -1,4 +1,4 @@
-"""The result of an assignment: who holds what, and which constraints are not met."""
+"""The result of an assignment: which nodes hold which services, and unmet constraints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,16 @@
 
 
 class Constraint(Enum):
-    """A condition that an assignment may be unable to meet for a service."""
+    """A constraint that an assignment may be unable to meet for a service.
+
+    Attributes:
+        CONNECTIONS: more nodes hold the service than its backends allow connections for.
+        RATE: the zone's holders can't take the rate that it receives when another zone is lost.
+        MINIMUM: the zone has fewer holders than the rules require.
+        CAPACITY: holders in the zone are dead, and no living node of the zone has capacity.
+        ZONES: no living node of the service's zones has capacity; nodes of other zones hold it.
+        NO_NODE: no living node of any zone has capacity.
+    """
 
     CONNECTIONS = "more nodes share the backends than their connections allow"
     RATE = "the zone has too few nodes for the rate"
@@ -23,7 +32,7 @@
 
 
 class UnmetConstraint(NamedTuple):
-    """A constraint that is not met for a service; `zone` is empty where it concerns all zones."""
+    """A constraint that is not met for a service; `zone` is "" if it concerns all zones."""
 
     service: str
     zone: str
@@ -32,10 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """Who holds what. `holders` names every service, `services_by_node` every registered node.
+    """The nodes that hold each service, and the services that each node holds.
 
-    `digest` is of a canonical form of `holders` (blake2b, 16 bytes as hex): two machines with the
-    same digest have the same assignment.
+    `holders` has an entry for every service, `services_by_node` one for every registered node.
+    `digest` is a digest of a canonical form of `holders` (blake2b, 16 bytes as hexadecimal digits).
+    Two machines with the same digest have the same assignment.
     """
 
     holders: Mapping[str, tuple[str, ...]]  # nodes, by service
@@ -46,10 +56,10 @@
 
 def service_digest(service: str, holders: Iterable[str]) -> bytes:
     """Digest one service's holders."""
-    form = "\0".join((service, *holders)) + "\n"
-    return blake2b(form.encode(), digest_size=DIGEST_BYTES).digest()
+    canonical = "\0".join((service, *holders)) + "\n"
+    return blake2b(canonical.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def assignment_digest(service_digests: Iterable[bytes]) -> str:
-    """Digest the services' digests, in the order of the services' names, as hexadecimal digits."""
+    """Combine the services' digests, given in the order of their names, into one in hexadecimal."""
     return blake2b(b"".join(service_digests), digest_size=DIGEST_BYTES).hexdigest()
--- a/loadbalancer/core/assignment/base_assignment.py
+++ b/loadbalancer/core/assignment/base_assignment.py
@@ -1,4 +1,4 @@
-"""The assignment while every registered node lives; `reassignment` starts from it."""
+"""The assignment if every registered node is alive; `reassignment` starts from it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class BaseAssignment:
-    """Every service's holders while all nodes live, with what they take of each node.
+    """Every service's holders if all nodes are alive, and the load that this puts on each node.
 
-    Read by `Reassignment`, which copies what it changes. Mappings by service are in the order of
-    the services' names, mappings by node in that of the nodes'.
+    `Reassignment` reads it, and copies what it changes. Mappings by service are ordered by service
+    name, mappings by node are ordered by node name.
     """
 
     def __init__(
@@ -29,19 +29,19 @@
         services: Sequence[ServiceSpec],
         rules: AssignmentRules,
     ) -> None:
-        """`nodes` are sorted by name; both tables have passed `validation`."""
+        """Compute the assignment; `nodes` are sorted by name, and both tables are validated."""
         self.rules = rules
         self.nodes = nodes
         self.services = {spec.name: spec for spec in sorted(services, key=lambda spec: spec.name)}
         self.zones = zones_of(nodes.values(), rules.node_rate)
-        self.demands = {spec.name: _demand(spec, self.zones, rules) for spec in services}
+        self.demands = {spec.name: _demand_of(spec, self.zones, rules) for spec in services}
         self.loads = {name: ZoneLoads(zone) for name, zone in self.zones.items()}
         order = sorted(services, key=lambda spec: _placement_key(spec, rules.on_every_node))
-        self.place_in_order = {spec.name: place for place, spec in enumerate(order)}
+        self.placement_ranks = {spec.name: rank for rank, spec in enumerate(order)}
         self.holders_by_zone: dict[str, dict[str, tuple[str, ...]]] = {}
         self.unmet: dict[str, tuple[UnmetConstraint, ...]] = {}
         self._place_all(order)
-        self.holders = {name: flat(self.holders_by_zone[name]) for name in self.services}
+        self.holders = {name: all_holders(self.holders_by_zone[name]) for name in self.services}
         self.digests = {
             name: service_digest(name, holders) for name, holders in self.holders.items()
         }
@@ -59,11 +59,11 @@
     def _place(self, service: str, demand: ServiceDemand) -> None:
         unmet = list(demand.unmet)
         by_zone: dict[str, tuple[str, ...]] = {}
-        for zone, wanted in demand.holders.items():
+        for zone, needed in demand.holders.items():
             order = self.zones[zone].order(service)
-            chosen = self.loads[zone].reserve_first(order, wanted, demand.rate[zone])
+            chosen = self.loads[zone].reserve_first(order, needed, demand.rate[zone])
             by_zone[zone] = tuple(sorted(chosen))
-            if len(chosen) < wanted:
+            if len(chosen) < needed:
                 too_few = len(chosen) < self.rules.min_per_zone
                 constraint = Constraint.MINIMUM if too_few else Constraint.RATE
                 unmet.append(UnmetConstraint(service, zone, constraint))
@@ -75,37 +75,39 @@
         for service, names in self.holders.items():
             for name in names:
                 services[name].append(service)
-        return {name: tuple(found) for name, found in services.items()}
+        return {node: tuple(assigned) for node, assigned in services.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceDemand:
-    """How many nodes of each zone hold a service, and what each takes of its rate."""
+    """How many holders a service needs in each zone, and the rate that each of them takes."""
 
     holders: Mapping[str, int]  # by zone
-    rate: Mapping[str, float]  # requests a second of one holder once another zone is lost, by zone
+    rate: Mapping[str, float]  # requests a second of one holder if another zone is lost, by zone
     unmet: tuple[UnmetConstraint, ...]
 
 
-def flat(by_zone: Mapping[str, tuple[str, ...]]) -> tuple[str, ...]:
-    """The holders of all zones, sorted."""
+def all_holders(by_zone: Mapping[str, tuple[str, ...]]) -> tuple[str, ...]:
+    """Return the holders of all zones, sorted by name."""
     return tuple(sorted(name for names in by_zone.values() for name in names))
 
 
-def _demand(spec: ServiceSpec, zones: Mapping[str, Zone], rules: AssignmentRules) -> ServiceDemand:
-    rate_once_a_zone_is_lost = spec.rate / max(len(spec.zones) - 1, 1)
+def _demand_of(
+    spec: ServiceSpec, zones: Mapping[str, Zone], rules: AssignmentRules
+) -> ServiceDemand:
+    rate_after_zone_loss = spec.rate / max(len(spec.zones) - 1, 1)
     holders: dict[str, int] = {}
     rate: dict[str, float] = {}
     unmet: list[UnmetConstraint] = []
     for name in sorted(spec.zones):
         zone = zones[name]
         node_rate = zone.min_rate
-        for_rate = ceil(rate_once_a_zone_is_lost / (node_rate * rules.max_share))
-        needed = max(rules.min_per_zone, for_rate)
+        needed_for_rate = ceil(rate_after_zone_loss / (node_rate * rules.max_share))
+        needed = max(rules.min_per_zone, needed_for_rate)
         on_every_node = spec.name in rules.on_every_node
         holders[name] = len(zone.nodes) if on_every_node else min(needed, len(zone.nodes))
-        rate[name] = min(rate_once_a_zone_is_lost / holders[name], node_rate)
-        if rate_once_a_zone_is_lost > node_rate * holders[name]:
+        rate[name] = min(rate_after_zone_loss / holders[name], node_rate)
+        if rate_after_zone_loss > node_rate * holders[name]:
             unmet.append(UnmetConstraint(spec.name, name, Constraint.RATE))
         if holders[name] < rules.min_per_zone:
             unmet.append(UnmetConstraint(spec.name, name, Constraint.MINIMUM))
@@ -116,10 +118,11 @@
 
 
 def _placement_key(spec: ServiceSpec, on_every_node: Collection[str]) -> tuple[bool, int, int, str]:
-    """Sort services that all nodes hold first, then large ones, as they are the hardest to place.
+    """Return a sort key that puts services held by all nodes first, then those with a high rate.
 
-    Sizes are compared by powers of two, so that a small change of a rate keeps the order.
+    Services with a high rate are the hardest to place. Rates are compared by powers of two, so that
+    a small change of a rate does not change the order.
     """
     size = -int(spec.rate).bit_length()
-    # "deal" is the salt of this hash; another would change every assignment.
+    # "deal" is the salt of this hash; another salt would change every assignment.
     return spec.name not in on_every_node, size, hash64(f"deal\0{spec.name}"), spec.name
--- a/loadbalancer/core/assignment/reassignment.py
+++ b/loadbalancer/core/assignment/reassignment.py
@@ -1,4 +1,4 @@
-"""The assignment for one set of living nodes: the base, with substitutes for the dead."""
+"""The assignment for one set of living nodes: the base assignment, with dead nodes replaced."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     assignment_digest,
     service_digest,
 )
-from loadbalancer.core.assignment.base_assignment import BaseAssignment, flat
+from loadbalancer.core.assignment.base_assignment import BaseAssignment, all_holders
 from loadbalancer.core.assignment.substitutes import Substitutes
 from loadbalancer.core.assignment.zones import ZoneLoads
 
 
 class Reassignment:
-    """Replaces the dead nodes of a base assignment, which stays as it is."""
+    """Replaces the dead nodes of a base assignment, which is not modified."""
 
     def __init__(self, base: BaseAssignment, living: Collection[str], dead: Sequence[str]) -> None:
-        """`living` and `dead` are all registered nodes together."""
+        """Prepare the reassignment; each registered node is in either `living` or `dead`."""
         self._base = base
         self._living = living
         self._dead = dead
@@ -37,41 +37,41 @@
         }
 
     def run(self) -> Assignment:
-        """Make the assignment; to be called once, as substitutes fill up."""
+        """Compute the assignment; to be called once, as it reserves capacity of substitutes."""
         base = self._base
         affected = {service for name in self._dead for service in base.services_by_node[name]}
         holders = dict(base.holders)
         unmet = dict(base.unmet)
         digests = dict(base.digests)
-        for service in sorted(affected, key=base.place_in_order.__getitem__):
+        for service in sorted(affected, key=base.placement_ranks.__getitem__):
             by_zone, unmet[service] = self._reassign(service)
-            holders[service] = flat(by_zone)
+            holders[service] = all_holders(by_zone)
             digests[service] = service_digest(service, holders[service])
         services_by_node = self._services_by_node(affected, holders)
-        all_unmet = tuple(one for name in base.services for one in unmet[name])
+        all_unmet = tuple(constraint for name in base.services for constraint in unmet[name])
         digest = assignment_digest(digests.values())
         return Assignment(holders, services_by_node, all_unmet, digest)
 
     def _reassign(
         self, service: str
     ) -> tuple[dict[str, tuple[str, ...]], tuple[UnmetConstraint, ...]]:
-        """The service's holders by zone, and its unmet constraints."""
+        """Return the service's holders by zone, and its unmet constraints."""
         unmet = list(self._base.unmet[service])
         by_zone: dict[str, tuple[str, ...]] = {}
         for zone, before in self._base.holders_by_zone[service].items():
-            by_zone[zone] = self._in_zone(service, zone, before)
-            if len(by_zone[zone]) < self._required(service, before):
+            by_zone[zone] = self._holders_in_zone(service, zone, before)
+            if len(by_zone[zone]) < self._required_holders(service, before):
                 too_few = len(by_zone[zone]) < self._base.rules.min_per_zone
                 constraint = Constraint.MINIMUM if too_few else Constraint.CAPACITY
                 unmet.append(UnmetConstraint(service, zone, constraint))
         if not any(by_zone.values()):
-            by_zone = self._in_other_zones(service)
+            by_zone = self._holders_in_other_zones(service)
             constraint = Constraint.ZONES if any(by_zone.values()) else Constraint.NO_NODE
             unmet.append(UnmetConstraint(service, "", constraint))
         return by_zone, tuple(dict.fromkeys(unmet))
 
-    def _in_zone(self, service: str, zone: str, before: tuple[str, ...]) -> tuple[str, ...]:
-        """The holders in one of the service's own zones, which had those of `before`."""
+    def _holders_in_zone(self, service: str, zone: str, before: tuple[str, ...]) -> tuple[str, ...]:
+        """Return the holders in one of the service's zones; the base assignment has `before`."""
         holders = [name for name in before if name in self._living]
         missing = len(before) - len(holders)
         on_all_nodes = len(before) == len(self._base.zones[zone].nodes)
@@ -81,18 +81,21 @@
         holders += self._substitutes[zone].choose(service, missing, rate, frozenset(before))
         return tuple(sorted(holders))
 
-    def _required(self, service: str, before: Collection[str]) -> int:
-        """How many holders a zone must have for nothing to be unmet.
+    def _required_holders(self, service: str, before: Collection[str]) -> int:
+        """Return how many holders a zone needs so that no constraint is unmet.
 
-        Where all nodes of a zone hold a service, there is none to put in a dead one's place: the
-        rules' minimum suffices.
+        If all nodes of a zone hold the service, there is no substitute for a dead one, so the
+        minimum of the rules is sufficient.
         """
         if service in self._base.rules.on_every_node:
             return min(len(before), self._base.rules.min_per_zone)
         return len(before)
 
-    def _in_other_zones(self, service: str) -> dict[str, tuple[str, ...]]:
-        """Holders in the living zones of the service's home region, or else in all that live."""
+    def _holders_in_other_zones(self, service: str) -> dict[str, tuple[str, ...]]:
+        """Return holders in the zones of the service's home region, or else in all zones.
+
+        Zones without a living node are left out.
+        """
         base = self._base
         demand = base.demands[service]
         home = base.services[service].region
--- a/loadbalancer/core/assignment/rules.py
+++ b/loadbalancer/core/assignment/rules.py
@@ -1,4 +1,4 @@
-"""The rules of an assignment: how many nodes hold a service, and how much of it one node takes."""
+"""The rules of an assignment: how many nodes hold a service, and the load that one node takes."""
 
 from __future__ import annotations
 
@@ -15,21 +15,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AssignmentRules:
-    """What decides how many nodes hold a service, and how much of it one node takes.
+    """The rules of an assignment. Error messages use the names of the keys in the control file.
 
-    The texts of its errors use the keys of the control file.
+    Attributes:
+        min_per_zone: minimum number of holders in each of a service's zones.
+        max_sharers: number of nodes that may hold a service; more are reported as unmet constraint.
+            The default is below the 15 connections that a backend accepts.
+        node_rate: maximum requests a second of a node that does not state its rate.
+        load_factor: maximum number of services of a node, as a multiple of the mean.
+        max_share: maximum share of a node's rate that one service may take.
+        max_sharers_by_service: exceptions from `max_sharers`.
+        on_every_node: services that every node of their zones holds.
 
     Raises:
-        InvalidInputError: a figure is out of its range.
+        InvalidInputError: a value is out of its range.
     """
 
-    min_per_zone: int = 2  # holders in each zone that a service's clients come in
-    max_sharers: int = 12  # nodes that share a service; below the 15 connections of a backend
-    node_rate: float = 400.0  # requests a second that a node may take, where it states none
-    load_factor: float = 1.25  # of the mean number of services a node, that one may hold
-    max_share: float = 0.5  # of a node's rate, that one service may take
-    max_sharers_by_service: Mapping[str, int] = field(default_factory=dict)  # exceptions
-    on_every_node: frozenset[str] = frozenset()  # services that every node of their zones holds
+    min_per_zone: int = 2
+    max_sharers: int = 12
+    node_rate: float = 400.0
+    load_factor: float = 1.25
+    max_share: float = 0.5
+    max_sharers_by_service: Mapping[str, int] = field(default_factory=dict)
+    on_every_node: frozenset[str] = frozenset()
 
     def __post_init__(self) -> None:
         if not 1 <= self.min_per_zone <= MAX_MIN_PER_ZONE:
@@ -42,15 +50,15 @@
             )
         if not 0 < self.node_rate <= MAX_NODE_RATE:
             raise InvalidInputError(
-                f"rules: node_rate is {self.node_rate}, must be over 0, up to 1e9"
+                f"rules: node_rate is {self.node_rate}, must be greater than 0 and at most 1e9"
             )
         if not 1 < self.load_factor <= MAX_LOAD_FACTOR:
             raise InvalidInputError(
-                f"rules: load_factor is {self.load_factor}, must be over 1, up to 10"
+                f"rules: load_factor is {self.load_factor}, must be greater than 1 and at most 10"
             )
         if not 0 < self.max_share <= 1:
             raise InvalidInputError(
-                f"rules: largest_share is {self.max_share}, must be over 0 to 1"
+                f"rules: largest_share is {self.max_share}, must be greater than 0 and at most 1"
             )
         for service, sharers in self.max_sharers_by_service.items():
             if not 1 <= sharers <= MAX_SHARERS:
--- a/loadbalancer/core/assignment/validation.py
+++ b/loadbalancer/core/assignment/validation.py
@@ -1,4 +1,4 @@
-"""Checks of the tables of a control file: each error is one line with its place and the rule."""
+"""Validates the tables of a control file; error messages say what is wrong in one line."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 MAX_BACKENDS = 200_000  # backends a service
 MAX_RATE = 1e9  # requests a second
 MAX_NAME = 256  # characters
-SHOWN_CHARACTERS = 40  # of a name that is too long
-SHOWN_NAMES = 6  # of those that would be right
+SHOWN_CHARACTERS = 40  # of a name that is too long, in an error message
+SHOWN_NAMES = 6  # of valid names, in an error message
 
 
 def check_nodes(nodes: Sequence[NodeSpec]) -> None:
-    """Refuse a table of nodes that no assignment can be made of.
+    """Validate the table of nodes.
 
     Raises:
-        InvalidInputError: a name twice or out of bounds, a zone in two regions, or a size out
-            of range.
+        InvalidInputError: a name is not unique or has an invalid length, a zone is in two regions,
+            or a number is out of range.
     """
     _check_count("nodes", len(nodes), MAX_NODES)
     _check_names("node", (node.name for node in nodes))
@@ -34,10 +34,11 @@
 
 
 def check_services(services: Sequence[ServiceSpec], nodes: Sequence[NodeSpec]) -> None:
-    """Refuse a table of services that these nodes can't be assigned.
+    """Validate the table of services for assignment to `nodes`.
 
     Raises:
-        InvalidInputError: a name twice, a region or zone that no node is in, a size out of range.
+        InvalidInputError: a name is not unique or has an invalid length, a region or zone has no
+            node, or a number is out of range.
     """
     _check_count("services", len(services), MAX_SERVICES)
     _check_names("service", (service.name for service in services))
@@ -47,9 +48,9 @@
         place = f"service {service.name!r}"
         _check_known(place, "region", service.region, regions)
         if not service.zones:
-            raise InvalidInputError(f"{place}: zones names none, it must name at least one")
+            raise InvalidInputError(f"{place}: zones is empty, must have at least one zone")
         if len(set(service.zones)) != len(service.zones):
-            raise InvalidInputError(f"{place}: zones names one twice, each may be named once")
+            raise InvalidInputError(f"{place}: zones must not have duplicates")
         for zone in service.zones:
             _check_known(place, "zone", zone, zones)
         _check_range(place, "rate", service.rate, 0, MAX_RATE)
@@ -58,7 +59,7 @@
 
 def _check_count(what: str, count: int, maximum: int) -> None:
     if not 1 <= count <= maximum:
-        raise InvalidInputError(f"{what}: {count} of them, must be 1 to {maximum}")
+        raise InvalidInputError(f"{what}: there are {count}, must be 1 to {maximum}")
 
 
 def _check_names(kind: str, names: Iterable[str]) -> None:
@@ -69,7 +70,7 @@
                 f"{kind} {name[:SHOWN_CHARACTERS]!r}: a name must have 1 to {MAX_NAME} characters"
             )
         if name in seen:
-            raise InvalidInputError(f"{kind} {name!r}: named twice, a name must be unique")
+            raise InvalidInputError(f"{kind} {name!r}: duplicate name, must be unique")
         seen.add(name)
 
 
@@ -78,12 +79,12 @@
     for node in nodes:
         place = f"{kind} {node.name!r}"
         if not node.region or not node.zone:
-            raise InvalidInputError(f"{place}: region and zone must both be named")
+            raise InvalidInputError(f"{place}: region and zone must not be empty")
         region = region_of.setdefault(node.zone, node.region)
         if region != node.region:
             raise InvalidInputError(
-                f"{place}: zone {node.zone!r} is in region {region!r} by another, "
-                f"it can't be in {node.region!r} too"
+                f"{place}: zone {node.zone!r} is in region {region!r} for another {kind}, "
+                f"can't be in {node.region!r} too"
             )
 
 
--- a/tests/core/assignment/test_assignment.py
+++ b/tests/core/assignment/test_assignment.py
@@ -282,6 +282,6 @@
 
 def test_an_unknown_living_node_is_refused() -> None:
     with pytest.raises(
-        InvalidInputError, match="alive: unknown node 'x', must be a registered one"
+        InvalidInputError, match="alive: unknown node 'x', must be a registered node"
     ):
         small().assign({"x"})
--- a/tests/core/assignment/test_substitutes.py
+++ b/tests/core/assignment/test_substitutes.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.assignment import Constraint
 from loadbalancer.core.assignment.model import NodeSpec
-from loadbalancer.core.assignment.substitutes import Substitutes, _OpenNodes
+from loadbalancer.core.assignment.substitutes import Substitutes, _AvailableNodes
 from tests.core.assignment.fleets import (
     FULL_NODES,
     FULL_SERVICES,
@@ -53,20 +53,20 @@
     the zone for a substitute, an assignment would take many seconds just when it is urgent.
     """
     counts = Counter[str]()
-    rank, able = zones._mix64, _OpenNodes.able
+    rank, able = zones._mix64, _AvailableNodes.with_rate
 
     def counted_rank(value: int) -> int:
         counts["ranked"] += 1
         return rank(value)
 
-    def counted_able(nodes: _OpenNodes, rate: float) -> list[str]:
+    def counted_able(nodes: _AvailableNodes, rate: float) -> list[str]:
         found = able(nodes, rate)
         counts["listed"] += len(found)
         return found
 
     full()
     monkeypatch.setattr(zones, "_mix64", counted_rank)
-    monkeypatch.setattr(_OpenNodes, "able", counted_able)
+    monkeypatch.setattr(_AvailableNodes, "with_rate", counted_able)
     living = CountingNodes(partly_lost(dead))
     full().assign(living)
     assert living.lookups + counts.total() < MAX_LOOKUPS, (living.lookups, counts)
--- a/tests/core/assignment/test_validation.py
+++ b/tests/core/assignment/test_validation.py
@@ -21,16 +21,16 @@
 @pytest.mark.parametrize(
     ("nodes", "services", "message"),
     [
-        ([NODE, NODE], [SERVICE], "node 'n': named twice, a name must be unique"),
-        ([NODE], [SERVICE, SERVICE], "service 's': named twice, a name must be unique"),
-        ([], [SERVICE], "nodes: 0 of them, must be 1 to 20000"),
-        ([NODE], [], "services: 0 of them, must be 1 to 20000"),
+        ([NODE, NODE], [SERVICE], "node 'n': duplicate name, must be unique"),
+        ([NODE], [SERVICE, SERVICE], "service 's': duplicate name, must be unique"),
+        ([], [SERVICE], "nodes: there are 0, must be 1 to 20000"),
+        ([NODE], [], "services: there are 0, must be 1 to 20000"),
         ([replace(NODE, name="")], [SERVICE], "node '': a name must have 1 to 256 characters"),
-        ([replace(NODE, zone="")], [SERVICE], "node 'n': region and zone must both be named"),
+        ([replace(NODE, zone="")], [SERVICE], "node 'n': region and zone must not be empty"),
         (
             [NODE, replace(NODE, name="m", region="west")],
             [SERVICE],
-            "node 'm': zone 'east-1' is in region 'east' by another, it can't be in 'west' too",
+            "node 'm': zone 'east-1' is in region 'east' for another node, can't be in 'west' too",
         ),
         ([replace(NODE, capacity=0)], [SERVICE], "node 'n': capacity is 0, must be 1 to 20000"),
         (
@@ -51,12 +51,12 @@
         (
             [NODE],
             [replace(SERVICE, zones=())],
-            "service 's': zones names none, it must name at least one",
+            "service 's': zones is empty, must have at least one zone",
         ),
         (
             [NODE],
             [replace(SERVICE, zones=("east-1", "east-1"))],
-            "service 's': zones names one twice, each may be named once",
+            "service 's': zones must not have duplicates",
         ),
         (
             [NODE],
