--- a/loadbalancer/core/assignment/base_assignment.py
+++ b/loadbalancer/core/assignment/base_assignment.py
@@ -71,10 +71,10 @@
         self.unmet[service] = tuple(unmet)
 
     def _services_by_node(self) -> dict[str, tuple[str, ...]]:
-        services: dict[str, list[str]] = {name: [] for name in self.nodes}
-        for service, names in self.holders.items():
-            for name in names:
-                services[name].append(service)
+        services: dict[str, list[str]] = {node: [] for node in self.nodes}
+        for service, nodes in self.holders.items():
+            for node in nodes:
+                services[node].append(service)
         return {node: tuple(assigned) for node, assigned in services.items()}
 
 
