--- a/loadbalancer/core/subscription/__init__.py
+++ b/loadbalancer/core/subscription/__init__.py
@@ -1,6 +1,8 @@
-"""Changes to the nodes that subscribe to a service.
+"""Distribution of committed changes to the nodes that subscribe to services.
 
-- `publisher`: a control machine's answers to its subscribers (`answers`), which subscribers wait
-  (`subscribers`), the pace of snapshots (`pacing`), and which machine a node polls (`placement`)
-- `holder`: a node's services as of a position in each region's log (`updates`, `limits`)
+- `publisher`: a control machine's answers to its subscribers (`answers`), the subscribers that wait
+  for changes (`subscribers`), rate limiting of snapshots (`pacing`), and the placement of nodes at
+  control machines (`placement`)
+- `holder`: the services that a node holds (`service_table`, `limits`), how updates are applied to
+  them (`updates`), and queries for services that it does not hold (`unknown_services`)
 """
--- a/loadbalancer/core/subscription/answers.py
+++ b/loadbalancer/core/subscription/answers.py
@@ -1,4 +1,4 @@
-"""A control machine's answers to a subscriber."""
+"""The answers of a control machine to a subscriber."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Refusal(Enum):
-    """Why a subscription can't be used; subscribing again in the same way is of no use."""
+    """Why a subscription is invalid; repeating it unchanged would fail again."""
 
     UNKNOWN_NODE = "unknown node"
     UNKNOWN_REGION = "unknown region"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendUpdate:
-    """An update to apply now, of about `size` bytes."""
+    """An update for the subscriber to apply, of about `size` bytes."""
 
     update: Update
     size: int
@@ -27,9 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """There is nothing to send yet: a long poll, until `on_change` or another event names the node.
+    """There is nothing to send yet, so the poll stays open (a long poll).
 
-    Then, and at the time `until_ns` where that is not None, `Publisher.subscribe` is called again.
+    `Publisher.subscribe` is to be called again when an event of the publisher, such as `on_change`,
+    returns the node, and at the time `until_ns` unless that is None.
     """
 
     until_ns: int | None = None
@@ -37,21 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """The subscriber is to poll another machine."""
+    """The subscriber has to poll another control machine."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """The subscriber is to poll again after `delay_ns`."""
+    """The subscriber has to poll again after a delay."""
 
     delay_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The subscription can't be used."""
+    """The subscription is invalid."""
 
     reason: Refusal
 
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -1,24 +1,27 @@
-"""The node's side of subscriptions: the services it holds, as of a position in each region's log.
-
-To hold a service is to have its backends and follow their changes. "Control" is the control machine
-that the node polls.
-
-Positions never go back: an update of an older epoch or revision changes nothing, one that does
-not follow the present position asks for another. Of an update each service's change is applied
-completely or not at all; where a service does not fit any more, its rows shrink by those that were
-removed or are draining, and nothing new is added. Without any message of control the node serves
-on with what it holds, and `age` shows for how long.
-
-A service that moves away remains held and served until control permits its release and no request
-of it is in flight. Where its requests never pause, it is closed to new ones once `drain_timeout`
-has passed.
-
-A host polls control with the `Subscription` of each region: control sends the changes of its
-current services, and the others completely. A delta does not cover services that were not current
-in the poll, so the host passes the answer on together with the subscription that it answers: a
-service that has become current meanwhile must be sent completely again.
-
-Its hosts are the simulation's and the scale benchmark's nodes; no process of this package has one.
+"""The node's side of subscriptions: the services that it holds, and the updates of their backends.
+
+A node holds a service if it has the service's rows (its backends) and receives their changes. It
+has a position in the log of each region. Below, "control machine" is the one that the node polls.
+
+Updates. Positions never decrease: an update of an older epoch or revision is ignored, and one that
+does not follow the current position is ignored until a snapshot is received. The changes of each
+service in an update are applied completely or not at all. If a service no longer fits into the
+limits, only rows that were removed or are draining are dropped, and no rows are added. Without
+contact to the control machine, the node continues to serve what it holds; `age` returns for how
+long.
+
+Release. A service that is no longer assigned to the node is held and served until the control
+machine permits its release and it has no request in flight. If its requests never pause, new ones
+are refused after `drain_timeout_ns`.
+
+Polls. A host polls the control machine with the `Subscription` of each region. The control machine
+sends the changes of the services that the subscription lists as current, and all rows of the
+others. So a delta does not cover services that were not current in the poll. The host therefore
+passes each answer to `on_update` together with the subscription that it answers. A service that has
+become current in the meantime has to be sent completely again.
+
+The hosts of this class are the nodes of the simulation and of the scale benchmark. No process of
+this package uses it.
 """
 
 from __future__ import annotations
@@ -50,14 +53,14 @@
 
 @dataclass(slots=True)
 class _Region:
-    """One region's log as followed here."""
+    """The node's state in one region's log."""
 
     position: Position = START
-    current_at: int | None = None  # when control last confirmed or sent the newest position
+    confirmed_at: int | None = None  # when the control machine last confirmed or sent the position
 
 
 class Holder:
-    """What one node holds of the services of these regions."""
+    """The services that one node holds, in any of the given regions."""
 
     def __init__(self, name: str, regions: Iterable[str], limits: HolderLimits) -> None:
         self.name = name
@@ -68,24 +71,32 @@
 
     @property
     def retained_bytes(self) -> int:
-        """About how many bytes of memory the services take."""
+        """The approximate memory use of the services in bytes."""
         return self._services.bytes
 
-    # ---- what is to be held -------------------------------------------------
+    # ---- assignment ---------------------------------------------------------
 
     def on_assignment(
         self, now: int, wanted: Mapping[str, str], releasable: Collection[str]
     ) -> tuple[str, ...]:
-        """Follow an assignment: services with their regions, and what may be released.
+        """Apply a new assignment.
 
-        A service that is in neither is retained if its rows have ever come. One that was not
-        wanted and is again has to come completely: control may not have followed it meanwhile.
-        Returns the services that exceed a bound and are not held for it: to be tried again when
-        something was released.
+        A service that is neither wanted nor releasable is retained if its rows have been received.
+        A service that is wanted again has to be sent completely, as its changes may not have been
+        sent in the meantime.
+
+        Args:
+            now: the time in nanoseconds.
+            wanted: the services to hold, with their home regions.
+            releasable: the services that may be released.
+
+        Returns:
+            The wanted services that are not held because a limit would be exceeded. The host has to
+            repeat the assignment when services have been released.
 
         Raises:
-            InvalidInputError: a region is unknown, or another than before; nothing has changed
-                then.
+            InvalidInputError: a service's region is unknown, or differs from the earlier one;
+                nothing has changed then.
         """
         self._check_wanted(wanted)
         for name, service in self._services.items():
@@ -101,7 +112,7 @@
                     self._services.drop(name)
             elif service.releasable_since is None:
                 service.releasable_since = now
-        self._services.settle(now)
+        self._services.advance(now)
         exceeding = []
         for name in sorted(wanted.keys() - self._services.names()):
             if self._services.add(name, wanted[name]):
@@ -116,13 +127,13 @@
             service = self._services.get(name)
             if service is not None and service.region != region:
                 raise InvalidInputError(
-                    f"wanted: service {name!r} is of region {service.region!r}, not {region!r}"
+                    f"assignment: service {name!r} is of region {service.region!r}, not {region!r}"
                 )
 
-    # ---- what to subscribe to -----------------------------------------------
+    # ---- subscriptions ------------------------------------------------------
 
     def subscribed_services(self, region: str) -> frozenset[str]:
-        """The services of a region that control is to send: all that are wanted or still held.
+        """Return the services of a region to subscribe to: all that are wanted or still held.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -131,7 +142,7 @@
         return frozenset(self._services.in_region(region))
 
     def make_subscription(self, region: str) -> Subscription:
-        """What to poll control for now.
+        """Return the subscription with which to poll the control machine for a region.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -144,17 +155,19 @@
         )
 
     def current_services(self, region: str) -> frozenset[str]:
-        """Those of `subscribed_services` for which deltas suffice; others must come completely.
+        """Return the services for which deltas are sufficient; others must be sent completely.
 
         Raises:
             InvalidInputError: the region is unknown.
         """
         self._region(region)
         services = self._services
-        return frozenset(name for name in services.in_region(region) if services.is_followed(name))
+        return frozenset(
+            name for name in services.in_region(region) if services.is_delta_sufficient(name)
+        )
 
     def stale_services(self, region: str) -> frozenset[str]:
-        """Those of `subscribed_services` that have to come completely.
+        """Return those of `subscribed_services` that have to be sent completely.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -162,7 +175,7 @@
         return self.subscribed_services(region) - self.current_services(region)
 
     def position(self, region: str) -> Position:
-        """The position in the region's log up to which its services are held.
+        """Return the position in the region's log up to which updates were applied.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -170,13 +183,13 @@
         return self._region(region).position
 
     def age(self, now: int, region: str) -> int | None:
-        """Nanoseconds since the position was last known to be the newest; None if it never was.
+        """Return the time since the position was last known to be the newest; None if never.
 
         Raises:
             InvalidInputError: the region is unknown.
         """
-        current_at = self._region(region).current_at
-        return None if current_at is None else now - current_at
+        confirmed_at = self._region(region).confirmed_at
+        return None if confirmed_at is None else now - confirmed_at
 
     def _region(self, name: str) -> _Region:
         region = self._regions.get(name)
@@ -188,38 +201,38 @@
     # ---- requests -----------------------------------------------------------
 
     def serving(self) -> frozenset[str]:
-        """The services that are held completely and take requests."""
+        """Return the services that are held completely and accept requests."""
         return frozenset(name for name, service in self._services.items() if service.serves)
 
     def rows(self, service: str) -> Mapping[str, Row] | None:
-        """A service's backends by uid, None where it is not held. Not to be changed."""
-        found = self._services.get(service)
-        return None if found is None else found.rows
-
-    def on_request_begins(self, service: str) -> bool:
-        """Whether a request may use the service; if so, `on_request_ends` must follow."""
-        found = self._services.get(service)
-        if found is None or not found.serves:
+        """Return a service's backends by uid, not to be modified; None if it is not held."""
+        state = self._services.get(service)
+        return None if state is None else state.rows
+
+    def on_request_start(self, service: str) -> bool:
+        """Return whether the service accepts a request; if so, `on_request_end` must follow."""
+        state = self._services.get(service)
+        if state is None or not state.serves:
             return False
-        found.in_flight += 1
+        state.in_flight += 1
         return True
 
-    def on_request_ends(self, service: str) -> None:
-        """A request that had begun has ended."""
-        found = self._services.get(service)
-        if found is None or not found.in_flight:
+    def on_request_end(self, service: str) -> None:
+        """Handle the end of a request that `on_request_start` has accepted."""
+        state = self._services.get(service)
+        if state is None or not state.in_flight:
             return
-        found.in_flight -= 1
+        state.in_flight -= 1
         self._services.drop_if_idle(service)
 
-    def on_unknown(self, now: int, service: str) -> ServiceQuery | None:
-        """A client asked for a service that may not be held: whether to query control for it."""
+    def on_unknown_service(self, now: int, service: str) -> ServiceQuery | None:
+        """Return the query to send when a client requests a service that may not be held."""
         if service in self._services:
             return None
         return self._unknown.on_request(now, service)
 
     def drain_released(self) -> tuple[str, ...]:
-        """Drains the services that were dropped since the last call."""
+        """Return the services that were dropped since the last call."""
         return self._services.drain_released()
 
     # ---- updates ------------------------------------------------------------
@@ -227,13 +240,18 @@
     def on_update(
         self, now: int, update: Update, request: Subscription | None = None
     ) -> UpdateResult:
-        """Apply an update, or ignore all of it; a service over the bound takes removals alone.
+        """Apply an update, or ignore it as a whole.
 
-        `request` is the subscription that it answers; None where no service was added or dropped
-        since that was made, as where the host polls once at a time.
+        Of the changes of a service that exceeds the limits, only removals and drains are applied.
+
+        Args:
+            now: the time in nanoseconds.
+            update: the update.
+            request: the subscription that it answers. May be None if no service was added or
+                dropped since the subscription was made.
 
         Raises:
-            InvalidInputError: its region is unknown.
+            InvalidInputError: the update's region is unknown.
         """
         region = self._region(update.region)
         if isinstance(update, Snapshot):
@@ -242,12 +260,15 @@
             result = self._on_delta(region, update, request)
         if result.status in APPLIED_STATUSES:
             region.position = update.position
-            region.current_at = now
-        self._services.settle(now)
+            region.confirmed_at = now
+        self._services.advance(now)
         return result
 
     def on_up_to_date(self, now: int, region: str, position: Position) -> bool:
-        """Control says that its log is at this position: whether this node is there too.
+        """Handle the answer that the log has nothing after `position`.
+
+        Returns:
+            Whether the node is at this position.
 
         Raises:
             InvalidInputError: the region is unknown.
@@ -255,7 +276,7 @@
         state = self._region(region)
         if position != state.position:
             return False
-        state.current_at = now
+        state.confirmed_at = now
         return True
 
     def _on_snapshot(self, region: _Region, snapshot: Snapshot) -> UpdateResult:
@@ -281,15 +302,15 @@
             return UpdateResult(UpdateStatus.MALFORMED)
         services = self._services.in_region(delta.region)
         changes = [change for change in delta.changes if change.service in services]
-        if not self._follow(changes):
+        if not self._can_apply(changes):
             return UpdateResult(UpdateStatus.GAP)
         if request is not None and delta.position > delta.base:
             for name in services - request.current:
                 self._services[name].current = False
         return self._apply_all(changes, bool(delta.changes))
 
-    def _follow(self, changes: Iterable[Change]) -> bool:
-        """Whether each service's changes follow what is held of it."""
+    def _can_apply(self, changes: Iterable[Change]) -> bool:
+        """Return whether each service's rows are current, or replaced before they are changed."""
         replaced: set[str] = set()
         for change in changes:
             name = change.service
@@ -301,8 +322,8 @@
                 return False
         return True
 
-    def _apply_all(self, changes: Iterable[Change], names_any: bool) -> UpdateResult:
-        """Apply changes of held services; `names_any`: the update has changes of any service."""
+    def _apply_all(self, changes: Iterable[Change], has_services: bool) -> UpdateResult:
+        """Apply changes of held services; `has_services`: the update concerns any service."""
         changed: dict[str, None] = {}
         refused: dict[str, None] = {}
         for change in changes:
@@ -315,6 +336,6 @@
                 changed[name] = None
         if refused:
             return UpdateResult(UpdateStatus.OVER_LIMIT, tuple(changed), tuple(refused))
-        if names_any and not changed:
+        if has_services and not changed:
             return UpdateResult(UpdateStatus.NOT_WANTED)
         return UpdateResult(UpdateStatus.APPLIED, tuple(changed))
--- a/loadbalancer/core/subscription/limits.py
+++ b/loadbalancer/core/subscription/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of what one node holds."""
+"""Limits of the services that one node holds."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.balancing.model import SECOND
 
-SERVICE_BYTES = 1024  # of a service beside its rows: its record, its entries in tables
-ROW_BYTES = 272  # of a row beside its characters: a tuple, two strings, an entry of a table
+SERVICE_BYTES = 1024  # memory of a service without its rows: an object and entries of dicts
+ROW_BYTES = 272  # memory of a row without its characters: a tuple, two strings, a dict entry
 
 MAX_SERVICES = 20_000
 MIN_BYTES, MAX_BYTES = 1 << 16, 1 << 34
@@ -18,26 +18,26 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderLimits:
-    """Bounds of one node.
+    """Limits of one node.
 
     Attributes:
-        max_services: services that are held, or wait for their first complete change.
-        max_bytes: bytes of rows and what goes with them.
-        max_unknown_names: names of services that clients asked for and that are remembered.
-        queries_per_s: queries of unknown services, a second.
-        query_interval: nanoseconds until one name is queried again.
-        drain_timeout: nanoseconds from when a service is releasable until it is closed.
+        max_services: maximum number of services that are held or waited for.
+        max_bytes: maximum memory of the services in bytes.
+        max_unknown_names: maximum number of stored names of unknown services.
+        queries_per_s: maximum number of queries for unknown services a second.
+        query_interval_ns: minimum time between two queries for the same name.
+        drain_timeout_ns: time after which a releasable service refuses new requests.
 
     Raises:
-        InvalidInputError: a figure is out of its range.
+        InvalidInputError: a value is out of its range.
     """
 
     max_services: int = 64
     max_bytes: int = 48 << 20
     max_unknown_names: int = 256
     queries_per_s: float = 4.0
-    query_interval: int = 10 * SECOND
-    drain_timeout: int = 30 * SECOND
+    query_interval_ns: int = 10 * SECOND
+    drain_timeout_ns: int = 30 * SECOND
 
     def __post_init__(self) -> None:
         if not 1 <= self.max_services <= MAX_SERVICES:
@@ -56,12 +56,14 @@
         if not 0 < self.queries_per_s <= MAX_QUERIES_PER_S:
             raise InvalidInputError(
                 f"limits: queries_per_s is {self.queries_per_s}, "
-                f"must be over 0, up to {MAX_QUERIES_PER_S}"
+                f"must be greater than 0 and at most {MAX_QUERIES_PER_S}"
             )
         if self.max_services * SERVICE_BYTES > self.max_bytes:
             raise InvalidInputError(
                 f"limits: max_bytes is {self.max_bytes}, "
-                f"must be at least {SERVICE_BYTES} a service"
+                f"must be at least {SERVICE_BYTES} for each of max_services"
+            )
+        if self.query_interval_ns < 0 or self.drain_timeout_ns < 0:
+            raise InvalidInputError(
+                "limits: query_interval_ns and drain_timeout_ns must not be negative"
             )
-        if self.query_interval < 0 or self.drain_timeout < 0:
-            raise InvalidInputError("limits: query_interval and drain_timeout must not be negative")
--- a/loadbalancer/core/subscription/pacing.py
+++ b/loadbalancer/core/subscription/pacing.py
@@ -1,8 +1,11 @@
-"""Paces snapshots by bytes a second, first come first served. Pure: time is given.
+"""Limits the rate in bytes a second at which snapshots are sent, first come, first served.
 
-Each snapshot reserves a time when it is first asked for, right behind those before it. A subscriber
-that returns at its time is served: one retry a snapshot, however many wait. Changes are never
-delayed, but the bytes that they spend move the times that are reserved after them.
+When a snapshot is requested for the first time, the next free time slot is reserved for it. A
+subscriber that polls again at the reserved time is served. So each snapshot costs one retry,
+however many subscribers wait. Changes are never delayed, but their bytes are counted, which delays
+the slots that are reserved after them.
+
+Sans-I/O: the caller passes in the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -11,43 +14,46 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.subscription.subscribers import SubscriberKey
 
-RESERVATION_TTL = 30 * SECOND  # from the reserved time until the reservation lapses
+RESERVATION_TTL_NS = 30 * SECOND  # from the reserved time until the reservation expires
 
 
 class Pacer:
-    """Reserves times for snapshots: `rate` bytes a second after `burst` bytes.
+    """A rate limiter of `rate` bytes a second with bursts of `burst` bytes.
 
     Raises:
-        InvalidInputError: one of them is not positive.
+        InvalidInputError: `rate` or `burst` is not positive.
     """
 
     def __init__(self, rate: int, burst: int) -> None:
         if rate < 1 or burst < 1:
-            raise InvalidInputError("snapshot pace: rate and burst must be at least 1 byte")
+            raise InvalidInputError("snapshot rate limit: rate and burst must be at least 1 byte")
         self._rate = rate
-        self._burst_ns = burst * SECOND // rate  # the time in which the burst is sent at the rate
-        self._next = 0  # the first time that is not reserved yet, in nanoseconds
-        self._reservations: dict[SubscriberKey, int] = {}  # the reserved times, in nanoseconds
-
-    def wait(self, now: int, key: SubscriberKey, size: int) -> int:
-        """Nanoseconds until `size` bytes may go; 0 means now, and consumes the reservation."""
-        time = self._reservations.get(key)
-        if time is None or now > time + RESERVATION_TTL:
-            time = self._reservations[key] = self._reserve(now, size)
-        if time > now:
-            return time - now
+        self._burst_ns = burst * SECOND // rate  # how long it takes to send the burst at the rate
+        self._next_free = 0  # the first time that is not reserved yet, in nanoseconds
+        self._reservations: dict[SubscriberKey, int] = {}  # reserved times in nanoseconds
+
+    def delay(self, now: int, key: SubscriberKey, size: int) -> int:
+        """Return after how many nanoseconds `size` bytes may be sent to a subscriber.
+
+        0 means now; the reservation is then used up.
+        """
+        send_at = self._reservations.get(key)
+        if send_at is None or now > send_at + RESERVATION_TTL_NS:
+            send_at = self._reservations[key] = self._reserve(now, size)
+        if send_at > now:
+            return send_at - now
         del self._reservations[key]
         return 0
 
-    def spend(self, now: int, size: int) -> None:
-        """Count bytes that go at once, whatever the pace."""
+    def count(self, now: int, size: int) -> None:
+        """Count bytes that are sent without a delay."""
         self._reserve(now, size)
 
     def forget(self, key: SubscriberKey) -> None:
-        """Drop the reservation: the subscriber has moved away."""
+        """Remove the reservation of a subscriber, if any."""
         self._reservations.pop(key, None)
 
     def _reserve(self, now: int, size: int) -> int:
-        time = max(self._next, now - self._burst_ns)
-        self._next = time + size * SECOND // self._rate
-        return time
+        send_at = max(self._next_free, now - self._burst_ns)
+        self._next_free = send_at + size * SECOND // self._rate
+        return send_at
--- a/loadbalancer/core/subscription/placement.py
+++ b/loadbalancer/core/subscription/placement.py
@@ -1,10 +1,12 @@
-"""Which control machine a node subscribes at.
+"""Which control machine each node polls.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup and
-Zadimoghaddam, 2018): each node goes to the machine that ranks highest for it and still has
-capacity, machines of its own region before others. The base placement is over all machines, living
-or not; the nodes of dead ones are placed among the living and return with them, so that no other
-node moves. The same inputs give the same placement everywhere. Pure.
+Rendezvous hashing (Thaler and Ravishankar 1998) with bounded loads (Mirrokni, Thorup and
+Zadimoghaddam 2018): each node is placed at the machine that ranks highest for it and has capacity,
+with machines of its own region ranked before others. The base placement is over all machines,
+whether alive or not. The nodes of dead machines are placed at living ones, and return when their
+machines do, so no other node moves.
+
+The placement is a pure function: the same inputs give the same result on every machine.
 """
 
 from __future__ import annotations
@@ -16,42 +18,43 @@
 
 from loadbalancer.core.assignment.model import InvalidInputError, MachineSpec
 
-LOAD_BOUND = 1.25  # times the average number of nodes that one machine may have
-MAX_CACHED = 64  # placements, one for each set of living machines
+LOAD_BOUND = 1.25  # maximum number of nodes of a machine, as a multiple of the mean
+MAX_CACHED = 64  # placements, each for one set of living machines
 SCORE_BYTES = 8
 
 
 class Placement:
-    """The registered nodes placed at control machines.
+    """The placement of the registered nodes at control machines.
 
     Raises:
-        InvalidInputError: there is no machine.
+        InvalidInputError: `machines` is empty.
     """
 
     def __init__(self, nodes: Mapping[str, str], machines: Sequence[MachineSpec]) -> None:
-        """`nodes` gives each registered node's region."""
+        """Compute the base placement; `nodes` has each registered node's region."""
         if not machines:
             raise InvalidInputError("placement: there is no control machine")
         self._machines = {machine.name: machine.region for machine in machines}
         self._ranks = {node: self._ranked(node, region) for node, region in nodes.items()}
         self._order = sorted(self._ranks, key=lambda node: _score(node, ""))
         self._base = self._place(self._order, frozenset(self._machines), Counter())
-        self._moved: dict[frozenset[str], dict[str, str]] = {}  # by living machines
+        # The nodes of dead machines with their new machines, by set of living machines.
+        self._moved: dict[frozenset[str], dict[str, str]] = {}
 
     def __contains__(self, node: str) -> bool:
-        """Whether the node is registered."""
+        """Return whether the node is registered."""
         return node in self._ranks
 
     def machine_for(self, node: str, living: Iterable[str]) -> str | None:
-        """Where a node belongs; None where it is not registered or no machine lives."""
+        """Return the machine of a node; None if it is not registered or no machine is alive."""
         alive = frozenset(living).intersection(self._machines)
         if node not in self._ranks or not alive:
             return None
         machine = self._base[node]
-        return machine if machine in alive else self._of_dead_machines(alive)[node]
+        return machine if machine in alive else self._moved_nodes(alive)[node]
 
-    def others(self, node: str, living: Iterable[str]) -> tuple[str, ...]:
-        """All living machines in the order in which the node would turn to them."""
+    def ranked_machines(self, node: str, living: Iterable[str]) -> tuple[str, ...]:
+        """Return the living machines in the node's order of preference."""
         alive = frozenset(living)
         return tuple(name for name in self._ranks.get(node, ()) if name in alive)
 
@@ -61,8 +64,8 @@
 
         return tuple(sorted(self._machines, key=key))
 
-    def _of_dead_machines(self, alive: frozenset[str]) -> dict[str, str]:
-        """The nodes of dead machines, placed at the living."""
+    def _moved_nodes(self, alive: frozenset[str]) -> dict[str, str]:
+        """Return the nodes of dead machines with the living machines at which they are placed."""
         moved = self._moved.get(alive)
         if moved is None:
             loads = Counter(name for name in self._base.values() if name in alive)
@@ -75,7 +78,7 @@
     def _place(
         self, nodes: Iterable[str], alive: frozenset[str], loads: Counter[str]
     ) -> dict[str, str]:
-        """Place the nodes in this order; `loads` counts the nodes of each machine."""
+        """Place the nodes in the given order; `loads` has the number of nodes of each machine."""
         max_nodes = ceil(LOAD_BOUND * len(self._ranks) / len(alive))
         placed: dict[str, str] = {}
         for node in nodes:
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -1,10 +1,12 @@
-"""What a control machine answers its subscribers, and when.
+"""A control machine's answers to its subscribers.
 
-A subscriber resumes from its position in one region's log, as in the list service, and waits while
-there is nothing newer (a long poll). It is sent the changes of its own services since then, and
-newly assigned ones completely in the same update; a snapshot only where the log's history does not
-have its position. Complete services and snapshots are paced by bytes a second; changes never wait.
-Pure: time is given in nanoseconds, no I/O.
+A subscriber resumes from its position in one region's log, as with the list service, and waits if
+there is nothing newer (a long poll). It is sent the changes of its services since that position
+and, in the same update, all rows of newly assigned services. It is sent a snapshot only if its
+position does not belong to the log's history. The rate of complete services and snapshots is
+limited in bytes a second; changes are never delayed.
+
+Sans-I/O: the caller passes in the time in nanoseconds.
 """
 
 from __future__ import annotations
@@ -29,23 +31,23 @@
 from loadbalancer.core.subscription.placement import Placement
 from loadbalancer.core.subscription.subscribers import Subscriber, SubscriberKey, Subscribers
 
-NOT_READY_DELAY_NS = 500 * MS  # for a subscriber of a log that has nothing yet
+NOT_READY_DELAY_NS = 500 * MS  # until a subscriber retries, if the log is empty or behind
 
 
 @dataclass(frozen=True, slots=True)
 class PublisherLimits:
-    """What one machine's subscribers may cost it."""
+    """Limits on what the subscribers of one control machine may cost it."""
 
     snapshot_rate: int = 2_000_000  # bytes a second for complete services and snapshots
-    snapshot_burst: int = 2_000_000  # bytes that may go at once after a quiet time
-    unpaced_bytes: int = 16 * 1024  # of newly assigned services, that go with changes at once
-    max_services: int = 1024  # that one subscription may name
-    max_epochs_ahead: int = 1_000_000  # a position further ahead of the log is refused
+    snapshot_burst: int = 2_000_000  # bytes that may be sent at once after an idle time
+    unpaced_bytes: int = 16 * 1024  # of complete services in one answer, sent without a delay
+    max_services: int = 1024  # in one subscription
+    max_epochs_ahead: int = 1_000_000  # of the log; a position further ahead is refused
     max_revision: int = 1 << 40  # of a position; a higher one is refused
 
 
 class Publisher:
-    """One control machine's answers to the nodes that subscribe at it."""
+    """One control machine's answers to the nodes that poll it."""
 
     def __init__(
         self,
@@ -54,7 +56,14 @@
         logs: Mapping[str, ChangeLog],
         limits: PublisherLimits,
     ) -> None:
-        """`logs` has one log a region; they are read here and written to by replication."""
+        """Create a publisher without registered nodes.
+
+        Args:
+            machine: this control machine.
+            machines: all control machines, including this one.
+            logs: the log of each region, which the publisher only reads.
+            limits: limits on what subscribers may cost.
+        """
         self.counts: Counter[str] = Counter()
         self._name = machine.name
         self._machines = tuple(machines)
@@ -68,7 +77,7 @@
     # ---- nodes and machines -------------------------------------------------
 
     def on_registered_nodes(self, nodes: Mapping[str, str]) -> None:
-        """Replace the registered nodes, living or not; `nodes` gives their regions."""
+        """Replace the registered nodes, whether alive or not; `nodes` has their regions."""
         self._placement = Placement(nodes, self._machines)
         for node, region in list(self._subscribers):
             if node not in nodes:
@@ -77,8 +86,9 @@
     def on_live_machines(self, living: Iterable[str]) -> tuple[SubscriberKey, ...]:
         """Replace the set of living control machines.
 
-        Returns the waiting subscribers that belong to another machine now and are to be
-        answered again.
+        Returns:
+            The waiting subscribers that now belong to another machine and have to be answered
+            again.
         """
         self._living = frozenset(living)
         moved = [
@@ -86,13 +96,13 @@
             for key in self._subscribers
             if self._placement.machine_for(key.node, self._living) != self._name
         ]
-        woken = tuple(key for key in moved if self._subscribers.waiting(*key))
+        waiting = tuple(key for key in moved if self._subscribers.is_waiting(*key))
         for node, region in moved:
             self._forget(node, region)
-        return woken
+        return waiting
 
     def machine_for(self, node: str, living: Iterable[str]) -> str | None:
-        """The machine that a node subscribes at; None where the node is unknown."""
+        """Return the machine that a node has to poll; None if the node is unknown."""
         return self._placement.machine_for(node, living)
 
     def _forget(self, node: str, region: str) -> None:
@@ -111,12 +121,19 @@
         current: frozenset[str] | None = None,
         redirected: bool = False,
     ) -> Answer:
-        """What to answer a node that is at `position` of a region's log.
-
-        `services` are those that it is to hold, by the assignment; `current` those that it holds as
-        of `position`, None where it does not say: then what this machine last sent it counts, if
-        that took it to `position`, and nothing otherwise. `redirected`: another machine has sent
-        it here, so it is answered here although it belongs there.
+        """Return the answer to a node's poll of a region's log.
+
+        Args:
+            now: the time in nanoseconds.
+            node: the node.
+            region: the region whose log it polls.
+            position: the node's position in the log.
+            services: the services of the region that the node has to hold by its assignment.
+            current: the services whose rows the node has as of `position`. If None, they are those
+                that this machine last sent to it, provided that this update led to `position`;
+                otherwise there are none.
+            redirected: whether another machine redirected the node here. It is then answered even
+                if it belongs to another machine.
         """
         refusal = self._refusal(node, region, position, services)
         if refusal is not None:
@@ -127,7 +144,7 @@
             return Redirect(belongs_to)
         log = self._logs[region]
         if position > log.position or position.revision > log.position.revision:
-            return self._behind(node, redirected)
+            return self._answer_if_behind(node, redirected)
         if log.position == START:
             self.counts["not ready"] += 1
             return RetryAfter(NOT_READY_DELAY_NS)
@@ -159,14 +176,14 @@
             return Refusal.INVALID_POSITION
         return None
 
-    def _behind(self, node: str, redirected: bool) -> Answer:
-        """The subscriber is ahead of this machine's log: it is redirected without an update.
+    def _answer_if_behind(self, node: str, redirected: bool) -> Answer:
+        """Redirect a subscriber that is ahead of this machine's log.
 
-        One that was redirected here already has to retry after a delay instead: the next machine
-        may be behind as well, and two such machines would redirect it to each other in a loop.
+        A subscriber that was redirected to this machine has to retry after a delay instead. If the
+        next machine is behind as well, the two would otherwise redirect it to each other in a loop.
         """
         self.counts["behind a subscriber"] += 1
-        others = self._placement.others(node, self._living - {self._name})
+        others = self._placement.ranked_machines(node, self._living - {self._name})
         if others and not redirected:
             return Redirect(others[0])
         return RetryAfter(NOT_READY_DELAY_NS)
@@ -175,7 +192,7 @@
         self, now: int, key: SubscriberKey, log: ChangeLog, subscriber: Subscriber
     ) -> Answer:
         size = log.size(subscriber.services)
-        delay = self._pacer.wait(now, key, size)
+        delay = self._pacer.delay(now, key, size)
         if delay:
             self.counts["snapshots put off"] += 1
             return RetryAfter(delay)
@@ -192,34 +209,40 @@
         position: Position,
         current: frozenset[str],
     ) -> Answer:
-        """The changes of the `current` services, and the others completely, or a wait."""
-        not_logged = log.compacted_since(position, current)
-        complete = not_logged | (subscriber.services - current)
+        """Answer with the changes of the `current` services and with the others completely.
+
+        If there is nothing to send yet, the answer is to wait.
+        """
+        compacted = log.compacted_since(position, current)
+        complete = compacted | (subscriber.services - current)
         until = None
         if complete and (delay := self._delay(now, key, log.size(complete))):
             until = now + delay
-            if not_logged:
-                # A delta would move its position past changes that it does not contain.
+            if compacted:
+                # A delta would advance the position past changes that it does not contain.
                 return Wait(until)
             complete = frozenset()
-        delta = log.delta_since(position, current - not_logged)
-        assert delta is not None, "every service that the log does not reach was taken out"
+        delta = log.delta_since(position, current - compacted)
+        assert delta is not None, "services with compacted changes are excluded"
         if not delta.changes and not complete:
             subscriber.waiting = True
             return Wait(until)
         size = sum(change_size(change) for change in delta.changes)
-        self._pacer.spend(now, size)
+        self._pacer.count(now, size)
         replacements = log.replacements(sorted(complete))
         update = Delta(log.region, position, log.position, (*delta.changes, *replacements))
         self.counts["deltas"] += 1
         return self._send(subscriber, update, size + log.size(complete), current | complete)
 
     def _delay(self, now: int, key: SubscriberKey, size: int) -> int:
-        """Nanoseconds until services may be sent completely: a few at once, yet counted."""
+        """Return after how many nanoseconds `size` bytes of complete services may be sent.
+
+        Up to `unpaced_bytes` may be sent at once, but are counted.
+        """
         if size <= self._limits.unpaced_bytes:
-            self._pacer.spend(now, size)
+            self._pacer.count(now, size)
             return 0
-        return self._pacer.wait(now, key, size)
+        return self._pacer.delay(now, key, size)
 
     def _send(
         self, subscriber: Subscriber, update: Update, size: int, sent: frozenset[str]
@@ -230,20 +253,20 @@
         self.counts["bytes"] += size
         return SendUpdate(update, size)
 
-    # ---- which waiting nodes to answer again --------------------------------
+    # ---- waiting subscribers ------------------------------------------------
 
     def on_change(self, region: str, change: Change) -> tuple[str, ...]:
-        """The waiting nodes to answer again now that a change is in the log.
+        """Return the waiting nodes to answer again after a change was appended to the log.
 
-        Cost follows the subscribers of the change's service.
+        The cost is proportional to the subscribers of the change's service.
         """
         return self._subscribers.waiting_for_service(region, change.service)
 
     def on_restored(self, region: str) -> tuple[str, ...]:
-        """The waiting nodes to answer again after a region's log was restored from a snapshot."""
+        """Return the waiting nodes to answer again after a region's log was replaced."""
         return self._subscribers.waiting_for_region(region)
 
     def cancel(self, node: str, region: str) -> None:
-        """A waiting subscriber has disconnected."""
+        """Stop waiting for a subscriber that has disconnected."""
         if subscriber := self._subscribers.get(node, region):
             subscriber.waiting = False
--- a/loadbalancer/core/subscription/subscribers.py
+++ b/loadbalancer/core/subscription/subscribers.py
@@ -1,4 +1,4 @@
-"""The subscribers of one control machine, found by node and by service."""
+"""The subscribers of one control machine, indexed by node and by service."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True)
 class Subscriber:
-    """What is known here of one node's subscription to one region's log."""
+    """The state of one node's subscription to one region's log."""
 
     services: frozenset[str] = frozenset()
-    position: Position = START  # after the last update that was sent from here
-    sent: frozenset[str] = frozenset()  # the services that are current there after that
-    waiting: bool = False
+    position: Position = START  # of the last update that this machine sent
+    sent: frozenset[str] = frozenset()  # services that are current at the node after that update
+    waiting: bool = False  # whether the node's poll waits for a change
 
 
 class Subscribers:
-    """Subscribers by node and region, and an index by service.
+    """The subscribers by node and region, with an index by service.
 
-    The nodes of a service are in the order in which they subscribed to it.
+    The index lists the nodes of a service in the order in which they subscribed to it.
     """
 
     def __init__(self) -> None:
@@ -37,39 +37,39 @@
         self._by_service: dict[tuple[str, str], dict[str, None]] = {}  # region, service: nodes
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Return the number of subscribers."""
         return len(self._subscribers)
 
     def __iter__(self) -> Iterator[SubscriberKey]:
-        """Each one's node and region."""
+        """Iterate over the keys of all subscribers."""
         return iter(self._subscribers)
 
     def get(self, node: str, region: str) -> Subscriber | None:
-        """One subscriber; None where it has not subscribed here."""
+        """Return a subscriber, or None if it has not subscribed at this machine."""
         return self._subscribers.get(SubscriberKey(node, region))
 
-    def waiting(self, node: str, region: str) -> bool:
-        """Whether this subscriber is here and waits."""
+    def is_waiting(self, node: str, region: str) -> bool:
+        """Return whether there is such a subscriber, and its poll waits for a change."""
         subscriber = self._subscribers.get(SubscriberKey(node, region))
         return subscriber is not None and subscriber.waiting
 
     def waiting_for_service(self, region: str, service: str) -> tuple[str, ...]:
-        """The waiting nodes that subscribe to a service."""
+        """Return the waiting nodes that subscribe to a service."""
         nodes = self._by_service.get((region, service), ())
         return tuple(
             node for node in nodes if self._subscribers[SubscriberKey(node, region)].waiting
         )
 
     def waiting_for_region(self, region: str) -> tuple[str, ...]:
-        """The waiting nodes of a region's log."""
+        """Return the waiting nodes that subscribe to a region's log."""
         return tuple(
             node
-            for (node, where), subscriber in self._subscribers.items()
-            if where == region and subscriber.waiting
+            for (node, its_region), subscriber in self._subscribers.items()
+            if its_region == region and subscriber.waiting
         )
 
     def update(self, node: str, region: str, services: frozenset[str]) -> Subscriber:
-        """Take note of a subscription to these services, which is to be answered now."""
+        """Store a subscription that is about to be answered, and return its state."""
         subscriber = self._subscribers.setdefault(SubscriberKey(node, region), Subscriber())
         for name in services - subscriber.services:
             self._by_service.setdefault((region, name), {})[node] = None
@@ -79,7 +79,7 @@
         return subscriber
 
     def remove(self, node: str, region: str) -> None:
-        """Forget one subscriber, which is here."""
+        """Remove a subscriber, which must exist."""
         subscriber = self._subscribers.pop(SubscriberKey(node, region))
         self._remove_from_index(node, region, subscriber.services)
 
--- a/loadbalancer/core/subscription/unknown_services.py
+++ b/loadbalancer/core/subscription/unknown_services.py
@@ -1,4 +1,4 @@
-"""Services that clients ask for and that are not held: a bounded table, a bounded query rate."""
+"""Queries for services that clients request and the node does not hold, limited in rate."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.core.subscription.limits import HolderLimits
 
-MAX_NAME = 256  # characters of a service's name that clients may ask for
+MAX_NAME = 256  # characters; longer names of services are ignored
 
 
 class ServiceQuery(NamedTuple):
-    """Query control for this service: a client wants it and it is not held."""
+    """A query to send to the control machine: a client requests a service that is not held."""
 
     service: str
 
 
 class UnknownServices:
-    """When each unknown name was last queried."""
+    """The unknown names that were queried recently, with a limit on their number."""
 
     def __init__(self, limits: HolderLimits) -> None:
         self._limits = limits
-        self._queried: OrderedDict[str, int] = OrderedDict()  # names and times, oldest first
-        self._bucket: TokenBucket | None = None  # made with the first name, when the time is known
+        self._queried: OrderedDict[str, int] = OrderedDict()  # time by name, oldest first
+        self._bucket: TokenBucket | None = None  # created for the first name, as it needs the time
 
     def __len__(self) -> int:
-        """How many names are remembered."""
+        """Return the number of stored names."""
         return len(self._queried)
 
     def on_request(self, now: int, service: str) -> ServiceQuery | None:
-        """A client asked for a service that is not held: the query to send, if any."""
+        """Return the query to send when a client requests a service that is not held, if any."""
         if not 0 < len(service) <= MAX_NAME:
             return None
         limits = self._limits
         if self._bucket is None:
-            # A burst of a second's queries, at least 1: less than one token would permit none.
+            # The burst is that of one second, but at least 1: a smaller bucket never has a token.
             self._bucket = TokenBucket(limits.queries_per_s, max(limits.queries_per_s, 1.0), now)
-        queried = self._queried.get(service)
-        if queried is not None and now - queried < limits.query_interval:
+        queried_at = self._queried.get(service)
+        if queried_at is not None and now - queried_at < limits.query_interval_ns:
             return None
         if not self._bucket.take(now):
             return None
@@ -49,5 +49,5 @@
         return ServiceQuery(service)
 
     def forget(self, service: str) -> None:
-        """The service is held now."""
+        """Remove a service that is held now."""
         self._queried.pop(service, None)
--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -1,4 +1,4 @@
-"""What becomes of an update at a node, and of the rows that it changes."""
+"""The result of an update at a node, and its effect on the rows of a service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,16 @@
 
 
 class UpdateStatus(Enum):
-    """What came of an update. Measurements record the members' names."""
+    """The result of an update. Measurements record the names of the members.
+
+    Attributes:
+        APPLIED: the update was applied.
+        OLDER: it was ignored, as its epoch or revision is older than the node's position.
+        GAP: it was ignored, as it does not follow the node's position; a snapshot is needed.
+        OVER_LIMIT: it was applied except for new rows of services that exceed the limits.
+        NOT_WANTED: its position was applied, but the node holds none of its services.
+        MALFORMED: it was ignored, as its positions or changes are inconsistent.
+    """
 
     APPLIED = "applied"
     OLDER = "of an older epoch or revision: ignored"
@@ -28,9 +37,9 @@
 
 
 class UpdateResult(NamedTuple):
-    """What came of an update: the services whose rows changed, and those that don't fit.
+    """The result of an update: the services whose rows changed, and those that were refused.
 
-    One may be both: it has lost rows that were removed, and takes nothing new.
+    A service may be in both: rows of it were removed, but none were added.
     """
 
     status: UpdateStatus
@@ -39,18 +48,19 @@
 
 
 class Subscription(NamedTuple):
-    """A node's poll for one region; a control machine answers it with an update."""
+    """A node's poll of one region's log, which a control machine answers with an update."""
 
     region: str
     position: Position
-    services: frozenset[str]  # to be sent: all that are wanted or still held
-    current: frozenset[str]  # those for which deltas suffice: the others must come completely
+    services: frozenset[str]  # all that are wanted or still held
+    current: frozenset[str]  # those for which deltas are sufficient
 
 
 def is_valid(delta: Delta) -> bool:
-    """Whether a delta goes forward, and each of its changes lies between its two positions.
+    """Return whether a delta does not go back, and its changes lie between its two positions.
 
-    A complete service may be as of the base: it was assigned, and has not changed since.
+    A complete change may have the position of the base: it is that of a newly assigned service that
+    has not changed since.
     """
     base, position = delta.base, delta.position
     if position.epoch < base.epoch or position.revision < base.revision:
@@ -62,21 +72,24 @@
 
 
 def rows_after(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
-    """A service's rows after a change; None where it was deleted."""
+    """Return a service's rows after a change, or None if it was deleted."""
     return None if change.deleted else apply_change(before or {}, change)
 
 
 def rows_without_removed(before: Mapping[str, Row] | None, change: Change) -> Rows | None:
-    """The rows less those that the change removes or drains; it adds and modifies nothing."""
+    """Return the rows without those that the change removes or drains.
+
+    Nothing else of the change is applied.
+    """
     if before is None:
         return None
-    named = {row.uid: row for row in change.rows}
-    removed = set(change.removed) | {uid for uid, row in named.items() if row.draining}
+    changed = {row.uid: row for row in change.rows}
+    removed = set(change.removed) | {uid for uid, row in changed.items() if row.draining}
     if change.complete:
-        removed |= before.keys() - named.keys()
+        removed |= before.keys() - changed.keys()
     return {uid: row for uid, row in before.items() if uid not in removed}
 
 
 def rows_bytes(rows: Mapping[str, Row] | None) -> int:
-    """About how many bytes of memory these rows take."""
+    """Return the approximate memory use of these rows in bytes."""
     return sum(ROW_BYTES + len(row.uid) + len(row.body) for row in (rows or {}).values())
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -106,7 +106,7 @@
     holder = holding("s")
     assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
-    assert not holder.on_request_begins("t")
+    assert not holder.on_request_start("t")
     assert holder.subscribed_services("r") == {"s", "t"}
     assert holder.current_services("r") == {"s"}
     assert holder.stale_services("r") == {"t"}
@@ -186,7 +186,7 @@
         UpdateStatus.APPLIED, ("s",)
     )
     assert holder.rows("s") is None
-    assert not holder.on_request_begins("s")
+    assert not holder.on_request_start("s")
     assert holder.retained_bytes == SERVICE_BYTES
     anew = Change(P(2, 12), "s", (row("z"),))
     assert holder.on_update(2, delta(P(2, 11), P(2, 12), anew)).status is UpdateStatus.APPLIED
@@ -198,23 +198,23 @@
     fails these requests.
     """
     holder = holding("s")
-    assert holder.on_request_begins("s")
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
+    assert holder.on_request_start("s")
     assert holder.on_assignment(1, {}, ()) == ()  # moved away, nobody serves yet
-    assert holder.on_request_begins("s")
-    holder.on_request_ends("s")
+    assert holder.on_request_start("s")
+    holder.on_request_end("s")
     assert holder.rows("s") == rows("a", "b")
     drain = Change(P(2, 11), "s", (row("a", draining=True),))
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), drain)).changed == ("s",)
     assert holder.on_assignment(3, {}, ("s",)) == ()
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.rows("s") is not None
     assert holder.drain_released() == ()
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.rows("s") is None
     assert holder.drain_released() == ("s",)
     assert holder.drain_released() == ()
-    assert not holder.on_request_begins("s")
+    assert not holder.on_request_start("s")
     assert holder.retained_bytes == 0
     assert holder.subscribed_services("r") == frozenset()
 
@@ -232,40 +232,40 @@
 def test_a_revoked_release_does_not_count() -> None:
     """A new holder dies, and control takes the permission to release back."""
     holder = holding("s")
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
     assert holder.on_assignment(1, {}, ("s",)) == ()
     assert holder.on_assignment(2, {}, ()) == ()
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.rows("s") == rows("a", "b")
 
 
 def test_a_service_that_is_never_idle_is_closed_after_the_drain_timeout() -> None:
     """Requests of a service that moved away never pause, so it would never be released."""
-    holder = holding("s", limits=HolderLimits(drain_timeout=10))
-    assert holder.on_request_begins("s")
+    holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
+    assert holder.on_request_start("s")
     assert holder.on_assignment(100, {}, ("s",)) == ()
     assert holder.on_assignment(109, {}, ("s",)) == ()
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
     assert holder.serving() == {"s"}
     assert holder.on_assignment(110, {}, ("s",)) == ()
-    assert not holder.on_request_begins("s")
+    assert not holder.on_request_start("s")
     assert holder.serving() == frozenset()
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.rows("s") is not None
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.drain_released() == ("s",)
 
 
 def test_a_service_that_comes_back_serves_on_and_has_to_come_completely() -> None:
-    holder = holding("s", limits=HolderLimits(drain_timeout=10))
-    assert holder.on_request_begins("s")
+    holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
+    assert holder.on_request_start("s")
     assert holder.on_assignment(100, {}, ("s",)) == ()
     assert holder.on_assignment(200, {}, ("s",)) == ()  # closed
     assert holder.on_assignment(201, {"s": "r"}, ()) == ()
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
     assert holder.current_services("r") == frozenset()  # it may not have been followed meanwhile
-    holder.on_request_ends("s")
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
+    holder.on_request_end("s")
     assert holder.drain_released() == ()
 
 
@@ -294,7 +294,7 @@
     )
     assert holder.age(10, "r") == 0
     day = 86_400 * SECOND
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
     assert holder.age(10 + day, "r") == day
     assert not holder.on_up_to_date(10 + day, "r", P(1, 2))
     assert holder.age(10 + day, "r") == day
--- a/tests/core/subscription/test_service_table.py
+++ b/tests/core/subscription/test_service_table.py
@@ -100,7 +100,7 @@
     first = {"s": numbered(110), "t": numbered(110)}
     assert holder.on_update(1, Snapshot("r", P(1, 1), first)).refused == ("t",)
     assert holder.rows("t") is None
-    assert not holder.on_request_begins("t")
+    assert not holder.on_request_start("t")
     assert holder.current_services("r") == {"s", "t"}
     assert holder.on_assignment(2, {"t": "r"}, ("s",)) == ()
     assert holder.current_services("r") == frozenset()  # t is to come completely now
--- a/tests/core/subscription/test_unknown_services.py
+++ b/tests/core/subscription/test_unknown_services.py
@@ -18,7 +18,7 @@
     queries = []
     for number in range(10_000):
         now = number * SECOND // 1000  # in ten seconds
-        if (query := holder.on_unknown(now, f"name-{number}")) is not None:
+        if (query := holder.on_unknown_service(now, f"name-{number}")) is not None:
             queries.append((now, query))
         assert len(holder._unknown) <= limits.max_unknown_names
     assert 50 <= len(queries) <= 56
@@ -31,12 +31,12 @@
 
 
 def test_an_unknown_name_is_queried_once_an_interval() -> None:
-    holder = holding("s", limits=HolderLimits(query_interval=10 * SECOND))
-    assert holder.on_unknown(0, "x") == ServiceQuery("x")
-    assert holder.on_unknown(SECOND, "x") is None
-    assert holder.on_unknown(10 * SECOND, "x") == ServiceQuery("x")
-    assert holder.on_unknown(11 * SECOND, "s") is None  # held
-    assert holder.on_unknown(11 * SECOND, "") is None
-    assert holder.on_unknown(11 * SECOND, "x" * 257) is None
+    holder = holding("s", limits=HolderLimits(query_interval_ns=10 * SECOND))
+    assert holder.on_unknown_service(0, "x") == ServiceQuery("x")
+    assert holder.on_unknown_service(SECOND, "x") is None
+    assert holder.on_unknown_service(10 * SECOND, "x") == ServiceQuery("x")
+    assert holder.on_unknown_service(11 * SECOND, "s") is None  # held
+    assert holder.on_unknown_service(11 * SECOND, "") is None
+    assert holder.on_unknown_service(11 * SECOND, "x" * 257) is None
     assert holder.on_assignment(12 * SECOND, {"s": "r", "x": "r"}, ()) == ()
-    assert holder.on_unknown(30 * SECOND, "x") is None  # on its way
+    assert holder.on_unknown_service(30 * SECOND, "x") is None  # on its way
