--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -56,9 +56,9 @@
 
     def play(rig: Rig) -> None:
         connection = rig.waiting()
-        assert rig.machine.publisher._subscribers.waiting("n1", "east")
+        assert rig.machine.publisher._subscribers.is_waiting("n1", "east")
         connection.host.cancel(connection)
-        assert not rig.machine.publisher._subscribers.waiting("n1", "east")
+        assert not rig.machine.publisher._subscribers.is_waiting("n1", "east")
         rig.change("cart")
         assert not connection.answers
 
