--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -23,7 +23,7 @@
 from loadbalancer.control.machine.file import Machine, ScaleFile
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.log_loader import LogLoader
-from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
+from loadbalancer.control.machine.messages import NodeReports, PresenceRequest, message_codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import (
@@ -58,7 +58,7 @@
 logger = logging.getLogger(__name__)
 
 
-class BoundListener(NamedTuple):
+class _OpenBoundListener(NamedTuple):
     """A listener that serves one service to a node that knows of no others."""
 
     address: Address
@@ -99,7 +99,7 @@
             file.limits.subscribers,
         )
         self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
-        self.bound = self._bound_listeners()
+        self.bound_listeners = self._bound_listeners()
         self.streams = self._peer_streams()
         services = [name for name, home in self.nodes.regions.items() if home == spec.region]
         self._loader = LogLoader(
@@ -109,15 +109,15 @@
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _bound_listeners(self) -> list[BoundListener]:
+    def _bound_listeners(self) -> list[_OpenBoundListener]:
         return [
-            BoundListener(
+            _OpenBoundListener(
                 one.listen,
                 BoundList(
                     self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
                 ),
             )
-            for one in self.file.bound
+            for one in self.file.bound_listeners
             if one.machine == self.machine.spec.name
         ]
 
@@ -126,7 +126,7 @@
         return PeerStreams(
             Hello(spec.name, fleet_digest(self.file)),
             {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
-            codec(),
+            message_codec(),
             self.file.limits.backlog,
             self._on_message,
             self._on_connected,
@@ -159,7 +159,7 @@
             ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
-        for one in self.bound:
+        for one in self.bound_listeners:
             yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
@@ -214,7 +214,7 @@
                 self.streams.send(sender, PresenceRequest())
         elif isinstance(message, PresenceRequest):
             self._on_connected(sender)
-        elif isinstance(message, Reports):
+        elif isinstance(message, NodeReports):
             self.nodes.on_reports(message.reports)
         elif isinstance(message, ReleaseGrant):
             self.releases.on_grant(now, sender, message)
@@ -251,7 +251,7 @@
 
     def _update_bound(self, region: str, service: str) -> None:
         """Notify bound listeners of a change of a region's service, "" for all of its services."""
-        for _, bound in self.bound:
+        for _, bound in self.bound_listeners:
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
 
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -21,16 +21,26 @@
 
 from loadbalancer.config.address import parse_address
 from loadbalancer.config.toml_file import parse
-from loadbalancer.control.machine import list_form as listform
+from loadbalancer.control.machine import list_format as listform
 from loadbalancer.control.machine import submitted_changes as handed_in
 from loadbalancer.control.machine.backends import read_backends
-from loadbalancer.control.machine.file import Bound, Limits, ScaleFileError, read_scale
+from loadbalancer.control.machine.file import BoundListener, Limits, ScaleFileError, read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
-from loadbalancer.control.machine.messages import NodeReport, PresenceRequest, Reports, codec
+from loadbalancer.control.machine.messages import (
+    NodeReport,
+    NodeReports,
+    PresenceRequest,
+    message_codec,
+)
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.operator_calls import OperatorConnection, OperatorHost
-from loadbalancer.control.machine.stream import Hello, PeerStreams, _Incoming
-from loadbalancer.control.machine.subscriber import PollTiming, Subscriber, _Region, _Report
+from loadbalancer.control.machine.stream import Hello, PeerStreams, _IncomingStream
+from loadbalancer.control.machine.subscriber import (
+    PollTiming,
+    Subscriber,
+    _RegionPolls,
+    _ServingReport,
+)
 from loadbalancer.control.machine.version import position_of, version_of
 from loadbalancer.control.xds.encoder import Encoder, stub_cluster
 from loadbalancer.control.xds.wire import ResponseEncoder, decode_delta_request, decode_request
@@ -85,14 +95,14 @@
     "machine-spec": (MachineSpec, "name region zone"),
     "node-spec": (NodeSpec, "name region zone capacity rate"),
     "service-spec": (ServiceSpec, "name region zones rate backends"),
-    "bound": (Bound, "machine service"),
+    "bound": (BoundListener, "machine service"),
     "limits": (Limits, "subscribers change_bytes backlog snapshot_rate"),
 }
 MESSAGES: dict[str, tuple[Any, str]] = {
     "hello": (Hello, "machine fleet"),
     "presence-update": (PresenceUpdate, "serial whole=complete came=joined left=departed"),
     "presence-wanted": (PresenceRequest, ""),
-    "reports": (Reports, "reports:node-report*"),
+    "reports": (NodeReports, "reports:node-report*"),
     "vote-request": (
         RequestVote,
         "region epoch=term history:position last=last_log:position trial=pre_vote reload transfer",
@@ -197,14 +207,14 @@
 def encode(kind: str, plain: Any) -> bytes:
     """The bytes that the code writes for these values."""
     if kind in MESSAGES:
-        return codec().encode(_built(kind, plain))
+        return message_codec().encode(_built(kind, plain))
     return WRITERS[kind](plain)
 
 
 def decode(kind: str, data: bytes) -> Any:
     """The values that the code reads from these bytes; one of REFUSED where it takes none."""
     if kind in MESSAGES:
-        message = codec().decode(data)
+        message = message_codec().decode(data)
         assert type(message) is MESSAGES[kind][0]
         return _plain(kind, message)
     return READERS[kind](data)
@@ -220,7 +230,7 @@
         is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=sent.append
     )
     hello = _built("hello", plain["hello"])
-    streams = PeerStreams(hello, {}, codec(), 1 << 20, lambda *_: None, lambda _: None)
+    streams = PeerStreams(hello, {}, message_codec(), 1 << 20, lambda *_: None, lambda _: None)
     streams._outgoing["other"] = transport  # type: ignore[assignment]
     streams.send("other", hello)
     for message in plain["messages"]:
@@ -242,9 +252,11 @@
         return True
 
     async def read() -> None:
-        streams = PeerStreams(Hello("", ""), {}, codec(), 1 << 20, on_message, lambda _: None)
+        streams = PeerStreams(
+            Hello("", ""), {}, message_codec(), 1 << 20, on_message, lambda _: None
+        )
         with mock.patch.object(streams, "accepts", accepts):
-            incoming = _Incoming(streams)
+            incoming = _IncomingStream(streams)
             incoming.connection_made(mock.Mock())
             for at in range(0, len(data), 7):  # frames come in pieces
                 incoming.data_received(data[at : at + 7])
@@ -347,11 +359,11 @@
     timing = PollTiming(hold_s=plain["hold_ms"] / 1000)
     machines = [parse_address(POLLED_ADDRESS)]
     asker = Subscriber(holder, [plain["region"]], machines, lambda *_: None, 1, timing)
-    state = _Region(0, first_poll=plain["held"] is not None, generation=plain["generation"])
+    state = _RegionPolls(0, first_poll=plain["held"] is not None, generation=plain["generation"])
     asker._regions[plain["region"]] = state
     state.stay_until = float("inf") if plain["redirected"] else 0.0
     if plain["serving"] is None:
-        state.reported = _Report(plain["generation"], "")
+        state.reported = _ServingReport(plain["generation"], "")
     target = asker._target(plain["region"], state)
 
     async def head() -> str:
@@ -470,7 +482,7 @@
         (Path(folder) / "lines.jsonl").write_bytes(data)
         path = Path(folder) / "scale.toml"
         path.write_text(CONTROL_FILE.format(key=key))
-        rows = getattr(read_scale(str(path)), attribute)
+        rows = getattr(read_scale_file(str(path)), attribute)
     return [_plain(record, row) for row in rows]
 
 
@@ -478,7 +490,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "scale.toml"
         path.write_bytes(data)
-        file = read_scale(str(path))
+        file = read_scale_file(str(path))
     return {
         "regions": {name: list(zones) for name, zones in file.regions.items()},
         "machines": [
@@ -488,7 +500,9 @@
         ],
         "nodes": [_plain("node-spec", one) for one in file.nodes],
         "services": [_plain("service-spec", one) for one in file.services],
-        "bound": [_plain("bound", one) | {"listen": str(one.listen)} for one in file.bound],
+        "bound": [
+            _plain("bound", one) | {"listen": str(one.listen)} for one in file.bound_listeners
+        ],
         "limits": _plain("limits", file.limits),
         "seed": file.seed,
         "assignment": {
@@ -621,7 +635,7 @@
     "version": _write_version,
     "answer": _write_answer,
     "plain-list": _write_plain_list,
-    "target": lambda plain: listform.body_of(plain).encode(),
+    "target": lambda plain: listform.canonical_json(plain).encode(),
     "question": _write_question,
     "http-answer": _write_http_answer,
     "changes-answer": _write_changes_answer,
@@ -635,7 +649,7 @@
     "stream": _read_stream,
     "version": _read_version,
     "answer": _read_answer,
-    "target": lambda data: json.loads(listform.row_of(json.loads(data)).body),
+    "target": lambda data: json.loads(listform.row_from_target(json.loads(data)).body),
     "question": _read_question,
     "operator-call": _read_operator_call,
     "backends-file": _read_backends_file,
