--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -87,7 +87,7 @@
         rate = file.limits.snapshot_rate
         limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
         self.publisher = Publisher(spec, specs, self.logs, limits)
-        self.publisher.on_nodes({node.name: node.region for node in file.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
         self.nodes = NodeRegistry(file, now, self.releases)
@@ -186,7 +186,7 @@
         if live != self._live_machines:
             self._live_machines = live
             logger.info("control machines alive: %s", ", ".join(sorted(live)))
-            self.node_requests.wake_keys(self.publisher.on_living(live))
+            self.node_requests.wake_keys(self.publisher.on_live_machines(live))
         leads = self.replica.role is Role.LEADER
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
@@ -198,7 +198,7 @@
 
     def live_machines(self, now: int) -> frozenset[str]:
         """The names of the machines that were heard lately, this one included."""
-        return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
+        return frozenset(self.nodes.presence.live_machines(now) | {self.machine.spec.name})
 
     # ---- the other machines ----------------------------------------------
 
@@ -232,15 +232,15 @@
         follows it is lost: operators get a 504 for changes that are committed, nodes are not told
         of them, and the replica's messages are not sent. A fault costs only the step that raises.
         """
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             run_logged(self._wake_restored, region)
             self._update_bound(region, "")
-        for region, change in self.replica.committed():
+        for region, change in self.replica.drain_committed():
             run_logged(self.submissions.on_committed, region, change)
             if change.service:
                 run_logged(self._wake_changed, region, change)
                 self._update_bound(region, change.service)
-        for recipient, message in self.replica.outgoing():
+        for recipient, message in self.replica.drain_outgoing():
             run_logged(self.streams.send, recipient, message)
 
     def _wake_restored(self, region: str) -> None:
@@ -269,7 +269,7 @@
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
             return OperatorResponse(HTTPStatus.BAD_REQUEST, text.encode())
         try:
-            changes = log.after(position_of(version), LOG_ANSWER_BYTES)
+            changes = log.changes_after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
             return OperatorResponse(HTTPStatus.BAD_REQUEST, str(err).encode())
         if changes is None:
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -162,8 +162,8 @@
             f"node={quote(self.holder.name)}",
             f"region={quote(region)}",
         ]
-        current = self.holder.current(region)
-        behind = current != self.holder.subscription(region)
+        current = self.holder.current_services(region)
+        behind = current != self.holder.subscribed_services(region)
         if (state.first_poll or behind) and position != START:
             parts.append(f"held={_names(current) or ','}")
         report = _ServingReport(self._generation(state), _names(self.holder.serving()))
@@ -238,8 +238,8 @@
         if response.update is not None:
             self._apply(region, state, response.update)
         else:
-            self.holder.on_nothing_newer(time.monotonic_ns(), region, response.position)
-        released = self.holder.released()
+            self.holder.on_up_to_date(time.monotonic_ns(), region, response.position)
+        released = self.holder.drain_released()
         if released and self._on_released is not None:
             self._on_released(released)
         pause = min(response.pause_ms / 1000, MAX_PAUSE_S)
@@ -277,7 +277,7 @@
             self.counts.events["older assignments"] += 1
             return
         state.generation = assignment.generation
-        exceeding = self.holder.on_wanted(
+        exceeding = self.holder.on_assignment(
             time.monotonic_ns(), assignment.wanted, assignment.releasable
         )
         if exceeding:
