--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -80,7 +80,7 @@
 
     SLOW = 1
     FULL = 2
-    DOUBTED = 3  # silent, but only by one node, which may be cut off itself
+    SUSPECTED = 3  # silent, but only by one node, which may be cut off itself
     SILENT = 4
 
 
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -234,5 +234,5 @@
             state.wake(endpoint.ejected_until, endpoint)
     elif reported is None and endpoint.ejected_until and not endpoint.consecutive_failures:
         readmit(state, endpoint)  # only where this node's own attempts did not eject it
-    endpoint.probing = endpoint.probing or reported == ReportedState.DOUBTED
+    endpoint.probing = endpoint.probing or reported == ReportedState.SUSPECTED
     rotation.update(state, endpoint)
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -140,7 +140,7 @@
         endpoint = self._balancer.endpoints.get(change.server)
         if endpoint is None or endpoint.consecutive_failures:
             return False
-        failing = change.verdict in (ReportedState.SILENT, ReportedState.DOUBTED)
+        failing = change.verdict in (ReportedState.SILENT, ReportedState.SUSPECTED)
         return failing and endpoint.last_seen > change.observed_at
 
     def _draining(self) -> list[Listing]:
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -113,7 +113,7 @@
         failing = [record for record in records if record.failures]
         if sum(record.failures for record in failing) >= MIN_FAILURES:
             confirmed = len(failing) >= self._min_witnesses
-            kind = ReportedState.SILENT if confirmed else ReportedState.DOUBTED
+            kind = ReportedState.SILENT if confirmed else ReportedState.SUSPECTED
             return Verdict(kind, 0, observed_at, any(record.cold for record in failing))
         if sum(record.rejections for record in records) >= MIN_REJECTIONS:
             return Verdict(ReportedState.FULL, 0, observed_at, cold=False)
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize(
     ("observations", "zones", "verdict"),
     [
-        ([observation(9, 1, failures=3)], 1, ReportedState.DOUBTED),  # it may be isolated
+        ([observation(9, 1, failures=3)], 1, ReportedState.SUSPECTED),  # it may be isolated
         ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, ReportedState.SILENT),
         ([observation(9, 1, failures=1), observation(9, 2, failures=1)], 1, None),
         # of the other zone
@@ -54,6 +54,6 @@
                 Kind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
             )
             node.receive(SECOND // 2, message)
-    failing = (ReportedState.SILENT, ReportedState.DOUBTED)
+    failing = (ReportedState.SILENT, ReportedState.SUSPECTED)
     changes = node.verdict_changes(SECOND // 2)
     assert sum(change.verdict in failing for change in changes) <= 10
