--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -23,7 +23,7 @@
 
 from loadbalancer.core.balancing import latency, rotation
 from loadbalancer.core.balancing.model import SECOND, Outcome, ReportedState, State
-from loadbalancer.core.balancing.records import FIRST_EJECTION, ClassState, Endpoint
+from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
 SILENCE_LATENCIES = 6.0  # of the slowest class, without an answer while requests are in flight
@@ -64,7 +64,7 @@
     answered(now, endpoint)
     endpoint.consecutive_rejections = endpoint.consecutive_errors = 0
     endpoint.probing = False
-    endpoint.backoff = FIRST_EJECTION
+    endpoint.backoff = FIRST_EJECTION_NS
     if endpoint.cold_until > now and state.queued and ratio <= SLOW_RATIO:
         # Requests wait and it answers fast: its few slots limit it enough, without spaced sends.
         endpoint.backoff_until = now
@@ -230,7 +230,7 @@
         if endpoint.ejected_until and not endpoint.consecutive_failures:
             # The nodes whose attempts failed probe it for all: here it stays ejected until they
             # report.
-            endpoint.ejected_until = max(endpoint.ejected_until, now + FIRST_EJECTION)
+            endpoint.ejected_until = max(endpoint.ejected_until, now + FIRST_EJECTION_NS)
             state.wake(endpoint.ejected_until, endpoint)
     elif reported is None and endpoint.ejected_until and not endpoint.consecutive_failures:
         readmit(state, endpoint)  # only where this node's own attempts did not eject it
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -19,7 +19,7 @@
     from loadbalancer.core.balancing.request_policy_state import RequestPolicyState
 
 REMAINING_STEPS = 64  # of the histogram of clients' remaining times
-FIRST_EJECTION = SECOND  # how long an endpoint's first ejection lasts
+FIRST_EJECTION_NS = SECOND  # how long an endpoint's first ejection lasts
 INITIAL_LATENCY_PART = 1 / 4  # of the objective: a class's latency until it is known
 
 
@@ -82,7 +82,7 @@
         self.connect_failed = False  # the last failure was a connection that never came up
         self.unresponsive = False  # it has requests in flight and does not answer
         self.probing = False  # one request at a time, until it answers
-        self.backoff = FIRST_EJECTION  # the next ejection's length
+        self.backoff = FIRST_EJECTION_NS  # the next ejection's length
         self.backoff_until = 0  # it gets no request until then
         self.ejected_until = 0  # 0 where it is not ejected
         # Slow start.
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_EJECTION_NS
-from loadbalancer.core.balancing.records import FIRST_EJECTION, REMAINING_STEPS
+from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, REMAINING_STEPS
 from loadbalancer.core.errors import ProtocolError
 
 if TYPE_CHECKING:
@@ -150,7 +150,7 @@
         min(_figure(cost), MAX_RATIO),
         int(_span(cold, 0.0)),
         int(_span(ejected, 0.0)),
-        min(max(int(backoff), FIRST_EJECTION), MAX_EJECTION_NS),
+        min(max(int(backoff), FIRST_EJECTION_NS), MAX_EJECTION_NS),
         max(int(failures), 0),
     )
 
--- a/loadbalancer/core/xds/plan.py
+++ b/loadbalancer/core/xds/plan.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.core.balancing.model import ServerView, Settings, State
 from loadbalancer.core.balancing.outlier_detection import MAX_EJECTION_NS, MAX_ERRORS
-from loadbalancer.core.balancing.records import FIRST_EJECTION
+from loadbalancer.core.balancing.records import FIRST_EJECTION_NS
 from loadbalancer.core.routes.table import BudgetSpec, Service
 from loadbalancer.core.xds.endpoint_plan import Locality, plan_localities
 from loadbalancer.core.xds.route_plan import RoutePlan, plan_routes
@@ -97,7 +97,7 @@
         max_requests=max(_round_down(sum(limits)) >> share_shift, 1),
         routes=tuple(plan_routes(service.routes, target.kind)),
         outlier_detection=(
-            OutlierDetection(MAX_ERRORS, FIRST_EJECTION, MAX_EJECTION_NS, MAX_EJECTION_PERCENT)
+            OutlierDetection(MAX_ERRORS, FIRST_EJECTION_NS, MAX_EJECTION_NS, MAX_EJECTION_PERCENT)
             if is_envoy
             else None
         ),
--- a/tests/core/balancing/test_repeated_events.py
+++ b/tests/core/balancing/test_repeated_events.py
@@ -9,7 +9,7 @@
 from loadbalancer.core import Balancer, Listing, Outcome, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, Timer
 from loadbalancer.core.balancing.outlier_detection import MAX_RATIO
-from loadbalancer.core.balancing.records import FIRST_EJECTION
+from loadbalancer.core.balancing.records import FIRST_EJECTION_NS
 from loadbalancer.core.balancing.request_classes import RETIRE_AFTER_NS
 from tests.core.balancing.policy_fleet import COPY, Fleet
 from tests.recording_host import KEYED, PURE, UNSAFE, build, rows
@@ -61,7 +61,7 @@
     balancer.on_members(SECOND, Update.FULL, listed)
     balancer.on_load_report(SECOND, 100, 1.0, failing=True)
     balancer.on_members(SECOND + 1, Update.FULL, listed)
-    assert balancer.endpoints[100].ejected_until == SECOND + FIRST_EJECTION
+    assert balancer.endpoints[100].ejected_until == SECOND + FIRST_EJECTION_NS
     # Nor does a removal whose row names no process, or another one.
     balancer.on_members(SECOND + 2, Update.DELTA, [Listing(101, State.GONE, boot=9)])
     assert 101 not in balancer.endpoints
@@ -187,8 +187,8 @@
         balancer.on_load_report(now, 100, 1.0, failing=True)
     endpoint = balancer.endpoints[100]
     assert balancer.state.ejected == 1
-    assert endpoint.ejected_until == SECOND + FIRST_EJECTION
-    assert endpoint.backoff == 2 * FIRST_EJECTION
+    assert endpoint.ejected_until == SECOND + FIRST_EJECTION_NS
+    assert endpoint.backoff == 2 * FIRST_EJECTION_NS
 
 
 def test_a_load_report_of_an_absurd_latency_is_bounded() -> None:
@@ -207,11 +207,11 @@
     balancer.on_request(SECOND, 1, 0, SECOND)
     for _ in range(3):
         balancer.on_timer(SECOND + 1, Timer.WAKE)
-    assert balancer.endpoints[100].ejected_until == SECOND + FIRST_EJECTION
+    assert balancer.endpoints[100].ejected_until == SECOND + FIRST_EJECTION_NS
     assert not host.named("refuse")
     assert balancer.state.queued == 1
     # Nor is what they waited for forgotten.
-    balancer.on_timer(SECOND + FIRST_EJECTION, Timer.WAKE)
+    balancer.on_timer(SECOND + FIRST_EJECTION_NS, Timer.WAKE)
     assert host.named("refuse") == [("refuse", 1)]
     assert not balancer.endpoints[100].ejected_until
 
@@ -224,7 +224,7 @@
     endpoint = balancer.endpoints[100]
     assert SECOND < endpoint.backoff_until < endpoint.ejected_until
     balancer.on_timer(endpoint.backoff_until, Timer.WAKE)
-    assert endpoint.ejected_until == SECOND + FIRST_EJECTION
+    assert endpoint.ejected_until == SECOND + FIRST_EJECTION_NS
 
 
 def test_a_request_that_is_queued_again_outlives_the_end_of_its_first_wait() -> None:
