--- a/benchmarks/scale/capacity/edges.py
+++ b/benchmarks/scale/capacity/edges.py
@@ -29,7 +29,7 @@
     new_connection_part,
     waits_for_slot_part,
 )
-from loadbalancer.core.balancing.state import START_LIMIT
+from loadbalancer.core.balancing.state import INITIAL_CONCURRENCY_LIMIT
 
 RECONNECTED_IN = Range(1, 10)  # seconds in which a lost node's clients come to the others
 
@@ -60,7 +60,7 @@
         work_s=WORK.range.low,
         connections=int(CONNECTIONS.range.high),
         idle_s=IDLE.range.high,
-        slots=START_LIMIT,
+        slots=INITIAL_CONCURRENCY_LIMIT,
     )
     hard = replace(
         easy,
--- a/loadbalancer/core/balancing/state.py
+++ b/loadbalancer/core/balancing/state.py
@@ -16,7 +16,9 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotRanks
 
-START_LIMIT = 4.0  # initial concurrency limit: in flight of all nodes together at one endpoint
+INITIAL_CONCURRENCY_LIMIT = (
+    4.0  # initial concurrency limit: in flight of all nodes together at one endpoint
+)
 RETRY_BURST = 10.0  # retry credit at most, and at first
 LOG_INTERVAL_NS = SECOND
 
@@ -70,7 +72,7 @@
         self.limit_share: LimitShare | None = None  # while two processes are this node
         self.slot_ranks: SlotRanks | None = None  # where nodes exchange messages
         # The concurrency limit, and what was counted since it was last adjusted.
-        self.concurrency_limit = START_LIMIT
+        self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.outcomes = self.rejections = self.timeouts = 0
         self.crowding_sum = [0.0] * len(self.classes)
         self.crowding_samples = [0.0] * len(self.classes)
