--- a/benchmarks/scale/balancers.py
+++ b/benchmarks/scale/balancers.py
@@ -97,7 +97,7 @@
     """The cost of a cycle for each slot: classes' shares are allocated slot by slot."""
     backends = 400 if quick else 2_000
     balancers = [make_balancer(backends, nodes) for nodes in (4, 6, 8, 16, 64)]
-    points = meter.cpu({one.state.total: partial(run_cycle, one) for one in balancers})
+    points = meter.cpu({one.state.max_in_flight: partial(run_cycle, one) for one in balancers})
     return [fit("balancer.cycle_by_slots", "us", "slot", points)]
 
 
--- a/loadbalancer/core/balancing/class_weights.py
+++ b/loadbalancer/core/balancing/class_weights.py
@@ -103,7 +103,7 @@
         request_class.rejected *= DECAY
         request_class.response_time *= DECAY
         request_class.served *= DECAY
-    for request_class, share in zip(state.classes, solve(state.total, flows), strict=True):
+    for request_class, share in zip(state.classes, solve(state.max_in_flight, flows), strict=True):
         request_class.share = share
 
 
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -19,7 +19,7 @@
 
 def dispatch(state: BalancerState, now: int) -> None:
     """Send queued requests while slots are free."""
-    while state.in_flight - state.transferring < state.total:
+    while state.in_flight - state.transferring < state.max_in_flight:
         deferred = False
         if not state.queued:
             if not state.deferred:
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -115,7 +115,7 @@
     lacking = max(min(assigned, MIN_SLOTS), 1) - usable
     if lacking > 0 and state.slot_ranks is None:  # nodes that exchange messages lease slots
         total += _use_reserve(state, reserve, lacking)
-    state.total = max(total, 1)
+    state.max_in_flight = max(total, 1)
 
 
 def _use_reserve(state: BalancerState, reserve: list[tuple[int, int, Endpoint]], count: int) -> int:
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -165,7 +165,7 @@
         It takes no slot from queued requests, which are dispatched to free slots first.
         """
         state, route = self._state, policy_state.state
-        if route.hedges < 1.0 or state.in_flight >= state.total:
+        if route.hedges < 1.0 or state.in_flight >= state.max_in_flight:
             return
         endpoint = pick(state, now)
         if endpoint is not None:
--- a/loadbalancer/core/balancing/state.py
+++ b/loadbalancer/core/balancing/state.py
@@ -31,10 +31,11 @@
     __slots__ = (
         "actions", "classes", "concurrency_limit", "credit", "credit_at", "crowding_samples",
         "crowding_sum", "deferred", "ejected", "endpoints", "in_flight", "limit_share", "local",
-        "log_after", "now", "outcomes", "peers", "policies", "polling", "queue_column", "queued",
-        "quota", "random", "ready", "rejections", "remaining_in_turn", "remote", "requests",
-        "retry_credit", "saturated", "send_rate", "sends", "settings", "slot_ranks", "stride",
-        "timeouts", "total", "transferring", "turn", "wake_at", "wake_count", "wakes", "zone_rank",
+        "log_after", "max_in_flight", "now", "outcomes", "peers", "policies", "polling",
+        "queue_column", "queued", "quota", "random", "ready", "rejections", "remaining_in_turn",
+        "remote", "requests", "retry_credit", "saturated", "send_rate", "sends", "settings",
+        "slot_ranks", "stride", "timeouts", "transferring", "turn", "wake_at", "wake_count",
+        "wakes", "zone_rank",
     )  # fmt: skip
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -50,7 +51,7 @@
         self.local: list[list[Endpoint]] = [[]]
         self.remote: list[list[Endpoint]] = [[]]
         # Requests in flight and queued.
-        self.total = 0  # the most that may be in flight (the paper's N_g)
+        self.max_in_flight = 0  # the most that may be in flight (the paper's N_g)
         self.in_flight = 0
         self.transferring = 0  # of them, with a long message under way
         self.queued = 0
--- a/tests/core/balancing/test_admission.py
+++ b/tests/core/balancing/test_admission.py
@@ -18,7 +18,7 @@
     balancer, host = build(Settings(classes=(near,)), count=1)
     for i in range(10):
         balancer.on_request(1, i, 0, 250 * MS)
-    slots = balancer.state.total
+    slots = balancer.state.max_in_flight
     balancer.on_request(1, 90, 0, 170 * MS)
     assert len(host.named("send")) == slots
     due = min(int(str(c[2])) for c in host.named("timer") if c[1] == Timer.WAKE)
@@ -29,7 +29,7 @@
 def test_a_marked_client_retry_goes_behind_first_tries() -> None:
     """Asked to stay away past its objective, a client that is back is late already."""
     balancer, host = build(Settings(classes=(PURE,), max_retry_after=SECOND), count=1)
-    for i in range(balancer.state.total):
+    for i in range(balancer.state.max_in_flight):
         balancer.on_request(MS, i, 0, SECOND)
     balancer.on_request(MS, 50, 0, SECOND, client_retry=True)
     balancer.on_request(MS, 51, 0, SECOND)
@@ -42,7 +42,7 @@
 def test_a_try_late_by_its_first_goes_behind() -> None:
     """Less time remaining than usual shows how long ago the client began."""
     balancer, host = build(Settings(classes=(PURE,)), count=1)
-    for i in range(balancer.state.total):
+    for i in range(balancer.state.max_in_flight):
         balancer.on_request(MS, i, 0, 500 * MS)
     balancer.on_request(MS, 50, 0, 300 * MS)  # began 700 ms ago, its objective is 200
     balancer.on_request(MS, 51, 0, 980 * MS)  # a last try, begun 20 ms ago
@@ -75,9 +75,11 @@
     for k in range(50):
         now = k * SECOND
         for i in range(20):
-            balancer.on_request(now, 100 * k + i, 0, SECOND, client_retry=i >= balancer.state.total)
-        assert balancer.state.deferred == 20 - balancer.state.total
+            balancer.on_request(
+                now, 100 * k + i, 0, SECOND, client_retry=i >= balancer.state.max_in_flight
+            )
+        assert balancer.state.deferred == 20 - balancer.state.max_in_flight
         balancer.on_timer(now + 190 * MS, Timer.WAKE)
-        for i in range(balancer.state.total):
+        for i in range(balancer.state.max_in_flight):
             balancer.on_outcome(now + 191 * MS, 100 * k + i, 0, Outcome.OK, 191 * MS, True)
     assert len(balancer.classes[0].deferred_queue) == 0
--- a/tests/core/balancing/test_dispatch.py
+++ b/tests/core/balancing/test_dispatch.py
@@ -11,6 +11,6 @@
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
     sent = len(host.named("send"))
-    assert sent == balancer.state.total < 20
+    assert sent == balancer.state.max_in_flight < 20
     balancer.on_timer(190 * MS, Timer.WAKE)
     assert len(host.named("refuse")) == 20 - sent
--- a/tests/core/balancing/test_endpoint_caps.py
+++ b/tests/core/balancing/test_endpoint_caps.py
@@ -24,4 +24,4 @@
     for limit, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
         balancer.state.concurrency_limit = limit
         balancer.update_caps()
-        assert abs(balancer.state.total - slots) <= 1
+        assert abs(balancer.state.max_in_flight - slots) <= 1
--- a/tests/core/balancing/test_request_classes.py
+++ b/tests/core/balancing/test_request_classes.py
@@ -53,7 +53,7 @@
 def test_a_dropped_class_finishes_its_queue_and_is_retired() -> None:
     balancer, host = build(TWO, count=1)
     unsafe = balancer.classes[1]
-    cap = balancer.state.total
+    cap = balancer.state.max_in_flight
     for rid in range(1, cap + 3):
         balancer.on_request(0, rid, 1, 900 * MS)
     assert unsafe.queued == 2
--- a/tests/core/balancing/test_scheduling.py
+++ b/tests/core/balancing/test_scheduling.py
@@ -13,7 +13,7 @@
 
 def test_round_robin_keeps_each_classs_share_in_flight() -> None:
     balancer, host = build(count=6)
-    total = balancer.state.total
+    total = balancer.state.max_in_flight
     balancer.classes[0].share, balancer.classes[1].share = total - 4, 3
     balancer.classes[2].share = 1
     for i in range(9 * total):
@@ -29,7 +29,7 @@
 def test_requests_over_quota_go_last_and_tenants_take_turns() -> None:
     tenants = (Tenant("a", 0.75, 1000.0), Tenant("b", 0.45, 1000.0), Tenant("c", 0.1, 1.0))
     balancer, host = build(Settings(classes=(PURE,), tenants=tenants), count=1)
-    for i in range(balancer.state.total):
+    for i in range(balancer.state.max_in_flight):
         balancer.on_request(1, 900 + i, 0, SECOND, 0)
     for i in range(6):
         balancer.on_request(1, 300 + i, 0, SECOND, 2)
--- a/tests/proxy/test_balancer_faults.py
+++ b/tests/proxy/test_balancer_faults.py
@@ -72,7 +72,7 @@
 
     The exception went past the report of the request's end: the Balancer kept the request.
     """
-    state.total = 0  # nothing is sent
+    state.max_in_flight = 0  # nothing is sent
     admit(host, client)
     assert state.requests
     monkeypatch.setattr(client, "respond_empty", lambda _status, _retry_after: raise_fault())
