--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -410,7 +410,7 @@
                 e.zone,
                 e.state,
                 e.cap,
-                slow_start.warmth(state, e) if e.cold_until > now else 1.0,
+                slow_start.capacity_fraction(state, e) if e.cold_until > now else 1.0,
                 e.latency_ratio,
                 e.ejected_until > now,
             )
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -103,7 +103,7 @@
     zone: int
     state: State
     cap: int  # requests in flight that this node allows
-    warmth: float  # assumed part of its capacity, 1.0 once warm
+    capacity_fraction: float  # assumed part of its capacity, 1.0 once warm
     latency_ratio: float  # against the fleet's
     ejected: bool  # out of rotation as silent or unreachable
 
--- a/loadbalancer/core/balancing/slow_start.py
+++ b/loadbalancer/core/balancing/slow_start.py
@@ -31,7 +31,7 @@
     endpoint.cold_until = max(endpoint.cold_until, boot + settings.cold)
 
 
-def warmth(state: BalancerState, endpoint: Endpoint) -> float:
+def capacity_fraction(state: BalancerState, endpoint: Endpoint) -> float:
     """The part of its capacity that a cold endpoint is assumed to have by now, up to 1."""
     settings = state.settings
     warm = 1.0 - (endpoint.cold_until - state.now) / max(settings.cold, 1)
@@ -41,7 +41,7 @@
 def depth(state: BalancerState, endpoint: Endpoint, limit: float) -> float:
     """The concurrency limit of a cold endpoint, from the `limit` it has when warm."""
     # MIN_COLD_DEPTH alone would leave a zone of half-warm endpoints mostly idle.
-    return min(limit, max(MIN_COLD_DEPTH, limit * warmth(state, endpoint)))
+    return min(limit, max(MIN_COLD_DEPTH, limit * capacity_fraction(state, endpoint)))
 
 
 def space_sends(state: BalancerState, now: int, endpoint: Endpoint) -> None:
@@ -52,7 +52,7 @@
     """
     settings = state.settings
     usual_rate = state.send_rate * settings.nodes / max(state.ready, 1)
-    rate = BUDGET_PART * settings.fall_multiple * warmth(state, endpoint) * usual_rate
+    rate = BUDGET_PART * settings.fall_multiple * capacity_fraction(state, endpoint) * usual_rate
     gap = settings.fall if rate <= 0 else min(int(SECOND * endpoint.sharers / rate), settings.fall)
     endpoint.backoff_until = now + gap
     state.wake(endpoint.backoff_until, endpoint)
--- a/loadbalancer/core/xds/endpoint_plan.py
+++ b/loadbalancer/core/xds/endpoint_plan.py
@@ -42,9 +42,12 @@
     every proxy for as long as it warms up.
     """
     warmth = 1.0
-    if apply_warmth and view.warmth < 1.0:
+    if apply_warmth and view.capacity_fraction < 1.0:
         step = 1 / WARMTH_STEPS  # below the first step warmth is not rounded: it would be 0
-        warmth = max(int(view.warmth * WARMTH_STEPS) / WARMTH_STEPS, min(view.warmth, step))
+        warmth = max(
+            int(view.capacity_fraction * WARMTH_STEPS) / WARMTH_STEPS,
+            min(view.capacity_fraction, step),
+        )
     return max(int(WEIGHT_UNIT * view.cap * warmth), 1)
 
 
--- a/tests/core/balancing/test_slow_start.py
+++ b/tests/core/balancing/test_slow_start.py
@@ -52,7 +52,7 @@
     state, endpoint = balancer.state, balancer.endpoints[100]
     state.now = 20 * SECOND
     endpoint.cold_until = 30 * SECOND
-    assert slow_start.warmth(state, endpoint) == 0.5
+    assert slow_start.capacity_fraction(state, endpoint) == 0.5
     state.send_rate = 10.0  # 0.5 x 2 x 0.5 x 10 = 5 sends a second
     slow_start.space_sends(state, state.now, endpoint)
     assert endpoint.backoff_until == state.now + 200 * MS
--- a/tests/core/xds/test_plan.py
+++ b/tests/core/xds/test_plan.py
@@ -87,7 +87,7 @@
 
 
 def test_a_cold_servers_weight_goes_up_in_steps_and_never_to_nothing() -> None:
-    weights = [endpoint_weight(server(1, warmth=i / 1000)) for i in range(1001)]
+    weights = [endpoint_weight(server(1, capacity_fraction=i / 1000)) for i in range(1001)]
     assert weights == sorted(weights)
     assert weights[0] == 1
     assert weights[-1] == 400
@@ -96,7 +96,7 @@
 
 
 def test_where_proxies_have_slow_start_the_weight_holds_no_warmth() -> None:
-    cold = server(1, warmth=0.3)
+    cold = server(1, capacity_fraction=0.3)
     slow_start = replace(ENVOY, proxy_slow_start=True)
     with_slow_start = planned(cold, target=slow_start)
     assert with_slow_start.localities[0].endpoints[0].weight == 400
@@ -294,7 +294,10 @@
     loaded: dict[int, int] = {}
     for second in range(1, 11):
         warmth = 0.3 + 0.07 * (second - 1)
-        view = [server(1, warmth=warmth, cap=2), *(server(i) for i in range(2, servers + 1))]
+        view = [
+            server(1, capacity_fraction=warmth, cap=2),
+            *(server(i) for i in range(2, servers + 1)),
+        ]
         rows = planned(*view, target=target).localities
         weights = (
             {int(row.sub_zone): row.weight for row in rows} if proxyless
--- a/tests/golden/bindings_control.py
+++ b/tests/golden/bindings_control.py
@@ -517,7 +517,7 @@
     view = [
         ServerView(
             backend=one["backend"], zone=one["zone"], state=State[one["state"]], cap=one["cap"],
-            warmth=one["warmth"], latency_ratio=1.0, ejected=one["down"],
+            capacity_fraction=one["warmth"], latency_ratio=1.0, ejected=one["down"],
         )
         for one in plain["servers"]
     ]  # fmt: skip
