--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -33,7 +33,7 @@
 class RoutePolicies:
     """The policies' part in one Balancer; see `ports.Policies` for when each is called."""
 
-    __slots__ = ("_random", "_routes", "_state", "hedges", "node", "retries", "unpaid")
+    __slots__ = ("_random", "_routes", "_state", "hedges", "node", "retries", "denied_by_budget")
 
     def __init__(self, balancer: Balancer, seed: int, node: BudgetSpec, now: int) -> None:
         self._state = balancer.state
@@ -42,7 +42,7 @@
         self.node = RetryBudget(node, now)
         self.retries = 0  # attempts granted after one that failed
         self.hedges = 0  # sent
-        self.unpaid = 0  # of either, not sent for want of budget
+        self.denied_by_budget = 0  # of either, not sent for want of budget
 
     def replace(self, node: BudgetSpec, names: set[str]) -> None:
         """Use a new routes file: its node budget, and only the routes in `names`.
@@ -191,7 +191,7 @@
             if not budget.spend(now):
                 for other in paid:
                     other.give_back()
-                self.unpaid += 1
+                self.denied_by_budget += 1
                 return False
             paid.append(budget)
         return True
--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -91,5 +91,5 @@
             "route policies: %d retries, %d hedged requests, %d held back by budgets",
             policies.retries,
             policies.hedges,
-            policies.unpaid,
+            policies.denied_by_budget,
         )
