--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -54,7 +54,7 @@
 from loadbalancer.core.balancing.state import BalancerState
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotRanks
+    from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotAllocator
     from loadbalancer.core.routes.table import Policy
 
 FIRST_ATTEMPT = 0  # the number of a request's first attempt
@@ -388,9 +388,9 @@
         """Whether another process is this node too."""
         return self.state.limit_share is not None
 
-    def set_slot_ranks(self, ranks: SlotRanks) -> None:
+    def set_slot_allocator(self, ranks: SlotAllocator) -> None:
         """Take the caps in this node's zone from `ranks`, which gossip keeps up to date."""
-        self.state.slot_ranks = ranks
+        self.state.slot_allocator = ranks
 
     def set_policies(self, policies: Policies) -> None:
         """Apply the routes' policies to requests that come with one."""
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -12,7 +12,7 @@
 and what the endpoints' answers show. Results, all in requests: `Endpoint.cap`
 (N_{g,s}), `Endpoint.node_cap` and `BalancerState.total` (N_g). Nodes of other
 zones share a separate part of an endpoint's slots. Where nodes exchange
-messages (`SlotRanks`) the slots of nodes that are down are divided among the
+messages (`SlotAllocator`) the slots of nodes that are down are divided among the
 others, and where two processes are this node (`LimitShare`) they divide its caps.
 """
 
@@ -113,7 +113,7 @@
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
     lacking = max(min(assigned, MIN_SLOTS), 1) - usable
-    if lacking > 0 and state.slot_ranks is None:  # nodes that exchange messages lease slots
+    if lacking > 0 and state.slot_allocator is None:  # nodes that exchange messages lease slots
         total += _use_reserve(state, reserve, lacking)
     state.max_in_flight = max(total, 1)
 
@@ -146,8 +146,8 @@
     slots = int(depth + endpoint.rounding)
     rank = endpoint.node_rank
     endpoint.node_cap = -(-(slots - rank) // nodes) if slots > rank else 0
-    if state.slot_ranks is not None and endpoint.local and warm:
-        endpoint.node_cap = state.slot_ranks.cap(endpoint.id, rank, slots, local)
+    if state.slot_allocator is not None and endpoint.local and warm:
+        endpoint.node_cap = state.slot_allocator.cap(endpoint.id, rank, slots, local)
     endpoint.cap = endpoint.node_cap
     if state.limit_share is not None:
         endpoint.cap = state.limit_share.of(endpoint.id, endpoint.node_cap)
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -17,7 +17,7 @@
         """The part of a node's `cap` of this endpoint, in requests."""
 
 
-class SlotRanks(Protocol):
+class SlotAllocator(Protocol):
     """Slots divided among the alive nodes; see `core.gossip.slot_allocation`."""
 
     def cap(self, backend: int, rank: int, depth: int, servers: int) -> int:
--- a/loadbalancer/core/balancing/state.py
+++ b/loadbalancer/core/balancing/state.py
@@ -14,7 +14,7 @@
 from loadbalancer.core.balancing.records import ClassState, Endpoint, Request
 
 if TYPE_CHECKING:
-    from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotRanks
+    from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotAllocator
 
 INITIAL_CONCURRENCY_LIMIT = (
     4.0  # initial concurrency limit: in flight of all nodes together at one endpoint
@@ -34,7 +34,7 @@
         "log_after", "max_in_flight", "now", "outcomes", "peers", "policies", "polling",
         "queue_column", "queued", "quota", "random", "ready", "rejections", "remaining_in_turn",
         "remote", "requests", "retry_credit", "saturated", "send_rate", "sends", "settings",
-        "slot_ranks", "stride", "timeouts", "transferring", "turn", "wake_at", "wake_count",
+        "slot_allocator", "stride", "timeouts", "transferring", "turn", "wake_at", "wake_count",
         "wakes", "zone_rank",
     )  # fmt: skip
 
@@ -71,7 +71,7 @@
         # What a host plugs in.
         self.policies: Policies | None = None  # with a routes file
         self.limit_share: LimitShare | None = None  # while two processes are this node
-        self.slot_ranks: SlotRanks | None = None  # where nodes exchange messages
+        self.slot_allocator: SlotAllocator | None = None  # where nodes exchange messages
         # The concurrency limit, and what was counted since it was last adjusted.
         self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.outcomes = self.rejections = self.timeouts = 0
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -47,7 +47,7 @@
         self._saturated = False
         self._peaks = [0, 0]  # most requests in flight, in this window and in the last one
         self._window_ends_at = 0
-        balancer.set_slot_ranks(self.slots)
+        balancer.set_slot_allocator(self.slots)
 
     def _is_alive_at(self, place: int) -> bool:
         """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
