--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -62,7 +62,7 @@
         # Where nodes outnumber endpoints, ranks shifted one by one would miss the last nodes.
         spread = max(nodes, count)
         for index, endpoint in enumerate(endpoints):
-            endpoint.rounding = index * ROUNDING_STEP % 1.0
+            endpoint.rounding_offset = index * ROUNDING_STEP % 1.0
             endpoint.sharing_nodes = nodes
             endpoint.node_rank = (place - index * spread // count) % nodes
     update(state)
@@ -96,7 +96,7 @@
         if endpoint.state != State.READY:
             continue
         depth = limit if endpoint.local else limit * OTHER_ZONES_PART
-        slots = int(depth + endpoint.rounding)
+        slots = int(depth + endpoint.rounding_offset)
         _set_cap(state, endpoint, depth, local)
         total += endpoint.cap
         assigned += slots > endpoint.node_rank
@@ -143,7 +143,7 @@
         depth = slow_start.depth(state, endpoint, depth)
     nodes = endpoint.sharing_nodes
     endpoint.sharers = max(1, min(int(depth + 1.0), nodes))
-    slots = int(depth + endpoint.rounding)
+    slots = int(depth + endpoint.rounding_offset)
     rank = endpoint.node_rank
     endpoint.node_cap = -(-(slots - rank) // nodes) if slots > rank else 0
     if state.slot_allocator is not None and endpoint.local and warm:
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -64,7 +64,7 @@
     answered(now, endpoint)
     endpoint.consecutive_rejections = endpoint.consecutive_errors = 0
     endpoint.probing = False
-    endpoint.backoff = FIRST_EJECTION_NS
+    endpoint.next_ejection_ns = FIRST_EJECTION_NS
     if endpoint.cold_until > now and state.queued and ratio <= SLOW_RATIO:
         # Requests wait and it answers fast: its few slots limit it enough, without spaced sends.
         endpoint.backoff_until = now
@@ -165,8 +165,8 @@
     """
     if endpoint.ejected_until or (state.ejected + 1) * 2 > state.ready:
         return
-    endpoint.ejected_until = now + endpoint.backoff
-    endpoint.backoff = min(endpoint.backoff * 2, MAX_EJECTION_NS)
+    endpoint.ejected_until = now + endpoint.next_ejection_ns
+    endpoint.next_ejection_ns = min(endpoint.next_ejection_ns * 2, MAX_EJECTION_NS)
     if restarted:
         endpoint.cold_until = endpoint.ejected_until + state.settings.cold
     reason = "connection failed or reset" if lost else "no answer since the send"
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -43,11 +43,12 @@
     """One server of the endpoint list and this node's view of it."""
 
     __slots__ = (
-        "backoff", "backoff_until", "boot", "bucket", "bucket_index", "cap", "cell", "cold_until",
+        "backoff_until", "boot", "bucket", "bucket_index", "cap", "cell", "cold_until",
         "connect_failed", "consecutive_errors", "consecutive_failures", "consecutive_rejections",
         "ejected_until", "id", "in_flight", "kind", "last_seen", "latency_ratio", "load_cost",
-        "local", "node_cap", "node_rank", "probing", "rating", "reported_ratio", "rounding",
-        "sharers", "sharing_nodes", "silent_since", "state", "transferring", "unresponsive", "zone",
+        "local", "next_ejection_ns", "node_cap", "node_rank", "probing", "rating", "reported_ratio",
+        "rounding_offset", "sharers", "sharing_nodes", "silent_since", "state", "transferring",
+        "unresponsive", "zone",
     )  # fmt: skip
 
     def __init__(self, row: Listing, local: bool) -> None:
@@ -66,7 +67,7 @@
         self.node_cap = 0  # the same of all processes that are this node
         self.sharing_nodes = 1  # nodes that share its slots
         self.node_rank = 0  # this node's rank among them
-        self.rounding = 0.0  # added to a fractional limit before it is cut to an integer
+        self.rounding_offset = 0.0  # added to a fractional limit before it is cut to an integer
         self.bucket: list[Endpoint] | None = None  # its bucket in `rotation`, None: not in rotation
         self.bucket_index = 0
         # What its answers show.
@@ -82,7 +83,7 @@
         self.connect_failed = False  # the last failure was a connection that never came up
         self.unresponsive = False  # it has requests in flight and does not answer
         self.probing = False  # one request at a time, until it answers
-        self.backoff = FIRST_EJECTION_NS  # the next ejection's length
+        self.next_ejection_ns = FIRST_EJECTION_NS  # the next ejection's length
         self.backoff_until = 0  # it gets no request until then
         self.ejected_until = 0  # 0 where it is not ejected
         # Slow start.
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -87,7 +87,7 @@
         self._peaks = [balancer.in_flight, self._peaks[0]]
         ready = [e for e in balancer.endpoints.values() if e.local and e.state == State.READY]
         depths = [
-            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding))
+            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding_offset))
             for endpoint in ready
             if endpoint.cold_until <= balancer.now
         ]
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -90,7 +90,7 @@
                 e.load_cost,
                 max(e.cold_until - now, 0),
                 max(e.ejected_until - now, 0),
-                e.backoff,
+                e.next_ejection_ns,
                 e.consecutive_failures,
             ]
             for e in state.endpoints.values()
@@ -169,7 +169,7 @@
 ) -> None:
     endpoint.latency_ratio, endpoint.load_cost = learned.latency_ratio, learned.load_cost
     endpoint.last_seen = now
-    endpoint.backoff = learned.backoff
+    endpoint.next_ejection_ns = learned.backoff
     endpoint.consecutive_failures = learned.consecutive_failures
     if learned.cold:
         endpoint.cold_until = max(endpoint.cold_until, now + learned.cold)
--- a/tests/core/balancing/test_outlier_detection.py
+++ b/tests/core/balancing/test_outlier_detection.py
@@ -105,7 +105,7 @@
     (probe,) = (c[1] for c in host.named("send") if c[2] == 100)  # one at a time
     balancer.on_outcome(now + MS, int(str(probe)), 0, Outcome.OK, MS, True)
     assert not endpoint.probing
-    assert endpoint.backoff == SECOND
+    assert endpoint.next_ejection_ns == SECOND
 
 
 def test_errors_back_an_endpoint_off_only_when_they_come_in_a_row() -> None:
--- a/tests/core/balancing/test_repeated_events.py
+++ b/tests/core/balancing/test_repeated_events.py
@@ -188,7 +188,7 @@
     endpoint = balancer.endpoints[100]
     assert balancer.state.ejected == 1
     assert endpoint.ejected_until == SECOND + FIRST_EJECTION_NS
-    assert endpoint.backoff == 2 * FIRST_EJECTION_NS
+    assert endpoint.next_ejection_ns == 2 * FIRST_EJECTION_NS
 
 
 def test_a_load_report_of_an_absurd_latency_is_bounded() -> None:
--- a/tests/core/balancing/test_slot_ranks.py
+++ b/tests/core/balancing/test_slot_ranks.py
@@ -105,7 +105,9 @@
     limit = max(balancer.concurrency_limit, MIN_SLOTS * balancer.peers / max(local, 1))
     beyond = dealt = 0
     for b in backends:
-        within = b.node_rank < int((limit if b.local else limit * OTHER_ZONES_PART) + b.rounding)
+        within = b.node_rank < int(
+            (limit if b.local else limit * OTHER_ZONES_PART) + b.rounding_offset
+        )
         dealt += within
         beyond += b.cap > 0 and not within
     assert beyond <= max(min(dealt, MIN_SLOTS), 1)
