--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -80,12 +80,12 @@
     deadline = c.spec.deadline
     step = max(0, min(REMAINING_STEPS * remaining // deadline, REMAINING_STEPS))
     histogram = c.remaining_histogram
-    c.remaining_seen += 1
+    c.remaining_samples += 1
     histogram[step] += 1
-    if histogram[step] > histogram[c.usual_remaining]:
-        c.usual_remaining = step
-    usual = c.usual_remaining
-    if abs(step - usual) <= 1 or histogram[usual] < USUAL_PART * c.remaining_seen:
+    if histogram[step] > histogram[c.usual_remaining_step]:
+        c.usual_remaining_step = step
+    usual = c.usual_remaining_step
+    if abs(step - usual) <= 1 or histogram[usual] < USUAL_PART * c.remaining_samples:
         return 0
     return max(deadline - remaining, 0)
 
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -150,9 +150,9 @@
     __slots__ = (
         "arrivals", "base_latency", "cycles", "deferred", "deferred_queue", "effect", "in_flight",
         "latency", "latency_objective", "latency_samples", "number", "passes", "queued",
-        "queued_by_tenant", "queues", "rejected", "remaining_histogram", "remaining_seen",
-        "response_time", "retires_at", "served", "share", "share_sum", "spec", "usual_remaining",
-        "virtual_time",
+        "queued_by_tenant", "queues", "rejected", "remaining_histogram", "remaining_samples",
+        "response_time", "retires_at", "served", "share", "share_sum", "spec",
+        "usual_remaining_step", "virtual_time",
     )  # fmt: skip
 
     def __init__(self, number: int, spec: RequestClass, tenants: int) -> None:
@@ -172,8 +172,8 @@
         self.in_flight = 0
         # Requests by remaining time, in REMAINING_STEPS steps of the class's deadline.
         self.remaining_histogram = [0] * (REMAINING_STEPS + 1)
-        self.remaining_seen = 0
-        self.usual_remaining = 0  # the most frequent step
+        self.remaining_samples = 0
+        self.usual_remaining_step = 0  # the most frequent step
         self.latency = spec.latency_objective * INITIAL_LATENCY_PART  # mean of its attempts
         self.latency_samples = 0.0
         self.base_latency = 0.0  # mean of its attempts when endpoints are uncrowded
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -160,8 +160,8 @@
     c.base_latency = learned.base_latency
     c.share = learned.share
     histogram = c.remaining_histogram = list(learned.remaining_histogram)
-    c.remaining_seen = sum(histogram)
-    c.usual_remaining = max(range(len(histogram)), key=histogram.__getitem__)
+    c.remaining_samples = sum(histogram)
+    c.usual_remaining_step = max(range(len(histogram)), key=histogram.__getitem__)
 
 
 def _restore_endpoint(
