--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -124,7 +124,7 @@
     for _, _, endpoint in sorted(reserve)[:count]:
         endpoint.node_cap = endpoint.cap = 1
         if state.limit_share is not None:
-            endpoint.cap = state.limit_share.of(endpoint.id, 1)
+            endpoint.cap = state.limit_share.share_of(endpoint.id, 1)
         added += endpoint.cap
         rotation.update(state, endpoint)
     return added
@@ -150,5 +150,5 @@
         endpoint.node_cap = state.slot_allocator.cap(endpoint.id, rank, slots, local)
     endpoint.cap = endpoint.node_cap
     if state.limit_share is not None:
-        endpoint.cap = state.limit_share.of(endpoint.id, endpoint.node_cap)
+        endpoint.cap = state.limit_share.share_of(endpoint.id, endpoint.node_cap)
     rotation.update(state, endpoint)
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -13,7 +13,7 @@
 class LimitShare(Protocol):
     """This process's part of each endpoint's cap, where two processes are one node."""
 
-    def of(self, backend: int, cap: int) -> int:
+    def share_of(self, backend: int, cap: int) -> int:
         """The part of a node's `cap` of this endpoint, in requests."""
 
 
--- a/loadbalancer/core/process_pair.py
+++ b/loadbalancer/core/process_pair.py
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.slots: dict[int, int] = {}
 
-    def of(self, backend: int, cap: int) -> int:
+    def share_of(self, backend: int, cap: int) -> int:
         """This process's part of a node's cap."""
         return min(cap, self.slots.get(backend, 0))
 
@@ -82,7 +82,7 @@
     def __init__(self) -> None:
         self.retained: dict[int, int] = {}
 
-    def of(self, backend: int, cap: int) -> int:
+    def share_of(self, backend: int, cap: int) -> int:
         """This process's part of a node's cap."""
         return max(cap - self.retained.get(backend, 0), 0)
 
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -29,11 +29,11 @@
         for _ in range(300):
             b = random.choice(list(cap))
             act = random.randrange(6)
-            if act == 0 and in_flight[b] < old.of(b, cap[b]):
+            if act == 0 and in_flight[b] < old.share_of(b, cap[b]):
                 in_flight[b] += 1
             elif act == 1 and in_flight[b]:
                 in_flight[b] -= 1
-            elif act == 2 and ours[b] < new.of(b, cap[b]):
+            elif act == 2 and ours[b] < new.share_of(b, cap[b]):
                 ours[b] += 1
             elif act == 3:
                 need *= random.random()
@@ -49,7 +49,7 @@
         for message in messages:
             new.update(message)
         new.update(old.release([EndpointUse(b, cap[b], 0, False) for b in cap], 0.0))
-        assert all(new.of(b, cap[b]) == cap[b] for b in cap)
+        assert all(new.share_of(b, cap[b]) == cap[b] for b in cap)
 
 
 def test_caps_of_one_fall_to_both_sides_and_cold_ones_to_the_new_one() -> None:
@@ -87,4 +87,4 @@
     share.begin([EndpointUse(1, 40, 0, False)])
     released = share.release([EndpointUse(1, 40, 0, False)], 0.25)[1]
     assert share.release([EndpointUse(1, 40, 30, False)], 1.0) == {}
-    assert share.of(1, 40) == released
+    assert share.share_of(1, 40) == released
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -228,7 +228,7 @@
         sharing = successor._state = Sharing(link, first_report)
         successor._on_message(report)
         assert first_report.done()
-        assert sharing.share.of(7, 10) == 7
+        assert sharing.share.share_of(7, 10) == 7
 
     asyncio.run(receive())
     assert process.node.other_process_request_ids == {b"r-1"}
