--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -145,7 +145,7 @@
         Guards proxies against a list that turns empty: their last endpoints stay, because a
         proxy without endpoints fails every request.
         """
-        views = self.balancer.view(time.monotonic_ns())
+        views = self.balancer.endpoint_views(time.monotonic_ns())
         if views:
             self._views = views
             self._addresses = {
@@ -162,7 +162,7 @@
         """Why the list is stale, "" where it is not."""
         now = time.monotonic_ns()
         age = now - self.confirmed_at
-        if not self.balancer.view(now):
+        if not self.balancer.endpoint_views(now):
             return f"{self.name}: list is empty"
         if 0 < self.members.stale_after_ns <= age:
             return f"{self.name}: not heard of for {age // SECOND} s"
--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -400,7 +400,7 @@
         """The class of this name that fits the request's method and key; None for none."""
         return request_classes.find(self.state, now, name, safe, keyed)
 
-    def view(self, now: int) -> list[ServerView]:
+    def endpoint_views(self, now: int) -> list[ServerView]:
         """All listed endpoints in the order of their ids, as of now; decides nothing."""
         state = self.state
         state.now = now
--- a/tests/core/xds/test_load_reports.py
+++ b/tests/core/xds/test_load_reports.py
@@ -245,11 +245,11 @@
 
 def test_a_reported_latency_lowers_the_servers_own_cap() -> None:
     b = balancer()
-    before = {v.backend: v.cap for v in b.view(0)}
+    before = {v.backend: v.cap for v in b.endpoint_views(0)}
     for i in range(20):
         b.on_load_report(i * SECOND, 2, 3.0, False)
     b.on_timer(20 * SECOND, 2)  # the half-second cycle
-    after = {v.backend: v.cap for v in b.view(20 * SECOND)}
+    after = {v.backend: v.cap for v in b.endpoint_views(20 * SECOND)}
     assert after[2] < before[2]
     assert after[1] == before[1]
 
@@ -258,11 +258,11 @@
     b = balancer()
     for i in range(1, 5):
         b.on_load_report(SECOND, i, 1.0, True)
-    assert sum(v.ejected for v in b.view(SECOND)) == 2
+    assert sum(v.ejected for v in b.endpoint_views(SECOND)) == 2
 
 
 def test_a_report_of_an_unknown_server_is_nothing() -> None:
     b = balancer()
-    before = b.view(0)
+    before = b.endpoint_views(0)
     b.on_load_report(0, 99, 10.0, True)
-    assert b.view(0) == before
+    assert b.endpoint_views(0) == before
