--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -207,7 +207,7 @@
                 state.policies.cancel_others(request, number)
             attempt.first_byte = duration
             set_transferring(self.state, attempt, transferring=True)
-            outlier_detection.answered(now, attempt.endpoint)
+            outlier_detection.record_answer(now, attempt.endpoint)
 
     def on_body_started(self, now: int, request_id: int, number: int) -> None:
         """A long body begins to be sent: it is not retained, so it can't be sent again."""
@@ -260,10 +260,10 @@
         request_class, endpoint = request.request_class, attempt.endpoint
         if outcome == OK:
             answer_time = attempt.first_byte or duration
-            outlier_detection.succeeded(state, now, request_class, endpoint, answer_time, load)
+            outlier_detection.record_success(state, now, request_class, endpoint, answer_time, load)
             class_weights.count_served(request, now)
         else:
-            outlier_detection.failed(state, now, request_class, endpoint, outcome, duration)
+            outlier_detection.record_failure(state, now, request_class, endpoint, outcome, duration)
         rotation.update(state, endpoint)
         if outcome not in NOT_EXECUTED and request.first_executed is None:
             request.first_executed = attempt
@@ -340,7 +340,7 @@
         while wakes and wakes[0][0] <= now:
             item = heappop(wakes)[2]
             if isinstance(item, Endpoint):
-                outlier_detection.woken(state, now, item)
+                outlier_detection.on_wake(state, now, item)
             elif (
                 item.policy_state is not None
                 and state.policies
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -12,7 +12,7 @@
   like the loss of most of them is more likely a fault of this node or its network.
 - Probing: an endpoint that returns gets one request at a time until it answers.
 
-Inputs: outcomes and durations of this node's attempts (`succeeded`, `failed`), and
+Inputs: outcomes and durations of this node's attempts (`record_success`, `record_failure`), and
 what other nodes report (`on_load_report`, `on_peer_report`), which ends no attempt.
 Times are nanoseconds.
 """
@@ -48,7 +48,7 @@
     return SILENCE_LATENCIES * max(c.latency for c in state.classes)
 
 
-def succeeded(
+def record_success(
     state: BalancerState,
     now: int,
     request_class: ClassState,
@@ -61,7 +61,7 @@
     endpoint.load_cost = 0.5 * endpoint.latency_ratio + 0.5 * ratio
     if 0 <= state.queue_column < len(load):
         endpoint.load_cost = endpoint.latency_ratio * (1.0 + max(load[state.queue_column], 0.0))
-    answered(now, endpoint)
+    record_answer(now, endpoint)
     endpoint.consecutive_rejections = endpoint.consecutive_errors = 0
     endpoint.probing = False
     endpoint.next_ejection_ns = FIRST_EJECTION_NS
@@ -70,7 +70,7 @@
         endpoint.backoff_until = now
 
 
-def failed(
+def record_failure(
     state: BalancerState,
     now: int,
     request_class: ClassState,
@@ -82,7 +82,7 @@
     if outcome in (FULL, ERROR):
         # Either is an answer: the endpoint is alive.
         endpoint.load_cost = FAILED_LOAD
-        answered(now, endpoint)
+        record_answer(now, endpoint)
         if outcome == FULL:
             state.rejections += 1
             endpoint.consecutive_rejections += 1
@@ -135,7 +135,7 @@
     rotation.update(state, endpoint)
 
 
-def answered(now: int, endpoint: Endpoint) -> None:
+def record_answer(now: int, endpoint: Endpoint) -> None:
     """Any answer, also a bad one, shows that an endpoint is alive."""
     endpoint.last_seen = endpoint.silent_since = now
     endpoint.unresponsive = False
@@ -185,7 +185,7 @@
     rotation.update(state, endpoint)
 
 
-def woken(state: BalancerState, now: int, endpoint: Endpoint) -> None:
+def on_wake(state: BalancerState, now: int, endpoint: Endpoint) -> None:
     """End an ejection, or a back-off, that is over at this wake time."""
     if endpoint.ejected_until and endpoint.ejected_until <= now:
         readmit(state, endpoint)
--- a/loadbalancer/core/balancing/slow_start.py
+++ b/loadbalancer/core/balancing/slow_start.py
@@ -47,7 +47,7 @@
 def space_sends(state: BalancerState, now: int, endpoint: Endpoint) -> None:
     """Space this node's sends to a cold endpoint, within this node's part of its budget.
 
-    Its answers end the spacing where requests are queued (`outlier_detection.succeeded`):
+    Its answers end the spacing where requests are queued (`outlier_detection.record_success`):
     when every endpoint is cold, the usual rate that the budget is computed from is unknown.
     """
     settings = state.settings
--- a/tests/core/balancing/test_outlier_detection.py
+++ b/tests/core/balancing/test_outlier_detection.py
@@ -113,10 +113,10 @@
     state, endpoint, c = balancer.state, balancer.endpoints[100], balancer.classes[0]
     for number in range(1, outlier_detection.MAX_ERRORS + 1):
         assert not endpoint.backoff_until
-        outlier_detection.failed(state, SECOND, c, endpoint, Outcome.ERROR, MS)
+        outlier_detection.record_failure(state, SECOND, c, endpoint, Outcome.ERROR, MS)
         assert endpoint.consecutive_errors == number
     assert SECOND < endpoint.backoff_until <= SECOND + outlier_detection.MAX_BACKOFF_NS
-    outlier_detection.succeeded(state, 4 * SECOND, c, endpoint, MS, ())
+    outlier_detection.record_success(state, 4 * SECOND, c, endpoint, MS, ())
     assert endpoint.consecutive_errors == 0
 
 
@@ -125,7 +125,9 @@
     balancer, _ = build(count=4)
     endpoint, c = balancer.endpoints[100], balancer.classes[0]
     for _ in range(outlier_detection.MAX_LOST_FAILURES):
-        outlier_detection.failed(balancer.state, SECOND, c, endpoint, Outcome.CONNECT_FAILED, MS)
+        outlier_detection.record_failure(
+            balancer.state, SECOND, c, endpoint, Outcome.CONNECT_FAILED, MS
+        )
     assert endpoint.connect_failed
     assert endpoint.ejected_until > SECOND
     assert endpoint.cold_until == endpoint.ejected_until + balancer.settings.cold
--- a/tests/core/endpoints/test_attempt_evidence.py
+++ b/tests/core/endpoints/test_attempt_evidence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from loadbalancer.core.balancing.model import SECOND
-from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES, answered
+from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES, record_answer
 from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, evidence_of
 from tests.recording_host import build
 
@@ -13,7 +13,7 @@
     assert evidence_of(balancer, SECOND, 100) is AttemptEvidence.UNKNOWN
     assert evidence_of(balancer, SECOND, 9) is AttemptEvidence.UNKNOWN
     endpoint = balancer.endpoints[100]
-    answered(SECOND, endpoint)
+    record_answer(SECOND, endpoint)
     assert evidence_of(balancer, 2 * SECOND, 100) is AttemptEvidence.ALIVE
     assert evidence_of(balancer, 7 * SECOND, 100) is AttemptEvidence.UNKNOWN  # too long ago
     endpoint.consecutive_failures = MAX_SILENT_FAILURES
