--- a/loadbalancer/core/balancing/__init__.py
+++ b/loadbalancer/core/balancing/__init__.py
@@ -14,10 +14,10 @@
 | `rotation` | which endpoints may take one more request |
 | `outlier_detection` | which endpoints are left out, for how long, and how they return |
 | `slow_start` | how much an endpoint gets whose process has just started |
-| `latency` | latency averages and crowding samples, from attempts' durations |
+| `latency` | latency averages and congestion samples, from attempts' durations |
 | `retries` | whether a further attempt may be sent, attempt timeouts, when a request is given up |
 | `final_answer` | whether an unserved request is rejected or failed |
-| `route_policies`, `hedging`, `retry_budget`, `answer_times` | what a route's policy adds |
+| `route_policies`, `hedging`, `retry_budget`, `response_times` | what a route's policy adds |
 | `list_updates`, `request_classes` | what a new list or new settings change |
 | `model`, `records`, `ports` | types exchanged with a host; records of state; plug-in interfaces |
 """
--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -77,7 +77,7 @@
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
         self.state = BalancerState(settings, seed, actions)
-        endpoint_caps.locate(self.state, settings)
+        endpoint_caps.set_zone_rank(self.state, settings)
 
     # ---- start, settings, list ----------------------------------------
 
@@ -99,7 +99,7 @@
         state.now = now
         request_classes.replace(state, now, settings)
         state.settings = settings
-        endpoint_caps.locate(state, settings)
+        endpoint_caps.set_zone_rank(state, settings)
         endpoint_caps.assign_ranks(state)
         class_weights.update(state)
         dispatch(state, now)
@@ -148,7 +148,7 @@
         if hint:
             admission.stretch_objective(now, request, hint)
         if policy is not None and state.policies is not None:
-            state.policies.adopt(now, request, policy)
+            state.policies.apply_policy(now, request, policy)
         state.requests[request_id] = request
         admission.admit(state, now, request, remaining, client_retry)
         dispatch(state, now)
@@ -167,7 +167,7 @@
         if request.state is QUEUED:
             admission.dequeue(state, request)
         if not request.in_flight:
-            final_answer.give(state, request)
+            final_answer.reject_or_fail(state, request)
 
     def on_client_disconnected(self, now: int, request_id: int) -> None:
         """The client has disconnected: it gets no answer, attempts go on to their outcomes."""
@@ -178,7 +178,7 @@
             return
         if request.state is QUEUED:
             admission.dequeue(state, request)
-        final_answer.end(state, request)
+        final_answer.mark_ended(state, request)
         if request.in_flight > 1 and state.policies is not None:
             # The further attempts are hedges: they save time, and their client has disconnected.
             # The first goes on to its outcome, as that of a request without hedges does.
@@ -256,7 +256,7 @@
         attempt = request.attempts[number]
         if attempt.state is ATTEMPT_ENDED:
             return
-        self._count_out(request, attempt)
+        self._release_slot(request, attempt)
         request_class, endpoint = request.request_class, attempt.endpoint
         if outcome == OK:
             answer_time = attempt.first_byte or duration
@@ -268,7 +268,7 @@
         if outcome not in NOT_EXECUTED and request.first_executed is None:
             request.first_executed = attempt
         if done or outcome == OK:
-            final_answer.end(state, request)
+            final_answer.mark_ended(state, request)
         policy_state, policies = request.policy_state, state.policies
         if policy_state is not None and policy_state.policy.hedging and policies is not None:
             policies.attempt_ended(now, request, policy_state, number, outcome, duration)
@@ -276,20 +276,22 @@
             if not request.in_flight:
                 state.requests.pop(request_id, None)
         elif not request.in_flight:
-            self._try_again(now, request, outcome, duration, connected)
+            self._retry_or_finish(now, request, outcome, duration, connected)
         dispatch(state, now)
 
-    def _try_again(
+    def _retry_or_finish(
         self, now: int, request: Request, outcome: int, duration: int, connected: bool
     ) -> None:
         """Retry the request or give its final answer, by its policy if it has one."""
         state = self.state
         if request.policy_state is None or state.policies is None:
-            retries.retry_or_finish(state, now, request, retries.price(request, outcome, duration))
+            retries.retry_or_finish(
+                state, now, request, retries.retry_cost(request, outcome, duration)
+            )
         else:
-            state.policies.again(now, request, request.policy_state, outcome, connected)
+            state.policies.retry_or_finish(now, request, request.policy_state, outcome, connected)
 
-    def _count_out(self, request: Request, attempt: Attempt) -> None:
+    def _release_slot(self, request: Request, attempt: Attempt) -> None:
         """Subtract an attempt that has ended from the counts of attempts in flight."""
         state = self.state
         request.in_flight -= 1
@@ -346,10 +348,10 @@
                 and state.policies
                 and 0 < item.policy_state.due <= now
             ):
-                state.policies.come_due(now, item, item.policy_state)
+                state.policies.on_due(now, item, item.policy_state)
             elif item.state is QUEUED and item.wait_until <= now:
                 admission.dequeue(state, item)
-                final_answer.give(state, item)
+                final_answer.reject_or_fail(state, item)
         state.wake_at = wakes[0][0] if wakes else 0
         if wakes:
             state.actions.set_timer(Timer.WAKE, state.wake_at)
--- a/loadbalancer/core/balancing/class_weights.py
+++ b/loadbalancer/core/balancing/class_weights.py
@@ -24,12 +24,12 @@
 MAX_OBJECTIVES = 10.0  # bound of a predicted time, in latency objectives
 REJECTED_OBJECTIVES = 10.0  # a rejection counts as a response time of so many objectives
 MIN_SERVED_PART = 0.02  # bounds the extrapolation from the served part of a class to all of it
-CONTENT = 1.0  # the utility of a class without traffic: that of a response time of 0
+IDLE_UTILITY = 1.0  # the utility of a class without traffic: that of a response time of 0
 
 ENDED = RequestState.ENDED
 
 
-class Flow(NamedTuple):
+class ClassTraffic(NamedTuple):
     """What the solve knows of one class."""
 
     rate: float  # arrivals a second
@@ -54,11 +54,11 @@
     return float((-miss) ** ALPHA if miss <= 0 else -weight * miss**BETA)
 
 
-def utility_at(flow: Flow, share: int) -> float:
+def utility_at(flow: ClassTraffic, share: int) -> float:
     """A class's utility at a share."""
     rate, mean, old, objective, weight = flow
     if rate <= 0 or mean <= 0:
-        return CONTENT
+        return IDLE_UTILITY
     time = predict(rate, mean, max(old, 1.0), share)
     if time == inf:
         # Still rising with the share, so that saturated classes are compared by overload.
@@ -67,13 +67,13 @@
     return utility(objective, time, weight)
 
 
-def solve(total: int, flows: Sequence[Flow]) -> list[int]:
+def solve(total: int, flows: Sequence[ClassTraffic]) -> list[int]:
     """Max-min integer shares of `total` slots, each at least 1.
 
     The paper's dynamic program grows with the square of the total. Adding slots one
     by one to the class of the lowest utility gives the same optimum, because no
     utility falls as a share grows. A class without traffic stays at its one slot
-    until all others have reached the utility CONTENT.
+    until all others have reached the utility IDLE_UTILITY.
     """
     shares = [1] * len(flows)
     utilities = [utility_at(flow, 1) for flow in flows]
@@ -107,7 +107,7 @@
         request_class.share = share
 
 
-def _flow(request_class: ClassState) -> Flow:
+def _flow(request_class: ClassState) -> ClassTraffic:
     """The rate, mean response time and share of a class over the cycles so far."""
     objective = request_class.latency_objective
     seen = request_class.served + request_class.rejected
@@ -120,4 +120,4 @@
         share /= max(request_class.served / seen, MIN_SERVED_PART)
     rate = request_class.arrivals / (request_class.cycles * CYCLE_NS / SECOND)
     weight = request_class.spec.priority_weight
-    return Flow(rate, mean / SECOND, share, objective / SECOND, weight)
+    return ClassTraffic(rate, mean / SECOND, share, objective / SECOND, weight)
--- a/loadbalancer/core/balancing/concurrency_limit.py
+++ b/loadbalancer/core/balancing/concurrency_limit.py
@@ -1,11 +1,11 @@
 """How many requests all nodes together have in flight at one endpoint.
 
 The DESIGN-wharfspread page leaves the sizing of the caps open. Here the limit
-follows the crowding of the worst class: the part of the time between its
-uncrowded latency and its latency objective that its attempts use up, 0 on idle
+follows the congestion of the worst class: the part of the time between its
+uncongested latency and its latency objective that its attempts use up, 0 on idle
 endpoints, 1 where the objective is missed on average. Once a cycle the limit is
-cut where crowding, rejections or time-outs are high, and grows where requests
-wait while crowding is low. Each node does so from its own attempts alone.
+cut where congestion, rejections or time-outs are high, and grows where requests
+wait while congestion is low. Each node does so from its own attempts alone.
 
 Inputs: the sums of `latency.record`, counts of outcomes, and whether any request
 had to wait since the last cycle.
@@ -14,42 +14,42 @@
 from __future__ import annotations
 
 from loadbalancer.core.balancing.class_weights import DECAY
-from loadbalancer.core.balancing.latency import FEW_SAMPLES
+from loadbalancer.core.balancing.latency import MIN_STABLE_SAMPLES
 from loadbalancer.core.balancing.records import ClassState
 from loadbalancer.core.balancing.state import BalancerState
 
 MIN_LIMIT = 1.0  # requests in flight at one endpoint
 MAX_LIMIT = 64.0
-LOW_CROWDING = 0.17  # below which the limit may grow
-HIGH_CROWDING = 0.32  # above which it is cut
-DEEP_CROWDING = 2.0 * HIGH_CROWDING  # above which it is cut by DEEP_CUT
+LOW_CONGESTION = 0.17  # below which the limit may grow
+HIGH_CONGESTION = 0.32  # above which it is cut
+SEVERE_CONGESTION = 2.0 * HIGH_CONGESTION  # above which it is cut by SEVERE_CUT
 GROWTH = 1.15  # factors on the limit, a cycle
 CUT = 0.9
-DEEP_CUT = CUT * CUT * CUT
+SEVERE_CUT = CUT * CUT * CUT
 MAX_REJECTED_PART = 0.05  # of outcomes, above which endpoints' rejections cut the limit
 MAX_TIMEOUT_PART = 0.04  # the same of time-outs, counted once for an unresponsive endpoint
-MIN_SAMPLES = 3  # attempts of a class by which its crowding is judged
+MIN_SAMPLES = 3  # attempts of a class by which its congestion is has_enough_samples
 CARRIED_SAMPLES = 10  # samples up to which a class's sums are carried to the next cycle
-BASE_GROWTH = 1.005  # factor a cycle, so that the uncrowded latency is not a minimum of all time
-MAX_BASE_PART = 0.9  # of the objective: an uncrowded latency counts as no more
+BASE_GROWTH = 1.005  # factor a cycle, so that the uncongested latency is not a minimum of all time
+MAX_BASE_PART = 0.9  # of the objective: an uncongested latency counts as no more
 
 
 def adjust(state: BalancerState, now: int) -> None:
     """Cut, raise or leave the limit, by the outcomes counted since the last cycle."""
     for request_class in state.classes:
         _update_base_latency(request_class)
-    crowding = _worst_crowding(state)
-    judged = any(samples >= MIN_SAMPLES for samples in state.crowding_samples)
+    congestion = _worst_congestion(state)
+    has_enough_samples = any(samples >= MIN_SAMPLES for samples in state.congestion_samples)
     cut = False
     if state.outcomes:
-        if _must_cut(state, crowding):
+        if _must_cut(state, congestion):
             cut = True
-            deep = crowding > DEEP_CROWDING
-            limit = state.concurrency_limit * (DEEP_CUT if deep else CUT)
+            severe = congestion > SEVERE_CONGESTION
+            limit = state.concurrency_limit * (SEVERE_CUT if severe else CUT)
             state.concurrency_limit = max(MIN_LIMIT, limit)
-            if deep:
+            if severe:
                 state.log(now, f"level down to {state.concurrency_limit:.1f}")
-        elif state.saturated and judged and crowding < LOW_CROWDING:
+        elif state.saturated and has_enough_samples and congestion < LOW_CONGESTION:
             state.concurrency_limit = min(MAX_LIMIT, state.concurrency_limit * GROWTH)
     state.outcomes = state.rejections = state.timeouts = 0
     state.saturated = False
@@ -57,8 +57,8 @@
 
 
 def _update_base_latency(request_class: ClassState) -> None:
-    """Follow the class's uncrowded latency: its lowest one, that grows slowly."""
-    if request_class.latency_samples <= FEW_SAMPLES:
+    """Follow the class's uncongested latency: its lowest one, that grows slowly."""
+    if request_class.latency_samples <= MIN_STABLE_SAMPLES:
         return
     if request_class.base_latency:
         grown = request_class.base_latency * BASE_GROWTH
@@ -67,23 +67,23 @@
         request_class.base_latency = request_class.latency
 
 
-def _worst_crowding(state: BalancerState) -> float:
-    """The highest crowding of all classes that have MIN_SAMPLES, at least 0."""
+def _worst_congestion(state: BalancerState) -> float:
+    """The highest congestion of all classes that have MIN_SAMPLES, at least 0."""
     worst = 0.0
-    for number, samples in enumerate(state.crowding_samples):
+    for number, samples in enumerate(state.congestion_samples):
         request_class = state.classes[number]
-        # Without a base latency, half an objective on idle endpoints would count as crowding.
+        # Without a base latency, half an objective on idle endpoints would count as congestion.
         if samples >= MIN_SAMPLES and request_class.base_latency:
-            # Only the time beyond the latency on idle endpoints is crowding.
+            # Only the time beyond the latency on idle endpoints is congestion.
             base = min(request_class.base_latency / request_class.latency_objective, MAX_BASE_PART)
-            worst = max(worst, (state.crowding_sum[number] / samples - base) / (1.0 - base))
+            worst = max(worst, (state.congestion_sum[number] / samples - base) / (1.0 - base))
     return worst
 
 
-def _must_cut(state: BalancerState, crowding: float) -> bool:
+def _must_cut(state: BalancerState, congestion: float) -> bool:
     outcomes = state.outcomes
     return (
-        crowding > HIGH_CROWDING
+        congestion > HIGH_CONGESTION
         or state.rejections > MAX_REJECTED_PART * outcomes
         or state.timeouts > max(MAX_TIMEOUT_PART * outcomes, 1)
     )
@@ -95,7 +95,7 @@
     In a large fleet a node sees an answer or two a cycle, and a mean over so few is mostly
     noise. Nothing is carried after a cut: one congestion would cut the limit many times.
     """
-    for number, samples in enumerate(state.crowding_samples):
+    for number, samples in enumerate(state.congestion_samples):
         carry = DECAY if samples < CARRIED_SAMPLES and not cut else 0.0
-        state.crowding_sum[number] *= carry
-        state.crowding_samples[number] *= carry
+        state.congestion_sum[number] *= carry
+        state.congestion_samples[number] *= carry
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -31,11 +31,11 @@
         request = next_request(state, deferred)
         # The repeat window of a retry may end while it is queued.
         if now > request.wait_until or (request.attempts and not may_resend(now, request)):
-            final_answer.give(state, request)
+            final_answer.reject_or_fail(state, request)
             continue
         endpoint = pick_for(state, now, request, picked)
         if endpoint is None:
-            final_answer.give(state, request)
+            final_answer.reject_or_fail(state, request)
         else:
             send(state, now, request, endpoint)
 
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -31,10 +31,10 @@
 RESERVE_REACH = 4  # reserve slots only where the node's rank is below so many times the slots
 SLOW_RATIO = 1.5  # latency against the fleet's above which an endpoint's own limit shrinks
 STALE_GAIN = 0.05  # a cycle, by which a latency ratio that is not measured returns to 1
-FRESH_NS = 2 * SECOND  # how long an endpoint's last answer shows its latency and load
+FRESH_ANSWER_NS = 2 * SECOND  # how long an endpoint's last answer shows its latency and load
 
 
-def locate(state: BalancerState, settings: Settings) -> None:
+def set_zone_rank(state: BalancerState, settings: Settings) -> None:
     """Set this node's place among the nodes of its zone, and the load report's column."""
     columns = settings.load_columns
     state.queue_column = columns.index("q") if "q" in columns else -1
@@ -112,9 +112,9 @@
                 and endpoint.node_rank < RESERVE_REACH * slots
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
-    lacking = max(min(assigned, MIN_SLOTS), 1) - usable
-    if lacking > 0 and state.slot_allocator is None:  # nodes that exchange messages lease slots
-        total += _use_reserve(state, reserve, lacking)
+    missing = max(min(assigned, MIN_SLOTS), 1) - usable
+    if missing > 0 and state.slot_allocator is None:  # nodes that exchange messages lease slots
+        total += _use_reserve(state, reserve, missing)
     state.max_in_flight = max(total, 1)
 
 
@@ -136,11 +136,11 @@
     ratio = max(endpoint.latency_ratio, endpoint.reported_ratio)
     if ratio > SLOW_RATIO:
         depth = min(depth, max(1.0, depth / ratio))
-        if not endpoint.in_flight and state.now - endpoint.last_seen > FRESH_NS:
+        if not endpoint.in_flight and state.now - endpoint.last_seen > FRESH_ANSWER_NS:
             # Without a slot it is not measured: its last latency must not count for ever.
             endpoint.latency_ratio += STALE_GAIN * (1.0 - endpoint.latency_ratio)
     if not warm:
-        depth = slow_start.depth(state, endpoint, depth)
+        depth = slow_start.cold_limit(state, endpoint, depth)
     nodes = endpoint.sharing_nodes
     endpoint.sharers = max(1, min(int(depth + 1.0), nodes))
     slots = int(depth + endpoint.rounding_offset)
--- a/loadbalancer/core/balancing/final_answer.py
+++ b/loadbalancer/core/balancing/final_answer.py
@@ -14,11 +14,11 @@
 ENDED = RequestState.ENDED
 
 
-def give(state: BalancerState, request: Request) -> None:
+def reject_or_fail(state: BalancerState, request: Request) -> None:
     """End a request without service, unless it has ended."""
     if request.state is ENDED:
         return
-    end(state, request)
+    mark_ended(state, request)
     if not request.deferred:
         request.request_class.rejected += 1
     if not request.in_flight:
@@ -29,12 +29,12 @@
         state.actions.fail(request.id)
 
 
-def end(state: BalancerState, request: Request) -> None:
+def mark_ended(state: BalancerState, request: Request) -> None:
     """Mark a request as ended: its answer is given, or its client has disconnected."""
     if request.state is not ENDED:
         request.state = ENDED
         if request.policy_state is not None and state.policies is not None:
-            state.policies.ended(request.policy_state)
+            state.policies.request_ended(request.policy_state)
 
 
 def _may_reject(state: BalancerState, request: Request) -> bool:
--- a/loadbalancer/core/balancing/hedging.py
+++ b/loadbalancer/core/balancing/hedging.py
@@ -11,11 +11,11 @@
 from __future__ import annotations
 
 from loadbalancer.core.balancing import retries, rotation
-from loadbalancer.core.balancing.answer_times import AnswerTimes
 from loadbalancer.core.balancing.latency import MAX_RATIO, RATIO_GAIN
 from loadbalancer.core.balancing.model import Effect
 from loadbalancer.core.balancing.outlier_detection import MAX_BACKOFF_NS
 from loadbalancer.core.balancing.records import Endpoint, Request
+from loadbalancer.core.balancing.response_times import ResponseTimes
 from loadbalancer.core.balancing.state import BalancerState
 from loadbalancer.core.routes.table import HedgingSpec
 
@@ -31,14 +31,14 @@
     return len(request.attempts) < retries.max_attempts(request)
 
 
-def delay(spec: HedgingSpec, answers: AnswerTimes) -> int:
+def delay(spec: HedgingSpec, response_times: ResponseTimes) -> int:
     """How long after the first attempt a hedge is due; 0 where that is not known yet."""
-    return spec.after or answers.at(spec.percentile)
+    return spec.after or response_times.percentile(spec.percentile)
 
 
-def allowance(spec: HedgingSpec, saved: float, active: int) -> float:
-    """The hedges that a route may send after one more request; `saved`: before it."""
-    return min(saved + spec.max_part, max(HEDGE_BURST, spec.max_part * active))
+def allowance(spec: HedgingSpec, before: float, active: int) -> float:
+    """The hedges that a route may send after one more request; `before`: before it."""
+    return min(before + spec.max_part, max(HEDGE_BURST, spec.max_part * active))
 
 
 def on_cancelled(
--- a/loadbalancer/core/balancing/list_updates.py
+++ b/loadbalancer/core/balancing/list_updates.py
@@ -65,7 +65,7 @@
             return
         endpoint = Endpoint(row, row.zone == settings.zone)
         state.endpoints[row.backend] = endpoint
-        slow_start.listed(settings, endpoint, now)
+        slow_start.mark_if_cold(settings, endpoint, now)
     else:
         _change(state, endpoint, row, settings)
     rotation.update(state, endpoint)
@@ -74,7 +74,7 @@
 def _change(state: BalancerState, endpoint: Endpoint, row: Listing, settings: Settings) -> None:
     listed = row.state != State.GONE
     if listed and row.boot and row.boot != endpoint.boot:
-        slow_start.restarted(settings, endpoint, row.boot)
+        slow_start.mark_restarted(settings, endpoint, row.boot)
         if endpoint.ejected_until:
             outlier_detection.readmit(state, endpoint)
     endpoint.state = row.state
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -36,8 +36,8 @@
 SLOW_RATIO = 1.5  # latency ratio of an answer up to which a cold endpoint's send spacing is lifted
 REPORT_GAIN = 0.3  # gain of one load report in an endpoint's averaged latency ratio
 MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of a reported ratio
-FAILED_LOAD = 4.0  # the load cost of an endpoint that rejected or failed a request
-LOST_LOAD = 6.0  # the load cost of one that did not answer
+FAILED_LOAD_COST = 4.0  # the load cost of an endpoint that rejected or failed a request
+UNANSWERED_LOAD_COST = 6.0  # the load cost of one that did not answer
 
 FULL, ERROR, TIMEOUT = Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT
 CONNECT_FAILED, RESET = Outcome.CONNECT_FAILED, Outcome.RESET
@@ -81,7 +81,7 @@
     """An attempt has ended with an outcome other than OK."""
     if outcome in (FULL, ERROR):
         # Either is an answer: the endpoint is alive.
-        endpoint.load_cost = FAILED_LOAD
+        endpoint.load_cost = FAILED_LOAD_COST
         record_answer(now, endpoint)
         if outcome == FULL:
             state.rejections += 1
@@ -107,7 +107,7 @@
     outcome: int,
     duration: int,
 ) -> None:
-    endpoint.load_cost = LOST_LOAD
+    endpoint.load_cost = UNANSWERED_LOAD_COST
     endpoint.last_seen = now
     if outcome == TIMEOUT:
         # Were only answers recorded, congestion would look like light load.
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -30,10 +30,10 @@
 class Policies(Protocol):
     """The routes' policies, called for the requests that have one; see `route_policies`."""
 
-    def adopt(self, now: int, request: Request, policy: Policy) -> None:
+    def apply_policy(self, now: int, request: Request, policy: Policy) -> None:
         """Apply a policy to a new request."""
 
-    def sending(
+    def begin_attempt(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
         """An attempt is sent: its timeout, and whether the early timeout of `retries` bounds it."""
@@ -49,7 +49,7 @@
     ) -> None:
         """An attempt of a request that may be hedged has ended."""
 
-    def again(
+    def retry_or_finish(
         self,
         now: int,
         request: Request,
@@ -59,11 +59,11 @@
     ) -> None:
         """The last attempt in flight has failed: send another, or give the final answer."""
 
-    def come_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
+    def on_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
         """A request's back-off is over, or its hedge due."""
 
     def cancel_others(self, request: Request, retained: int) -> None:
         """Cancel a request's open attempts but the one of this number."""
 
-    def ended(self, policy_state: RequestPolicyState) -> None:
+    def request_ended(self, policy_state: RequestPolicyState) -> None:
         """The request has ended."""
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -176,14 +176,14 @@
         self.usual_remaining_step = 0  # the most frequent step
         self.latency = spec.latency_objective * INITIAL_LATENCY_PART  # mean of its attempts
         self.latency_samples = 0.0
-        self.base_latency = 0.0  # mean of its attempts when endpoints are uncrowded
+        self.base_latency = 0.0  # mean of its attempts when endpoints are uncongested
         # For `class_weights`: sums over cycles, older ones decaying.
         self.share = 1  # slots
         self.share_sum = self.cycles = 0.0
         self.arrivals = self.served = self.rejected = 0.0
         self.response_time = 0.0  # of those served, with their time in the queue
 
-    def learn_from(self, old: ClassState) -> None:
+    def copy_averages(self, old: ClassState) -> None:
         """Start with the averages of the class of the same name that this one replaces."""
         self.latency, self.latency_samples = old.latency, old.latency_samples
         self.base_latency = old.base_latency
--- a/loadbalancer/core/balancing/request_classes.py
+++ b/loadbalancer/core/balancing/request_classes.py
@@ -24,7 +24,7 @@
         if c is None or c.spec != spec:
             fresh = ClassState(0, spec, len(settings.tenants))
             if c is not None:
-                fresh.learn_from(c)
+                fresh.copy_averages(c)
             c = fresh
         classes.append(c)
     for c in state.classes:
@@ -47,20 +47,20 @@
 
 
 def _renumber(state: BalancerState, classes: list[ClassState]) -> None:
-    """Put these classes in force, in this order, with their crowding samples."""
+    """Put these classes in force, in this order, with their congestion samples."""
     sums = {
-        id(c): (state.crowding_sum[c.number], state.crowding_samples[c.number])
+        id(c): (state.congestion_sum[c.number], state.congestion_samples[c.number])
         for c in state.classes
     }
     for c in state.classes:
         c.number = -1
     state.classes = classes
-    state.crowding_sum, state.crowding_samples = [], []
+    state.congestion_sum, state.congestion_samples = [], []
     for number, c in enumerate(classes):
         c.number = number
-        crowding, samples = sums.get(id(c), (0.0, 0.0))
-        state.crowding_sum.append(crowding)
-        state.crowding_samples.append(samples)
+        congestion, samples = sums.get(id(c), (0.0, 0.0))
+        state.congestion_sum.append(congestion)
+        state.congestion_samples.append(samples)
     state.turn = state.remaining_in_turn = 0
 
 
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -70,11 +70,13 @@
         margin = int(c.latency_objective * OBJECTIVE_MARGIN)
         end = min(end, request.objective_at - margin)
     timeout = max(end - now, MIN_TIMEOUT_NS)
-    bounded = True
+    allows_early_timeout = True
     if request.policy_state is not None and state.policies is not None:
-        timeout, bounded = state.policies.sending(now, request, request.policy_state, timeout)
+        timeout, allows_early_timeout = state.policies.begin_attempt(
+            now, request, request.policy_state, timeout
+        )
     if (
-        bounded
+        allows_early_timeout
         and request.effect == PURE
         and len(request.attempts) + 1 < max_attempts(request)
         and state.retry_credit >= 1.0
@@ -84,7 +86,7 @@
     return timeout
 
 
-def price(request: Request, outcome: int, duration: int) -> float:
+def retry_cost(request: Request, outcome: int, duration: int) -> float:
     """What a retry after this outcome is charged to the retry budget, up to 1."""
     if outcome in (ERROR, RESET):
         return min(duration / request.request_class.latency, 1.0)
@@ -101,7 +103,7 @@
         if allowed:
             state.retry_credit -= cost
     if not allowed:
-        final_answer.give(state, request)
+        final_answer.reject_or_fail(state, request)
         return
     admission.enqueue(state, request, True)
     state.wake(request.wait_until, request)
--- a/loadbalancer/core/balancing/retry_budget.py
+++ b/loadbalancer/core/balancing/retry_budget.py
@@ -24,7 +24,7 @@
         self.updated = now
         self.tokens = spec.floor
 
-    def spend(self, now: int) -> bool:
+    def try_spend(self, now: int) -> bool:
         """Whether one further attempt may be sent; if so it is charged."""
         self._earn(now)
         if self.tokens < 1.0:
@@ -32,7 +32,7 @@
         self.tokens -= 1.0
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Undo a charge: the attempt is not sent."""
         self.tokens += 1.0
 
--- a/loadbalancer/core/balancing/rotation.py
+++ b/loadbalancer/core/balancing/rotation.py
@@ -30,7 +30,7 @@
         and not endpoint.ejected_until
         and endpoint.backoff_until <= state.now
     ):
-        pool = state.local if endpoint.local else state.remote
+        pool = state.local_buckets if endpoint.local else state.remote_buckets
         while len(pool) <= in_flight:
             pool.append([])
         bucket = pool[in_flight]
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -1,7 +1,7 @@
 """Further attempts and hedges under a route's policy.
 
 Nothing here runs for requests without a policy. At each end of an attempt the Balancer
-calls `again`, which decides whether and when another one is sent. The Balancer's own
+calls `retry_or_finish`, which decides whether and when another one is sent. The Balancer's own
 rules take precedence: no second send of what may have executed, no more attempts than
 the settings allow, none that can't end in time.
 """
@@ -33,13 +33,21 @@
 class RoutePolicies:
     """The policies' part in one Balancer; see `ports.Policies` for when each is called."""
 
-    __slots__ = ("_random", "_routes", "_state", "hedges", "node", "retries", "denied_by_budget")
+    __slots__ = (
+        "_random",
+        "_routes",
+        "_state",
+        "hedges",
+        "node_budget",
+        "retries",
+        "denied_by_budget",
+    )
 
     def __init__(self, balancer: Balancer, seed: int, node: BudgetSpec, now: int) -> None:
         self._state = balancer.state
         self._random = Random(seed)
         self._routes: dict[tuple[str, str], RouteState] = {}
-        self.node = RetryBudget(node, now)
+        self.node_budget = RetryBudget(node, now)
         self.retries = 0  # attempts granted after one that failed
         self.hedges = 0  # sent
         self.denied_by_budget = 0  # of either, not sent for want of budget
@@ -49,28 +57,30 @@
 
         Open requests retain the policy and the budgets that they arrived with.
         """
-        self.node.spec = node
+        self.node_budget.spec = node
         self._routes = {key: state for key, state in self._routes.items() if key[0] in names}
 
     # ---- one request, in the order of the calls -----------------
 
-    def adopt(self, now: int, request: Request, policy: Policy) -> None:
+    def apply_policy(self, now: int, request: Request, policy: Policy) -> None:
         """Apply a policy to a new request, which retains it to its end."""
         key = (policy.name, policy.cls)
         route = self._routes.get(key)
         if route is None:
-            route = self._routes[key] = RouteState(policy, self.node, now)
+            route = self._routes[key] = RouteState(policy, self.node_budget, now)
         elif route.policy is not policy:
-            route.follow(policy, now)
+            route.set_policy(policy, now)
         if policy.hedging is not None:
-            route.hedges = hedging.allowance(policy.hedging, route.hedges, self.node.active)
+            route.hedge_allowance = hedging.allowance(
+                policy.hedging, route.hedge_allowance, self.node_budget.active
+            )
         for budget in route.budgets:
             budget.active += 1
             budget.arrivals += 1
         request.policy_state = RequestPolicyState(policy, route, route.budgets)
         _restrict(now, request, policy)
 
-    def sending(
+    def begin_attempt(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
         """An attempt is sent: its timeout, and whether the early timeout of `retries` bounds it.
@@ -78,16 +88,16 @@
         It does not where the policy has an attempt timeout, nor where the policy does not
         retry time-outs.
         """
-        policy, route = policy_state.policy, policy_state.state
+        policy, route = policy_state.policy, policy_state.route
         if policy.attempt_timeout and policy.attempt_timeout < timeout:
             timeout = policy.attempt_timeout
         first = not request.attempts
         if policy.hedging is not None and first and hedging.may_hedge(self._state, request):
-            after = hedging.delay(policy.hedging, route.answers)
+            after = hedging.delay(policy.hedging, route.response_times)
             if 0 < after < timeout:
                 policy_state.due = now + after
                 self._state.wake(policy_state.due, request)
-        return timeout, route.ends_early
+        return timeout, route.uses_early_timeout
 
     def attempt_ended(
         self,
@@ -103,14 +113,14 @@
         Each cancelled attempt uses its slot until its own outcome.
         """
         if number == 0 and policy_state.policy.hedging and outcome in (OK, CANCELLED):
-            policy_state.state.answers.add(duration)
+            policy_state.route.response_times.add(duration)
         if outcome == CANCELLED:
             endpoint = request.attempts[number].endpoint
             hedging.on_cancelled(self._state, now, request, endpoint, duration)
         elif request.state is ENDED and request.in_flight:
             self.cancel_others(request, number)
 
-    def again(
+    def retry_or_finish(
         self,
         now: int,
         request: Request,
@@ -126,8 +136,8 @@
         request.wait_until = min(request.objective_at, request.deadline) - latency
         granted = policy.retry_on is None or condition(outcome, connected) in policy.retry_on
         in_time = now + delay < request.wait_until and retries.may_resend(now, request)
-        if not (granted and in_time and self._pay(now, policy_state)):
-            final_answer.give(self._state, request)
+        if not (granted and in_time and self._charge_budgets(now, policy_state)):
+            final_answer.reject_or_fail(self._state, request)
             return
         self.retries += 1
         if delay:
@@ -136,7 +146,7 @@
         else:
             retries.retry_or_finish(self._state, now, request, 0.0)
 
-    def come_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
+    def on_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
         """Retry after a back-off, or send a hedge that is due; a hedge only into a free slot."""
         policy_state.due = 0
         if request.state is ENDED:
@@ -152,7 +162,7 @@
             if attempt.state is not AttemptState.ENDED and number != retained:
                 self._state.actions.cancel(request.id, number)
 
-    def ended(self, policy_state: RequestPolicyState) -> None:
+    def request_ended(self, policy_state: RequestPolicyState) -> None:
         """The request is answered or its client has disconnected; called once for each."""
         for budget in policy_state.budgets:
             budget.active -= 1
@@ -164,16 +174,16 @@
 
         It takes no slot from queued requests, which are dispatched to free slots first.
         """
-        state, route = self._state, policy_state.state
-        if route.hedges < 1.0 or state.in_flight >= state.max_in_flight:
+        state, route = self._state, policy_state.route
+        if route.hedge_allowance < 1.0 or state.in_flight >= state.max_in_flight:
             return
         endpoint = pick(state, now)
         if endpoint is not None:
             endpoint = pick_for(state, now, request, endpoint)
         if endpoint is None or any(a.endpoint is endpoint for a in request.attempts):
             return
-        if self._pay(now, policy_state):
-            route.hedges -= 1
+        if self._charge_budgets(now, policy_state):
+            route.hedge_allowance -= 1
             self.hedges += 1
             send(state, now, request, endpoint)
 
@@ -184,16 +194,16 @@
         doubled = policy.backoff_base << min(attempts - 1, MAX_BACKOFF_DOUBLINGS)
         return self._random.randrange(min(doubled, policy.max_backoff) + 1)
 
-    def _pay(self, now: int, policy_state: RequestPolicyState) -> bool:
+    def _charge_budgets(self, now: int, policy_state: RequestPolicyState) -> bool:
         """Charge a further attempt to the node's budget and the route's, or to neither."""
-        paid: list[RetryBudget] = []
+        charged: list[RetryBudget] = []
         for budget in policy_state.budgets:
-            if not budget.spend(now):
-                for other in paid:
-                    other.give_back()
+            if not budget.try_spend(now):
+                for other in charged:
+                    other.refund()
                 self.denied_by_budget += 1
                 return False
-            paid.append(budget)
+            charged.append(budget)
         return True
 
 
--- a/loadbalancer/core/balancing/scheduling.py
+++ b/loadbalancer/core/balancing/scheduling.py
@@ -37,20 +37,20 @@
     classes = state.classes
     count = len(classes)
     start = state.turn if state.remaining_in_turn > 0 else (state.turn + 1) % count
-    spare = None
+    over_share = None
     for step in range(count):
         number = (start + step) % count
         c = classes[number]
         if c.deferred if deferred else c.queued:
             if c.in_flight < c.share:
-                return _turn_to(state, number)
-            if spare is None:
-                spare = number
-    assert spare is not None
-    return _turn_to(state, spare)
+                return _take_turn(state, number)
+            if over_share is None:
+                over_share = number
+    assert over_share is not None
+    return _take_turn(state, over_share)
 
 
-def _turn_to(state: BalancerState, number: int) -> ClassState:
+def _take_turn(state: BalancerState, number: int) -> ClassState:
     """Begin the turn of a class, or use one more request of its present turn."""
     request_class = state.classes[number]
     if number != state.turn or state.remaining_in_turn <= 0:
--- a/loadbalancer/core/balancing/slow_start.py
+++ b/loadbalancer/core/balancing/slow_start.py
@@ -16,16 +16,16 @@
 # Part of the budget that is used. The rest is for views of the list that differ
 # between nodes, and for requests that need more work than others.
 BUDGET_PART = 0.5
-MIN_COLD_DEPTH = 2  # slots of all nodes at a cold endpoint, where its limit allows as many
+MIN_COLD_SLOTS = 2  # slots of all nodes at a cold endpoint, where its limit allows as many
 
 
-def listed(settings: Settings, endpoint: Endpoint, now: int) -> None:
+def mark_if_cold(settings: Settings, endpoint: Endpoint, now: int) -> None:
     """Mark an endpoint that is new in the list as cold where its process has just started."""
     if endpoint.boot and now - endpoint.boot < settings.cold:
         endpoint.cold_until = endpoint.boot + settings.cold
 
 
-def restarted(settings: Settings, endpoint: Endpoint, boot: int) -> None:
+def mark_restarted(settings: Settings, endpoint: Endpoint, boot: int) -> None:
     """A known endpoint has a new process, started at `boot` (ns): it is cold."""
     endpoint.boot = boot
     endpoint.cold_until = max(endpoint.cold_until, boot + settings.cold)
@@ -38,10 +38,10 @@
     return settings.cold_from + (1.0 - settings.cold_from) * max(0.0, min(1.0, warm))
 
 
-def depth(state: BalancerState, endpoint: Endpoint, limit: float) -> float:
+def cold_limit(state: BalancerState, endpoint: Endpoint, limit: float) -> float:
     """The concurrency limit of a cold endpoint, from the `limit` it has when warm."""
-    # MIN_COLD_DEPTH alone would leave a zone of half-warm endpoints mostly idle.
-    return min(limit, max(MIN_COLD_DEPTH, limit * capacity_fraction(state, endpoint)))
+    # MIN_COLD_SLOTS alone would leave a zone of half-warm endpoints mostly idle.
+    return min(limit, max(MIN_COLD_SLOTS, limit * capacity_fraction(state, endpoint)))
 
 
 def space_sends(state: BalancerState, now: int, endpoint: Endpoint) -> None:
--- a/loadbalancer/core/balancing/state.py
+++ b/loadbalancer/core/balancing/state.py
@@ -29,13 +29,13 @@
     """Endpoints, requests and classes of one node, its limits and its counters."""
 
     __slots__ = (
-        "actions", "classes", "concurrency_limit", "credit", "credit_at", "crowding_samples",
-        "crowding_sum", "deferred", "ejected", "endpoints", "in_flight", "limit_share", "local",
-        "log_after", "max_in_flight", "now", "outcomes", "peers", "policies", "polling",
-        "queue_column", "queued", "quota", "random", "ready", "rejections", "remaining_in_turn",
-        "remote", "requests", "retry_credit", "saturated", "send_rate", "sends", "settings",
-        "slot_allocator", "stride", "timeouts", "transferring", "turn", "wake_at", "wake_count",
-        "wakes", "zone_rank",
+        "actions", "classes", "concurrency_limit", "congestion_samples", "congestion_sum", "credit",
+        "credit_at", "deferred", "ejected", "endpoints", "in_flight", "limit_share",
+        "local_buckets", "log_after", "max_in_flight", "now", "outcomes", "peers", "policies",
+        "polling", "queue_column", "queued", "quota", "random", "ready", "rejections",
+        "remaining_in_turn", "remote_buckets", "requests", "retry_credit", "saturated", "send_rate",
+        "sends", "settings", "slot_allocator", "stride", "timeouts", "transferring", "turn",
+        "wake_at", "wake_sequence", "wakes", "zone_rank",
     )  # fmt: skip
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -48,8 +48,8 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.requests: dict[int, Request] = {}
         # Endpoints that may take one more request, by requests in flight: this zone's, others.
-        self.local: list[list[Endpoint]] = [[]]
-        self.remote: list[list[Endpoint]] = [[]]
+        self.local_buckets: list[list[Endpoint]] = [[]]
+        self.remote_buckets: list[list[Endpoint]] = [[]]
         # Requests in flight and queued.
         self.max_in_flight = 0  # the most that may be in flight (the paper's N_g)
         self.in_flight = 0
@@ -61,7 +61,7 @@
         self.turn = self.remaining_in_turn = 0
         # Requests and endpoints to look at again, by time.
         self.wakes: list[tuple[int, int, Request | Endpoint]] = []
-        self.wake_count = self.wake_at = 0
+        self.wake_sequence = self.wake_at = 0
         # Quotas: this node's part of each tenant's rate, as a bucket of one second.
         self.quota = [t.quota_per_s / settings.nodes / SECOND for t in settings.tenants]
         self.stride = [1.0 / max(t.portion, 1e-6) for t in settings.tenants]
@@ -75,8 +75,8 @@
         # The concurrency limit, and what was counted since it was last adjusted.
         self.concurrency_limit = INITIAL_CONCURRENCY_LIMIT
         self.outcomes = self.rejections = self.timeouts = 0
-        self.crowding_sum = [0.0] * len(self.classes)
-        self.crowding_samples = [0.0] * len(self.classes)
+        self.congestion_sum = [0.0] * len(self.classes)
+        self.congestion_samples = [0.0] * len(self.classes)
         self.sends = 0
         self.send_rate = 0.0  # sends a second, smoothed
         # The endpoint list.
@@ -91,8 +91,8 @@
 
     def wake(self, due: int, item: Request | Endpoint) -> None:
         """Look at a request or an endpoint again at `due`."""
-        self.wake_count += 1
-        heappush(self.wakes, (due, self.wake_count, item))
+        self.wake_sequence += 1
+        heappush(self.wakes, (due, self.wake_sequence, item))
         if not self.wake_at or due < self.wake_at:
             self.wake_at = due
             self.actions.set_timer(TIMER_WAKE, due)
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -13,12 +13,18 @@
     Settings,
 )
 from loadbalancer.core.balancing import class_weights
-from loadbalancer.core.balancing.class_weights import MAX_OBJECTIVES, Flow, predict, solve, utility
+from loadbalancer.core.balancing.class_weights import (
+    MAX_OBJECTIVES,
+    ClassTraffic,
+    predict,
+    solve,
+    utility,
+)
 from loadbalancer.core.balancing.model import MS, SECOND, Timer
 from tests.recording_host import build
 
 
-def stand(flow: Flow, share: int) -> float:
+def stand(flow: ClassTraffic, share: int) -> float:
     rate, mean, old, objective, weight = flow
     if rate <= 0 or mean <= 0:
         return 1.0
@@ -28,7 +34,7 @@
     return utility(objective, t, weight)
 
 
-def best(total: int, flows: list[Flow]) -> float:
+def best(total: int, flows: list[ClassTraffic]) -> float:
     n = len(flows)
     return max(
         min(stand(f, s) for f, s in zip(flows, shares, strict=True))
@@ -37,18 +43,22 @@
     )
 
 
-CASES: list[list[Flow]] = [
-    [Flow(20, 0.1, 4, 0.2, 1), Flow(20, 0.1, 4, 0.2, 1)],
-    [Flow(50, 0.4, 3, 0.2, 1), Flow(20, 0.1, 6, 0.5, 5), Flow(5, 0.05, 2, 0.1, 1)],
-    [Flow(500, 0.9, 6, 0.2, 1), Flow(400, 0.9, 3, 0.2, 10)],
-    [Flow(0, 0, 3, 0.2, 1), Flow(30, 0.3, 4, 0.2, 2)],
-    [Flow(0, 0.1, 3, 0.2, 1), Flow(0, 0, 4, 0.2, 2)],
+CASES: list[list[ClassTraffic]] = [
+    [ClassTraffic(20, 0.1, 4, 0.2, 1), ClassTraffic(20, 0.1, 4, 0.2, 1)],
+    [
+        ClassTraffic(50, 0.4, 3, 0.2, 1),
+        ClassTraffic(20, 0.1, 6, 0.5, 5),
+        ClassTraffic(5, 0.05, 2, 0.1, 1),
+    ],
+    [ClassTraffic(500, 0.9, 6, 0.2, 1), ClassTraffic(400, 0.9, 3, 0.2, 10)],
+    [ClassTraffic(0, 0, 3, 0.2, 1), ClassTraffic(30, 0.3, 4, 0.2, 2)],
+    [ClassTraffic(0, 0.1, 3, 0.2, 1), ClassTraffic(0, 0, 4, 0.2, 2)],
 ]
 
 
 @pytest.mark.parametrize("flows", CASES)
 @pytest.mark.parametrize("total", [3, 5, 9, 12])
-def test_greedy_is_max_min(flows: list[Flow], total: int) -> None:
+def test_greedy_is_max_min(flows: list[ClassTraffic], total: int) -> None:
     shares = solve(total, flows)
     assert sum(shares) == total
     assert min(shares) >= 1
--- a/tests/core/balancing/test_concurrency_limit.py
+++ b/tests/core/balancing/test_concurrency_limit.py
@@ -40,7 +40,7 @@
 
 
 def test_a_class_near_its_objective_on_idle_endpoints_does_not_pin_the_limit() -> None:
-    """Only what crowding adds counts: some classes take half their objective anyway."""
+    """Only what congestion adds counts: some classes take half their objective anyway."""
     balancer, host = build()
     before = balancer.concurrency_limit
     for k in range(8):
@@ -54,7 +54,7 @@
     assert balancer.concurrency_limit > before
 
 
-def test_a_jam_from_the_start_does_not_pass_for_the_uncrowded_state() -> None:
+def test_a_jam_from_the_start_does_not_pass_for_the_uncongested_state() -> None:
     """Born in overload, the lowest mean ever seen is the jam's own."""
     balancer, host = build(count=20)
     before = 0.0
@@ -88,7 +88,7 @@
 
 
 def test_a_class_with_few_samples_does_not_cut_the_limit() -> None:
-    """Its uncrowded latency is not known yet: most of the objective may be usual."""
+    """Its uncongested latency is not known yet: most of the objective may be usual."""
     balancer, host = build(count=20)
     before = balancer.concurrency_limit
     for k in range(4):
--- a/tests/core/balancing/test_endpoint_selection.py
+++ b/tests/core/balancing/test_endpoint_selection.py
@@ -55,7 +55,7 @@
     busy.load_cost, busy.last_seen = 5.0, 1
     first = [endpoint_selection.pick(balancer.state, 2) for _ in range(50)]
     assert sum(e is busy for e in first) < 20  # only where no draw finds the other one
-    late = 1 + endpoint_caps.FRESH_NS  # an answer that old says nothing any more
+    late = 1 + endpoint_caps.FRESH_ANSWER_NS  # an answer that old says nothing any more
     again = [endpoint_selection.pick(balancer.state, late) for _ in range(50)]
     assert 10 < sum(e is busy for e in again) < 40
 
--- a/tests/core/balancing/test_final_answer.py
+++ b/tests/core/balancing/test_final_answer.py
@@ -54,6 +54,6 @@
     if executed:
         request.first_executed = Attempt(balancer.endpoints[100], 0)
     balancer.state.now = at * MS
-    final_answer.give(balancer.state, request)
-    final_answer.give(balancer.state, request)  # and once only
+    final_answer.reject_or_fail(balancer.state, request)
+    final_answer.reject_or_fail(balancer.state, request)  # and once only
     assert [c for c in host.calls if c[0] in ("refuse", "fail")] == [(answer, 1)]
--- a/tests/core/balancing/test_hedging.py
+++ b/tests/core/balancing/test_hedging.py
@@ -46,7 +46,7 @@
     fleet.end(60 * MS, 1, 1, Outcome.OK)
     assert fleet.balancer.in_flight == 0
     assert not fleet.balancer.state.requests
-    assert fleet.policies.node.active == 0
+    assert fleet.policies.node_budget.active == 0
 
 
 def test_a_first_attempt_that_fails_waits_for_its_hedge() -> None:
--- a/tests/core/balancing/test_latency.py
+++ b/tests/core/balancing/test_latency.py
@@ -9,7 +9,7 @@
 from tests.recording_host import build
 
 
-def test_a_class_an_endpoint_and_the_crowding_learn_from_a_duration() -> None:
+def test_a_class_an_endpoint_and_the_congestion_learn_from_a_duration() -> None:
     balancer, _ = build(count=1)
     c, endpoint = balancer.classes[0], balancer.endpoints[100]
     assert c.latency == 50 * MS  # a quarter of the objective, until it is known
@@ -18,20 +18,20 @@
     assert c.latency_samples == 1
     assert ratio == pytest.approx(100 / 60)
     assert endpoint.latency_ratio == pytest.approx(1 + latency.RATIO_GAIN * (100 / 60 - 1))
-    assert balancer.state.crowding_sum[0] == 0.5
-    assert balancer.state.crowding_samples[0] == 1
+    assert balancer.state.congestion_sum[0] == 0.5
+    assert balancer.state.congestion_samples[0] == 1
 
 
 def test_a_duration_counts_as_a_little_more_than_the_objective_at_most() -> None:
-    """One unresponsive endpoint's few time-outs would look like crowding of the whole fleet."""
+    """One unresponsive endpoint's few time-outs would look like congestion of the whole fleet."""
     balancer, _ = build(count=1)
     latency.record(balancer.state, balancer.classes[0], balancer.endpoints[100], 60_000 * MS)
-    assert balancer.state.crowding_sum[0] == pytest.approx(latency.MAX_OBJECTIVES)
+    assert balancer.state.congestion_sum[0] == pytest.approx(latency.MAX_OBJECTIVES)
 
 
 def test_a_class_that_is_known_follows_new_durations_slowly() -> None:
     balancer, _ = build(count=1)
     c = balancer.classes[0]
-    c.latency_samples = latency.FEW_SAMPLES + 1
+    c.latency_samples = latency.MIN_STABLE_SAMPLES + 1
     latency.record(balancer.state, c, balancer.endpoints[100], 100 * MS)
     assert c.latency == pytest.approx(52.5 * MS)
--- a/tests/core/balancing/test_answer_times.py
+++ b/tests/core/balancing/test_response_times.py
@@ -4,19 +4,19 @@
 
 from random import Random
 
-from loadbalancer.core.balancing.answer_times import AnswerTimes
 from loadbalancer.core.balancing.model import MS
+from loadbalancer.core.balancing.response_times import ResponseTimes
 
 
 def test_a_percentile_is_right_within_a_bucket_and_old_answers_fade() -> None:
-    latencies = AnswerTimes()
+    latencies = ResponseTimes()
     random = Random(1)
     values = [int(random.expovariate(1 / (20 * MS))) for _ in range(1999)]
     for value in values:
         latencies.add(value)
     exact = sorted(values)[int(0.95 * len(values))]
-    assert exact <= latencies.at(95.0) * 1.05
-    assert latencies.at(95.0) <= exact * 1.2
+    assert exact <= latencies.percentile(95.0) * 1.05
+    assert latencies.percentile(95.0) <= exact * 1.2
     for _ in range(20_000):
         latencies.add(MS)
-    assert latencies.at(95.0) < 2 * MS
+    assert latencies.percentile(95.0) < 2 * MS
--- a/tests/core/balancing/test_retry_budget.py
+++ b/tests/core/balancing/test_retry_budget.py
@@ -59,9 +59,9 @@
     assert served > 500
     assert sent - served <= 0.2 * rid + 2.0 * now / SECOND + 2.0
     # Well again for ten seconds: what is saved up is no more than one floor.
-    budget = fleet.policies.node
+    budget = fleet.policies.node_budget
     paid = 0
-    while budget.spend(now + 10 * SECOND):
+    while budget.try_spend(now + 10 * SECOND):
         paid += 1
     assert paid <= node.floor + node.part * budget.active
 
@@ -69,13 +69,13 @@
 def test_a_budget_never_contains_more_than_its_part_of_the_active_and_the_floor() -> None:
     budget = RetryBudget(BudgetSpec(0.5, 2.0), 0)
     budget.arrivals += 100  # come and gone
-    assert [budget.spend(0) for _ in range(3)] == [True, True, False]
-    assert budget.spend(SECOND)
-    assert budget.spend(SECOND)
-    assert not budget.spend(SECOND)
+    assert [budget.try_spend(0) for _ in range(3)] == [True, True, False]
+    assert budget.try_spend(SECOND)
+    assert budget.try_spend(SECOND)
+    assert not budget.try_spend(SECOND)
     budget.active += 10
     budget.arrivals += 10
-    assert sum(budget.spend(SECOND) for _ in range(20)) == 5
+    assert sum(budget.try_spend(SECOND) for _ in range(20)) == 5
 
 
 def test_a_route_out_of_budget_leaves_the_others_theirs() -> None:
@@ -85,7 +85,7 @@
         fleet.request(0, rid, policy)
         fleet.end(0, rid, 0, Outcome.ERROR)
         assert len(fleet.sends(rid)) == sends, rid
-    assert fleet.policies.node.tokens > 7.9
+    assert fleet.policies.node_budget.tokens > 7.9
 
 
 def test_a_budget_survives_the_replacement_of_its_policy() -> None:
--- a/tests/core/balancing/test_rotation.py
+++ b/tests/core/balancing/test_rotation.py
@@ -17,9 +17,11 @@
     state, endpoint = balancer.state, balancer.endpoints[101]
     endpoint.in_flight = 2
     rotation.update(state, endpoint)
-    assert state.local[2] == [endpoint]
-    assert {e.id for e in state.local[0]} == {100, 102}
-    assert all(e.bucket is not None and e.bucket[e.bucket_index] is e for e in state.local[0])
+    assert state.local_buckets[2] == [endpoint]
+    assert {e.id for e in state.local_buckets[0]} == {100, 102}
+    assert all(
+        e.bucket is not None and e.bucket[e.bucket_index] is e for e in state.local_buckets[0]
+    )
 
 
 @pytest.mark.parametrize(
@@ -44,11 +46,11 @@
         setattr(endpoint, name, value)
     rotation.update(state, endpoint)
     assert endpoint.bucket is None
-    assert not any(endpoint in bucket for bucket in state.local)
+    assert not any(endpoint in bucket for bucket in state.local_buckets)
     for name, value in before.items():
         setattr(endpoint, name, value)
     rotation.update(state, endpoint)
-    assert endpoint.bucket is state.local[0]
+    assert endpoint.bucket is state.local_buckets[0]
 
 
 def test_long_messages_leave_their_slots_to_others_up_to_a_number() -> None:
--- a/tests/core/balancing/test_route_policies.py
+++ b/tests/core/balancing/test_route_policies.py
@@ -163,7 +163,7 @@
     fleet.wake(100 * MS)
     assert len(fleet.sends(1)) == 1
     assert not fleet.balancer.state.requests
-    assert fleet.policies.node.active == 0
+    assert fleet.policies.node_budget.active == 0
 
 
 def test_back_offs_are_spread_over_all_of_their_time() -> None:
@@ -193,7 +193,7 @@
     fleet.wake(60 * MS)
     assert len(fleet.sends(1)) == 2
     fleet.end(70 * MS, 1, 1, Outcome.OK)
-    assert fleet.policies.node.active == 0
+    assert fleet.policies.node_budget.active == 0
 
 
 def test_without_a_policy_nothing_changes() -> None:
