--- a/loadbalancer/core/__init__.py
+++ b/loadbalancer/core/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of an HTTP load balancer; see README.md for the interface."""
+"""The decisions of an HTTP load balancer; this module exports the interface for hosts."""
 
 from loadbalancer.core.balancing.balancer import Balancer
 from loadbalancer.core.balancing.model import (
--- a/loadbalancer/core/balancing/__init__.py
+++ b/loadbalancer/core/balancing/__init__.py
@@ -1,23 +1,23 @@
-"""The decisions of one node about its requests; each module has one rule.
+"""The load-balancing decisions of one node; each module implements one of them.
 
-Start with `balancer` (the events of a host) and `state` (what the modules share).
+Start with `balancer` (the event interface) and `state` (the state that the modules share).
 
-| module | rule |
+| module | decision |
 | --- | --- |
-| `admission` | how long a request may be queued, which requests are deferred, tenants' quotas |
-| `scheduling` | which queued request goes next: weighted round robin over the classes |
-| `dispatch` | queued requests leave while slots are free |
-| `class_weights` | how many slots each class is given: prediction, utility, max-min solve |
-| `concurrency_limit` | how many requests all nodes together have in flight at one endpoint |
-| `endpoint_caps` | how many of an endpoint's slots are this node's |
+| `admission` | how long a request may be queued, deferred requests, tenants' quotas |
+| `scheduling` | which queued request is next: weighted round robin over the classes |
+| `dispatch` | when queued requests are sent: while slots are free |
+| `class_weights` | slots of each class: response time prediction, utility, max-min solve |
+| `concurrency_limit` | requests that all nodes together have in flight at one endpoint |
+| `endpoint_caps` | which part of an endpoint's slots belongs to this node |
 | `endpoint_selection` | which endpoint a request is sent to |
-| `rotation` | which endpoints may take one more request |
-| `outlier_detection` | which endpoints are left out, for how long, and how they return |
-| `slow_start` | how much an endpoint gets whose process has just started |
-| `latency` | latency averages and congestion samples, from attempts' durations |
-| `retries` | whether a further attempt may be sent, attempt timeouts, when a request is given up |
+| `rotation` | which endpoints may be sent one more request |
+| `outlier_detection` | back-off, ejection and probing of failing endpoints |
+| `slow_start` | the reduced load of an endpoint whose process has just started |
+| `latency` | latency averages and congestion samples from attempt durations |
+| `retries` | whether a request may be sent again, attempt timeouts, when to give up |
 | `final_answer` | whether an unserved request is rejected or failed |
-| `route_policies`, `hedging`, `retry_budget`, `response_times` | what a route's policy adds |
-| `list_updates`, `request_classes` | what a new list or new settings change |
-| `model`, `records`, `ports` | types exchanged with a host; records of state; plug-in interfaces |
+| `route_policies`, `hedging`, `retry_budget`, `response_times` | policies of routes |
+| `list_updates`, `request_classes` | how a new endpoint list or new settings are applied |
+| `model`, `records`, `ports` | types exchanged with a host; state records; plug-in interfaces |
 """
--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -1,17 +1,17 @@
-"""How long a request may be queued, which requests are deferred, and tenants' quotas.
-
-Every request is queued first; the dispatch sends it at once where a slot is free.
-- Wait: a queued request is rejected once WAIT_PART of its slack has passed. Slack is
-  the time to its latency objective or its client's deadline, whichever is earlier,
-  less its class's mean latency. So an admitted request is answered well within its
-  objective, and a client that retries at once after a rejection can be too.
-- Deferred: a request over its tenant's quota, or certain to miss the objective
-  counted from its client's first try, is queued behind all others of all classes: under
-  overload it is the first to be rejected, as its wait ends.
-- Quota: a token bucket for each tenant, with a capacity of one second's requests,
-  filled at this node's part of the tenant's rate.
-
-Times are nanoseconds; `remaining` is what the client has left of its own deadline.
+"""Admission: maximum queueing time, deferred requests, and tenants' quotas.
+
+Every request is queued first; `dispatch` sends it at once if a slot is free.
+- Queueing time: a queued request is rejected once WAIT_PART of its slack has passed. Slack is
+  the time until its latency objective or its client's deadline, whichever is earlier, minus
+  the mean latency of its class. An admitted request is thus answered well within its
+  objective, and so can be a client that retries immediately after a rejection.
+- Deferral: a request that exceeds its tenant's quota, or that is certain to miss the objective
+  counted from its client's first try, is queued behind all other requests of all classes.
+  Under overload it is the first to be rejected, when its queueing time ends.
+- Quota: a token bucket per tenant, filled at this node's part of the tenant's rate, with a
+  capacity of one second of that rate.
+
+Times are nanoseconds; `remaining` is the time until the client's deadline.
 """
 
 from __future__ import annotations
@@ -25,17 +25,20 @@
 )
 from loadbalancer.core.balancing.state import BalancerState
 
-WAIT_PART = 0.25  # of its slack, that a request may be queued
-# Part of requests that must come with one remaining time for it to count as a first try's.
+WAIT_PART = 0.25  # part of its slack for which a request may be queued
+# A remaining time counts as that of first tries only if this part of all requests has it.
 USUAL_PART = 0.25
 
 QUEUED, ACTIVE = RequestState.QUEUED, RequestState.ACTIVE
 
 
 def admit(state: BalancerState, now: int, request: Request, remaining: int, retry: bool) -> None:
-    """Decide how long a new request may wait and whether it is deferred, and queue it.
+    """Queue a new request, after deciding how long it may wait and whether it is deferred.
 
-    `retry` is a client's mark that this is not its first try. ValueError: unknown tenant.
+    `retry` says that the client marked the request as a retry.
+
+    Raises:
+        ValueError: the tenant is unknown.
     """
     c = request.request_class
     c.arrivals += 1
@@ -43,7 +46,7 @@
     if elapsed:
         request.objective_at -= elapsed
         if elapsed + c.latency >= c.latency_objective:
-            # It is late by its first try in any case: requests that can be in time go first.
+            # Counted from the first try it can only be late: requests that can be in time go first.
             request.objective_at = now + c.latency_objective
             request.deferred = True
     slack = min(request.objective_at, request.deadline) - now - int(c.latency)
@@ -52,15 +55,15 @@
         request.deferred = _exceeds_quota(state, now, request.tenant) or request.deferred
     retry_after = state.settings.max_retry_after
     if retry and c.spec.late_weight <= 0 and retry_after > c.latency_objective:
-        # It was rejected with a Retry-After longer than its objective: late by its first try.
+        # Its first try was rejected with a Retry-After beyond the objective: it is late already.
         request.deferred = True
     enqueue(state, request, False)
 
 
 def stretch_objective(now: int, request: Request, hint: int) -> None:
-    """Set a later objective for a request whose client states much work, if its class allows.
+    """Extend the objective by the client's estimate of the work, if the class has a stretch.
 
-    `hint` is the client's estimate of the work in nanoseconds.
+    `hint` is that estimate in nanoseconds.
     """
     c = request.request_class
     if c.spec.objective_stretch:
@@ -69,12 +72,13 @@
 
 
 def elapsed_before(request_class: ClassState, remaining: int) -> int:
-    """How long ago the client sent its first try, ns; 0 for a first try or where unknown.
+    """How long ago the client sent its first try, in ns; 0 for a first try or if unknown.
 
-    Clients give up each try after the same usual time, so most requests, and all first
-    tries, come with the same time remaining. A later try has another one: less where the
-    client's deadline is nearer than that, or all that is left in its last try. The most
-    frequent step of the histogram is therefore taken for that of first tries.
+    Clients give each try the same usual timeout, so most requests, and all first tries,
+    arrive with the same remaining time. A later try may arrive with a different one: less if
+    the client's deadline is closer than the usual timeout, or all of the time up to the
+    deadline if it is the last try. The most frequent step of the histogram is therefore
+    assumed to be that of first tries.
     """
     c = request_class
     deadline = c.spec.deadline
@@ -91,7 +95,7 @@
 
 
 def _exceeds_quota(state: BalancerState, now: int, tenant: int) -> bool:
-    """Whether a request exceeds this node's part of its tenant's quota; charges it if not."""
+    """Whether a request exceeds this node's part of its tenant's quota; if not, charges it."""
     if not 0 <= tenant < len(state.quota):
         raise ValueError(f"unknown tenant {tenant}")
     rate = state.quota[tenant]
@@ -104,7 +108,7 @@
 
 
 def enqueue(state: BalancerState, request: Request, front: bool) -> None:
-    """Queue a request behind those of its class, or with `front` before them."""
+    """Add a request to the end of its queue, or to the front if `front`."""
     c = request.request_class
     request.state = QUEUED
     if request.deferred:
@@ -117,7 +121,7 @@
         tenant = request.tenant if state.quota else 0
         queue = c.queues[tenant]
         if state.quota and not c.queued_by_tenant[tenant]:
-            # Stride scheduling: a tenant must not accumulate turns while it is idle.
+            # Stride scheduling: an idle tenant must not accumulate turns.
             c.passes[tenant] = max(c.passes[tenant], c.virtual_time)
         c.queued_by_tenant[tenant] += 1
     if front:
@@ -127,7 +131,7 @@
 
 
 def dequeue(state: BalancerState, request: Request) -> None:
-    """Count a request as no longer queued; its entry is removed once it reaches the front."""
+    """Count a request as no longer queued; its queue entry is removed lazily at the front."""
     c = request.request_class
     request.state = ACTIVE
     if request.deferred:
@@ -140,6 +144,6 @@
         tenant = request.tenant if state.quota else 0
         c.queued_by_tenant[tenant] -= 1
         queue = c.queues[tenant]
-    # Otherwise a queue that is never served would retain every request ever queued in it.
+    # Without this, a queue that is never served would keep every request that was added to it.
     while queue and queue[0].state is not QUEUED:
         queue.popleft()
--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -1,13 +1,13 @@
-"""The decisions of one node, as a host sees them.
+"""Balancer: the event interface between a host and one node's load-balancing decisions.
 
-The ordinary path is the gateway of Pacifici et al., "Performance Management for
-Cluster-Based Web Services": FIFO queues by class, in-flight limits per endpoint and in
-total, a weighted round robin over integer class shares, and a periodic solve of those
-shares from an M/M/1 prediction and utility curves. Which module decides what is in
-`docs/architecture.md`; the state they share is a BalancerState.
+The design follows the gateway of Pacifici et al., "Performance Management for Cluster-Based
+Web Services": a FIFO queue per class, limits on requests in flight per endpoint and in total,
+weighted round robin over integer class shares, and a periodic recomputation of those shares
+from an M/M/1 response time prediction and utility curves. The package's doc comment lists
+which module decides what; the modules share one BalancerState.
 
-A Balancer does no I/O, reads no clock and has no state outside itself: a host reports
-events and their times (integer nanoseconds), and the Balancer calls its Actions.
+A Balancer performs no I/O, reads no clock and uses no global state: the host reports each
+event with its time (integer nanoseconds), and the Balancer calls the host's Actions.
 """
 
 from __future__ import annotations
@@ -57,8 +57,8 @@
     from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotAllocator
     from loadbalancer.core.routes.table import Policy
 
-FIRST_ATTEMPT = 0  # the number of a request's first attempt
-SEND_RATE_GAIN = 0.3  # of the moving average of the rate of sends, each cycle
+FIRST_ATTEMPT = 0  # attempts of a request are numbered from 0
+SEND_RATE_GAIN = 0.3  # gain of the moving average of the send rate, per cycle
 
 OK = Outcome.OK
 QUEUED, ENDED = RequestState.QUEUED, RequestState.ENDED
@@ -67,10 +67,10 @@
 
 
 class Balancer:
-    """Receives a host's events and hands each to the modules that decide.
+    """Receives a host's events and passes each to the modules that decide.
 
-    Events are methods named `on_...`. Several of one moment may come in any order;
-    an event of a request, attempt or endpoint that is not known is skipped.
+    Events are methods named `on_...`. Events with the same time may be reported in any
+    order. An event for an unknown request, attempt or endpoint is ignored.
     """
 
     __slots__ = ("state",)
@@ -82,20 +82,20 @@
     # ---- start, settings, list ----------------------------------------
 
     def start(self, now: int) -> None:
-        """Set the first timers; the first event."""
+        """Set the first timers; must be the first event."""
         state = self.state
         state.now = now
         state.credit_at = [now] * len(state.quota)
-        # Nodes that start together are not to adjust their limits together.
+        # A random first cycle keeps nodes that start together from adjusting limits in step.
         state.actions.set_timer(Timer.CYCLE, now + state.random.randrange(CYCLE_NS // 2, CYCLE_NS))
         if state.settings.poll:
             list_updates.schedule_first_poll(state, now)
 
     def on_settings(self, now: int, settings: Settings) -> None:
-        """Use other settings from now on; ValueError where the tenants differ."""
+        """Switch to new settings; raises ValueError if the tenants differ."""
         state = self.state
         if settings.tenants != state.settings.tenants:
-            raise ValueError("tenants can't change while requests of theirs are open")
+            raise ValueError("tenants can't be changed while the Balancer is running")
         state.now = now
         request_classes.replace(state, now, settings)
         state.settings = settings
@@ -105,7 +105,7 @@
         dispatch(state, now)
 
     def on_members(self, now: int, update: Update, rows: Sequence[Listing] = ()) -> None:
-        """Apply an update of the endpoint list, or note that a call for it has failed."""
+        """Apply an update of the endpoint list, or handle a failed poll (Update.FAILED)."""
         state = self.state
         state.now = now
         if update == Update.FAILED:
@@ -117,24 +117,26 @@
 
     # ---- requests -----------------------------------------------------
 
-    def on_request(  # noqa: PLR0913 - all that a host knows of a new request
+    def on_request(  # noqa: PLR0913 - everything the host knows about a new request
         self,
         now: int,
         request_id: int,
         cls: int,
         remaining: int,
         tenant: int = 0,
-        key: int = 0,  # noqa: ARG002 - part of the event; nothing is decided by it
+        key: int = 0,  # noqa: ARG002 - part of the event; no decision uses it
         hint: int = 0,
         client_retry: bool = False,
         policy: Policy | None = None,
     ) -> None:
-        """A request of class number `cls` has arrived; its client waits `remaining` ns longer.
+        """Admit a request of class number `cls` whose client waits `remaining` ns longer.
 
-        `hint` is the client's estimate of the work in nanoseconds, `client_retry` its
-        mark of a further try, `policy` the policy of the route. ValueError: the class or
-        the tenant is unknown. An open request gets one answer: a second event with its id
-        is ignored.
+        `hint` is the client's estimate of the work in nanoseconds, `client_retry` says that
+        the client marked the request as a retry, and `policy` is the route's policy. A second
+        event with the id of an open request is ignored: each request is answered once.
+
+        Raises:
+            ValueError: the class or the tenant is unknown.
         """
         state = self.state
         state.now = now
@@ -157,7 +159,7 @@
             state.wake(request.wait_until, request)
 
     def on_client_half_closed(self, now: int, request_id: int) -> None:
-        """The client sends nothing more: attempts in flight go on, no further one begins."""
+        """Handle a client's half-close: attempts in flight continue, and no new one is started."""
         state = self.state
         state.now = now
         request = state.requests.get(request_id)
@@ -170,7 +172,7 @@
             final_answer.reject_or_fail(state, request)
 
     def on_client_disconnected(self, now: int, request_id: int) -> None:
-        """The client has disconnected: it gets no answer, attempts go on to their outcomes."""
+        """Handle a disconnected client: no response is given; attempts run until their outcomes."""
         state = self.state
         state.now = now
         request = state.requests.get(request_id)
@@ -180,8 +182,8 @@
             admission.dequeue(state, request)
         final_answer.mark_ended(state, request)
         if request.in_flight > 1 and state.policies is not None:
-            # The further attempts are hedges: they save time, and their client has disconnected.
-            # The first goes on to its outcome, as that of a request without hedges does.
+            # Hedges only save latency, which no client needs any more. The first attempt runs
+            # until its outcome, like that of a request without hedges.
             state.policies.cancel_others(request, FIRST_ATTEMPT)
         if not request.in_flight:
             state.requests.pop(request_id, None)
@@ -189,14 +191,14 @@
     # ---- attempts -----------------------------------------------------
 
     def may_begin(self, now: int, request_id: int, number: int) -> bool:
-        """Whether an attempt's first byte may still leave, now that its connection is up."""
+        """Whether an attempt whose connection is established may send its first byte."""
         request = self.state.requests.get(request_id)
         return request is not None and retries.may_begin(now, request, number)
 
     def on_response_started(self, now: int, request_id: int, number: int, duration: int) -> None:
-        """The first bytes of a long answer came after `duration`; its slot is still in use.
+        """Handle the start of a long response, `duration` after the send; the attempt goes on.
 
-        The client has begun to receive it, so that no other attempt can answer any more.
+        The client is receiving this response, so the request's other attempts are cancelled.
         """
         state = self.state
         attempt = self._attempt(now, request_id, number)
@@ -210,14 +212,14 @@
             outlier_detection.record_answer(now, attempt.endpoint)
 
     def on_body_started(self, now: int, request_id: int, number: int) -> None:
-        """A long body begins to be sent: it is not retained, so it can't be sent again."""
+        """Handle the start of a long request body: it is not buffered, so it can't be resent."""
         attempt = self._attempt(now, request_id, number)
         if attempt is not None:
             self.state.requests[request_id].body_sent = True
             set_transferring(self.state, attempt, transferring=True)
 
     def on_body_sent(self, now: int, request_id: int, number: int) -> None:
-        """A long body's last byte is sent: from now on the endpoint's silence counts."""
+        """Handle the end of a long request body: from now on the endpoint has to respond."""
         attempt = self._attempt(now, request_id, number)
         if attempt is not None:
             set_transferring(self.state, attempt, transferring=False)
@@ -242,11 +244,11 @@
         load: Sequence[float] = (),
         connected: bool = False,
     ) -> None:
-        """An attempt has ended after `duration`, with an Outcome; its slot is free.
+        """Handle the end of an attempt after `duration`, with an Outcome; frees its slot.
 
-        `done` says that the host has passed the answer on, `load` is the endpoint's own
-        report by the settings' columns, `connected` marks a failure that came
-        after the connection was established.
+        `done`: the host has passed a response on to the client. `load`: the endpoint's load
+        report, in the order of `Settings.load_columns`. `connected`: the attempt failed
+        after its connection was established.
         """
         state = self.state
         state.now = now
@@ -282,7 +284,7 @@
     def _retry_or_finish(
         self, now: int, request: Request, outcome: int, duration: int, connected: bool
     ) -> None:
-        """Retry the request or give its final answer, by its policy if it has one."""
+        """Retry the request or give its final response, by its route's policy if it has one."""
         state = self.state
         if request.policy_state is None or state.policies is None:
             retries.retry_or_finish(
@@ -292,7 +294,7 @@
             state.policies.retry_or_finish(now, request, request.policy_state, outcome, connected)
 
     def _release_slot(self, request: Request, attempt: Attempt) -> None:
-        """Subtract an attempt that has ended from the counts of attempts in flight."""
+        """Remove an ended attempt from the counts of attempts in flight."""
         state = self.state
         request.in_flight -= 1
         request.request_class.in_flight -= 1
@@ -303,24 +305,24 @@
         attempt.state = ATTEMPT_ENDED
         state.outcomes += 1
 
-    # ---- what others report of endpoints -------------------------------
+    # ---- reports from other nodes and from proxies -------------------------------
 
     def on_load_report(self, now: int, backend: int, ratio: float, failing: bool) -> None:
-        """A load report on an endpoint over some seconds; `ratio`: its latency to the fleet's."""
+        """Handle a load report on an endpoint; `ratio` is its latency relative to the fleet's."""
         self.state.now = now
         outlier_detection.on_load_report(self.state, now, backend, ratio, failing)
 
     def on_peer_report(
         self, now: int, backend: int, reported: ReportedState | None, ratio: float, cold: bool
     ) -> None:
-        """What other nodes' attempts show of an endpoint; None retracts the last report."""
+        """Handle a report of other nodes on an endpoint; None retracts the last report."""
         self.state.now = now
         outlier_detection.on_peer_report(self.state, now, backend, reported, ratio, cold)
 
     # ---- time ---------------------------------------------------------
 
     def on_timer(self, now: int, token: int) -> None:
-        """A timer that was set has come due."""
+        """Handle a timer that has come due; `token` is the Timer it was set with."""
         state = self.state
         state.now = now
         if token == Timer.WAKE:
@@ -332,10 +334,11 @@
             list_updates.poll(state)
 
     def _wake(self, now: int) -> None:
-        """Act on the requests and endpoints whose wake time has come.
+        """Process the requests and endpoints whose wake time is reached.
 
-        Wake times are in a heap, as the head of a queue need not be due first: requests of
-        one class have different times remaining, and a retry is queued ahead of older ones.
+        Wake times are kept in a heap because the head of a queue need not be due first:
+        requests of one class have different remaining times, and a retry is queued ahead of
+        older requests.
         """
         state = self.state
         wakes = state.wakes
@@ -358,7 +361,7 @@
         dispatch(state, now)
 
     def _cycle(self, now: int) -> None:
-        """Each CYCLE_NS: adjust the concurrency limit, then the caps, then the class shares."""
+        """Adjust the concurrency limit, then the caps, then the class shares; every CYCLE_NS."""
         state = self.state
         rate = state.sends * SECOND / CYCLE_NS
         state.send_rate += SEND_RATE_GAIN * (rate - state.send_rate)
@@ -369,41 +372,41 @@
         class_weights.update(state)
         dispatch(state, now)
 
-    # ---- what a host plugs in, and reads --------------------------------
+    # ---- plug-ins of the host, and read access --------------------------------
 
     def dispatch(self, now: int) -> None:
-        """Send queued requests while slots are free: after a change of the caps."""
+        """Send queued requests while slots are free; to be called after the caps have changed."""
         dispatch(self.state, now)
 
     def update_caps(self) -> None:
-        """Compute the caps again, after a plugged-in share or rank has changed."""
+        """Recompute the caps; to be called after the limit share or slot allocation has changed."""
         endpoint_caps.update(self.state)
 
     def set_limit_share(self, now: int, share: LimitShare | None) -> None:
-        """Use only a share of the caps, while two processes are this node; None: all of them."""
+        """Use part of the node's caps while two processes serve as this node; None: use all."""
         self.state.limit_share = share
         endpoint_caps.update(self.state)
         dispatch(self.state, now)
 
     @property
     def has_limit_share(self) -> bool:
-        """Whether another process is this node too."""
+        """Whether another process also serves as this node."""
         return self.state.limit_share is not None
 
-    def set_slot_allocator(self, ranks: SlotAllocator) -> None:
-        """Take the caps in this node's zone from `ranks`, which gossip keeps up to date."""
-        self.state.slot_allocator = ranks
+    def set_slot_allocator(self, allocator: SlotAllocator) -> None:
+        """Take the caps in this node's zone from `allocator`, which gossip keeps up to date."""
+        self.state.slot_allocator = allocator
 
     def set_policies(self, policies: Policies) -> None:
         """Apply the routes' policies to requests that come with one."""
         self.state.policies = policies
 
     def find_class(self, now: int, name: str, safe: bool, keyed: bool) -> ClassState | None:
-        """The class of this name that fits the request's method and key; None for none."""
+        """The class of this name that fits the request's method and key, or None."""
         return request_classes.find(self.state, now, name, safe, keyed)
 
     def endpoint_views(self, now: int) -> list[ServerView]:
-        """All listed endpoints in the order of their ids, as of now; decides nothing."""
+        """A read-only view of all listed endpoints at `now`, ordered by id."""
         state = self.state
         state.now = now
         return [
@@ -432,12 +435,12 @@
 
     @property
     def endpoints(self) -> Mapping[int, Endpoint]:
-        """The known endpoints by id; to be read only."""
+        """The known endpoints by id; read-only for callers."""
         return self.state.endpoints
 
     @property
     def classes(self) -> Sequence[ClassState]:
-        """The request classes by number; to be read only."""
+        """The request classes by number; read-only for callers."""
         return self.state.classes
 
     @property
@@ -452,15 +455,15 @@
 
     @property
     def concurrency_limit(self) -> float:
-        """The requests that all nodes together have in flight at one endpoint."""
+        """Requests that all nodes together may have in flight at one endpoint."""
         return self.state.concurrency_limit
 
     @property
     def saturated(self) -> bool:
-        """Whether a request has had to wait since the last cycle."""
+        """Whether a request has been queued for lack of a slot since the last cycle."""
         return self.state.saturated
 
     @property
     def peers(self) -> int:
-        """How many nodes of this node's zone there are, itself included."""
+        """How many nodes this node's zone has, including this one."""
         return self.state.peers
--- a/loadbalancer/core/balancing/class_weights.py
+++ b/loadbalancer/core/balancing/class_weights.py
@@ -1,10 +1,10 @@
-"""How many of a node's slots each request class is given (DESIGN-wharfspread, point 4).
+"""Divides a node's slots among the request classes.
 
-The paper is Pacifici et al., "Performance Management for Cluster-Based Web
-Services". Every cycle an M/M/1 queue predicts each class's mean response time at
-any share, from the rate, response time and share of the cycles before (its
-equations 8 and 9); a utility curve rates the prediction against the class's
-latency objective; integer shares of at least 1 that sum to the node's total N_g
+The method is that of Pacifici et al., "Performance Management for Cluster-Based Web Services"
+("the paper"). Every cycle, an M/M/1 model predicts each class's mean response time at any
+share from the rate, response time and share of earlier cycles (equations 8 and 9); a utility
+curve rates the prediction against the class's latency objective; and the integer shares, each
+at least 1 and with a sum of `BalancerState.max_in_flight` (the paper's N_g), are chosen to
 maximise the smallest utility. Rates are per second, times in seconds.
 """
 
@@ -19,61 +19,61 @@
 from loadbalancer.core.balancing.state import BalancerState
 
 CYCLE_NS = SECOND // 2
-DECAY = 0.85  # factor on earlier cycles' sums: averages sparse traffic over some seconds
+DECAY = 0.85  # per cycle, of earlier cycles' sums: averages sparse traffic over several seconds
 ALPHA = BETA = 1.0  # exponents of the utility curve, within and beyond the objective
-MAX_OBJECTIVES = 10.0  # bound of a predicted time, in latency objectives
-REJECTED_OBJECTIVES = 10.0  # a rejection counts as a response time of so many objectives
-MIN_SERVED_PART = 0.02  # bounds the extrapolation from the served part of a class to all of it
-IDLE_UTILITY = 1.0  # the utility of a class without traffic: that of a response time of 0
+MAX_OBJECTIVES = 10.0  # upper bound of a predicted response time, in latency objectives
+REJECTED_OBJECTIVES = 10.0  # response time that a rejection counts as, in latency objectives
+MIN_SERVED_PART = 0.02  # lower bound of the served part from which the needed share is extrapolated
+IDLE_UTILITY = 1.0  # utility of a class without traffic: the same as for a response time of 0
 
 ENDED = RequestState.ENDED
 
 
 class ClassTraffic(NamedTuple):
-    """What the solve knows of one class."""
+    """Measured traffic of one class, the input of `solve`."""
 
     rate: float  # arrivals a second
-    mean: float  # response time in seconds, rejections included; 0 without traffic
-    share: float  # slots of the class while the mean was measured
+    mean: float  # mean response time in seconds, including rejections; 0 without traffic
+    share: float  # mean number of slots while `mean` was measured
     objective: float  # latency objective in seconds
-    weight: float  # of missing the objective
+    weight: float  # cost of missing the objective
 
 
 def predict(rate: float, mean: float, old: float, new: float) -> float:
-    """Mean response time at share `new`, from `mean` at share `old`; inf where saturated.
+    """Predict the mean response time at share `new` from `mean` at share `old`.
 
-    Equations 8 and 9 of the paper.
+    Equations 8 and 9 of the paper; infinite if the class would be saturated.
     """
     denominator = 1.0 / mean + rate * (1.0 / old - 1.0 / new)
     return 1.0 / denominator if denominator > 0 else inf
 
 
 def utility(objective: float, time: float, weight: float) -> float:
-    """The paper's utility of a response time; the weight scales it only beyond the objective."""
+    """The paper's utility of a response time; `weight` applies only beyond the objective."""
     miss = min(time / objective, MAX_OBJECTIVES) - 1.0
     return float((-miss) ** ALPHA if miss <= 0 else -weight * miss**BETA)
 
 
 def utility_at(flow: ClassTraffic, share: int) -> float:
-    """A class's utility at a share."""
+    """The utility of a class at a given share."""
     rate, mean, old, objective, weight = flow
     if rate <= 0 or mean <= 0:
         return IDLE_UTILITY
     time = predict(rate, mean, max(old, 1.0), share)
     if time == inf:
-        # Still rising with the share, so that saturated classes are compared by overload.
+        # Increases with the share, so that saturated classes are ranked by their overload.
         bound = -weight * (MAX_OBJECTIVES - 1.0) ** BETA
         return float(bound - weight * rate * objective / share)
     return utility(objective, time, weight)
 
 
 def solve(total: int, flows: Sequence[ClassTraffic]) -> list[int]:
-    """Max-min integer shares of `total` slots, each at least 1.
+    """Max-min fair integer shares of `total` slots, each at least 1.
 
-    The paper's dynamic program grows with the square of the total. Adding slots one
-    by one to the class of the lowest utility gives the same optimum, because no
-    utility falls as a share grows. A class without traffic stays at its one slot
-    until all others have reached the utility IDLE_UTILITY.
+    The running time of the paper's dynamic program is quadratic in `total`. Adding slots one
+    at a time to the class with the lowest utility finds the same optimum, because utility
+    never decreases with the share. A class without traffic stays at one slot until all
+    others have reached IDLE_UTILITY.
     """
     shares = [1] * len(flows)
     utilities = [utility_at(flow, 1) for flow in flows]
@@ -85,7 +85,7 @@
 
 
 def count_served(request: Request, now: int) -> None:
-    """Count a request that is answered, unless it has ended: by another attempt, or unanswered."""
+    """Count a successful response, unless the request has already ended."""
     if request.state is not ENDED:
         request_class = request.request_class
         request_class.response_time += now - request.arrived
@@ -93,7 +93,7 @@
 
 
 def update(state: BalancerState) -> None:
-    """Compute the shares from the cycles so far, and let the sums of those decay."""
+    """Recompute the shares from the decayed sums of all cycles so far, and decay the sums."""
     flows = []
     for request_class in state.classes:
         request_class.cycles = request_class.cycles * DECAY + 1
@@ -108,13 +108,13 @@
 
 
 def _flow(request_class: ClassState) -> ClassTraffic:
-    """The rate, mean response time and share of a class over the cycles so far."""
+    """The rate, mean response time and share of a class over the cycles so far, decayed."""
     objective = request_class.latency_objective
     seen = request_class.served + request_class.rejected
     rejected_time = request_class.rejected * REJECTED_OBJECTIVES * objective
     mean = (request_class.response_time + rejected_time) / seen if seen else 0.0
-    # Equation 8 assumes that all arrivals are served. Where this share served only some of
-    # them, the share that would have served all is extrapolated.
+    # Equation 8 assumes that all arrivals are served. If this share served only part of them,
+    # the share that would have served all is extrapolated from it.
     share = request_class.share_sum / request_class.cycles
     if seen:
         share /= max(request_class.served / seen, MIN_SERVED_PART)
--- a/loadbalancer/core/balancing/concurrency_limit.py
+++ b/loadbalancer/core/balancing/concurrency_limit.py
@@ -1,14 +1,13 @@
-"""How many requests all nodes together have in flight at one endpoint.
+"""Adaptive limit on the requests that all nodes together have in flight at one endpoint.
 
-The DESIGN-wharfspread page leaves the sizing of the caps open. Here the limit
-follows the congestion of the worst class: the part of the time between its
-uncongested latency and its latency objective that its attempts use up, 0 on idle
-endpoints, 1 where the objective is missed on average. Once a cycle the limit is
-cut where congestion, rejections or time-outs are high, and grows where requests
-wait while congestion is low. Each node does so from its own attempts alone.
+The limit follows the congestion of the most congested class. Congestion is the part of the
+time between a class's uncongested latency and its latency objective that its attempts use on
+average: 0 on idle endpoints, 1 when the mean latency reaches the objective. Once per cycle the
+limit is cut if congestion, rejections or time-outs are high, and raised if requests had to
+wait while congestion is low. Each node adjusts it from its own attempts alone.
 
-Inputs: the sums of `latency.record`, counts of outcomes, and whether any request
-had to wait since the last cycle.
+Inputs: the sums of `latency.record`, counts of outcomes, and whether any request had to wait
+since the last cycle.
 """
 
 from __future__ import annotations
@@ -22,20 +21,22 @@
 MAX_LIMIT = 64.0
 LOW_CONGESTION = 0.17  # below which the limit may grow
 HIGH_CONGESTION = 0.32  # above which it is cut
-SEVERE_CONGESTION = 2.0 * HIGH_CONGESTION  # above which it is cut by SEVERE_CUT
-GROWTH = 1.15  # factors on the limit, a cycle
+SEVERE_CONGESTION = 2.0 * HIGH_CONGESTION  # above which SEVERE_CUT applies and is logged
+GROWTH = 1.15  # factors on the limit per cycle
 CUT = 0.9
 SEVERE_CUT = CUT * CUT * CUT
-MAX_REJECTED_PART = 0.05  # of outcomes, above which endpoints' rejections cut the limit
-MAX_TIMEOUT_PART = 0.04  # the same of time-outs, counted once for an unresponsive endpoint
-MIN_SAMPLES = 3  # attempts of a class by which its congestion is has_enough_samples
-CARRIED_SAMPLES = 10  # samples up to which a class's sums are carried to the next cycle
-BASE_GROWTH = 1.005  # factor a cycle, so that the uncongested latency is not a minimum of all time
-MAX_BASE_PART = 0.9  # of the objective: an uncongested latency counts as no more
+MAX_REJECTED_PART = (
+    0.05  # rejections by endpoints, as a part of outcomes, above which the limit is cut
+)
+MAX_TIMEOUT_PART = 0.04  # the same for time-outs; an unresponsive endpoint's are counted once
+MIN_SAMPLES = 3  # attempts needed to measure a class's congestion
+CARRIED_SAMPLES = 10  # below so many samples, a class's sums are carried into the next cycle
+BASE_GROWTH = 1.005  # per cycle, so that the uncongested latency is not an all-time minimum
+MAX_BASE_PART = 0.9  # upper bound of the uncongested latency, as a part of the objective
 
 
 def adjust(state: BalancerState, now: int) -> None:
-    """Cut, raise or leave the limit, by the outcomes counted since the last cycle."""
+    """Cut, raise or keep the limit, from the outcomes counted since the last cycle."""
     for request_class in state.classes:
         _update_base_latency(request_class)
     congestion = _worst_congestion(state)
@@ -57,7 +58,7 @@
 
 
 def _update_base_latency(request_class: ClassState) -> None:
-    """Follow the class's uncongested latency: its lowest one, that grows slowly."""
+    """Track the class's uncongested latency: its minimum mean latency, which grows slowly."""
     if request_class.latency_samples <= MIN_STABLE_SAMPLES:
         return
     if request_class.base_latency:
@@ -68,13 +69,14 @@
 
 
 def _worst_congestion(state: BalancerState) -> float:
-    """The highest congestion of all classes that have MIN_SAMPLES, at least 0."""
+    """The highest congestion among the classes with at least MIN_SAMPLES; at least 0."""
     worst = 0.0
     for number, samples in enumerate(state.congestion_samples):
         request_class = state.classes[number]
-        # Without a base latency, half an objective on idle endpoints would count as congestion.
+        # While the uncongested latency is unknown, a class that takes half its objective even on
+        # idle endpoints would look congested.
         if samples >= MIN_SAMPLES and request_class.base_latency:
-            # Only the time beyond the latency on idle endpoints is congestion.
+            # Only latency above the uncongested latency counts as congestion.
             base = min(request_class.base_latency / request_class.latency_objective, MAX_BASE_PART)
             worst = max(worst, (state.congestion_sum[number] / samples - base) / (1.0 - base))
     return worst
@@ -90,10 +92,11 @@
 
 
 def _carry_samples(state: BalancerState, cut: bool) -> None:
-    """Carry the samples of a class that has few of them, decayed, into the next cycle.
+    """Carry the decayed samples of a class that has few of them into the next cycle.
 
-    In a large fleet a node sees an answer or two a cycle, and a mean over so few is mostly
-    noise. Nothing is carried after a cut: one congestion would cut the limit many times.
+    In a large fleet a node sees only one or two responses per cycle, and their mean is mostly
+    noise. Nothing is carried after a cut: otherwise one congestion would cut the limit
+    several times.
     """
     for number, samples in enumerate(state.congestion_samples):
         carry = DECAY if samples < CARRIED_SAMPLES and not cut else 0.0
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -1,8 +1,8 @@
-"""Sends queued requests while slots are free (DESIGN-wharfspread, point 2).
+"""Sends queued requests while slots are free.
 
-A request may be sent while fewer than N_g are in flight (transfers of long messages
-don't count) and some endpoint is under its cap. `scheduling` decides which request is
-sent, `endpoint_selection` to which endpoint.
+A request may be sent while the node has fewer than `max_in_flight` attempts in flight, not
+counting transfers of long messages, and some endpoint is below its cap. `scheduling` selects
+the request, `endpoint_selection` the endpoint.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
         if picked is None:
             return
         request = next_request(state, deferred)
-        # The repeat window of a retry may end while it is queued.
+        # A retry's repeat window may end while the request is queued.
         if now > request.wait_until or (request.attempts and not may_resend(now, request)):
             final_answer.reject_or_fail(state, request)
             continue
@@ -60,9 +60,10 @@
 
 
 def set_transferring(state: BalancerState, attempt: Attempt, transferring: bool) -> None:
-    """Mark an attempt as transferring a long message, or no longer: its endpoint is not silent.
+    """Mark the start or the end of an attempt's transfer of a long message.
 
-    Its slot is free for others meanwhile, up to `rotation.MAX_TRANSFERRING`.
+    A transferring attempt does not count as waiting for its endpoint, and its slot can be
+    used by another request, for up to `rotation.MAX_TRANSFERRING` transfers per endpoint.
     """
     if attempt.state is (OPEN if transferring else TRANSFERRING):
         attempt.state = TRANSFERRING if transferring else OPEN
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -1,19 +1,19 @@
-"""How many of each endpoint's slots are this node's (DESIGN-wharfspread, points 1 and 2).
-
-The concurrency limit says how many requests all nodes together have in flight at
-one endpoint. The paper splits it among the nodes in proportion to their load,
-which needs a global manager. Here each slot belongs to one node: at each
-endpoint the nodes are ranked, by a rule that every node computes alike from the
-settings and the list, and slot i belongs to the node of rank i modulo their number.
-The ranks are shifted from endpoint to endpoint. With more nodes than slots most
-nodes have no slot at most endpoints, and some at a few.
-
-Inputs: the concurrency limit, the listed endpoints, this node's number and zone,
-and what the endpoints' answers show. Results, all in requests: `Endpoint.cap`
-(N_{g,s}), `Endpoint.node_cap` and `BalancerState.total` (N_g). Nodes of other
-zones share a separate part of an endpoint's slots. Where nodes exchange
-messages (`SlotAllocator`) the slots of nodes that are down are divided among the
-others, and where two processes are this node (`LimitShare`) they divide its caps.
+"""Divides the slots of each endpoint among the nodes and sets this node's caps.
+
+The concurrency limit is the number of requests, or slots, that all nodes together may use at
+one endpoint. Pacifici et al. ("the paper", see `class_weights`) divide it among the nodes in
+proportion to their load, which needs a global manager. Here each slot belongs to one node: at
+each endpoint the nodes are ranked by a rule that all of them evaluate identically from the
+settings and the endpoint list, and slot i belongs to the node of rank i modulo the number of
+nodes. Ranks are shifted from one endpoint to the next. With more nodes than slots, most nodes
+have no slot at most endpoints and a few slots elsewhere.
+
+Inputs: the concurrency limit, the listed endpoints, this node's number and zone, and the
+measurements of the endpoints. Results, all in requests: `Endpoint.cap` (the paper's N_{g,s}),
+`Endpoint.node_cap` and `BalancerState.max_in_flight` (N_g). Nodes of other zones share a
+separate part of an endpoint's slots. Where nodes exchange messages, a `SlotAllocator` divides
+the slots of dead nodes among the others; while two processes serve as this node, a
+`LimitShare` divides its caps between them.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
 from loadbalancer.core.balancing.records import Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-OTHER_ZONES_PART = 0.34  # of the limit, for the nodes of other zones
-# Golden section: of any consecutive endpoints, a fractional limit is rounded up at the part
-# that its fraction says. Rounded up everywhere, a limit just over 2 would give 3 slots.
+OTHER_ZONES_PART = 0.34  # part of the limit for the nodes of other zones
+# Golden section, for rounding offsets that are spread evenly: among any consecutive endpoints a
+# fractional limit is rounded up at the part that its fraction states. Rounded up at all of them,
+# a limit just over 2 would give 3 slots.
 ROUNDING_STEP = 0.618034
-MIN_SLOTS = 3  # of a node in its zone at least, however many nodes there are
-RESERVE_REACH = 4  # reserve slots only where the node's rank is below so many times the slots
-SLOW_RATIO = 1.5  # latency against the fleet's above which an endpoint's own limit shrinks
-STALE_GAIN = 0.05  # a cycle, by which a latency ratio that is not measured returns to 1
-FRESH_ANSWER_NS = 2 * SECOND  # how long an endpoint's last answer shows its latency and load
+MIN_SLOTS = 3  # that a node has in its zone on average at least, however many nodes there are
+RESERVE_REACH = 4  # reserve slots need a rank below this multiple of an endpoint's slots
+SLOW_RATIO = 1.5  # latency relative to the fleet's above which an endpoint's limit is reduced
+STALE_GAIN = 0.05  # per cycle, with which an unmeasured latency ratio returns to 1
+FRESH_ANSWER_NS = 2 * SECOND  # how long an endpoint's last response is evidence of its load
 
 
 def set_zone_rank(state: BalancerState, settings: Settings) -> None:
-    """Set this node's place among the nodes of its zone, and the load report's column."""
+    """Set this node's rank in its zone, and the queue length's column in load reports."""
     columns = settings.load_columns
     state.queue_column = columns.index("q") if "q" in columns else -1
     own = settings.node % settings.zones == settings.zone % settings.zones
@@ -47,7 +48,7 @@
 def assign_ranks(state: BalancerState) -> None:
     """Set this node's rank at every endpoint from the list, then all caps.
 
-    Instead of the paper's equations 5 and 6, see the module's comment.
+    Replaces the paper's equations 5 and 6; the module's doc comment says why.
     """
     zones: dict[int, list[Endpoint]] = {}
     for endpoint in state.endpoints.values():
@@ -59,7 +60,7 @@
         count = len(endpoints)
         state.ready += count
         nodes, place = _place_in(state, zone)
-        # Where nodes outnumber endpoints, ranks shifted one by one would miss the last nodes.
+        # With more nodes than endpoints, a shift of 1 per endpoint would not reach all nodes.
         spread = max(nodes, count)
         for index, endpoint in enumerate(endpoints):
             endpoint.rounding_offset = index * ROUNDING_STEP % 1.0
@@ -69,7 +70,7 @@
 
 
 def _place_in(state: BalancerState, zone: int) -> tuple[int, int]:
-    """How many nodes share the endpoints of a zone, and this node's place among them."""
+    """The number of nodes that share a zone's endpoints, and this node's index among them."""
     settings = state.settings
     if zone == settings.zone:
         return state.peers, state.zone_rank
@@ -79,11 +80,12 @@
 
 
 def update(state: BalancerState) -> None:
-    """Set each endpoint's cap, and use reserve slots where too few of the own ones are usable.
+    """Set each endpoint's cap, and use reserve slots if too few of the node's own are usable.
 
-    Slots at endpoints that are silent, slow or cold serve nobody, and a node with few
-    slots may have no others: its requests would be rejected while other nodes have
-    slots free. Such a node uses the next slots in the order of its ranks.
+    Slots at silent, slow or cold endpoints are of little use, and a node with few slots may
+    have no others: its requests would be rejected while other nodes have free slots. Such a
+    node also uses slots that belong to other nodes, at the endpoints where its rank exceeds
+    the number of slots by the least.
     """
     local = sum(1 for e in state.endpoints.values() if e.local and e.state == State.READY)
     limit = state.concurrency_limit
@@ -113,13 +115,16 @@
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
     missing = max(min(assigned, MIN_SLOTS), 1) - usable
-    if missing > 0 and state.slot_allocator is None:  # nodes that exchange messages lease slots
+    if missing > 0 and state.slot_allocator is None:  # else the node can lease slots from others
         total += _use_reserve(state, reserve, missing)
     state.max_in_flight = max(total, 1)
 
 
 def _use_reserve(state: BalancerState, reserve: list[tuple[int, int, Endpoint]], count: int) -> int:
-    """Allow one request in flight at the first `count` endpoints of the reserve."""
+    """Allow one request in flight at each of the first `count` reserve endpoints.
+
+    Returns the number of slots added for this process.
+    """
     added = 0
     for _, _, endpoint in sorted(reserve)[:count]:
         endpoint.node_cap = endpoint.cap = 1
@@ -131,13 +136,13 @@
 
 
 def _set_cap(state: BalancerState, endpoint: Endpoint, depth: float, local: int) -> None:
-    """Set one endpoint's cap, where all nodes of a zone share `depth` slots of it."""
+    """Set one endpoint's cap, if the nodes that share it have a limit of `depth` slots."""
     warm = endpoint.cold_until <= state.now
     ratio = max(endpoint.latency_ratio, endpoint.reported_ratio)
     if ratio > SLOW_RATIO:
         depth = min(depth, max(1.0, depth / ratio))
         if not endpoint.in_flight and state.now - endpoint.last_seen > FRESH_ANSWER_NS:
-            # Without a slot it is not measured: its last latency must not count for ever.
+            # Without a slot it is not measured; its last latency must not count forever.
             endpoint.latency_ratio += STALE_GAIN * (1.0 - endpoint.latency_ratio)
     if not warm:
         depth = slow_start.cold_limit(state, endpoint, depth)
--- a/loadbalancer/core/balancing/endpoint_selection.py
+++ b/loadbalancer/core/balancing/endpoint_selection.py
@@ -1,11 +1,10 @@
-"""Which endpoint a request is sent to (DESIGN-wharfspread, point 5).
-
-The paper leaves this open. Here: among the endpoints in rotation the one with the
-fewest of this node's requests in flight, its own zone before the others. Of those
-that have equally few, CANDIDATE_COUNT are drawn at random and the one of the lowest load
-cost, by its last answer, is taken. A further attempt goes to another endpoint than
-the earlier ones where it can; the repeat of a keyed request goes to the group of
-endpoints that know its key, whatever their load.
+"""Selects the endpoint that a request is sent to.
+
+Of the endpoints in rotation, those of the node's own zone are preferred, then those with the
+fewest of this node's requests in flight. Among equals, CANDIDATE_COUNT are sampled at random
+and the one with the lowest load cost, as of its last response, is selected. A retry goes to an
+endpoint that has not had an attempt yet if possible. The repeat of a request with an
+idempotency key goes to the group of endpoints that know the key, regardless of their load.
 """
 
 from __future__ import annotations
@@ -16,16 +15,16 @@
 from loadbalancer.core.balancing.records import Endpoint, Request
 from loadbalancer.core.balancing.state import BalancerState
 
-CANDIDATE_COUNT = 3  # endpoints drawn at random, of which the best is taken
-DEFAULT_LOAD_COST = 1.0  # the load cost of an endpoint whose last answer is old
+CANDIDATE_COUNT = 3  # endpoints sampled at random, of which the best is selected
+DEFAULT_LOAD_COST = 1.0  # of an endpoint whose last response is too old to show its load
 
 ALL, ZONE, TOKEN, READY = Scope.ALL, Scope.ZONE, Effect.TOKEN, State.READY
 
 
 def pick(state: BalancerState, now: int) -> Endpoint | None:
-    """The endpoint in rotation with the fewest requests in flight, None where none is.
+    """The endpoint in rotation with the fewest requests in flight, or None.
 
-    Those found silent on the way are marked unresponsive, which takes them out of rotation.
+    Endpoints that are found silent are marked unresponsive and so leave the rotation.
     """
     for pool in (state.local_buckets, state.remote_buckets):
         for bucket in pool:
@@ -34,13 +33,13 @@
                 waiting = best.in_flight > best.transferring
                 if not waiting or now - best.silent_since <= silence_limit(state):
                     return best
-                # It has free slots but does not answer: a further request would time out too.
+                # It has free slots but does not respond: another request would time out as well.
                 mark_unresponsive(state, best)
     return None
 
 
 def _least_loaded(state: BalancerState, now: int, bucket: list[Endpoint]) -> Endpoint:
-    """The endpoint of lowest load cost among CANDIDATE_COUNT drawn from a non-empty bucket."""
+    """The endpoint with the lowest load cost of CANDIDATE_COUNT sampled from a bucket."""
     random = state.random.random
     count = len(bucket)
     best = bucket[int(random() * count)]
@@ -55,9 +54,9 @@
 
 
 def pick_for(state: BalancerState, now: int, request: Request, picked: Endpoint) -> Endpoint | None:
-    """The endpoint for this request's next attempt, given what `pick` found for any.
+    """The endpoint for this request's next attempt, given the result of `pick`.
 
-    None where the request may only go to a group of which no endpoint is ready.
+    None if the request may only go to a group of endpoints and none of them is ready.
     """
     attempts = request.attempts
     if not attempts:
@@ -75,9 +74,9 @@
 
 
 def _pick_in_group(state: BalancerState, request: Request) -> Endpoint | None:
-    """An endpoint that knows the request's key: of the zone or cell that executed it.
+    """An endpoint that knows the request's key: one in the zone or cell that executed it.
 
-    The endpoint that executed it comes last, and not at all once it is draining.
+    The endpoint that executed it is the last choice, and excluded once it is draining.
     """
     executed = request.first_executed
     assert executed is not None
--- a/loadbalancer/core/balancing/final_answer.py
+++ b/loadbalancer/core/balancing/final_answer.py
@@ -1,8 +1,8 @@
-"""The final answer of a request that is not served: rejected or failed.
+"""The final response of a request that could not be served: rejected or failed.
 
-A rejection means that a retry is harmless, so it is given only where that is true: the
-request has never executed, or a second execution has no effect, or every endpoint still
-recognises the request's key (within its repeat window). Otherwise the request fails.
+A rejection tells the client that a retry is harmless. It is given only if that is true: the
+request has certainly not executed, or a second execution has no effect, or all endpoints still
+know the request's idempotency key (within its repeat window). Otherwise the request fails.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def reject_or_fail(state: BalancerState, request: Request) -> None:
-    """End a request without service, unless it has ended."""
+    """Reject or fail a request that could not be served, unless it has already ended."""
     if request.state is ENDED:
         return
     mark_ended(state, request)
@@ -30,7 +30,7 @@
 
 
 def mark_ended(state: BalancerState, request: Request) -> None:
-    """Mark a request as ended: its answer is given, or its client has disconnected."""
+    """Mark a request as ended: it was answered, or its client has disconnected."""
     if request.state is not ENDED:
         request.state = ENDED
         if request.policy_state is not None and state.policies is not None:
@@ -38,11 +38,11 @@
 
 
 def _may_reject(state: BalancerState, request: Request) -> bool:
-    """Whether the client may try again without harm."""
+    """Whether the client can retry without harm."""
     if request.effect == Effect.PURE:
         return True
     if request.in_flight:
-        return False  # that attempt may execute yet: the client's next try would be the second
+        return False  # that attempt may still execute, a client's retry would be the second time
     executed = request.first_executed
     if executed is None:
         return True
@@ -53,9 +53,9 @@
 def _retry_after(state: BalancerState, request: Request) -> int:
     """The Retry-After of a rejection, in nanoseconds; 0 for none.
 
-    A client that waits past its objective returns with a try that is late in any case.
-    Where clients don't mark retries, such tries would take slots from those in time: then
-    no wait is requested, and a retry at once can still be answered in time.
+    A client that waits beyond its objective returns with a retry that is already late. If
+    clients don't mark their retries, such retries would take slots from requests that are
+    in time. Then no wait is requested, and an immediate retry can still be in time.
     """
     settings = state.settings
     wait = settings.max_retry_after
--- a/loadbalancer/core/balancing/hedging.py
+++ b/loadbalancer/core/balancing/hedging.py
@@ -1,9 +1,9 @@
-"""When a hedged request (a second copy of a slow one) is sent, and what a cancelled copy shows.
+"""Hedging: when a second attempt of a slow request is sent, and what a cancelled one shows.
 
-Only for requests that may be repeated without effect, where the settings allow hedges
-and cancelling and the route's policy asks for them: after a fixed time, or after a
-percentile of the route's answer times. A hedge needs a free slot, part of the route's
-allowance, and tokens of the retry budgets.
+Only requests whose repetition has no effect are hedged, if the settings allow hedging and
+cancelling and the route's policy asks for it: after a fixed time, or after a percentile of the
+route's response times. A hedge needs a free slot, a unit of the route's allowance, and a token
+of each retry budget.
 
 Times are nanoseconds.
 """
@@ -19,11 +19,11 @@
 from loadbalancer.core.balancing.state import BalancerState
 from loadbalancer.core.routes.table import HedgingSpec
 
-HEDGE_BURST = 2.0  # least bound of the hedges that a route accumulates
+HEDGE_BURST = 2.0  # minimum capacity of a route's allowance
 
 
 def may_hedge(state: BalancerState, request: Request) -> bool:
-    """Whether the settings and the request allow another copy of it."""
+    """Whether the settings and the request's state allow a hedge."""
     settings = state.settings
     allowed = settings.hedging and settings.can_cancel and request.effect == Effect.PURE
     if not allowed or request.response_started:
@@ -32,24 +32,25 @@
 
 
 def delay(spec: HedgingSpec, response_times: ResponseTimes) -> int:
-    """How long after the first attempt a hedge is due; 0 where that is not known yet."""
+    """The time from the first attempt to its hedge; 0 if it is not known yet."""
     return spec.after or response_times.percentile(spec.percentile)
 
 
 def allowance(spec: HedgingSpec, before: float, active: int) -> float:
-    """The hedges that a route may send after one more request; `before`: before it."""
+    """The route's hedge allowance after one more request, from the one `before` it."""
     return min(before + spec.max_part, max(HEDGE_BURST, spec.max_part * active))
 
 
 def on_cancelled(
     state: BalancerState, now: int, request: Request, endpoint: Endpoint, duration: int
 ) -> None:
-    """Learn from a cancelled copy: its duration so far is a lower bound of its latency.
+    """Update an endpoint's measurements from an attempt that was cancelled there.
 
-    Otherwise a slow endpoint, whose copies are always cancelled, would never be measured.
-    The endpoint may go on with cancelled work, and requests sent to it would queue behind
-    that: so it backs off for as long as the attempt has lasted. Where the other copy was
-    faster by chance, this is no more than a few mean latencies.
+    The attempt's duration is a lower bound of its latency. Without it a slow endpoint, whose
+    attempts are always cancelled in favour of hedges, would never be measured. The endpoint
+    may continue to work on the cancelled attempt, and new requests would queue behind that:
+    so it backs off for as long as the attempt has lasted. If the other attempt was faster
+    only by chance, that is no more than a few mean latencies.
     """
     endpoint.backoff_until = max(endpoint.backoff_until, now + min(duration, MAX_BACKOFF_NS))
     rotation.update(state, endpoint)
--- a/loadbalancer/core/balancing/latency.py
+++ b/loadbalancer/core/balancing/latency.py
@@ -1,7 +1,7 @@
-"""Latency averages of classes and endpoints, and congestion samples, from attempts' durations.
+"""Latency averages of classes and endpoints, and congestion samples, from attempt durations.
 
-Inputs are durations in nanoseconds; a class's mean is in nanoseconds too, an
-endpoint's ratio is against its class's mean, a congestion sample is in objectives.
+Durations and a class's mean latency are in nanoseconds. An endpoint's latency ratio is relative
+to the mean of its requests' classes. A congestion sample is in units of the latency objective.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 from loadbalancer.core.balancing.records import ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-MAX_OBJECTIVES = 1.2  # bound of the duration of one attempt, in latency objectives
-MIN_STABLE_SAMPLES = 20  # up to which a class's mean follows new samples quickly
-FAST_GAIN = 0.2  # gains of moving averages, a sample: of a class's mean at first ...
-SLOW_GAIN = 0.05  # ... and later
-RATIO_GAIN = 0.2  # of an endpoint's latency ratio
-MAX_RATIO = 10.0  # bound of one sample of it
+MAX_OBJECTIVES = 1.2  # upper bound of a recorded duration, in latency objectives
+MIN_STABLE_SAMPLES = 20  # up to so many, a class's mean follows new samples quickly
+FAST_GAIN = 0.2  # per sample, of the moving average of a class's latency, at first ...
+SLOW_GAIN = 0.05  # ... and after MIN_STABLE_SAMPLES
+RATIO_GAIN = 0.2  # per sample, of the moving average of an endpoint's latency ratio
+MAX_RATIO = 10.0  # upper bound of one sample of that ratio
 
 
 def record(
@@ -22,8 +22,8 @@
 ) -> float:
     """Record an attempt's duration; returns its ratio to the class's mean latency.
 
-    The duration is bounded: in full, a few time-outs of one unresponsive endpoint
-    would look like congestion of the whole fleet and cut the limit for all of them.
+    The duration is bounded: otherwise a few time-outs at one unresponsive endpoint would look
+    like congestion of the whole fleet and cut the concurrency limit of all endpoints.
     """
     objective = request_class.latency_objective
     duration = min(duration, int(MAX_OBJECTIVES * objective))
--- a/loadbalancer/core/balancing/list_updates.py
+++ b/loadbalancer/core/balancing/list_updates.py
@@ -1,8 +1,9 @@
-"""What an update of the endpoint list changes.
+"""Polls the endpoint list and applies its updates.
 
-Rows name endpoints and their states; a complete list also removes what it does not
-name. An endpoint that is removed or draining gets no new requests. A removed one is
-forgotten once it has nothing in flight: ids are never reused, so records would accumulate.
+Each row has an endpoint and its state; a complete list also removes all endpoints that it does
+not contain. An endpoint that is removed or draining gets no new requests. The record of a
+removed endpoint is deleted once it has nothing in flight: ids are never reused, so records
+would accumulate.
 """
 
 from __future__ import annotations
@@ -15,26 +16,26 @@
 from loadbalancer.core.balancing.state import BalancerState
 from loadbalancer.core.endpoints.poll_timing import poll_timings
 
-FIRST_POLL_PART = 4  # first polls are spread over `poll_within` divided by this at most
-FIRST_POLL_SPREAD_NS = 100 * MS  # for each node
+FIRST_POLL_PART = 4  # first polls are spread over at most this fraction of `poll_within`: 1/4
+FIRST_POLL_SPREAD_NS = 100 * MS  # per node
 
 
 def schedule_first_poll(state: BalancerState, now: int) -> None:
-    """Spread the nodes' first polls, as the list service has a rate limit."""
+    """Schedule the first poll at a random time, as the list service has a rate limit."""
     settings = state.settings
     spread = min(settings.poll_within // FIRST_POLL_PART, settings.nodes * FIRST_POLL_SPREAD_NS)
     state.actions.set_timer(Timer.LIST, now + state.random.randrange(1, spread + 2))
 
 
 def poll(state: BalancerState) -> None:
-    """Poll the list, unless a call is under way."""
+    """Poll the list, unless a poll is already in progress."""
     if not state.polling:
         state.polling = True
         state.actions.watch()
 
 
 def poll_failed(state: BalancerState, now: int) -> None:
-    """A call for the list has failed: set a timer for the next one, after a random pause."""
+    """Handle a failed poll: schedule the next one after a random pause."""
     state.polling = False
     state.log(now, "list call failed")
     pause = poll_timings(state.settings)
@@ -43,7 +44,7 @@
 
 
 def apply(state: BalancerState, now: int, update: Update, rows: Sequence[Listing]) -> None:
-    """Apply the rows of an update; not to be called with Update.FAILED."""
+    """Apply the rows of an update; must not be called with Update.FAILED."""
     if update < Update.CACHED:
         state.polling = False
     if update in (Update.FULL, Update.CACHED):
--- a/loadbalancer/core/balancing/model.py
+++ b/loadbalancer/core/balancing/model.py
@@ -1,7 +1,7 @@
-"""Settings, endpoint lists, outcomes and actions: what a host and the decisions exchange.
+"""Types that a host and the Balancer exchange: settings, list rows, outcomes, actions.
 
-Times are integer nanoseconds. The lowest layer of the core: no decisions, and no import
-from the project but its errors.
+Times are integer nanoseconds. This is the lowest layer of the core: it makes no decisions and
+imports nothing from the project except its errors.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SettingsError(ConfigurationError, ValueError):
-    """Settings that a Balancer can't use; also a ValueError, as for any unsuitable value."""
+    """Invalid settings of a Balancer."""
 
 
 class State(IntEnum):
@@ -31,23 +31,23 @@
 class Update(IntEnum):
     """The kind of an update of the endpoint list."""
 
-    DELTA = 0  # an answer with the rows that have changed
-    FULL = 1  # an answer with the complete list
-    CACHED = 2  # a complete list that is no answer to a call
-    FAILED = 3  # the call has failed
-    REPORTED = 4  # rows reported by other nodes; no answer to a call
+    DELTA = 0  # a response with the rows that have changed
+    FULL = 1  # a response with the complete list
+    CACHED = 2  # a complete list that is not the response to a poll
+    FAILED = 3  # the poll has failed
+    REPORTED = 4  # rows reported by other nodes; not the response to a poll
 
 
 class Effect(IntEnum):
-    """What a second execution of a request does; the greater, the stricter."""
+    """The effect of executing a request twice; greater values are stricter."""
 
-    PURE = 0  # nothing: safe or idempotent
-    TOKEN = 1  # nothing at endpoints that know its idempotency key
-    SIDE_EFFECT = 2  # the effect happens twice: not idempotent
+    PURE = 0  # none: the request is safe or idempotent
+    TOKEN = 1  # none at endpoints that know its idempotency key
+    SIDE_EFFECT = 2  # the effect happens twice: the request is not idempotent
 
 
 class Scope(IntEnum):
-    """Which endpoints know a request's key once it has executed; the greater, the stricter."""
+    """Which endpoints know an executed request's idempotency key; greater is stricter."""
 
     ALL = 0
     ZONE = 1
@@ -55,10 +55,10 @@
 
 
 class Timer(IntEnum):
-    """What a timer is for: the token of Actions.set_timer."""
+    """The purpose of a timer, passed as the token of Actions.set_timer."""
 
-    WAKE = 1  # look at requests and endpoints whose time has come
-    CYCLE = 2  # adjust limits and shares
+    WAKE = 1  # process requests and endpoints whose wake time is reached
+    CYCLE = 2  # adjust the concurrency limit, the caps and the class shares
     LIST = 3  # poll the endpoint list
 
 
@@ -67,25 +67,28 @@
 
     OK = 1
     ERROR = 2
-    FULL = 3  # the endpoint rejected it without executing it
+    FULL = 3  # the endpoint rejected the request without executing it
     TIMEOUT = 4
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8  # nothing of it was sent
+    MOOT = 8  # nothing of the request was sent
 
 
 class ReportedState(IntEnum):
-    """The verdict of other nodes' reports on one endpoint; the greater, the stricter."""
+    """The verdict on an endpoint from reports of other nodes; greater values are worse."""
 
     SLOW = 1
     FULL = 2
-    SUSPECTED = 3  # silent, but only by one node, which may be cut off itself
+    SUSPECTED = 3  # silent, but for one node only, which may be isolated itself
     SILENT = 4
 
 
 class Listing(NamedTuple):
-    """One row of the endpoint list; `backend` is the endpoint's id."""
+    """One row of the endpoint list.
+
+    `backend` is the endpoint's id, `boot` the start time of its process (0: unknown).
+    """
 
     backend: int
     state: State
@@ -97,31 +100,32 @@
 
 
 class ServerView(NamedTuple):
-    """What the Balancer knows of one endpoint, for those that pass its decisions on."""
+    """The Balancer's view of one endpoint, for code that passes its decisions to proxies."""
 
     backend: int
     zone: int
     state: State
-    cap: int  # requests in flight that this node allows
-    capacity_fraction: float  # assumed part of its capacity, 1.0 once warm
-    latency_ratio: float  # against the fleet's
+    cap: int  # requests that this node may have in flight
+    capacity_fraction: float  # part of its capacity that it is assumed to have; 1.0 once warm
+    latency_ratio: float  # relative to the fleet's
     ejected: bool  # out of rotation as silent or unreachable
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A request class and its rules.
+    """The settings of a request class.
 
     Attributes:
-        latency_objective: nanoseconds from a request's arrival to its answer.
-        deadline: the longest that its clients wait, in nanoseconds.
-        effect: what a second execution of a request does.
-        scope: which endpoints know a request's key once it has executed.
-        repeat_window: nanoseconds after a send for which endpoints know its key.
+        latency_objective: nanoseconds from a request's arrival to its response.
+        deadline: how long its clients wait at most, in nanoseconds.
+        effect: the effect of executing a request twice.
+        scope: which endpoints know an executed request's idempotency key.
+        repeat_window: nanoseconds from a send during which endpoints know its key.
         priority_weight: the cost of missing the objective.
-        late_weight: the value of an answer after the objective; 0: none.
-        stream: its answers are streams; no decision reads it.
-        objective_stretch: nanoseconds of objective per nanosecond of stated work.
+        late_weight: the value of a response after the objective; 0: none.
+        stream: its responses are streams; no decision uses this.
+        objective_stretch: nanoseconds added to the objective per nanosecond of work that the
+            client estimates.
     """
 
     name: str
@@ -138,35 +142,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A client organisation: tenants share each node's capacity."""
+    """A client organisation; tenants share each node's capacity."""
 
     name: str
-    portion: float = 1.0  # weight against the other tenants' within each class
-    quota_per_s: float = 0.0  # requests a second at all nodes together; 0: no quota
+    portion: float = 1.0  # weight relative to other tenants, within each class
+    quota_per_s: float = 0.0  # requests per second at all nodes together; 0: no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is given at its start.
+    """The settings of a Balancer.
 
     Attributes:
         node: this node's number, below `nodes`.
         zone: the number of its zone, below `zones`.
-        load_columns: names of the figures in endpoints' load reports.
-        poll: the Balancer requests the list, which is otherwise pushed.
-        poll_within: nanoseconds; all nodes' first polls are spread over a part of it.
+        load_columns: names of the values in endpoints' load reports.
+        poll: the Balancer polls the endpoint list, which is otherwise pushed.
+        poll_within: nanoseconds in which every node must have polled; the first polls of all
+            nodes are spread over a part of it.
         drain_grace: nanoseconds from the start of an endpoint's drain until every node must have
             stopped sending to it.
-        cold_from: part of its capacity that an endpoint starts with.
-        cold: nanoseconds from an endpoint's start until it has all of its capacity.
-        fall_multiple: multiple of its present capacity that a cold endpoint may be sent ...
-        fall: ... within this many nanoseconds.
-        max_attempts: attempts of one request.
-        hedging: a second attempt may be sent while the first one is in flight.
-        can_cancel: endpoints can be asked to end an attempt.
-        max_retry_after: the longest that clients may be asked to wait, ns; 0: they are not asked.
-        marks_retry: clients mark further tries.
-        connect_timeout: nanoseconds until a connection must be up.
+        cold_from: part of its capacity that an endpoint has when it starts.
+        cold: nanoseconds from an endpoint's start until it has its full capacity.
+        fall_multiple: load that a cold endpoint may be sent within `fall`, as a multiple of its
+            present capacity.
+        fall: the length of that window in nanoseconds.
+        max_attempts: how many attempts a request may have.
+        hedging: whether a second attempt may be sent while the first one is in flight.
+        can_cancel: whether attempts can be cancelled.
+        max_retry_after: the longest Retry-After given to clients, ns; 0: none is given.
+        marks_retry: whether clients mark their retries.
+        connect_timeout: nanoseconds in which a connection must be established.
     """
 
     classes: tuple[RequestClass, ...]
@@ -191,36 +197,38 @@
     connect_timeout: int = 250 * MS
 
     def __post_init__(self) -> None:
-        """Raise SettingsError where a value can't be used."""
+        """Raise SettingsError if a value is invalid."""
         if not self.classes:
-            raise SettingsError("settings need at least one request class")
+            raise SettingsError("settings must have at least one request class")
         if self.nodes < 1:
             raise SettingsError("balancers must be at least 1")
         for c in self.classes:
             if c.latency_objective <= 0 or c.deadline <= 0:
-                raise SettingsError(f"class {c.name!r} needs an aim and a deadline above 0")
+                raise SettingsError(
+                    f"class {c.name!r} needs a latency objective and a deadline above 0"
+                )
 
 
 class Actions(Protocol):
-    """What a Balancer calls its host for; all take effect at once, times in nanoseconds."""
+    """Calls of a Balancer to its host; each takes effect immediately. Times are nanoseconds."""
 
     def send(self, request: int, backend: int, timeout: int) -> None:
-        """Send the request's next attempt to this endpoint, and end it after `timeout`."""
+        """Send the request's next attempt to an endpoint, with a timeout."""
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Reject the request: trying again is harmless, after `retry_after` or at once (0)."""
+        """Reject the request; a retry is harmless, after `retry_after` or immediately (0)."""
 
     def fail(self, request: int) -> None:
-        """Answer that the request has failed and may have been executed."""
+        """Respond that the request has failed and may have been executed."""
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Cancel an attempt; its outcome is reported all the same."""
+        """Cancel an attempt; its outcome must still be reported."""
 
     def set_timer(self, token: int, due: int) -> None:
-        """Report `on_timer` with this Timer at `due`."""
+        """Call `Balancer.on_timer` with this token (a Timer) at `due`."""
 
     def watch(self) -> None:
-        """Poll the endpoint list."""
+        """Poll the endpoint list; the result is reported to `Balancer.on_members`."""
 
     def log(self, text: str) -> None:
         """Log one line."""
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -1,19 +1,20 @@
-"""Which endpoints are taken out of rotation, for how long, and how they return.
-
-Four measures, by what was observed:
-- Back-off, short: after a rejection, an error or a lost connection. An endpoint
-  that rejects answers at once, so it always has the fewest requests in flight and
-  would attract all requests. Doubles with each consecutive one.
-- Unresponsive: requests in flight and no answer for SILENCE_LATENCIES mean
-  latencies. Gets no further request until it answers, or until the last of its
-  attempts has ended: then it is probed.
-- Ejection: consecutive failures without an answer between. Lasts `Endpoint.backoff`,
-  doubled each time. Never more than half of the ready endpoints at once: what looks
-  like the loss of most of them is more likely a fault of this node or its network.
-- Probing: an endpoint that returns gets one request at a time until it answers.
+"""Takes failing endpoints out of rotation and returns them.
+
+Four measures, depending on what was observed:
+- Back-off: a short pause after a rejection, an error or a lost connection, doubled with each
+  consecutive one. An endpoint that rejects requests responds immediately, so it always has the
+  fewest requests in flight and would attract all traffic.
+- Unresponsive: the endpoint has requests in flight and has not responded for SILENCE_LATENCIES
+  mean latencies. It gets no further request until it responds, or until its last attempt has
+  ended and it is probed.
+- Ejection: after consecutive failures without a response in between. It lasts
+  `Endpoint.next_ejection_ns`, which is doubled each time. At most half of the ready endpoints
+  are ejected at once: an apparent loss of most of them is more likely a fault of this node or
+  its network.
+- Probing: an endpoint that returns gets one request at a time until it responds.
 
 Inputs: outcomes and durations of this node's attempts (`record_success`, `record_failure`), and
-what other nodes report (`on_load_report`, `on_peer_report`), which ends no attempt.
+reports of other nodes (`on_load_report`, `on_peer_report`), which never end an attempt.
 Times are nanoseconds.
 """
 
@@ -26,25 +27,25 @@
 from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-SILENCE_LATENCIES = 6.0  # of the slowest class, without an answer while requests are in flight
-MAX_SILENT_FAILURES = 3  # consecutive failures without an answer that eject an endpoint
-MAX_LOST_FAILURES = 4  # the same where the last of them is a lost connection
-MAX_ERRORS = 3  # consecutive errors from which on an endpoint backs off
+SILENCE_LATENCIES = 6.0  # mean latencies of the slowest class without a response
+MAX_SILENT_FAILURES = 3  # consecutive failures without a response that eject a silent endpoint
+MAX_LOST_FAILURES = 4  # the same if the last failure is a lost connection
+MAX_ERRORS = 3  # consecutive errors after which an endpoint backs off
 MAX_BACKOFF_NS = 2 * SECOND
 MAX_BACKOFF_DOUBLINGS = 6
 MAX_EJECTION_NS = 8 * SECOND
-SLOW_RATIO = 1.5  # latency ratio of an answer up to which a cold endpoint's send spacing is lifted
-REPORT_GAIN = 0.3  # gain of one load report in an endpoint's averaged latency ratio
-MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of a reported ratio
-FAILED_LOAD_COST = 4.0  # the load cost of an endpoint that rejected or failed a request
-UNANSWERED_LOAD_COST = 6.0  # the load cost of one that did not answer
+SLOW_RATIO = 1.5  # latency ratio up to which a response ends a cold endpoint's send spacing
+REPORT_GAIN = 0.3  # of the moving average of an endpoint's latency ratio, per load report
+MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of a reported latency ratio
+FAILED_LOAD_COST = 4.0  # of an endpoint that rejected a request or responded with an error
+UNANSWERED_LOAD_COST = 6.0  # of an endpoint that did not respond
 
 FULL, ERROR, TIMEOUT = Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT
 CONNECT_FAILED, RESET = Outcome.CONNECT_FAILED, Outcome.RESET
 
 
 def silence_limit(state: BalancerState) -> float:
-    """How long an endpoint with requests in flight may be silent, in nanoseconds."""
+    """How long an endpoint with requests in flight may go without a response, in ns."""
     return SILENCE_LATENCIES * max(c.latency for c in state.classes)
 
 
@@ -56,7 +57,7 @@
     duration: int,
     load: Sequence[float],
 ) -> None:
-    """An attempt was answered; `load` is the endpoint's own report, by `load_columns`."""
+    """Record a successful attempt; `load` is the endpoint's load report, by `load_columns`."""
     ratio = latency.record(state, request_class, endpoint, duration)
     endpoint.load_cost = 0.5 * endpoint.latency_ratio + 0.5 * ratio
     if 0 <= state.queue_column < len(load):
@@ -66,7 +67,7 @@
     endpoint.probing = False
     endpoint.next_ejection_ns = FIRST_EJECTION_NS
     if endpoint.cold_until > now and state.queued and ratio <= SLOW_RATIO:
-        # Requests wait and it answers fast: its few slots limit it enough, without spaced sends.
+        # Requests are queued and it responds fast: its few slots limit it enough without spacing.
         endpoint.backoff_until = now
 
 
@@ -78,9 +79,9 @@
     outcome: int,
     duration: int,
 ) -> None:
-    """An attempt has ended with an outcome other than OK."""
+    """Record an attempt that ended with an outcome other than OK."""
     if outcome in (FULL, ERROR):
-        # Either is an answer: the endpoint is alive.
+        # Both are responses: the endpoint is alive.
         endpoint.load_cost = FAILED_LOAD_COST
         record_answer(now, endpoint)
         if outcome == FULL:
@@ -94,7 +95,7 @@
     elif outcome in (TIMEOUT, CONNECT_FAILED, RESET):
         _not_answered(state, now, request_class, endpoint, outcome, duration)
     if endpoint.unresponsive and not endpoint.in_flight:
-        # With nothing in flight no answer could ever reset the flag: probe it instead.
+        # With nothing in flight no response can clear the flag: probe the endpoint instead.
         endpoint.unresponsive = False
         endpoint.probing = True
 
@@ -110,33 +111,33 @@
     endpoint.load_cost = UNANSWERED_LOAD_COST
     endpoint.last_seen = now
     if outcome == TIMEOUT:
-        # Were only answers recorded, congestion would look like light load.
+        # If only responses were recorded, congestion would look like light load.
         objective = request_class.latency_objective
         latency.record(state, request_class, endpoint, max(duration, objective))
-        # An unresponsive endpoint's time-outs count once: congestion shows in many endpoints'.
+        # A silent endpoint's time-outs count once: congestion causes some at many endpoints.
         state.timeouts += not endpoint.consecutive_failures
     endpoint.consecutive_failures += 1
     endpoint.connect_failed = outcome == CONNECT_FAILED
-    # A single lost connection shows little; where the process has ended the next one fails
-    # too. A single time-out may be due to load: with one slot it looks like silence.
+    # A single lost connection is weak evidence: if the process has ended, the next one fails as
+    # well. So is a single time-out, which load may cause: at one slot it looks like silence.
     lost = outcome in (CONNECT_FAILED, RESET)
     failures = endpoint.consecutive_failures
     silent = failures >= MAX_SILENT_FAILURES and now - endpoint.silent_since >= duration
     if silent or (lost and failures >= MAX_LOST_FAILURES):
         eject(state, now, endpoint, lost=lost, restarted=outcome == CONNECT_FAILED)
     elif lost:
-        # A short back-off after random failures; it grows where all connections fail.
+        # Short after random failures; grows while all connections fail.
         back_off(state, now, request_class, endpoint, failures - 1)
 
 
 def mark_unresponsive(state: BalancerState, endpoint: Endpoint) -> None:
-    """Take an endpoint that does not answer out of rotation, until it does or is probed."""
+    """Take an endpoint out of rotation until it responds or is probed."""
     endpoint.unresponsive = True
     rotation.update(state, endpoint)
 
 
 def record_answer(now: int, endpoint: Endpoint) -> None:
-    """Any answer, also a bad one, shows that an endpoint is alive."""
+    """Record that an endpoint is alive: it has responded, even if with an error."""
     endpoint.last_seen = endpoint.silent_since = now
     endpoint.unresponsive = False
     endpoint.consecutive_failures = 0
@@ -145,9 +146,9 @@
 def back_off(
     state: BalancerState, now: int, request_class: ClassState, endpoint: Endpoint, times: int
 ) -> None:
-    """Leave an endpoint out for about a mean latency, doubled `times` - 1 times.
+    """Pause sends to an endpoint for about a mean latency, doubled `times` - 1 times.
 
-    With `times` below 1 nothing is done. Jitter keeps nodes from returning together.
+    Does nothing if `times` is below 1. Jitter keeps nodes from resuming at the same time.
     """
     if times < 1:
         return
@@ -158,10 +159,10 @@
 
 
 def eject(state: BalancerState, now: int, endpoint: Endpoint, lost: bool, restarted: bool) -> None:
-    """Take a silent or unreachable endpoint out of rotation; never more than half of all.
+    """Take a silent or unreachable endpoint out of rotation; at most half of the ready ones.
 
-    `lost`: after a lost connection, not after silence. `restarted`: its process may have been
-    replaced by the time it returns, which the list may show only later: it returns cold.
+    `lost`: a connection was lost, as opposed to missing responses. `restarted`: its process may
+    have been replaced by the time it returns, which the list may show later: it returns cold.
     """
     if endpoint.ejected_until or (state.ejected + 1) * 2 > state.ready:
         return
@@ -177,7 +178,7 @@
 
 
 def readmit(state: BalancerState, endpoint: Endpoint) -> None:
-    """End an ejection: the endpoint is probed."""
+    """End an ejection; the endpoint is probed."""
     endpoint.ejected_until = 0
     endpoint.unresponsive = False
     endpoint.probing = True
@@ -186,7 +187,7 @@
 
 
 def on_wake(state: BalancerState, now: int, endpoint: Endpoint) -> None:
-    """End an ejection, or a back-off, that is over at this wake time."""
+    """End the endpoint's ejection or back-off if it is over by `now`."""
     if endpoint.ejected_until and endpoint.ejected_until <= now:
         readmit(state, endpoint)
     else:
@@ -196,10 +197,10 @@
 def on_load_report(
     state: BalancerState, now: int, backend: int, ratio: float, failing: bool
 ) -> None:
-    """A load report on an endpoint, over some seconds.
+    """Apply a load report on an endpoint.
 
-    `ratio` is its latency against the fleet's. A failing endpoint is ejected, within
-    the same bound of half of all.
+    `ratio` is its latency relative to the fleet's. A failing endpoint is ejected, unless
+    half of the ready ones already are.
     """
     endpoint = state.endpoints.get(backend)
     if endpoint is None:
@@ -218,7 +219,7 @@
     ratio: float,
     restarted: bool,
 ) -> None:
-    """What other nodes' attempts show of an endpoint; None retracts the last report."""
+    """Apply what other nodes' attempts show about an endpoint; None retracts it."""
     endpoint = state.endpoints.get(backend)
     if endpoint is None or endpoint.state != State.READY:
         return
@@ -228,11 +229,11 @@
     elif reported == ReportedState.SILENT:
         eject(state, now, endpoint, lost=True, restarted=restarted)
         if endpoint.ejected_until and not endpoint.consecutive_failures:
-            # The nodes whose attempts failed probe it for all: here it stays ejected until they
-            # report.
+            # The nodes whose attempts failed probe it on behalf of all: here it stays ejected
+            # until they report.
             endpoint.ejected_until = max(endpoint.ejected_until, now + FIRST_EJECTION_NS)
             state.wake(endpoint.ejected_until, endpoint)
     elif reported is None and endpoint.ejected_until and not endpoint.consecutive_failures:
-        readmit(state, endpoint)  # only where this node's own attempts did not eject it
+        readmit(state, endpoint)  # unless this node's own attempts have failed
     endpoint.probing = endpoint.probing or reported == ReportedState.SUSPECTED
     rotation.update(state, endpoint)
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -1,4 +1,7 @@
-"""Interfaces of what a host plugs into a Balancer: this package imports no implementation."""
+"""Interfaces of the objects that a host plugs into a Balancer.
+
+Their implementations are imported by the host, not by the modules that call them.
+"""
 
 from __future__ import annotations
 
@@ -11,32 +14,32 @@
 
 
 class LimitShare(Protocol):
-    """This process's part of each endpoint's cap, where two processes are one node."""
+    """Divides each endpoint's cap while two processes serve as one node."""
 
     def share_of(self, backend: int, cap: int) -> int:
-        """The part of a node's `cap` of this endpoint, in requests."""
+        """This process's part of the node's `cap` at an endpoint, in requests."""
 
 
 class SlotAllocator(Protocol):
-    """Slots divided among the alive nodes; see `core.gossip.slot_allocation`."""
+    """Divides slots among the nodes that are alive; see `core.gossip.slot_allocation`."""
 
     def cap(self, backend: int, rank: int, depth: int, servers: int) -> int:
-        """The cap of the node whose rank at this endpoint is `rank`, of `depth` slots.
+        """The cap of the node of rank `rank` at an endpoint with `depth` slots.
 
-        `servers` is how many endpoints of its zone are listed as ready.
+        `servers` is how many endpoints of the zone are listed as ready.
         """
 
 
 class Policies(Protocol):
-    """The routes' policies, called for the requests that have one; see `route_policies`."""
+    """Hooks for requests that have a route policy; implemented by `route_policies`."""
 
     def apply_policy(self, now: int, request: Request, policy: Policy) -> None:
-        """Apply a policy to a new request."""
+        """Apply a route's policy to a new request."""
 
     def begin_attempt(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
-        """An attempt is sent: its timeout, and whether the early timeout of `retries` bounds it."""
+        """The timeout of an attempt about to be sent, and whether `retries` may shorten it."""
 
     def attempt_ended(
         self,
@@ -47,7 +50,7 @@
         outcome: int,
         duration: int,
     ) -> None:
-        """An attempt of a request that may be hedged has ended."""
+        """Handle the end of an attempt of a request that may be hedged."""
 
     def retry_or_finish(
         self,
@@ -57,13 +60,13 @@
         outcome: int,
         connected: bool,
     ) -> None:
-        """The last attempt in flight has failed: send another, or give the final answer."""
+        """Retry a request whose last attempt in flight has failed, or give its final response."""
 
     def on_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
-        """A request's back-off is over, or its hedge due."""
+        """Handle the end of a request's back-off, or send its hedge."""
 
     def cancel_others(self, request: Request, retained: int) -> None:
-        """Cancel a request's open attempts but the one of this number."""
+        """Cancel all open attempts of a request except number `retained`."""
 
     def request_ended(self, policy_state: RequestPolicyState) -> None:
-        """The request has ended."""
+        """Handle the end of a request."""
--- a/loadbalancer/core/balancing/request_classes.py
+++ b/loadbalancer/core/balancing/request_classes.py
@@ -1,9 +1,9 @@
-"""Which request classes are in force, as the settings change while requests are open.
+"""Replaces the request classes when the settings change while requests are open.
 
-A class with unchanged settings goes on as it is. A changed one is replaced by a new
-state that starts with the old one's averages. The old state, like that of a class
-that was removed, is retired: it finishes its requests under its own rules, and for
-RETIRE_AFTER_NS requests may still name it, as clients may not know of the change.
+A class with unchanged settings keeps its state. A changed class gets a new state that starts
+with the old one's averages. The old state, like that of a removed class, is retired: it
+finishes its requests under its own rules, and new requests may still use it for
+RETIRE_AFTER_NS, as clients may not know of the change yet.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def replace(state: BalancerState, now: int, settings: Settings) -> None:
-    """Use the classes of other settings from now on."""
+    """Switch to the classes of new settings."""
     current = {c.spec.name: c for c in state.classes if not c.retires_at}
     classes = []
     for spec in settings.classes:
@@ -36,7 +36,7 @@
 
 
 def drop_retired(state: BalancerState, now: int) -> None:
-    """Drop the retired classes that have no request queued or in flight."""
+    """Remove the retired classes that have no requests queued or in flight."""
     remaining = [
         c
         for c in state.classes
@@ -47,7 +47,7 @@
 
 
 def _renumber(state: BalancerState, classes: list[ClassState]) -> None:
-    """Put these classes in force, in this order, with their congestion samples."""
+    """Make `classes` the list of classes, renumber them, and keep their congestion samples."""
     sums = {
         id(c): (state.congestion_sum[c.number], state.congestion_samples[c.number])
         for c in state.classes
@@ -65,10 +65,10 @@
 
 
 def find(state: BalancerState, now: int, name: str, safe: bool, keyed: bool) -> ClassState | None:
-    """The class of a name that a client has given, None where there is none.
+    """The class with the name given by a client, or None.
 
-    Where the class has just changed, the request's method and key show which of the two
-    the client means.
+    If the class has just changed, the request's method and idempotency key show which of the
+    two versions the client means.
     """
     first = None
     for c in state.classes:
--- a/loadbalancer/core/balancing/request_policy_state.py
+++ b/loadbalancer/core/balancing/request_policy_state.py
@@ -1,4 +1,4 @@
-"""State of a route under a policy, and of a request under it; `route_policies` decides."""
+"""State of routes that have a policy, and of their requests; used by `route_policies`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteState:
-    """Counts of one route and class; they outlast replacements of its policy."""
+    """Counters of one route and class; they survive a replacement of its policy."""
 
     __slots__ = (
         "budget", "budgets", "hedge_allowance", "node_budget", "policy", "response_times",
@@ -18,14 +18,14 @@
     def __init__(self, policy: Policy, node: RetryBudget, now: int) -> None:
         self.node_budget = node
         self.budget: RetryBudget | None = None
-        self.hedge_allowance = 0.0  # that may be sent now
+        self.hedge_allowance = 0.0  # how many hedges may be sent now
         self.response_times = ResponseTimes()
         self.set_policy(policy, now)
 
     def set_policy(self, policy: Policy, now: int) -> None:
-        """Use another policy from now on; the counts stay."""
+        """Use another policy from now on; the counters are kept."""
         self.policy = policy
-        # An early timeout only makes sense where the policy retries time-outs.
+        # An early timeout is only useful if the policy retries time-outs.
         retried = policy.retry_on is None or Condition.TIMEOUT in policy.retry_on
         self.uses_early_timeout = retried and not policy.attempt_timeout
         if policy.budget is None:
@@ -40,7 +40,7 @@
 
 
 class RequestPolicyState:
-    """One request's policy, and the budgets that count it as active until it ends."""
+    """A request's policy, and the budgets that count the request as active until it ends."""
 
     __slots__ = ("budgets", "due", "policy", "route")
 
@@ -48,4 +48,4 @@
         self.policy = policy
         self.route = route
         self.budgets = budgets
-        self.due = 0  # when its back-off ends or its hedge is sent; 0 for none
+        self.due = 0  # when its back-off ends or its hedge is to be sent; 0: neither
--- a/loadbalancer/core/balancing/response_times.py
+++ b/loadbalancer/core/balancing/response_times.py
@@ -1,22 +1,22 @@
-"""A histogram of the answer times of one route and class, for a percentile; times in ns."""
+"""A histogram of response times from which a percentile is computed; times in nanoseconds."""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 
-# Each bucket's edge is an eighth above the last: a hedge's delay within 12% is exact enough.
+# Each bucket edge is 1/8 above the previous one: 12% is accurate enough for the delay of a hedge.
 BUCKET_GROWTH = 1.125
 FIRST_EDGE_NS = 100_000
-BUCKET_COUNT = 110  # to 42 s
-MAX_TOTAL = 2000  # after which all counts are halved
-MIN_SAMPLES = 50  # before a percentile is used
-REFRESH_SAMPLES = 50  # between two look-ups of the percentile
+BUCKET_COUNT = 110  # up to 42 s
+MAX_TOTAL = 2000  # total count above which all counts are halved
+MIN_SAMPLES = 50  # needed before a percentile is returned
+REFRESH_SAMPLES = 50  # samples after which a cached percentile is recomputed
 
 BUCKET_EDGES = [int(FIRST_EDGE_NS * BUCKET_GROWTH**i) for i in range(BUCKET_COUNT)]
 
 
 class ResponseTimes:
-    """Answer times of one route and class in geometric buckets; older ones decay."""
+    """Response times of one route and class, in geometric buckets; older samples decay."""
 
     __slots__ = ("_counts", "_cached", "_since_lookup", "_total")
 
@@ -27,7 +27,7 @@
         self._cached = 0
 
     def add(self, duration: int) -> None:
-        """Count one answer."""
+        """Add one response time."""
         self._counts[bisect_left(BUCKET_EDGES, duration)] += 1.0
         self._total += 1.0
         self._since_lookup += 1
@@ -36,7 +36,7 @@
             self._total /= 2
 
     def percentile(self, percent: float) -> int:
-        """The upper edge of the percentile's bucket, ns; 0 while too few answers are known."""
+        """The upper edge of the percentile's bucket; 0 if there are too few samples."""
         if self._total < MIN_SAMPLES:
             return 0
         if self._since_lookup >= REFRESH_SAMPLES or not self._cached:
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -1,17 +1,17 @@
-"""Whether a further attempt may be sent, attempt timeouts, and when a request is given up.
-
-- No second send of what may have executed, unless repeating has no effect, or the
-  request's key makes the repeat harmless within its window. Never two attempts at a
-  time, but for hedges (`hedging`).
-- At most the attempts of the settings or, lower, of the route's policy.
-- A further attempt must be able to end in time: it is queued, ahead of the others, only
-  while its objective and its client's deadline are at least a mean latency away.
-- The retry budget bounds work that is done twice: RETRY_PART of a retry is earned with
-  each first attempt, up to RETRY_BURST. An attempt that failed at once has cost little and is
-  charged by its duration; one that never executed costs nothing.
-- An attempt ends at its client's deadline, or just before the objective where late
-  answers are of no use; one that may be repeated ends earlier, after EARLY_LATENCIES mean
-  latencies, while the budget has credit.
+"""Retries: whether another attempt may be sent, its timeout, and when to give up.
+
+- A request that may have executed is resent only if a second execution has no effect, or if
+  its idempotency key makes the repeat harmless, which it does within the repeat window. There
+  is one attempt at a time, apart from hedges (`hedging`).
+- The number of attempts is limited by the settings and by the route's policy.
+- A retry must be able to finish in time: it is queued, ahead of other requests, only while the
+  objective and the client's deadline are more than a mean latency away.
+- The retry budget bounds repeated work: each first attempt earns RETRY_PART of a retry, up to
+  RETRY_BURST. An attempt that failed quickly has cost little and is charged by its duration;
+  one that never executed costs nothing.
+- An attempt times out at its client's deadline, or just before the objective if late responses
+  are of no use. While the budget has credit, an attempt that may be repeated times out
+  earlier, after EARLY_LATENCIES mean latencies.
 
 Times are nanoseconds.
 """
@@ -23,12 +23,12 @@
 from loadbalancer.core.balancing.records import Request, RequestState
 from loadbalancer.core.balancing.state import RETRY_BURST, BalancerState
 
-OBJECTIVE_MARGIN = 0.03  # of the objective, that an attempt ends before it
-EARLY_LATENCIES = 5.0  # early timeout of an attempt that may be repeated, in mean latencies ...
-EARLY_OBJECTIVE_PART = 1.0  # ... and at least this part of the latency objective
-RETRY_PART = 0.1  # retries after executed attempts allowed per first attempt
+OBJECTIVE_MARGIN = 0.03  # part of the objective by which an attempt ends before it
+EARLY_LATENCIES = 5.0  # early timeout of a repeatable attempt, in mean latencies ...
+EARLY_OBJECTIVE_PART = 1.0  # ... but at least this part of the latency objective
+RETRY_PART = 0.1  # retries of possibly executed requests that a first attempt earns
 MIN_TIMEOUT_NS = MS
-# Outcomes after which an attempt has certainly not executed.
+# Outcomes of attempts that have certainly not executed.
 NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 PURE, TOKEN, SIDE_EFFECT = Effect.PURE, Effect.TOKEN, Effect.SIDE_EFFECT
@@ -37,14 +37,14 @@
 
 
 def max_attempts(request: Request) -> int:
-    """The most attempts that a request may have."""
+    """How many attempts a request may have, by the settings and its route's policy."""
     policy_state = request.policy_state
     granted = policy_state.policy.attempts if policy_state is not None else 0
     return min(granted or request.max_attempts, request.max_attempts)
 
 
 def may_resend(now: int, request: Request) -> bool:
-    """Whether another attempt is allowed; `endpoint_selection` says where to."""
+    """Whether the request may be sent again; `endpoint_selection` decides where to."""
     if request.in_flight or request.body_sent:
         return False
     if len(request.attempts) >= max_attempts(request):
@@ -58,12 +58,12 @@
 
 
 def earn_credit(state: BalancerState) -> None:
-    """Earn a first attempt's part of a retry."""
+    """Add the part of a retry that a first attempt earns."""
     state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
 
 
 def attempt_timeout(state: BalancerState, now: int, request: Request) -> int:
-    """How long the request's next attempt may take, in nanoseconds."""
+    """The timeout of the request's next attempt, in nanoseconds."""
     c = request.request_class
     end = request.deadline
     if c.spec.late_weight <= 0:
@@ -87,14 +87,14 @@
 
 
 def retry_cost(request: Request, outcome: int, duration: int) -> float:
-    """What a retry after this outcome is charged to the retry budget, up to 1."""
+    """What a retry after this outcome costs in the retry budget, 0 to 1."""
     if outcome in (ERROR, RESET):
         return min(duration / request.request_class.latency, 1.0)
     return 1.0
 
 
 def retry_or_finish(state: BalancerState, now: int, request: Request, cost: float) -> None:
-    """Queue a further attempt ahead of the others, or give the final answer."""
+    """Queue the request again, ahead of others, or give its final response."""
     c = request.request_class
     request.wait_until = min(request.objective_at, request.deadline) - int(c.latency)
     allowed = now < request.wait_until and may_resend(now, request)
@@ -110,11 +110,11 @@
 
 
 def may_begin(now: int, request: Request, attempt: int) -> bool:
-    """Whether an attempt's first byte may still leave, now that its connection is up.
+    """Whether an attempt whose connection is established may send its first byte.
 
-    Guards against changes while it connected: its endpoint is draining or removed, its client
-    has disconnected, its repeat window has ended. An attempt that may not begin has not
-    executed: its request is queued again, or rejected.
+    Guards against changes during the connect: the endpoint may be draining or removed, the
+    client may have disconnected, the repeat window may have ended. An attempt that may not
+    begin has not executed, so its request is queued again or rejected.
     """
     if request.state is ENDED or attempt >= len(request.attempts) or not request.max_attempts:
         return False
--- a/loadbalancer/core/balancing/retry_budget.py
+++ b/loadbalancer/core/balancing/retry_budget.py
@@ -1,9 +1,9 @@
-"""How many further attempts the routes' policies may send.
+"""Limits the retries and hedges that route policies send.
 
-A token bucket: it earns `part` tokens a request and `floor` tokens a second, and contains
-at most `floor` tokens and `part` times the active requests. So attempts stay below
-1 + `part` times the requests (plus the floor), and tokens accumulated in normal
-operation can't become a burst of retries in an outage.
+A token bucket that earns `part` tokens per request and `floor` tokens per second. Its capacity
+is `floor` plus `part` times the number of active requests. Attempts thus stay below 1 + `part`
+times the number of requests (plus the floor), and tokens saved up in normal operation can't
+cause a burst of retries in an outage.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 
 class RetryBudget:
-    """The tokens of one route and class, or of the node."""
+    """The retry budget of one route and class, or of the node."""
 
     __slots__ = ("active", "arrivals", "spec", "tokens", "updated")
 
     def __init__(self, spec: BudgetSpec, now: int) -> None:
         self.spec = spec
-        self.active = 0  # requests, counted up and down by the policies
-        self.arrivals = 0  # requests since `updated`, for which no tokens were added yet
+        self.active = 0  # open requests; maintained by RoutePolicies
+        self.arrivals = 0  # requests since `updated`, which have not earned tokens yet
         self.updated = now
         self.tokens = spec.floor
 
     def try_spend(self, now: int) -> bool:
-        """Whether one further attempt may be sent; if so it is charged."""
+        """Charge one retry or hedge; returns whether there was a token for it."""
         self._earn(now)
         if self.tokens < 1.0:
             return False
@@ -33,7 +33,7 @@
         return True
 
     def refund(self) -> None:
-        """Undo a charge: the attempt is not sent."""
+        """Return a token: the attempt is not sent after all."""
         self.tokens += 1.0
 
     def _earn(self, now: int) -> None:
--- a/loadbalancer/core/balancing/rotation.py
+++ b/loadbalancer/core/balancing/rotation.py
@@ -1,10 +1,10 @@
-"""Which endpoints may take one more request.
+"""Tracks which endpoints may be sent one more request.
 
-An endpoint is in rotation while it is listed as ready, has fewer requests in
-flight than its cap (one while it is probed) and is neither unresponsive, ejected
-nor backing off. Those in rotation are in buckets by requests in flight, so
-that the least loaded ones are found without a search. Every change of one of
-these inputs is followed by `update`.
+An endpoint is in rotation while it is listed as ready, has fewer requests in flight than its
+cap (than one while it is probed), and is neither unresponsive, ejected nor backing off.
+Endpoints in rotation are kept in buckets by their number of requests in flight, so that the
+least loaded ones are found without a search. Code that changes one of these inputs must call
+`update` afterwards.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from loadbalancer.core.balancing.records import Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-MAX_TRANSFERRING = 6  # transfers at an endpoint that don't count against its cap, at most
+MAX_TRANSFERRING = 6  # transfers per endpoint that don't count against its cap, at most
 
 READY = State.READY
 
 
 def update(state: BalancerState, endpoint: Endpoint) -> None:
-    """Put an endpoint into the bucket of its requests in flight, or in none."""
+    """Move an endpoint to the bucket for its requests in flight, or out of rotation."""
     in_flight = endpoint.in_flight
     bucket = None
     if (
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -1,9 +1,9 @@
-"""Further attempts and hedges under a route's policy.
+"""Retries and hedges of requests whose route has a policy.
 
-Nothing here runs for requests without a policy. At each end of an attempt the Balancer
-calls `retry_or_finish`, which decides whether and when another one is sent. The Balancer's own
-rules take precedence: no second send of what may have executed, no more attempts than
-the settings allow, none that can't end in time.
+Requests without a policy never get here. When the last attempt in flight has failed, the
+Balancer calls `retry_or_finish`, which decides whether and when the request is retried. The
+Balancer's own rules take precedence: a request that may have executed is not resent, the
+settings' `max_attempts` is not exceeded, and a retry must be able to finish in time.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class RoutePolicies:
-    """The policies' part in one Balancer; see `ports.Policies` for when each is called."""
+    """Applies route policies in one Balancer; `ports.Policies` says when each hook is called."""
 
     __slots__ = (
         "_random",
@@ -48,22 +48,22 @@
         self._random = Random(seed)
         self._routes: dict[tuple[str, str], RouteState] = {}
         self.node_budget = RetryBudget(node, now)
-        self.retries = 0  # attempts granted after one that failed
-        self.hedges = 0  # sent
-        self.denied_by_budget = 0  # of either, not sent for want of budget
+        self.retries = 0  # retries that were allowed
+        self.hedges = 0  # hedges that were sent
+        self.denied_by_budget = 0  # retries and hedges not sent because a budget was used up
 
     def replace(self, node: BudgetSpec, names: set[str]) -> None:
         """Use a new routes file: its node budget, and only the routes in `names`.
 
-        Open requests retain the policy and the budgets that they arrived with.
+        Open requests keep the policy and the budgets that they were admitted with.
         """
         self.node_budget.spec = node
         self._routes = {key: state for key, state in self._routes.items() if key[0] in names}
 
-    # ---- one request, in the order of the calls -----------------
+    # ---- hooks of one request, in the order of the calls -----------------
 
     def apply_policy(self, now: int, request: Request, policy: Policy) -> None:
-        """Apply a policy to a new request, which retains it to its end."""
+        """Apply a policy to a new request, which keeps it until it ends."""
         key = (policy.name, policy.cls)
         route = self._routes.get(key)
         if route is None:
@@ -83,10 +83,10 @@
     def begin_attempt(
         self, now: int, request: Request, policy_state: RequestPolicyState, timeout: int
     ) -> tuple[int, bool]:
-        """An attempt is sent: its timeout, and whether the early timeout of `retries` bounds it.
+        """The timeout of an attempt about to be sent, and whether `retries` may shorten it.
 
-        It does not where the policy has an attempt timeout, nor where the policy does not
-        retry time-outs.
+        It may not if the policy has an attempt timeout or does not retry time-outs. Also
+        schedules the hedge of a first attempt.
         """
         policy, route = policy_state.policy, policy_state.route
         if policy.attempt_timeout and policy.attempt_timeout < timeout:
@@ -108,9 +108,9 @@
         outcome: int,
         duration: int,
     ) -> None:
-        """Learn from an attempt's end, and cancel the other attempts of an answered request.
+        """Record an attempt's duration, and cancel the other attempts of an answered request.
 
-        Each cancelled attempt uses its slot until its own outcome.
+        Each cancelled attempt occupies its slot until its outcome is reported.
         """
         if number == 0 and policy_state.policy.hedging and outcome in (OK, CANCELLED):
             policy_state.route.response_times.add(duration)
@@ -128,7 +128,7 @@
         outcome: int,
         connected: bool,
     ) -> None:
-        """Retry after the back-off where the policy allows it, else give the final answer."""
+        """Retry after the back-off if the policy allows it, else give the final response."""
         policy = policy_state.policy
         policy_state.due = 0
         delay = self._delay(policy, len(request.attempts))
@@ -147,7 +147,7 @@
             retries.retry_or_finish(self._state, now, request, 0.0)
 
     def on_due(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
-        """Retry after a back-off, or send a hedge that is due; a hedge only into a free slot."""
+        """Retry after a back-off, or send a hedge that is due if a slot is free."""
         policy_state.due = 0
         if request.state is ENDED:
             return
@@ -157,13 +157,13 @@
             self._hedge(now, request, policy_state)
 
     def cancel_others(self, request: Request, retained: int) -> None:
-        """Cancel a request's open attempts but the one of this number."""
+        """Cancel all open attempts of a request except number `retained`."""
         for number, attempt in enumerate(request.attempts):
             if attempt.state is not AttemptState.ENDED and number != retained:
                 self._state.actions.cancel(request.id, number)
 
     def request_ended(self, policy_state: RequestPolicyState) -> None:
-        """The request is answered or its client has disconnected; called once for each."""
+        """Count a request as no longer active; called once, when it ends."""
         for budget in policy_state.budgets:
             budget.active -= 1
 
@@ -172,7 +172,7 @@
     def _hedge(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
         """Send a hedge to another endpoint with a free slot, within the route's allowance.
 
-        It takes no slot from queued requests, which are dispatched to free slots first.
+        It takes no slot from queued requests, as these are dispatched to free slots first.
         """
         state, route = self._state, policy_state.route
         if route.hedge_allowance < 1.0 or state.in_flight >= state.max_in_flight:
@@ -188,14 +188,14 @@
             send(state, now, request, endpoint)
 
     def _delay(self, policy: Policy, attempts: int) -> int:
-        """The back-off after so many attempts, ns: full jitter under a doubling bound."""
+        """The back-off after `attempts` attempts, ns: exponential, with full jitter."""
         if not policy.backoff_base:
             return 0
         doubled = policy.backoff_base << min(attempts - 1, MAX_BACKOFF_DOUBLINGS)
         return self._random.randrange(min(doubled, policy.max_backoff) + 1)
 
     def _charge_budgets(self, now: int, policy_state: RequestPolicyState) -> bool:
-        """Charge a further attempt to the node's budget and the route's, or to neither."""
+        """Charge one attempt to the node's budget and the route's, or to neither."""
         charged: list[RetryBudget] = []
         for budget in policy_state.budgets:
             if not budget.try_spend(now):
@@ -208,7 +208,10 @@
 
 
 def _restrict(now: int, request: Request, policy: Policy) -> None:
-    """A policy may narrow what its request's class allows, never widen it."""
+    """Apply the policy's limits to a request.
+
+    A policy may be stricter than the request's class about repeats, never more permissive.
+    """
     request.effect = max(request.effect, policy.effect)
     if policy.effect == Effect.TOKEN:
         request.scope = max(request.scope, policy.scope)
--- a/loadbalancer/core/balancing/scheduling.py
+++ b/loadbalancer/core/balancing/scheduling.py
@@ -1,11 +1,10 @@
-"""Which queued request goes next (DESIGN-wharfspread, point 3).
+"""Selects the queued request that is sent next.
 
-A work-conserving weighted round robin over the classes: a class has the turn for
-as many requests as its share has slots, and a class with fewer requests in flight
-than its share goes before one with more. Deferred requests are sent when no other is
-queued. Within a class tenants take turns by stride scheduling (Waldspurger), in
-proportion to their portions; a tenant's requests are sent in the order of arrival,
-retries first.
+Work-conserving weighted round robin over the classes: a class keeps the turn for as many
+requests as its share has slots, and classes with fewer requests in flight than their share
+come first. Deferred requests are sent only when no other request is queued. Within a class,
+tenants are scheduled by stride scheduling (Waldspurger) in proportion to their portions; a
+tenant's requests are sent in order of arrival, retries first.
 """
 
 from __future__ import annotations
@@ -20,7 +19,10 @@
 
 
 def next_request(state: BalancerState, deferred: bool) -> Request:
-    """Take the next request, deferred or not, out of its queue; there must be one."""
+    """Remove the next request from its queue and return it; one must be queued.
+
+    `deferred` selects among the deferred requests instead of the others.
+    """
     request_class = _next_class(state, deferred)
     queue = request_class.deferred_queue
     if not deferred:
@@ -51,7 +53,7 @@
 
 
 def _take_turn(state: BalancerState, number: int) -> ClassState:
-    """Begin the turn of a class, or use one more request of its present turn."""
+    """Use one request of the class's turn, starting a new turn if it has none."""
     request_class = state.classes[number]
     if number != state.turn or state.remaining_in_turn <= 0:
         state.turn = number
@@ -61,7 +63,7 @@
 
 
 def _next_tenant(state: BalancerState, request_class: ClassState) -> int:
-    """The tenant with queued requests whose pass is lowest; advances its pass by a stride."""
+    """The tenant with queued requests and the lowest pass; advances its pass by its stride."""
     lowest = inf
     tenant = 0
     for number, count in enumerate(request_class.queued_by_tenant):
--- a/loadbalancer/core/errors.py
+++ b/loadbalancer/core/errors.py
@@ -1,34 +1,34 @@
-"""The root of every error that this program raises on purpose, and its four branches.
+"""Base classes of all errors that this program raises deliberately.
 
-A branch says whose fault it is, which decides what may be done about it:
+The four subclasses of `LoadBalancerError` tell who caused an error, and so how it is handled:
 
-- `ConfigurationError`: a file or setting can't be used; an operator mends it.
-- `ProtocolError`: bytes or a message from outside break the form; the message is dropped or
-  answered with an error, and the sender's connection may be closed.
-- `PeerError`: another process can't be reached or may not do what it asks.
-- `StateError`: an operation does not fit the present state; the caller is at fault.
+- `ConfigurationError`: a file or setting is invalid; an operator has to correct it.
+- `ProtocolError`: received data is malformed; the message is dropped or answered with an error,
+  and the sender's connection may be closed.
+- `PeerError`: another process can't be reached, or its request is not permitted.
+- `StateError`: an operation is not allowed in the current state; the caller is at fault.
 
-A class that stands for a value that does not fit inherits from `ValueError` as well.
+A subclass that reports an invalid value also inherits from `ValueError`.
 """
 
 from __future__ import annotations
 
 
 class LoadBalancerError(Exception):
-    """Root of the program's own errors; its text says what was wrong, and where."""
+    """Base class of the program's own errors; the message says what is wrong and where."""
 
 
 class ConfigurationError(LoadBalancerError):
-    """A file or setting that can't be used; the text names the place and the rule."""
+    """An invalid file or setting; the message names the place and the violated rule."""
 
 
 class ProtocolError(LoadBalancerError):
-    """Bytes or a message from outside that break the form."""
+    """Malformed data or messages from another process."""
 
 
 class PeerError(LoadBalancerError):
-    """Another process can't be reached, or may not do what it asks."""
+    """Another process can't be reached, or its request is not permitted."""
 
 
 class StateError(LoadBalancerError):
-    """An operation that does not fit the present state."""
+    """An operation that is not allowed in the current state."""
--- a/loadbalancer/simulator/__init__.py
+++ b/loadbalancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The same decisions on the simulator's wire."""
+"""Adapter that runs the load-balancing decisions under the simulator's wire protocol."""
--- a/loadbalancer/simulator/actions.py
+++ b/loadbalancer/simulator/actions.py
@@ -1,4 +1,4 @@
-"""The actions of one instance's Balancer, as records of the reply."""
+"""Encodes the actions of a Balancer as records of the reply to the simulator."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 _TEXT = struct.Struct(">BIH").pack
 _WATCH = struct.Struct(">BIB").pack
 
-# As plain numbers: packing converts an enum's member each time.
+# Plain integers, because struct packing would convert an enum member on each call.
 SEND, REJECT, FAIL, CANCEL = (
     int(code) for code in (ActionCode.SEND, ActionCode.REJECT, ActionCode.FAIL, ActionCode.CANCEL)
 )
@@ -26,7 +26,7 @@
 
 
 class InstanceActions:
-    """Implements `core.balancing.model.Actions`: packs each call into the reply being built."""
+    """Implements `core.balancing.model.Actions`: appends a record per call to the reply."""
 
     __slots__ = ("_instance", "_reply")
 
@@ -35,15 +35,15 @@
         self._reply = reply
 
     def send(self, request: int, backend: int, timeout: int) -> None:
-        """Send an attempt; the timeout is in nanoseconds."""
+        """Send an attempt; `timeout` is in nanoseconds."""
         self._reply.append(_SEND(SEND, self._instance, request, timeout, backend))
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Reject a request; the client may retry after so many nanoseconds."""
+        """Reject a request; the client may retry after `retry_after` nanoseconds."""
         self._reply.append(_REJECT(REJECT, self._instance, request, retry_after))
 
     def fail(self, request: int) -> None:
-        """Answer that a request has failed."""
+        """Respond that a request has failed."""
         self._reply.append(_FAIL(FAIL, self._instance, request))
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -51,7 +51,7 @@
         self._reply.append(_CANCEL(CANCEL, self._instance, request, attempt))
 
     def set_timer(self, token: int, due: int) -> None:
-        """Set a timer for a time in nanoseconds."""
+        """Set a timer for `due`, in nanoseconds."""
         self._reply.append(_SET_TIMER(SET_TIMER, self._instance, token, due))
 
     def watch(self) -> None:
@@ -59,11 +59,11 @@
         self._reply.append(_WATCH(WATCH, self._instance, 1))
 
     def log(self, text: str) -> None:
-        """Add a line to the simulator's report."""
+        """Add a line to the simulator's log."""
         self._append_text(LOG, text)
 
     def fault(self, text: str) -> None:
-        """Report that a decision raised."""
+        """Report that the Balancer raised an exception."""
         self._append_text(FAULT, text)
 
     def _append_text(self, code: int, text: str) -> None:
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -1,8 +1,9 @@
-"""The decisions on the simulator's wire: `python -m loadbalancer.simulator.adapter`.
+"""Runs Balancers for the simulator: `python -m loadbalancer.simulator.adapter`.
 
-Batches of events come on standard input and one reply a batch goes to standard output. Each event
-is handed to the Balancer of the instance that it names; what that Balancer calls for is packed
-into the reply in the order of the calls. Nothing is decided here, and instances share nothing.
+Batches of events arrive on standard input, and one reply per batch is written to standard output.
+Each event is passed to the Balancer of the instance that it names, and the Balancer's actions are
+added to the reply in the order of its calls. The adapter makes no decisions; instances share no
+state.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 
 
 class Instance(NamedTuple):
-    """One instance: its Balancer (None where it could not be made) and its actions."""
+    """One simulated node: its Balancer (None if it could not be created) and its actions."""
 
     balancer: Balancer | None
     actions: InstanceActions
 
 
 class Adapter:
-    """All instances of one process, and the numbered endpoint lists that updates refer to.
+    """The instances of this process, and the numbered endpoint lists that updates refer to.
 
-    Methods named `_on_...` read one record at an offset, hand it on, and return the next offset.
+    Methods named `_on_...` handle the record at `offset` and return the next record's offset.
     """
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self._lists: dict[int, tuple[Listing, ...]] = {}
         self._reply: list[bytes] = []
-        self._readers: dict[int, Callable[[int, bytes, int], int]] = {
+        self._handlers: dict[int, Callable[[int, bytes, int], int]] = {
             EventCode.TIMER: self._on_timer,
             EventCode.START: self._on_start,
             EventCode.LIST_UPDATE: self._on_list_update,
@@ -52,42 +53,42 @@
         }
 
     def handle_batch(self, now: int, count: int, body: bytes) -> tuple[int, bytes]:
-        """Handle a batch's records; returns the reply's record count and body.
+        """Handle the records of a batch; returns the reply's record count and body.
 
         Args:
-            now: the batch's clock in nanoseconds.
-            count: how many records the body has.
+            now: the time of the batch in nanoseconds.
+            count: the number of records.
             body: the records.
 
         Raises:
-            WireError: where the body is not so many known records.
+            WireError: the body does not consist of `count` valid records.
         """
         self._reply.clear()
-        at = 0
-        readers = self._readers
+        offset = 0
+        handlers = self._handlers
         try:
             for _ in range(count):
-                reader = readers.get(body[at])
-                if reader is None:
-                    raise WireError(f"unknown event code {body[at]}")
-                at = reader(now, body, at)
+                handler = handlers.get(body[offset])
+                if handler is None:
+                    raise WireError(f"unknown event code {body[offset]}")
+                offset = handler(now, body, offset)
         except (struct.error, IndexError):
-            raise WireError("a record is cut short") from None
-        if at != len(body):
-            raise WireError(f"{len(body) - at} bytes are left after the last record")
+            raise WireError("a record is truncated") from None
+        if offset != len(body):
+            raise WireError(f"{len(body) - offset} bytes follow the last record")
         return len(self._reply), b"".join(self._reply)
 
     # ---- instances -----------------------------------------------------
 
-    def _on_start(self, now: int, body: bytes, at: int) -> int:
+    def _on_start(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.START
-        _, number, seed, size = layout.unpack_from(body, at)
-        begin = at + layout.size
-        end: int = begin + size
+        _, number, seed, size = layout.unpack_from(body, offset)
+        start = offset + layout.size
+        end: int = start + size
         if end > len(body):
-            raise WireError("the settings are cut short")
+            raise WireError("the settings are truncated")
         try:
-            settings = settings_from_json(body[begin:end])
+            settings = settings_from_json(body[start:end])
         except SettingsError as err:
             raise WireError(str(err)) from None
         actions = InstanceActions(number, self._reply)
@@ -96,59 +97,59 @@
             balancer = Balancer(settings, seed, actions)
             self.instances[number] = Instance(balancer, actions)
             balancer.start(now)
-        except Exception as err:  # noqa: BLE001  # any fault of a decision goes into the report
+        except Exception as err:  # noqa: BLE001  # reported to the simulator as a fault
             _report_fault(actions, err)
         return end
 
-    def _on_stop(self, _now: int, body: bytes, at: int) -> int:
+    def _on_stop(self, _now: int, body: bytes, offset: int) -> int:
         layout = wire_format.STOP
-        _, number = layout.unpack_from(body, at)
+        _, number = layout.unpack_from(body, offset)
         self.instances.pop(number, None)
-        return at + layout.size
+        return offset + layout.size
 
-    def _on_timer(self, now: int, body: bytes, at: int) -> int:
+    def _on_timer(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.TIMER
-        _, number, token = layout.unpack_from(body, at)
+        _, number, token = layout.unpack_from(body, offset)
         self._call(number, Balancer.on_timer, now, token)
-        return at + layout.size
+        return offset + layout.size
 
     # ---- the endpoint list ----------------------------------------------
 
-    def _on_endpoint_list(self, _now: int, body: bytes, at: int) -> int:
+    def _on_endpoint_list(self, _now: int, body: bytes, offset: int) -> int:
         layout = wire_format.ENDPOINT_LIST
-        _, list_number, rows = layout.unpack_from(body, at)
-        begin = at + layout.size
-        end: int = begin + wire_format.LIST_ROW.size * rows
+        _, list_number, rows = layout.unpack_from(body, offset)
+        start = offset + layout.size
+        end: int = start + wire_format.LIST_ROW.size * rows
         if end > len(body):
-            raise WireError("a list is cut short")
+            raise WireError("an endpoint list is truncated")
         entries = []
-        for row in wire_format.LIST_ROW.iter_unpack(body[begin:end]):
+        for row in wire_format.LIST_ROW.iter_unpack(body[start:end]):
             cell, zone, backend, state, kind, boot, rating = row
             if state > wire_format.MAX_LIST_STATE:
-                raise WireError(f"unknown backend state {state}")
+                raise WireError(f"unknown endpoint state {state}")
             entries.append(Listing(backend, State(state), zone, cell, kind, boot, rating))
         self._lists[list_number] = tuple(entries)
         return end
 
-    def _on_list_update(self, now: int, body: bytes, at: int) -> int:
+    def _on_list_update(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.LIST_UPDATE
-        _, number, kind, _version, list_number = layout.unpack_from(body, at)
+        _, number, kind, _version, list_number = layout.unpack_from(body, offset)
         if kind > wire_format.MAX_UPDATE_KIND:
-            raise WireError(f"unknown list mode {kind}")
+            raise WireError(f"unknown kind of list update {kind}")
         entries: tuple[Listing, ...] = ()
         if kind != Update.FAILED:
             if list_number not in self._lists:
-                raise WireError(f"list {list_number} was never given")
+                raise WireError(f"unknown endpoint list {list_number}")
             entries = self._lists[list_number]
         self._call(number, Balancer.on_members, now, Update(kind), entries)
-        return at + layout.size
+        return offset + layout.size
 
     # ---- requests and attempts --------------------------------------------
 
-    def _on_request(self, now: int, body: bytes, at: int) -> int:
+    def _on_request(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.REQUEST
         _, number, request, class_number, tenant, key, remaining, hint, flags = layout.unpack_from(
-            body, at
+            body, offset
         )
         hint = hint if flags & wire_format.HINT_VALID else 0
         retry = flags & wire_format.CLIENT_RETRY != 0
@@ -156,63 +157,63 @@
             number, Balancer.on_request, now,
             request, class_number, remaining, tenant, key, hint, retry,
         )  # fmt: skip
-        return at + layout.size
+        return offset + layout.size
 
-    def _on_client_disconnected(self, now: int, body: bytes, at: int) -> int:
+    def _on_client_disconnected(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.CLIENT_DISCONNECTED
-        _, number, request = layout.unpack_from(body, at)
+        _, number, request = layout.unpack_from(body, offset)
         self._call(number, Balancer.on_client_disconnected, now, request)
-        return at + layout.size
+        return offset + layout.size
 
-    def _on_response_started(self, now: int, body: bytes, at: int) -> int:
+    def _on_response_started(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.RESPONSE_STARTED
-        _, number, request, attempt, _backend, duration = layout.unpack_from(body, at)
+        _, number, request, attempt, _backend, duration = layout.unpack_from(body, offset)
         self._call(number, Balancer.on_response_started, now, request, attempt, duration)
-        return at + layout.size
+        return offset + layout.size
 
-    def _on_outcome(self, now: int, body: bytes, at: int) -> int:
+    def _on_outcome(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.OUTCOME
-        _, number, request, _backend, complete, attempt, duration, code, figures = (
-            layout.unpack_from(body, at)
+        _, number, request, _backend, complete, attempt, duration, code, value_count = (
+            layout.unpack_from(body, offset)
         )
         _check_outcome(code)
-        end = at + layout.size
-        load = struct.unpack_from(f">{figures}f", body, end) if figures else ()
+        end = offset + layout.size
+        load = struct.unpack_from(f">{value_count}f", body, end) if value_count else ()
         self._call(
             number, Balancer.on_outcome, now, request, attempt, code, duration, complete != 0, load
         )
-        return end + wire_format.FLOAT_BYTES * int(figures)
+        return end + wire_format.FLOAT_BYTES * int(value_count)
 
-    def _on_probe_outcome(self, _now: int, body: bytes, at: int) -> int:
-        """Skip a health check's outcome: the decisions request none."""
+    def _on_probe_outcome(self, _now: int, body: bytes, offset: int) -> int:
+        """Ignore the outcome of a health check: the Balancer requests none."""
         layout = wire_format.PROBE_OUTCOME
-        _, _number, _backend, _duration, code, figures = layout.unpack_from(body, at)
+        _, _number, _backend, _duration, code, value_count = layout.unpack_from(body, offset)
         _check_outcome(code)
-        end: int = at + layout.size + wire_format.FLOAT_BYTES * figures
+        end: int = offset + layout.size + wire_format.FLOAT_BYTES * value_count
         if end > len(body):
-            raise WireError("a record is cut short")
+            raise WireError("a record is truncated")
         return end
 
-    def _on_peer_message(self, _now: int, body: bytes, at: int) -> int:
-        """Skip a message of another instance: none is sent on the simulator."""
+    def _on_peer_message(self, _now: int, body: bytes, offset: int) -> int:
+        """Ignore a message of another instance: instances send none under the simulator."""
         layout = wire_format.PEER_MESSAGE
-        _, _number, _peer, size = layout.unpack_from(body, at)
-        end: int = at + layout.size + size
+        _, _number, _peer, size = layout.unpack_from(body, offset)
+        end: int = offset + layout.size + size
         if end > len(body):
-            raise WireError("a note is cut short")
+            raise WireError("a peer message is truncated")
         return end
 
     def _call(self, number: int, method: Callable[..., None], now: int, *args: Any) -> None:
-        """Hand one event to an instance's Balancer; one of an unknown instance is skipped.
+        """Pass an event to an instance's Balancer; an event of an unknown instance is ignored.
 
-        A decision that raises is reported on the wire for that instance alone: the others go on.
+        If the Balancer raises, that is reported for this instance, and the others go on.
         """
         instance = self.instances.get(number)
         if instance is None or instance.balancer is None:
             return
         try:
             method(instance.balancer, now, *args)
-        except Exception as err:  # noqa: BLE001  # any fault of a decision goes into the report
+        except Exception as err:  # noqa: BLE001  # reported to the simulator as a fault
             _report_fault(instance.actions, err)
 
 
@@ -222,16 +223,16 @@
 
 
 def _report_fault(actions: InstanceActions, err: Exception) -> None:
-    """Report what a decision raised, and at which line."""
+    """Report an exception of a Balancer, with the line that raised it."""
     trace = err.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
-    where = f" at line {trace.tb_lineno}" if trace is not None else ""
-    actions.fault(f"{type(err).__name__}: {err}{where}")
+    location = f" at line {trace.tb_lineno}" if trace is not None else ""
+    actions.fault(f"{type(err).__name__}: {err}{location}")
 
 
 def _read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """Read so many bytes, or fewer where the input ends."""
+    """Read `size` bytes, or fewer if the input ends."""
     data = stream.read(size)
     while len(data) < size:
         more = stream.read(size - len(data))
@@ -242,10 +243,10 @@
 
 
 def serve(stdin: BinaryIO, stdout: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireError: on anything malformed.
+        WireError: the input is malformed.
     """
     adapter = Adapter()
     header = wire_format.BATCH_HEADER
@@ -254,18 +255,18 @@
         if not head:
             return
         if len(head) < header.size:
-            raise WireError("a frame's header is cut short")
+            raise WireError("a batch header is truncated")
         batch, count, size, now = header.unpack(head)
         body = _read_exactly(stdin, size)
         if len(body) < size:
-            raise WireError("a frame is cut short")
+            raise WireError("a batch is truncated")
         records, reply = adapter.handle_batch(now, count, body)
         stdout.write(wire_format.REPLY_HEADER.pack(batch, records, len(reply)) + reply)
         stdout.flush()
 
 
 def main() -> int:
-    """Serve standard input; 0 at its end, 2 where it is malformed, 1 where nobody reads."""
+    """Serve standard input; returns 0 at its end, 2 if it is malformed, 1 if output is closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as err:
--- a/loadbalancer/simulator/wire_format.py
+++ b/loadbalancer/simulator/wire_format.py
@@ -1,7 +1,8 @@
-"""The simulator's frames and records: codes and layouts, big-endian and without padding.
+"""The simulator's wire format: codes and layouts of batches and records.
 
-Each code's comment has the name that the interface's page gives it. A record is its code in one
-byte and the fields of its layout; lists, settings and texts follow it.
+All layouts are big-endian without padding. A record is one byte with its code and the fields of
+its layout, followed by its list rows, settings, values or text. The comment beside a code is the
+record's name in the simulator's interface specification.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 
 class WireError(ProtocolError):
-    """The input is not what the interface's page describes; the text says where."""
+    """The input violates the simulator's interface specification; the message says where."""
 
 
 class EventCode(IntEnum):
-    """Records that the simulator sends."""
+    """Codes of records that the simulator sends."""
 
     TIMER = 16  # TIMEOUT_FIRED
     START = 17  # HELLO
@@ -33,7 +34,7 @@
 
 
 class ActionCode(IntEnum):
-    """Records that are sent to it; of the interface's others the decisions call for none."""
+    """Codes of records sent to the simulator; other actions of the interface are not used."""
 
     SEND = 16  # SUBMIT_TO
     REJECT = 17  # TURN_AWAY
@@ -50,7 +51,7 @@
 REPLY_HEADER = struct.Struct(">III")
 # One row of an endpoint list: cell, zone, backend, state, kind, boot, rating.
 LIST_ROW = struct.Struct(">HBIBHQf")
-FLOAT_BYTES = 4  # of a load report's figures
+FLOAT_BYTES = 4  # of one value of a load report
 
 TIMER = struct.Struct(">BIQ")  # instance, token
 START = struct.Struct(">BIQI")  # instance, seed, bytes of settings
@@ -58,12 +59,14 @@
 STOP = struct.Struct(">BI")  # instance
 CLIENT_DISCONNECTED = struct.Struct(">BII")  # instance, request
 RESPONSE_STARTED = struct.Struct(">BIIHIQ")  # instance, request, attempt, backend, duration
-# Instance, request, backend, complete, attempt, duration, outcome, figures.
+# Instance, request, backend, complete, attempt, duration, outcome, number of load values.
 OUTCOME = struct.Struct(">BIIIBHQBB")
 ENDPOINT_LIST = struct.Struct(">BHI")  # list, rows
 # Instance, request, class, tenant, key, remaining, hint, flags.
 REQUEST = struct.Struct(">BIIHHQQQB")
-PROBE_OUTCOME = struct.Struct(">BIIQBB")  # instance, backend, duration, outcome, figures
+PROBE_OUTCOME = struct.Struct(
+    ">BIIQBB"
+)  # instance, backend, duration, outcome, number of load values
 PEER_MESSAGE = struct.Struct(">BIIH")  # instance, peer, bytes
 
 # Flags of a request.
