--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -19,7 +19,7 @@
 from loadbalancer.core.endpoints.list_replica import ListReplica
 from loadbalancer.core.endpoints.list_versions import PackedDelta
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Outgoing
+from loadbalancer.core.gossip.messages import MessageKind, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
@@ -147,5 +147,5 @@
 
     def _queue_piece(self, to: int, piece: Piece, body: bytes) -> None:
         if len(self._queue) < MAX_QUEUED:
-            message = self._members.message(Kind.PIECE, digest=tuple(piece), body=body)
+            message = self._members.message(MessageKind.PIECE, digest=tuple(piece), body=body)
             self._queue.append(Outgoing(to, message))
--- a/loadbalancer/core/endpoints/list_repair.py
+++ b/loadbalancer/core/endpoints/list_repair.py
@@ -11,7 +11,7 @@
 from loadbalancer.core.endpoints.list_readers import ListReaders
 from loadbalancer.core.endpoints.list_versions import NO_VERSION, ListVersion
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Outgoing
+from loadbalancer.core.gossip.messages import MessageKind, Outgoing
 
 REQUEST_AFTER_NS = 200 * MS  # without a new piece, until the missing ones are requested
 GIVE_UP_NS = 5 * SECOND  # without a new piece: no node seems to have the version
@@ -73,7 +73,7 @@
         reader = self._random.choice(self._readers.nodes_with(latest))
         candidates = [*self._members.sample(OTHER_CANDIDATES), reader]
         self._counters["asked for what is missing"] += 1
-        message = self._members.message(Kind.WANT, digest=request.numbers())
+        message = self._members.message(MessageKind.WANT, digest=request.numbers())
         return [Outgoing(self._random.choice(candidates), message)]
 
     def _request(self, latest: ListVersion, version: ListVersion) -> PieceRequest:
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -25,7 +25,7 @@
 from loadbalancer.core.endpoints.list_versions import FULL_LIST, ListDelta, PackedDelta, unpack
 from loadbalancer.core.endpoints.polling_role import PollingRole
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, ReaderState
+from loadbalancer.core.gossip.messages import Message, MessageKind, Outgoing, ReaderState
 
 PUSH_DELAY_NS = 300 * MS  # of each further reader's push, which the first one's may cancel
 MAX_WAITING_DELTAS = 8  # complete deltas that do not fit yet
@@ -115,9 +115,11 @@
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
         """Take a PIECE or answer a WANT; other kinds are ignored."""
-        if message.kind == Kind.PIECE and len(message.digest) == len(Piece._fields):
+        if message.kind == MessageKind.PIECE and len(message.digest) == len(Piece._fields):
             self._on_piece(now, Piece(*message.digest), message.body)
-        elif message.kind == Kind.WANT and (request := PieceRequest.from_numbers(message.digest)):
+        elif message.kind == MessageKind.WANT and (
+            request := PieceRequest.from_numbers(message.digest)
+        ):
             self.sender.answer(now, message.origin, request, self.replica, self.assembler)
         else:
             return []
--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, Record
+from loadbalancer.core.gossip.messages import Message, MessageKind, Outgoing, Record
 from loadbalancer.core.gossip.records import DIGEST_PARTS, RecordStore
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.core.gossip.update_sender import UpdateSender
@@ -68,11 +68,11 @@
 
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
         """Answer a DIGEST with the records that differ; on a DONE end the catch-up."""
-        if message.kind == Kind.DONE:
+        if message.kind == MessageKind.DONE:
             if message.origin in self._catch_up_peers:
                 self._end_catch_up(now, "caught up")
             return []
-        if message.kind != Kind.DIGEST or len(message.digest) != DIGEST_PARTS + 1:
+        if message.kind != MessageKind.DIGEST or len(message.digest) != DIGEST_PARTS + 1:
             return []
         digest = self.digest()
         differing = {i for i in range(DIGEST_PARTS + 1) if digest[i] != message.digest[i]}
@@ -84,7 +84,7 @@
             out = self._send_records(now, message.origin, differing, catching_up)
         if differing and message.serial == FIRST:
             # A reply, so that both sides end with the same records.
-            reply = self._members.message(Kind.DIGEST, serial=REPLY, digest=digest)
+            reply = self._members.message(MessageKind.DIGEST, serial=REPLY, digest=digest)
             out.append(Outgoing(message.origin, reply))
         return out
 
@@ -99,9 +99,9 @@
         while sent < len(records) and self._rate.take(now):
             packed = self._updates.pack(records, sent)
             sent += len(packed)
-            messages.append(members.message(Kind.GOSSIP, records=tuple(packed)))
+            messages.append(members.message(MessageKind.GOSSIP, records=tuple(packed)))
         if sent == len(records) and catching_up:
-            messages.append(members.message(Kind.DONE))
+            messages.append(members.message(MessageKind.DONE))
         return [Outgoing(to, message) for message in messages]
 
     def _in_part(self, now: int, part: int) -> list[Record]:
@@ -121,7 +121,7 @@
         if now >= self._next_digest_at:
             jitter = self._random.randrange(DIGEST_INTERVAL_NS)
             self._next_digest_at = now + DIGEST_INTERVAL_NS // 2 + jitter
-            message = members.message(Kind.DIGEST, serial=FIRST, digest=self.digest())
+            message = members.message(MessageKind.DIGEST, serial=FIRST, digest=self.digest())
             out += [Outgoing(peer, message) for peer in members.sample(1)]
         return out
 
@@ -145,7 +145,7 @@
         self._catch_up_peers += peers
         digest = self.digest()
         return [
-            Outgoing(peer, members.message(Kind.DIGEST, FIRST, subject=peer, digest=digest))
+            Outgoing(peer, members.message(MessageKind.DIGEST, FIRST, subject=peer, digest=digest))
             for peer in peers
         ]
 
--- a/loadbalancer/core/gossip/failure_detector.py
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -12,7 +12,7 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.membership import PROTOCOL_PERIOD_NS, Membership
-from loadbalancer.core.gossip.messages import Kind, MemberStatus, Message, Outgoing
+from loadbalancer.core.gossip.messages import MemberStatus, Message, MessageKind, Outgoing
 
 ACK_TIMEOUT_NS = 200 * MS  # of a period without an ack, after which ping-reqs are sent
 PING_INTERVAL_NS = 100 * MS  # between the pings of one probe
@@ -74,14 +74,14 @@
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
         """Answer a ping, relay a ping-req, or take an ack."""
         members = self._members
-        if message.kind == Kind.PING:
-            ack = members.message(Kind.ACK, serial=message.serial, subject=members.me)
+        if message.kind == MessageKind.PING:
+            ack = members.message(MessageKind.ACK, serial=message.serial, subject=members.me)
             return [Outgoing(message.origin, ack)]
-        if message.kind == Kind.PING_REQUEST and message.subject in members.peers:
+        if message.kind == MessageKind.PING_REQUEST and message.subject in members.peers:
             serial = self._next_serial()
             self._relays[serial] = Relay(message.origin, message.serial, message.subject, now)
-            return [Outgoing(message.subject, members.message(Kind.PING, serial=serial))]
-        if message.kind == Kind.ACK:
+            return [Outgoing(message.subject, members.message(MessageKind.PING, serial=serial))]
+        if message.kind == MessageKind.ACK:
             return self._on_ack(message)
         return []
 
@@ -89,7 +89,9 @@
         relay = self._relays.get(message.serial)
         if relay is not None and relay.target == message.origin:
             del self._relays[message.serial]
-            ack = self._members.message(Kind.ACK, serial=relay.serial, subject=message.origin)
+            ack = self._members.message(
+                MessageKind.ACK, serial=relay.serial, subject=message.origin
+            )
             return [Outgoing(relay.requester, ack)]
         probe = self._probes.get(message.serial)
         if probe is not None and message.subject == probe.node:
@@ -155,7 +157,7 @@
         """A ping; to a member that is not ALIVE with its record, so that it refutes (Lifeguard)."""
         record = self._members.record(probe.node)
         records = (record,) if record.status != MemberStatus.ALIVE else ()
-        message = self._members.message(Kind.PING, serial=probe.serial, records=records)
+        message = self._members.message(MessageKind.PING, serial=probe.serial, records=records)
         return Outgoing(probe.node, message)
 
     def _ping_again(self, now: int, probe: Probe, slowdown: int) -> list[Outgoing]:
@@ -168,7 +170,9 @@
         if probe.indirect_rounds >= MAX_INDIRECT_ROUNDS or not self._members.is_alive(probe.node):
             return []
         probe.indirect_rounds += 1
-        message = self._members.message(Kind.PING_REQUEST, serial=probe.serial, subject=probe.node)
+        message = self._members.message(
+            MessageKind.PING_REQUEST, serial=probe.serial, subject=probe.node
+        )
         helpers = self._members.sample(INDIRECT_PROBES, exclude=probe.node)
         return [Outgoing(helper, message) for helper in helpers]
 
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -22,10 +22,10 @@
     MAX_INCARNATION,
     MAX_SERIAL,
     DrainRecord,
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Observation,
     Outgoing,
     ReaderRecord,
@@ -104,7 +104,7 @@
         """The messages that announce a planned stop, so that others need not detect it."""
         members = self.members
         record = MemberRecord(members.me, members.incarnation, MemberStatus.LEFT)
-        message = members.message(Kind.GOSSIP, records=(record,))
+        message = members.message(MessageKind.GOSSIP, records=(record,))
         return [Outgoing(to, message) for to in members.sample(LEAVE_MESSAGES)]
 
     # ---- messages -------------------------------------------------------------------
@@ -133,7 +133,9 @@
         if members.peers[message.origin].status != MemberStatus.ALIVE and self._updates.take(now):
             # It is dead here under the incarnation that it still uses: let it refute that.
             records = (members.record(message.origin),)
-            out.append(Outgoing(message.origin, members.message(Kind.GOSSIP, records=records)))
+            out.append(
+                Outgoing(message.origin, members.message(MessageKind.GOSSIP, records=records))
+            )
         return out
 
     def _accept(self, now: int, message: Message) -> bool:
--- a/loadbalancer/core/gossip/lease_exchange.py
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Message, Outgoing
+from loadbalancer.core.gossip.messages import Message, MessageKind, Outgoing
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import SlotLeases, UsableLease
 
@@ -23,9 +23,9 @@
         """Answer a request, or record a grant."""
         if not self._settings.same_zone(message.origin):
             return []
-        if message.kind == Kind.LEASE_REQUEST:
+        if message.kind == MessageKind.LEASE_REQUEST:
             return [Outgoing(message.origin, self._grant(now, message))]
-        if message.kind == Kind.LEASE_GRANT:
+        if message.kind == MessageKind.LEASE_GRANT:
             self._leases.on_grant(now, message.origin, message.serial, message.subject)
         return []
 
@@ -35,7 +35,7 @@
         members, holder = self._members, request.origin
         eligible = members.is_alive(holder) and holder in members.trusted(now)
         classes = self._leases.grant(now, holder, self.grantable if eligible else 0)
-        return members.message(Kind.LEASE_GRANT, serial=request.serial, subject=classes)
+        return members.message(MessageKind.LEASE_GRANT, serial=request.serial, subject=classes)
 
     def requests(self, now: int) -> list[Outgoing]:
         """The requests to send now; the caller checks the message rate."""
@@ -46,7 +46,7 @@
             if members.is_alive(node) and self._settings.same_zone(node)
         ]
         return [
-            Outgoing(grantor, members.message(Kind.LEASE_REQUEST, serial=serial))
+            Outgoing(grantor, members.message(MessageKind.LEASE_REQUEST, serial=serial))
             for grantor, serial in self._leases.requests(now, grantors, self.wants_more)
         ]
 
--- a/loadbalancer/core/gossip/membership.py
+++ b/loadbalancer/core/gossip/membership.py
@@ -13,10 +13,10 @@
 
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.messages import (
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Record,
     record_checksum,
 )
@@ -118,7 +118,7 @@
 
     def message(
         self,
-        kind: Kind,
+        kind: MessageKind,
         serial: int = 0,
         subject: int = -1,
         digest: tuple[int, ...] = (),
--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -89,7 +89,7 @@
 Record = MemberRecord | DrainRecord | Observation | ReaderRecord
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """The kind of a message. The first three are SWIM's ping, ack and ping-req."""
 
     PING = 0
@@ -110,7 +110,7 @@
     A PIECE or WANT has its numbers in `digest`, in the order of `endpoints/list_pieces.py`.
     """
 
-    kind: Kind
+    kind: MessageKind
     origin: int
     incarnation: int
     serial: int = 0
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -14,8 +14,8 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
+    MessageKind,
     Observation,
     Outgoing,
     ReaderRecord,
@@ -138,7 +138,7 @@
         # Updates that were sent once are sent again one member a tick, and piggybacked.
         fanout = GOSSIP_FANOUT if self._queue.has_unsent() else 1
         for to in self._members.sample(max(min(fanout, int(self._rate.refill(now))), 0)):
-            outgoing = self.piggyback(now, Outgoing(to, self._members.message(Kind.GOSSIP)))
+            outgoing = self.piggyback(now, Outgoing(to, self._members.message(MessageKind.GOSSIP)))
             if not outgoing.message.records:
                 break
             self.charge(now, 1)
@@ -149,7 +149,7 @@
     def piggyback(self, now: int, outgoing: Outgoing) -> Outgoing:
         """A message with as many updates as fit, unless it has records of its own."""
         message = outgoing.message
-        if message.kind == Kind.DONE or message.records:
+        if message.kind == MessageKind.DONE or message.records:
             return outgoing
         remaining = self._body_bytes - (DIGEST_BYTES if message.digest else 0)
         records: list[Record] = []
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -23,9 +23,9 @@
 from loadbalancer.core.errors import ProtocolError
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     Message,
+    MessageKind,
     Observation,
     ReaderRecord,
     Record,
@@ -43,7 +43,7 @@
 }
 RECORD_TYPES = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
 MESSAGE_FIELDS = 7  # of every message; a piece has its bytes as one more
-KNOWN_KINDS = {int(kind) for kind in Kind}
+KNOWN_KINDS = {int(kind) for kind in MessageKind}
 
 
 class BadMessageError(ProtocolError, ValueError):
@@ -106,11 +106,13 @@
         return None
     records = tuple(record for record in map(_decode_record, rows) if record is not None)
     body = b""
-    if kind == Kind.PIECE and len(fields) > MESSAGE_FIELDS:
+    if kind == MessageKind.PIECE and len(fields) > MESSAGE_FIELDS:
         body = fields[MESSAGE_FIELDS]
     if not isinstance(body, bytes):
         raise BadMessageError("unsound")
-    return Message(Kind(kind), origin, incarnation, serial, subject, tuple(digest), records, body)
+    return Message(
+        MessageKind(kind), origin, incarnation, serial, subject, tuple(digest), records, body
+    )
 
 
 def _decode_record(row: Any) -> Record | None:
--- a/tests/core/endpoints/test_list_pieces.py
+++ b/tests/core/endpoints/test_list_pieces.py
@@ -23,8 +23,8 @@
     unpack,
 )
 from loadbalancer.core.gossip.messages import (
-    Kind,
     Message,
+    MessageKind,
 )
 from loadbalancer.gossip_transport.codec import decode, encode
 from tests.core.endpoints.list_history import history
@@ -67,14 +67,14 @@
     largest = (1 << 63) - 1
     piece = Piece(largest, largest, largest, largest, 4096, 4095, (1 << 32) - 1, 999)
     body = bytes(256 - PIECE_HEAD_BYTES)
-    message = Message(Kind.PIECE, 999, (1 << 48) - 1, digest=tuple(piece), body=body)
+    message = Message(MessageKind.PIECE, 999, (1 << 48) - 1, digest=tuple(piece), body=body)
     data = encode(message, 7)
     assert len(data) <= 256
     assert decode(data, 7) == message
     version, last_pieces = ListVersion(largest, largest, largest), tuple(range(4000, 4016))
     missing = PieceRequest(version, (1 << 32) - 1, last_pieces).numbers()
     assert missing == (largest, largest, largest, (1 << 32) - 1, *last_pieces)
-    assert len(encode(Message(Kind.WANT, 999, (1 << 48) - 1, digest=missing), 7)) <= 256
+    assert len(encode(Message(MessageKind.WANT, 999, (1 << 48) - 1, digest=missing), 7)) <= 256
 
 
 def test_a_request_for_pieces_is_the_numbers_of_its_message() -> None:
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -24,10 +24,10 @@
 from loadbalancer.core.endpoints.shared_list import SharedList
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import (
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Outgoing,
     ReaderRecord,
     ReaderState,
@@ -47,7 +47,7 @@
     for n in range(total):
         piece = Piece(*delta.target, delta.base, total, n, packed.checksum, root)
         body = packed.data[n * piece_bytes : (n + 1) * piece_bytes]
-        message = Message(Kind.PIECE, origin, 9, digest=tuple(piece), body=body)
+        message = Message(MessageKind.PIECE, origin, 9, digest=tuple(piece), body=body)
         out += shared.receive(MS, message)
     return out
 
@@ -96,7 +96,7 @@
     shared.caught_up = True
     shared.readers.merge(MS, ReaderRecord(1, 9, 1, ReaderState.READ, *spanning.target, 0))
     shared.tick(2 * MS)
-    (request,) = (o.message for o in shared.tick(SECOND) if o.message.kind == Kind.WANT)
+    (request,) = (o.message for o in shared.tick(SECOND) if o.message.kind == MessageKind.WANT)
     assert request.digest[:3] == NO_VERSION
     send_delta(shared, ListDelta(FULL_LIST, spanning.target, dict(flapped.rows)), 1, -1)
     assert shared.replica.rows == flapped.rows
@@ -125,7 +125,7 @@
         shared._members.on_message(0, node, 9)
     body = bytes(shared.sender.piece_bytes)
     piece = Piece(1, 41, 7, FULL_LIST, 2, 0, 9, 0)
-    message = Message(Kind.PIECE, 1, 9, digest=tuple(piece), body=body)
+    message = Message(MessageKind.PIECE, 1, 9, digest=tuple(piece), body=body)
     assert shared.receive(MS, message)
     assert shared.receive(2 * MS, message) == []
     assert shared.counters["pieces twice or unsound"] == 1
@@ -143,14 +143,16 @@
         shared.on_answer(MS, 41, {"s1": encode_row(1)}, True)
         if has_heard:
             piece = Piece(*shared.replica.version, FULL_LIST, 2, 0, 9, other)
-            shared.receive(2 * MS, Message(Kind.PIECE, other, 9, digest=tuple(piece), body=b"x"))
-        pieces = [o for o in shared.tick(SECOND) if o.message.kind == Kind.PIECE]
+            shared.receive(
+                2 * MS, Message(MessageKind.PIECE, other, 9, digest=tuple(piece), body=b"x")
+            )
+        pieces = [o for o in shared.tick(SECOND) if o.message.kind == MessageKind.PIECE]
         assert bool(pieces) != has_heard
 
 
 def test_messages_with_too_few_numbers_are_ignored() -> None:
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
-    for kind in (Kind.PIECE, Kind.WANT):
+    for kind in (MessageKind.PIECE, MessageKind.WANT):
         assert shared.receive(MS, Message(kind, 1, 9, digest=(1, 41, 7), body=b"x")) == []
 
 
@@ -159,7 +161,7 @@
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
 
     def answers(version: ListVersion) -> int:
-        request = Message(Kind.WANT, 1, 9, digest=PieceRequest(version).numbers())
+        request = Message(MessageKind.WANT, 1, 9, digest=PieceRequest(version).numbers())
         return len(shared.receive(MS, request))
 
     shared.replica.begin(40, {"s1": encode_row(1)})
@@ -479,7 +481,7 @@
     for node in range(12):
         if node != false_reader:
             message = Message(
-                Kind.GOSSIP, false_reader, fleet.members.incarnation, records=(record,)
+                MessageKind.GOSSIP, false_reader, fleet.members.incarnation, records=(record,)
             )
             world.send(node, world.nodes[node].receive(world.clock(node), message))
     world.run(world.now + 8 * SECOND)
--- a/tests/core/gossip/test_balancer_bridge.py
+++ b/tests/core/gossip/test_balancer_bridge.py
@@ -14,7 +14,7 @@
 from loadbalancer.core.balancing.outlier_detection import eject
 from loadbalancer.core.gossip.balancer_bridge import BalancerBridge, BalancerUpdate
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.messages import DrainRecord, Kind, Message
+from loadbalancer.core.gossip.messages import DrainRecord, Message, MessageKind
 from loadbalancer.core.gossip.settings import GossipSettings
 from tests.core.gossip.builders import CLASS, DRAINING, IdleHost
 
@@ -54,7 +54,7 @@
     bridge = BalancerBridge(node, balancer)
     node.on_local_list(0, 1, [(b, 7, State.READY) for b in range(9)], True)
     for b in range(9):
-        message = Message(Kind.GOSSIP, 1, 1, records=(DrainRecord(b, 7, 5, DRAINING, 0),))
+        message = Message(MessageKind.GOSSIP, 1, 1, records=(DrainRecord(b, 7, 5, DRAINING, 0),))
         node.receive(1 + b, message)
     update = bridge.collect(20)
     assert update is not None
--- a/tests/core/gossip/test_failure_detector.py
+++ b/tests/core/gossip/test_failure_detector.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.core.gossip.failure_detector import RELAY_TTL_NS, FailureDetector
 from loadbalancer.core.gossip.membership import PROTOCOL_PERIOD_NS, Membership
-from loadbalancer.core.gossip.messages import Kind, MemberStatus, Message, Outgoing
+from loadbalancer.core.gossip.messages import MemberStatus, Message, MessageKind, Outgoing
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
     target = ping.to
     other = next(peer for peer in members.peers if peer != target)
     ack = Message(
-        Kind.ACK,
+        MessageKind.ACK,
         target if from_target else other,
         1,
         ping.message.serial + serial_offset,
@@ -51,17 +51,17 @@
     """
     members = Membership(0, 4, 1, 1)
     detector = FailureDetector(members)
-    request = Message(Kind.PING_REQUEST, 1, 1, 77, 2)
+    request = Message(MessageKind.PING_REQUEST, 1, 1, 77, 2)
     (ping,) = detector.on_message(0, request)
-    assert (ping.to, ping.message.kind) == (2, Kind.PING)
+    assert (ping.to, ping.message.kind) == (2, MessageKind.PING)
 
     def ack(origin: int, serial: int) -> list[Outgoing]:
-        return detector.on_message(1, Message(Kind.ACK, origin, 1, serial, origin))
+        return detector.on_message(1, Message(MessageKind.ACK, origin, 1, serial, origin))
 
     assert ack(3, ping.message.serial) == []
     (relayed,) = ack(2, ping.message.serial)
     assert relayed.to == 1
-    assert (relayed.message.kind, relayed.message.serial) == (Kind.ACK, 77)
+    assert (relayed.message.kind, relayed.message.serial) == (MessageKind.ACK, 77)
     assert relayed.message.subject == 2
     assert ack(2, ping.message.serial) == []
     (ping,) = detector.on_message(2, request)
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -7,10 +7,10 @@
 from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, State
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Observation,
     Outgoing,
 )
@@ -206,7 +206,7 @@
 
     def counted(node: int, outgoing: list[Outgoing]) -> None:
         for target, message in outgoing:
-            if message.kind == Kind.DIGEST and message.subject == target:
+            if message.kind == MessageKind.DIGEST and message.subject == target:
                 requests[target] = requests.get(target, 0) + 1
         send(node, outgoing)
 
@@ -258,7 +258,7 @@
             DrainRecord(7, 0, 4, State.DRAINING, 0), MemberRecord(3, 1, MemberStatus.DEAD),
             Observation(9, 0, 8, 1, i, 3, 0, 0, 0, 0),
         )  # fmt: skip
-        message = Message(Kind.GOSSIP, 8, incarnation, records=records)
+        message = Message(MessageKind.GOSSIP, 8, incarnation, records=records)
         for to in range(8):
             world.call_at(began + i * MS, world.deliver, 8, to, message)
     world.run(began + 3 * SECOND)
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -7,10 +7,10 @@
 from loadbalancer.core.gossip.membership import NAME_CONFLICT_NS
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Record,
     is_valid,
 )
@@ -31,7 +31,7 @@
     ]  # fmt: skip
     assert not any(is_valid(record, 8) for record in bad)
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
-    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(*bad, good)))
+    node.receive(1, Message(MessageKind.GOSSIP, 1, 1, records=(*bad, good)))
     assert node.counters["unsound"] == len(bad)
     assert node.records.servers() == [9]
 
@@ -45,16 +45,18 @@
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
     for i in range(4):
         node.receive(
-            i, Message(Kind.GOSSIP, 1, 20, records=(observation(9, 1, 10 + i, failures=3),))
+            i, Message(MessageKind.GOSSIP, 1, 20, records=(observation(9, 1, 10 + i, failures=3),))
         )
-        node.receive(i, Message(Kind.GOSSIP, 1, 10, records=()))
+        node.receive(i, Message(MessageKind.GOSSIP, 1, 10, records=()))
     assert 1 not in node.members.trusted(10)
     node.lease_exchange.grantable = 8
     node.leases.activate(0)
     node.leases.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
-    assert node.receive(11, Message(Kind.LEASE_REQUEST, 1, 20, 5))[0].message.subject == 0
-    assert node.receive(11, Message(Kind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
-    too_long = Message(Kind.LEASE_REQUEST, 2, 20, 1 << 40)  # an answer can't repeat its serial
+    assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 1, 20, 5))[0].message.subject == 0
+    assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
+    too_long = Message(
+        MessageKind.LEASE_REQUEST, 2, 20, 1 << 40
+    )  # an answer can't repeat its serial
     assert node.receive(11, too_long) == []
     assert not node.verdict_changes(10)
     assert 1 in node.members.trusted(10 + NAME_CONFLICT_NS)
@@ -68,9 +70,9 @@
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
-    node.receive(1, Message(Kind.DONE, 1, 1))
+    node.receive(1, Message(MessageKind.DONE, 1, 1))
     node.anti_entropy._catch_up_peers = [1]
-    node.receive(1, Message(Kind.DONE, 1, 1))
+    node.receive(1, Message(MessageKind.DONE, 1, 1))
     assert node.caught_up
     node.observe(2, 9, results_of(3, True, 0, 1.0), 2)
     node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
@@ -79,7 +81,7 @@
     out = node.tick(60 * SECOND)
     assert not node.caught_up
     assert node.counters["stalls"] == 1
-    assert Kind.DIGEST in {o.message.kind for o in out}
+    assert MessageKind.DIGEST in {o.message.kind for o in out}
     assert not node.members.hears_nobody(60 * SECOND)  # it was this node that was silent
     assert not any(o.message.records for o in out)  # none of its old records
     assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
@@ -90,16 +92,16 @@
     that it has not asked, would let it pass on records as they were before.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
-    first = {o.to for o in node.tick(0) if o.message.kind == Kind.DIGEST}
+    first = {o.to for o in node.tick(0) if o.message.kind == MessageKind.DIGEST}
     assert first
-    node.receive(1, Message(Kind.DONE, next(n for n in range(1, 8) if n not in first), 1))
+    node.receive(1, Message(MessageKind.DONE, next(n for n in range(1, 8) if n not in first), 1))
     assert not node.caught_up
     assert node.resume_after_pause(60 * SECOND)
     for peer in first:
-        node.receive(60 * SECOND, Message(Kind.DONE, peer, 1))
+        node.receive(60 * SECOND, Message(MessageKind.DONE, peer, 1))
     assert not node.caught_up
-    asked = {o.to for o in node.tick(60 * SECOND) if o.message.kind == Kind.DIGEST}
-    node.receive(60 * SECOND, Message(Kind.DONE, asked.pop(), 1))
+    asked = {o.to for o in node.tick(60 * SECOND) if o.message.kind == MessageKind.DIGEST}
+    node.receive(60 * SECOND, Message(MessageKind.DONE, asked.pop(), 1))
     assert node.caught_up
 
 
@@ -109,9 +111,9 @@
     """
     node = GossipNode(GossipSettings(4, 0), 1, 9, 0)
     record = observation(9, 0, failures=3)
-    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(record,)))
+    node.receive(1, Message(MessageKind.GOSSIP, 1, 1, records=(record,)))
     assert node.records.servers() == []
-    node.receive(1, Message(Kind.GOSSIP, 1, 1, records=(record._replace(origin=2),)))
+    node.receive(1, Message(MessageKind.GOSSIP, 1, 1, records=(record._replace(origin=2),)))
     assert node.records.servers() == [9]
 
 
--- a/tests/core/gossip/test_local_list.py
+++ b/tests/core/gossip/test_local_list.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.core.balancing.model import State
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.messages import DrainRecord, Kind, Message
+from loadbalancer.core.gossip.messages import DrainRecord, Message, MessageKind
 from loadbalancer.core.gossip.settings import GossipSettings
 from tests.core.gossip.builders import DRAINING
 
@@ -16,16 +16,18 @@
     """
     node = GossipNode(GossipSettings(3, 0), 1, 1, 0)
     node.on_local_list(0, 4, [(9, 7, State.READY)], True)
-    node.receive(1, Message(Kind.GOSSIP, 1, 5, records=(DrainRecord(9, 7, 6, DRAINING, 0),)))
+    node.receive(1, Message(MessageKind.GOSSIP, 1, 5, records=(DrainRecord(9, 7, 6, DRAINING, 0),)))
     assert node.effective_state(9, 7, State.READY) == DRAINING
-    node.receive(2, Message(Kind.GOSSIP, 2, 5, records=(DrainRecord(9, 7, 5, DRAINING, 0),)))
+    node.receive(2, Message(MessageKind.GOSSIP, 2, 5, records=(DrainRecord(9, 7, 5, DRAINING, 0),)))
     node.on_local_list(3, 5, [(9, 7, State.READY)], True)  # ours lags behind theirs
     assert node.effective_state(9, 7, State.READY) == DRAINING
     assert node.effective_state(9, 8, State.READY) == State.READY  # it has restarted since
     node.on_local_list(4, 7, [(9, 7, State.READY)], True)
     assert node.effective_state(9, 7, State.READY) == State.READY
     # A list service that restarts its version numbers ends drains of higher versions.
-    node.receive(5, Message(Kind.GOSSIP, 1, 5, records=(DrainRecord(9, 7, 90, DRAINING, 0),)))
+    node.receive(
+        5, Message(MessageKind.GOSSIP, 1, 5, records=(DrainRecord(9, 7, 90, DRAINING, 0),))
+    )
     assert node.effective_state(9, 7, State.READY) == DRAINING
     node.on_local_list(6, 2, [(9, 7, State.READY)], True)
     assert node.effective_state(9, 7, State.READY) == State.READY
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -6,7 +6,7 @@
 
 from loadbalancer.core.balancing.model import SECOND, ReportedState, State
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.messages import Kind, Message, Observation
+from loadbalancer.core.gossip.messages import Message, MessageKind, Observation
 from loadbalancer.core.gossip.settings import GossipSettings
 from tests.core.gossip.builders import observation
 
@@ -36,7 +36,7 @@
     node = GossipNode(GossipSettings(8, 0, zones), 1, 1, 0)
     node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(9, 18)], True)
     for record in observations:
-        node.receive(SECOND // 2, Message(Kind.GOSSIP, 5, 1, records=(record,)))
+        node.receive(SECOND // 2, Message(MessageKind.GOSSIP, 5, 1, records=(record,)))
     verdicts = {c.server: c.verdict for c in node.verdict_changes(SECOND // 2)}
     assert verdicts.get(9) == verdict
 
@@ -51,7 +51,7 @@
     for server in range(30):
         for origin in (1, 2):
             message = Message(
-                Kind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
+                MessageKind.GOSSIP, origin, 1, records=(observation(server, origin, failures=3),)
             )
             node.receive(SECOND // 2, message)
     failing = (ReportedState.SILENT, ReportedState.DOUBTED)
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -42,9 +42,9 @@
 from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     Message,
+    MessageKind,
     Observation,
     ReaderRecord,
 )
@@ -167,7 +167,7 @@
         records.append(RECORDS[row["is"]](**figures))
     digest = Piece(**_fields("piece", plain["piece"])) if "piece" in plain else plain["digest"]
     return Message(
-        Kind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
+        MessageKind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
         plain["subject"], tuple(digest), tuple(records), bytes.fromhex(plain["body"]),
     )  # fmt: skip
 
@@ -195,7 +195,7 @@
         "incarnation": message.incarnation, "serial": message.serial, "subject": message.subject,
         "records": records, "body": message.body.hex(),
     }  # fmt: skip
-    if message.kind == Kind.PIECE:
+    if message.kind == MessageKind.PIECE:
         return plain | {"piece": _recorded_names("piece", Piece(*message.digest)._asdict())}
     return plain | {"digest": list(message.digest)}
 
@@ -496,7 +496,7 @@
         fleet.receive(
             NOW - 30 * MS,
             Message(
-                Kind.GOSSIP, 2, 1_759_999_000_000,
+                MessageKind.GOSSIP, 2, 1_759_999_000_000,
                 records=(
                     MemberRecord(1, 1_759_999_000_001, 1),
                     MemberRecord(3, 1_759_999_000_003, 3),
--- a/tests/gossip_transport/test_codec.py
+++ b/tests/gossip_transport/test_codec.py
@@ -7,9 +7,9 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     Message,
+    MessageKind,
     Observation,
     Record,
 )
@@ -25,19 +25,23 @@
         DrainRecord(big, 1 << 47, 1 << 40, 2, 600 * SECOND),
         Observation(big, 1 << 47, 999, (1 << 48) - 1, 1 << 30, 15, 1, 15, 160, 15 * SECOND),
     ]
-    bare = len(encode(Message(Kind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
+    bare = len(encode(Message(MessageKind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
     assert bare <= MESSAGE_HEAD_BYTES
     for record in longest:
-        message = Message(Kind.GOSSIP, 999, (1 << 48) - 1, 1 << 30, 999, (), (record,))
+        message = Message(MessageKind.GOSSIP, 999, (1 << 48) - 1, 1 << 30, 999, (), (record,))
         data = encode(message, 65535)
         assert len(data) - bare <= RECORD_BYTES[type(record)]
         assert decode(data, 65535) == message
-    digest = encode(Message(Kind.DIGEST, 999, (1 << 48) - 1, 1, 999, (0xFFFFFFFF,) * 9), 65535)
+    digest = encode(
+        Message(MessageKind.DIGEST, 999, (1 << 48) - 1, 1, 999, (0xFFFFFFFF,) * 9), 65535
+    )
     assert len(digest) <= MESSAGE_HEAD_BYTES + DIGEST_BYTES
 
 
 def test_each_kind_of_malformed_datagram_has_its_own_cause() -> None:
-    message = Message(Kind.GOSSIP, 1, 2, records=(observation(9, 1, failures=1, age=5 * MS),))
+    message = Message(
+        MessageKind.GOSSIP, 1, 2, records=(observation(9, 1, failures=1, age=5 * MS),)
+    )
     data = encode(message, 7)
     assert decode(data, 7) == message
     for malformed, cause in (
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -23,7 +23,13 @@
 from fakes.processes import Process, running_backends, running_process
 from loadbalancer.cli.commands import main as run_command
 from loadbalancer.core.balancing.model import State
-from loadbalancer.core.gossip.messages import DrainRecord, Kind, MemberRecord, Message, Observation
+from loadbalancer.core.gossip.messages import (
+    DrainRecord,
+    MemberRecord,
+    Message,
+    MessageKind,
+    Observation,
+)
 from loadbalancer.gossip_transport.codec import decode, encode, fleet_number
 from loadbalancer.sources.endpoint_list import backend_id
 from tests.harness import answer, listen, node, request, roster
@@ -277,7 +283,7 @@
     the node is not processed after it.
     """
     number = fleet_number("nodes")
-    message = Message(Kind.GOSSIP, 1, 50)
+    message = Message(MessageKind.GOSSIP, 1, 50)
     good = encode(message, number)
     kinds = {
         "short": b"abc",
@@ -363,7 +369,7 @@
             MemberRecord(0, first + 5, 2),
             DrainRecord(backend_id("s-1"), 3, 9, State.GONE, 0),
         )
-        datagram = encode(Message(Kind.GOSSIP, 1, 50, records=records), number)
+        datagram = encode(Message(MessageKind.GOSSIP, 1, 50, records=records), number)
 
         def refuted() -> bool:
             return bool(json.loads(n.call("GET /peers")[2])["incarnation"] == first + 6)
@@ -379,15 +385,17 @@
         def leased_to(node: int, serial: int) -> int:
             """The classes that this node, which is alive, gets; -1 where nobody answers."""
             peers[node].settimeout(0.1)
-            peers[node].sendto(encode(Message(Kind.LEASE_REQUEST, node, 50, serial), number), to)
+            peers[node].sendto(
+                encode(Message(MessageKind.LEASE_REQUEST, node, 50, serial), number), to
+            )
             with contextlib.suppress(TimeoutError):
                 while True:
                     message = decode(peers[node].recv(2048), number)
                     assert message is not None
-                    if message.kind == Kind.LEASE_GRANT and message.serial == serial:
+                    if message.kind == MessageKind.LEASE_GRANT and message.serial == serial:
                         return message.subject
-                    if message.kind == Kind.PING:
-                        back = Message(Kind.ACK, node, 50, message.serial, node)
+                    if message.kind == MessageKind.PING:
+                        back = Message(MessageKind.ACK, node, 50, message.serial, node)
                         peers[node].sendto(encode(back, number), to)
             return -1
 
@@ -402,17 +410,19 @@
         assert served(n, server) == "HTTP/1.1 200 OK"
         # Two processes under one name: neither may use what is leased to the other.
         for serial in range(4):
-            peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 60, 90), number), to)
-            peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 50, 91 + serial), number), to)
+            peers[2].sendto(encode(Message(MessageKind.LEASE_REQUEST, 2, 60, 90), number), to)
+            peers[2].sendto(
+                encode(Message(MessageKind.LEASE_REQUEST, 2, 50, 91 + serial), number), to
+            )
 
         def granted_nothing() -> bool:
-            peers[2].sendto(encode(Message(Kind.LEASE_REQUEST, 2, 60, 99), number), to)
+            peers[2].sendto(encode(Message(MessageKind.LEASE_REQUEST, 2, 60, 99), number), to)
             with contextlib.suppress(TimeoutError):
                 while True:
                     message = decode(peers[2].recv(2048), number)
                     if (
                         message is not None
-                        and message.kind == Kind.LEASE_GRANT
+                        and message.kind == MessageKind.LEASE_GRANT
                         and message.serial == 99
                     ):
                         return message.subject == 0
