--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -62,7 +62,7 @@
         # A call that has begun goes on: most of its cost to the service is spent already.
         begun = self.polls and polling and now - self._polls_since < FIRST_ANSWER_NS
         deferred = defer and not self.polls
-        polls = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
+        polls = (chosen and not deferred) or begun or members.receives_no_messages(now) or must_poll
         if polls and not self.polls:
             self._polls_since = now
             self._announce(now, ReaderState.POLLING, version)
@@ -74,4 +74,4 @@
 
     def update_unconnected(self, now: int) -> None:
         """Without a connection to the gossip: poll once no messages have come for a while."""
-        self.polls = self._members.hears_nobody(now)
+        self.polls = self._members.receives_no_messages(now)
--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -107,7 +107,7 @@
     def _in_part(self, now: int, part: int) -> list[Record]:
         if part < DIGEST_PARTS:
             return list(self._records.in_part(now, part))
-        records: list[Record] = list(self._members.not_alive())
+        records: list[Record] = list(self._members.non_alive_records())
         if self._shared_list is not None:
             records += self._shared_list.readers.all_records(now)
         return records
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -119,7 +119,7 @@
         """Bring the slot allocation up to date; returns whether its inputs have changed."""
         gossip, slots = self._gossip, self.slots
         members, leases = gossip.members, gossip.leases
-        isolated = members.hears_nobody(now)
+        isolated = members.receives_no_messages(now)
         same_members = members.liveness_changes == self._liveness_changes
         if same_members and not leases.changed and isolated == slots.isolated:
             return False
--- a/loadbalancer/core/gossip/membership.py
+++ b/loadbalancer/core/gossip/membership.py
@@ -89,7 +89,7 @@
         """The members whose observations count: no number that two processes use."""
         return {node for node, peer in self.peers.items() if peer.untrusted_until <= now}
 
-    def not_alive(self) -> list[MemberRecord]:
+    def non_alive_records(self) -> list[MemberRecord]:
         """The records of all members with a status other than ALIVE."""
         return [
             MemberRecord(node, peer.incarnation, peer.status)
@@ -105,9 +105,9 @@
         return MemberRecord(node, peer.incarnation, peer.status)
 
     def digest(self) -> int:
-        """A checksum of `not_alive`, independent of its order."""
+        """A checksum of `non_alive_records`, independent of its order."""
         total = 0
-        for record in self.not_alive():
+        for record in self.non_alive_records():
             total ^= record_checksum(record)
         return total
 
@@ -202,7 +202,7 @@
         """Whether messages have stopped for so long that this node may be cut off."""
         return self._last_message_at > 0 and now - self._last_message_at > ISOLATED_AFTER_NS
 
-    def hears_nobody(self, now: int) -> bool:
+    def receives_no_messages(self, now: int) -> bool:
         """The same, also of a node that has received no message since its start or a pause."""
         return now - max(self._last_message_at, self._running_since) > ISOLATED_AFTER_NS
 
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -10,9 +10,9 @@
 slots it leases from others (`slot_leases.py`), which do not use them meanwhile. Only slots of the
 upper half are leased, so that every node retains the lower half.
 
-A node that receives no messages (`Membership.hears_nobody`, after ISOLATED_AFTER_NS, which is
-longer than any lease) can lease nothing, and uses at least the slots that it would use without
-gossip.
+A node that receives no messages (`Membership.receives_no_messages`, after ISOLATED_AFTER_NS,
+which is longer than any lease) can lease nothing, and uses at least the slots that it would use
+without gossip.
 """
 
 from __future__ import annotations
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -86,7 +86,7 @@
         """After all faults, and some time: nodes agree, and have kept to the rate of messages."""
         world = self._world
         for node, gossip_node in world.nodes.items():
-            dead = [member.node for member in gossip_node.members.not_alive()]
+            dead = [member.node for member in gossip_node.members.non_alive_records()]
             if dead:
                 world.breach(f"node {node} still considers {dead} dead")
         if not world.run(world.now + AGREEMENT_WITHIN, lambda: len(self._record_digests()) == 1):
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -40,7 +40,7 @@
 
 
 def dead_views(world: GossipWorld) -> set[int]:
-    return {record.node for f in world.nodes.values() for record in f.members.not_alive()}
+    return {record.node for f in world.nodes.values() for record in f.members.non_alive_records()}
 
 
 def converged(world: GossipWorld) -> bool:
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -82,7 +82,7 @@
     assert not node.caught_up
     assert node.counters["stalls"] == 1
     assert MessageKind.DIGEST in {o.message.kind for o in out}
-    assert not node.members.hears_nobody(60 * SECOND)  # it was this node that was silent
+    assert not node.members.receives_no_messages(60 * SECOND)  # it was this node that was silent
     assert not any(o.message.records for o in out)  # none of its old records
     assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
 
