--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -1,7 +1,7 @@
 """One node of the fleet's gossip: combines the modules of this package.
 
 Sans-I/O: messages in, messages out, time passed in as nanoseconds. `tick` is to be called at
-`next_turn_at`. An update that is received is passed on at once, within
+`next_tick_at`. An update that is received is passed on at once, within
 the message rate; without updates only SWIM, anti-entropy and leases send any.
 """
 
@@ -76,9 +76,9 @@
         return self.anti_entropy.caught_up
 
     @property
-    def next_turn_at(self) -> int:
+    def next_tick_at(self) -> int:
         """When `tick` is due."""
-        return self._updates.next_turn_at
+        return self._updates.next_tick_at
 
     # ---- events of this node ----------------------------------------------------
 
@@ -208,7 +208,7 @@
         out = self._charge_and_piggyback(now, out)
         if self.caught_up:
             out += self._updates.gossip(now)
-        self._updates.next_turn_at = now + (GOSSIP_DELAY_NS if self._hurries(now) else TICK_NS)
+        self._updates.next_tick_at = now + (GOSSIP_DELAY_NS if self._hurries(now) else TICK_NS)
         return out + pieces
 
     def _hurries(self, now: int) -> bool:
@@ -230,7 +230,7 @@
             self._updates.gossip_pending = True
         return out
 
-    def resume_after_pause(self, now: int) -> bool:
+    def recover_if_paused(self, now: int) -> bool:
         """Detect a pause of this process, and recover from it; to be called before each event.
 
         Returns whether it was paused since its last turn. Guards against a node that was stopped
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -63,7 +63,7 @@
         self._rate = TokenBucket(settings.messages, burst, now)
         self._body_bytes = settings.datagram - MESSAGE_HEAD_BYTES
         self.gossip_pending = False  # updates that were not sent yet wait for the next turn
-        self.next_turn_at = now
+        self.next_tick_at = now
 
     # ---- updates -----------------------------------------------------------
 
@@ -107,7 +107,7 @@
     def send_soon(self, now: int) -> None:
         """Bring the next turn forward, to send updates."""
         self.gossip_pending = True
-        self.next_turn_at = min(self.next_turn_at, now + GOSSIP_DELAY_NS)
+        self.next_tick_at = min(self.next_tick_at, now + GOSSIP_DELAY_NS)
 
     def may_send(self, now: int) -> bool:
         """Whether the message rate allows a message now."""
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -146,7 +146,7 @@
 
     def _discard_after_pause(self, now: int) -> None:
         """After a pause of this process, discard what waited in the socket: its age is unknown."""
-        if self._sock is None or not self.node.resume_after_pause(now):
+        if self._sock is None or not self.node.recover_if_paused(now):
             return
         with contextlib.suppress(OSError):
             for _ in range(RECEIVE_BUFFER_BYTES):
@@ -222,7 +222,7 @@
 
     def _arm(self, now: int) -> None:
         """Arm the timer of the next turn, also where that has been brought forward."""
-        due = self.node.next_turn_at
+        due = self.node.next_tick_at
         if self._sock is None or (self._timer is not None and due >= self._timer_due):
             return
         if self._timer is not None:
--- a/simulation/gossip_world.py
+++ b/simulation/gossip_world.py
@@ -95,7 +95,7 @@
     def resume(self, node: int) -> None:
         """Let a paused node continue; it drops what has waited if it notices the pause."""
         waiting = self.paused.pop(node)
-        if self.nodes[node].resume_after_pause(self.clock(node)):
+        if self.nodes[node].recover_if_paused(self.clock(node)):
             waiting = []
         for source, message in waiting:
             self.deliver(source, node, message)
@@ -103,7 +103,7 @@
 
     def reschedule_turn(self, node: int) -> None:
         """Schedule a node's turn anew after an event that may have made it due sooner."""
-        due = self.nodes[node].next_turn_at - self.clock_offsets[node]
+        due = self.nodes[node].next_tick_at - self.clock_offsets[node]
         self.schedule_turn(node, max(due, self.now + 1))
 
     def schedule_turn(self, node: int, due: int) -> None:
@@ -132,7 +132,7 @@
             if len(self.paused[target]) < MAX_WAITING_MESSAGES:
                 self.paused[target].append(WaitingMessage(source, message))
             return
-        if gossip_node.resume_after_pause(self.clock(target)):
+        if gossip_node.recover_if_paused(self.clock(target)):
             return  # its host drops what has waited
         self.send(target, gossip_node.receive(self.clock(target), message))
         self.reschedule_turn(target)
@@ -156,6 +156,6 @@
         gossip_node = self.nodes.get(node)
         if gossip_node is None or node in self.paused:
             return
-        gossip_node.resume_after_pause(self.clock(node))
+        gossip_node.recover_if_paused(self.clock(node))
         self.send(node, gossip_node.tick(self.clock(node)))
         self.reschedule_turn(node)
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -76,8 +76,8 @@
     assert node.caught_up
     node.observe(2, 9, results_of(3, True, 0, 1.0), 2)
     node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
-    assert node.resume_after_pause(60 * SECOND)
-    assert not node.resume_after_pause(60 * SECOND)
+    assert node.recover_if_paused(60 * SECOND)
+    assert not node.recover_if_paused(60 * SECOND)
     out = node.tick(60 * SECOND)
     assert not node.caught_up
     assert node.counters["stalls"] == 1
@@ -96,7 +96,7 @@
     assert first
     node.receive(1, Message(MessageKind.DONE, next(n for n in range(1, 8) if n not in first), 1))
     assert not node.caught_up
-    assert node.resume_after_pause(60 * SECOND)
+    assert node.recover_if_paused(60 * SECOND)
     for peer in first:
         node.receive(60 * SECOND, Message(MessageKind.DONE, peer, 1))
     assert not node.caught_up
--- a/tests/gossip_transport/test_turns.py
+++ b/tests/gossip_transport/test_turns.py
@@ -21,8 +21,8 @@
     made._host = mock.Mock()
     made.node, made.bridge, made._sock = mock.Mock(), mock.Mock(), mock.Mock()
     made.node.tick.return_value = []
-    made.node.resume_after_pause.return_value = False
-    made.node.next_turn_at = 0
+    made.node.recover_if_paused.return_value = False
+    made.node.next_tick_at = 0
     made.bridge.collect.return_value = None
     made._alive, made._caught_up = made.bridge.alive, made.node.caught_up
     made._list_sharing = made._timer = None
