--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -40,7 +40,9 @@
         self._balancer = balancer
         self._zone, self._zones = settings.node % settings.zones, settings.zones
         place = settings.node // settings.zones
-        self.slots = SlotAllocation(place, balancer.peers, gossip.settings.slots, self._is_alive_at)
+        self.slots = SlotAllocation(
+            place, balancer.peers, gossip.settings.slots_per_server, self._is_alive_at
+        )
         self.slots.granted_classes = gossip.leases.granted_classes()
         self.alive = 0  # alive members, as of the last allocation
         self._liveness_changes = -1
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -283,9 +283,11 @@
     settings: GossipSettings, members: Membership, seed: int, now: int
 ) -> SharedList | None:
     """The shared list; None where each node polls the list service for itself."""
-    if not settings.readers:
+    if not settings.reader_count:
         return None
     # Imported here: nodes that do not use it need not load the module.
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-    return SharedList(members, settings.nodes, settings.readers, settings.datagram, seed, now)
+    return SharedList(
+        members, settings.nodes, settings.reader_count, settings.max_datagram_bytes, seed, now
+    )
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -59,9 +59,9 @@
         self._records = records
         self._shared_list = shared_list
         self._queue: DisseminationQueue[RecordKey] = DisseminationQueue(settings.nodes)
-        burst = max(settings.messages / 2, GOSSIP_FANOUT + 1)
-        self._rate = TokenBucket(settings.messages, burst, now)
-        self._body_bytes = settings.datagram - MESSAGE_HEAD_BYTES
+        burst = max(settings.messages_per_second / 2, GOSSIP_FANOUT + 1)
+        self._rate = TokenBucket(settings.messages_per_second, burst, now)
+        self._body_bytes = settings.max_datagram_bytes - MESSAGE_HEAD_BYTES
         self.gossip_pending = False  # updates that were not sent yet wait for the next turn
         self.next_tick_at = now
 
@@ -124,7 +124,7 @@
         rate under packet loss; a larger one would delay updates and save no further messages.
         """
         self._rate.refill(now)
-        self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages / 2)
+        self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages_per_second / 2)
 
     # ---- messages ---------------------------------------------------------------
 
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -78,7 +78,9 @@
                 for endpoint in endpoints
             ):
                 used += sum(endpoint.cap for endpoint in endpoints)
-                available += min(mean_limit, world.settings[0].slots * living / world.node_count)
+                available += min(
+                    mean_limit, world.settings[0].slots_per_server * living / world.node_count
+                )
         if used < MIN_SLOT_USE * available:
             world.breach(f"{living} living nodes use {used} slots of {available:.0f}")
 
@@ -150,7 +152,7 @@
     def _check_slots(self) -> None:
         """All nodes' caps at a server are at most its slots, or what the least depth needs."""
         world = self._world
-        slots = world.settings[0].slots
+        slots = world.settings[0].slots_per_server
         hosts = world.hosts.values()
         all_alive = all(
             world.nodes[node].members.alive_count() == world.node_count for node in world.hosts
--- a/simulation/gossip_world.py
+++ b/simulation/gossip_world.py
@@ -51,7 +51,8 @@
         self.links = Links(Random(seed + 1))
         self.node_count = nodes
         self.settings = [
-            GossipSettings(nodes, me, zones, slots=slots, readers=readers) for me in range(nodes)
+            GossipSettings(nodes, me, zones, slots_per_server=slots, reader_count=readers)
+            for me in range(nodes)
         ]
         self.servers = servers
         self.nodes: dict[int, GossipNode] = {}  # that run or are paused
--- a/simulation/list_world/world.py
+++ b/simulation/list_world/world.py
@@ -41,7 +41,7 @@
 
     def send(self, node: int, outgoing: list[Outgoing]) -> None:
         """Send a node's gossip messages, where nodes gossip."""
-        if self.settings[0].readers:
+        if self.settings[0].reader_count:
             super().send(node, outgoing)
 
     def deliver(self, source: int, target: int, message: Message) -> None:
@@ -55,7 +55,7 @@
         return all(self.list_nodes[node].list_client.rows == rows for node in self.nodes)
 
     def _take_turn(self, node: int, due: int) -> None:
-        if not any(settings.readers for settings in self.settings):
+        if not any(settings.reader_count for settings in self.settings):
             return  # no node gossips: nothing is to be sent or received
         super()._take_turn(node, due)
         self._apply_shared_list(node)
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -454,7 +454,7 @@
 def test_during_a_roll_out_of_readers_all_nodes_have_the_list() -> None:
     """Every other node is of the version before, reads for itself and passes nothing on."""
     world = ListWorld(24, 40, 10, 2)
-    world.settings = [replace(t, readers=0) if t.me % 2 else t for t in world.settings]
+    world.settings = [replace(t, reader_count=0) if t.me % 2 else t for t in world.settings]
     world.start_all()
     assert world.run(20 * SECOND, world.is_current)
     world.service.change({"s3": None, "s90": encode_row(90)})
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -52,7 +52,7 @@
     assert world.counts[Count.REFUSED] < 0.01 * world.counts[Count.REQUESTS]
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
-    assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots
+    assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots_per_server
     # Every message lost: leases end, and what pressure alone would give is there within 4 s.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
