--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -65,7 +65,7 @@
     boot: int
     origin: int  # the node whose attempts they were
     incarnation: int  # of the origin
-    number: int  # of this observation within the incarnation
+    sequence_number: int  # of this observation within the incarnation
     failures: int  # consecutive failures without an answer between
     cold: int  # 1 where its process seems to have ended, so that it returns cold; else 0
     rejections: int  # consecutive attempts rejected as over capacity
@@ -78,7 +78,7 @@
 
     node: int
     incarnation: int
-    number: int  # of this record within the incarnation
+    sequence_number: int  # of this record within the incarnation
     state: int  # a ReaderState
     epoch: int  # raised by a reader when the list service restarts its version numbers
     rev: int  # the list service's version
@@ -145,7 +145,7 @@
         return (
             _is_member(record.node, record.incarnation, nodes)
             and ReaderState.POLLING <= record.state <= ReaderState.FAILED
-            and all(0 <= field < MAX_INTEGER for field in (record.number, *record[4:7]))
+            and all(0 <= field < MAX_INTEGER for field in (record.sequence_number, *record[4:7]))
         )
     if record.boot < 0 or record.server < 0:
         return False
@@ -161,7 +161,7 @@
 def _is_valid_observation(record: Observation, nodes: int) -> bool:
     return (
         _is_member(record.origin, record.incarnation, nodes)
-        and record.number >= 0
+        and record.sequence_number >= 0
         and 0 <= record.failures <= MAX_FAILURES
         and record.cold in (0, 1)
         and 0 <= record.rejections <= MAX_FAILURES
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -109,7 +109,7 @@
         return (record.rev, record.boot, State.DRAINING - record.state)
     if isinstance(record, ReaderRecord):
         return record[1:7]
-    return (record.incarnation, record.number, *record[1:2], *record[5:9])
+    return (record.incarnation, record.sequence_number, *record[1:2], *record[5:9])
 
 
 class Joined(NamedTuple, Generic[R]):
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -118,7 +118,9 @@
             record = entry.record
             if not isinstance(record, Observation):
                 continue
-            name = ObservationKey(record.server, record.origin, record.incarnation, record.number)
+            name = ObservationKey(
+                record.server, record.origin, record.incarnation, record.sequence_number
+            )
             age = world.now - self._first_seen.setdefault(name, world.now)
             if age > OBSERVATION_TTL_NS + MAX_TRANSIT and key.node not in world.paused:
                 world.breach(f"node {key.node} uses an observation of {age / SECOND:.0f} s ago")
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -25,8 +25,8 @@
     good = observation(9, 1, failures=1)
     bad: list[Record] = [
         good._replace(failures=99), good._replace(origin=8), good._replace(age=-1),
-        good._replace(ratio_16ths=1 << 40), good._replace(number=-1), MemberRecord(8, 1, 0),
-        MemberRecord(2, 1 << 60, 2), MemberRecord(2, 1, 9),
+        good._replace(ratio_16ths=1 << 40), good._replace(sequence_number=-1),
+        MemberRecord(8, 1, 0), MemberRecord(2, 1 << 60, 2), MemberRecord(2, 1, 9),
         DrainRecord(9, 7, -1, DRAINING, 0), DrainRecord(9, 7, 1, State.READY, 0),
     ]  # fmt: skip
     assert not any(is_valid(record, 8) for record in bad)
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -86,8 +86,12 @@
 FIELDS = {  # the wire's word for a field -> its name
     "life": {"standing": "status"},
     "listed": {},
-    "observation": {"full": "rejections", "ratio": "ratio_16ths"},
-    "reading": {"how": "state", "mark": "checksum"},
+    "observation": {
+        "number": "sequence_number",
+        "full": "rejections",
+        "ratio": "ratio_16ths",
+    },
+    "reading": {"number": "sequence_number", "how": "state", "mark": "checksum"},
     "piece": {"mark": "checksum", "check": "delta_checksum"},
 }
 CLASSES = (
