--- a/loadbalancer/core/gossip/local_list.py
+++ b/loadbalancer/core/gossip/local_list.py
@@ -24,7 +24,7 @@
         self._updates = updates
         self.rev = 0  # the list's version
         self.boots: dict[int, int] = {}  # the start of each server, Unix ms
-        self.drained: set[int] = set()  # servers drained by gossip alone
+        self.drained_by_gossip: set[int] = set()  # servers drained by gossip alone
         self.pending: set[int] = set()  # servers with drain records that were not applied yet
 
     def update(
@@ -49,15 +49,15 @@
             for server in [server for server in self.boots if server not in named]:
                 self._publish(now, server, self.boots.pop(server), State.GONE)
         # Servers drained by gossip stay so until this node's own list has that version.
-        self.drained = {
+        self.drained_by_gossip = {
             server
-            for server in self.drained
+            for server in self.drained_by_gossip
             if server in self.boots and self.is_pending(server, self.boots[server])
         }
 
     def _update_server(self, now: int, server: int, boot: int, state: State) -> None:
         if state != State.READY:
-            self.drained.discard(server)
+            self.drained_by_gossip.discard(server)
         if state == State.GONE:
             # The row of a removed server may lack its start: use the one that was listed.
             if server in self.boots:
@@ -76,9 +76,12 @@
         `state` is the one by this node's own list; READY may become DRAINING, for at most one
         server in MAX_DRAINED_PART: the others wait for this node's own list.
         """
-        allowed = server in self.drained or len(self.drained) < self.max_drained()
+        allowed = (
+            server in self.drained_by_gossip
+            or len(self.drained_by_gossip) < self.max_drained_by_gossip()
+        )
         if state == State.READY and allowed and self.is_pending(server, boot):
-            self.drained.add(server)
+            self.drained_by_gossip.add(server)
             # Also for GONE: open requests may end, and this node's own list removes it later.
             return State.DRAINING
         return state
@@ -87,6 +90,6 @@
         """Whether a later version of the list drains or removes this start of the server."""
         return self._records.drain_state(server, boot, self.rev) is not None
 
-    def max_drained(self) -> int:
+    def max_drained_by_gossip(self) -> int:
         """How many servers may be drained by gossip alone."""
         return max(len(self.boots) // MAX_DRAINED_PART, 1)
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -228,7 +228,7 @@
         """The servers that have records."""
         return list(self._records)
 
-    def of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
+    def records_of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
         """All records of one server."""
         return list(self._records.get(server, {}).values())
 
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -133,7 +133,7 @@
         for server in sorted(self._records.servers()):
             reported = self._reported.get(server)
             verdict = reported.name.lower() if reported else "-"
-            for record, written_at in self._records.of_server(server):
+            for record, written_at in self._records.records_of_server(server):
                 age_ms = (now - written_at) // MS
                 writer, text = _description(record)
                 rows.append([f"{server:016x}", writer, age_ms, text, verdict])
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -114,7 +114,7 @@
     def _check_observations(self, key: EndpointKey) -> None:
         """No observation counts for longer than its time since any node first had it."""
         world = self._world
-        for entry in world.nodes[key.node].records.of_server(key.server):
+        for entry in world.nodes[key.node].records.records_of_server(key.server):
             record = entry.record
             if not isinstance(record, Observation):
                 continue
@@ -138,7 +138,7 @@
         local_list = gossip_node.local_list
         knows_of_drain = any(
             isinstance(entry.record, DrainRecord) and entry.record.rev > local_list.rev
-            for entry in gossip_node.records.of_server(key.server)
+            for entry in gossip_node.records.records_of_server(key.server)
         )
         is_used = (
             knows_of_drain
@@ -146,7 +146,7 @@
             and key.node not in world.paused
         )
         # A node drains only so many servers that its own list has as ready.
-        if not is_used or len(local_list.drained) >= local_list.max_drained():
+        if not is_used or len(local_list.drained_by_gossip) >= local_list.max_drained_by_gossip():
             self._used_since.pop(key, None)
         elif world.now - self._used_since.setdefault(key, world.now) > MAX_DRAIN_DELAY:
             world.breach(f"node {key.node} knows that {key.server} drains and uses it")
--- a/tests/core/gossip/test_balancer_bridge.py
+++ b/tests/core/gossip/test_balancer_bridge.py
@@ -76,7 +76,7 @@
     later = bridge.collect(30)
     assert later is not None
     assert len(later.draining) == 1
-    assert len(node.local_list.drained) == 3
+    assert len(node.local_list.drained_by_gossip) == 3
 
 
 def test_verdicts_only_reduce_caps_and_never_override_own_results() -> None:
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -131,7 +131,7 @@
     world.run(world.now + 3 * SECOND)
     assert not dead_views(world)
     assert drained(world, 7) == 8  # all but node 0, which has it on its own list
-    assert all(not [r for r in f.records.of_server(5)] for f in world.nodes.values())
+    assert all(not [r for r in f.records.records_of_server(5)] for f in world.nodes.values())
 
 
 def test_clocks_that_jump_restore_no_old_records_and_no_member_is_declared_dead() -> None:
@@ -150,7 +150,7 @@
     assert drained(world, 7) == 8
     assert sum(f.counters["stalls"] for f in world.nodes.values()) == 3
     world.run(world.now + 16 * SECOND)  # the observation has expired by every clock
-    assert all(not f.records.of_server(5) for f in world.nodes.values())
+    assert all(not f.records.records_of_server(5) for f in world.nodes.values())
 
 
 def test_a_node_that_restarts_with_an_earlier_clock_is_accepted_again() -> None:
--- a/tests/core/gossip/test_records.py
+++ b/tests/core/gossip/test_records.py
@@ -26,7 +26,7 @@
 
 def contents(store: RecordStore) -> object:
     """All records and the digest, comparable between stores."""
-    rows = {s: sorted(store.of_server(s), key=repr) for s in sorted(store.servers())}
+    rows = {s: sorted(store.records_of_server(s), key=repr) for s in sorted(store.servers())}
     return rows, tuple(store.digest)
 
 
