--- a/loadbalancer/cli/check.py
+++ b/loadbalancer/cli/check.py
@@ -40,7 +40,7 @@
 
         return Result(None, decode_consul(raw, lines)[1], [])
     if not raw.keys().isdisjoint(("tier", "slots", "seats")):
-        from loadbalancer.gossip_transport import file as fleet_file
+        from loadbalancer.gossip_transport import fleet_file
 
         return Result(None, fleet_file.decode(raw, lines)[1], fleet_file.warnings(raw, lines))
     if "machine" in raw or "regions" in raw:
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -265,7 +265,7 @@
     if not config.fleet:
         return FleetFile()
     # Imported here: reading TOML takes more memory than all gossip does.
-    from loadbalancer.gossip_transport.file import read_fleet
+    from loadbalancer.gossip_transport.fleet_file import read_fleet
 
     return read_fleet(config.fleet)
 
--- a/tests/gossip_transport/test_file.py
+++ b/tests/gossip_transport/test_fleet_file.py
@@ -9,7 +9,7 @@
 import pytest
 
 from loadbalancer.cli.commands import main as run_command
-from loadbalancer.gossip_transport.file import FleetError, read_fleet
+from loadbalancer.gossip_transport.fleet_file import FleetError, read_fleet
 from loadbalancer.gossip_transport.settings import FleetFile
 from tests.harness import ROOT
 
