--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -43,7 +43,7 @@
         self.slots = SlotAllocation(
             place, balancer.peers, gossip.settings.slots_per_server, self._is_alive_at
         )
-        self.slots.granted_classes = gossip.leases.granted_classes()
+        self.slots.granted_groups = gossip.leases.granted_groups()
         self.alive = 0  # alive members, as of the last allocation
         self._liveness_changes = -1
         self._saturated = False
@@ -78,7 +78,7 @@
                 gossip.observe(now, endpoint.id, results, endpoint.last_seen)
 
     def _update_need(self, now: int) -> None:
-        """At the end of each window: how many classes can be leased out, or are needed."""
+        """At the end of each window: how many groups can be leased out, or are needed."""
         balancer = self._balancer
         self._peaks[0] = max(self._peaks[0], balancer.in_flight)
         self._saturated = self._saturated or balancer.saturated
@@ -102,7 +102,7 @@
         exchange.keeps_leases = uses_all and needed > owned
         exchange.grantable = 0
         if not (self._saturated or exchange.keeps_leases):
-            exchange.grantable = self.slots.grantable_classes(depths, len(ready), needed, owned)
+            exchange.grantable = self.slots.grantable_groups(depths, len(ready), needed, owned)
         self._saturated = False
 
     # ---- to the Balancer -----------------------------------------------------------
@@ -130,10 +130,10 @@
         self.alive = members.alive_count()
         slots.isolated = isolated
         slots.refresh()
-        slots.granted_classes = leases.granted_classes()
+        slots.granted_groups = leases.granted_groups()
         slots.leases = [
-            LeasedSlots(grantor // self._zones, classes)
-            for grantor, classes in gossip.lease_exchange.usable(now)
+            LeasedSlots(grantor // self._zones, groups)
+            for grantor, groups in gossip.lease_exchange.usable(now)
         ]
         return True
 
--- a/loadbalancer/core/gossip/lease_exchange.py
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -15,7 +15,7 @@
         self._settings = settings
         self._members = members
         self._leases = leases
-        self.grantable = 0  # classes that this node can lease out
+        self.grantable = 0  # groups that this node can lease out
         self.keeps_leases = False  # it needs the slots that it has leased
         self.wants_more = False  # it needs further slots
 
@@ -34,8 +34,8 @@
         # two processes use, as each would use the slots granted to the other.
         members, holder = self._members, request.origin
         eligible = members.is_alive(holder) and holder in members.trusted(now)
-        classes = self._leases.grant(now, holder, self.grantable if eligible else 0)
-        return members.message(MessageKind.LEASE_GRANT, serial=request.serial, subject=classes)
+        groups = self._leases.grant(now, holder, self.grantable if eligible else 0)
+        return members.message(MessageKind.LEASE_GRANT, serial=request.serial, subject=groups)
 
     def requests(self, now: int) -> list[Outgoing]:
         """The requests to send now; the caller checks the message rate."""
--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -99,7 +99,7 @@
     DIGEST = 4  # the sender's digest: answered with the records that differ
     DONE = 5  # all records that differ have been sent
     LEASE_REQUEST = 6  # asks for slots under a lease
-    LEASE_GRANT = 7  # the classes of servers granted, one bit each, as `subject`
+    LEASE_GRANT = 7  # the server groups granted, one bit each, as `subject`
     PIECE = 8  # a piece of a delta between two versions of the list (`list_pieces.py`)
     WANT = 9  # the version the sender has, and the pieces it lacks
 
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -20,16 +20,16 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from loadbalancer.core.gossip.slot_leases import CLASSES
+from loadbalancer.core.gossip.slot_leases import SERVER_GROUPS
 
 MIN_SLOTS_PER_NODE = 3  # that a node needs: `max_slots` is raised to give every node so many
 
 
 class LeasedSlots(NamedTuple):
-    """The classes whose slots are leased from the node at one place of the zone, a bit each."""
+    """The groups whose slots are leased from the node at one place of the zone, a bit each."""
 
     place: int
-    classes: int
+    groups: int
 
 
 class SlotAllocation:
@@ -42,7 +42,7 @@
         "_nodes",
         "_place",
         "_slots",
-        "granted_classes",
+        "granted_groups",
         "isolated",
         "leases",
     )
@@ -61,7 +61,7 @@
         # the walk over the slots of hundreds of servers would block the loop for milliseconds.
         self._depths: dict[tuple[int, int, int], int] = {}
         self.isolated = False  # no messages are received: use at least the slots without gossip
-        self.granted_classes = 0  # whose upper slots are leased to others, a bit each
+        self.granted_groups = 0  # whose upper slots are leased to others, a bit each
         self.leases: list[LeasedSlots] = []
 
     def refresh(self) -> None:
@@ -101,12 +101,12 @@
     def cap(self, server: int, first_slot: int, depth: int, servers: int) -> int:
         """How many requests this node may have at a server, by its own slots and by leases."""
         max_slots = self.max_slots(servers)
-        class_bit = 1 << server % CLASSES
-        cap = self.own(first_slot, depth, servers, bool(self.granted_classes & class_bit))
+        group_bit = 1 << server % SERVER_GROUPS
+        cap = self.own(first_slot, depth, servers, bool(self.granted_groups & group_bit))
         # Below `max_slots` (a slow server, or congestion) leased slots are not used.
         if depth >= max_slots:
-            for place, classes in self.leases:
-                if classes & class_bit:
+            for place, groups in self.leases:
+                if groups & group_bit:
                     first = (place - self._place + first_slot) % self._nodes
                     cap += self._count(first, max_slots) - self._count(first, max_slots // 2)
         return cap
@@ -124,15 +124,15 @@
         """How many slots below `depth` belong to the node whose first slot is `first`."""
         return -(-(depth - first) // self._nodes) if depth > first else 0
 
-    def grantable_classes(
+    def grantable_groups(
         self, depths: list[tuple[int, int]], servers: int, needed: float, owned: int
     ) -> int:
-        """How many classes this node can lease out and still have `needed` of its `owned` slots.
+        """How many groups this node can lease out and still have `needed` of its `owned` slots.
 
         `depths`: (first slot, depth) of each server.
         """
         if owned < needed:
             return 0
         lower = sum(self.own(first, depth, servers, leased_out=True) for first, depth in depths)
-        per_class = (owned - lower) / CLASSES
-        return min(int((owned - needed) / per_class), CLASSES) if per_class else CLASSES
+        per_group = (owned - lower) / SERVER_GROUPS
+        return min(int((owned - needed) / per_group), SERVER_GROUPS) if per_group else SERVER_GROUPS
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -1,7 +1,7 @@
 """Leases on concurrency slots: which node may use another's slots, and until when.
 
 Of each node's slots, those in the upper half of a server's slots may be leased to another node
-(`slot_allocation.py`), in classes of servers. As in a lease of Gray and Cheriton (1989, section
+(`slot_allocation.py`), in server groups. As in a lease of Gray and Cheriton (1989, section
 2), the holder counts the TTL from when it sent the request, and the grantor from when it
 granted, plus SAFETY_MARGIN_NS. The grant is made after the request was sent, so even if
 messages are late, duplicated or lost, the holder has stopped before the grantor uses its slots
@@ -19,8 +19,8 @@
 
 LEASE_TTL_NS = 2 * SECOND
 SAFETY_MARGIN_NS = 500 * MS  # for the holder's late turn, its open requests, and clock drift
-CLASSES = 8  # of servers, by their number: the unit in which slots are leased
-ALL_CLASSES = (1 << CLASSES) - 1
+SERVER_GROUPS = 8  # servers are divided by number into groups: the unit in which slots are leased
+ALL_SERVER_GROUPS = (1 << SERVER_GROUPS) - 1
 MAX_GRANTORS = 12  # of one holder at once: each costs a message a second of the message rate
 REQUEST_INTERVAL_NS = 250 * MS
 MAX_NEW_REQUESTS = 4  # to further grantors at once
@@ -28,25 +28,25 @@
 
 
 class Grant(NamedTuple):
-    """A class that this node has leased to another."""
+    """A server group that this node has leased to another."""
 
     holder: int
     expires_at: int
 
 
 class Lease(NamedTuple):
-    """The classes that this node has leased from another, a bit each."""
+    """The groups that this node has leased from another, a bit each."""
 
-    classes: int
+    groups: int
     requested_at: int
     expires_at: int
 
 
 class UsableLease(NamedTuple):
-    """The classes of one grantor that may be used now, a bit each."""
+    """The groups of one grantor that may be used now, a bit each."""
 
     grantor: int
-    classes: int
+    groups: int
 
 
 class NewRequest(NamedTuple):
@@ -64,10 +64,10 @@
 
 
 class SlotLeases:
-    """One node's leases, as grantor and as holder: at most CLASSES and MAX_GRANTORS."""
+    """One node's leases, as grantor and as holder: at most SERVER_GROUPS and MAX_GRANTORS."""
 
     def __init__(self, seed: int) -> None:
-        self.grants: dict[int, Grant] = {}  # by class
+        self.grants: dict[int, Grant] = {}  # by server group
         self.active: dict[int, Lease] = {}  # by grantor
         self.changed = True
         self._unrestrained_at = -1  # when `_restrained` ends; -1: not known yet
@@ -80,35 +80,35 @@
 
     # ---- grantor -----------------------------------------------------------
 
-    def granted_classes(self) -> int:
-        """The classes whose upper slots this node must not use, a bit each."""
-        return ALL_CLASSES if self._restrained else sum(1 << c for c in self.grants)
+    def granted_groups(self) -> int:
+        """The groups whose upper slots this node must not use, a bit each."""
+        return ALL_SERVER_GROUPS if self._restrained else sum(1 << group for group in self.grants)
 
     def grant(self, now: int, holder: int, grantable: int) -> int:
-        """Grant or renew leases; returns the classes granted to this holder, a bit each.
+        """Grant or renew leases; returns the groups granted to this holder, a bit each.
 
-        `grantable` bounds the classes granted to all holders together.
+        `grantable` bounds the groups granted to all holders together.
         """
         self.expire(now)
         if self._restrained:
             return 0
-        renewed = [c for c, grant in self.grants.items() if grant.holder == holder]
-        free = [c for c in range(CLASSES) if c not in self.grants]
+        renewed = [group for group, grant in self.grants.items() if grant.holder == holder]
+        free = [group for group in range(SERVER_GROUPS) if group not in self.grants]
         self._random.shuffle(free)
         remaining = max(grantable - (len(self.grants) - len(renewed)), 0)
-        classes = 0
-        for c in (renewed + free)[:remaining]:
-            self.changed = self.changed or c not in self.grants
-            self.grants[c] = Grant(holder, now + LEASE_TTL_NS + SAFETY_MARGIN_NS)
-            classes |= 1 << c
-        return classes
+        groups = 0
+        for group in (renewed + free)[:remaining]:
+            self.changed = self.changed or group not in self.grants
+            self.grants[group] = Grant(holder, now + LEASE_TTL_NS + SAFETY_MARGIN_NS)
+            groups |= 1 << group
+        return groups
 
     # ---- holder ------------------------------------------------------------
 
     def usable(self, now: int) -> list[UsableLease]:
         """The leases that are valid at this moment."""
         return [
-            UsableLease(n, lease.classes)
+            UsableLease(n, lease.groups)
             for n, lease in self.active.items()
             if now < lease.expires_at
         ]
@@ -137,32 +137,32 @@
             requests.append(NewRequest(grantor, self._serial))
         return requests
 
-    def on_grant(self, now: int, grantor: int, serial: int, classes: int) -> None:
+    def on_grant(self, now: int, grantor: int, serial: int, groups: int) -> None:
         """Record a grant; ignored without an open request, or for one sent too long ago."""
         request = self._requests.get(serial)
         if request is None or request.grantor != grantor:
             return
         del self._requests[serial]
-        classes &= ALL_CLASSES
+        groups &= ALL_SERVER_GROUPS
         old = self.active.get(grantor)
         if old is not None and old.requested_at > request.sent_at:
             return
         expires_at = request.sent_at + LEASE_TTL_NS
-        if classes == 0 or now >= expires_at:
+        if groups == 0 or now >= expires_at:
             self._declined_until[grantor] = now + DECLINED_NS
             self.changed = self.active.pop(grantor, None) is not None or self.changed
             return
-        self.changed = self.changed or old is None or old.classes != classes
-        self.active[grantor] = Lease(classes, request.sent_at, expires_at)
+        self.changed = self.changed or old is None or old.groups != groups
+        self.active[grantor] = Lease(groups, request.sent_at, expires_at)
 
     def report(self, now: int) -> dict[str, list[list[int]]]:
-        """For operators, both ways: node, number of classes, milliseconds remaining."""
+        """For operators, both ways: node, number of groups, milliseconds remaining."""
         granted: dict[int, list[int]] = {}
         for holder, expires_at in self.grants.values():
             row = granted.setdefault(holder, [holder, 0, 0])
             row[1:] = row[1] + 1, max(row[2], (expires_at - now) // MS)
         leased = [
-            [n, lease.classes.bit_count(), (lease.expires_at - now) // MS]
+            [n, lease.groups.bit_count(), (lease.expires_at - now) // MS]
             for n, lease in self.active.items()
         ]
         return {"lent": list(granted.values()), "borrowed": leased}
@@ -185,8 +185,8 @@
         """Remove expired leases and requests; to be called several times in SAFETY_MARGIN_NS."""
         if self._restrained and 0 <= self._unrestrained_at <= now:
             self._restrained, self.changed = False, True
-        for c in [c for c, grant in self.grants.items() if grant.expires_at <= now]:
-            del self.grants[c]
+        for group in [group for group, grant in self.grants.items() if grant.expires_at <= now]:
+            del self.grants[group]
             self.changed = True
         for n in [n for n, lease in self.active.items() if lease.expires_at <= now]:
             del self.active[n]
--- a/simulation/fleet_mutants.py
+++ b/simulation/fleet_mutants.py
@@ -60,7 +60,7 @@
         self.active[lender] = lease._replace(expires_at=now + UNBOUNDED_LEASE)
 
 
-def _no_granted_classes(_self: Any) -> int:
+def _no_granted_groups(_self: Any) -> int:
     """Use slots that have been leased to others."""
     return 0
 
@@ -73,5 +73,5 @@
     "slots-without-a-bound": Mutant(SlotAllocation, "depth", _unbounded_depth),
     "dead-node-s-slots-kept": Mutant(SlotAllocation, "depth", _depth_of_all_nodes),
     "lease-without-an-end": Mutant(SlotLeases, "on_grant", _grant_without_end),
-    "lent-and-used": Mutant(SlotLeases, "granted_classes", _no_granted_classes),
+    "lent-and-used": Mutant(SlotLeases, "granted_groups", _no_granted_groups),
 }
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -85,7 +85,7 @@
         assert not world.nodes[node].leases.grants
     world.run(world.now + 1)  # their first turns
     assert not world.bridges[holder].slots.leases
-    assert not world.bridges[grantor].slots.granted_classes
+    assert not world.bridges[grantor].slots.granted_groups
     world.clients.run(85 * SECOND)
     assert world.run(85 * SECOND, lambda: len(world.nodes[holder].leases.active) > 2)
     world.run(85 * SECOND)
--- a/tests/core/gossip/test_slot_leases.py
+++ b/tests/core/gossip/test_slot_leases.py
@@ -7,7 +7,7 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.slot_allocation import LeasedSlots, SlotAllocation
 from loadbalancer.core.gossip.slot_leases import (
-    ALL_CLASSES,
+    ALL_SERVER_GROUPS,
     LEASE_TTL_NS,
     SAFETY_MARGIN_NS,
     SlotLeases,
@@ -31,9 +31,9 @@
     def turn(self, now: int) -> None:
         self.turned = now
         self.leases.expire(now + self.skew)
-        self.slots.granted_classes = self.leases.granted_classes()
+        self.slots.granted_groups = self.leases.granted_groups()
         usable = self.leases.usable(now + self.skew)
-        self.slots.leases = [LeasedSlots(place, classes) for place, classes in usable]
+        self.slots.leases = [LeasedSlots(place, groups) for place, groups in usable]
 
     def cap(self, server: int) -> int:
         return self.slots.cap(server, (self.place - server) % 4, 20, 9)
@@ -58,17 +58,17 @@
     leases.activate(0)
     began = LEASE_TTL_NS + SAFETY_MARGIN_NS
     leases.expire(began)
-    assert leases.granted_classes() == 0
+    assert leases.granted_groups() == 0
     ((_, serial),) = leases.requests(began, [3], more=True)
     leases.restrain()
     leases.on_grant(began, 3, serial, 1)  # in answer to what was requested before
     assert leases.usable(began) == []
     leases.activate(2 * began)
     leases.expire(3 * began - 1)
-    assert leases.granted_classes() == ALL_CLASSES
+    assert leases.granted_groups() == ALL_SERVER_GROUPS
     assert leases.grant(3 * began - 1, 2, grantable=8) == 0
     leases.expire(3 * began)
-    assert leases.granted_classes() == 0
+    assert leases.granted_groups() == 0
 
 
 def max_used_by_one_node(seed: int) -> int:
@@ -88,14 +88,14 @@
                 requests.append((node.place, grantor, serial))
         elif event < 0.65 and requests:
             holder, grantor, serial = draw.choice(requests[-draw.choice((2, 30)) :])
-            classes = nodes[grantor].leases.grant(
+            groups = nodes[grantor].leases.grant(
                 now + nodes[grantor].skew, holder, draw.randrange(9)
             )
             nodes[grantor].turn(now)
-            grants.append((holder, grantor, serial, classes))
+            grants.append((holder, grantor, serial, groups))
         elif event < 0.97 and grants:
-            holder, grantor, serial, classes = draw.choice(grants[-draw.choice((2, 30)) :])
-            nodes[holder].leases.on_grant(now + nodes[holder].skew, grantor, serial, classes)
+            holder, grantor, serial, groups = draw.choice(grants[-draw.choice((2, 30)) :])
+            nodes[holder].leases.on_grant(now + nodes[holder].skew, grantor, serial, groups)
             nodes[holder].turn(now)
         elif event > 0.995:
             node.start(now)
@@ -113,15 +113,15 @@
     slots = SlotAllocation(0, 4, 8, lambda _p: True)
     deals = [(server % 4, 8) for server in range(16)]  # two slots at each, one may be leased
     needs = (0, 16, 20, 31.9, 32.5)
-    grantable = [slots.grantable_classes(deals, 16, need, 32) for need in needs]
+    grantable = [slots.grantable_groups(deals, 16, need, 32) for need in needs]
     assert grantable == [8, 8, 6, 0, 0]
     grantor, holder = SlotLeases(1), SlotLeases(2)
     grantor.activate(0)
     assert grantor.grant(LEASE_TTL_NS, 1, 8) == 0  # an earlier start may have granted its slots
-    assert grantor.granted_classes() == 255
+    assert grantor.granted_groups() == 255
     grantor.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
     ((_, serial),) = holder.requests(0, [5], True)
-    assert grantor.grant(3 * SECOND, 1, 3).bit_count() == grantor.granted_classes().bit_count() == 3
+    assert grantor.grant(3 * SECOND, 1, 3).bit_count() == grantor.granted_groups().bit_count() == 3
     assert grantor.grant(3 * SECOND, 2, 4).bit_count() == 1  # the others are granted already
     holder.on_grant(LEASE_TTL_NS - 1, 5, serial + 1, 7)
     holder.on_grant(LEASE_TTL_NS - 1, 4, serial, 7)  # neither answers a request
