--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -28,7 +28,7 @@
         """Where the list of servers comes from."""
 
 
-def rows_of(answer: dict[str, Any]) -> dict[str, str | None]:
+def rows_from_answer(answer: dict[str, Any]) -> dict[str, str | None]:
     """The rows of an answer of discovery as text by id, None for a removed server."""
     return {
         str(target["uid"]): None
@@ -38,7 +38,7 @@
     }
 
 
-def answer_of(update: ListUpdate) -> dict[str, Any]:
+def answer_from_update(update: ListUpdate) -> dict[str, Any]:
     """An update of the shared list as an answer of discovery."""
     targets = [
         {"uid": uid, "state": REMOVED} if row is None else json.loads(row)
@@ -62,7 +62,7 @@
         self._discovery.readers = self
         self._polls = False  # whether this node was a reader at the last update
         self._refused = False  # whether the last update could not be used
-        rows = {uid: row for uid, row in rows_of(known).items() if row is not None}
+        rows = {uid: row for uid, row in rows_from_answer(known).items() if row is not None}
         if rows:
             self._shared_list.replica.begin(known["rev"], rows)
 
@@ -96,7 +96,7 @@
             # The rows of the refused update are missing: all rows are needed from here on.
             update = ListUpdate(update.rev, dict(self._shared_list.replica.rows), complete=True)
         try:
-            self._discovery.apply_shared(answer_of(update))
+            self._discovery.apply_shared(answer_from_update(update))
             self._refused = False
         except (ListError, ValueError, RecursionError) as err:
             self._refused = True
@@ -114,7 +114,7 @@
 
     def read(self, raw: dict[str, Any]) -> None:
         """The list service has answered this node."""
-        self._node.on_list_read(time.monotonic_ns(), raw["rev"], rows_of(raw), raw["all"])
+        self._node.on_list_read(time.monotonic_ns(), raw["rev"], rows_from_answer(raw), raw["all"])
 
     def failed(self, older: bool) -> None:
         """A call of this node failed, or (`older`) answered with an older version."""
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -52,7 +52,7 @@
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
-from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
+from loadbalancer.gossip_transport.shared_list import answer_from_update, rows_from_answer
 from loadbalancer.proxy import process
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.admin_calls import AdminCalls
@@ -223,12 +223,14 @@
 
 
 def _encode_rows(plain: Plain) -> bytes:
-    return json.dumps(answer_of(ListUpdate(plain["rev"], plain["rows"], plain["all"]))).encode()
+    return json.dumps(
+        answer_from_update(ListUpdate(plain["rev"], plain["rows"], plain["all"]))
+    ).encode()
 
 
 def _decode_rows(data: bytes) -> Plain:
     raw = json.loads(data)
-    return {"rev": raw["rev"], "all": raw["all"], "rows": rows_of(raw)}
+    return {"rev": raw["rev"], "all": raw["all"], "rows": rows_from_answer(raw)}
 
 
 # ---- between two processes of one node -----------------------------------------------
