--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -25,7 +25,7 @@
 PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
 FANOUT = 4  # children of a node in the tree
 NO_TREE = -1  # as the root of a piece that is not passed on
-PIECES_PER_S = 250  # that a node sends; a receiver accepts NODE_DATAGRAMS from one node
+PIECES_PER_S = 250  # that a node sends; a receiver accepts MAX_DATAGRAMS_PER_NODE from one node
 BURST = 64  # pieces
 MAX_QUEUED = 8192  # pieces; further ones are dropped, and requested by nodes that lack them
 BUSY_QUEUED = 200  # pieces in the queue from which on other nodes' requests are ignored
--- a/loadbalancer/gossip_transport/datagram_filter.py
+++ b/loadbalancer/gossip_transport/datagram_filter.py
@@ -14,8 +14,8 @@
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.gossip_transport.codec import BadMessageError, decode
 
-NODE_DATAGRAMS = 300  # a second of one node: CATCH_UP_MESSAGES and pieces of the list fit
-ALL_DATAGRAMS = 1500  # a second decoded in all
+MAX_DATAGRAMS_PER_NODE = 300  # a second of one node: CATCH_UP_MESSAGES and pieces of the list fit
+MAX_DATAGRAMS = 1500  # a second decoded in all
 
 
 class Sender(NamedTuple):
@@ -39,11 +39,11 @@
         """Accept from the `addresses`, by node number, of the nodes other than `me`."""
         self._fleet = fleet
         self._counters = counters
-        self._total = TokenBucket(ALL_DATAGRAMS, ALL_DATAGRAMS, now)
+        self._total = TokenBucket(MAX_DATAGRAMS, MAX_DATAGRAMS, now)
         self._senders: dict[tuple[str, int], Sender] = {}
         for node, address in enumerate(addresses):
             if node != me:
-                rate = TokenBucket(NODE_DATAGRAMS, NODE_DATAGRAMS, now)
+                rate = TokenBucket(MAX_DATAGRAMS_PER_NODE, MAX_DATAGRAMS_PER_NODE, now)
                 self._senders[address] = Sender(node, rate)
 
     def accept(self, now: int, data: bytes, source: tuple[str, int]) -> Message | None:
