--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -62,7 +62,9 @@
         # A call that has begun goes on: most of its cost to the service is spent already.
         begun = self.is_polling and polling and now - self._polls_since < FIRST_ANSWER_NS
         deferred = defer and not self.is_polling
-        should_poll = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
+        should_poll = (
+            (chosen and not deferred) or begun or members.receives_no_messages(now) or must_poll
+        )
         if should_poll and not self.is_polling:
             self._polls_since = now
             self._announce(now, ReaderState.POLLING, version)
@@ -74,4 +76,4 @@
 
     def update_disconnected(self, now: int) -> None:
         """Without a connection to the gossip: poll once no messages have come for a while."""
-        self.is_polling = self._members.hears_nobody(now)
+        self.is_polling = self._members.receives_no_messages(now)
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -14,8 +14,8 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
+    MessageKind,
     Observation,
     Outgoing,
     ReaderRecord,
@@ -59,11 +59,11 @@
         self._records = records
         self._shared_list = shared_list
         self._queue: DisseminationQueue[RecordKey] = DisseminationQueue(settings.nodes)
-        burst = max(settings.messages / 2, GOSSIP_FANOUT + 1)
-        self._rate = TokenBucket(settings.messages, burst, now)
-        self._body_bytes = settings.datagram - MESSAGE_HEAD_BYTES
+        burst = max(settings.messages_per_second / 2, GOSSIP_FANOUT + 1)
+        self._rate = TokenBucket(settings.messages_per_second, burst, now)
+        self._body_bytes = settings.max_datagram_bytes - MESSAGE_HEAD_BYTES
         self.gossip_pending = False  # updates that were not sent yet wait for the next turn
-        self.next_turn_at = now
+        self.next_tick_at = now
 
     # ---- updates -----------------------------------------------------------
 
@@ -107,7 +107,7 @@
     def send_soon(self, now: int) -> None:
         """Bring the next turn forward, to send updates."""
         self.gossip_pending = True
-        self.next_turn_at = min(self.next_turn_at, now + GOSSIP_DELAY_NS)
+        self.next_tick_at = min(self.next_tick_at, now + GOSSIP_DELAY_NS)
 
     def may_send(self, now: int) -> bool:
         """Whether the message rate allows a message now."""
@@ -124,7 +124,7 @@
         rate under packet loss; a larger one would delay updates and save no further messages.
         """
         self._rate.refill(now)
-        self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages / 2)
+        self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages_per_second / 2)
 
     # ---- messages ---------------------------------------------------------------
 
@@ -138,7 +138,7 @@
         # Updates that were sent once are sent again one member a tick, and piggybacked.
         fanout = GOSSIP_FANOUT if self._queue.has_unsent() else 1
         for to in self._members.sample(max(min(fanout, int(self._rate.refill(now))), 0)):
-            outgoing = self.piggyback(now, Outgoing(to, self._members.message(Kind.GOSSIP)))
+            outgoing = self.piggyback(now, Outgoing(to, self._members.message(MessageKind.GOSSIP)))
             if not outgoing.message.records:
                 break
             self.charge(now, 1)
@@ -149,7 +149,7 @@
     def piggyback(self, now: int, outgoing: Outgoing) -> Outgoing:
         """A message with as many updates as fit, unless it has records of its own."""
         message = outgoing.message
-        if message.kind == Kind.DONE or message.records:
+        if message.kind == MessageKind.DONE or message.records:
             return outgoing
         remaining = self._body_bytes - (DIGEST_BYTES if message.digest else 0)
         records: list[Record] = []
--- a/simulation/fleet_invariants.py
+++ b/simulation/fleet_invariants.py
@@ -78,7 +78,9 @@
                 for endpoint in endpoints
             ):
                 used += sum(endpoint.cap for endpoint in endpoints)
-                available += min(mean_limit, world.settings[0].slots * living / world.node_count)
+                available += min(
+                    mean_limit, world.settings[0].slots_per_server * living / world.node_count
+                )
         if used < MIN_SLOT_USE * available:
             world.breach(f"{living} living nodes use {used} slots of {available:.0f}")
 
@@ -86,7 +88,7 @@
         """After all faults, and some time: nodes agree, and have kept to the rate of messages."""
         world = self._world
         for node, gossip_node in world.nodes.items():
-            dead = [member.node for member in gossip_node.members.not_alive()]
+            dead = [member.node for member in gossip_node.members.non_alive_records()]
             if dead:
                 world.breach(f"node {node} still considers {dead} dead")
         if not world.run(world.now + AGREEMENT_WITHIN, lambda: len(self._record_digests()) == 1):
@@ -112,11 +114,13 @@
     def _check_observations(self, key: EndpointKey) -> None:
         """No observation counts for longer than its time since any node first had it."""
         world = self._world
-        for entry in world.nodes[key.node].records.of_server(key.server):
+        for entry in world.nodes[key.node].records.records_of_server(key.server):
             record = entry.record
             if not isinstance(record, Observation):
                 continue
-            name = ObservationKey(record.server, record.origin, record.incarnation, record.number)
+            name = ObservationKey(
+                record.server, record.origin, record.incarnation, record.sequence_number
+            )
             age = world.now - self._first_seen.setdefault(name, world.now)
             if age > OBSERVATION_TTL_NS + MAX_TRANSIT and key.node not in world.paused:
                 world.breach(f"node {key.node} uses an observation of {age / SECOND:.0f} s ago")
@@ -134,7 +138,7 @@
         local_list = gossip_node.local_list
         knows_of_drain = any(
             isinstance(entry.record, DrainRecord) and entry.record.rev > local_list.rev
-            for entry in gossip_node.records.of_server(key.server)
+            for entry in gossip_node.records.records_of_server(key.server)
         )
         is_used = (
             knows_of_drain
@@ -142,7 +146,7 @@
             and key.node not in world.paused
         )
         # A node drains only so many servers that its own list has as ready.
-        if not is_used or len(local_list.drained) >= local_list.max_drained():
+        if not is_used or len(local_list.drained_by_gossip) >= local_list.max_drained_by_gossip():
             self._used_since.pop(key, None)
         elif world.now - self._used_since.setdefault(key, world.now) > MAX_DRAIN_DELAY:
             world.breach(f"node {key.node} knows that {key.server} drains and uses it")
@@ -150,7 +154,7 @@
     def _check_slots(self) -> None:
         """All nodes' caps at a server are at most its slots, or what the least depth needs."""
         world = self._world
-        slots = world.settings[0].slots
+        slots = world.settings[0].slots_per_server
         hosts = world.hosts.values()
         all_alive = all(
             world.nodes[node].members.alive_count() == world.node_count for node in world.hosts
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -42,9 +42,9 @@
 from loadbalancer.core.endpoints.shared_list import ListUpdate
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     Message,
+    MessageKind,
     Observation,
     ReaderRecord,
 )
@@ -52,7 +52,7 @@
 from loadbalancer.gossip_transport import codec
 from loadbalancer.gossip_transport import transport as link
 from loadbalancer.gossip_transport.settings import FleetFile
-from loadbalancer.gossip_transport.shared_list import answer_of, rows_of
+from loadbalancer.gossip_transport.shared_list import answer_from_update, rows_from_answer
 from loadbalancer.proxy import process
 from loadbalancer.proxy.admin import Admin, Caller
 from loadbalancer.proxy.admin_calls import AdminCalls
@@ -86,8 +86,12 @@
 FIELDS = {  # the wire's word for a field -> its name
     "life": {"standing": "status"},
     "listed": {},
-    "observation": {"full": "rejections", "ratio": "ratio_16ths"},
-    "reading": {"how": "state", "mark": "checksum"},
+    "observation": {
+        "number": "sequence_number",
+        "full": "rejections",
+        "ratio": "ratio_16ths",
+    },
+    "reading": {"number": "sequence_number", "how": "state", "mark": "checksum"},
     "piece": {"mark": "checksum", "check": "delta_checksum"},
 }
 CLASSES = (
@@ -167,7 +171,7 @@
         records.append(RECORDS[row["is"]](**figures))
     digest = Piece(**_fields("piece", plain["piece"])) if "piece" in plain else plain["digest"]
     return Message(
-        Kind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
+        MessageKind[plain["kind"].upper()], plain["origin"], plain["incarnation"], plain["serial"],
         plain["subject"], tuple(digest), tuple(records), bytes.fromhex(plain["body"]),
     )  # fmt: skip
 
@@ -195,7 +199,7 @@
         "incarnation": message.incarnation, "serial": message.serial, "subject": message.subject,
         "records": records, "body": message.body.hex(),
     }  # fmt: skip
-    if message.kind == Kind.PIECE:
+    if message.kind == MessageKind.PIECE:
         return plain | {"piece": _recorded_names("piece", Piece(*message.digest)._asdict())}
     return plain | {"digest": list(message.digest)}
 
@@ -219,12 +223,14 @@
 
 
 def _encode_rows(plain: Plain) -> bytes:
-    return json.dumps(answer_of(ListUpdate(plain["rev"], plain["rows"], plain["all"]))).encode()
+    return json.dumps(
+        answer_from_update(ListUpdate(plain["rev"], plain["rows"], plain["all"]))
+    ).encode()
 
 
 def _decode_rows(data: bytes) -> Plain:
     raw = json.loads(data)
-    return {"rev": raw["rev"], "all": raw["all"], "rows": rows_of(raw)}
+    return {"rev": raw["rev"], "all": raw["all"], "rows": rows_from_answer(raw)}
 
 
 # ---- between two processes of one node -----------------------------------------------
@@ -496,7 +502,7 @@
         fleet.receive(
             NOW - 30 * MS,
             Message(
-                Kind.GOSSIP, 2, 1_759_999_000_000,
+                MessageKind.GOSSIP, 2, 1_759_999_000_000,
                 records=(
                     MemberRecord(1, 1_759_999_000_001, 1),
                     MemberRecord(3, 1_759_999_000_003, 3),
