--- a/loadbalancer/control/__init__.py
+++ b/loadbalancer/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's processes."""
+"""Processes of the control plane: control machines, the xDS service and the Consul relay."""
--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -1,13 +1,13 @@
-"""Serves the list merged from Consul to nodes, in the platform's discovery protocol.
+"""Serves the endpoint list merged from Consul to nodes, in the platform's discovery protocol.
 
-Only this process polls Consul, however many nodes there are: they poll here, with
-watches, as they would poll discovery (`PROXY_DISCOVERY`). While a relay is down, only updates are
-missing: nodes go on with the list they have, as with discovery. Two rules follow from a restart:
+Only the relay polls Consul, so Consul's load does not depend on the number of nodes. Nodes poll
+the relay with long polls, exactly as they would poll discovery (`PROXY_DISCOVERY`). While the
+relay is down, nodes continue with their last list. Two rules make a restart of the relay safe:
 
-- Versions grow with the wall clock. If they began anew, a node would ask for changes since a
-  version that stands for another list.
-- Until a complete round has ended, every answer is 503. A list that is read in part would take
-  servers from the nodes' pools.
+- Versions start at the current wall-clock time. If they started at 0 after a restart, a node
+  could ask for the changes since a version that now denotes another list.
+- Every request is answered with 503 until Consul has been read completely once. A partial list
+  would remove servers from the nodes' pools.
 
 Source: the platform's protocol, "Discovery".
 """
@@ -33,18 +33,18 @@
 
 MAX_WATCHERS = 1024
 OK = 200
-# The protocol's names of states.
+# States of a server by their names in the discovery protocol.
 STATE_NAMES = {State.READY: "active", State.DRAINING: "leaving"}
 
 Row = Mapping[str, Any]
 
 
 def discovery_row(server: ListedServer, wall_offset: int) -> Row:
-    """One server in discovery's form.
+    """Convert a server to a row of a discovery response.
 
     Args:
-        server: in the merged list.
-        wall_offset: Unix time less the monotonic clock's, in nanoseconds.
+        server: an entry of the merged list.
+        wall_offset: Unix time minus monotonic time, in nanoseconds.
     """
     return {
         "uid": server.uid,
@@ -59,7 +59,7 @@
 
 
 class ListRelay:
-    """The list by version, and the watchers that wait for its next one."""
+    """The versioned endpoint list, and the long polls that wait for its next version."""
 
     max_connections = MAX_WATCHERS
 
@@ -67,49 +67,50 @@
         self.updater = ListUpdater(file, self._publish, seed)
         self.revisions: Revisions[Row] = Revisions(time.time_ns() // MS)
         self.connections = 0
-        self._waiting: LongPolls[int] = LongPolls(self._answer_waiting)  # versions they have
-        # Read once: a boot time that is converted again must give the same row.
+        self._pending: LongPolls[int] = LongPolls(self._answer_pending)  # version of each poller
+        # Read once, so that converting the same boot time always gives the same row.
         self._wall_offset = time.time_ns() - time.monotonic_ns()
 
     def ready(self) -> bool:
-        """Whether the list is complete."""
+        """Return whether Consul has been read completely."""
         return self.updater.merged_list.is_complete()
 
     def answer(self, version: int) -> bytes:
-        """Discovery's answer to a watcher that has this version, 0 for none."""
+        """Build the response for a node that has this version of the list, 0 for none."""
         changed, is_full = self.revisions.since(version)
         rows = [removed_row(uid) if row is None else row for uid, row in changed.items()]
         return json.dumps({"rev": self.revisions.rev, "all": is_full, "targets": rows}).encode()
 
     def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
-        """Answer now where the list has changed or `hold_s` is 0, else within `hold_s` seconds."""
-        del query  # a relay has one list for all
+        """Answer at once if the list has changed or `hold_s` is 0, else within `hold_s` seconds."""
+        del query  # every node gets the same list
         if since == self.revisions.rev and hold_s > 0:
-            self._waiting.add(watcher, since, hold_s)
+            self._pending.add(watcher, since, hold_s)
         else:
             watcher.reply(OK, self.answer(since))
 
     def is_waiting(self, watcher: Watcher) -> bool:
-        """Whether a watcher has no answer yet."""
-        return watcher in self._waiting
+        """Return whether the connection's poll is still unanswered."""
+        return watcher in self._pending
 
     def cancel(self, watcher: Watcher) -> None:
-        """Cancel a watcher's wait: it gets no answer any more."""
-        self._waiting.take(watcher)
+        """Drop the connection's pending poll without an answer."""
+        self._pending.pop(watcher)
 
-    def _answer_waiting(self, watcher: Watcher) -> None:
-        version = self._waiting.take(watcher)
+    def _answer_pending(self, watcher: Watcher) -> None:
+        version = self._pending.pop(watcher)
         if version is not None:
             watcher.reply(OK, self.answer(version))
 
     def _publish(self) -> None:
-        """Take the merged list as the next version, and answer all watchers that wait for it."""
+        """Publish the merged list as a new version if it has changed, and answer pending polls."""
         servers = [s for s in self.updater.merged_list.servers() if s.state != State.GONE]
         rows = {server.uid: discovery_row(server, self._wall_offset) for server in servers}
         if self.revisions.replace(rows):
-            for watcher in self._waiting:
-                # A fault at one costs no other's answer; its caller polls again.
-                if not run_logged(self._answer_waiting, watcher):
+            for watcher in self._pending:
+                # An exception must not keep the others from their answers. The failed connection
+                # is closed, so its node polls again.
+                if not run_logged(self._answer_pending, watcher):
                     watcher.abort()
 
 
@@ -117,7 +118,7 @@
     """Serve the list at `listen` until cancelled.
 
     Raises:
-        OSError: the address can't be listened at.
+        OSError: the process can't listen on the address.
     """
     relay = ListRelay(file, seed)
     loop = asyncio.get_running_loop()
--- a/loadbalancer/control/long_polls.py
+++ b/loadbalancer/control/long_polls.py
@@ -1,4 +1,4 @@
-"""Long polls: the polls of one host that wait for an answer, one a connection."""
+"""Pending long polls of one server, at most one for each connection."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 T = TypeVar("T")
 
 
-class _Waiting(NamedTuple, Generic[T]):
+class _PendingPoll(NamedTuple, Generic[T]):
     poll: T
     timer: asyncio.TimerHandle
 
 
 class LongPolls(Generic[T]):
-    """Waiting polls by connection, each with what its host has to know of it to answer it."""
+    """Pending polls by connection, each with the request data that is needed to answer it."""
 
     def __init__(self, on_timeout: Callable[[Watcher], None]) -> None:
-        """`on_timeout` gets the connection of a poll that has waited for its time."""
+        """`on_timeout` is called with the connection of a poll whose timeout has elapsed."""
         self._on_timeout = on_timeout
-        self._waiting: dict[Watcher, _Waiting[T]] = {}
+        self._pending: dict[Watcher, _PendingPoll[T]] = {}
 
     def __len__(self) -> int:
-        """How many polls wait."""
-        return len(self._waiting)
+        """Return the number of pending polls."""
+        return len(self._pending)
 
     def __contains__(self, watcher: Watcher) -> bool:
-        """Whether a poll of this connection waits."""
-        return watcher in self._waiting
+        """Return whether this connection has a pending poll."""
+        return watcher in self._pending
 
     def __iter__(self) -> Iterator[Watcher]:
-        """The connections of all polls; those that are taken meanwhile do no harm."""
-        return iter([*self._waiting])
+        """Iterate over a copy of the connections, so that polls may be removed meanwhile."""
+        return iter([*self._pending])
 
     def items(self) -> list[tuple[Watcher, T]]:
-        """Connections and polls."""
-        return [(watcher, waiting.poll) for watcher, waiting in self._waiting.items()]
+        """Return all connections with their pending polls."""
+        return [(watcher, pending.poll) for watcher, pending in self._pending.items()]
 
     def add(self, watcher: Watcher, poll: T, timeout_s: float) -> None:
-        """Let a connection's poll wait for at most this time; it replaces an earlier one.
+        """Add a connection's poll and arm its timer, replacing an earlier poll.
 
-        Failure: the earlier poll's timer stays armed, and answers the newer poll before its time.
-        The earlier one is taken first, which cancels its timer.
+        The earlier poll is removed first, which cancels its timer: left armed, that timer would
+        answer the newer poll before its timeout.
         """
-        self.take(watcher)
+        self.pop(watcher)
         loop = asyncio.get_running_loop()
         timer = loop.call_later(timeout_s, self._on_timeout, watcher)
-        self._waiting[watcher] = _Waiting(poll, timer)
+        self._pending[watcher] = _PendingPoll(poll, timer)
 
-    def take(self, watcher: Watcher) -> T | None:
-        """The connection's poll, which waits no longer; None where none waited."""
-        waiting = self._waiting.pop(watcher, None)
-        if waiting is None:
+    def pop(self, watcher: Watcher) -> T | None:
+        """Remove and return the connection's pending poll, or None if it has none."""
+        pending = self._pending.pop(watcher, None)
+        if pending is None:
             return None
-        waiting.timer.cancel()
-        return waiting.poll
+        pending.timer.cancel()
+        return pending.poll
--- a/loadbalancer/control/machine/__init__.py
+++ b/loadbalancer/control/machine/__init__.py
@@ -1,1 +1,1 @@
-"""Control machines that serve each node its own services, and the nodes' side of it."""
+"""Control machines, which serve each node the services assigned to it, and the node's client."""
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -36,7 +36,7 @@
 
     def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
-        self._waiting.take(caller)
+        self._waiting.pop(caller)
 
     def on_list_request(
         self,
@@ -68,7 +68,7 @@
                 watcher.abort()
 
     def _answer_waiting(self, watcher: Watcher) -> None:
-        since = self._waiting.take(watcher)
+        since = self._waiting.pop(watcher)
         if since is not None:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -254,7 +254,7 @@
 
     def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
         """The connection's poll, which does not wait any more; None where none waited."""
-        request = self._waiting.take(watcher)
+        request = self._waiting.pop(watcher)
         if request is not None:
             watchers = self._watchers[request.node]
             del watchers[request.region]
--- a/loadbalancer/control/machine/process.py
+++ b/loadbalancer/control/machine/process.py
@@ -1,4 +1,4 @@
-"""The process of one control machine: it reads the file, and serves until a signal ends it."""
+"""The process of one control machine: reads the control file and serves until a signal."""
 
 from __future__ import annotations
 
@@ -20,23 +20,28 @@
 
 
 async def serve(file: ScaleFile, name: str) -> None:
-    """Run one machine until SIGTERM or SIGINT."""
+    """Run one control machine until SIGTERM or SIGINT.
+
+    Raises:
+        ScaleFileError: the file has no machine of that name.
+        OSError: the machine can't listen on one of its addresses.
+    """
     machine = ControlMachine(file, file.machine(name))
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
+    stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+        loop.add_signal_handler(number, stopped.set)
     await machine.open()
     logger.info(
         "control machine %s serves %d nodes, %d services",
         name, len(file.nodes), len(file.services),
     )  # fmt: skip
-    await ended.wait()
+    await stopped.wait()
     machine.close()
 
 
 def main(path: str, name: str) -> int:
-    """Run the machine; 0 after a stop, 2 where the file or an address can't be used."""
+    """Run a control machine; return its exit status, 2 if the file or an address is unusable."""
     logs.configure(f"loadbalancer scale {name}", logs.SERVICE_LINES_PER_SECOND)
     try:
         uvloop.run(serve(read_scale_file(path), name))
--- a/tests/control/test_long_polls.py
+++ b/tests/control/test_long_polls.py
@@ -1,4 +1,4 @@
-"""Long polls that are answered, time out, or lose their connection, in any order."""
+"""Tests of long polls: answers, timeouts and lost connections, in any order."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 from loadbalancer.sources.watchers import Watcher
 
 
-@pytest.mark.parametrize("is_taken", [False, True])
-def test_a_poll_ends_once_by_its_time_or_before(is_taken: bool) -> None:
-    """A poll is answered just before its time is up: its timer must not answer it again."""
+@pytest.mark.parametrize("is_answered", [False, True])
+def test_a_poll_ends_once_either_answered_or_timed_out(is_answered: bool) -> None:
+    """The timer of a poll that was answered shortly before its timeout must not fire."""
 
-    async def play() -> None:
-        ended: list[Watcher] = []
-        polls: LongPolls[str] = LongPolls(ended.append)
+    async def scenario() -> None:
+        timed_out: list[Watcher] = []
+        polls: LongPolls[str] = LongPolls(timed_out.append)
         watcher = Watcher(mock.Mock())
         polls.add(watcher, "poll", 0.01)
         assert watcher in polls
         assert polls.items() == [(watcher, "poll")]
-        if is_taken:
-            assert polls.take(watcher) == "poll"
-            assert polls.take(watcher) is None
+        if is_answered:
+            assert polls.pop(watcher) == "poll"
+            assert polls.pop(watcher) is None
         await asyncio.sleep(0.05)
-        assert ended == ([] if is_taken else [watcher])
-        assert len(polls) == (0 if is_taken else 1)
+        assert timed_out == ([] if is_answered else [watcher])
+        assert len(polls) == (0 if is_answered else 1)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_polls_may_be_taken_while_all_are_answered() -> None:
-    """The answer to one poll ends the connection of another one."""
+def test_polls_may_be_removed_during_iteration() -> None:
+    """Answering one poll can close the connection of another one."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         polls: LongPolls[int] = LongPolls(lambda _: None)
         watchers = [Watcher(mock.Mock()) for _ in range(3)]
         for number, watcher in enumerate(watchers):
             polls.add(watcher, number, 60.0)
-        taken = [polls.take(one) for watcher in polls for one in (watcher, watchers[2])]
-        assert taken == [0, 2, 1, None, None, None]
+        popped = [polls.pop(one) for watcher in polls for one in (watcher, watchers[2])]
+        assert popped == [0, 2, 1, None, None, None]
         assert not len(polls)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_lost", [False, True])
-def test_a_bound_list_answers_only_connections_that_are_there(is_lost: bool) -> None:
-    """A node's connection is lost while it waits; then the service changes."""
+def test_a_bound_list_answers_only_open_connections(is_lost: bool) -> None:
+    """The service changes after a node's connection was lost during its long poll."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         log = ChangeLog("east", 100, 1 << 20)
         log.append(Change(Position(1, 1), "cart", (Row("u", "{}"),)))
         bound = BoundList(log, "cart", 10)
@@ -71,22 +71,20 @@
             bound.on_change()
             assert reply.called is not is_lost
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_poll_that_replaces_another_waits_for_its_own_time() -> None:
-    """A connection's poll is added while an earlier one waits. The earlier one's timer stayed
-    armed, and answered the newer poll before its time.
-    """
+def test_a_poll_that_replaces_another_keeps_its_own_timeout() -> None:
+    """If the timer of the replaced poll stays armed, it ends the newer poll too early."""
 
-    async def play() -> None:
-        ended: list[Watcher] = []
-        polls: LongPolls[str] = LongPolls(ended.append)
+    async def scenario() -> None:
+        timed_out: list[Watcher] = []
+        polls: LongPolls[str] = LongPolls(timed_out.append)
         watcher = Watcher(mock.Mock())
         polls.add(watcher, "earlier", 0.01)
         polls.add(watcher, "newer", 60.0)
         await asyncio.sleep(0.05)
-        assert not ended
-        assert polls.take(watcher) == "newer"
+        assert not timed_out
+        assert polls.pop(watcher) == "newer"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
