--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -22,7 +22,7 @@
         self.service = service
         self.region = log.region
         self._log = log
-        self._waiting: LongPolls[int] = LongPolls(self._answer_waiting)  # versions they have
+        self._pending: LongPolls[int] = LongPolls(self._answer_pending)  # versions they have
 
     # ---- what a connection calls --------------------------------------------
 
@@ -32,11 +32,11 @@
 
     def is_waiting(self, caller: Watcher) -> bool:
         """Whether the connection's last poll has no answer yet."""
-        return caller in self._waiting
+        return caller in self._pending
 
     def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
-        self._waiting.pop(caller)
+        self._pending.pop(caller)
 
     def on_list_request(
         self,
@@ -54,7 +54,7 @@
         if position > self._log.position:
             watcher.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"behind the version asked from")
         elif hold_s > 0 and since and self._unchanged(since):
-            self._waiting.add(watcher, since, hold_s)
+            self._pending.add(watcher, since, hold_s)
         else:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
@@ -62,13 +62,13 @@
 
     def on_change(self) -> None:
         """The service has changed."""
-        for watcher in self._waiting:
+        for watcher in self._pending:
             # A fault at one costs no other's answer; its caller polls again on a new connection.
-            if not run_logged(self._answer_waiting, watcher):
+            if not run_logged(self._answer_pending, watcher):
                 watcher.abort()
 
-    def _answer_waiting(self, watcher: Watcher) -> None:
-        since = self._waiting.pop(watcher)
+    def _answer_pending(self, watcher: Watcher) -> None:
+        since = self._pending.pop(watcher)
         if since is not None:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -83,7 +83,7 @@
         self._publisher = publisher
         self._replica = replica
         self._addresses = addresses
-        self._waiting: LongPolls[PollRequest] = LongPolls(self._on_timeout)
+        self._pending: LongPolls[PollRequest] = LongPolls(self._on_timeout)
         self._watchers: dict[str, dict[str, Watcher]] = {}  # whose poll waits, by node and region
 
     # ---- what a connection calls --------------------------------------------
@@ -94,11 +94,11 @@
 
     def is_waiting(self, caller: Watcher) -> bool:
         """Whether the connection's last poll has no answer yet."""
-        return caller in self._waiting
+        return caller in self._pending
 
     def cancel(self, caller: Watcher) -> None:
         """The connection's poll needs no answer any more."""
-        request = self._stop_waiting(caller)
+        request = self._remove_pending(caller)
         if request is not None:
             self._publisher.cancel(request.node, request.region)
             self._on_poll_ended(time.monotonic_ns(), request.node)
@@ -129,7 +129,7 @@
         for node in nodes:
             watcher = self._watchers.get(node, {}).get(region)
             if watcher is not None:
-                self._answer_waiting(now, watcher)
+                self._answer_pending(now, watcher)
 
     def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
         """There may be something new for these nodes in these regions."""
@@ -141,19 +141,19 @@
         now = time.monotonic_ns()
         pushed = [
             run_logged(self._push_assignment, now, watcher, request)
-            for watcher, request in self._waiting.items()
+            for watcher, request in self._pending.items()
         ]
         return all(pushed)
 
     def _push_assignment(self, now: int, watcher: Watcher, request: PollRequest) -> None:
         if self._nodes.changed_assignment(now, request.node, request.region) is not None:
-            self._answer_waiting(now, watcher)
+            self._answer_pending(now, watcher)
 
-    def waiting_count(self) -> int:
+    def pending_count(self) -> int:
         """How many polls wait for an answer."""
-        return len(self._waiting)
+        return len(self._pending)
 
-    def waiting_nodes(self) -> frozenset[str]:
+    def pending_nodes(self) -> frozenset[str]:
         """The nodes whose polls wait for an answer."""
         return frozenset(self._watchers)
 
@@ -228,14 +228,14 @@
 
     def _wait(self, now: int, watcher: Watcher, request: PollRequest, until_ns: int | None) -> None:
         due_ns = request.deadline_ns if until_ns is None else min(request.deadline_ns, until_ns)
-        self._waiting.add(watcher, request, max(due_ns - now, 0) / SECOND)
+        self._pending.add(watcher, request, max(due_ns - now, 0) / SECOND)
         self._watchers.setdefault(request.node, {})[request.region] = watcher
 
     def _on_timeout(self, watcher: Watcher) -> None:
-        self._answer_waiting(time.monotonic_ns(), watcher)
+        self._answer_pending(time.monotonic_ns(), watcher)
 
-    def _answer_waiting(self, now: int, watcher: Watcher) -> None:
-        request = self._stop_waiting(watcher)
+    def _answer_pending(self, now: int, watcher: Watcher) -> None:
+        request = self._remove_pending(watcher)
         if request is not None:
             self._answer_or_end(now, watcher, request)
 
@@ -252,9 +252,9 @@
             self._on_poll_ended(now, request.node)
             watcher.abort()
 
-    def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
+    def _remove_pending(self, watcher: Watcher) -> PollRequest | None:
         """The connection's poll, which does not wait any more; None where none waited."""
-        request = self._waiting.pop(watcher)
+        request = self._pending.pop(watcher)
         if request is not None:
             watchers = self._watchers[request.node]
             del watchers[request.region]
@@ -271,7 +271,7 @@
         """
         earlier = self._watchers.get(request.node, {}).get(request.region)
         if earlier is not None:
-            self._stop_waiting(earlier)
+            self._remove_pending(earlier)
             self._publisher.cancel(request.node, request.region)
             earlier.abort()
 
--- a/loadbalancer/control/machine/operator_calls.py
+++ b/loadbalancer/control/machine/operator_calls.py
@@ -52,23 +52,23 @@
         self.connections = 0
         self.machine = machine
         self.max_change_bytes = max_change_bytes
-        self._waiting: set[OperatorConnection] = set()
+        self._pending: set[OperatorConnection] = set()
 
     def is_waiting(self, caller: OperatorConnection) -> bool:
         """Whether the connection's last call has no answer yet."""
-        return caller in self._waiting
+        return caller in self._pending
 
     def cancel(self, caller: OperatorConnection) -> None:
         """The connection's call needs no answer any more."""
-        self._waiting.discard(caller)
+        self._pending.discard(caller)
 
     def submit(self, connection: OperatorConnection, body: bytes) -> None:
         """Pass changes on to the machine, and its answer back while it is waited for."""
-        self._waiting.add(connection)
+        self._pending.add(connection)
 
         def reply(status: int, text: bytes) -> None:
-            if connection in self._waiting:
-                self._waiting.discard(connection)
+            if connection in self._pending:
+                self._pending.discard(connection)
                 connection.reply(status, text)
 
         self.machine.submit(body, reply)
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -66,7 +66,7 @@
         "nodes": _nodes(machine),
         "questions": {
             "connections": machine.node_requests.connections,
-            "waiting": machine.node_requests.waiting_count(),
+            "waiting": machine.node_requests.pending_count(),
         },
         "assignment": _assignment(machine),
         "memory_bytes": resident_bytes(),
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -238,9 +238,9 @@
         bound = BoundList(log, "cart", 10)
         watchers = [Watcher(bound) for _ in range(2)]
         for watcher in watchers:
-            bound._waiting.add(watcher, 1, 60.0)
+            bound._pending.add(watcher, 1, 60.0)
         answer = failing_first()
-        monkeypatch.setattr(bound, "_answer_waiting", answer)
+        monkeypatch.setattr(bound, "_answer_pending", answer)
         bound.on_change()
         assert [call.args[0] for call in answer.call_args_list] == watchers
         assert aborted == watchers[:1]
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -36,7 +36,7 @@
         event(rig, earlier)
         assert earlier.ended, "nobody reads it, and it counts against the bound on connections"
         assert not newer.answers
-        assert rig.machine.node_requests.waiting_count() == 1
+        assert rig.machine.node_requests.pending_count() == 1
         rig.change("cart")
         ((status, answer),) = newer.answers
         assert status == 200
--- a/tests/control/machine/test_subscriber.py
+++ b/tests/control/machine/test_subscriber.py
@@ -36,7 +36,7 @@
 
     def polls(self, name: str) -> bool:
         requests = self.region.machines[name].node_requests
-        return self.holder.name in self.region.do(requests.waiting_nodes)
+        return self.holder.name in self.region.do(requests.pending_nodes)
 
     def close(self) -> None:
         self.region.do(self.subscriber.close)
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -150,7 +150,7 @@
 
         def kill() -> None:
             machine.close()
-            for watcher in [*machine.node_requests._waiting]:
+            for watcher in [*machine.node_requests._pending]:
                 watcher.abort()
 
         self.do(kill)
