--- a/loadbalancer/control/machine/codec.py
+++ b/loadbalancer/control/machine/codec.py
@@ -1,8 +1,8 @@
-"""Control machines' messages as MessagePack, built from the messages' own types.
+"""MessagePack codec of the messages between control machines, derived from their type hints.
 
-A message is [number, [field, ...]], the number being its type's place in the codec's list; a
-NamedTuple or dataclass within it is [field, ...]. A reader checks each value's type, so that a
-malformed message can't reach the decisions as something else.
+A message is encoded as [number, [field, ...]], where the number is the index of its type in the
+codec's list. A NamedTuple or dataclass within a message is encoded as [field, ...]. The decoder
+checks the type of each value, so that the decisions never see a malformed message.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class BadMessageError(ProtocolError, ValueError):
-    """Bytes that are no message; `counter` names the status counter that counts them."""
+    """Bytes that can't be decoded; `counter` is the name of the status counter to increment."""
 
     def __init__(self, counter: str) -> None:
         super().__init__(counter)
@@ -34,7 +34,7 @@
 
 
 class Codec:
-    """Encodes and decodes these message types; their order is part of the format."""
+    """Encodes and decodes the given message types; their order is part of the wire format."""
 
     def __init__(self, types: Sequence[type]) -> None:
         self._numbers = {type_: number for number, type_ in enumerate(types)}
@@ -42,23 +42,23 @@
         self._decoders = [_decoder(type_) for type_ in types]
 
     def encode(self, message: object) -> bytes:
-        """The message's bytes."""
+        """Encode a message."""
         number = self._numbers[type(message)]
         packed: bytes = msgpack.packb([number, self._encoders[number](message)])
         return packed
 
     def decode(self, data: bytes) -> Any:
-        """The message of these bytes.
+        """Decode a message.
 
         Raises:
-            BadMessageError: they are none.
+            BadMessageError: the bytes are malformed, or of an unknown message type.
         """
         try:
             number, values = msgpack.unpackb(data, use_list=True)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
             raise BadMessageError(MALFORMED) from err
-        # Failure: raised within a `try`, this one is caught as the ValueError that it is, and a
-        # message of another version's kind is counted as a broken one.
+        # Outside the `try` blocks: BadMessageError is a ValueError, so the handlers would catch it
+        # and count a message type of another release as malformed.
         if type(number) is not int or not 0 <= number < len(self._decoders):
             raise BadMessageError(UNKNOWN_KIND)
         try:
@@ -73,7 +73,7 @@
 
 
 def _record_fields(type_: Any) -> list[_Field] | None:
-    """The fields of a dataclass or NamedTuple, in order; None for a plain value."""
+    """Return the fields of a dataclass or NamedTuple in order, or None for any other type."""
     hints = typing.get_type_hints(type_) if isinstance(type_, type) else {}
     if is_dataclass(type_):
         return [_Field(field.name, hints[field.name]) for field in fields(type_)]
@@ -137,7 +137,7 @@
 
 
 def _without_none(type_: Any) -> tuple[Any, bool]:
-    """The type without None, and whether None was allowed."""
+    """Split a type hint into its type without None, and whether it allows None."""
     if typing.get_origin(type_) in (UnionType, typing.Union):
         others = [part for part in typing.get_args(type_) if part is not NoneType]
         if len(others) == 1:
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -1,7 +1,7 @@
-"""Reading values and tables of the control machines' file; `file` knows what they mean.
+"""Helpers that read values and tables of the control machines' file; used by `file`.
 
-A value that can't be used becomes a fault of its table, which names the line and the rule, and is
-read as its default or as empty, so that all faults of a file are found at once.
+An invalid value is recorded as a fault of its table, with the line and the rule, and replaced by
+its default or an empty value. Reading continues, so that all faults are reported at once.
 """
 
 from __future__ import annotations
@@ -16,31 +16,31 @@
 from loadbalancer.core.routes.faults import Fault
 
 MAX_RATE = 1e9  # requests a second
-MAX_LINES_FILE_BYTES = 64 << 20  # of a file of JSON lines
-MAX_FAULTS = 20  # reported of one file of JSON lines
-MAX_NAMED = 8  # names that a fault lists where none is near
+MAX_LINES_FILE_BYTES = 64 << 20  # size of a JSON Lines file
+MAX_FAULTS = 20  # reported for one JSON Lines file
+MAX_LISTED_NAMES = 8  # in a fault, if no similar name can be suggested
 
 T = TypeVar("T")
 ReadTable = Callable[[Section], T]
 
 
 def is_name_list(value: Any) -> bool:
-    """Whether a value is an array of names."""
+    """Return whether a value is a list of non-empty strings."""
     return isinstance(value, list) and all(isinstance(name, str) and name for name in value)
 
 
 def integer(table: Section, key: str, default: int, minimum: int, maximum: int) -> int:
-    """An integer within these bounds."""
+    """Read an integer within these limits."""
     value = table.raw.get(key, default)
     if type(value) is int and minimum <= value <= maximum:
         return value
-    right = f"write a whole number from {minimum} to {maximum}"
+    right = f"write an integer from {minimum} to {maximum}"
     table.fault(key, "bad-value", f"{key} is {value!r}", right)
     return default
 
 
 def rate(table: Section, key: str) -> float:
-    """Requests a second, 0 where none is stated."""
+    """Read a rate in requests a second, 0 by default."""
     value = table.raw.get(key, 0.0)
     if type(value) in (int, float) and math.isfinite(value) and 0 <= value <= MAX_RATE:
         return float(value)
@@ -48,26 +48,26 @@
     return 0.0
 
 
-def nearest(value: str, names: list[str]) -> str:
-    """What to write instead: the nearest of these names, or the first of them."""
-    near = get_close_matches(value, names, 1)
-    if near:
-        return f"did you mean {near[0]!r}?"
-    return f"write one of {', '.join(names[:MAX_NAMED])}"
+def suggestion(value: str, names: list[str]) -> str:
+    """Suggest the most similar of these names, or list some of them if none is similar."""
+    similar = get_close_matches(value, names, 1)
+    if similar:
+        return f"did you mean {similar[0]!r}?"
+    return f"write one of {', '.join(names[:MAX_LISTED_NAMES])}"
 
 
 def check_known(table: Section, key: str, names: Iterable[str], value: str) -> None:
-    """Add a fault where the value is none of these names."""
+    """Record a fault if the value is not one of these names."""
     known = list(names)
     if value and value not in known:
-        table.fault(key, f"unknown-{key}", f"no {key} {value!r}", nearest(value, known))
+        table.fault(key, f"unknown-{key}", f"no {key} {value!r}", suggestion(value, known))
 
 
 def sub_table(top: Section, name: str, keys: tuple[str, ...]) -> Section:
-    """One table of the file, with its keys checked; empty where there is none."""
+    """Return a table of the file with its keys checked; an empty one if the file has none."""
     raw = top.raw.get(name, {})
     if not isinstance(raw, dict):
-        top.fault(name, "bad-value", f"{name} is no table", f"write [{name}]")
+        top.fault(name, "bad-value", f"{name} is not a table", f"write [{name}]")
         raw = {}
     table = top.sub(raw, name)
     table.known(keys)
@@ -77,13 +77,13 @@
 def read_array(
     top: Section, kind: str, keys: tuple[str, ...], max_tables: int, read: ReadTable[T]
 ) -> list[T]:
-    """The file's own array of tables of one kind."""
+    """Read the file's array of tables of one kind."""
     rows = top.raw.get(kind, [])
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        top.fault(kind, "bad-value", f"{kind} is no array of tables", f"write [[{kind}]]")
+        top.fault(kind, "bad-value", f"{kind} is not an array of tables", f"write [[{kind}]]")
         return []
     if len(rows) > max_tables:
-        top.fault(kind, "too-many", f"over {max_tables} of {kind}", "divide the fleet")
+        top.fault(kind, "too-many", f"more than {max_tables} [[{kind}]] tables", "split the fleet")
         return []
     found = []
     for number, row in enumerate(rows):
@@ -96,14 +96,14 @@
 def read_json_lines(
     top: Section, file_key: str, keys: tuple[str, ...], max_lines: int, read: ReadTable[T]
 ) -> list[T]:
-    """The objects of the file that `file_key` names, one a line."""
+    """Read the JSON Lines file that `file_key` names: one object per line."""
     lines = _json_lines(top, file_key, max_lines)
     found: list[T] = []
     faults: list[Fault] = []
     for number, line in enumerate(lines, 1):
         table = Section(_json_object(line), (), {(): number}, top.folder, faults)
         if not table.raw:
-            table.fault("", "syntax", "is no JSON object", "write one a line")
+            table.fault("", "syntax", "not a JSON object", "write one object per line")
         else:
             table.known(keys)
             found.append(read(table))
@@ -116,7 +116,7 @@
 
 
 def _json_lines(top: Section, file_key: str, max_lines: int) -> list[bytes]:
-    """The lines of the file that `file_key` names; none where there is no such key."""
+    """Return the lines of the file that `file_key` names; none if the key is absent."""
     if file_key not in top.raw:
         return []
     path = top.path(file_key)
@@ -124,18 +124,27 @@
         with path.open("rb") as file:
             data = file.read(MAX_LINES_FILE_BYTES + 1)
     except OSError as err:
-        top.fault(file_key, "unreadable", f"{path.name} can't be read: {err.strerror}", "see it")
+        top.fault(
+            file_key,
+            "unreadable",
+            f"{path.name} can't be read: {err.strerror}",
+            "check the path and its permissions",
+        )
         return []
     lines = data.splitlines()
     if len(data) > MAX_LINES_FILE_BYTES or len(lines) > max_lines:
-        wrong = f"{path.name} has over {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines"
-        top.fault(file_key, "too-large", wrong, "divide the fleet")
+        top.fault(
+            file_key,
+            "too-large",
+            f"{path.name} has more than {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines",
+            "split the fleet",
+        )
         return []
     return lines
 
 
 def _json_object(line: bytes) -> dict[str, Any]:
-    """The line's object; an empty one where it is none."""
+    """Parse a line's JSON object; return an empty one if it is not an object."""
     try:
         raw = json.loads(line)
     except (ValueError, RecursionError):
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -1,7 +1,8 @@
-"""One control machine: the decisions of `loadbalancer.core`, and the sockets around them.
+"""One control machine: connects the decisions of `loadbalancer.core` with sockets and timers.
 
-It listens for the other machines, for subscribers (nodes), for nodes of one service each, and for
-operators. The replicated log is ticked twenty times a second, the registry of nodes once a second.
+It listens for the other control machines, for subscribers (nodes that are assigned services), on
+bound listeners (each serves one service to plain nodes), and for operators. The replicated log is
+ticked twenty times a second, the registry of nodes once a second.
 """
 
 from __future__ import annotations
@@ -46,20 +47,20 @@
 from loadbalancer.sources.watchers import Watcher
 
 REPLICA_TICK_S = 0.05
-NODES_TICK_S = 1.0  # presence, liveness, assignment and releases
-MAX_LOG_CHANGES, MAX_LOG_BYTES = 100_000, 64 << 20  # of committed changes that are retained
-LOG_ANSWER_BYTES = 1 << 20  # of changes in one answer to GET /log
+NODES_TICK_S = 1.0  # interval of presence, liveness, assignment and releases
+MAX_LOG_CHANGES, MAX_LOG_BYTES = 100_000, 64 << 20  # committed changes retained for each region
+LOG_ANSWER_BYTES = 1 << 20  # approximate size of the changes in one response to GET /log
 MAX_BOUND_WATCHERS = 1024  # connections to one bound listener
-ACCEPT_BACKLOG = 4096  # connections that wait to be accepted, on a listener of the machine
-BOUND_ACCEPT_BACKLOG = 100  # the same on a bound listener
-SEED_BYTES = 8  # of the replica's seed, which must differ at each start
-MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
+ACCEPT_BACKLOG = 4096  # accept queue of the listeners for subscribers and operators
+BOUND_ACCEPT_BACKLOG = 100  # accept queue of a bound listener
+SEED_BYTES = 8  # size of the replica's random seed, which must differ at each start
+MAX_QUOTED = 64  # characters of an invalid value that an error message repeats
 
 logger = logging.getLogger(__name__)
 
 
 class _OpenBoundListener(NamedTuple):
-    """A listener that serves one service to a node that knows of no others."""
+    """A bound listener of this machine, with the list that it serves."""
 
     address: Address
     list: BoundList
@@ -72,7 +73,7 @@
 
 
 class ControlMachine:
-    """One machine of the file, from its start to its end."""
+    """One control machine of the file, with its listeners, streams and timers."""
 
     def __init__(self, file: ScaleFile, machine: Machine, timing: Timing | None = None) -> None:
         now = time.monotonic_ns()
@@ -135,10 +136,10 @@
     # ---- sockets ---------------------------------------------------------
 
     async def open(self) -> None:
-        """Listen at all addresses and begin.
+        """Listen on all addresses, and start the streams and the periodic work.
 
         Raises:
-            OSError: an address can't be listened on.
+            OSError: the machine can't listen on one of its addresses.
         """
         loop = asyncio.get_running_loop()
         await self.streams.open(self.machine.peers)
@@ -147,8 +148,8 @@
             server = await loop.create_server(one.protocol, host, port, backlog=one.backlog)
             self._servers.append(server)
         self._tasks = [
-            loop.create_task(_every(REPLICA_TICK_S, self._tick_replica)),
-            loop.create_task(_every(NODES_TICK_S, self._tick_nodes)),
+            loop.create_task(_run_periodically(REPLICA_TICK_S, self._tick_replica)),
+            loop.create_task(_run_periodically(NODES_TICK_S, self._tick_nodes)),
         ]
 
     def _listeners(self) -> Iterator[_Listener]:
@@ -163,14 +164,17 @@
             yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
-        """End all streams and listeners at once: a majority has all that is committed."""
+        """Close all streams and listeners without a flush.
+
+        Nothing is lost: a change counts as committed only once a majority has stored it.
+        """
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
             server.close()
         self.streams.close()
 
-    # ---- time ------------------------------------------------------------
+    # ---- periodic work ---------------------------------------------------
 
     def _tick_replica(self) -> None:
         run_logged(self.replica.on_tick, time.monotonic_ns())
@@ -179,7 +183,7 @@
 
     def _tick_nodes(self) -> None:
         now = time.monotonic_ns()
-        if self.nodes.on_time(now):
+        if self.nodes.on_tick(now):
             self.counts["assignments"] += 1
         self.nodes.send_changes(self.streams.send_all)
         live = self.live_machines(now)
@@ -191,19 +195,19 @@
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
-        # Failure: a fault in the push, and the nodes whose turn had not come learn of their new
-        # services only after a further change. What was not pushed is left to the next tick.
-        if self.nodes.take_changed() and not self.node_requests.push_assignments():
+        # If an exception interrupts the push, it is repeated at the next tick. Otherwise some
+        # nodes would learn of their new services only after a further change.
+        if self.nodes.pop_changed() and not self.node_requests.push_assignments():
             self.nodes.changed = True
 
     def live_machines(self, now: int) -> frozenset[str]:
-        """The names of the machines that were heard lately, this one included."""
+        """Return the names of the machines with a recent heartbeat, and this machine's own."""
         return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
 
     # ---- the other machines ----------------------------------------------
 
     def _on_connected(self, machine: str) -> None:
-        """A stream to another machine is up: it may have missed everything until now."""
+        """Send the full state to a newly connected machine, which may have missed all updates."""
         self.nodes.send_full_state(lambda message: self.streams.send(machine, message))
 
     def _on_message(self, sender: str, message: Any) -> None:
@@ -226,20 +230,20 @@
         self._process_output()
 
     def _process_output(self) -> None:
-        """Publish what the replica has committed, and send its messages.
+        """Publish the changes that the replica has committed, and send its messages.
 
-        Failure: the replica's lists are drained before they are walked, and one item raises. What
-        follows it is lost: operators get a 504 for changes that are committed, nodes are not told
-        of them, and the replica's messages are not sent. A fault costs only the step that raises.
+        Each item is processed by itself, because the replica's lists are emptied when they are
+        read. If an exception ended the loop, the remaining items would be lost: operators would
+        get 504 for committed changes, nodes would miss them, and messages would not be sent.
         """
         for region in self.replica.restored():
             run_logged(self._wake_restored, region)
-            self._update_bound(region, "")
+            self._update_bound_lists(region, "")
         for region, change in self.replica.committed():
             run_logged(self.submissions.on_committed, region, change)
             if change.service:
                 run_logged(self._wake_changed, region, change)
-                self._update_bound(region, change.service)
+                self._update_bound_lists(region, change.service)
         for recipient, message in self.replica.outgoing():
             run_logged(self.streams.send, recipient, message)
 
@@ -249,8 +253,8 @@
     def _wake_changed(self, region: str, change: Change) -> None:
         self.node_requests.wake(region, self.publisher.on_change(region, change))
 
-    def _update_bound(self, region: str, service: str) -> None:
-        """Notify bound listeners of a change of a region's service, "" for all of its services."""
+    def _update_bound_lists(self, region: str, service: str) -> None:
+        """Notify bound lists that a service of a region has changed, "" for all its services."""
         for _, bound in self.bound_listeners:
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
@@ -258,12 +262,12 @@
     # ---- operators' calls ------------------------------------------------
 
     def submit(self, body: bytes, reply: Reply) -> None:
-        """Propose the changes in a body; `reply` is called once."""
+        """Propose the changes in a request body; `reply` is called exactly once."""
         self.submissions.submit(body, reply)
         self._process_output()
 
     def log_after(self, region: str, version: int) -> OperatorResponse:
-        """Committed changes after a version, about LOG_ANSWER_BYTES."""
+        """Return committed changes after a version, about LOG_ANSWER_BYTES of them."""
         log = self.logs.get(region)
         if log is None:
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
@@ -289,16 +293,15 @@
         return OperatorResponse(HTTPStatus.OK, json.dumps(answer).encode())
 
     def status(self) -> dict[str, Any]:
-        """The machine's state for GET /status."""
+        """Return the machine's state for GET /status."""
         return status.report(self, time.monotonic_ns())
 
 
-async def _every(seconds: float, work: Callable[[], None]) -> None:
-    """Do this work at this interval for ever.
+async def _run_periodically(seconds: float, work: Callable[[], None]) -> None:
+    """Call `work` at this interval until cancelled; log exceptions and continue.
 
-    Failure: one tick raises, and the task ends with it. The machine accepts polls still, but no
-    longer takes part in elections, or no longer notices that nodes die, and the log has no line.
-    Each tick's fault is logged, and the next tick comes.
+    If an exception ended the task, the machine would still accept polls, but silently stop taking
+    part in elections or noticing dead nodes.
     """
     while True:
         await asyncio.sleep(seconds)
--- a/loadbalancer/control/machine/messages.py
+++ b/loadbalancer/control/machine/messages.py
@@ -1,4 +1,4 @@
-"""Messages between control machines beside the replicated log's, and the codec of all of them."""
+"""Messages between control machines apart from the replicated log's, and the codec of them all."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PresenceRequest:
-    """A presence update was missed: asks for one that has all nodes present."""
+    """Requests a complete presence update, because an incremental one was missed."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """All the services that a node serves, as it reported to the machine that it polls."""
+    """All services that a node serves, as it reported them to the machine that it polls."""
 
     node: str
     serving: tuple[str, ...]
@@ -27,17 +27,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReports:
-    """Reports of some nodes."""
+    """A batch of nodes' reports."""
 
     reports: tuple[NodeReport, ...]
 
 
-# The order is part of the wire format: a message begins with its type's number here.
+# The order is part of the wire format: a message begins with the index of its type in this tuple.
 MESSAGE_TYPES: tuple[type, ...] = (
     Hello, PresenceUpdate, PresenceRequest, NodeReports, *typing.get_args(Message), ReleaseGrant,
 )  # fmt: skip
 
 
 def message_codec() -> Codec:
-    """The codec of a stream between control machines."""
+    """Return the codec for streams between control machines."""
     return Codec(MESSAGE_TYPES)
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -1,7 +1,7 @@
-"""All registered nodes as one control machine sees them: liveness, assignments, reports.
+"""The registered nodes as one control machine sees them: liveness, assignments and reports.
 
-The decisions are made in `loadbalancer.core.assignment`: this joins them, and remembers which
-assignment was last sent to each node.
+The decisions are made in `loadbalancer.core.assignment`. This module combines them and remembers
+which assignment was last sent to each node.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from loadbalancer.core.assignment.release import ReleaseAuthority, ReleaseGrant, ReleaseRules
 from loadbalancer.core.balancing.model import MS, SECOND
 
-# After an answer, until a node that does not poll again counts as absent.
+# A node is absent if it does not poll again within this time after a response.
 POLL_GRACE_NS = 2 * SECOND
-# The same for a poll without an answer; `on_response` ends it before.
+# Upper limit for a poll that gets no response; normally `on_response` sets an earlier deadline.
 MAX_OPEN_POLL_NS = 3600 * SECOND
 FIRST_POLL_WAIT_NS = 30 * SECOND  # after this machine's start, for nodes to poll for the first time
-MAX_TICK_GAP_NS = 3 * SECOND  # between two ticks; after a longer one this machine was stopped
-NODE_TIMEOUT_NS = 10 * SECOND  # nodes of a lost machine find another within this
-SETTLE_TIME_NS = 2 * SECOND  # without a further loss or return, before services move
-MAX_SETTLE_TIME_NS = 15 * SECOND  # from the first loss or return, however many follow
+MAX_TICK_GAP_NS = 3 * SECOND  # a longer gap between two ticks means that this machine was paused
+NODE_TIMEOUT_NS = 10 * SECOND  # long enough for nodes of a failed machine to move to another one
+SETTLE_TIME_NS = 2 * SECOND  # without a further death or return of a node, before services move
+MAX_SETTLE_TIME_NS = 15 * SECOND  # from the first death or return, however many follow
 REPORTS_PER_MESSAGE = 512
-# Ticks and grants come once a second: one may be late or lost.
+# Ticks and grants come once a second; the durations allow for one that is late or lost.
 RELEASE_RULES = ReleaseRules(lease_duration_ns=2500 * MS, max_pause_ns=2500 * MS)
 
 Send = Callable[[object], None]
@@ -38,48 +38,49 @@
 class NodeRegistry:
     """All registered nodes, as one control machine sees them.
 
-    `changed` says that assignments may differ from those that nodes were sent, until the owner
-    calls `take_changed`.
+    `changed` is True while assignments may differ from those last sent to the nodes. The owner
+    reads and clears it with `pop_changed`.
     """
 
     def __init__(self, file: ScaleFile, now: int, releases: ReleaseAuthority | None = None) -> None:
-        """Without `releases` no node may release anything."""
+        """Without `releases` no node may release a service."""
         self.regions = {service.name: service.region for service in file.services}
         self.assigner = Assigner(file.nodes, file.services, file.rules)
         self.handover = Handover(file.nodes)
         self.releases = releases
-        self._released: Mapping[str, frozenset[str]] = {}  # as of the last tick, by node
+        self._releasable: Mapping[str, frozenset[str]] = {}  # by node, as of the last tick
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
         self.liveness = Liveness(now, names, LivenessRules(timeout_ns=NODE_TIMEOUT_NS))
         self.assignment = self.assigner.with_alive(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False
-        self.nodes_changed_by_last_assignment = 0  # whose services differ by it
+        self.nodes_changed_by_last_assignment = 0
         self._machine_count = len(file.machines)
         self._started = self._last_tick = now
-        self._not_seen = set(names)  # nodes that have polled nowhere since this machine started
-        self._unsettled_since: int | None = None  # first loss or return that moved no service yet
-        self._last_change = 0
-        self._deadlines: dict[str, int] = {}  # of nodes that poll here: when to poll again
-        self._reports: dict[str, tuple[str, ...]] = {}  # of the nodes that poll here
-        self._absent_reports: dict[str, tuple[str, ...]] = {}  # of those that polled here before
-        self._unsent_reports: dict[str, tuple[str, ...]] = {}  # to the other machines
-        self._sent: dict[tuple[str, str], NodeAssignment] = {}  # by node and region
+        self._not_seen = set(names)  # nodes that have polled no machine since this one started
+        # Time of the first death or return of a node since the last assignment.
+        self._unsettled_since: int | None = None
+        self._last_change = 0  # time of the last death or return
+        self._deadlines: dict[str, int] = {}  # when each node that polls here must poll again
+        self._reports: dict[str, tuple[str, ...]] = {}  # of nodes that poll here
+        self._absent_reports: dict[str, tuple[str, ...]] = {}  # of nodes that polled here before
+        self._unsent_reports: dict[str, tuple[str, ...]] = {}  # not yet sent to other machines
+        self._sent: dict[tuple[str, str], NodeAssignment] = {}  # last sent, by node and region
 
     # ---- assignments ----------------------------------------------------
 
     def is_registered(self, node: str) -> bool:
-        """Whether the control file names the node."""
+        """Return whether the control file names the node."""
         return node in self.assigner.nodes
 
     def services_in_region(self, node: str, region: str) -> frozenset[str]:
-        """The services of this region that the node is to hold."""
+        """Return the services of this region that the node is to hold."""
         wanted = self.handover.wanted(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
     def assignment_for(self, now: int, node: str) -> NodeAssignment:
-        """What the node is to hold and may release."""
+        """Return what the node is to hold and what it may release."""
         wanted = {name: self.regions[name] for name in self.handover.wanted(node)}
         releasable = self.releases.releasable(now, node) if self.releases else frozenset[str]()
         return NodeAssignment(wanted, releasable, self.handover.generation)
@@ -87,28 +88,29 @@
     def changed_assignment(
         self, now: int, node: str, region: str, first_poll: bool = False
     ) -> NodeAssignment | None:
-        """The node's assignment, if it differs from the one sent last or this is a first poll."""
+        """Return the node's assignment if it differs from the last one sent or on a first poll."""
         assignment = self.assignment_for(now, node)
         sent = self._sent.get((node, region))
-        if not first_poll and sent is not None and _same(sent, assignment):
+        if not first_poll and sent is not None and _is_same_apart_from_generation(sent, assignment):
             return None
         return assignment
 
-    def take_changed(self) -> bool:
-        """Whether assignments may differ from those that nodes were sent; False from then on."""
+    def pop_changed(self) -> bool:
+        """Return and clear `changed`."""
         changed, self.changed = self.changed, False
         return changed
 
     def on_assignment_sent(self, node: str, region: str, assignment: NodeAssignment) -> None:
-        """The assignment went out with an answer for this region."""
+        """Record that the assignment was sent in a response for this region."""
         self._sent[node, region] = assignment
 
     def on_generation(self, node: str, region: str, generation: int) -> None:
-        """The node reports that this is the generation of the last answer that it received.
+        """Handle the generation of the last assignment that the node says it received.
 
-        Failure: an answer is lost with its connection, and the assignment in it counts as sent.
-        Until it changes, the node does not hold its new services, and its reports do not count.
-        A node that reports an earlier generation is sent its assignment again.
+        A node that reports an earlier generation than the last one sent has lost that response
+        with its connection, so its assignment is sent again. Otherwise the assignment would count
+        as sent until its next change: the node would not hold its new services, and its reports
+        would be ignored.
         """
         sent = self._sent.get((node, region))
         if sent is not None and generation < sent.generation:
@@ -117,91 +119,96 @@
     # ---- polls and reports of nodes -------------------------------------
 
     def on_poll(self, now: int, node: str) -> None:
-        """The node polls here."""
+        """Record that the node polls this machine."""
         self._deadlines[node] = now + MAX_OPEN_POLL_NS
         self.presence.on_present(node)
         self.liveness.on_heartbeat(now, node)
 
     def on_response(self, now: int, node: str, pause_ns: int = 0) -> None:
-        """Its poll was answered, or its connection was lost.
+        """Record the end of the node's poll: an answer, or the loss of its connection.
 
-        It has to poll again after a pause.
+        The node was told to pause for `pause_ns`, and has to poll again after that.
         """
         self._deadlines[node] = now + pause_ns + POLL_GRACE_NS
 
     def on_report(self, node: str, serving: Collection[str], generation: int) -> None:
-        """The node reports what it serves, as of the assignment of this generation."""
-        named = tuple(sorted(name for name in serving if name in self.regions))
-        # Guards against a generation of this machine's earlier process, which may be above all of
-        # this one: it says nothing of what the node has received from this one.
-        # Not guarded against: an earlier process's generation that is not above this one's. A
-        # report does not name the process, so it counts as received, although the node made it
-        # before it learnt what this process wants. A node sends one if the restart falls between
-        # two polls of a region, or while another region's poll has not failed yet; it ends with
-        # the first answer, which has this process's generation.
+        """Handle a node's report of what it serves, given the assignment of this generation."""
+        known = tuple(sorted(name for name in serving if name in self.regions))
+        # A generation above all of this process's own ones was numbered by the machine's previous
+        # process, and says nothing about which assignments of this process the node has received.
+        #
+        # A previous process's generation that is not above this one's can't be told apart, because
+        # a report does not name the process. It is then treated as received, although the node
+        # made it before it knew what this process assigns. That happens if the machine restarts
+        # between two polls of a region, or while the node's poll for another region has not failed
+        # yet. It ends with the first response, which carries this process's generation.
         received = generation if generation <= self.handover.generation else 0
-        self.handover.on_report(node, named, received)
+        self.handover.on_report(node, known, received)
         self.changed = True
         self._absent_reports.pop(node, None)
-        if self._reports.get(node) != named:
-            self._reports[node] = self._unsent_reports[node] = named
+        if self._reports.get(node) != known:
+            self._reports[node] = self._unsent_reports[node] = known
 
     def on_report_unchanged(self, node: str) -> None:
-        """The node polls without a report: the last one that it made here still holds.
+        """Handle a poll without a report: the node's last report to this machine is still valid.
 
-        Failure: a node polls again a little late, its report is dropped, and it makes no other
-        until it serves something else. A machine that connects meanwhile is not sent the report,
-        takes the node to serve nothing, and lets no earlier holder release services to it. A node
-        that has polled elsewhere makes its report anew, so an old one is not revived.
+        A node that polls a little late was absent in between, and does not report again until it
+        serves other services. Its last report is restored here. Otherwise a machine that connects
+        meanwhile would not get the report, would assume that the node serves nothing, and would
+        not let previous holders release services to it. A node that has polled another machine
+        always reports again, so no outdated report is restored.
         """
         report = self._absent_reports.pop(node, None)
         if report is not None:
-            # Also to machines that have connected since, or have declared the node dead.
+            # Sent to all machines: some may have connected meanwhile or declared the node dead.
             self._reports[node] = self._unsent_reports[node] = report
 
     # ---- the other machines ---------------------------------------------
 
     def on_reports(self, reports: Iterable[NodeReport]) -> None:
-        """Reports that nodes made to another machine."""
+        """Handle reports that nodes made to another machine."""
         for report in reports:
             if self.is_registered(report.node):
-                named = [name for name in report.serving if name in self.regions]
-                self.handover.on_report(report.node, named)
+                known = [name for name in report.serving if name in self.regions]
+                self.handover.on_report(report.node, known)
                 self.changed = True
 
     def send_full_state(self, send: Send) -> None:
-        """Send everything that the connected machines have to one that has just connected."""
+        """Send the complete presence and all reports to a machine that has just connected."""
         send(self.presence.complete_update())
         _send_reports(send, self._reports)
 
     def send_changes(self, send: Send) -> None:
-        """Send what is new to the connected machines."""
+        """Send what has changed since the last call to the connected machines."""
         send(self.presence.next_update())
         _send_reports(send, self._unsent_reports)
         self._unsent_reports = {}
 
     def on_presence(self, now: int, machine: str, update: PresenceUpdate) -> bool:
-        """The nodes that poll another machine; False where a complete update is needed."""
+        """Handle another machine's presence update; return False if a complete one is needed."""
         return self.presence.on_update(now, machine, update)
 
     # ---- releases -------------------------------------------------------
 
     def advance_releases(self, now: int, epoch: int | None) -> ReleaseGrant | None:
-        """Once a second: the grant to send where this machine leads its region, in `epoch`."""
+        """Advance releases once a second; return the grant to send to the other machines, if any.
+
+        `epoch` is the one in which this machine leads its region, None if it does not lead.
+        """
         if self.releases is None:
             return None
         self.releases.on_tick(now, epoch)
         views = {node: self.handover.releasable(node) for node in self.assigner.nodes}
         grant = self.releases.grant(now, views)
-        released = self.releases.all_releasable(now)
-        self.changed = self.changed or released != self._released
-        self._released = released
+        releasable = self.releases.all_releasable(now)
+        self.changed = self.changed or releasable != self._releasable
+        self._releasable = releasable
         return grant
 
-    # ---- time -----------------------------------------------------------
+    # ---- liveness -------------------------------------------------------
 
-    def on_time(self, now: int) -> bool:
-        """Once a second: which nodes live. True where the assignment has changed."""
+    def on_tick(self, now: int) -> bool:
+        """Update the nodes' liveness once a second; return whether services were reassigned."""
         self._expire_polls(now)
         self.presence.on_time(now)
         if now - self._last_tick > MAX_TICK_GAP_NS or self._is_cut_off(now):
@@ -222,7 +229,7 @@
         return True
 
     def _expire_polls(self, now: int) -> None:
-        """Nodes that have not polled again in time are absent."""
+        """Mark nodes that have not polled again in time as absent."""
         for node in [node for node, deadline in self._deadlines.items() if deadline <= now]:
             del self._deadlines[node]
             report = self._reports.pop(node, None)
@@ -231,7 +238,7 @@
             self.presence.on_absent(node)
 
     def _pass_heartbeats(self, now: int) -> None:
-        """Nodes that poll anywhere are alive; so are those with time left for their first poll."""
+        """Record heartbeats of nodes that poll any machine or may still make their first poll."""
         present = self.presence.present()
         self._not_seen -= present
         starting = self._not_seen if now - self._started < FIRST_POLL_WAIT_NS else ()
@@ -239,26 +246,26 @@
             self.liveness.on_heartbeat(now, node)
 
     def _is_settled(self, now: int, unsettled_since: int) -> bool:
-        """Whether losses and returns have paused for long enough to move services.
+        """Return whether enough time has passed since the last death or return to move services.
 
-        A rack or a zone fails and returns over some seconds. An assignment in the midst of that
-        would move services which the next one moves again.
+        When a rack or a zone fails or returns, its nodes do so over several seconds. An assignment
+        computed in between would move services that the next one would move again.
         """
         paused = now - self._last_change >= SETTLE_TIME_NS
         return paused or now - unsettled_since >= MAX_SETTLE_TIME_NS
 
     def _is_cut_off(self, now: int) -> bool:
-        """Whether too few machines are connected to conclude anything from a node's silence.
+        """Return whether less than half of the machines are connected, this one included.
 
-        The nodes may poll the machines that this one does not hear.
+        A node's silence then proves nothing: it may poll one of the unreachable machines.
         """
         return 2 * (len(self.presence.machines(now)) + 1) < self._machine_count
 
     def _restart_first_polls(self, now: int) -> None:
-        """Give the living nodes the time of a first poll again.
+        """Give all live nodes the time for a first poll again.
 
-        This machine was stopped or cut off: nodes seemed silent and would all count as dead at
-        once, which moves every service.
+        Called after this machine was paused or cut off. It received no heartbeats meanwhile, so
+        all nodes would be declared dead at once and every service would move.
         """
         self._started = now
         self._not_seen = set(self.liveness.alive)
@@ -281,8 +288,7 @@
         self.changed = True
 
 
-def _same(sent: NodeAssignment, assignment: NodeAssignment) -> bool:
-    """Whether they are equal apart from their generation."""
+def _is_same_apart_from_generation(sent: NodeAssignment, assignment: NodeAssignment) -> bool:
     return sent.wanted == assignment.wanted and sent.releasable == assignment.releasable
 
 
--- a/tests/control/machine/socketless.py
+++ b/tests/control/machine/socketless.py
@@ -75,7 +75,7 @@
 
     def is_present(self, seconds: int) -> bool:
         """Whether the node polls here, after so many seconds without another event."""
-        self.machine.nodes.on_time(time.monotonic_ns() + seconds * SECOND)
+        self.machine.nodes.on_tick(time.monotonic_ns() + seconds * SECOND)
         return self.machine.nodes.presence.local_count() == 1
 
 
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -14,7 +14,7 @@
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine import log_loader, stream
 from loadbalancer.control.machine.bound_list import BoundList
-from loadbalancer.control.machine.machine import _every
+from loadbalancer.control.machine.machine import _run_periodically
 from loadbalancer.control.machine.messages import message_codec
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.core.assignment.model import Change, Position
@@ -40,7 +40,7 @@
 
     async def play() -> None:
         work = failing_first()
-        task = asyncio.create_task(_every(0.001, work))
+        task = asyncio.create_task(_run_periodically(0.001, work))
         async with asyncio.timeout(LIMIT_S):
             while work.call_count < 3:
                 await asyncio.sleep(0.001)
@@ -195,7 +195,7 @@
         monkeypatch.setattr(requests, "_answer", answer_later)
         requests.wake("east", ["n1", "n2"])
         assert [first.ended, second.ended] == [True, False]
-        rig.machine.nodes.on_time(time.monotonic_ns() + 5_000_000_000)
+        rig.machine.nodes.on_tick(time.monotonic_ns() + 5_000_000_000)
         assert rig.machine.nodes.presence.local_count() == 1, "the first one has to poll again"
 
     in_loop(tmp_path, play)
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes a control machine counts as alive, and when their assignments change."""
+"""Tests of the node registry: which nodes count as alive, and when their assignments change."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from tests.control_machines import write_file
 
 
-def test_losses_that_follow_one_another_move_services_once(tmp_path: Path) -> None:
-    """Two nodes die a second apart. An assignment for each would move the first one's services
-    twice.
+def test_node_deaths_in_quick_succession_move_services_once(tmp_path: Path) -> None:
+    """Two nodes die a second apart. Reassigning services after each death would move the first
+    node's services twice.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     east = Presence(("n1", "n2"))
     east.on_present("n1")
     east.on_present("n2")
-    moved = []
+    reassigned_at = []
     for second in range(1, 80):
         if second == 30:
             east.on_absent("n1")
@@ -32,15 +32,15 @@
         nodes.presence.on_machine_heartbeat(second * SECOND, "east-c")
         nodes.on_presence(second * SECOND, "east-b", east.next_update())
         nodes.on_presence(second * SECOND, "east-b", east.complete_update())
-        if nodes.on_time(second * SECOND):
-            moved.append(second)
-    assert moved == [42], "two seconds after the second loss was noticed"
+        if nodes.on_tick(second * SECOND):
+            reassigned_at.append(second)
+    assert reassigned_at == [42], "two seconds after the second death was noticed"
     assert nodes.liveness.alive == set()
 
 
-def test_a_machine_that_was_stopped_or_cut_off_declares_no_node_dead(tmp_path: Path) -> None:
-    """A machine is stopped for 20 seconds, and later hears no other machine. It received no sign
-    of life meanwhile; if it took that for deaths, it would move every service.
+def test_a_machine_that_was_paused_or_cut_off_declares_no_node_dead(tmp_path: Path) -> None:
+    """A machine is paused for 20 seconds, and later cut off from all other machines. It received
+    no heartbeats meanwhile; if it declared the nodes dead, it would move every service.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     both = ("n1", "n2")
@@ -48,55 +48,54 @@
     others[0].on_present("n1")
     others[1].on_present("n2")
 
-    def turn(second: int, connected: tuple[str, ...] = ("east-b", "east-c")) -> None:
+    def tick(second: int, connected: tuple[str, ...] = ("east-b", "east-c")) -> None:
         for name, other in zip(("east-b", "east-c"), others, strict=True):
             if name in connected:
                 nodes.on_presence(second * SECOND, name, other.next_update())
                 nodes.on_presence(second * SECOND, name, other.complete_update())
-        nodes.on_time(second * SECOND)
+        nodes.on_tick(second * SECOND)
 
     for second in range(1, 40):
-        turn(second)
-    # It was stopped, and received nothing meanwhile. One machine's update comes before its own
-    # timer does, the other's after.
-    turn(60, connected=("east-b",))
+        tick(second)
+    # The machine was paused. One machine's update arrives before its first tick, the other's after.
+    tick(60, connected=("east-b",))
     assert nodes.liveness.alive == set(both)
     for second in range(61, 70):
-        turn(second)
+        tick(second)
     assert nodes.liveness.alive == set(both)
     for second in range(70, 120):
-        turn(second, connected=())  # it hears no other machine, and no node
+        tick(second, connected=())  # cut off from all machines and nodes
     assert nodes.liveness.alive == set(both)
     others[0].on_absent("n1")
     for second in range(120, 180):
-        turn(second)
+        tick(second)
     assert nodes.liveness.alive == {"n2"}
 
 
-def test_nodes_have_time_for_their_first_poll_and_none_after(tmp_path: Path) -> None:
-    """A control machine has started. One node polls once and stops, another never polls."""
+def test_only_a_node_that_has_not_polled_yet_gets_the_first_poll_timeout(tmp_path: Path) -> None:
+    """After a control machine's start one node polls once and stops, another never polls."""
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
 
-    def turn(second: int) -> None:
+    def tick(second: int) -> None:
         for name in ("east-b", "east-c"):
             nodes.presence.on_machine_heartbeat(second * SECOND, name)
-        nodes.on_time(second * SECOND)
+        nodes.on_tick(second * SECOND)
 
     for name in ("east-b", "east-c"):
         nodes.presence.on_machine_heartbeat(0, name)
     nodes.on_poll(SECOND, "n1")
-    turn(2)
+    tick(2)
     nodes.on_response(2 * SECOND, "n1")
     for second in range(3, 15):
-        turn(second)
-    assert nodes.liveness.alive == {"n2"}, "one that was heard and is no more"
+        tick(second)
+    assert nodes.liveness.alive == {"n2"}, "n1 polled once and then stopped"
     for second in range(15, 41):
-        turn(second)
-    assert nodes.liveness.alive == set(), "one that never was"
+        tick(second)
+    assert nodes.liveness.alive == set(), "n2 never polled"
 
 
-def test_assignments_change_when_a_grant_comes_and_when_it_ends(tmp_path: Path) -> None:
-    """Waiting nodes must hear of a permission to release, and that it ended."""
+def test_assignments_change_when_a_release_grant_arrives_and_expires(tmp_path: Path) -> None:
+    """Nodes with a pending poll must be notified of both."""
     file = read_scale_file(str(write_file(tmp_path)))
     specs = [one.spec for one in file.machines]
     releases = ReleaseAuthority(0, specs[0], specs, {"cart": "east"}, RELEASE_RULES)
@@ -113,12 +112,12 @@
 
 
 @pytest.mark.parametrize(("ahead", "counts"), [(-1, False), (0, True), (1, False), (40, False)])
-def test_a_report_of_a_generation_that_never_was_does_not_count(
+def test_a_report_with_an_unknown_generation_is_ignored(
     tmp_path: Path, ahead: int, counts: bool
 ) -> None:
-    """A machine restarts while its nodes pause between two polls. A node's next report names the
-    generation of the machine's earlier process, which is above all of this one: it knew nothing of
-    what this one takes back, and yet counted as the newest.
+    """A machine restarts while its nodes pause between two polls. A node's next report carries a
+    generation of the machine's previous process, above all generations of this one. The node made
+    it without knowing what this process assigns, yet it was treated as the most recent one.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     nodes.on_report("n1", ("cart",), nodes.handover.generation)
@@ -127,20 +126,20 @@
     assert ("n1" in nodes.handover._serving.get("cart", ())) is counts
 
 
-def test_another_machines_reports_of_unknown_nodes_and_services_are_passed_over(
+def test_another_machines_reports_of_unknown_nodes_and_services_are_ignored(
     tmp_path: Path,
 ) -> None:
-    """Machines of two versions of the file are connected for a while. A report that one can't use
-    must not end the stream, nor keep it from those that follow.
+    """During a rollout, machines with two versions of the file are connected. A report that one of
+    them can't use must neither end the stream nor prevent the processing of later reports.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     nodes.on_reports([NodeReport("nobody", ("cart",)), NodeReport("n1", ("cart", "unheard-of"))])
     assert nodes.handover._serving == {"cart": {"n1"}}
 
 
-def test_a_report_is_sent_once_and_not_after_its_node_has_gone(tmp_path: Path) -> None:
-    """A node reports twice the same, and then polls elsewhere. A machine that connects later must
-    not be sent its report: it may be older than the one made to the other machine.
+def test_a_report_is_sent_once_and_not_after_its_node_has_left(tmp_path: Path) -> None:
+    """A node makes the same report twice and then polls another machine. A machine that connects
+    later must not get this report, which may be older than the one made to the other machine.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     sent: list[object] = []
@@ -159,18 +158,18 @@
     nodes.on_response(0, "n1")
     nodes.send_full_state(sent.append)
     assert reports() == [report]
-    nodes.on_time(5 * SECOND)
+    nodes.on_tick(5 * SECOND)
     nodes.send_full_state(sent.append)
     assert reports() == []
 
 
 @pytest.mark.parametrize("is_dead", [False, True])
-def test_the_report_of_a_node_that_polls_again_late_is_sent_to_machines_that_connect(
+def test_the_report_of_a_node_that_polls_again_late_is_sent_to_newly_connected_machines(
     tmp_path: Path, is_dead: bool
 ) -> None:
-    """A node polls again a little late, without a report as it serves what it last reported. A
-    machine that connected later was not sent the report: it took the node to serve nothing, and
-    let no earlier holder release services to it. What a dead node reported holds no longer.
+    """A node polls again a little late, without a report because its last one is still valid. If
+    a newly connected machine does not get that report, it assumes that the node serves nothing and
+    lets no previous holder release services to it. The report of a dead node must not be sent.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     sent: list[object] = []
@@ -181,13 +180,13 @@
     seconds = 60 if is_dead else 5
     for second in range(1, seconds):
         nodes.presence.on_machine_heartbeat(second * SECOND, "east-b")
-        nodes.on_time(second * SECOND)
+        nodes.on_tick(second * SECOND)
     assert ("n1" in nodes.liveness.alive) is not is_dead
     nodes.on_poll(seconds * SECOND, "n1")
     nodes.on_report_unchanged("n1")
     sent.clear()
     nodes.send_changes(sent.append)
-    # Again to all: a machine that connected meanwhile, or took the node for dead, lacks it.
+    # Sent to all again: a machine that connected meanwhile or declared the node dead lacks it.
     again = [message for message in sent if isinstance(message, NodeReports)]
     assert again == ([] if is_dead else [NodeReports((NodeReport("n1", ("cart",)),))])
     sent.clear()
@@ -196,9 +195,9 @@
     assert reports == ([] if is_dead else [NodeReports((NodeReport("n1", ("cart",)),))])
 
 
-def test_a_report_that_a_late_node_makes_again_is_sent_again(tmp_path: Path) -> None:
-    """A node reports here, then another report elsewhere, and here the first one again: the other
-    machines have the second one, and must be sent the first anew.
+def test_a_report_that_a_late_node_repeats_is_sent_again(tmp_path: Path) -> None:
+    """A node reports to this machine, then differently to another one, then the first report here
+    again. The other machines have the second report, so the first must be sent to them again.
     """
     nodes = NodeRegistry(read_scale_file(str(write_file(tmp_path))), 0)
     for second in (0, 10):
@@ -208,4 +207,4 @@
         nodes.send_changes(sent.append)
         assert NodeReports((NodeReport("n1", ("cart",)),)) in sent
         nodes.on_response(second * SECOND, "n1")
-        nodes.on_time((second + 5) * SECOND)
+        nodes.on_tick((second + 5) * SECOND)
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -111,7 +111,7 @@
         connection = rig.connect()
         connection.poll(Position(0, 0), serving="cart", generation="0")
         assert connection.answers
-        nodes.on_time(time.monotonic_ns() + 5 * SECOND)
+        nodes.on_tick(time.monotonic_ns() + 5 * SECOND)
         connection.poll(rig.log.position)
         sent: list[object] = []
         nodes.send_full_state(sent.append)
