--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -1,4 +1,7 @@
-"""A list of one service, for a node that knows of no others: its `PROXY_DISCOVERY`."""
+"""The endpoint list of one service on a bound listener, for nodes that are assigned no services.
+
+Such a node uses the bound listener's address as its `PROXY_DISCOVERY`.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class BoundList:
-    """The platform's list, with one service's backends, as of the region's accepted changes."""
+    """Serves one service's backends as a plain endpoint list, from the region's committed log."""
 
     def __init__(self, log: ChangeLog, service: str, max_watchers: int) -> None:
         self.max_connections = max_watchers
@@ -22,20 +25,20 @@
         self.service = service
         self.region = log.region
         self._log = log
-        self._pending: LongPolls[int] = LongPolls(self._answer_pending)  # versions they have
+        self._pending: LongPolls[int] = LongPolls(self._answer_pending)  # version of each poller
 
-    # ---- what a connection calls --------------------------------------------
+    # ---- called by connections ----------------------------------------------
 
     def ready(self) -> bool:
-        """Whether there is a log: before, an empty list would empty the node's pool."""
+        """Return whether the log has been received; an empty list would empty the node's pool."""
         return self._log.position > START
 
     def is_waiting(self, caller: Watcher) -> bool:
-        """Whether the connection's last poll has no answer yet."""
+        """Return whether the connection's last poll is still unanswered."""
         return caller in self._pending
 
     def cancel(self, caller: Watcher) -> None:
-        """The connection's poll needs no answer any more."""
+        """Drop the connection's pending poll without an answer."""
         self._pending.pop(caller)
 
     def on_list_request(
@@ -45,7 +48,11 @@
         hold_s: float,
         query: Query,  # noqa: ARG002 - part of `watchers.ListHost`; this list has one service
     ) -> None:
-        """A poll: the version that the node has, and for how many seconds it may wait."""
+        """Handle a poll.
+
+        `since` is the version that the node has, 0 for none. The response may be delayed by up to
+        `hold_s` seconds.
+        """
         try:
             position = position_of(since)
         except InvalidInputError as err:
@@ -58,12 +65,13 @@
         else:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
-    # ---- what the machine calls ---------------------------------------------
+    # ---- called by the machine ----------------------------------------------
 
     def on_change(self) -> None:
-        """The service has changed."""
+        """Answer all pending polls after a change of the service."""
         for watcher in self._pending:
-            # A fault at one costs no other's answer; its caller polls again on a new connection.
+            # An exception must not keep the others from their answers. The failed connection is
+            # closed, so its node polls again on a new one.
             if not run_logged(self._answer_pending, watcher):
                 watcher.abort()
 
@@ -77,7 +85,7 @@
         return delta is not None and not delta.changes
 
     def _answer(self, since: int) -> bytes:
-        """What changed since a version, or the complete list."""
+        """Encode the changes since a version, or the complete list."""
         delta = self._log.since(position_of(since), (self.service,)) if since else None
         version = version_of(self._log.position)
         if delta is None or any(change.complete or change.deleted for change in delta.changes):
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -160,9 +160,7 @@
     raw = top.raw.get("regions")
     if not isinstance(raw, dict) or not 1 <= len(raw) <= MAX_REGIONS:
         right = 'write [regions] east = ["east-1"]'
-        top.fault(
-            "regions", "missing-key", f"regions does not have 1 to {MAX_REGIONS} regions", right
-        )
+        top.fault("regions", "missing-key", f"not 1 to {MAX_REGIONS} regions", right)
         return {}
     table = top.sub(raw, "regions")
     found: dict[str, tuple[str, ...]] = {}
@@ -172,7 +170,7 @@
             table.fault(
                 name,
                 "bad-value",
-                f"{name} does not list 1 to {MAX_ZONES} zones",
+                f"{name} lists no zones or too many",
                 f'write ["{name}-1"]',
             )
             continue
@@ -280,7 +278,7 @@
                 "name",
                 "twice",
                 f"there is already a {kind} {name!r}",
-                f"give each {kind} its own name",
+                "give each its own name",
             )
         self._names[kind].add(name)
         return name
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -83,7 +83,7 @@
         top.fault(kind, "bad-value", f"{kind} is not an array of tables", f"write [[{kind}]]")
         return []
     if len(rows) > max_tables:
-        top.fault(kind, "too-many", f"more than {max_tables} [[{kind}]] tables", "split the fleet")
+        top.fault(kind, "too-many", f"more than {max_tables} of {kind}", "split the fleet")
         return []
     found = []
     for number, row in enumerate(rows):
@@ -133,12 +133,8 @@
         return []
     lines = data.splitlines()
     if len(data) > MAX_LINES_FILE_BYTES or len(lines) > max_lines:
-        top.fault(
-            file_key,
-            "too-large",
-            f"{path.name} has more than {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines",
-            "split the fleet",
-        )
+        wrong = f"{path.name} has more than {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines"
+        top.fault(file_key, "too-large", wrong, "split the fleet")
         return []
     return lines
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -1,4 +1,4 @@
-"""Nodes' polls of a control machine, and its answers in the list's form."""
+"""Answers nodes' polls of a control machine, in the extended format of the endpoint list."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import Query, Watcher
 
-MAX_HEAD_BYTES = 64 << 10  # of a poll: it may name the services of a node
-MAX_NAMES = 1024  # services that one poll may name
-MAX_QUOTED = 64  # characters of a wrong name that an answer repeats
-REDIRECT_PAUSE_NS = 2 * SECOND  # for a redirected node to poll the other machine
+MAX_HEAD_BYTES = 64 << 10  # of a poll, which may name all services of a node
+MAX_NAMES = 1024  # services that one parameter of a poll may name
+MAX_QUOTED = 64  # characters of an invalid name that an error message repeats
+REDIRECT_PAUSE_NS = 2 * SECOND  # time that a redirected node has to poll the other machine
 
 
 class SubscriberConnection(Watcher):
-    """One connection of a node that knows of services."""
+    """One connection of a node that is assigned services."""
 
     max_request_bytes = MAX_HEAD_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class ServingReport:
-    """The services that a node serves, as of the assignment of a generation."""
+    """The services that a node serves, given the assignment of this generation."""
 
     serving: tuple[str, ...]
     generation: int
@@ -53,19 +53,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """What a node polls for, while it waits."""
+    """One decoded poll of a node for the changes of a region's log."""
 
     node: str
     region: str
-    position: Position
-    current: frozenset[str] | None  # services that it has as of `position`; None: it does not say
-    redirected: bool
-    deadline_ns: int  # when it is answered at the latest
-    report: ServingReport | None  # None where the last one still holds
+    position: Position  # up to which the node has the log
+    current: frozenset[str] | None  # services that it has as of `position`; None if not stated
+    redirected: bool  # the node asks not to be redirected again
+    deadline_ns: int  # when the poll must be answered at the latest
+    report: ServingReport | None  # None if the node's last report is still valid
 
 
 class NodeRequests:
-    """The host of all `SubscriberConnection`s at one machine."""
+    """The request handler that all `SubscriberConnection`s of one machine share."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         addresses: Mapping[str, Address],
         max_watchers: int,
     ) -> None:
-        """`addresses` are those for subscribers, by machine."""
+        """`addresses` maps each machine to its address for subscribers."""
         self.max_connections = max_watchers
         self.connections = 0
         self.counts: Counter[str] = Counter()
@@ -84,27 +84,31 @@
         self._replica = replica
         self._addresses = addresses
         self._pending: LongPolls[PollRequest] = LongPolls(self._on_timeout)
-        self._watchers: dict[str, dict[str, Watcher]] = {}  # whose poll waits, by node and region
+        self._watchers: dict[str, dict[str, Watcher]] = {}  # of pending polls, by node and region
 
-    # ---- what a connection calls --------------------------------------------
+    # ---- called by connections ----------------------------------------------
 
     def ready(self) -> bool:
-        """Whether polls are answered: always, each with what there is for it."""
+        """Return True: polls are always accepted, and answered with what is available."""
         return True
 
     def is_waiting(self, caller: Watcher) -> bool:
-        """Whether the connection's last poll has no answer yet."""
+        """Return whether the connection's last poll is still unanswered."""
         return caller in self._pending
 
     def cancel(self, caller: Watcher) -> None:
-        """The connection's poll needs no answer any more."""
+        """Drop the connection's pending poll without an answer."""
         request = self._remove_pending(caller)
         if request is not None:
             self._publisher.cancel(request.node, request.region)
             self._on_poll_ended(time.monotonic_ns(), request.node)
 
     def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
-        """A poll: the version that the node has, and for how many seconds it may wait."""
+        """Handle a poll.
+
+        `since` is the version that the node has, 0 for none. The response may be delayed by up to
+        `hold_s` seconds.
+        """
         now = time.monotonic_ns()
         try:
             request = self._decode(now, since, hold_s, query)
@@ -121,10 +125,10 @@
             self._nodes.on_generation(request.node, request.region, report.generation)
         self._answer_or_end(now, watcher, request, first_poll=since == 0)
 
-    # ---- what the machine calls ---------------------------------------------
+    # ---- called by the machine ----------------------------------------------
 
     def wake(self, region: str, nodes: Iterable[str]) -> None:
-        """There may be something new for these nodes in a region."""
+        """Answer the pending polls of these nodes for a region, if there are news for them."""
         now = time.monotonic_ns()
         for node in nodes:
             watcher = self._watchers.get(node, {}).get(region)
@@ -132,12 +136,16 @@
                 self._answer_pending(now, watcher)
 
     def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
-        """There may be something new for these nodes in these regions."""
+        """Answer the pending polls of these (node, region) pairs, if there are news for them."""
         for node, region in keys:
             self.wake(region, (node,))
 
     def push_assignments(self) -> bool:
-        """Answer the waiting nodes whose assignment has changed; False after a fault at one."""
+        """Answer the pending polls of all nodes whose assignment has changed.
+
+        Returns False if that raised an exception for some node. It is logged, and the other nodes
+        are still answered.
+        """
         now = time.monotonic_ns()
         pushed = [
             run_logged(self._push_assignment, now, watcher, request)
@@ -150,20 +158,20 @@
             self._answer_pending(now, watcher)
 
     def pending_count(self) -> int:
-        """How many polls wait for an answer."""
+        """Return the number of pending polls."""
         return len(self._pending)
 
     def pending_nodes(self) -> frozenset[str]:
-        """The nodes whose polls wait for an answer."""
+        """Return the nodes that have a pending poll."""
         return frozenset(self._watchers)
 
     # ---- one poll -----------------------------------------------------------
 
     def _decode(self, now: int, since: int, hold_s: float, query: Query) -> PollRequest:
-        """All of a poll, or an error: from one that is rejected nothing may be taken.
+        """Decode a poll completely, or raise an error, before any state changes.
 
-        Failure: a poll is noted as one that waits before its report turns out to be unreadable. It
-        is never answered, and its node counts as present for an hour, dead or not.
+        If a poll were recorded as open before its report turned out to be invalid, it would never
+        be answered, and its node would count as present for an hour even if it is dead.
         """
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.is_registered(node):
@@ -182,7 +190,7 @@
     def _answer(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
     ) -> None:
-        """Answer now, or let the poll wait until there is something to send."""
+        """Answer a poll now, or keep it pending until there is something to send."""
         node, region = request.node, request.region
         services = self._nodes.services_in_region(node, region)
         answer = self._publisher.subscribe(
@@ -211,7 +219,10 @@
         answer: RetryAfter | Wait,
         first_poll: bool,
     ) -> None:
-        """There is no update to send yet: the assignment alone, a pause, or a long poll."""
+        """Handle a poll without an update to send: answer with a pause or the assignment, or wait.
+
+        At its deadline the poll gets an empty response.
+        """
         node, region = request.node, request.region
         assignment = self._nodes.changed_assignment(now, node, region, first_poll)
         if isinstance(answer, RetryAfter):
@@ -242,18 +253,18 @@
     def _answer_or_end(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
     ) -> None:
-        """Answer a poll that does not wait, or end its connection.
+        """Answer a poll that is not pending, or close its connection if that raises an exception.
 
-        Failure: the answer raises. The walk over the other waiting polls ends with it, and this
-        one gets no answer, while its node counts as present for an hour, dead or not. A fault ends
-        this connection alone, and its node has to poll again in time.
+        If the exception were passed on, the other pending polls would not be answered. This poll
+        would stay unanswered, and its node would count as present for an hour even if it is dead.
+        Closing the connection makes the node poll again, or count as absent if it does not.
         """
         if not run_logged(self._answer, now, watcher, request, first_poll):
             self._on_poll_ended(now, request.node)
             watcher.abort()
 
     def _remove_pending(self, watcher: Watcher) -> PollRequest | None:
-        """The connection's poll, which does not wait any more; None where none waited."""
+        """Remove and return the connection's pending poll, or None if it has none."""
         request = self._pending.pop(watcher)
         if request is not None:
             watchers = self._watchers[request.node]
@@ -263,11 +274,12 @@
         return request
 
     def _supersede(self, request: PollRequest) -> None:
-        """End the node's earlier connection if its poll for the region waits still.
+        """Close the node's earlier connection if its poll for the same region is still pending.
 
-        Failure: a connection is lost unnoticed, and the node polls on a new one. Answers on the
-        lost one count as received; its late end makes the node absent although its new poll waits.
-        With one poll for each node and region, that end finds no poll to cancel.
+        This happens if a connection is lost unnoticed and the node polls again on a new one. If
+        both polls were kept, a response on the lost connection would count as received, and its
+        late close would mark the node absent although its new poll is pending. With one pending
+        poll for each node and region, the late close finds no poll to cancel.
         """
         earlier = self._watchers.get(request.node, {}).get(request.region)
         if earlier is not None:
@@ -276,7 +288,7 @@
             earlier.abort()
 
     def _on_poll_ended(self, now: int, node: str, pause_ns: int = 0) -> None:
-        """The node has to poll again after a pause, unless another region's poll of it waits."""
+        """Start the deadline for the node's next poll, unless one for another region is pending."""
         if node not in self._watchers:
             self._nodes.on_response(now, node, pause_ns)
 
@@ -301,7 +313,7 @@
         assignment: NodeAssignment | None,
         pause_ns: int = 0,
     ) -> None:
-        """Send the answer; `pause_ns`: before the node polls again."""
+        """Send a response; `pause_ns` is the delay before the node is expected to poll again."""
         self._on_poll_ended(now, request.node, pause_ns)
         if assignment is not None:
             self._nodes.on_assignment_sent(request.node, request.region, assignment)
@@ -315,7 +327,7 @@
         return None
     generation = parse_decimal(query.get("generation", ["0"])[0])
     if generation is None:
-        raise InvalidInputError("generation: [range] no whole number")
+        raise InvalidInputError("generation: [range] not a non-negative integer")
     return ServingReport(tuple(_names(query["serving"][0])), generation)
 
 
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -1,9 +1,11 @@
-"""Streams between control machines: each dials every other, and sends only on streams it dialled.
-
-A frame is its length in four bytes and a message by `codec`. The first frame is a `Hello` with the
-sender's name and the digest of its file; a stream of another fleet, or of a machine that the file
-does not name, is closed. The bytes buffered for a machine that does not read are bounded: past
-the bound its stream is closed and dialled again, and the full state is sent again.
+"""TCP streams between control machines.
+
+Each machine connects to every other one, and sends only on the streams that it has opened itself.
+A frame is a length in four bytes, followed by a message encoded by `codec`. The first frame is a
+`Hello` with the sender's name and the digest of its control file. A stream with another digest, or
+from a machine that the file does not name, is closed. The number of bytes buffered for a machine
+that reads too slowly is limited: beyond it the stream is closed and opened again, and the full
+state is sent again.
 """
 
 from __future__ import annotations
@@ -21,8 +23,8 @@
 from loadbalancer.faults import run_logged
 
 MAX_FRAME_BYTES = 32 << 20
-REDIAL_S = 0.5
-HELLO_TIMEOUT_S = 5.0  # for the first frame to come
+REDIAL_S = 0.5  # delay before a lost or refused stream is opened again
+HELLO_TIMEOUT_S = 5.0  # for the first frame of an accepted stream
 _LENGTH = struct.Struct(">I")
 
 logger = logging.getLogger(__name__)
@@ -30,14 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """A stream's first frame."""
+    """The first frame of a stream."""
 
     machine: str  # the sender
-    fleet: str  # the digest of what both ends must have in common
+    fleet: str  # digest of the fleet's configuration, which must be the same at both ends
 
 
 class PeerStreams:
-    """One machine's streams to and from the others; `counts` has what was sent and dropped."""
+    """One machine's streams to and from the others.
+
+    `counts` has the numbers of messages and bytes sent, of messages dropped, and of streams
+    closed by reason.
+    """
 
     def __init__(
         self,
@@ -48,13 +54,22 @@
         on_message: Callable[[str, Any], None],
         on_connected: Callable[[str], None],
     ) -> None:
-        """`on_message` gets sender and message, `on_connected` a machine that can be sent to."""
+        """Prepare the streams to the machines in `others`; `open` starts them.
+
+        Args:
+            hello: the first frame on each stream that this machine opens.
+            others: the other machines' addresses, by name.
+            codec: encodes and decodes messages.
+            backlog_bytes: maximum number of unsent bytes on a stream.
+            on_message: called with the sender's name and each message received.
+            on_connected: called with a machine's name when a stream to it has been opened.
+        """
         self.hello = hello
         self.codec = codec
         self.on_message = on_message
         self.counts: Counter[str] = Counter()
         self.incoming: set[asyncio.Transport] = set()
-        self._incoming_from: dict[str, _IncomingStream] = {}  # the newest one, by machine
+        self._incoming_from: dict[str, _IncomingStream] = {}  # the latest stream, by machine
         self._others = dict(others)
         self._backlog_bytes = backlog_bytes
         self._on_connected = on_connected
@@ -63,10 +78,10 @@
         self._server: asyncio.Server | None = None
 
     async def open(self, listen: Address) -> int:
-        """Listen, and begin to dial the others; returns the port.
+        """Listen, start connecting to the other machines, and return the port.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: the machine can't listen on the address.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -76,7 +91,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """End all streams."""
+        """Close all streams and the listener."""
         for dial in self._dials:
             dial.cancel()
         for transport in [*self._outgoing.values(), *self.incoming]:
@@ -85,18 +100,19 @@
             self._server.close()
 
     def accepts(self, hello: Hello) -> bool:
-        """Whether a first frame is of another machine of the same fleet."""
+        """Return whether a first frame comes from another machine of the same fleet."""
         return hello.fleet == self.hello.fleet and hello.machine in self._others
 
     def on_hello(self, machine: str, stream: _IncomingStream) -> None:
-        """A machine has dialled: end its earlier stream, if that has not ended yet.
+        """Register a machine's new stream, and close its previous one if that is still open.
 
-        Guards against frames of an earlier connection, or of the machine's earlier process, that
-        come after newer ones: an old grant or list of present nodes would replace the newest one.
-        A machine has one stream to each other at a time, so what comes on it is in order.
+        With one stream from each machine at a time, its messages arrive in order. Otherwise frames
+        of a previous connection, or of the machine's previous process, could arrive after newer
+        ones, and an outdated grant or presence update would replace the latest one.
 
-        Where the Hello of the earlier connection is read last, it is the newer one that ends. The
-        machine sees that, and dials again after REDIAL_S: its next Hello ends the earlier one.
+        If the Hello of the older connection is read last, the newer connection is closed instead.
+        The machine notices that and connects again after REDIAL_S; its next Hello closes the older
+        connection.
         """
         earlier = self._incoming_from.get(machine)
         self._incoming_from[machine] = stream
@@ -104,12 +120,12 @@
             earlier.abort("replaced")
 
     def on_lost(self, machine: str, stream: _IncomingStream) -> None:
-        """A stream that `machine` had dialled has ended."""
+        """Unregister a stream of `machine` that has been closed."""
         if self._incoming_from.get(machine) is stream:
             del self._incoming_from[machine]
 
     def send(self, machine: str, message: Any) -> None:
-        """Send a message; it is lost where there is no stream, or too much waits for it."""
+        """Send a message; drop it if there is no stream or too much unsent data on it."""
         transport = self._outgoing.get(machine)
         if transport is None or transport.is_closing():
             self.counts["no stream"] += 1
@@ -124,22 +140,21 @@
         transport.write(_LENGTH.pack(len(data)) + data)
 
     def send_all(self, message: Any) -> None:
-        """Send a message on each stream that is up."""
+        """Send a message on each open stream."""
         for machine in [*self._outgoing]:
             self.send(machine, message)
 
     async def _dial(self, machine: str, address: Address) -> None:
-        """Maintain a stream to this machine: dial again whenever it ends.
+        """Keep a stream to this machine open, connecting again whenever it is lost.
 
-        Failure: a fault as a stream begins ends the task, unlogged. That machine is not dialled
-        again until a restart, and hears nothing from this one. Any fault is logged, and the
-        machine is dialled again like after a lost stream.
+        Exceptions are logged and treated like a lost stream. If one ended this task, nothing would
+        be logged, and this machine could not reach the other one until a restart.
         """
         while True:
             try:
                 await self._stream_until_lost(machine, address)
             except OSError:
-                pass  # it does not listen
+                pass  # the machine is not listening
             except Exception:
                 logger.exception("stream to %s", machine)
             await asyncio.sleep(REDIAL_S)
@@ -153,8 +168,8 @@
         self._outgoing[machine] = transport
         try:
             self.send(machine, self.hello)
-            # After a fault there the stream stays, for the log's messages: a machine that misses
-            # an update of who is present asks for the full state.
+            # After an exception here the stream stays open, because the replicated log needs it. A
+            # machine that has missed a presence update requests the full state by itself.
             run_logged(self._on_connected, machine)
             await ended
         finally:
@@ -163,38 +178,38 @@
 
 
 class _OutgoingStream(asyncio.Protocol):
-    """A stream that this machine has dialled: it only sends."""
+    """A stream that this machine has opened; it is used only for sending."""
 
     def __init__(self, ended: asyncio.Future[None]) -> None:
         self._ended = ended
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The stream ended: let the machine be dialled again."""
+        """Signal the loss of the stream, so that it is opened again."""
         del exc
         if not self._ended.done():
             self._ended.set_result(None)
 
 
 class _IncomingStream(asyncio.Protocol):
-    """A stream that another machine has dialled: it is only received from."""
+    """A stream that another machine has opened; it is used only for receiving."""
 
     def __init__(self, streams: PeerStreams) -> None:
         self._streams = streams
         self._buffer = bytearray()
-        self._sender = ""  # until its Hello
+        self._sender = ""  # unknown until the Hello
         self._aborted = False
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the Hello."""
+        """Start the timeout for the Hello."""
         self._transport = cast(asyncio.Transport, transport)
         self._streams.incoming.add(self._transport)
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(HELLO_TIMEOUT_S, self.abort, "no hello")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the stream."""
+        """Unregister the stream."""
         del exc
         if self._transport is not None:
             self._streams.incoming.discard(self._transport)
@@ -203,7 +218,7 @@
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Handle each complete frame; none that follows the stream's end."""
+        """Handle each complete frame; ignore data after the stream was aborted."""
         if self._aborted:
             return
         self._buffer += data
@@ -222,7 +237,7 @@
         del self._buffer[:start]
 
     def _on_frame(self, frame: bytes) -> bool:
-        """Handle one frame; False where it ended the stream."""
+        """Handle one frame; return False if the stream was aborted because of it."""
         try:
             message = self._streams.codec.decode(frame)
         except BadMessageError as err:
@@ -241,7 +256,7 @@
         return True
 
     def abort(self, counter: str) -> None:
-        """End the stream, and count that under this name."""
+        """Abort the stream, and increment the counter of this name."""
         self._aborted = True
         self._streams.counts[counter] += 1
         if self._transport is not None:
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators submit, and each call's answer once its changes are committed."""
+"""Changes that operators submit, and the response to each call once its changes are committed."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 COMMIT_TIMEOUT_S = 5.0
 MAX_CHANGES = 256  # in one call
-MAX_ROWS = 100_000  # of one change, removed ones included
-MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
+MAX_ROWS = 100_000  # in one change, including removed ones
+MAX_QUOTED = 64  # characters of an invalid value that an error message repeats
 KEYS = frozenset({"service", "rows", "removed", "deleted"})
 
 
 class BadChangeError(ProtocolError, ValueError):
-    """A change that can't be used; the text names the place and the rule."""
+    """A change that can't be used; the text names its position and the violated rule."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubmittedChange:
-    """One change as it was submitted."""
+    """One decoded change of a call, before it is proposed."""
 
     service: str
     rows: tuple[Row, ...]
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _Submission:
-    """One call, and the time at which each of its changes was committed; None until then."""
+    """One pending call, and when each of its changes was committed (None until then)."""
 
     reply: Reply
     committed_ns: dict[Position, int | None] = field(default_factory=dict)
@@ -48,22 +48,26 @@
 
 
 class ChangeSubmissions:
-    """Proposes submitted changes to the replica, and answers when they are committed."""
+    """Proposes submitted changes to the replica, and responds once they are committed."""
 
     def __init__(self, replica: Replica, region: str, homes: Mapping[str, str]) -> None:
-        """`homes` gives each service's region."""
+        """`homes` maps each service to its home region."""
         self._replica = replica
         self._region = region
         self._homes = homes
         self._pending: dict[Position, _Submission] = {}
 
     def submit(self, body: bytes, reply: Reply) -> None:
-        """Propose a call's changes.
+        """Propose the changes of a call.
 
-        `reply` is called once: 200 with the changes' versions when they are committed; 400 where
-        the body can't be used; 409 where another machine is to be called; 503 where too many
-        changes wait; 504 where it is not known whether they are committed, and the call may be
-        repeated.
+        `reply` is called exactly once, with one of these HTTP statuses:
+
+        - 200 with the versions of the changes, once all of them are committed;
+        - 400 if the body is invalid;
+        - 409 if this machine can't accept the changes; the body names the leader to call instead;
+        - 503 if too many changes wait to be committed;
+        - 504 if the changes were not committed in time. They may still be committed later, and
+          the call may be repeated.
         """
         try:
             changes = decode_changes(body, self._homes)
@@ -88,7 +92,7 @@
         submission.timer = loop.call_later(COMMIT_TIMEOUT_S, self._on_timeout, submission)
 
     def on_committed(self, region: str, change: Change) -> None:
-        """A change is committed; its call is answered once all of its changes are."""
+        """Handle a committed change; its call is answered once all its changes are committed."""
         if region != self._region:
             return
         submission = self._pending.get(change.position)
@@ -106,10 +110,10 @@
         self._finish(submission, HTTPStatus.GATEWAY_TIMEOUT, b"not known to be accepted")
 
     def _refuse(self, submission: _Submission, proposal: Proposal) -> None:
-        """Answer a call of which a change was refused.
+        """Answer a call one of whose changes the replica has refused.
 
-        Those before it may be committed all the same. The call may be repeated: rows replace one
-        another, so that a change committed twice has the effect of one.
+        The call's earlier changes may still be committed. The operator may repeat the call, because
+        changes are idempotent: a row replaces the previous row of the same uid.
         """
         if proposal.outcome is Outcome.BUSY:
             text = b"[busy] too many changes wait for a majority"
@@ -127,23 +131,25 @@
 
 
 def decode_changes(body: bytes, services: Mapping[str, str]) -> list[SubmittedChange]:
-    """The changes in a call's body, a JSON array, each of one of these services.
+    """Decode a call's body, a JSON array of changes to these services.
 
     Raises:
-        BadChangeError: the body or one of its changes can't be used.
+        BadChangeError: the body or one of its changes is invalid.
     """
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError):
-        raise BadChangeError("body: [syntax] is no JSON; write an array of changes") from None
+        raise BadChangeError("body: [syntax] not valid JSON; send an array of changes") from None
     if not isinstance(raw, list) or not 1 <= len(raw) <= MAX_CHANGES:
-        raise BadChangeError(f"body: [size] not 1 to {MAX_CHANGES} changes; write an array")
+        raise BadChangeError(f"body: [size] not an array of 1 to {MAX_CHANGES} changes")
     return [_decode_change(f"change {index}", one, services) for index, one in enumerate(raw)]
 
 
 def _decode_change(place: str, raw: Any, services: Mapping[str, str]) -> SubmittedChange:
     if not isinstance(raw, dict):
-        raise BadChangeError(f"{place}: [syntax] is no object; write service, rows and removed")
+        raise BadChangeError(
+            f"{place}: [syntax] not an object; write one with service, rows and removed"
+        )
     unknown = raw.keys() - KEYS
     if unknown:
         raise BadChangeError(f"{place}: [unknown-key] no key {min(unknown)!r}")
@@ -162,8 +168,8 @@
 
 def _check_rows(place: str, rows: Any, removed: Any) -> None:
     if not isinstance(rows, list) or not isinstance(removed, list):
-        raise BadChangeError(f"{place}: [bad-value] rows and removed are arrays")
+        raise BadChangeError(f"{place}: [bad-value] rows and removed must be arrays")
     if len(rows) + len(removed) > MAX_ROWS:
-        raise BadChangeError(f"{place}: [size] over {MAX_ROWS} rows")
+        raise BadChangeError(f"{place}: [size] more than {MAX_ROWS} rows")
     if not all(isinstance(uid, str) and uid for uid in removed):
-        raise BadChangeError(f"{place}: [bad-value] removed holds no uids")
+        raise BadChangeError(f"{place}: [bad-value] removed must contain non-empty uids only")
--- a/tests/control/machine/socketless.py
+++ b/tests/control/machine/socketless.py
@@ -1,4 +1,4 @@
-"""One control machine without sockets, and nodes' connections to it."""
+"""A control machine and nodes' connections to it without sockets, for tests."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 
 
 class Connection(SubscriberConnection):
-    """A node's connection without a socket: what it was answered, and whether it was ended."""
+    """A node's connection without a socket; records the responses and whether it was aborted."""
 
     def __init__(self, machine: ControlMachine) -> None:
         super().__init__(machine.node_requests)
         self.answers: list[tuple[int, list_format.PollResponse | None]] = []
-        self.ended = False
+        self.aborted = False
 
     def reply(self, status: int, body: bytes) -> None:
         answer = list_format.decode(body, 100) if status == 200 else None
         self.answers.append((status, answer))
 
     def abort(self) -> None:
-        self.ended = True
+        self.aborted = True
         self.host.cancel(self)
 
     def poll(self, position: Position, **query: str) -> None:
-        """Poll for the node n1 and its region, unless the query says otherwise."""
+        """Poll as node n1 for its region, with the given changes to the query."""
         fields = {"node": "n1", "region": "east", "redirected": "1", "held": "cart,pay"} | query
         lists = {key: [value] for key, value in fields.items() if value}
         self.host.on_list_request(self, version_of(position), HOLD_S, lists)
 
 
-class Rig:
-    """One machine without sockets, with a log of two services."""
+class SocketlessMachine:
+    """One control machine without sockets, with two services in its log."""
 
     def __init__(self, folder: Path) -> None:
         file = read_scale_file(str(write_file(folder)))
@@ -53,7 +53,7 @@
         self.change("pay")
 
     def change(self, service: str) -> None:
-        """A change is committed."""
+        """Commit a change of a service, and wake the nodes that hold it."""
         position = Position(1, self.log.position.revision + 1)
         change = Change(position, service, (row(f"u{position.revision}"),))
         self.log.append(change)
@@ -63,26 +63,26 @@
     def connect(self) -> Connection:
         return Connection(self.machine)
 
-    def waiting(self) -> Connection:
-        """A connection whose poll waits, and whose node knows its assignment."""
+    def pending_connection(self) -> Connection:
+        """Return a connection with a pending poll, whose node knows its assignment."""
         connection = self.connect()
         connection.poll(self.log.position)
-        if connection.answers:  # with the assignment
+        if connection.answers:  # the first response carries the assignment
             connection.answers.clear()
             connection.poll(self.log.position)
         assert not connection.answers
         return connection
 
     def is_present(self, seconds: int) -> bool:
-        """Whether the node polls here, after so many seconds without another event."""
+        """Return whether one node counts as present after so many seconds without an event."""
         self.machine.nodes.on_tick(time.monotonic_ns() + seconds * SECOND)
         return self.machine.nodes.presence.local_count() == 1
 
 
-def in_loop(folder: Path, play: Callable[[Rig], None]) -> None:
-    """Play in a running loop, which timers need."""
+def run_scenario(folder: Path, scenario: Callable[[SocketlessMachine], None]) -> None:
+    """Run a scenario in an event loop, which timers need."""
 
     async def run() -> None:
-        play(Rig(folder))
+        scenario(SocketlessMachine(folder))
 
     asyncio.run(run())
--- a/tests/control/machine/test_bound_list.py
+++ b/tests/control/machine/test_bound_list.py
@@ -1,4 +1,4 @@
-"""A list of one service over real sockets."""
+"""Tests of a bound listener, which serves the list of one service, over real sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.harness import config, listen, served_by, started, target, until
 
 
-def test_an_unchanged_node_is_served_its_one_service(region: Machines, tmp_path: Path) -> None:
+def test_a_plain_node_gets_the_backends_of_one_service(region: Machines, tmp_path: Path) -> None:
     server = listen()
     row = target("c1", server.getsockname()[1])
     region.change({"service": "cart", "rows": [row]}, {"service": "pay", "rows": rows("p9")})
@@ -21,7 +21,7 @@
     with started(environ | {"PROXY_DISCOVERY": f"127.0.0.1:{port}"}) as node:
         until(node.ready)
         served_by(node, server)
-        # A drain and a new server reach it as changes.
+        # A drain and a new server reach the node as changes.
         other = listen()
         region.change(
             {"service": "cart", "rows": [row | {"state": "leaving"}]},
@@ -33,7 +33,7 @@
         served_by(node, other)
 
 
-def test_a_bound_list_sends_changes_and_refuses_a_node_that_is_ahead(region: Machines) -> None:
+def test_a_bound_list_sends_deltas_and_refuses_a_node_ahead_of_its_log(region: Machines) -> None:
     (answer,) = region.change({"service": "cart", "rows": rows("c5")})
     since = answer["version"]
     address = region.file.bound_listeners[0].listen
--- a/tests/control/machine/test_codec.py
+++ b/tests/control/machine/test_codec.py
@@ -1,4 +1,4 @@
-"""Control machines' messages and their bytes."""
+"""Tests of the codec of messages between control machines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_messages_are_decoded_as_they_were_encoded() -> None:
-    form = message_codec()
+    codec = message_codec()
     change = Change(AT, "cart", (row("a"),), ("b",))
     for message in (
         AppendEntries("east", 3, AT, AT, (change,), 7),
@@ -26,22 +26,22 @@
         NodeReports((NodeReport("n1", ("cart", "pay")),)),
         ReleaseGrant("east", 3, (NodeRelease("n1", ("cart", "pay")),)),
     ):
-        assert form.decode(form.encode(message)) == message
+        assert codec.decode(codec.encode(message)) == message
 
 
 @pytest.mark.parametrize(
     "data",
     [b"", b"\xc1", b"\x90", b"\x91\x01", b"\x92\xff\x90", b"\x92\xcc\xc8\x90", b"\x92\x01\x90"],
 )
-def test_bytes_that_are_no_message_are_refused(data: bytes) -> None:
+def test_malformed_bytes_are_refused(data: bytes) -> None:
     with pytest.raises(BadMessageError):
         message_codec().decode(data)
 
 
-def test_a_field_of_another_type_is_refused() -> None:
-    """A peer of another release, or a broken one, sends a field of another type."""
-    form = message_codec()
-    good = form.encode(PresenceUpdate(1, False, ("n1",)))
+def test_a_field_of_the_wrong_type_is_refused() -> None:
+    """A faulty peer, or one of another release, sends a field of an unexpected type."""
+    codec = message_codec()
+    good = codec.encode(PresenceUpdate(1, False, ("n1",)))
     for old, new in ((b"\xc2", b"\x01"), (b"\xa2n1", b"\x01"), (b"\x01\xc2", b"\xa1x\xc2")):
         with pytest.raises(BadMessageError):
-            form.decode(good.replace(old, new, 1))
+            codec.decode(good.replace(old, new, 1))
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -22,7 +22,7 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.replication import CommittedChange
 from loadbalancer.sources.watchers import Watcher
-from tests.control.machine.socketless import Connection, Rig, in_loop
+from tests.control.machine.socketless import Connection, SocketlessMachine, run_scenario
 
 FAULT = ZeroDivisionError("a fault")
 LIMIT_S = 5.0
@@ -38,7 +38,7 @@
     accepted polls, but took part in no election, and the log had no line.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         work = failing_first()
         task = asyncio.create_task(_run_periodically(0.001, work))
         async with asyncio.timeout(LIMIT_S):
@@ -47,7 +47,7 @@
                 assert not task.done()
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_hello", [True, False])
@@ -60,7 +60,7 @@
     monkeypatch.setattr(stream, "REDIAL_S", 0.01)
     received: list[Any] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = PeerStreams(
             Hello("east-b", "f"), {"east-a": Address("127.0.0.1", 9)}, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
@@ -95,7 +95,7 @@
         client.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("step", ["read", "load", "on_loaded"])
@@ -112,7 +112,7 @@
         replica.load = failing_first()
     loaded = failing_first() if step == "on_loaded" else mock.Mock()
 
-    async def play() -> None:
+    async def scenario() -> None:
         loader = log_loader.LogLoader(replica, "east", ["pay"], None, loaded)
         if step == "read":
             rows = mock.AsyncMock(side_effect=[FAULT, {"pay": ()}])
@@ -124,7 +124,7 @@
             await asyncio.wait_for(task, LIMIT_S)
             assert loader._task is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert loaded.called
 
 
@@ -136,8 +136,8 @@
     told, and messages of the log were not sent.
     """
 
-    def play(rig: Rig) -> None:
-        machine = rig.machine
+    def scenario(control: SocketlessMachine) -> None:
+        machine = control.machine
         changes = [Change(Position(1, revision), "cart") for revision in (8, 9)]
         replica: Any = mock.Mock()
         replica.restored.return_value = ["east", "east"]
@@ -156,17 +156,17 @@
         machine._process_output()
         assert {name: step.call_count for name, step in steps.items()} == dict.fromkeys(steps, 2)
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def two_nodes_wait(rig: Rig) -> list[Connection]:
+def two_nodes_wait(control: SocketlessMachine) -> list[Connection]:
     """The connections of two nodes that know their assignments, and wait."""
     found = []
     for node in ("n1", "n2"):
-        connection = rig.connect()
+        connection = control.connect()
         for _ in range(2):
             connection.answers.clear()
-            connection.poll(rig.log.position, node=node)
+            connection.poll(control.log.position, node=node)
             if not connection.answers:
                 break
         assert not connection.answers
@@ -181,9 +181,9 @@
     the change; the first one had no answer, and counted as present for an hour, dead or not.
     """
 
-    def play(rig: Rig) -> None:
-        first, second = two_nodes_wait(rig)
-        requests = rig.machine.node_requests
+    def scenario(control: SocketlessMachine) -> None:
+        first, second = two_nodes_wait(control)
+        requests = control.machine.node_requests
         answer = requests._answer
         calls = iter([FAULT])
 
@@ -194,11 +194,11 @@
 
         monkeypatch.setattr(requests, "_answer", answer_later)
         requests.wake("east", ["n1", "n2"])
-        assert [first.ended, second.ended] == [True, False]
-        rig.machine.nodes.on_tick(time.monotonic_ns() + 5_000_000_000)
-        assert rig.machine.nodes.presence.local_count() == 1, "the first one has to poll again"
+        assert [first.aborted, second.aborted] == [True, False]
+        control.machine.nodes.on_tick(time.monotonic_ns() + 5_000_000_000)
+        assert control.machine.nodes.presence.local_count() == 1, "the first one has to poll again"
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_push_that_raises_at_one_node_reaches_the_others_and_is_repeated(
@@ -208,20 +208,20 @@
     theirs only after a further change.
     """
 
-    def play(rig: Rig) -> None:
-        two_nodes_wait(rig)
-        nodes = rig.machine.nodes
+    def scenario(control: SocketlessMachine) -> None:
+        two_nodes_wait(control)
+        nodes = control.machine.nodes
         nodes.changed = True
         changed = failing_first(None)
         monkeypatch.setattr(nodes, "changed_assignment", changed)
-        rig.machine._tick_nodes()
+        control.machine._tick_nodes()
         assert [call.args[1] for call in changed.call_args_list] == ["n1", "n2"]
         assert nodes.changed, "the next tick pushes again"
-        rig.machine._tick_nodes()
+        control.machine._tick_nodes()
         assert changed.call_count == 4
         assert not nodes.changed
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_fault_at_one_bound_connection_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -232,7 +232,7 @@
     aborted: list[Watcher] = []
     monkeypatch.setattr(Watcher, "abort", lambda watcher: aborted.append(watcher))
 
-    async def play() -> None:
+    async def scenario() -> None:
         log = ChangeLog("east", 100, 1 << 20)
         log.append(Change(Position(1, 1), "cart"))
         bound = BoundList(log, "cart", 10)
@@ -245,7 +245,7 @@
         assert [call.args[0] for call in answer.call_args_list] == watchers
         assert aborted == watchers[:1]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_fault_in_the_answer_to_a_new_poll_leaves_no_poll_open(
@@ -255,11 +255,11 @@
     as present for an hour, dead or not.
     """
 
-    def play(rig: Rig) -> None:
-        monkeypatch.setattr(rig.machine.publisher, "subscribe", failing_first())
-        connection = rig.connect()
-        connection.poll(rig.log.position)
-        assert connection.ended
-        assert not rig.is_present(5)
+    def scenario(control: SocketlessMachine) -> None:
+        monkeypatch.setattr(control.machine.publisher, "subscribe", failing_first())
+        connection = control.connect()
+        connection.poll(control.log.position)
+        assert connection.aborted
+        assert not control.is_present(5)
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
--- a/tests/control/machine/test_generations.py
+++ b/tests/control/machine/test_generations.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.assignment.model import START
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.limits import HolderLimits
-from tests.control.machine.socketless import Rig, in_loop
+from tests.control.machine.socketless import SocketlessMachine, run_scenario
 
 MACHINES = [Address("127.0.0.1", 1), Address("127.0.0.1", 2)]
 REGIONS = ("east", "west")
@@ -30,15 +30,15 @@
     One that reports its generation, counted from the sent one here, has it.
     """
 
-    def play(rig: Rig) -> None:
-        lost = rig.connect()
-        lost.poll(rig.log.position)
+    def scenario(control: SocketlessMachine) -> None:
+        lost = control.connect()
+        lost.poll(control.log.position)
         ((_, answer),) = lost.answers
         assert answer is not None
         assert answer.assignment is not None
         sent = answer.assignment.generation
-        again = rig.connect()
-        again.poll(rig.log.position, serving="cart", generation=str(sent + generation))
+        again = control.connect()
+        again.poll(control.log.position, serving="cart", generation=str(sent + generation))
         if is_sent_again:
             ((_, answer),) = again.answers
             assert answer is not None
@@ -47,7 +47,7 @@
         else:
             assert not again.answers
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
 class Event(NamedTuple):
--- a/tests/control/machine/test_log_loader.py
+++ b/tests/control/machine/test_log_loader.py
@@ -51,7 +51,7 @@
     source = tmp_path / "backends.jsonl"
     source.write_text(json.dumps({"service": "pay", "targets": rows("p1")}) + "\n")
 
-    async def play() -> None:
+    async def scenario() -> None:
         loader = log_loader.LogLoader(replica, "east", ["pay"], source, loaded)
         for _ in range(3):
             loader.start_if_needed()
@@ -62,6 +62,6 @@
         loader.start_if_needed()
         await task
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert replica.load.call_count == int(is_needed)
     assert loaded.call_count == int(is_needed)
--- a/tests/control/machine/test_node_requests.py
+++ b/tests/control/machine/test_node_requests.py
@@ -1,4 +1,4 @@
-"""Polls over real sockets: what is refused, and what is redirected."""
+"""Tests of nodes' polls over real sockets: which are refused, and which are redirected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("query", "said"),
+    ("query", "message"),
     [
         ("node=nobody&region=east&from=0", "node: [unknown node] no node 'nobody'"),
         ("region=east&from=0", "node: [unknown node] no node ''"),
@@ -29,25 +29,26 @@
         (f"node={'x' * (MAX_NAME_LENGTH + 1)}&region=east&from=0", "node: [unknown node]"),
     ],
 )
-def test_invalid_polls_are_refused_in_one_line_and_counted(
-    region: Machines, query: str, said: str
+def test_invalid_polls_are_refused_with_one_line_and_counted(
+    region: Machines, query: str, message: str
 ) -> None:
     name = belongs(region, "n1")
     before = region.status(name)
     status, body = region.poll(name, query)
     assert status == 400
-    assert body.startswith(said)
+    assert body.startswith(message)
     assert "\n" not in body
     after = region.status(name)
     assert after["logs"] == before["logs"]
     assert after["questions"]["waiting"] == 0
     refused = after["counts"]["questions"].get("refused", 0)
-    by_parser = said.startswith("from and hold_ms")
+    by_parser = message.startswith("from and hold_ms")
     assert refused == before["counts"]["questions"].get("refused", 0) + (not by_parser)
 
 
-def test_a_node_ahead_of_the_machine_is_redirected_with_nothing(region: Machines) -> None:
-    """A node has a later position than the machine's log."""
+def test_a_node_ahead_of_the_machines_log_is_redirected_without_an_update(
+    region: Machines,
+) -> None:
     name = belongs(region, "n1")
     epoch, revision = region.status(name)["logs"]["east"]["position"]
     ahead = version_of(Position(epoch, revision + 1))
--- a/tests/control/machine/test_stream.py
+++ b/tests/control/machine/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams between control machines."""
+"""Tests of the streams between control machines."""
 
 from __future__ import annotations
 
@@ -28,13 +28,10 @@
         (struct.pack(">I", 9) + b"\x92\x00\x92\xa1x\xa3abc", "stranger"),
     ],
 )
-def test_a_stream_of_no_machine_in_the_file_is_closed(
+def test_a_stream_of_an_unknown_or_faulty_sender_is_closed_and_counted(
     region: Machines, data: bytes, counter: str
 ) -> None:
-    """A stranger, or a broken peer, connects where the other machines do.
-
-    The stream must be closed and counted under its reason, and no frame of it used.
-    """
+    """A foreign or faulty program connects to the address for the other control machines."""
     before = region.status("east-a")["counts"]["streams"].get(counter, 0)
     with socket.create_connection(region.address("east-a", "peers"), 5.0) as sock:
         sock.sendall(data)
@@ -42,7 +39,7 @@
     until(lambda: region.status("east-a")["counts"]["streams"].get(counter, 0) == before + 1)
 
 
-class Stream:
+class FakeIncomingStream:
     """An incoming stream without a socket."""
 
     def __init__(self, streams: PeerStreams) -> None:
@@ -59,22 +56,22 @@
 
 
 @pytest.mark.parametrize("sender", ["east-b", "east-c"])
-def test_frames_of_a_machines_earlier_stream_do_not_follow_those_of_its_newer_one(
+def test_frames_of_a_machines_previous_stream_are_ignored_once_it_has_a_newer_one(
     sender: str,
 ) -> None:
-    """A link fails and the machine dials again. Its last grant, or that of its earlier process,
-    comes on the old connection after the newest grant, which withdrew it: taken, it would let a
-    node release a service whose other holders are lost. Streams of other machines go on.
+    """A link fails and the machine connects again. Its last grant, or that of its previous process,
+    arrives on the old connection after a newer grant has withdrawn it. If it were applied, a node
+    could release a service whose other holders are dead. Streams of other machines must stay open.
     """
     received: list[Any] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         others = {name: Address("127.0.0.1", 9) for name in ("east-b", "east-c")}
         streams = PeerStreams(
             Hello("east-a", "f"), others, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
         )  # fmt: skip
-        earlier, newer = Stream(streams), Stream(streams)
+        earlier, newer = FakeIncomingStream(streams), FakeIncomingStream(streams)
         old = ReleaseGrant("east", 1, (NodeRelease("n1", ("cart",)),))
         new = ReleaseGrant("east", 1, ())
         earlier.receive(Hello("east-b", "f"))
@@ -88,7 +85,7 @@
         newer.receive(new)
         assert received[-1] == new
         assert not newer.transport.abort.called
-        newest = Stream(streams)
+        newest = FakeIncomingStream(streams)
         newest.receive(Hello(sender, "f"))
         assert newer.transport.abort.called
         newer.lose()
@@ -96,4 +93,4 @@
         assert not streams.incoming
         assert not streams._incoming_from
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/control/machine/test_submitted_changes.py
+++ b/tests/control/machine/test_submitted_changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators submit."""
+"""Tests of the changes that operators submit."""
 
 from __future__ import annotations
 
@@ -26,13 +26,12 @@
         (b'[{"service": "cat"}]', "change 0: [unknown-service] no service 'cat'"),
         (b'[{"service": "cart", "row": []}]', "change 0: [unknown-key] no key 'row'"),
         (b'[{"service": "cart", "rows": [{}]}]', "change 0: [bad-value] None is no uid"),
-        (b'[{"service": "cart", "removed": [1]}]', "change 0: [bad-value] removed holds no uids"),
+        (b'[{"service": "cart", "removed": [1]}]', "change 0: [bad-value] removed must contain"),
     ],
 )
-def test_a_bad_change_is_refused_and_nothing_is_changed(
+def test_an_invalid_change_is_refused_and_changes_nothing(
     region: Machines, body: bytes, expected: str
 ) -> None:
-    """An operator submits changes that can't be used; each is refused whole, in one line."""
     leader = region.leader()
     before = region.status(leader)["logs"]
     status, text = call(region.address(leader), "POST", "/changes", body)
@@ -42,7 +41,6 @@
 
 
 def test_a_machine_that_does_not_lead_names_the_leader(region: Machines) -> None:
-    """An operator submits a change to a machine that does not lead; the answer names the leader."""
     leader = region.leader()
     other = next(name for name in NAMES if name != leader)
     body = json.dumps([{"service": "pay", "rows": rows("p1")}]).encode()
@@ -59,17 +57,16 @@
     [
         ([("east", FIRST), ("east", SECOND)], 200),
         ([("east", SECOND), ("east", FIRST), ("east", FIRST)], 200),
-        ([("east", FIRST), ("east", FIRST)], 504),  # one of the two
-        ([("east", FIRST), ("west", SECOND)], 504),  # another region's entry of that position
-        ([("east", FIRST), ("east", Position(2, 2))], 504),  # the next leader's, in its place
+        ([("east", FIRST), ("east", FIRST)], 504),  # only one of the two
+        ([("east", FIRST), ("west", SECOND)], 504),  # same position in another region's log
+        ([("east", FIRST), ("east", Position(2, 2))], 504),  # an entry of the next leader
     ],
 )
 def test_a_call_is_answered_once_when_its_own_entries_are_committed(
     committed: list[tuple[str, Position]], status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A leader is replaced before its entries are committed, and another entry takes the place of
-    one; or entries are committed after the call was answered. An operator who is told that a change
-    is in force, while it is lost, would not repeat it.
+    """A leader may be replaced before its entries are committed, so that other entries get their
+    place in the log. An operator who is told that a lost change was committed would not repeat it.
     """
     monkeypatch.setattr(submitted_changes, "COMMIT_TIMEOUT_S", 0.01)
     replica: Any = mock.Mock()
@@ -77,7 +74,7 @@
     replica.propose.side_effect = proposals
     answers: list[int] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         submissions = ChangeSubmissions(replica, "east", {"cart": "east"})
         body = json.dumps([{"service": "cart", "rows": rows(uid)} for uid in ("u1", "u2")])
         submissions.submit(body.encode(), lambda status, _: answers.append(status))
@@ -88,5 +85,5 @@
             submissions.on_committed("east", Change(position, "cart"))
         assert not submissions._pending
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert answers == [status]
