--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -1,6 +1,7 @@
-"""The services' backends in a file of JSON lines, for a region that has no log.
+"""Reads the services' backends from a JSON Lines file, to reload the log of a region.
 
-One object a line: {"service": NAME, "targets": [...]}, the targets in the list service's form.
+Each line is an object {"service": NAME, "targets": [...]}, with targets in the list service's
+format.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def read_backends(path: Path, services: Collection[str]) -> dict[str, tuple[Row, ...]]:
-    """The rows of these services; lines of other services are passed over.
+    """Read the rows of these services; lines of other services are ignored.
 
     Raises:
         InvalidInputError: the file can't be used; the text names the line.
@@ -25,14 +26,14 @@
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise InvalidInputError(
-                f"{path.name}: [too-large] over {MAX_FILE_BYTES} bytes; divide the fleet"
+                f"{path.name}: [too-large] more than {MAX_FILE_BYTES} bytes; split the fleet"
             )
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
                 _read_line(f"{path.name}:{number}", line, found)
     except OSError as err:
         raise InvalidInputError(
-            f"{path.name}: [unreadable] {err.strerror}; see backends_file"
+            f"{path.name}: [unreadable] {err.strerror}; check the path in backends_file"
         ) from None
     return found
 
--- a/loadbalancer/control/machine/fleet_digest.py
+++ b/loadbalancer/control/machine/fleet_digest.py
@@ -1,9 +1,9 @@
-"""A digest of a control file, by which control machines check that they serve the same fleet.
+"""A digest of the control file, by which control machines check that they serve the same fleet.
 
-Machines whose digests differ refuse each other's streams, so the digested text must stay the same
-from release to release: during an upgrade machines of two releases speak to each other. The text
-is the Python form of the file's records as the first release wrote it. `AssignmentRules` has other
-field names by now; the names in the text are in `RULES_FIELDS`.
+Machines with different digests refuse each other's streams. During an upgrade machines of two
+releases are connected, so the same file must give the same digest in every release. The digested
+text is the `repr` of the file's records as in the first release. `AssignmentRules` has different
+field names now; `RULES_FIELDS` maps them to the original ones.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from loadbalancer.control.machine.file import ScaleFile
 from loadbalancer.core.assignment.rules import AssignmentRules
 
-# Field names in the digested text, and the fields of `AssignmentRules` that they stand for.
+# Field names in the digested text, and the corresponding fields of `AssignmentRules`.
 RULES_FIELDS = {
     "least_per_zone": "min_per_zone",
     "most_sharers": "max_sharers",
@@ -27,7 +27,7 @@
 
 
 def fleet_digest(file: ScaleFile) -> str:
-    """Digest everything that an assignment depends on, as hexadecimal digits."""
+    """Return the digest of everything that an assignment depends on, in hexadecimal."""
     records = (
         repr(sorted(file.regions.items())),
         repr(file.nodes),
--- a/loadbalancer/control/machine/list_format.py
+++ b/loadbalancer/control/machine/list_format.py
@@ -1,14 +1,15 @@
-"""An update in the list's own form, and back.
+"""Encodes and decodes updates in the format of the platform's endpoint list.
 
-The platform's list answers {"rev", "all", "targets"}. A subscriber that names itself is given
-keys beside these: `changes` says which service each run of targets belongs to, and the node's
-assignment stands next to it. A reader of the plain list ignores them.
+The platform's list has the form {"rev", "all", "targets"}. A response to a subscriber extends it
+with further keys: `changes` says to which service each run of targets belongs, and others carry
+the node's assignment. A reader of the plain list ignores them.
 
-The keys of the form, and what they mean here:
+The keys and their meaning:
 
     rev, from             versions of `Update.position` and `Delta.base`
     all                   whether the update is a `Snapshot`
-    changes               service, version, numbers of rows and of removed, `deleted`, `complete`
+    changes               for each change: service, version, number of rows, number of removed
+                          backends, `deleted`, `complete`
     wanted, releasable,
     generation            a `NodeAssignment`
     elsewhere, address    the machine to poll instead, and its address
@@ -33,49 +34,49 @@
 
 
 class ListFormatError(ProtocolError, ValueError):
-    """An answer that is no update; the text says why."""
+    """A response that can't be decoded; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeAssignment:
-    """What a node is to hold and may release, as sent beside an update."""
+    """The services that a node is to hold and those it may release, sent along with updates."""
 
-    wanted: Mapping[str, str] = field(default_factory=dict)  # services and their regions
+    wanted: Mapping[str, str] = field(default_factory=dict)  # services to hold, with their regions
     releasable: frozenset[str] = frozenset()
-    generation: int = 0  # that the node's next reports carry
+    generation: int = 0  # the node repeats it in its next reports
 
 
 @dataclass(frozen=True, slots=True)
 class PollResponse:
-    """One complete answer of a control machine."""
+    """One decoded response of a control machine to a poll."""
 
     position: Position
     update: Update | None = None
     assignment: NodeAssignment | None = None
     redirect_machine: str = ""  # the machine to poll instead
-    redirect_address: str = ""  # of that machine
-    pause_ms: int = 0  # before the next poll
+    redirect_address: str = ""  # its address for subscribers
+    pause_ms: int = 0  # delay before the next poll
 
 
 # ---- rows ---------------------------------------------------------------
 
 
 def canonical_json(target: Mapping[str, Any]) -> str:
-    """A target's canonical JSON: the same text wherever it is written."""
+    """Encode a target as canonical JSON, so that equal targets give equal texts."""
     return json.dumps(target, separators=(",", ":"), sort_keys=True)
 
 
 def row_from_target(target: Any) -> Row:
-    """A target as a row.
+    """Convert a decoded target to a row of the log.
 
     Raises:
-        ListFormatError: it is no target.
+        ListFormatError: the value is not a target.
     """
     if not isinstance(target, dict):
-        raise ListFormatError("a target is no object")
+        raise ListFormatError("a target is not an object")
     uid = target.get("uid")
     if not isinstance(uid, str) or not uid:
-        raise ListFormatError(f"{uid!r} is no uid")
+        raise ListFormatError(f"{uid!r} is not a uid")
     return Row(uid, canonical_json(target), target.get("state") == STATE_DRAINING)
 
 
@@ -89,20 +90,20 @@
 def encode_plain_list(
     version: int, complete: bool, rows: Iterable[Row], removed: Iterable[str]
 ) -> bytes:
-    """The platform's own answer, for a node that knows of no services."""
+    """Encode a plain endpoint list, for a node that is assigned no services."""
     targets = [row.body for row in rows]
     targets += [canonical_json(removed_row(uid)) for uid in removed]
     return _head(version, complete, targets).encode() + b"}"
 
 
 def _head(version: int, complete: bool, targets: Iterable[str]) -> str:
-    """The keys of the plain list, without the closing brace: further keys may follow."""
+    """Encode the keys of the plain list, without the closing brace, so that keys can follow."""
     flag = "true" if complete else "false"
     return f'{{"rev":{version},"all":{flag},"targets":[{",".join(targets)}]'
 
 
 def encode(update: Update, assignment: NodeAssignment | None) -> bytes:
-    """An update, with the node's assignment if there is one to send."""
+    """Encode an update, with the node's assignment if there is one to send."""
     targets: list[str] = []
     changes: list[list[Any]] = []
     for change in _changes(update):
@@ -121,7 +122,7 @@
         extension |= _assignment_keys(assignment)
     text = json.dumps(extension, separators=(",", ":"))
     head = _head(version_of(update.position), isinstance(update, Snapshot), targets)
-    return (head + "," + text[1:]).encode()  # without the brace that opens `text`
+    return (head + "," + text[1:]).encode()  # drops the opening brace of `text`
 
 
 def _changes(update: Update) -> Iterable[Change]:
@@ -134,13 +135,13 @@
 
 
 def encode_empty(position: Position, **more: Any) -> bytes:
-    """An answer without an update: the caller's own version, and further keys."""
+    """Encode a response without an update: the caller's own version, and further keys."""
     raw: dict[str, Any] = {"rev": version_of(position), "all": False, "targets": []}
     return json.dumps(raw | more, separators=(",", ":")).encode()
 
 
 def encode_assignment(position: Position, assignment: NodeAssignment) -> bytes:
-    """An answer without an update, for a node whose assignment has changed."""
+    """Encode a response without an update, for a node whose assignment has changed."""
     return encode_empty(position, **_assignment_keys(assignment))
 
 
@@ -159,10 +160,11 @@
 
 
 def decode(body: bytes, max_services: int) -> PollResponse:
-    """An answer of a control machine.
+    """Decode a control machine's response to a poll.
 
     Raises:
-        ListFormatError: it is no answer, or its assignment names over `max_services` services.
+        ListFormatError: the response is invalid, or its assignment names more than `max_services`
+            services.
     """
     try:
         raw = _object(json.loads(body))
@@ -200,7 +202,7 @@
         )
         start = end
     if start != len(targets):
-        raise ListFormatError("targets and changes differ in number")
+        raise ListFormatError("the number of targets does not match the changes")
     region = _text(raw["region"])
     if raw["all"] is not True:
         base = position_of(_non_negative(raw["from"]))
@@ -217,23 +219,23 @@
     }
     releasable = frozenset(_text(service) for service in raw["releasable"])
     if len(wanted) + len(releasable) > max_services:
-        raise ListFormatError(f"names over {max_services} services")
+        raise ListFormatError(f"the assignment names more than {max_services} services")
     return NodeAssignment(wanted, releasable, _non_negative(raw["generation"]))
 
 
 def _object(value: Any) -> Mapping[str, Any]:
     if not isinstance(value, dict):
-        raise ListFormatError("no object")
+        raise ListFormatError("not a JSON object")
     return value
 
 
 def _non_negative(value: Any) -> int:
     if type(value) is not int or value < 0:
-        raise ListFormatError(f"{value!r} is no whole number")
+        raise ListFormatError(f"{value!r} is not a non-negative integer")
     return value
 
 
 def _text(value: Any) -> str:
     if not isinstance(value, str):
-        raise ListFormatError(f"{value!r} is no text")
+        raise ListFormatError(f"{value!r} is not a string")
     return value
--- a/loadbalancer/control/machine/log_loader.py
+++ b/loadbalancer/control/machine/log_loader.py
@@ -1,4 +1,4 @@
-"""Loads the log of a region whose machines have lost it, from the services' source."""
+"""Reloads the log of a region whose machines have all lost it, from the file of backends."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from loadbalancer.core.assignment.model import InvalidInputError, Row
 from loadbalancer.core.replicated_log.replication import Replica
 
-RETRY_S = 2.0  # after a source that could not be used
+RETRY_S = 2.0  # delay after a failed load
 
 logger = logging.getLogger(__name__)
 
 
 class LogLoader:
-    """Loads one region's log whenever the replica, as its leader, needs that."""
+    """Loads one region's log whenever the replica, as the region's leader, needs it."""
 
     def __init__(
         self,
@@ -27,7 +27,15 @@
         source: Path | None,
         on_loaded: Callable[[], None],
     ) -> None:
-        """`source` has the backends of these services; without one they begin with none."""
+        """Create the loader of a region.
+
+        Args:
+            replica: the replica whose log is loaded.
+            region: the replica's region.
+            services: the services whose home is the region.
+            source: the file with their backends; None: the services start without backends.
+            on_loaded: called after each load.
+        """
         self._replica = replica
         self._region = region
         self._services = services
@@ -36,24 +44,24 @@
         self._task: asyncio.Task[None] | None = None
 
     def start_if_needed(self) -> None:
-        """Begin to load, unless there is no need or a load is under way."""
+        """Start a load if the replica needs one and none is running."""
         if self._replica.needs_load() and self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._load())
 
     async def _load(self) -> None:
-        """Load once, or log why not and pause.
+        """Load the log once; on failure log the reason and pause.
 
-        Failure: a fault other than a bad source ends the task, which counts as under way for
-        ever: the region is never loaded, and the log has no line. Whatever ends the task, the
-        next tick may begin another one.
+        Any exception is handled, and the task is always cleared, so that the next tick can start
+        another load. Otherwise a load that failed unexpectedly would count as running for ever,
+        the region would never be loaded, and nothing would be logged.
         """
         try:
             await self._load_once()
         except InvalidInputError as err:
-            logger.info("region %s is not loaded: %s", self._region, err)
+            logger.info("log of region %s not loaded: %s", self._region, err)
             await asyncio.sleep(RETRY_S)
         except Exception:
-            logger.exception("region %s is not loaded", self._region)
+            logger.exception("log of region %s not loaded", self._region)
             await asyncio.sleep(RETRY_S)
         finally:
             self._task = None
@@ -62,7 +70,7 @@
         rows = await self._read()
         if self._replica.needs_load():
             self._replica.load(rows)
-            logger.info("region %s is loaded: %d services", self._region, len(self._services))
+            logger.info("log of region %s loaded: %d services", self._region, len(self._services))
             self._on_loaded()
 
     async def _read(self) -> Mapping[str, Sequence[Row]]:
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -1,6 +1,6 @@
-"""A control machine's state as GET /status gives it; docs/operate/scale.md explains each line.
+"""A control machine's state as returned by GET /status; see docs/operate/scale.md for each key.
 
-The keys, and the names of the counters below `counts`, are part of the operators' interface.
+The keys, and the names of the counters under `counts`, are part of the interface for operators.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from loadbalancer.core.subscription.publisher import Publisher
 
 
-class Reported(Protocol):
-    """The parts of a control machine that its state is read from."""
+class ReportedMachine(Protocol):
+    """The parts of a control machine that its status is built from."""
 
     file: ScaleFile
     machine: Machine
@@ -36,12 +36,12 @@
     counts: Counter[str]
 
     def live_machines(self, now: int) -> frozenset[str]:
-        """The control machines that count as alive."""
+        """Return the names of the control machines that are alive."""
 
 
-STATM = Path("/proc/self/statm")  # its second figure is the resident size in pages
+STATM = Path("/proc/self/statm")  # the second field is the resident set size in pages
 
-# The roles by their names on GET /status, which has one name for both kinds of candidate.
+# The names of the roles in GET /status, which does not distinguish pre-candidates and candidates.
 ROLE_NAMES = {
     Role.RECOVERING: "empty",
     Role.FOLLOWER: "follower",
@@ -51,8 +51,8 @@
 }
 
 
-def report(machine: Reported, now: int) -> dict[str, Any]:
-    """The machine's state at this time in nanoseconds."""
+def report(machine: ReportedMachine, now: int) -> dict[str, Any]:
+    """Return the machine's state at this monotonic time in nanoseconds."""
     replica = machine.replica
     return {
         "machine": machine.machine.spec.name,
@@ -75,7 +75,7 @@
     }
 
 
-def _logs(machine: Reported) -> dict[str, Any]:
+def _logs(machine: ReportedMachine) -> dict[str, Any]:
     return {
         name: {
             "version": version_of(log.position),
@@ -86,7 +86,7 @@
     }
 
 
-def _nodes(machine: Reported) -> dict[str, int]:
+def _nodes(machine: ReportedMachine) -> dict[str, int]:
     return {
         "registered": len(machine.file.nodes),
         "alive": len(machine.nodes.liveness.alive),
@@ -94,7 +94,7 @@
     }
 
 
-def _assignment(machine: Reported) -> dict[str, Any]:
+def _assignment(machine: ReportedMachine) -> dict[str, Any]:
     nodes = machine.nodes
     return {
         "digest": nodes.assignment.digest,
@@ -106,7 +106,7 @@
     }
 
 
-def _counts(machine: Reported) -> dict[str, dict[str, int]]:
+def _counts(machine: ReportedMachine) -> dict[str, dict[str, int]]:
     return {
         "questions": dict(machine.node_requests.counts),
         "publisher": dict(machine.publisher.counts),
@@ -118,5 +118,5 @@
 
 
 def resident_bytes() -> int:
-    """Resident bytes of this process."""
+    """Return the resident set size of this process in bytes."""
     return int(STATM.read_text().split()[1]) * resource.getpagesize()
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -1,11 +1,11 @@
-"""One node's polls of the control machines: its services follow the accepted changes.
+"""A node's client of the control machines: keeps its assigned services up to date.
 
-One poll is pending for each region. It is answered with an update, with a pause, or with a redirect
-to another machine; where a machine does not answer, the next one is polled. `Holder` decides what
-is applied.
+The client has one poll pending for each region. The response is an update, a request to pause, or
+a redirect to another machine. If a machine does not respond, the next one is polled. `Holder`
+decides which updates are applied.
 
-Its hosts are the scale benchmark's nodes; no process of this package has one. A proxy polls the
-plain list of a bound listener instead (`bound_list`).
+Only the nodes of the scale benchmark use this client, no process of this package does. A proxy
+polls the plain list of a bound listener instead (see `bound_list`).
 """
 
 from __future__ import annotations
@@ -30,18 +30,19 @@
 from loadbalancer.sources.endpoint_list import LIST_PATH
 from loadbalancer.sources.http_get import HttpGet, Response
 
-MAX_SERVICES = 2048  # that one answer may name
+MAX_SERVICES = 2048  # services that the assignment in one response may name
 MAX_PAUSE_S = 60.0
-# For so long a node requests an answer from the machine that it polls instead of a redirect: longer
-# than machines take to detect that one of them is lost.
+# After a move to another machine a node asks for this long not to be redirected: longer than the
+# machines take to detect that one of them has failed.
 STAY_S = 5.0
-MAX_DOUBLINGS = 8  # of the pause before a retry
-# Factors by which pauses vary at random, so that nodes do not poll in step.
+MAX_DOUBLINGS = 8  # of the delay before a retry
+# Ranges of the random factors for delays, so that nodes do not poll in lockstep.
 RETRY_JITTER = (0.5, 1.0)
 PAUSE_JITTER = (1.0, 1.1)  # never earlier than the machine requested
-HEAD_BYTES = 48  # of a poll's head beside its target
-ANSWER_BYTES = 24  # of an answer's head beside its fields
-HEADER_BYTES = 4  # of a header field beside its name and value
+# Estimates for the byte counters.
+HEAD_BYTES = 48  # head of a poll without its request target
+ANSWER_BYTES = 24  # head of a response without its header fields
+HEADER_BYTES = 4  # header field without its name and value
 
 OnUpdate = Callable[[Update, UpdateResult], None]
 OnReleased = Callable[[tuple[str, ...]], None]
@@ -49,52 +50,58 @@
 
 @dataclass(frozen=True, slots=True)
 class PollTiming:
-    """Times of polls in seconds."""
+    """Timing of polls, in seconds."""
 
-    hold_s: float = 4.0  # how long a machine may let a poll wait
-    margin_s: float = 0.5  # beyond that it counts as silent
-    connect_s: float = 1.0
-    retry_s: float = 0.2  # before another machine is polled, and doubled while all fail
+    hold_s: float = 4.0  # how long a machine may keep a poll pending
+    margin_s: float = 0.5  # time beyond `hold_s` until the poll times out
+    connect_s: float = 1.0  # connect timeout
+    retry_s: float = 0.2  # delay before the next machine is polled, doubled after each failure
     max_retry_s: float = 2.0
 
 
 class _ServingReport(NamedTuple):
-    """What a node tells a machine that it serves, as of a generation of that machine."""
+    """A report of the services that a node serves, given an assignment of this generation."""
 
     generation: int
-    serving: str  # the names as the poll has them
+    serving: str  # service names, encoded as in the poll's query
 
 
 @dataclass(slots=True)
 class _RegionPolls:
-    """The polls of one region's log."""
+    """State of the polls for one region's log."""
 
-    machine: int  # index of the one that is polled
-    call: HttpGet | None = None
-    timer: asyncio.TimerHandle | None = None
-    failures: int = 0  # in a row
-    redirect: Address | None = None  # where the last answer sent it
-    stay_until: float = 0.0  # until then its polls ask not to be redirected (`redirected=1`)
-    first_poll: bool = True  # the machine has sent nothing yet: it can't know what is held
-    snapshot: bool = False  # the last update did not follow what is held: poll for a snapshot
-    generation: int = 0  # of the last assignment from the machine that is polled
-    reported: _ServingReport | None = None  # the last report to that machine
+    machine: int  # index of the machine that is polled
+    call: HttpGet | None = None  # the pending poll
+    timer: asyncio.TimerHandle | None = None  # for the next poll
+    failures: int = 0  # consecutive ones
+    redirect: Address | None = None  # address to which the last response redirected
+    stay_until: float = 0.0  # until then polls ask not to be redirected (`redirected=1`)
+    first_poll: bool = True  # the machine has sent no update yet and does not know what is held
+    snapshot: bool = False  # the last update did not fit: poll for a snapshot
+    generation: int = 0  # of the last assignment from the polled machine
+    reported: _ServingReport | None = None  # the last report to the polled machine
 
 
 @dataclass(slots=True)
 class SubscriberCounts:
-    """What one subscriber has done."""
+    """Traffic and event counters of one subscriber."""
 
-    sent_bytes: int = 0  # bytes, HTTP heads included
-    received_bytes: int = 0
+    sent_bytes: int = 0  # estimate, including HTTP heads
+    received_bytes: int = 0  # estimate, including HTTP heads
     events: Counter[str] = field(default_factory=Counter)
 
 
 class Subscriber:
-    """Keeps one `Holder` current.
-
-    `on_update` gets each update and what came of it, `on_released` the services that are not held
-    any more.
+    """Keeps one `Holder` up to date by polling the control machines.
+
+    Args:
+        holder: the node's services.
+        regions: the regions whose logs are polled.
+        machines: addresses of the control machines, in the order in which they are tried.
+        on_update: called with each update and the result of applying it.
+        seed: of the random delays.
+        timing: None for the defaults.
+        on_released: called with the services that are no longer held.
     """
 
     def __init__(
@@ -117,12 +124,12 @@
         self._regions = {region: _RegionPolls(0) for region in regions}
 
     def start(self) -> None:
-        """Poll now."""
+        """Start polling all regions."""
         for region in self._regions:
             self._poll(region)
 
     def close(self) -> None:
-        """Poll no more."""
+        """Stop polling."""
         for state in self._regions.values():
             if state.call is not None:
                 state.call.drop()
@@ -154,7 +161,7 @@
         )
 
     def _target(self, region: str, state: _RegionPolls) -> str:
-        """The request target: path and query."""
+        """Build the request target: path and query."""
         position = START if state.snapshot else self.holder.position(region)
         parts = [
             f"{LIST_PATH}?from={version_of(position)}",
@@ -171,33 +178,33 @@
             state.reported = report
             parts.append(f"serving={report.serving}&generation={report.generation}")
         if time.monotonic() < state.stay_until:
-            parts.append("redirected=1")  # asks not to be redirected
+            parts.append("redirected=1")  # do not redirect
         return "&".join(parts)
 
     def _address(self, state: _RegionPolls) -> Address:
-        """The machine that a region's log is polled at."""
+        """Return the address of the machine that is polled for a region."""
         return state.redirect or self._machines[state.machine]
 
     def _at_same_machine(self, state: _RegionPolls) -> list[_RegionPolls]:
-        """The regions whose logs are polled at the same machine as this one's, itself included."""
+        """Return the regions that are polled at the same machine as this one, including itself."""
         address = self._address(state)
         return [other for other in self._regions.values() if self._address(other) == address]
 
     def _generation(self, state: _RegionPolls) -> int:
-        """The generation of the last assignment from the machine that is polled, 0 for none.
+        """Return the generation of the last assignment from the polled machine, 0 for none.
 
-        Machines number their generations each for itself. Guards against a report that one counts
-        by a generation of another: it could count although it was made before the node learnt what
-        this machine wants back.
+        Each machine numbers its generations independently. A report with another machine's
+        generation could be treated as up to date although the node made it before it knew this
+        machine's assignment.
         """
         return max(other.generation for other in self._at_same_machine(state))
 
     def _poll_later(self, region: str, seconds: float) -> None:
-        """Poll after a time, in the next turn of the loop at the earliest."""
+        """Schedule the next poll; even without a delay it starts in the next loop iteration."""
         loop = asyncio.get_running_loop()
         self._regions[region].timer = loop.call_later(seconds, self._poll, region)
 
-    # ---- answers ------------------------------------------------------------
+    # ---- responses ----------------------------------------------------------
 
     def _on_answer(self, region: str, answer: Response | None) -> None:
         state = self._regions[region]
@@ -213,10 +220,10 @@
             self._on_failure(region, state, "unusable answers")
 
     def _on_failure(self, region: str, state: _RegionPolls, why: str) -> None:
-        """Poll the next machine, which knows nothing of what is held here.
+        """Move to the next machine after a failed poll.
 
-        It may not know yet that this one is lost, and would redirect the node back: for a while the
-        node asks to be answered where it polls.
+        The next machine may not have noticed yet that the previous one has failed, and would
+        redirect the node back to it. So the node asks not to be redirected for STAY_S.
         """
         self.counts.events[why] += 1
         timing = self._timing
@@ -248,10 +255,9 @@
         self._poll_later(region, pause)
 
     def _move(self, region: str, state: _RegionPolls, address: Address) -> None:
-        """Poll another machine; one redirect that follows another costs a pause.
+        """Follow a redirect; a redirect directly after another one is delayed.
 
-        Otherwise two machines that each take the other for the right one would be polled in a loop
-        without end.
+        Without the delay, two machines that redirect to each other would be polled in a busy loop.
         """
         self.counts.events["moved"] += 1
         again = state.redirect is not None
@@ -263,17 +269,18 @@
         self._poll_later(region, self._timing.retry_s if again else 0.0)
 
     def _forget_machine(self, state: _RegionPolls) -> None:
-        """Another machine is polled from now on, or the same one anew."""
+        """Reset what the polled machine is known to have sent and received."""
         state.first_poll, state.reported, state.generation = True, None, 0
 
     def _on_assignment(self, state: _RegionPolls, assignment: NodeAssignment) -> None:
         if assignment.generation < state.generation:
-            # One region's answers come in order: the machine has restarted and numbers anew.
+            # Responses for one region arrive in order, so the machine has restarted and numbers
+            # its generations from the start again.
             for other in self._at_same_machine(state):
                 other.generation = 0
         elif assignment.generation < self._generation(state):
-            # Late: a newer one has come with another region's answer. Taken, it would bring back
-            # services that have moved away since, or drop those that have come.
+            # A newer assignment has already arrived with another region's response. Applying this
+            # one would bring back services that have moved away, or drop newly assigned ones.
             self.counts.events["older assignments"] += 1
             return
         state.generation = assignment.generation
@@ -286,7 +293,7 @@
     def _apply(self, region: str, state: _RegionPolls, update: Update) -> None:
         if update.region != region:
             raise InvalidInputError(
-                f"update: region {update.region!r} where {region!r} was asked for"
+                f"update: received region {update.region!r}, expected {region!r}"
             )
         result = self.holder.on_update(time.monotonic_ns(), update)
         self.counts.events[result.status.name.lower()] += 1
@@ -298,12 +305,18 @@
 def ordered_machines(
     machines: Mapping[str, tuple[str, Address]], region: str, seed: int
 ) -> list[Address]:
-    """Addresses of these machines (by name: region and address), the node's own region first.
+    """Order the addresses of control machines, those of the node's own region first.
+
+    Within both groups the order is random but determined by the seed, so that nodes are spread
+    over the machines.
 
-    Within both groups the order is drawn from the seed, so that nodes spread over the machines.
+    Args:
+        machines: region and address of each machine, by name.
+        region: the node's own region.
+        seed: the node's own seed.
     """
-    own = sorted(name for name, (where, _) in machines.items() if where == region)
-    others = sorted(name for name, (where, _) in machines.items() if where != region)
+    own = sorted(name for name, (home, _) in machines.items() if home == region)
+    others = sorted(name for name, (home, _) in machines.items() if home != region)
     random = Random(seed)
     random.shuffle(own)
     random.shuffle(others)
@@ -315,6 +328,6 @@
 
 
 def _size(answer: Response) -> int:
-    """About how many bytes the answer took on the wire."""
+    """Estimate the response's size on the wire in bytes."""
     fields = sum(len(name) + len(value) + HEADER_BYTES for name, value in answer.headers.items())
     return ANSWER_BYTES + fields + len(answer.body)
--- a/loadbalancer/control/machine/version.py
+++ b/loadbalancer/control/machine/version.py
@@ -1,25 +1,25 @@
-"""A position in a region's log as the list's one integer version, and back.
+"""Packs a position in a region's log into the integer version of an endpoint list, and back.
 
-The list's form has one whole number of at most 18 decimal digits, which a reader may only compare.
-The epoch goes above the revision, so that the order of versions is the order of positions, and
-START is 0: the version of a reader that holds nothing.
+The list format has a single integer version of at most 18 decimal digits, which readers only
+compare. The epoch is in the high bits and the revision in the low ones, so versions are ordered
+like positions. START becomes 0, the version of a reader that has nothing yet.
 """
 
 from __future__ import annotations
 
 from loadbalancer.core.assignment.model import InvalidInputError, Position
 
-REVISION_BITS = 40  # a thousand changes a second for 34 years
+REVISION_BITS = 40  # enough for a thousand changes a second during 34 years
 MAX_REVISION = (1 << REVISION_BITS) - 1
-MAX_EPOCH = (1 << 19) - 1  # packed they stay under 10**18: 18 digits
+MAX_EPOCH = (1 << 19) - 1  # keeps MAX_VERSION below 10**18, i.e. at 18 digits
 MAX_VERSION = MAX_EPOCH << REVISION_BITS | MAX_REVISION
 
 
 def version_of(position: Position) -> int:
-    """The position as one integer.
+    """Pack a position into a version.
 
     Raises:
-        InvalidInputError: a part is out of range.
+        InvalidInputError: the epoch or the revision is out of range.
     """
     epoch, revision = position
     if not 0 <= epoch <= MAX_EPOCH or not 0 <= revision <= MAX_REVISION:
@@ -31,10 +31,10 @@
 
 
 def position_of(version: int) -> Position:
-    """The position that a version means.
+    """Unpack a version into a position.
 
     Raises:
-        InvalidInputError: no position has it.
+        InvalidInputError: the version is out of range.
     """
     if not 0 <= version <= MAX_VERSION:
         raise InvalidInputError(f"version: [range] {version}; write 0 to {MAX_VERSION}")
--- a/tests/control/machine/conftest.py
+++ b/tests/control/machine/conftest.py
@@ -1,4 +1,4 @@
-"""Control machines that the tests of a module share."""
+"""Fixture: control machines that the tests of a module share."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @pytest.fixture(scope="module")
 def region(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Machines]:
-    """Three machines, anew for each module: its tests share their services.
+    """Three control machines of one region, started once for each test module.
 
-    A test that ends a machine starts it again.
+    The tests of a module share their state. A test that stops a machine must start it again.
     """
     with three(tmp_path_factory.mktemp("scale")) as machines:
         yield machines
--- a/tests/control/machine/test_backends.py
+++ b/tests/control/machine/test_backends.py
@@ -1,4 +1,4 @@
-"""The file of backends from which a lost log is loaded."""
+"""Tests of the file of backends from which a lost log is reloaded."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_an_unusable_file_is_refused_by_its_line(tmp_path: Path) -> None:
+def test_an_invalid_file_is_refused_with_the_line(tmp_path: Path) -> None:
     path = tmp_path / "backends.jsonl"
     good = {"service": "cart", "targets": [{"uid": "a", "state": "leaving"}]}
     path.write_text(json.dumps(good) + "\n" + json.dumps({"service": "far", "targets": []}) + "\n")
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults in the steps of a control machine: what each one costs, and that the rest goes on."""
+"""Tests that an exception in one step of a control machine does not affect the other steps."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 def failing_first(then: Any = None) -> Any:
-    """Calls of which the first one raises."""
+    """Return a mock whose first call raises an exception."""
     return mock.Mock(side_effect=itertools.chain([FAULT], itertools.repeat(then)))
 
 
-def test_a_tick_that_raises_is_followed_by_the_next_one() -> None:
-    """One tick of the replica raises. There was no further one until a restart: the machine still
-    accepted polls, but took part in no election, and the log had no line.
+def test_periodic_work_continues_after_an_exception() -> None:
+    """If an exception in one tick ended the ticks, the machine would still accept polls but take
+    part in no election, and nothing would be logged.
     """
 
     async def scenario() -> None:
@@ -51,11 +51,12 @@
 
 
 @pytest.mark.parametrize("is_hello", [True, False])
-def test_messages_reach_another_machine_after_a_fault_as_the_stream_began(
+def test_a_stream_works_after_an_exception_while_it_is_opened(
     is_hello: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What follows a new stream's connection raises. The machine at its other end was not dialled
-    again until a restart; after a fault past the Hello the stream stays, and messages go on.
+    """Sending the Hello, or the callback after it, raises an exception. If that ended the dialling
+    task, the other machine could not be reached until a restart. After an exception in the
+    callback the stream stays open.
     """
     monkeypatch.setattr(stream, "REDIAL_S", 0.01)
     received: list[Any] = []
@@ -65,7 +66,7 @@
             Hello("east-b", "f"), {"east-a": Address("127.0.0.1", 9)}, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
         )  # fmt: skip
-        server._others = {}  # it dials none
+        server._others = {}  # opens no streams itself
         port = await server.open(Address("127.0.0.1", 0))
         server._others = {"east-a": Address("127.0.0.1", 9)}
         on_connected = mock.Mock() if is_hello else failing_first()
@@ -99,11 +100,11 @@
 
 
 @pytest.mark.parametrize("step", ["read", "load", "on_loaded"])
-def test_a_region_is_loaded_after_a_fault_in_its_load(
+def test_a_region_can_be_loaded_after_an_exception_in_an_earlier_load(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A load ends by a fault that is none of its source. It counted as under way until a restart,
-    and its region was never loaded.
+    """If an unexpected exception left the load recorded as running, the region would not be loaded
+    until a restart.
     """
     monkeypatch.setattr(log_loader, "RETRY_S", 0.01)
     replica: Any = mock.Mock()
@@ -128,12 +129,12 @@
     assert loaded.called
 
 
-def test_a_fault_at_one_committed_change_costs_no_other(
+def test_an_exception_at_one_committed_change_does_not_affect_the_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two regions are restored, two changes are committed and two messages wait. The first of each
-    raises: the rest was drained and lost. Operators got 504 for committed changes, nodes were not
-    told, and messages of the log were not sent.
+    """Two regions are restored, two changes are committed and two messages are to be sent, and the
+    first of each raises an exception. If the second ones were lost, operators would get 504 for
+    committed changes, nodes would not be notified, and messages of the log would not be sent.
     """
 
     def scenario(control: SocketlessMachine) -> None:
@@ -159,8 +160,8 @@
     run_scenario(tmp_path, scenario)
 
 
-def two_nodes_wait(control: SocketlessMachine) -> list[Connection]:
-    """The connections of two nodes that know their assignments, and wait."""
+def connect_two_nodes(control: SocketlessMachine) -> list[Connection]:
+    """Return connections of two nodes that know their assignments, each with a pending poll."""
     found = []
     for node in ("n1", "n2"):
         connection = control.connect()
@@ -174,15 +175,16 @@
     return found
 
 
-def test_a_fault_in_one_nodes_answer_costs_no_other_and_leaves_no_poll_open(
+def test_an_exception_in_one_nodes_answer_does_not_affect_others_nor_leave_its_poll_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A change wakes two nodes, and the answer to the first raises. The second one was not told of
-    the change; the first one had no answer, and counted as present for an hour, dead or not.
+    """A change wakes two nodes, and the answer to the first one raises an exception. The second
+    node must still be notified. The first one must not stay present for an hour without an answer,
+    even if it is dead.
     """
 
     def scenario(control: SocketlessMachine) -> None:
-        first, second = two_nodes_wait(control)
+        first, second = connect_two_nodes(control)
         requests = control.machine.node_requests
         answer = requests._answer
         calls = iter([FAULT])
@@ -201,15 +203,15 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_a_push_that_raises_at_one_node_reaches_the_others_and_is_repeated(
+def test_a_push_with_an_exception_at_one_node_reaches_the_others_and_is_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Assignments change, and reading that of the first waiting node raises. The others learnt of
-    theirs only after a further change.
+    """Assignments change, and reading that of the first node raises an exception. If that ended
+    the push, the other nodes would learn of their assignments only after a further change.
     """
 
     def scenario(control: SocketlessMachine) -> None:
-        two_nodes_wait(control)
+        connect_two_nodes(control)
         nodes = control.machine.nodes
         nodes.changed = True
         changed = failing_first(None)
@@ -224,10 +226,11 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_a_fault_at_one_bound_connection_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A service changes, and the first of two waiting connections raises as it is answered.
-
-    Its own poll was taken by then: it ends, or its caller would wait for an answer in vain.
+def test_an_exception_at_one_bound_connection_does_not_affect_the_others(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A service changes, and answering the first of two pending polls raises an exception. Its
+    connection must be closed, because its poll is no longer pending and would never be answered.
     """
     aborted: list[Watcher] = []
     monkeypatch.setattr(Watcher, "abort", lambda watcher: aborted.append(watcher))
@@ -248,11 +251,11 @@
     asyncio.run(scenario())
 
 
-def test_a_fault_in_the_answer_to_a_new_poll_leaves_no_poll_open(
+def test_an_exception_in_the_answer_to_a_new_poll_leaves_no_poll_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer to a poll that has just come raises. Its connection ended, and its node counted
-    as present for an hour, dead or not.
+    """Answering a poll that has just arrived raises an exception. If the poll stayed open, its
+    node would count as present for an hour even if it is dead.
     """
 
     def scenario(control: SocketlessMachine) -> None:
--- a/tests/control/machine/test_fleet_digest.py
+++ b/tests/control/machine/test_fleet_digest.py
@@ -1,4 +1,4 @@
-"""The digest by which control machines recognise their own fleet."""
+"""Tests of the digest by which control machines recognise machines of the same fleet."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from loadbalancer.core.assignment.rules import AssignmentRules
 from tests.control_machines import write_file
 
-FIRST_RELEASE = "21c043480c54713e88a472eae9b0c715"  # of `write_file`'s file
+FIRST_RELEASE = "21c043480c54713e88a472eae9b0c715"  # digest of the file that `write_file` writes
 
 
-def test_the_digest_is_the_one_of_earlier_releases(tmp_path: Path) -> None:
-    """Machines are upgraded one by one. If the digest of the same file changed with a release,
-    the upgraded machines would refuse the others' streams, and a region could lose its majority.
+def test_the_digest_is_the_same_as_in_earlier_releases(tmp_path: Path) -> None:
+    """Machines are upgraded one by one. If a release changed the digest of the same file, upgraded
+    machines would refuse the streams of the others, and a region could lose its majority.
     """
     assert fleet_digest(read_scale_file(str(write_file(tmp_path)))) == FIRST_RELEASE
 
 
-def test_every_field_of_the_rules_is_digested() -> None:
+def test_every_field_of_the_assignment_rules_is_digested() -> None:
     assert set(RULES_FIELDS.values()) == {field.name for field in fields(AssignmentRules)}
 
 
@@ -41,8 +41,6 @@
         {"rules": AssignmentRules(node_rate=401.0)},
     ],
 )
-def test_files_that_differ_have_different_digests(
-    tmp_path: Path, difference: dict[str, Any]
-) -> None:
+def test_different_files_have_different_digests(tmp_path: Path, difference: dict[str, Any]) -> None:
     file = read_scale_file(str(write_file(tmp_path)))
     assert fleet_digest(replace(file, **difference)) != fleet_digest(file)
--- a/tests/control/machine/test_generations.py
+++ b/tests/control/machine/test_generations.py
@@ -1,4 +1,4 @@
-"""Generations of assignments: answers that are lost or late, and machines that number anew."""
+"""Tests of assignment generations: lost or late responses, and machines that have restarted."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 def test_an_assignment_whose_answer_was_lost_is_sent_again(
     tmp_path: Path, generation: int, is_sent_again: bool
 ) -> None:
-    """The answer with a node's assignment is lost with its connection. The node comes back and
-    reports an earlier generation: the assignment must be sent again, though it has not changed.
-    One that reports its generation, counted from the sent one here, has it.
+    """The response with a node's assignment is lost with its connection. If the node then reports
+    an earlier generation, the assignment must be sent again although it has not changed. A node
+    that reports the sent generation or a later one has received it. The parameter is the reported
+    generation relative to the sent one.
     """
 
     def scenario(control: SocketlessMachine) -> None:
@@ -51,7 +52,7 @@
 
 
 class Event(NamedTuple):
-    """An answer to the poll for a region, or the loss of the machine that it is polled at."""
+    """A response to the poll for a region, or its failure."""
 
     region: str
     generation: int | None  # None: the poll fails
@@ -59,7 +60,7 @@
 
 
 def subscriber_after(events: list[Event]) -> Subscriber:
-    """A node's subscriber that has polled nobody, and was given these answers."""
+    """Return a node's subscriber that has handled these events, without sockets."""
     holder = Holder("n1", REGIONS, HolderLimits())
     subscriber = Subscriber(holder, REGIONS, MACHINES, lambda *_: None, 1)
     for event in events:
@@ -72,10 +73,10 @@
     return subscriber
 
 
-def in_subscriber(events: list[Event], look: Callable[[Subscriber], None]) -> None:
+def check_subscriber_after(events: list[Event], check: Callable[[Subscriber], None]) -> None:
     async def run() -> None:
         subscriber = subscriber_after(events)
-        look(subscriber)
+        check(subscriber)
         subscriber.close()
 
     asyncio.run(run())
@@ -97,11 +98,11 @@
 def test_an_older_assignment_of_the_same_machine_is_ignored(
     events: list[Event], wanted: Mapping[str, str]
 ) -> None:
-    """The answers to a node's polls for two regions overtake each other, each with its assignment.
-    The older one, taken last, would bring back what has moved away. Where the machine restarted,
-    or is another one, an assignment with a lower number is newer.
+    """The responses to a node's polls for two regions, each with an assignment, can overtake each
+    other. Applying the older assignment last would bring back services that have moved away. After
+    a restart of the machine, or from another machine, a lower generation is the newer one.
     """
-    in_subscriber(
+    check_subscriber_after(
         events, lambda subscriber: _assert_equal(subscriber.holder.subscription("east"), wanted)
     )
 
@@ -125,12 +126,12 @@
 def test_a_report_names_the_generation_of_the_machine_that_is_polled(
     events: list[Event], generation: int
 ) -> None:
-    """A node moves to a machine that has counted fewer generations. Reported by the number of the
-    earlier machine, what the node serves would count as if it knew all that this one takes back.
+    """A node moves to a machine with lower generations. With the previous machine's generation,
+    its report would be treated as if the node already knew this machine's assignment.
     """
 
-    def look(subscriber: Subscriber) -> None:
+    def check(subscriber: Subscriber) -> None:
         target = subscriber._target("east", subscriber._regions["east"])
         assert f"&generation={generation}" in target
 
-    in_subscriber(events, look)
+    check_subscriber_after(events, check)
--- a/tests/control/machine/test_list_format.py
+++ b/tests/control/machine/test_list_format.py
@@ -1,4 +1,4 @@
-"""An update in the list's form, and back."""
+"""Tests of encoding and decoding updates in the list format."""
 
 from __future__ import annotations
 
@@ -59,6 +59,6 @@
         b'{"rev": 1, "wanted": {"e": [1]}, "releasable": [], "generation": 1}',
     ],
 )  # fmt: skip
-def test_invalid_answers_are_refused(raw: bytes) -> None:
+def test_invalid_responses_are_refused(raw: bytes) -> None:
     with pytest.raises(ListFormatError):
         decode(raw, 2)
--- a/tests/control/machine/test_log_loader.py
+++ b/tests/control/machine/test_log_loader.py
@@ -1,4 +1,4 @@
-"""The load of a region that has lost its log."""
+"""Tests of reloading the log of a region that has lost it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.harness import until
 
 
-def test_a_source_that_can_not_be_used_is_logged_and_read_again(
+def test_an_invalid_source_is_logged_and_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A region has lost its log, and the file to load it from has a bad line.
+    """The file from which a lost log is reloaded has an invalid line.
 
-    The log names the file and the line; once the file is mended, the region is loaded.
+    The process logs the file and the line, and loads the region once the file is corrected.
     """
     monkeypatch.setattr(log_loader, "RETRY_S", 0.05)
     source = tmp_path / "backends.jsonl"
@@ -41,10 +41,10 @@
 
 
 @pytest.mark.parametrize("is_needed", [True, False])
-def test_a_log_is_read_once_and_loaded_only_where_that_is_still_needed(
+def test_a_source_is_read_once_and_loaded_only_if_still_needed(
     tmp_path: Path, is_needed: bool
 ) -> None:
-    """While a leader reads the source, another one is elected, or the ticks go on."""
+    """While a leader reads the source, further ticks occur, and another leader may be elected."""
     replica: Any = mock.Mock()
     replica.needs_load.return_value = True
     loaded = mock.Mock()
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -1,4 +1,4 @@
-"""Control machines over real sockets: releases that a leader grants."""
+"""Tests of control machines: releases granted by a leader, and missed presence updates."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     others = [name for name in NAMES if name != leader]
 
     def view(name: str, *services: str) -> None:
-        """This machine's own hand-over lets n1 release these."""
+        """Let this machine's own handover allow n1 to release these services."""
         handover = region.machines[name].nodes.handover
         views = {"n1": frozenset(services)}
         monkeypatch.setattr(handover, "releasable", lambda node: views.get(node, frozenset()))
@@ -50,23 +50,23 @@
         view(name)
     tick(leader)
     until(lambda: releasable() == [["cart"]] * 3)
-    stranger = ReleaseGrant("west", 1 << 20, (NodeRelease("n1", ("pay",)),))
-    region.do(lambda: region.machines[leader].streams.send(others[0], stranger))
+    other_region = ReleaseGrant("west", 1 << 20, (NodeRelease("n1", ("pay",)),))
+    region.do(lambda: region.machines[leader].streams.send(others[0], other_region))
     until(lambda: region.status(others[0])["counts"]["ignored_grants"].get("other region", 0) == 1)
     view(leader)
     tick(leader)
     until(lambda: releasable() == [[], [], []])
 
 
-def test_a_presence_update_that_does_not_follow_is_asked_for_anew(tmp_path: Path) -> None:
-    """An update of another machine was lost with its stream. Without a complete one, nodes that
-    came or went with it would be counted wrongly until that machine's end.
+def test_a_gap_in_presence_updates_leads_to_a_request_for_a_complete_one(tmp_path: Path) -> None:
+    """An update of another machine was lost with its stream. Without a complete update, the nodes
+    that joined or left with it would be counted wrongly until that machine stops.
     """
     file = read_scale_file(str(write_file(tmp_path)))
     machine = ControlMachine(file, file.machine("east-a"), TIMING)
     sent: list[tuple[str, Any]] = []
     machine.streams.send = lambda *message: sent.append(message)  # type: ignore[method-assign]
-    for serial, complete, is_asked in ((4, False, True), (5, True, False), (6, False, False)):
+    for serial, complete, is_requested in ((4, False, True), (5, True, False), (6, False, False)):
         sent.clear()
         machine._on_message("east-b", PresenceUpdate(serial, complete, ("n1",)))
-        assert sent == ([("east-b", PresenceRequest())] if is_asked else [])
+        assert sent == ([("east-b", PresenceRequest())] if is_requested else [])
--- a/tests/control/machine/test_node_requests.py
+++ b/tests/control/machine/test_node_requests.py
@@ -9,7 +9,7 @@
 from loadbalancer.control.machine.file import MAX_NAME_LENGTH
 from loadbalancer.control.machine.version import MAX_VERSION, version_of
 from loadbalancer.core.assignment.model import Position
-from tests.control.machine.test_subscriber import belongs
+from tests.control.machine.test_subscriber import assigned_machine
 from tests.control_machines import NAMES, Machines
 
 
@@ -32,7 +32,7 @@
 def test_invalid_polls_are_refused_with_one_line_and_counted(
     region: Machines, query: str, message: str
 ) -> None:
-    name = belongs(region, "n1")
+    name = assigned_machine(region, "n1")
     before = region.status(name)
     status, body = region.poll(name, query)
     assert status == 400
@@ -49,7 +49,7 @@
 def test_a_node_ahead_of_the_machines_log_is_redirected_without_an_update(
     region: Machines,
 ) -> None:
-    name = belongs(region, "n1")
+    name = assigned_machine(region, "n1")
     epoch, revision = region.status(name)["logs"]["east"]["position"]
     ahead = version_of(Position(epoch, revision + 1))
     status, body = region.poll(name, f"node=n1&region=east&from={ahead}&hold_ms=1")
--- a/tests/control/machine/test_operator_calls.py
+++ b/tests/control/machine/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls to a control machine."""
+"""Tests of operators' calls to a control machine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.control_machines import Machines, rows
 
 
-def test_the_log_is_given_from_a_version_on(region: Machines) -> None:
+def test_the_log_is_returned_from_a_version_on(region: Machines) -> None:
     (first,) = region.change({"service": "pay", "rows": rows("l1")})
     (second,) = region.change({"service": "pay", "removed": ["l1"]})
     path = f"/log?region=east&from={first['version']}"
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize("is_lost", [False, True])
-def test_a_late_answer_is_for_the_connection_that_still_waits_for_it(is_lost: bool) -> None:
-    """Changes are committed, or their time is up, after the operator has gone, or twice."""
+def test_a_call_is_answered_once_and_only_on_an_open_connection(is_lost: bool) -> None:
+    """Changes are committed or time out after the operator has disconnected, or both happen."""
     machine: Any = mock.Mock()
     host = OperatorHost(machine, 1 << 20)
     connection = OperatorConnection(host)
--- a/tests/control/machine/test_process.py
+++ b/tests/control/machine/test_process.py
@@ -1,4 +1,4 @@
-"""The process of one control machine, and what a plain node imports of it: nothing."""
+"""Tests of a control machine's process, and that a plain node imports none of its code."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.harness import ROOT
 
 
-def test_a_file_or_a_name_that_can_not_be_used_ends_with_status_2(tmp_path: Path) -> None:
+def test_an_unusable_file_or_name_ends_the_process_with_status_2(tmp_path: Path) -> None:
     path = write_file(tmp_path)
     cases = {
         ("scale", str(path), "--machine", "east-x"): "--machine: [unknown-machine] no 'east-x'",
--- a/tests/control/machine/test_status.py
+++ b/tests/control/machine/test_status.py
@@ -1,4 +1,4 @@
-"""The machine's state on GET /status: keys and roles' names as operators' tools read them."""
+"""Tests of GET /status: the keys and the names of roles that operators' tools read."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 }
 
 
-def test_status_has_the_keys_that_operators_know(region: Machines) -> None:
+def test_status_has_the_documented_keys(region: Machines) -> None:
     status, body = call(region.address("east-a"), "GET", "/status")
     assert status == 200
     found = json.loads(body)
@@ -30,6 +30,6 @@
         assert list(table) == names.split()
 
 
-def test_each_role_has_one_of_the_names_that_operators_know() -> None:
+def test_each_role_has_one_of_the_documented_names() -> None:
     assert set(ROLE_NAMES) == set(Role)
     assert set(ROLE_NAMES.values()) == {"empty", "follower", "candidate", "leader"}
--- a/tests/control/machine/test_submitted_changes.py
+++ b/tests/control/machine/test_submitted_changes.py
@@ -25,7 +25,7 @@
         (b"[1]", "change 0: [syntax]"),
         (b'[{"service": "cat"}]', "change 0: [unknown-service] no service 'cat'"),
         (b'[{"service": "cart", "row": []}]', "change 0: [unknown-key] no key 'row'"),
-        (b'[{"service": "cart", "rows": [{}]}]', "change 0: [bad-value] None is no uid"),
+        (b'[{"service": "cart", "rows": [{}]}]', "change 0: [bad-value] None is not a uid"),
         (b'[{"service": "cart", "removed": [1]}]', "change 0: [bad-value] removed must contain"),
     ],
 )
--- a/tests/control/machine/test_subscriber.py
+++ b/tests/control/machine/test_subscriber.py
@@ -1,4 +1,4 @@
-"""A node's subscriber at control machines over real sockets."""
+"""Tests of a node's subscriber with control machines over real sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Node:
-    """One node's subscriber in the machines' loop, and the updates that it received."""
+    """One node's subscriber, run in the machines' event loop, and the updates that it received."""
 
     def __init__(self, region: Machines, name: str, first: str) -> None:
         self.region = region
@@ -42,18 +42,19 @@
         self.region.do(self.subscriber.close)
 
 
-def belongs(region: Machines, node: str) -> str:
-    """The machine that a node is to poll."""
+def assigned_machine(region: Machines, node: str) -> str:
+    """Return the name of the machine that a node is to poll."""
     publisher = region.machines["east-a"].publisher
     found = region.do(lambda: publisher.machine_for(node, NAMES))
     assert found is not None
     return found
 
 
-def test_a_subscriber_continues_at_another_machine_with_changes_alone(region: Machines) -> None:
-    """The machine that a node polls is killed while a service changes."""
+def test_a_subscriber_continues_with_deltas_after_its_machine_is_killed(
+    region: Machines,
+) -> None:
     region.change({"service": "pay", "rows": rows("p1", "p2")})
-    first = belongs(region, "n1")
+    first = assigned_machine(region, "n1")
     node = Node(region, "n1", first)
     try:
         until(lambda: node.uids("pay") == {"p1", "p2"})
@@ -74,31 +75,31 @@
         region.leader()
 
 
-def test_current_services_are_not_sent_again_after_a_move(region: Machines) -> None:
-    """A node moves to another machine while nothing changes. Its services sent anew, for all nodes
-    of a lost machine at once, would exceed the pace of snapshots for minutes.
+def test_unchanged_services_are_not_sent_again_after_a_move(region: Machines) -> None:
+    """A node moves to another machine while nothing changes. If all nodes of a failed machine were
+    sent their services again at once, snapshots would exceed their rate limit for minutes.
     """
     region.change({"service": "pay", "rows": rows("q1", "q2")})
-    first = belongs(region, "n1")
+    first = assigned_machine(region, "n1")
     other = next(name for name in NAMES if name != first)
     node = Node(region, "n1", first)
     try:
         until(lambda: {"q1", "q2"} <= node.uids("pay"))
         until(lambda: node.polls(first))
-        # As if `first` had fallen silent, while nothing changes: the node polls the other machine,
-        # is answered with nothing newer, and polls again without naming what it holds.
+        # Simulates that `first` stops responding while nothing changes: the node polls the other
+        # machine, gets an empty response, and polls again without listing what it holds.
         subscriber = node.subscriber
-        quiet = subscriber.counts.events["questions"] + 3
+        polls_when_quiet = subscriber.counts.events["questions"] + 3
         state = subscriber._regions["east"]
         address = region.address(other, "subscribers")
 
-        def fall_silent() -> None:
+        def move_to_other_machine() -> None:
             if state.call is not None:
                 state.call.drop()
             subscriber._move("east", state, address)
 
-        region.do(fall_silent)
-        until(lambda: subscriber.counts.events["questions"] >= quiet)
+        region.do(move_to_other_machine)
+        until(lambda: subscriber.counts.events["questions"] >= polls_when_quiet)
         before = len(node.updates)
         region.change({"service": "pay", "rows": rows("q3")})
         until(lambda: "q3" in node.uids("pay"))
@@ -113,9 +114,9 @@
     return update.changes
 
 
-def test_nodes_load_what_is_assigned_and_report_it(region: Machines) -> None:
-    node = Node(region, "n2", belongs(region, "n2"))
-    name = belongs(region, "n2")
+def test_nodes_load_assigned_services_and_report_them_to_all_machines(region: Machines) -> None:
+    node = Node(region, "n2", assigned_machine(region, "n2"))
+    name = assigned_machine(region, "n2")
     try:
         until(lambda: region.do(node.holder.serving) == {"cart", "pay"})
 
@@ -139,21 +140,21 @@
 
 
 @pytest.mark.parametrize("redirected", [False, True])
-def test_a_machine_that_falls_silent_is_polled_once(region: Machines, redirected: bool) -> None:
-    """A machine is stopped, so that its connections stay open and only its silence shows."""
-    mute = socket.create_server(("127.0.0.1", 0))
-    silent = Address(*mute.getsockname()[:2])
+def test_an_unresponsive_machine_is_polled_once(region: Machines, redirected: bool) -> None:
+    """A machine's process is paused: its connections stay open, but it does not respond."""
+    listener = socket.create_server(("127.0.0.1", 0))
+    unresponsive = Address(*listener.getsockname()[:2])
     holder = Holder("n2", ["east"], HolderLimits())
     updates: list[Update] = []
-    machines = [silent, region.address(belongs(region, "n2"), "subscribers")]
+    machines = [unresponsive, region.address(assigned_machine(region, "n2"), "subscribers")]
     timing = PollTiming(hold_s=0.1, margin_s=0.1, connect_s=0.3, retry_s=0.02)
     subscriber = Subscriber(
         holder, ["east"], machines, lambda update, _: updates.append(update), 1, timing
     )
     if redirected:  # by another machine
-        subscriber._regions["east"].redirect = silent
+        subscriber._regions["east"].redirect = unresponsive
     region.do(subscriber.start)
     until(lambda: bool(updates))
     assert region.do(lambda: subscriber.counts.events["silent"]) == 1
     region.do(subscriber.close)
-    mute.close()
+    listener.close()
--- a/tests/control/machine/test_version.py
+++ b/tests/control/machine/test_version.py
@@ -1,4 +1,4 @@
-"""A position as the list's one integer version, and back."""
+"""Tests of packing a position into the integer version of a list, and back."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 @given(POSITIONS, POSITIONS)
-def test_packing_keeps_order_and_comes_back(one: Position, other: Position) -> None:
+def test_packing_is_reversible_and_preserves_order(one: Position, other: Position) -> None:
     assert position_of(version_of(one)) == one
     assert (version_of(one) < version_of(other)) == (one < other)
 
 
-def test_every_version_passes_as_a_list_version() -> None:
+def test_every_version_is_a_valid_list_version() -> None:
     assert version_of(START) == 0
     highest = version_of(Position(MAX_EPOCH, MAX_REVISION))
     assert highest == MAX_VERSION
