--- a/loadbalancer/control/xds/__init__.py
+++ b/loadbalancer/control/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS control service: one Balancer a pool decides, other proxies carry it out."""
+"""The xDS control service: a Balancer for each pool decides, and connected proxies follow it."""
--- a/loadbalancer/control/xds/client_status.py
+++ b/loadbalancer/control/xds/client_status.py
@@ -1,4 +1,4 @@
-"""The client status service (CSDS): what each proxy has acknowledged, waits for or rejected."""
+"""The client status discovery service (CSDS): the state of each proxy's resources."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from loadbalancer.core.xds.snapshot import ResourceType
 
 SERVICE = "envoy.service.status.v3.ClientStatusDiscoveryService"
-MAX_ERROR_DETAIL = 500  # of a NACK, for the operator
+MAX_ERROR_DETAIL = 500  # characters of a NACK's error that are shown to the operator
 
 
 class ConnectedClient(NamedTuple):
-    """One stream as the status service sees it."""
+    """A connected proxy's stream, as needed by the status service."""
 
     identity: ProxyIdentity
     session: Session
 
 
 class ClientStatusService:
-    """Answers from the streams as they are.
+    """Reports the current state of the connected proxies.
 
     Args:
-        clients: the connected proxies.
-        withheld: services that a group is not served, with the reason.
-        stale_lists: which lists of servers are stale; "" for none.
-        report_counts: a node's load reports.
+        clients: returns the connected proxies.
+        withheld: returns the services that are not served to a group, with the reasons.
+        stale_lists: returns which lists of servers are stale, "" for none.
+        report_counts: returns how many load reports of a node were counted and rejected.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._report_counts = report_counts
 
     def handler(self) -> Any:
-        """The gRPC method handler: one answer a call, or one for each message of a stream."""
+        """Return the gRPC handler: one response for each call, or for each message of a stream."""
 
         async def fetch(request: Any, context: Any) -> Any:
             del context
@@ -72,7 +72,7 @@
         )
 
     def answer(self, request: Any) -> Any:
-        """All proxies, or those that the request's node matchers name by their id."""
+        """Return the state of all proxies, or of those whose ids the request's matchers name."""
         out = csds_pb2.ClientStatusResponse()
         wanted = {matcher.node_id.exact for matcher in request.node_matchers}
         wanted.discard("")
--- a/loadbalancer/control/xds/discovery_service.py
+++ b/loadbalancer/control/xds/discovery_service.py
@@ -1,4 +1,4 @@
-"""The discovery services over grpc.aio: the aggregated one (ADS) and one for each type."""
+"""The xDS discovery services over grpc.aio: the aggregated one (ADS), and one for each type."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
-# For each type: its service, and the noun in the names of its methods (StreamClusters, ...).
+# For each type: its service, and the plural in its method names (StreamClusters, ...).
 SERVICES_BY_TYPE = {
     ResourceType.CLUSTER: ("cluster.v3.ClusterDiscoveryService", "Clusters"),
     ResourceType.ENDPOINTS: ("endpoint.v3.EndpointDiscoveryService", "Endpoints"),
@@ -32,16 +32,22 @@
     ResourceType.ROUTES: ("route.v3.RouteDiscoveryService", "Routes"),
 }
 MAX_STREAMS = 2000
-CLOSE_TIMEOUT_S = 1.0  # for a response that is being written when the stream is to be ended
-RESUMPTION_TIMEOUT_S = 5.0  # for a proxy that reconnects to subscribe to its routes
-MAX_LOGGED_ID = 100
+CLOSE_TIMEOUT_S = 1.0  # for the response that is being written when a stream is terminated
+RESUMPTION_TIMEOUT_S = 5.0  # for a reconnected proxy to subscribe to its routes
+MAX_LOGGED_ID = 100  # characters
 NEW_STREAMS_PER_S = 500
 NEW_STREAMS_BURST = 100
 MAX_NEW_STREAM_WAIT_NS = 10 * SECOND
 
 
 class DiscoveryService:
-    """Serves discovery streams. `on_change` is called when a proxy connects or disconnects."""
+    """Serves discovery streams.
+
+    Args:
+        proxies: the registry of connected proxies.
+        on_change: called when a proxy connects or disconnects.
+        tls: None for no TLS.
+    """
 
     def __init__(
         self,
@@ -55,10 +61,10 @@
         self._encoder = ResponseEncoder(incremental=False)
         self._delta_encoder = ResponseEncoder(incremental=True)
         self._pacer = StreamPacer(NEW_STREAMS_PER_S, NEW_STREAMS_BURST, MAX_NEW_STREAM_WAIT_NS)
-        self._open = 0  # streams that have begun, also those without a request yet
+        self._open = 0  # open streams, including those without a request yet
 
     def handlers(self) -> tuple[Any, ...]:
-        """The gRPC method handlers of the aggregated service, and of one for each type."""
+        """Return the gRPC handlers of the aggregated service and of the services for each type."""
         by_type = (
             self._handler(f"envoy.service.{name}", methods, resource_type)
             for resource_type, (name, methods) in SERVICES_BY_TYPE.items()
@@ -66,7 +72,10 @@
         return (self._handler(SERVICE, "AggregatedResources", None), *by_type)
 
     def _handler(self, service: str, methods: str, only: ResourceType | None) -> Any:
-        """Both variants of a discovery service, for one type of resource or for all."""
+        """Create the handler of both variants of a discovery service.
+
+        `only` is its resource type; None for the aggregated service.
+        """
 
         async def state_of_the_world(requests: AsyncIterator[Any], context: Any) -> None:
             await self._serve(requests, context, incremental=False, only=only)
@@ -74,7 +83,7 @@
         async def incremental(requests: AsyncIterator[Any], context: Any) -> None:
             await self._serve(requests, context, incremental=True, only=only)
 
-        # Responses are bytes already: no serialiser.
+        # Without a serializer, because responses are already serialized.
         return grpc.method_handlers_generic_handler(
             service,
             {
@@ -108,19 +117,19 @@
             self._open -= 1
 
     async def _admit(self, first: Any, context: Any) -> ProxyIdentity:
-        """Identify a proxy and wait for its turn; a rejected one ends the stream."""
+        """Identify a proxy and apply the limits on new streams; a rejected proxy's stream ends."""
         try:
             identity = identify(first.node, context, self._tls)
         except RejectedProxyError as err:
-            logger.info("proxy %r: not served: %s", first.node.id[:MAX_LOGGED_ID], err)
+            logger.info("proxy %r: rejected: %s", first.node.id[:MAX_LOGGED_ID], err)
             await context.abort(err.code, str(err))
             raise
         if not self._proxies.has_capacity_for(identity.group):
-            text = f"over {MAX_GROUPS} kinds and zones"
+            text = f"more than {MAX_GROUPS} combinations of proxy kind and zone"
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, text)
         wait = self._pacer.reserve(time.monotonic_ns())
         if wait is None:
-            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many come at once")
+            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many new streams")
         if wait:
             await asyncio.sleep(wait / SECOND)
         return identity
@@ -148,7 +157,8 @@
         try:
             termination = await stream.read(first, requests, incremental)
             if termination is not None:
-                # A status beside a response that is being written would be garbled.
+                # Let the current write finish: ending the stream in the middle of a response
+                # would corrupt the status.
                 stream.close()
                 await asyncio.wait((writer,), timeout=CLOSE_TIMEOUT_S)
                 await context.abort(*termination)
--- a/loadbalancer/control/xds/encoder.py
+++ b/loadbalancer/control/xds/encoder.py
@@ -1,4 +1,4 @@
-"""Plans as snapshots of xDS resources, serialised once for all proxies of a group."""
+"""Encodes plans as snapshots of xDS resources, serialized once for all proxies of a group."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def _packed(body: message.Message) -> bytes:
-    """A resource as a serialised `Any`, the same for equal content."""
+    """Serialize a resource as an `Any`; equal content gives equal bytes."""
     wrapped = any_pb2.Any()
     wrapped.Pack(body, deterministic=True)
     return bytes(wrapped.SerializeToString(deterministic=True))
@@ -34,17 +34,20 @@
 
 
 def stub_cluster(name: str) -> Resource:
-    """A cluster of which only the name is known, for a proxy that has one this service lacks."""
+    """Create a cluster of which only the name is known.
+
+    It is for a proxy that has a cluster which this service does not have.
+    """
     return _serialised(name, messages.eds_cluster(name), [name])
 
 
 class Encoder:
-    """Snapshots of one group of proxies; what has not changed is not serialised again."""
+    """Builds the snapshots of one group of proxies, reusing serialized resources."""
 
     __slots__ = ("_endpoints", "_kind", "_listen", "_snapshot", "_without_endpoints")
 
     def __init__(self, kind: ProxyKind, listen: tuple[str, int]) -> None:
-        """`listen` is where an Envoy is to listen."""
+        """`listen` is the address on which an Envoy is told to listen."""
         self._kind = kind
         self._listen = listen
         self._endpoints: dict[str, tuple[tuple[Locality, ...], Resource]] = {}
@@ -52,10 +55,10 @@
         self._snapshot: Snapshot | None = None
 
     def build(self, plans: Sequence[Plan]) -> Snapshot:
-        """The snapshot of these plans; the same object where nothing has changed."""
+        """Build the snapshot of these plans; return the previous object if nothing has changed."""
         endpoints = [self._endpoints_resource(plan) for plan in plans]
         self._endpoints = {plan.service: self._endpoints[plan.service] for plan in plans}
-        # A change of a server changes nothing but endpoints.
+        # A change of servers affects only endpoints, so the other resources can be reused.
         without_endpoints = tuple(replace(plan, localities=()) for plan in plans)
         old = self._snapshot
         if old is not None and without_endpoints == self._without_endpoints:
@@ -84,7 +87,7 @@
         return made
 
     def _other_resources(self, plans: Sequence[Plan]) -> Resources:
-        """Clusters, routes and listeners."""
+        """Serialize clusters, routes and listeners."""
         clusters = [
             _serialised(plan.service, messages.cluster(plan, self._kind.proxyless), [plan.service])
             for plan in plans
@@ -104,7 +107,7 @@
         }
 
     def _by_host(self, plans: Sequence[Plan]) -> tuple[list[Resource], list[Resource]]:
-        """Routes for each service, and an API listener for each exact host of it."""
+        """Serialize each service's routes, and an API listener for each of its exact hosts."""
         routes, listeners = [], []
         for plan in plans:
             body = messages.route_configuration(plan.service, [plan], self._kind, ["*"])
--- a/loadbalancer/control/xds/file.py
+++ b/loadbalancer/control/xds/file.py
@@ -1,4 +1,7 @@
-"""The control service's file (deploy/control.toml), decoded in one place; free of grpc."""
+"""Decodes the control service's file, such as deploy/control.toml.
+
+It imports no grpc, so that the file can be checked without it.
+"""
 
 from __future__ import annotations
 
@@ -29,14 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolConfig:
-    """One pool, which is one Balancer.
+    """One pool of servers, for which one Balancer decides.
 
     Attributes:
         name: unique among the pools.
-        config: a node's JSON configuration.
-        routes: the routes file.
-        members: a file with the list of servers; None: not from a file.
-        consul: a file that says which Consul agents have the list; None: not from Consul.
+        config: path of a node's JSON configuration.
+        routes: path of the routes file.
+        members: path of a file with the list of servers; None: the list is not read from a file.
+        consul: path of a file that names the Consul agents to query; None: the list does not come
+            from Consul. With neither, it comes from the platform's discovery.
     """
 
     name: str
@@ -46,19 +50,19 @@
     consul: Path | None = None
 
     def fixed_part(self) -> tuple[str, Path | None, Path | None]:
-        """Its name and where its servers come from: what a reload can't change."""
+        """Return what a reload can't change: the name, and where the servers come from."""
         return self.name, self.members, self.consul
 
 
 @dataclass(frozen=True, slots=True)
 class TlsConfig:
-    """Certificates, which both sides show.
+    """Settings of mutual TLS between the service and the proxies.
 
     Attributes:
-        certificate: the service's.
-        key: of that certificate.
-        clients: the authority that signs the proxies' certificates.
-        nodes: patterns of the node ids that a certificate's name may use.
+        certificate: path of the service's certificate.
+        key: path of its private key.
+        clients: path of the certificate of the authority that signs the proxies' certificates.
+        nodes: for each name in a proxy's certificate, patterns of the node ids that it may use.
     """
 
     certificate: Path
@@ -67,22 +71,22 @@
     nodes: Mapping[str, tuple[str, ...]]
 
     def allows(self, names: list[str], node_id: str) -> bool:
-        """Whether a certificate of these names may be used by this node id."""
+        """Return whether a certificate with these names may be used with this node id."""
         patterns = (pattern for name in names for pattern in self.nodes.get(name, ()))
         return any(fnmatchcase(node_id, pattern) for pattern in patterns)
 
 
 @dataclass(frozen=True, slots=True)
 class ControlConfig:
-    """The decoded file. Relative paths start at the file's own folder.
+    """The decoded file. Relative paths in it are relative to its own directory.
 
     Attributes:
-        listen: where the service listens.
-        envoy_listener: where Envoys are to listen.
-        proxy_slow_start: proxies that can are to warm servers up themselves.
-        report_interval_s: seconds between a proxy's load reports, 0 for none.
-        pools: at least one.
-        tls: None: without TLS, which only a loopback address may do.
+        listen: address on which the service listens.
+        envoy_listener: address on which Envoys are told to listen.
+        proxy_slow_start: whether proxies that support slow start warm up servers themselves.
+        report_interval_s: seconds between a proxy's load reports, 0 for no reports.
+        pools: at least one pool.
+        tls: None for no TLS, which is allowed only on a loopback address.
     """
 
     listen: Address
@@ -94,14 +98,14 @@
 
 
 class ControlFileError(ConfigurationError):
-    """A control file that can't be used; one fault a line."""
+    """A control file that can't be used; the text has one line for each fault."""
 
 
 def read_file(path: str) -> ControlConfig:
     """Read and decode a control file.
 
     Raises:
-        ControlFileError: the file can't be used; the text has every fault with its line.
+        ControlFileError: the file can't be used; the text lists every fault with its line.
     """
     return section.read_file(path, decode, ControlFileError)
 
@@ -109,22 +113,27 @@
 def decode(
     raw: dict[str, Any], lines: Mapping[Key, int], folder: Path = Path()
 ) -> tuple[ControlConfig | None, list[Fault]]:
-    """The decoded file, or its faults in the file's order."""
+    """Return the decoded file, or else all its faults ordered by line."""
     top = section.top_of(raw, lines, folder, SECTIONS[""])
     listen = top.address("listen")
     envoy_listener = top.address("envoy_listener", "127.0.0.1:10000")
     slow_start = top.text("slow_start", "weights")
     if slow_start not in ("weights", "proxy"):
         wrong = f"slow_start is {slow_start!r}"
-        top.fault("slow_start", "bad-value", wrong, "weights or proxy")
+        top.fault("slow_start", "bad-value", wrong, 'write "weights" or "proxy"')
     interval = _SECONDS.fullmatch(top.text("report_every", "10s"))
     if interval is None:
-        top.fault("report_every", "bad-value", "no whole seconds", 'write "10s", "0s" for never')
+        top.fault(
+            "report_every",
+            "bad-value",
+            "report_every is not a whole number of seconds",
+            'write "10s", or "0s" for no reports',
+        )
     pools = _pools(top)
     tls = _tls(top) if "tls" in raw else None
     if listen is not None and tls is None and not ip_address(listen.host).is_loopback:
-        right = "listen on 127.0.0.1 or set [tls]: without it anybody could read and take streams"
-        top.fault("listen", "wide-listener", f"{listen} is no loopback", right)
+        right = "listen on 127.0.0.1 or configure [tls], without which any host could connect"
+        top.fault("listen", "wide-listener", f"{listen} is not a loopback address", right)
     if top.faults or listen is None or envoy_listener is None or interval is None:
         return None, sorted(top.faults)
     config = ControlConfig(
@@ -134,18 +143,20 @@
 
 
 def _pools(top: Section) -> tuple[PoolConfig, ...]:
-    """The unnamed pool of the file's head, or those of its [[pool]] tables."""
+    """Read the [[pool]] tables, or without any the single pool of the top-level keys."""
     tables = top.raw.get("pool", [])
     if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
-        top.fault("pool", "bad-value", "pool is no array of tables", "write [[pool]]")
+        top.fault("pool", "bad-value", "pool is not an array of tables", "write [[pool]]")
         return ()
     if not tables:
         return (_pool(top, "main"),)
     for key in ("config", "routes", "members", "consul"):
         if key in top.raw:
-            top.fault(key, "twice", f"{key} beside [[pool]]", "write it in the pool it is for")
+            top.fault(key, "twice", f"{key} outside of [[pool]]", "move it to the pool's table")
     if len(tables) > MAX_POOLS:
-        top.fault("pool", "too-many", f"over {MAX_POOLS} pools", "start another control service")
+        top.fault(
+            "pool", "too-many", f"more than {MAX_POOLS} pools", "start another control service"
+        )
     out = []
     names: set[str] = set()
     for number, table in enumerate(tables):
@@ -153,7 +164,9 @@
         pool.known(SECTIONS["pool"])
         name = pool.text("name")
         if name in names:
-            pool.fault("name", "twice", f"a second pool {name!r}", "give each its own name")
+            pool.fault(
+                "name", "twice", f"there is already a pool {name!r}", "give each its own name"
+            )
         names.add(name)
         out.append(_pool(pool, name))
     return tuple(out)
@@ -163,21 +176,21 @@
     members = table.path("members") if "members" in table.raw else None
     consul = table.path("consul") if "consul" in table.raw else None
     if members is not None and consul is not None:
-        table.fault("consul", "twice", "consul beside members", "name one source of servers")
+        table.fault("consul", "twice", "both consul and members are set", "set only one of them")
     return PoolConfig(name, table.path("config"), table.path("routes"), members, consul)
 
 
 def _tls(top: Section) -> TlsConfig | None:
     raw = top.raw["tls"]
     if not isinstance(raw, dict):
-        top.fault("tls", "bad-value", "tls is no table", "write [tls]")
+        top.fault("tls", "bad-value", "tls is not a table", "write [tls]")
         return None
     table = top.sub(raw, "tls")
     table.known(SECTIONS["tls"])
     nodes = raw.get("nodes")
     if not isinstance(nodes, dict) or not nodes:
-        right = 'write nodes = { "proxy.example" = ["p-*"] }: who may speak for which proxy'
-        table.fault("nodes", "missing-key", "no certificate is bound to node ids", right)
+        right = 'write nodes = { "proxy.example" = ["p-*"] }: node ids by certificate name'
+        table.fault("nodes", "missing-key", "no certificate name is mapped to node ids", right)
         return None
     node_ids: dict[str, tuple[str, ...]] = {}
     for name, patterns in nodes.items():
--- a/loadbalancer/control/xds/load_reports.py
+++ b/loadbalancer/control/xds/load_reports.py
@@ -1,4 +1,4 @@
-"""The load reporting service (LRS): reports to endpoint loads, and these to their pool."""
+"""The load reporting service (LRS): converts reports to endpoint loads, by pool."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 logger = logging.getLogger(__name__)
 
 SERVICE = "envoy.service.load_stats.v3.LoadReportingService"
-# Endpoint loads of all reports together. With more proxies, each reports more rarely.
+# Endpoint loads in the reports of all proxies. With more proxies, each reports less often.
 MAX_LOADS_PER_S = 5_000
 MAX_REPORTERS = 2000
 
 
 class ReportedPool(Protocol):
-    """A pool of servers, as load reports name them."""
+    """The parts of a pool that load reports need."""
 
     load_reports: LoadReportAggregator
 
     def services(self) -> Collection[str]:
-        """Names of the pool's services, which are those of its clusters."""
+        """Return the names of the pool's services, which are also its cluster names."""
 
     def size(self) -> int:
-        """How many servers it has."""
+        """Return the number of servers."""
 
     def backend_at(self, host: str, port: int) -> int | None:
-        """The server at an address."""
+        """Return the server at an address, or None if there is none."""
 
     def is_listed(self, backend: int) -> bool:
-        """Whether a server is in the pool's list."""
+        """Return whether a server is in the pool's list."""
 
 
 class LoadReportingService:
-    """All load-reporting streams. A report is counted as a whole or not at all.
+    """Serves load-reporting streams. A report is counted completely or not at all.
 
     Args:
-        pools: by name.
-        interval_s: seconds between a proxy's reports; 0: no reports are requested.
-        tls: who may report for which proxy.
+        pools: returns the pools by name.
+        interval_s: seconds between a proxy's reports; 0 if no reports are accepted.
+        tls: which certificates may be used by which node ids; None for no TLS.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._logged: set[tuple[str, str]] = set()
 
     def handler(self) -> Any:
-        """The gRPC method handler, to add to the grpc.aio server."""
+        """Return the gRPC handler to add to the grpc.aio server."""
         method = grpc.stream_stream_rpc_method_handler(
             self._serve,
             lrs_pb2.LoadStatsRequest.FromString,
@@ -77,21 +77,23 @@
         return grpc.method_handlers_generic_handler(SERVICE, {"StreamLoadStats": method})
 
     def interval_s(self, servers: int) -> int:
-        """Seconds between a proxy's reports, so that all together stay under a rate."""
+        """Return the seconds between a proxy's reports, to stay below MAX_LOADS_PER_S in total."""
         return max(self._interval_s, self._streams * servers // MAX_LOADS_PER_S)
 
     async def _serve(self, requests: AsyncIterator[Any], context: Any) -> None:
         if not self._interval_s or self._streams >= MAX_REPORTERS:
-            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "no more load reports")
+            await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "no load reports accepted")
         self._streams += 1
         try:
             first = await first_request(requests, context)
             if first is not None:
-                await self._take_reports(first, requests, context)
+                await self._receive_reports(first, requests, context)
         finally:
             self._streams -= 1
 
-    async def _take_reports(self, first: Any, requests: AsyncIterator[Any], context: Any) -> None:
+    async def _receive_reports(
+        self, first: Any, requests: AsyncIterator[Any], context: Any
+    ) -> None:
         try:
             identity = identify(first.node, context, self._tls)
         except RejectedProxyError as err:
@@ -111,7 +113,7 @@
         message: Any = first
         while message is not None:
             if rate.exceeded():
-                text = f"over {MAX_REQUESTS_PER_S} reports a second"
+                text = f"more than {MAX_REQUESTS_PER_S} reports a second"
                 await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, text)
             for name, pool in pools.items():
                 reason = _add_report(pool, identity.node_id, streams[name], message)
@@ -120,14 +122,17 @@
             message = await anext(aiter(requests), None)
 
     def _log_rejection(self, node_id: str, reason: str) -> None:
-        """Log each reason once a proxy: one that is wrong remains so."""
+        """Log each reason only once for each proxy, since its reports usually stay wrong."""
         if (node_id, reason) not in self._logged and len(self._logged) < MAX_REPORTERS:
             self._logged.add((node_id, reason))
             logger.info("proxy %s: load report not counted: %s", node_id, reason)
 
 
 def _add_report(pool: ReportedPool, node_id: str, stream: int, message: Any) -> str:
-    """Count the part of a report that concerns a pool; why it is rejected, "" where it counts."""
+    """Count the part of a report that concerns a pool.
+
+    Returns the reason if the part is rejected, otherwise "".
+    """
     services = pool.services()
     interval = 0
     loads: list[EndpointLoad] = []
@@ -143,7 +148,11 @@
 
 
 def _locality_loads(pool: ReportedPool, locality: Any) -> list[EndpointLoad]:
-    """A locality's servers: by address, or the one that the locality stands for."""
+    """Convert a locality's statistics to loads of servers.
+
+    Servers are found by address. Without endpoint statistics of known servers, a sub-zone that is
+    a server's number stands for that server, and the locality's totals are the server's load.
+    """
     out = []
     for stats in locality.upstream_endpoint_stats:
         address = stats.address.socket_address
--- a/loadbalancer/control/xds/member_file.py
+++ b/loadbalancer/control/xds/member_file.py
@@ -1,4 +1,4 @@
-"""A pool's list of servers from a file, in the form of discovery's complete answer."""
+"""Reads a pool's list of servers from a file, in the format of a complete discovery response."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FileStamp(NamedTuple):
-    """What changes when a file is written or replaced."""
+    """File attributes that change when a file is written or replaced."""
 
     modified_ns: int
     size: int
@@ -29,13 +29,14 @@
 
 
 class FileMembers:
-    """Reads the file when it changes; one that can't be used leaves the list as it is.
+    """Reads the file whenever it changes; an invalid file leaves the list unchanged.
 
-    A file that is replaced by a rename is never read half written. One that is written in place
-    may be: what is no JSON then is rejected, and read again once it changes again.
+    A file should be replaced by a rename, which is atomic. A file that is written in place may be
+    read when it is half written: it is then not valid JSON, is rejected, and is read again once it
+    changes again.
     """
 
-    stale_after_ns = 0  # never: a file that has not changed is valid
+    stale_after_ns = 0  # never stale: a file that has not changed is still valid
 
     __slots__ = ("_handle", "_logger", "_on_update", "_path", "_stamp", "endpoint_list")
 
@@ -54,23 +55,23 @@
         self.endpoint_list = EndpointList(config)
 
     def load_configured(self, _raw: Any) -> list[Listing]:
-        """The list as it is in the file.
+        """Read the list from the file.
 
         Raises:
-            ListError: the file's content can't be used.
+            ListError: the file's content is invalid.
             OSError: the file can't be read.
         """
         self._stamp = self._read_stamp()
         return self._read()[1]
 
     def watch(self) -> None:
-        """Look for changes from now on."""
+        """Poll the file for changes from now on."""
         if self._handle is None:
             loop = asyncio.get_running_loop()
             self._handle = loop.call_later(POLL_INTERVAL_S, self._poll)
 
     def close(self) -> None:
-        """Look for changes no longer."""
+        """Stop polling the file."""
         if self._handle is not None:
             self._handle.cancel()
 
@@ -83,12 +84,12 @@
         try:
             stamp = self._read_stamp()
         except OSError:
-            stamp = None  # between a removal and the next file: the list stays
+            stamp = None  # a removed file leaves the list unchanged until there is a new one
         if stamp is not None and stamp != self._stamp:
-            # Failure: the receiver of the list raises, no further look follows, and every later
-            # change of the file is missed. The exception is logged and the file read again.
-            is_taken = run_logged(self._update)
-            self._stamp = stamp if is_taken else None
+            # An exception of the list's receiver is logged, and the file is read again at the next
+            # poll. If it ended the polling, all later changes of the file would be missed.
+            is_applied = run_logged(self._update)
+            self._stamp = stamp if is_applied else None
         self.watch()
 
     def _update(self) -> None:
@@ -104,12 +105,12 @@
         with self._path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
-            raise ListError(f"over {MAX_FILE_BYTES} bytes")
+            raise ListError(f"more than {MAX_FILE_BYTES} bytes")
         try:
             raw = json.loads(data)
         except (ValueError, RecursionError) as err:
-            raise ListError(f"no JSON: {err}") from None
+            raise ListError(f"not valid JSON: {err}") from None
         if not isinstance(raw, dict):
-            raise ListError("no JSON object")
+            raise ListError("not a JSON object")
         update, rows, endpoints = self.endpoint_list.read(raw | {"rev": 1, "all": True})
         return update, rows, self.endpoint_list.apply(1, update, rows, endpoints)
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -1,4 +1,4 @@
-"""One pool: a Balancer that sends nothing itself, its list of servers and its routes."""
+"""One pool: its Balancer, which handles no requests itself, its list of servers and its routes."""
 
 from __future__ import annotations
 
@@ -28,35 +28,35 @@
 
 
 def _unexpected(action: str, *arguments: int) -> NoReturn:
-    raise AssertionError(f"{action} {arguments}: the control service sends nothing to servers")
+    raise AssertionError(f"{action} {arguments}: the control service handles no requests")
 
 
 class PoolLog(logging.LoggerAdapter[logging.Logger]):
-    """Writes each line behind the pool's name."""
+    """Prefixes each log line with the pool's name."""
 
     def __init__(self, pool_name: str) -> None:
         super().__init__(logger, {})
         self._pool_name = pool_name
 
     def log(self, level: int, msg: object, *args: object, **kwargs: Any) -> None:
-        """Write `pool NAME: message`."""
+        """Log `pool NAME: message`."""
         text = str(msg) % args if args else msg
         super().log(level, "pool %s: %s", self._pool_name, text, **kwargs)
 
 
 def polling(config: Config) -> Config:
-    """The configuration as the control service uses it: nobody pushes a list to it, it polls."""
+    """Return the configuration with polling enabled; no list is pushed to the control service."""
     return replace(config, settings=replace(config.settings, poll=True))
 
 
 class Pool:
-    """One Balancer and what it decides on.
+    """One Balancer with its servers, routes, load reports and drains; hosts the Balancer's actions.
 
     Args:
-        source: the pool's part of the control file, its configuration and its routes.
-        report_interval_s: seconds between a proxy's load reports, 0 for none.
-        on_change: called when what proxies have may have to change.
-        on_drain: called in place of it when a server begins to drain.
+        source: the pool's entry in the control file, its configuration and its routes.
+        report_interval_s: seconds between a proxy's load reports, 0 for no reports.
+        on_change: called when the proxies' resources may have to change.
+        on_drain: called instead of `on_change` when a server begins to drain.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._log = PoolLog(self.name)
         self.members = self._make_members(source)
         self.balancer = Balancer(polling(self.config).settings, self.config.seed, self)
-        self.confirmed_at = 0  # monotonic ns: when the list was last known to be right
+        self.confirmed_at = 0  # monotonic ns of the last successful update of the list
         self._views: list[ServerView] = []
         self._addresses: dict[int, tuple[str, int]] = {}
         self._backends: dict[tuple[str, int], int] = {}
@@ -90,14 +90,14 @@
         return Discovery(polling(config), self._on_update, self._log)
 
     def _evidence_of(self, backend: int) -> AttemptEvidence:
-        """What the proxies' load reports say of a server."""
+        """Return the evidence on a server from the proxies' load reports."""
         return evidence_of(self.balancer, time.monotonic_ns(), backend)
 
     def start(self) -> None:
-        """Begin with the list that is known, and follow it from then on.
+        """Start with the configured list, and follow its changes from then on.
 
         Raises:
-            ListError: the list can't be used.
+            ListError: the list is invalid.
             OSError: the list can't be read.
         """
         rows = self.members.load_configured(self.config.known)
@@ -110,7 +110,7 @@
         self.refresh()
 
     def reload(self, source: PoolInput) -> None:
-        """Use other routes, and discovery's other address, from now on."""
+        """Replace the routes and the address of discovery."""
         self.table = source.table
         self._drains = {
             service.name: self._drains.get(service.name, DrainTracker())
@@ -120,7 +120,7 @@
             self.members.move(source.config.discovery, polling(source.config).settings)
 
     def close(self) -> None:
-        """Follow the list no longer."""
+        """Stop following the list of servers."""
         self.members.close()
 
     def _on_update(self, update: Update, rows: list[Listing], _stale: list[int]) -> None:
@@ -131,8 +131,8 @@
         self.refresh()
         draining = self._draining()
         grace = self.config.settings.drain_grace
-        begun = [drains.update_draining(now, draining, grace) for drains in self._drains.values()]
-        if any(begun):
+        started = [drains.update_draining(now, draining, grace) for drains in self._drains.values()]
+        if any(started):
             self._on_drain(self)
         else:
             self._on_change()
@@ -140,10 +140,10 @@
     # ---- the servers ----------------------------------------------------
 
     def refresh(self) -> None:
-        """Take the Balancer's present view for all plans; an empty list changes nothing.
+        """Use the Balancer's current view for the plans, unless it is empty.
 
-        Guards proxies against a list that turns empty: their last endpoints stay, because a
-        proxy without endpoints fails every request.
+        If the list becomes empty, proxies keep their last endpoints, because a proxy without
+        endpoints fails every request.
         """
         views = self.balancer.view(time.monotonic_ns())
         if views:
@@ -155,44 +155,44 @@
             self._backends = {address: backend for backend, address in self._addresses.items()}
 
     def has_servers(self) -> bool:
-        """Whether any server was ever known."""
+        """Return whether any server has ever been known."""
         return bool(self._views)
 
     def stale_list(self) -> str:
-        """Why the list is stale, "" where it is not."""
+        """Return why the list is stale, or "" if it is not."""
         now = time.monotonic_ns()
         age = now - self.confirmed_at
         if not self.balancer.view(now):
             return f"{self.name}: list is empty"
         if 0 < self.members.stale_after_ns <= age:
-            return f"{self.name}: not heard of for {age // SECOND} s"
+            return f"{self.name}: no update for {age // SECOND} s"
         return ""
 
     def size(self) -> int:
-        """How many servers it has."""
+        """Return the number of servers."""
         return len(self._views)
 
     def address(self, backend: int) -> str:
-        """A server's address, for the log."""
+        """Return a server's address for the log."""
         host, port = self._addresses.get(backend, ("?", 0))
         return f"{host}:{port}"
 
     def backend_at(self, host: str, port: int) -> int | None:
-        """The server at an address."""
+        """Return the server at an address, or None if there is none."""
         return self._backends.get((host, port))
 
     def is_listed(self, backend: int) -> bool:
-        """Whether a server is in the list."""
+        """Return whether a server is in the list."""
         return backend in self._addresses
 
     # ---- plans ------------------------------------------------------------
 
     def services(self) -> Collection[str]:
-        """Names of its services, which are those of their clusters, in the routes file's order."""
+        """Return the names of the services, which are also cluster names, in the file's order."""
         return self._drains.keys()
 
     def plans(self, target: TargetProxies) -> list[Plan]:
-        """Every service's plan for one group of proxies."""
+        """Compute each service's plan for one group of proxies."""
         settings, budget = self.config.settings, self.table.node_budget
         return [
             make_plan(service, settings, budget, self._views, self._addresses, target)
@@ -202,18 +202,18 @@
     # ---- drains -------------------------------------------------------------
 
     def accepting(self) -> frozenset[int]:
-        """Servers that take new work in the present view."""
+        """Return the servers that accept new requests in the current view."""
         return frozenset(view.backend for view in self._views if view.state == State.READY)
 
     def record_assignments(self, group: GroupKey, versions: Mapping[str, str]) -> None:
-        """Record the cluster load assignments that a group is sent, versions by service."""
+        """Record the cluster load assignments that a group is sent; `versions` is by service."""
         accepting = self.accepting()
         for service, drains in self._drains.items():
             if service in versions:
                 drains.record_assignment(group, versions[service], accepting)
 
     def not_notified(self, service: str, in_use: Iterable[AssignmentInUse]) -> set[str]:
-        """Proxies that may still send new work to a server that drains."""
+        """Return the proxies that may still send new requests to a draining server."""
         drains = self._drains[service]
         assignments = list(in_use)
         return {
@@ -225,7 +225,7 @@
     def due_drain_reports(
         self, service: str, now: int, in_use: Iterable[AssignmentInUse]
     ) -> list[DrainReport]:
-        """Reports of a service's drains whose time has elapsed."""
+        """Return reports on the service's drains whose grace period is over."""
         return self._drains[service].due_reports(now, in_use)
 
     def _draining(self) -> list[int]:
@@ -234,7 +234,7 @@
     # ---- load reports -------------------------------------------------------
 
     def assess_reports(self) -> None:
-        """Pass on to the Balancer what all proxies' reports together say."""
+        """Assess the reports of all proxies together, and pass the result to the Balancer."""
         now = time.monotonic_ns()
         self.load_reports.prune(now, self._addresses)
         if self.load_reports.take_new():
@@ -260,7 +260,7 @@
         _unexpected("cancel", request, attempt)
 
     def set_timer(self, token: int, due: int) -> None:
-        """Call the Balancer's timer at `due`, monotonic nanoseconds."""
+        """Call `Balancer.on_timer` at `due`, in monotonic nanoseconds."""
         delay_s = max(due - time.monotonic_ns(), 0) / SECOND
         asyncio.get_running_loop().call_later(delay_s, self._on_timer, token)
 
@@ -272,9 +272,9 @@
             self._on_change()
 
     def watch(self) -> None:
-        """Follow the list of servers."""
+        """Follow changes of the list of servers."""
         self.members.watch()
 
     def log(self, text: str) -> None:
-        """Write a line of the Balancer, or of the source of servers."""
+        """Log a line of the Balancer."""
         self._log.info("%s", text)
--- a/loadbalancer/control/xds/pool_inputs.py
+++ b/loadbalancer/control/xds/pool_inputs.py
@@ -1,4 +1,4 @@
-"""What each pool is made of: its configuration and its routes, read from the files."""
+"""Reads each pool's configuration and routes from the files that the control file names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PoolInput(NamedTuple):
-    """One pool's entry in the control file, and the content of the files it names."""
+    """One pool's entry in the control file, and the decoded files that it names."""
 
     pool: PoolConfig
     config: Config
@@ -22,8 +22,8 @@
     """Read every pool's configuration and routes.
 
     Raises:
-        ControlFileError: a routes file can't be used, or two pools share a service or host.
-        ConfigError: a node's configuration can't be used.
+        ControlFileError: a routes file is invalid, or two pools have the same service or host.
+        ConfigError: a pool's node configuration is invalid.
     """
     out: list[PoolInput] = []
     owners: dict[str, str] = {}
@@ -39,11 +39,14 @@
 
 
 def _claim_names(owners: dict[str, str], pool: PoolConfig, service: Service) -> None:
-    """Record a service's names as this pool's: proxies tell services apart by them alone."""
+    """Record a service's name and hosts as this pool's, and check that no other pool has them.
+
+    Proxies distinguish services only by these names.
+    """
     for name in (f"service {service.name}", *(f"host {host}" for host in service.hosts)):
         owner = owners.setdefault(name, pool.name)
         if owner != pool.name:
             raise ControlFileError(
-                f"{pool.routes}: [twice] {name} is pool {owner}'s already; "
-                "a proxy tells services apart by name and host"
+                f"{pool.routes}: [twice] {name} already belongs to pool {owner}; "
+                "services of all pools need different names and hosts"
             )
--- a/loadbalancer/control/xds/proxies.py
+++ b/loadbalancer/control/xds/proxies.py
@@ -1,4 +1,4 @@
-"""The connected proxies, and the snapshot that each group of them is to have."""
+"""The connected proxies, and the current snapshot of each group of them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
 from loadbalancer.core.xds.session import Session
 from loadbalancer.core.xds.snapshot import ResourceType, Snapshot
 
-MAX_GROUPS = 64  # kinds times zones; each has a snapshot of its own
+MAX_GROUPS = 64  # combinations of proxy kind and zone; each has its own snapshot
 
 
 def group_key(group: ProxyGroup) -> GroupKey:
-    """A group as the drains know it."""
+    """Return the key by which the drain tracker identifies a group."""
     return (group.kind.value, group.zone)
 
 
 class ConnectedProxies:
-    """All discovery streams.
+    """All open discovery streams, and the snapshots that they serve.
 
-    `build` makes the snapshot of a group that has none yet; None while nothing is known.
+    `build` creates the snapshot of a group that has none yet. It returns None as long as some pool
+    has no server.
     """
 
     def __init__(self, build: Callable[[ProxyGroup], Snapshot | None]) -> None:
@@ -35,23 +36,23 @@
 
     @property
     def streams(self) -> Iterable[DiscoveryStream]:
-        """The streams that are open."""
+        """Return the open streams."""
         return self._streams
 
     def add(self, stream: DiscoveryStream) -> None:
-        """Begin to serve a stream."""
+        """Register an open stream."""
         self._streams.add(stream)
 
     def remove(self, stream: DiscoveryStream) -> None:
-        """Serve a stream no longer."""
+        """Unregister a closed stream."""
         self._streams.discard(stream)
 
     def has_capacity_for(self, group: ProxyGroup) -> bool:
-        """Whether a proxy of this group may connect without exceeding `MAX_GROUPS`."""
+        """Return whether a proxy of this group may connect without exceeding `MAX_GROUPS`."""
         return group in self._histories or len(self._histories) < MAX_GROUPS
 
     def open_session(self, group: ProxyGroup, incremental: bool) -> Session:
-        """A session with the group's snapshot."""
+        """Create a session that serves the group's snapshot."""
         history = self._histories.setdefault(group, History())
         snapshot = self._snapshots.get(group)
         if snapshot is None:
@@ -61,7 +62,7 @@
         return Session(incremental, snapshot, history, stub_cluster)
 
     def publish(self, snapshots: Mapping[ProxyGroup, Snapshot]) -> None:
-        """Replace the groups' snapshots; a proxy whose resources are the same is sent nothing."""
+        """Replace the groups' snapshots, and send each proxy the resources that have changed."""
         changed = {
             group
             for group, snapshot in snapshots.items()
@@ -74,15 +75,16 @@
                 stream.enqueue(stream.session.update(self._snapshots[group]))
 
     def groups(self) -> set[ProxyGroup]:
-        """The groups that have proxies connected."""
+        """Return the groups that have connected proxies."""
         return {stream.identity.group for stream in self._streams}
 
     def count(self) -> int:
-        """How many proxies are connected.
+        """Return the number of connected proxies.
 
-        One with a stream for each type is one. Two ADS streams of one id are two proxies, or
-        one that has reconnected before its old connection ended: counted twice, each gets a
-        smaller part of what all may have in flight.
+        A proxy with a separate stream for each type counts once. Two ADS streams with the same
+        node id count twice: they are two proxies, or one that has reconnected before its old
+        connection was closed. Counting too many is safe, because it only lowers each proxy's share
+        of the requests that may be in flight.
         """
         by_node: dict[str, Counter[ResourceType | None]] = {}
         for stream in self._streams:
@@ -94,7 +96,7 @@
         )
 
     def assignments_in_use(self, service: str) -> list[AssignmentInUse]:
-        """Every cluster load assignment of a service that some proxy may be using."""
+        """Return every cluster load assignment of a service that some proxy may be using."""
         return [
             AssignmentInUse(stream.identity.node_id, group_key(stream.identity.group), version)
             for stream in self._streams
@@ -102,7 +104,7 @@
         ]
 
     def push_endpoints(self, node_ids: set[str]) -> None:
-        """Send these proxies the newest endpoints without waiting for their answers."""
+        """Send the latest endpoints to these proxies without waiting for acknowledgements."""
         for stream in self._streams:
             if stream.identity.node_id in node_ids:
                 stream.push_endpoints()
--- a/loadbalancer/control/xds/proxy_identity.py
+++ b/loadbalancer/control/xds/proxy_identity.py
@@ -1,4 +1,4 @@
-"""Which proxy is at the other end of a stream: its node message and its certificate."""
+"""Identifies the proxy at the other end of a stream by its node message and certificate."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from loadbalancer.core.errors import PeerError
 from loadbalancer.core.xds.target_proxies import ProxyKind, proxy_kind_of
 
-MAX_ID_LENGTH = 256  # of a node's id and of its zone
+MAX_ID_LENGTH = 256  # of a node id, and of a zone's name
 
 
 class RejectedProxyError(PeerError, ValueError):
-    """A proxy that is not served; the text goes to it and to the log."""
+    """A proxy that is rejected; the text is logged and sent to the proxy."""
 
     def __init__(self, text: str, code: grpc.StatusCode = grpc.StatusCode.INVALID_ARGUMENT) -> None:
         super().__init__(text)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyGroup:
-    """Proxies that get the same snapshot: of one kind, in a zone by its name."""
+    """Proxies that get the same snapshot: those of the same kind in the same zone."""
 
     kind: ProxyKind
     zone: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyIdentity:
-    """A proxy by its node id, and the group it belongs to."""
+    """A proxy's node id, and the group that it belongs to."""
 
     node_id: str
     group: ProxyGroup
@@ -42,14 +42,14 @@
     """Identify a proxy by the node message of its first request.
 
     Raises:
-        RejectedProxyError: it can't be served.
+        RejectedProxyError: the proxy is invalid, unauthorized or of an unsupported kind.
     """
     if not node.id or len(node.id) > MAX_ID_LENGTH:
-        raise RejectedProxyError(f"the node's id is empty or over {MAX_ID_LENGTH} bytes")
+        raise RejectedProxyError(f"the node id is empty or longer than {MAX_ID_LENGTH} characters")
     if tls is not None:
         names = certificate_names(context)
         if not tls.allows(names, node.id):
-            text = f"certificate {', '.join(names)!r} may not speak for {node.id!r}"
+            text = f"certificate {', '.join(names)!r} may not be used by node id {node.id!r}"
             raise RejectedProxyError(text, grpc.StatusCode.PERMISSION_DENIED)
     version = node.user_agent_version
     if node.HasField("user_agent_build_version"):
@@ -57,12 +57,12 @@
         version = f"{number.major_number}.{number.minor_number}"
     kind = proxy_kind_of(node.user_agent_name, version)
     if kind is None:
-        raise RejectedProxyError("the node's user_agent_name is neither envoy nor gRPC's")
+        raise RejectedProxyError("the node's user_agent_name is neither Envoy's nor gRPC's")
     return ProxyIdentity(node.id, ProxyGroup(kind, node.locality.zone[:MAX_ID_LENGTH]))
 
 
 def certificate_names(context: Any) -> list[str]:
-    """The names in a client's certificate: subject alternative names first."""
+    """Return the names in a client's certificate, subject alternative names first."""
     found = context.auth_context()
     keys = ("x509_subject_alternative_name", "x509_common_name")
     names = [name.decode(errors="replace") for key in keys for name in found.get(key, ())]
--- a/loadbalancer/control/xds/resource_messages.py
+++ b/loadbalancer/control/xds/resource_messages.py
@@ -1,4 +1,4 @@
-"""Plans as the protobuf messages of xDS v3 resources."""
+"""Converts plans to the protobuf messages of xDS v3 resources."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from loadbalancer.core.xds.route_plan import RoutePlan
 from loadbalancer.core.xds.target_proxies import ProxyKind
 
-# On the wire: Envoy's route configuration and stat_prefix. Proxies know it by this name.
+# Name of Envoy's route configuration and its stat_prefix. It is sent to proxies, so it must stay.
 ROUTES_NAME = "wharfspread"
 LISTENER_NAME = "main"
 DENIED_STATUS = 403
 
-# Envoy's names of retry conditions. Of these, refused-stream, reset-before-request and
-# connect-failure say that the request certainly did not run.
+# Envoy's names of the retry conditions. With refused-stream, reset-before-request and
+# connect-failure it is certain that the server has not processed the request.
 ENVOY_RETRY_ON = {
     Condition.CONNECT_FAILURE: "connect-failure",
     Condition.REFUSED: "refused-stream",
@@ -46,7 +46,7 @@
 
 
 def _aggregated_source() -> config_source_pb2.ConfigSource:
-    """Refer to the ADS stream as the source of further resources."""
+    """Return the source of resources that stands for the ADS stream itself."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version="V3"
     )
@@ -56,7 +56,7 @@
 
 
 def eds_cluster(name: str) -> cluster_pb2.Cluster:
-    """A cluster whose endpoints come by EDS under its own name."""
+    """Create a cluster whose endpoints are delivered by EDS under the cluster's name."""
     return cluster_pb2.Cluster(
         name=name,
         type="EDS",
@@ -68,11 +68,11 @@
 
 
 def cluster(plan: Plan, proxyless: bool) -> cluster_pb2.Cluster:
-    """A service's cluster with its bounds."""
+    """Create a service's cluster with its limits."""
     out = eds_cluster(plan.service)
     out.circuit_breakers.thresholds.append(_thresholds(plan))
     if proxyless:
-        # gRPC's client reports load only with this; an Envoy's own file names the LRS server.
+        # gRPC clients report load only with this. An Envoy has the LRS server in its bootstrap.
         out.lrs_server.self.SetInParent()
         return out
     if plan.outlier_detection is not None:
@@ -88,8 +88,8 @@
     out = circuit_breaker_pb2.CircuitBreakers.Thresholds()
     out.max_requests.value = plan.max_requests
     if plan.retry_budget is not None:
-        # Envoy's budget is a percentage of active requests and a minimum count, not a rate. With
-        # a minimum of 0 no request of a service with little traffic could be retried.
+        # Envoy's budget is a percentage of active requests with a minimum count, not a rate. With
+        # a minimum of 0, a service with little traffic could not retry any request.
         out.retry_budget.budget_percent.value = 100.0 * plan.retry_budget.part
         out.retry_budget.min_retry_concurrency.value = max(int(plan.retry_budget.floor), 1)
     return out
@@ -98,7 +98,7 @@
 def _fill_outlier_detection(
     out: outlier_detection_pb2.OutlierDetection, plan: OutlierDetection
 ) -> None:
-    """Consecutive errors alone: the Balancer has no rule on success rates."""
+    """Enable ejection by consecutive errors only; the Balancer has no rule on success rates."""
     out.consecutive_5xx.value = plan.consecutive_errors
     out.base_ejection_time.CopyFrom(_duration(plan.base_ejection_time))
     out.max_ejection_time.CopyFrom(_duration(plan.max_ejection_time))
@@ -113,7 +113,7 @@
 def cluster_load_assignment(
     service: str, localities: Sequence[Locality]
 ) -> endpoint_pb2.ClusterLoadAssignment:
-    """A service's endpoints by locality."""
+    """Create a service's endpoints, grouped by locality."""
     out = endpoint_pb2.ClusterLoadAssignment(cluster_name=service)
     for locality in localities:
         row = out.endpoints.add(priority=locality.priority)
@@ -138,7 +138,7 @@
 
 
 def socket_listener(listen: tuple[str, int]) -> listener_pb2.Listener:
-    """The listener of an Envoy: one address for all services."""
+    """Create the listener of an Envoy: one address for all services."""
     out = listener_pb2.Listener(name=LISTENER_NAME)
     out.address.socket_address.address, out.address.socket_address.port_value = listen
     chain = out.filter_chains.add()
@@ -148,7 +148,7 @@
 
 
 def api_listener(host: str, routes_name: str) -> listener_pb2.Listener:
-    """The listener of a proxyless client, by the host that it calls as `xds:///HOST`."""
+    """Create the listener of a proxyless client for the host that it calls as `xds:///HOST`."""
     out = listener_pb2.Listener(name=host)
     out.api_listener.api_listener.Pack(_connection_manager(routes_name), deterministic=True)
     return out
@@ -170,7 +170,10 @@
 def route_configuration(
     name: str, plans: Sequence[Plan], kind: ProxyKind, domains: Sequence[str] | None = None
 ) -> configuration_pb2.RouteConfiguration:
-    """One virtual host a service; `domains` in place of the services' own hosts."""
+    """Create a route configuration with one virtual host for each service.
+
+    `domains` replaces the services' own hosts.
+    """
     return configuration_pb2.RouteConfiguration(
         name=name, virtual_hosts=[_virtual_host(plan, kind, domains) for plan in plans]
     )
@@ -189,7 +192,7 @@
 def _route(plan: RoutePlan, cluster_name: str, kind: ProxyKind) -> route_pb2.Route:
     out = route_pb2.Route(name=plan.name, match=_match(plan.pattern))
     if plan.methods:
-        # One matcher for all methods: several would have to match at once.
+        # A single matcher for all methods, because a route requires all its matchers to match.
         methods = "|".join(re.escape(method.decode()) for method in sorted(plan.methods))
         out.match.headers.add(name=":method").string_match.safe_regex.regex = methods
     policy = plan.policy
@@ -219,7 +222,7 @@
     if policy.attempt_timeout and not kind.proxyless:
         retry.per_try_timeout.CopyFrom(_duration(policy.attempt_timeout))
     if plan.hedge_after:
-        # At its timeout an attempt continues beside the next one; the first response is used.
+        # At the timeout the next attempt starts while this one continues; the first response wins.
         retry.per_try_timeout.CopyFrom(_duration(plan.hedge_after))
         out.hedge_policy.hedge_on_per_try_timeout = True
     if policy.backoff_base:
@@ -232,7 +235,7 @@
         return route_pb2.RouteMatch(prefix="/")
     if not pattern.prefix and None not in pattern.segments:
         return route_pb2.RouteMatch(path=str(pattern))
-    # RE2 syntax. A plain prefix would also match a part of a segment.
+    # RE2 syntax. Envoy's plain prefix match would also match in the middle of a segment.
     segments = (
         "[^/]+" if segment is None else re.escape(segment.decode()) for segment in pattern.segments
     )
--- a/loadbalancer/control/xds/server.py
+++ b/loadbalancer/control/xds/server.py
@@ -1,6 +1,7 @@
 """The control service's process: its gRPC server, signals and certificates.
 
-The process is asyncio's and grpc.aio's own; the node imports none of it.
+It is a separate process that runs on asyncio and grpc.aio. Nodes do not import this module, so
+they do not need grpc.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 def _credentials(tls: TlsConfig) -> grpc.ServerCredentials:
-    """Certificates of both sides; the files are read again at each handshake."""
+    """Create credentials for mutual TLS; the files are read again at each handshake."""
 
     def read() -> grpc.ServerCertificateConfiguration:
         pair = (Path(tls.key).read_bytes(), Path(tls.certificate).read_bytes())
@@ -41,18 +42,18 @@
         try:
             return read()
         except (OSError, ValueError):
-            return None  # half replaced: those in use stay in use
+            return None  # a file is missing or half written: keep the current certificates
 
     return grpc.dynamic_ssl_server_credentials(read(), read_again, True)
 
 
 async def serve(control: ControlService) -> None:
-    """Serve until SIGTERM or SIGINT.
+    """Serve until SIGTERM or SIGINT; reload on SIGHUP.
 
     Raises:
-        ListError: a pool's list can't be used.
+        ListError: a pool's list is invalid.
         OSError: a file can't be read.
-        RuntimeError: the address can't be listened at.
+        RuntimeError: the server can't listen on its address.
     """
     server = grpc.aio.server(
         options=[
@@ -87,12 +88,12 @@
 
 
 def main(path: str) -> int:
-    """Run the control service by its file; 2 where it can't be used."""
+    """Run the control service; return its exit status, 2 if the file or an address is unusable."""
     logs.configure(LOG_PREFIX, logs.SERVICE_LINES_PER_SECOND)
     try:
         config = read_file(path)
         asyncio.run(serve(ControlService(path, config, read_inputs(config))))
     except (ControlFileError, ConfigError, ConsulError, ListError, OSError, RuntimeError) as err:
-        logger.error("%s", err)  # noqa: TRY400 - an operator's fault: the text names it
+        logger.error("%s", err)  # noqa: TRY400 - a configuration error; the text describes it
         return EXIT_UNUSABLE
     return 0
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -1,7 +1,7 @@
-"""The control service: one Balancer a pool, its decisions served to other proxies over xDS.
+"""The control service: serves the decisions of one Balancer for each pool to proxies over xDS.
 
-The list of servers comes by the node's own discovery, from Consul or from a file, routes and
-classes from the routes file. A reload reads the routes and discovery's address again.
+The list of servers comes from the platform's discovery, from Consul or from a file; routes and
+classes come from the routes file. A reload reads the routes and the address of discovery again.
 """
 
 from __future__ import annotations
@@ -30,17 +30,19 @@
 
 logger = logging.getLogger(__name__)
 
-# After a publication, changes are collected for the longer of two times before the next one.
+# After a publication, changes are collected for the longer of these two times before the next one.
 PUBLISH_PAUSE_S = 0.05
-PUBLISH_PAUSE_FACTOR = 2.0  # times the duration of that publication: bounds its share of the CPU
+PUBLISH_PAUSE_FACTOR = 2.0  # times the duration of the publication: limits its share of CPU time
 ASSESS_INTERVAL_S = 1.0  # between assessments of the load reports
-PUSH_FRACTION = 0.4  # of a drain's grace; then endpoints are sent without waiting for answers
-TIMER_MARGIN_S = 0.002  # a timer may fire some nanoseconds before its time
-MAX_LOGGED_PROXIES = 10  # names in one log line
+# Fraction of a drain's grace period after which endpoints are sent to proxies that have not
+# acknowledged the drain, without waiting for their acknowledgements.
+PUSH_FRACTION = 0.4
+TIMER_MARGIN_S = 0.002  # because a timer may fire some nanoseconds early
+MAX_LOGGED_PROXIES = 10  # proxies named in one log line
 
 
 class ControlService:
-    """All pools, and what is published of them together."""
+    """All pools, and the gRPC services that publish their decisions."""
 
     def __init__(self, path: str, config: ControlConfig, inputs: Sequence[PoolInput]) -> None:
         self._path = path
@@ -62,10 +64,10 @@
         self._was_stale = False
 
     def start(self) -> None:
-        """Begin to follow the pools' lists.
+        """Start all pools and the periodic assessment of load reports.
 
         Raises:
-            ListError: a pool's list can't be used.
+            ListError: a pool's list is invalid.
             OSError: a pool's list can't be read.
         """
         for pool in self._pools:
@@ -73,12 +75,12 @@
         asyncio.get_running_loop().call_later(ASSESS_INTERVAL_S, self._assess)
 
     def close(self) -> None:
-        """Follow the pools' lists no longer."""
+        """Stop following the pools' lists."""
         for pool in self._pools:
             pool.close()
 
     def reload(self) -> None:
-        """Read the files again: routes and discovery's address change together or not at all."""
+        """Read the files again, and apply all changes of routes and discovery, or none."""
         try:
             config = read_file(self._path)
             inputs = self._reloadable_inputs(config)
@@ -92,23 +94,25 @@
         self._publish()
 
     def _reloadable_inputs(self, config: ControlConfig) -> list[PoolInput]:
-        """Read the pools' files.
+        """Read the pools' files for a reload.
 
         Raises:
-            ControlFileError: they can't be used, or what changed needs a restart.
-            ConfigError: a node's configuration can't be used.
+            ControlFileError: a file can't be used, or a change requires a restart.
+            ConfigError: a pool's node configuration can't be used.
         """
         if replace(config, pools=()) != replace(self.config, pools=()):
-            raise ControlFileError("only routes, and where discovery is, change without a restart")
+            raise ControlFileError("only routes and discovery's address change without a restart")
         fixed_parts = [pool.fixed_part() for pool in config.pools]
         if fixed_parts != [pool.fixed_part() for pool in self.config.pools]:
-            raise ControlFileError("pools, and where their servers come from, need a restart")
+            raise ControlFileError(
+                "a change of pools or of their source of servers needs a restart"
+            )
         return read_inputs(config)
 
     # ---- publication ----------------------------------------------------
 
     def publish_soon(self) -> None:
-        """Publish a first change at once, and those that follow it together."""
+        """Schedule a publication: at once, or after the pause with all changes until then."""
         if self._publication is None:
             loop = asyncio.get_running_loop()
             due = max(self._paused_until, loop.time())
@@ -136,10 +140,10 @@
     # ---- drains -------------------------------------------------------------
 
     def _on_drain(self, pool: Pool) -> None:
-        """Publish a drain at once; proxies that do not answer get it without waiting.
+        """Publish a drain at once, and schedule its push to slow proxies and its report.
 
-        Failure: the publication raises, and the drain is neither pushed later nor reported. A
-        fault is logged, and both timers are set.
+        An exception in the publication is logged, so that both timers are set in any case.
+        Otherwise the drain would be neither pushed nor reported.
         """
         run_logged(self._publish)
         loop = asyncio.get_running_loop()
@@ -163,10 +167,10 @@
     # ---- load reports, status -----------------------------------------------
 
     def _assess(self) -> None:
-        """Assess the load reports, and arm the next assessment.
+        """Assess the load reports of all pools, and schedule the next assessment.
 
-        Failure: one pool's assessment raises before the timer is set. From then on no pool's
-        weights follow its load reports. A fault costs only the step that raises it.
+        Exceptions are logged for each step. If one kept the timer from being set, the weights of
+        all pools would stop following their load reports.
         """
         for pool in self._pools:
             run_logged(pool.assess_reports)
@@ -177,9 +181,9 @@
         stale = self._stale_lists()
         if bool(stale) != self._was_stale:
             if stale:
-                logger.info("endpoint list is stale, proxies keep it: %s", stale)
+                logger.info("endpoint list is stale, proxies keep their last one: %s", stale)
             else:
-                logger.info("endpoint list is fresh again")
+                logger.info("endpoint list is up to date again")
         self._was_stale = bool(stale)
 
     def _stale_lists(self) -> str:
@@ -197,7 +201,7 @@
 
 
 def _drain_line(service: str, address: str, report: DrainReport) -> str:
-    """A drain's line of the log: who learned of it in time, and who did not."""
+    """Format the log line of a drain: which proxies acknowledged it in time, and which did not."""
     text = f"{service}: drain of {address} acknowledged in time by {report.notified} proxies"
     missed = report.not_notified
     if not missed:
--- a/loadbalancer/control/xds/snapshot_builder.py
+++ b/loadbalancer/control/xds/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""The snapshot of each group of proxies, from all pools' plans."""
+"""Builds the snapshot of each group of proxies from the plans of all pools."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class SnapshotBuilder:
-    """Builds snapshots, and logs once what a kind of proxy can't carry out.
+    """Builds snapshots, and logs once which settings a kind of proxy does not support.
 
     Args:
-        pools: all of the service.
-        envoy_listener: where Envoys are to listen.
-        proxy_slow_start: proxies that can are to warm servers up themselves.
+        pools: all pools of the control service.
+        envoy_listener: address on which Envoys are told to listen.
+        proxy_slow_start: whether proxies that support slow start warm up servers themselves.
     """
 
     def __init__(
@@ -38,16 +38,17 @@
         self._waits_for_servers = False
 
     def build(self, group: ProxyGroup, connected: int) -> Snapshot | None:
-        """What a group is to have while so many proxies are connected, of all groups.
+        """Build a group's snapshot; `connected` is the number of proxies in all groups.
 
-        None while some pool knows no server, as after a restart: a snapshot without that pool's
-        services would remove them from proxies that still use them.
+        Returns None as long as some pool has no server, for example after a restart: a snapshot
+        without that pool's services would remove them from proxies that still use them.
         """
         unknown = [pool.name for pool in self._pools if not pool.has_servers()]
         if unknown:
             if not self._waits_for_servers:
                 logger.info(
-                    "no server is known of %s: proxies keep what they have", ", ".join(unknown)
+                    "no server is known in pool %s: proxies keep their resources",
+                    ", ".join(unknown),
                 )
             self._waits_for_servers = True
             return None
@@ -57,7 +58,7 @@
         return snapshot
 
     def withheld(self, group: ProxyGroup) -> Mapping[str, str]:
-        """Services that the group's last snapshot lacks, with the reason."""
+        """Return the services that are missing from the group's last snapshot, with the reasons."""
         return self._withheld.get(group, {})
 
     def _served_plans(self, group: ProxyGroup, connected: int) -> list[Plan]:
@@ -85,16 +86,16 @@
         return encoder.build(plans)
 
     def _record_assignments(self, group: ProxyGroup, snapshot: Snapshot) -> None:
-        """Record which servers take new work in each assignment of the snapshot."""
+        """Record which servers accept new requests in each assignment of the snapshot."""
         assignments = snapshot.of_type(ResourceType.ENDPOINTS)
         versions = {service: found.version for service, found in assignments.items()}
         for pool in self._pools:
             pool.record_assignments(group_key(group), versions)
 
     def _log_limits(self, group: ProxyGroup, plan: Plan) -> None:
-        """Log what is not carried out, once for each kind of proxy."""
+        """Log settings that are not supported, once for each kind of proxy."""
         reasons = [(f"{plan.service} is not served", text) for text in plan.unsupported]
-        reasons += [("not carried out", text) for text in plan.omitted]
+        reasons += [("not supported", text) for text in plan.omitted]
         for what, text in reasons:
             line = f"{group.kind}: {what}: {text}"
             if line not in self._logged:
--- a/loadbalancer/control/xds/stream.py
+++ b/loadbalancer/control/xds/stream.py
@@ -1,4 +1,4 @@
-"""One proxy's discovery stream: its session, and the responses still to be written."""
+"""One proxy's discovery stream: its session, and the queue of unsent responses."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class Termination(NamedTuple):
-    """The status with which the service ends a stream."""
+    """The gRPC status with which the service ends a stream."""
 
     code: grpc.StatusCode
     details: str
 
 
 class DiscoveryStream:
-    """One proxy's stream. `only` is its one resource type; None where it is an ADS stream."""
+    """One proxy's stream. `only` is its single resource type, None for an ADS stream."""
 
     def __init__(
         self, identity: ProxyIdentity, session: Session, only: ResourceType | None = None
@@ -43,16 +43,16 @@
         self.identity = identity
         self.session = session
         self.only = only
-        # At most one response of a type: a newer one waits for the older one's answer.
+        # At most one response of each type; see `enqueue`.
         self.unsent: list[DiscoveryResponse] = []
         self._changed = asyncio.Event()
         self._closing = False
 
     def enqueue(self, responses: list[DiscoveryResponse]) -> None:
-        """Write these responses, in place of unsent ones of the same types.
+        """Queue responses, replacing unsent ones of the same types.
 
-        Guards the service's memory against a proxy that acknowledges by guessed nonces and
-        reads nothing: without it, the queue grows with each of its requests.
+        This limits the queue's memory. Otherwise a proxy that reads nothing, but acknowledges
+        responses by guessing their nonces, would make the queue grow with each request.
         """
         if responses:
             newer = {response.resource_type for response in responses}
@@ -62,20 +62,20 @@
             self._changed.set()
 
     def close(self) -> None:
-        """Write nothing after the response that is being written."""
+        """Stop writing after the response that is currently being written."""
         self._closing = True
         self._changed.set()
 
     def push_endpoints(self) -> None:
-        """Send the newest endpoints now, in place of those not acknowledged or not yet written.
+        """Send the latest endpoints now, without waiting for earlier ones to be acknowledged.
 
-        Unsent responses were never seen by the proxy and are dropped, so that a proxy which reads
-        slowly gets the newest directly after what is in its buffers.
+        They replace an unsent response, so that a slow reader gets them right after the data that
+        is already in its buffers.
         """
         self.enqueue(self.session.push_endpoints())
 
     async def write(self, context: Any, encoder: ResponseEncoder) -> None:
-        """Write responses as they come, until the stream is closed."""
+        """Write queued responses until the stream is closed."""
         while not self._closing:
             await self._changed.wait()
             self._changed.clear()
@@ -85,24 +85,27 @@
     async def read(
         self, first: Any, requests: AsyncIterator[Any], incremental: bool
     ) -> Termination | None:
-        """Take requests to the stream's end; how to end it where a request is at fault."""
+        """Handle requests until the proxy ends the stream.
+
+        Returns None then, or the status to end the stream with after an invalid request.
+        """
         rate = RequestRate()
         message = first
         while message is not None:
             if rate.exceeded():
-                text = f"over {MAX_REQUESTS_PER_S} requests a second"
+                text = f"more than {MAX_REQUESTS_PER_S} requests a second"
                 return Termination(grpc.StatusCode.RESOURCE_EXHAUSTED, text)
-            termination = self._take(message, incremental)
+            termination = self._handle_request(message, incremental)
             if termination is not None:
                 return termination
             message = await anext(aiter(requests), None)
         return None
 
-    def _take(self, message: Any, incremental: bool) -> Termination | None:
-        """Take one request."""
+    def _handle_request(self, message: Any, incremental: bool) -> Termination | None:
+        """Handle one request; return the status to end the stream with if it is invalid."""
         resource_type = self._resource_type(message.type_url)
         if resource_type is None:
-            text = f"no resources of type {message.type_url[:MAX_LOGGED_TYPE_URL]!r} here"
+            text = f"resource type {message.type_url[:MAX_LOGGED_TYPE_URL]!r} is not served"
             return Termination(grpc.StatusCode.INVALID_ARGUMENT, text)
         decode = decode_delta_request if incremental else decode_request
         request = decode(resource_type, message)
@@ -120,9 +123,9 @@
         return None
 
     def _resource_type(self, type_url: str) -> ResourceType | None:
-        """The type that a request is for, None where this stream does not serve it.
+        """Return the type that a request is for, or None if this stream does not serve it.
 
-        A stream for one type need not name it.
+        On a stream for a single type, requests may omit the type.
         """
         if not type_url and self.only is not None:
             return self.only
--- a/loadbalancer/control/xds/stream_limits.py
+++ b/loadbalancer/control/xds/stream_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what one stream of a proxy may cost."""
+"""Limits on the requests of a proxy's stream."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 import grpc
 
 FIRST_REQUEST_TIMEOUT_S = 10.0
-MAX_REQUESTS_PER_S = 200  # of one stream; a proxy that subscribes to everything sends about ten
+# On one stream. A proxy that subscribes to all resources sends about ten.
+MAX_REQUESTS_PER_S = 200
 
 
 class RequestRate:
-    """Counts a stream's requests by the second."""
+    """Counts the requests of a stream in the current second."""
 
     __slots__ = ("_count", "_second")
 
@@ -22,7 +23,7 @@
         self._count = 0
 
     def exceeded(self) -> bool:
-        """Count one more request; whether it is beyond the bound."""
+        """Count one more request, and return whether it exceeds the limit."""
         second = int(asyncio.get_running_loop().time())
         if second == self._second:
             self._count += 1
@@ -33,10 +34,10 @@
 
 
 async def first_request(requests: AsyncIterator[Any], context: Any) -> Any:
-    """The first request, None at the stream's end; a silent stream is ended after a time.
+    """Return a stream's first request, or None if the stream ends before it.
 
-    Guards the bound on open streams: without it, streams that never send a request use it up,
-    and no further proxy is served.
+    A stream without a request is aborted after a timeout. Otherwise streams that never send a
+    request could use up the limit on open streams, and no further proxy would be served.
     """
     try:
         return await asyncio.wait_for(anext(aiter(requests), None), FIRST_REQUEST_TIMEOUT_S)
--- a/loadbalancer/control/xds/wire.py
+++ b/loadbalancer/control/xds/wire.py
@@ -1,9 +1,9 @@
-"""Discovery requests decoded, and discovery responses encoded from serialised resources.
+"""Decodes discovery requests, and encodes discovery responses from serialized resources.
 
-A generated message would parse and serialise every resource once more for every proxy: servers
-times proxies. Here a response is the joined bytes that all proxies share and the few that
-differ. protobuf's encoding allows this: fields may come in any order, and a message's bytes are
-those of its fields.
+With protobuf's generated classes, every resource would be parsed and serialized again for every
+proxy, at a cost of servers times proxies. Instead, the part of a response that is the same for all
+proxies is encoded once and cached, and the few fields that differ are appended. Protobuf allows
+this: fields may come in any order, and a message is the concatenation of its encoded fields.
 
 Source: protobuf encoding; envoy.service.discovery.v3 DiscoveryResponse (version_info 1,
 resources 2, type_url 4, nonce 5), DeltaDiscoveryResponse (system_version_info 1, resources 2,
@@ -20,15 +20,15 @@
 from loadbalancer.core.xds.messages import DiscoveryRequest, DiscoveryResponse
 from loadbalancer.core.xds.snapshot import Resource, ResourceType
 
-MAX_SHARED = 256  # joined responses that are cached for the next proxy
+MAX_CACHED_RESPONSES = 256  # shared parts of responses
 LENGTH_DELIMITED = 2  # protobuf wire type
-WIRE_TYPE_BITS = 3  # low bits of a field's tag, below its number
+WIRE_TYPE_BITS = 3  # low bits of a field's tag; the field number is above them
 VARINT_BITS = 7
-VARINT_MORE = 0x80
+VARINT_CONTINUATION = 0x80  # set in every byte of a varint but the last
 
 
 class ResponseField(IntEnum):
-    """Field numbers of a response, the same in both variants."""
+    """Field numbers of a response; the same in both variants of the protocol."""
 
     VERSION = 1
     RESOURCES = 2
@@ -78,47 +78,47 @@
 
 
 def encode_varint(number: int) -> bytes:
-    """Base 128, least significant group first."""
+    """Encode a non-negative integer in base 128, least significant group first."""
     out = bytearray()
-    while number >= VARINT_MORE:
-        out.append(number & (VARINT_MORE - 1) | VARINT_MORE)
+    while number >= VARINT_CONTINUATION:
+        out.append(number & (VARINT_CONTINUATION - 1) | VARINT_CONTINUATION)
         number >>= VARINT_BITS
     out.append(number)
     return bytes(out)
 
 
 def encode_field(number: int, body: bytes) -> bytes:
-    """A length-delimited field."""
+    """Encode a length-delimited field."""
     return (
         encode_varint(number << WIRE_TYPE_BITS | LENGTH_DELIMITED) + encode_varint(len(body)) + body
     )
 
 
 class ResponseEncoder:
-    """Responses of one variant as bytes; the part that proxies share is joined once.
+    """Encodes responses of one protocol variant, caching the part that proxies have in common.
 
-    `joined` counts the responses that were not cached.
+    `cache_misses` counts the responses whose common part was not cached.
     """
 
-    __slots__ = ("_incremental", "_shared", "joined")
+    __slots__ = ("_cache", "_incremental", "cache_misses")
 
     def __init__(self, incremental: bool) -> None:
         self._incremental = incremental
-        self._shared: OrderedDict[_CacheKey, bytes] = OrderedDict()
-        self.joined = 0
+        self._cache: OrderedDict[_CacheKey, bytes] = OrderedDict()
+        self.cache_misses = 0
 
     def encode(self, response: DiscoveryResponse) -> bytes:
-        """One DiscoveryResponse or DeltaDiscoveryResponse."""
+        """Encode a DiscoveryResponse or DeltaDiscoveryResponse."""
         resources = tuple((resource.name, resource.version) for resource in response.resources)
         key = (response.resource_type, response.version_info, resources)
-        shared = self._shared.get(key)
+        shared = self._cache.get(key)
         if shared is None:
-            self.joined += 1
-            shared = self._shared[key] = self._join(response)
-            if len(self._shared) > MAX_SHARED:
-                self._shared.popitem(last=False)
+            self.cache_misses += 1
+            shared = self._cache[key] = self._encode_shared_part(response)
+            if len(self._cache) > MAX_CACHED_RESPONSES:
+                self._cache.popitem(last=False)
         else:
-            self._shared.move_to_end(key)
+            self._cache.move_to_end(key)
         nonce = encode_field(ResponseField.NONCE, response.nonce.encode())
         removed = b"".join(
             encode_field(ResponseField.REMOVED, name.encode())
@@ -126,7 +126,7 @@
         )
         return shared + nonce + removed
 
-    def _join(self, response: DiscoveryResponse) -> bytes:
+    def _encode_shared_part(self, response: DiscoveryResponse) -> bytes:
         type_url = TYPE_URLS[response.resource_type]
         encode_resource = _named_resource if self._incremental else _bare_resource
         return b"".join(
--- a/tests/control/xds/support.py
+++ b/tests/control/xds/support.py
@@ -1,4 +1,4 @@
-"""A control service as a process, and proxies of several kinds to put before it."""
+"""Test support: a control service as a process, and clients of several kinds to connect to it."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @contextlib.contextmanager
 def grpc_client(address: str) -> Iterator[Process]:
-    """grpcio's client on `xds:///app.svc`, as its own process."""
+    """Run grpcio's xDS client for `xds:///app.svc` as its own process."""
     bootstrap = {
         "xds_servers": [
             {"server_uri": address, "channel_creds": [{"type": "insecure"}],
@@ -80,11 +80,11 @@
     ]
 
 
-# ---- streams driven by hand ------------------------------------------------
+# ---- hand-driven streams ---------------------------------------------------
 
 
 class RawStream:
-    """A stream driven by hand, of either variant."""
+    """A hand-driven discovery stream of either variant of the protocol."""
 
     def __init__(
         self, address: str, incremental: bool, agent: str = "envoy", method: str = ""
@@ -117,7 +117,7 @@
         return next(self.answers)
 
     def end_status(self) -> grpc.StatusCode:
-        """Read to the stream's end; the status it ends with."""
+        """Read until the stream ends, and return the status it ends with."""
 
         def read_all() -> None:
             while True:
@@ -144,7 +144,7 @@
 
 
 class EnvoyStream:
-    """A state-of-the-world stream that applies every response and acknowledges it."""
+    """A state-of-the-world stream that applies and acknowledges every response."""
 
     def __init__(self, stream: RawStream) -> None:
         self.stream = stream
@@ -157,7 +157,7 @@
         self.stream.request(TYPE_URLS[kind], resource_names=names)
 
     def receive(self) -> str:
-        """Read one response, apply and acknowledge it; its type URL."""
+        """Read one response, apply and acknowledge it, and return its type URL."""
         response = self.stream.receive()
         for resource in response.resources:
             if resource.Is(endpoint_pb2.ClusterLoadAssignment.DESCRIPTOR):
@@ -182,7 +182,7 @@
 
 @contextlib.contextmanager
 def envoy_stream(process: Process) -> Iterator[EnvoyStream]:
-    """Subscribed to two services, as Envoy does; it has both by then."""
+    """Open a stream that has subscribed to two services like an Envoy and received both."""
     services = ("topup", "billing")
     with raw_stream(process, False) as stream:
         out = EnvoyStream(stream)
@@ -195,7 +195,7 @@
 
 
 class LoadReporter:
-    """A load-reporting stream driven by hand."""
+    """A hand-driven load-reporting stream."""
 
     def __init__(self, process: Process, node: str) -> None:
         self.channel = grpc.insecure_channel(process.address)
@@ -212,7 +212,7 @@
         self.response = next(self.answers)
 
     def report(self, results: dict[int, tuple[int, int]], ms: int = 10) -> None:
-        """Report successes and errors by port, over so many milliseconds."""
+        """Report successes and errors by port, for an interval of so many milliseconds."""
         message = lrs_pb2.LoadStatsRequest()
         stats = message.cluster_stats.add(cluster_name="topup")
         stats.load_report_interval.nanos = ms * 1_000_000
@@ -232,11 +232,11 @@
         self.channel.close()
 
 
-# ---- what the service records -----------------------------------------------
+# ---- status and log of the service -------------------------------------------
 
 
 def client_configs(process: Process) -> Any:
-    """Every proxy's client status, by CSDS."""
+    """Fetch the client status of all proxies by CSDS."""
     with grpc.insecure_channel(process.address) as channel:
         fetch = channel.unary_unary(
             f"/{CSDS_SERVICE}/FetchClientStatus",
@@ -247,7 +247,7 @@
 
 
 def resource_statuses(process: Process) -> dict[tuple[str, str], Any]:
-    """What CSDS says, by proxy and resource."""
+    """Fetch the status of each resource by CSDS, by node id and type URL."""
     return {
         (config.node.id, row.type_url): row
         for config in client_configs(process)
@@ -256,12 +256,12 @@
 
 
 def client_config(process: Process) -> Any:
-    """The first proxy's client status."""
+    """Fetch the client status of the first proxy."""
     return client_configs(process)[0]
 
 
 def wait_for_log(process: Process, text: str) -> None:
-    """Wait for a line of the service's log, and keep all that came before it."""
+    """Wait for a line with this text in the service's log, and store all lines read."""
     assert process.child.stdout is not None
     lines = []
     for line in process.child.stdout:
@@ -290,7 +290,7 @@
 
 
 def replace_file(path: Path, text: str) -> None:
-    """Replace a file as an operator should: it is never half written."""
+    """Replace a file atomically, as an operator should."""
     new = path.with_suffix(".new")
     new.write_text(text)
     new.rename(path)
--- a/tests/control/xds/test_assessment.py
+++ b/tests/control/xds/test_assessment.py
@@ -1,4 +1,4 @@
-"""The periodic assessment of load reports, and drains, without sockets."""
+"""Tests of the periodic assessment of load reports, and of drains, without sockets."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 @pytest.mark.parametrize("step", ["assess_reports", "stale_list"])
-def test_an_assessment_that_raises_is_followed_by_the_next_one(
+def test_assessments_continue_after_an_exception(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One pool's assessment raises. There was no further one of any pool until a restart, and
-    weights no longer followed the load reports.
+    """One pool's assessment raises an exception. If that ended the assessments, the weights of all
+    pools would no longer follow the load reports until a restart.
     """
     monkeypatch.setattr(service, "ASSESS_INTERVAL_S", 0.001)
     pools: list[Any] = [mock.Mock(), mock.Mock()]
@@ -36,11 +36,11 @@
     asyncio.run(play())
 
 
-def test_a_drain_is_pushed_and_reported_after_a_publication_that_raised(
+def test_a_drain_is_pushed_and_reported_after_an_exception_in_its_publication(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Publishing a drain raises. Proxies were not sent it later, within its grace, either, and the
-    log did not say who had missed it.
+    """If an exception in the publication of a drain kept its timers from being set, proxies would
+    not get the drain within its grace period, and the log would not name those that missed it.
     """
     made: Any = object.__new__(ControlService)
     steps = {name: mock.Mock() for name in ("_publish", "_push_drain", "_report_drains")}
--- a/tests/control/xds/test_hostile.py
+++ b/tests/control/xds/test_faulty_proxies.py
@@ -1,4 +1,4 @@
-"""The control service before scripted proxies: faults cost only the proxy that has them."""
+"""Tests of the control service with scripted proxies, some of which break the protocol."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.harness import roster, target, until
 
 HEALTHY, DRAINING = 1, 3  # core.v3.HealthStatus
-# What every proxy of the one pool holds in the end, by type.
+# The names of all resources of the only pool, by type.
 ALL_RESOURCES = {
     "cluster": {"topup"},
     "endpoints": {"topup"},
@@ -29,7 +29,8 @@
 BOTH_VARIANTS = pytest.mark.parametrize("variant", ["sotw", "incremental"])
 
 
-def order(process: Process, **fields: Any) -> Any:
+def send_command(process: Process, **fields: Any) -> Any:
+    """Send a command to a process of scripted proxies or to the relay; return its answer."""
     return json.loads(process.send_line(json.dumps(fields)))
 
 
@@ -37,7 +38,7 @@
 def scripted_proxies(address: str, count: int, variant: str, *more: str) -> Iterator[Process]:
     arguments = ("-m", "fakes.xds_proxy", address, "--count", str(count), "--variant", variant)
     with running_process((*arguments, *more)) as process:
-        order(process, do="connect")
+        send_command(process, do="connect")
         yield process
 
 
@@ -45,7 +46,7 @@
 def service_and_discovery(
     tmp_path: Path, targets: list[dict[str, Any]]
 ) -> Iterator[tuple[Process, Process]]:
-    """Discovery, and a control service that takes its list from there."""
+    """Run discovery, and a control service that gets its list from there."""
     with running_process(("-m", "fakes.discovery")) as discovery:
         discovery.call("POST", "/standin/targets", targets)
         known = roster(*targets)
@@ -64,12 +65,12 @@
 def wait_until_applied(
     process: Process, servers: dict[str, int], *except_for: str, only: bool = False
 ) -> None:
-    """Wait until every proxy has applied these servers and holds all resources.
+    """Wait until every proxy has applied these servers and has all resources.
 
-    On a new stream a listener and its routes may come after the endpoints: a proxy that has
-    connected a moment ago can have all servers and no routes yet.
+    On a new stream the listener and its routes may arrive after the endpoints, so a proxy that has
+    just connected can have all servers but no routes yet.
     """
-    answer = order(
+    answer = send_command(
         process, do="wait", service="topup", servers=servers, exempt=except_for, exactly=only
     )
     assert answer == {"missing": []}
@@ -77,26 +78,26 @@
 
 
 def states_without_error(process: Process) -> dict[str, Any]:
-    """All proxies' states; each was consistent after every message so far."""
-    states: dict[str, Any] = order(process, do="state")
+    """Return all proxies' states, after checking that none has recorded a violation."""
+    states: dict[str, Any] = send_command(process, do="state")
     assert {n: s["violations"] for n, s in states.items() if s["violations"]} == {}
     return states
 
 
 def resource_names(state: dict[str, Any]) -> dict[str, set[str]]:
-    """The names of the resources that a proxy has, by type."""
+    """Return the names of the resources that a proxy has, by type."""
     return {kind: set(versions) for kind, versions in state["versions"].items()}
 
 
 def incomplete_proxies(process: Process, *except_for: str) -> dict[str, Any]:
-    """What those proxies hold that do not hold all resources yet, by proxy."""
+    """Return the resource names of the proxies that do not have all resources yet."""
     states = states_without_error(process)
     found = {n: resource_names(s) for n, s in states.items() if n not in except_for}
     return {n: names for n, names in found.items() if names != ALL_RESOURCES}
 
 
 def consistent_states(process: Process, *except_for: str) -> dict[str, Any]:
-    """All proxies' states; each was consistent at every moment and holds all resources."""
+    """Return all proxies' states, after checking for violations and missing resources."""
     states = states_without_error(process)
     for name, state in states.items():
         if name not in except_for:
@@ -105,12 +106,12 @@
 
 
 def end_status(process: Process, name: str) -> str:
-    """The status its last stream ended with, "" while it is open."""
-    return str(order(process, do="state")[name]["end_status"])
+    """Return the status with which a proxy's last stream ended, "" while it is open."""
+    return str(send_command(process, do="state")[name]["end_status"])
 
 
 def recorded_versions(process: Process) -> dict[str, dict[str, str]]:
-    """The service's own records: by proxy, the version of each type."""
+    """Return the versions of each proxy's resources as recorded by the service, by type."""
     out: dict[str, dict[str, str]] = {}
     for (node, kind), row in resource_statuses(process).items():
         out.setdefault(node, {})[kind.rpartition(".")[2]] = row.version_info
@@ -118,7 +119,9 @@
 
 
 @BOTH_VARIANTS
-def test_every_proxy_has_in_the_end_what_the_service_records(tmp_path: Path, variant: str) -> None:
+def test_all_proxies_converge_to_the_versions_that_the_service_records(
+    tmp_path: Path, variant: str
+) -> None:
     with (
         service_and_discovery(tmp_path, target_list(1, 30)) as (process, discovery),
         scripted_proxies(process.address, 21, variant) as proxies,
@@ -152,16 +155,14 @@
 
 
 @BOTH_VARIANTS
-def test_a_faulty_proxy_costs_only_itself(tmp_path: Path, variant: str) -> None:
-    """Eleven proxies each break the protocol in another way, three keep to it.
-
-    One falls silent, one rejects a type, one floods the service, and so on. Two changes of the
-    list follow: those that keep to the protocol have both, and the faulty ones are served again
-    as far as their fault allows.
+def test_a_faulty_proxy_does_not_affect_others(tmp_path: Path, variant: str) -> None:
+    """Eleven proxies each break the protocol in a different way, for example by not answering or
+    by flooding the service; three are correct. After two changes of the list the correct proxies
+    must have both, and the faulty ones must be served as far as their fault allows.
     """
     count = len(FAULTS) + 3
     names = [f"p-{i}" for i in range(1, len(FAULTS) + 1)]
-    # A stale or invented nonce is no answer: the valid one, after it, counts.
+    # A request with a stale or invented nonce is ignored; the valid one that follows it counts.
     faulty = [
         n
         for n, f in zip(names, FAULTS, strict=True)
@@ -173,25 +174,25 @@
     ):
         wait_until_applied(proxies, endpoints_of(target_list(1, 10)), only=True)
         for name, fault in zip(names, FAULTS, strict=True):
-            order(proxies, do="fault", proxy=name, fault=fault)
+            send_command(proxies, do="fault", proxy=name, fault=fault)
         rejecting = names[FAULTS.index({"nack": "endpoints"})]
         for change, first in enumerate((3, 6), 1):
             discovery.call("POST", "/standin/targets", target_list(first, 10))
             wait_until_applied(proxies, endpoints_of(target_list(first, 10)), *faulty, only=True)
-            # It is none of those waited for, and may receive the change later.
+            # `wait_until_applied` does not wait for this proxy, so it may get the change later.
             until(
                 lambda n=change: consistent_states(proxies, *faulty)[rejecting]["rejections"] >= n
             )
         names_by_fault = {str(FAULTS[names.index(n)]): n for n in names}
-        # Which status they see depends on whether their own writes fail first. The status that
-        # the service gives is tested in test_stream.py.
+        # Which status a proxy sees depends on whether its own writes fail first. The status that
+        # the service sends is tested in test_stream.py.
         for cause in ("{'unknown_type': True}", "{'flood': 1000}"):
             until(lambda name=names_by_fault[cause]: end_status(proxies, name) not in ("", "OK"))
-        # Without its fault, the rejecting one accepts what it rejected as soon as it changes.
+        # Once its fault is removed, the proxy accepts the resource it rejected when that changes.
         assert (
             consistent_states(proxies, *faulty)[rejecting]["rejections"] == 2
-        )  # once a change, and not again and again
-        order(proxies, do="fault", proxy=rejecting, fault={})
+        )  # each change was sent and rejected only once
+        send_command(proxies, do="fault", proxy=rejecting, fault={})
         discovery.call("POST", "/standin/targets", target_list(8, 10))
         wait_until_applied(
             proxies,
@@ -202,12 +203,11 @@
 
 
 @BOTH_VARIANTS
-def test_a_stream_cut_at_any_byte_ends_in_one_consistent_snapshot(
+def test_a_proxy_stays_consistent_when_its_stream_breaks_at_any_byte(
     tmp_path: Path, variant: str
 ) -> None:
-    """The connection breaks at every ninetieth byte, each time while a change is under way.
-
-    What the proxy had stays, and after it has reconnected it gets the newest list.
+    """The connection is cut at each multiple of 90 bytes while a change is being sent. The proxy
+    must keep its resources, and get the latest list after reconnecting.
     """
     with (
         service_and_discovery(tmp_path, target_list(1, 5)) as (process, discovery),
@@ -215,14 +215,14 @@
         scripted_proxies(relay.address, 1, variant, "--reconnect") as one,
     ):
         for turn, cut in enumerate(range(0, 3600, 90)):
-            order(relay, cut=cut, drop=True)  # the next connection is cut there
+            send_command(relay, cut=cut, drop=True)  # cuts the next connection after so many bytes
             discovery.call("POST", "/standin/targets", target_list(turn + 2, 5))
             wait_until_applied(one, endpoints_of(target_list(turn + 2, 5)), only=True)
         consistent_states(one)
 
 
 @BOTH_VARIANTS
-def test_two_proxies_of_one_id_are_both_served(tmp_path: Path, variant: str) -> None:
+def test_two_proxies_with_the_same_id_are_both_served(tmp_path: Path, variant: str) -> None:
     with (
         service_and_discovery(tmp_path, target_list(1, 5)) as (process, discovery),
         scripted_proxies(process.address, 2, variant, "--same-id") as both,
@@ -234,13 +234,12 @@
 
 
 @BOTH_VARIANTS
-def test_a_drain_reaches_every_proxy_and_one_that_missed_it_is_named(
+def test_a_drain_reaches_every_proxy_and_those_that_miss_it_are_logged(
     tmp_path: Path, variant: str
 ) -> None:
-    """A server drains while two of six proxies can't be relied on.
-
-    One never answers: it gets the drain without an answer, but counts as not notified. One
-    reads a byte a second: it can't get the drain in time. Both are named in the log.
+    """A server drains while two of six proxies are faulty. One never acknowledges: it is sent the
+    drain, but counts as not notified. The other reads one byte a second and can't get the drain in
+    time. The log must name both.
     """
     before = target_list(1, 200)
     after = [before[0] | {"state": "leaving"}, *before[1:]]
@@ -252,9 +251,9 @@
     ):
         for group in (proxies, slow):
             wait_until_applied(group, endpoints_of(before), only=True)
-        order(proxies, do="fault", proxy="p-5", fault={"silent": "endpoints"})
-        order(relay, rate=1)
-        # The silent one owes the answer to another change when the drain comes.
+        send_command(proxies, do="fault", proxy="p-5", fault={"silent": "endpoints"})
+        send_command(relay, rate=1)
+        # When the drain starts, p-5 has not acknowledged another change yet.
         more = target_list(1, 201)
         discovery.call("POST", "/standin/targets", more)
         wait_until_applied(proxies, endpoints_of(more), only=True)
@@ -266,7 +265,7 @@
     assert "acknowledged in time by 4 proxies, NOT by 2: p-5, slow-1" in line
 
 
-def test_drains_that_begin_one_after_the_other_are_each_reported(tmp_path: Path) -> None:
+def test_overlapping_drains_are_reported_separately(tmp_path: Path) -> None:
     rows = target_list(1, 10)
     with (
         service_and_discovery(tmp_path, rows) as (process, discovery),
@@ -281,8 +280,8 @@
     assert "drain of 127.0.0.1:20001 acknowledged in time by 3 proxies" in process.log_text
 
 
-def test_270_servers_are_all_replaced_while_proxies_reconnect(tmp_path: Path) -> None:
-    """The whole list is replaced in ten steps without a pause; in each two proxies reconnect."""
+def test_all_270_servers_are_replaced_while_proxies_reconnect(tmp_path: Path) -> None:
+    """The list is replaced completely in ten steps; in each step two proxies reconnect."""
     with (
         service_and_discovery(tmp_path, target_list(1, 270)) as (process, discovery),
         scripted_proxies(process.address, 11, "sotw") as proxies,
@@ -291,7 +290,7 @@
         for step in range(1, 11):
             discovery.call("POST", "/standin/targets", target_list(1 + 27 * step, 270))
             for group, name in ((proxies, f"p-{step}"), (other, f"q-{step}")):
-                order(group, do="connect", proxy=name)
+                send_command(group, do="connect", proxy=name)
         for group in (proxies, other):
             wait_until_applied(group, endpoints_of(target_list(271, 270)), only=True)
             consistent_states(group)
--- a/tests/control/xds/test_file.py
+++ b/tests/control/xds/test_file.py
@@ -1,4 +1,4 @@
-"""The control service's file: every fault is named with its line and rule."""
+"""Tests of the control service's file: every fault is reported with its line and rule."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.harness import ROOT
 
 
-def test_a_bad_control_file_names_every_fault(tmp_path: Path) -> None:
+def test_every_fault_of_an_invalid_file_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "control.toml"
     path.write_text('version = 1\nlisten = "0.0.0.0:18000"\nrotues = "x"\nconfig = 5\n')
     with pytest.raises(ControlFileError) as caught:
@@ -47,7 +47,7 @@
         ("# tls", TLS.replace('["west-*"]', "5"), 18, "bad-value"),
     ],
 )
-def test_a_fault_in_the_file_is_named_with_line_and_rule(
+def test_a_fault_is_reported_with_line_and_rule(
     tmp_path: Path, old: str, new: str, line: int, rule: str
 ) -> None:
     path = tmp_path / "control.toml"
@@ -57,7 +57,7 @@
     assert f"{path}:{line}: [{rule}]" in str(caught.value), caught.value
 
 
-def test_a_wide_listener_is_good_with_tls(tmp_path: Path) -> None:
+def test_a_listener_may_have_a_non_loopback_address_with_tls(tmp_path: Path) -> None:
     path = tmp_path / "control.toml"
     path.write_text(TWO_POOLS.replace('listen = "127.0.0.1:0"', 'listen = "0.0.0.0:0"') + TLS)
     found = read_file(str(path))
--- a/tests/control/xds/test_load_reports.py
+++ b/tests/control/xds/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of proxies before a control service of its own process."""
+"""Tests of proxies' load reports, with the control service in its own process."""
 
 from __future__ import annotations
 
@@ -26,12 +26,11 @@
 from tests.harness import roster, target, until
 
 
-def test_a_server_that_fails_by_its_load_reports_is_unhealthy_for_all_proxies(
+def test_a_server_that_fails_according_to_reports_becomes_unhealthy_for_all_proxies(
     tmp_path: Path,
 ) -> None:
-    """A server answers every request with an error; two of three proxies report that.
-
-    The third, which reports nothing, gets the server as unhealthy as well.
+    """Two of three proxies report that a server answers every request with an error. The third
+    proxy, which sends no reports, must get the server as unhealthy, too.
     """
     text = TWO_POOLS.replace('config = "topup.json"', 'config = "topup.json"\nmembers = "m.json"')
     (tmp_path / "m.json").write_text(
@@ -52,12 +51,13 @@
             reporter.close()
 
 
-def test_absurd_reports_are_logged_once_and_change_nothing(tmp_path: Path) -> None:
+def test_implausible_reports_are_logged_once_and_ignored(tmp_path: Path) -> None:
     with control_service(tmp_path, roster(target("s-1", 9001), target("s-2", 9002))) as process:
         reporter = LoadReporter(process, "r1")
         for _ in range(3):
             reporter.report({9001: (0, 1 << 62)})
-        reporter.report({9001: (1, 0)}, ms=999)  # the next of them covers more time than passed
+        # The next reports cover more time than has passed since this one.
+        reporter.report({9001: (1, 0)}, ms=999)
         reporter.report({9001: (1, 0)}, ms=999)
         reporter.report({9001: (1, 0)}, ms=999)
         wait_for_log(process, "covers more time than has passed")
@@ -68,7 +68,7 @@
     assert process.log_text.count("load report not counted: more than 1000000 a second") == 1
 
 
-def test_a_flood_of_reports_ends_its_stream_alone(tmp_path: Path) -> None:
+def test_a_flood_of_reports_ends_only_its_own_stream(tmp_path: Path) -> None:
     with control_service(tmp_path, roster(target("s-1", 9001))) as process:
         flood, good = LoadReporter(process, "r1"), LoadReporter(process, "r2")
         for _ in range(1000):
@@ -84,7 +84,7 @@
         flood.close()
 
 
-def test_grpcs_own_client_reports_its_load(tmp_path: Path) -> None:
+def test_load_reports_of_a_grpc_client_are_counted(tmp_path: Path) -> None:
     with (
         grpc_servers("s-1", "s-2") as up,
         control_service(tmp_path, roster(*targets_of(up))) as process,
--- a/tests/control/xds/test_member_file.py
+++ b/tests/control/xds/test_member_file.py
@@ -1,4 +1,4 @@
-"""A pool's list from a file, after a fault of whoever takes it."""
+"""Tests that a pool's list file is still followed after an exception of the list's receiver."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FaultyReceiver:
-    """Raises for the first updates that it gets."""
+    """Raises an exception for the first updates, and records the later ones."""
 
     def __init__(self, faults: int) -> None:
         self.faults = faults
@@ -37,19 +37,17 @@
 
 
 def replace_file(path: Path, servers: int) -> None:
-    """Replace the list by one of so many servers."""
+    """Replace the file with a list of so many servers."""
     written = path.with_suffix(".new")
     written.write_text(json.dumps(roster(*(target(f"s-{n}", n) for n in range(1, servers + 1)))))
     os.replace(written, path)
 
 
-def test_a_file_is_read_on_after_its_list_was_not_taken(
+def test_a_file_is_followed_after_an_exception_of_its_receiver(
     tmp_path: Path, node_config: Config, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The receiver of a changed list raises once.
-
-    The file was never looked at again: this change and every later one were missed until a
-    restart of the control service.
+    """The receiver of a changed list raises an exception once. If that ended the polling, this
+    change and all later ones would be missed until a restart of the control service.
     """
     monkeypatch.setattr(member_file, "POLL_INTERVAL_S", 0.001)
     path = tmp_path / "members.json"
@@ -69,6 +67,6 @@
 
 
 async def until_received(receiver: FaultyReceiver, servers: int) -> None:
-    """Wait until a list of so many servers was taken."""
+    """Wait until a list of so many servers has been received."""
     while not receiver.rows or len(receiver.rows[-1]) != servers:
         await asyncio.sleep(0.001)
--- a/tests/control/xds/test_pools.py
+++ b/tests/control/xds/test_pools.py
@@ -1,4 +1,4 @@
-"""Several pools, lists from a file, and reloads of the control service."""
+"""Tests of several pools, of lists from a file, and of reloads of the control service."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 from tests.harness import ROOT, roster, target, until
 
 
-def test_each_pool_has_its_own_servers_and_all_are_published_together(tmp_path: Path) -> None:
+def test_pools_have_their_own_servers_and_are_published_together(tmp_path: Path) -> None:
     with two_pools(tmp_path) as process, envoy_stream(process) as proxy:
         assert proxy.ports("topup") == {9001}
-        assert proxy.ports("billing") == {9101, 9102}  # the file goes before discovery's list
+        # The list from the file has precedence over the one in the node's configuration.
+        assert proxy.ports("billing") == {9101, 9102}
         hosts = {h.name: list(h.domains) for h in proxy.routes.virtual_hosts}
         assert hosts == {"topup": ["app.svc"], "billing": ["bill.svc"]}
 
 
-def test_a_members_file_is_followed_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
-    """The file is replaced by broken ones, then by a good one, then removed and written again.
-
-    Until there is a good one, the proxies' endpoints stay.
+def test_a_members_file_is_followed_and_an_invalid_one_ignored(tmp_path: Path) -> None:
+    """The file is replaced by invalid ones and by a valid one, then removed and written again. The
+    proxies' endpoints must not change until there is a valid file.
     """
     path = tmp_path / "billing-members.json"
     with two_pools(tmp_path) as process, envoy_stream(process) as proxy:
@@ -55,17 +55,17 @@
         while proxy.ports("billing") != {9103}:
             assert proxy.ports("billing") == {9101, 9102}
             proxy.receive()
-        path.unlink()  # a missing list is not an empty one
+        path.unlink()  # a missing file must not be treated as an empty list
         path.write_text(json.dumps(roster(target("b-4", 9104))))
         while proxy.ports("billing") != {9104}:
             assert proxy.ports("billing") == {9103}
             proxy.receive()
 
 
-def test_a_pool_that_knows_no_server_delays_all_so_that_nothing_is_removed(
-    tmp_path: Path,
-) -> None:
-    """The service is started while one pool's list is empty; nothing is sent until it is not."""
+def test_nothing_is_published_while_one_pool_has_no_servers(tmp_path: Path) -> None:
+    """The service is started while one pool's list is empty. A snapshot without that pool would
+    remove its services from the proxies.
+    """
     path = write_two_pools(tmp_path)
     members = tmp_path / "billing-members.json"
     members.write_text(json.dumps(roster()))
@@ -74,13 +74,13 @@
         raw_stream(process, False) as stream,
     ):
         stream.request(CLUSTER_URL)
-        wait_for_log(process, "no server is known of billing")
+        wait_for_log(process, "no server is known in pool billing")
         replace_file(members, json.dumps(roster(target("b-1", 9101))))
         assert len(stream.receive().resources) == 2
 
 
 def test_routes_of_all_pools_are_reloaded_together_or_not_at_all(tmp_path: Path) -> None:
-    """One of two changed routes files has a fault: a reload changes neither pool."""
+    """If one of two changed routes files is invalid, a reload must change neither pool."""
     with two_pools(tmp_path) as process, envoy_stream(process) as proxy:
         good = (tmp_path / "topup.toml").read_text()
         replace_file(
@@ -129,10 +129,10 @@
         cwd=ROOT, capture_output=True, text=True, timeout=30,
     )  # fmt: skip
     assert done.returncode == 2
-    assert "billing.toml: [twice] host app.svc is pool topup's already" in done.stderr
+    assert "billing.toml: [twice] host app.svc already belongs to pool topup" in done.stderr
 
 
-def test_a_list_that_turns_empty_is_stale_in_the_proxys_status(tmp_path: Path) -> None:
+def test_a_list_that_becomes_empty_is_reported_as_stale(tmp_path: Path) -> None:
     with two_pools(tmp_path) as process, envoy_stream(process) as proxy:
         assert "membership" not in client_config(process).node.metadata
         replace_file(tmp_path / "billing-members.json", json.dumps(roster()))
@@ -140,12 +140,12 @@
         assert proxy.ports("billing") == {9101, 9102}
 
 
-def test_a_kind_without_circuit_breaking_is_not_served_and_its_status_has_the_reason(
+def test_a_proxy_kind_without_circuit_breaking_is_not_served_and_has_the_reason_in_its_status(
     tmp_path: Path,
 ) -> None:
     with (
         control_service(tmp_path, roster(target("s-1", 9001))) as process,
-        raw_stream(process, True, "gRPC Go") as stream,  # reports no version
+        raw_stream(process, True, "gRPC Go") as stream,  # sends no version
     ):
         stream.request(LISTENER_URL, resource_names_subscribe=["app.svc"])
         answer = stream.receive()
@@ -157,8 +157,8 @@
     assert process.log_text.count("topup is not served") == 1
 
 
-def test_a_list_that_was_not_confirmed_for_long_is_stale_and_stays(tmp_path: Path) -> None:
-    """Discovery does not answer for thirty seconds; the time of the last answer is set back."""
+def test_a_list_without_recent_updates_is_stale_but_retained(tmp_path: Path) -> None:
+    """Simulates that discovery has not responded for thirty seconds."""
     config = read_file(str(write_two_pools(tmp_path, TWO_POOLS)))
 
     async def run() -> None:
@@ -166,7 +166,7 @@
         pool.start()
         assert pool.stale_list() == ""
         pool.confirmed_at -= Discovery.stale_after_ns
-        assert pool.stale_list() == "topup: not heard of for 30 s"
+        assert pool.stale_list() == "topup: no update for 30 s"
         assert pool.has_servers()
         assert len(pool.accepting()) == 1
 
--- a/tests/control/xds/test_service.py
+++ b/tests/control/xds/test_service.py
@@ -1,4 +1,4 @@
-"""The control service before grpcio's own xDS client and raw streams."""
+"""Tests of the control service with grpcio's xDS client and with hand-driven streams."""
 
 from __future__ import annotations
 
@@ -33,8 +33,10 @@
 from tests.harness import ROOT, roster, target, until
 
 
-def test_grpcs_client_follows_the_weights_of_cold_and_warm_servers(tmp_path: Path) -> None:
-    """Limits of 4, 4 and, cold, 2 at three tenths of its weight; within 5% of 2,000 calls."""
+def test_a_grpc_client_follows_the_weights_of_cold_and_warm_servers(tmp_path: Path) -> None:
+    """Two servers have a concurrency limit of 4. The third one is cold: it has a limit of 2 and
+    three tenths of its weight. The shares of 2,000 calls may deviate by 5% of all calls.
+    """
     with grpc_servers("s-1", "s-2", "s-3") as up:
         cold = {"s_3": {"boot_ms": int(time.time() * 1000)}}
         known = roster(*targets_of(up, **cold))
@@ -48,7 +50,7 @@
         assert abs(seen[name] - 2000 * share) < 100, seen
 
 
-def test_a_denied_route_is_denied_at_the_proxy(tmp_path: Path) -> None:
+def test_a_denied_route_is_denied_by_the_proxy(tmp_path: Path) -> None:
     with (
         grpc_servers("s-1") as up,
         control_service(tmp_path, roster(*targets_of(up))) as service,
@@ -58,8 +60,7 @@
         assert "s-1" not in calls(proxy, 3, "Other")
 
 
-def test_a_drain_and_a_return_cost_no_call(tmp_path: Path) -> None:
-    """A server drains while a client calls, and takes work again later; no call fails."""
+def test_no_call_fails_while_a_server_drains_and_returns(tmp_path: Path) -> None:
     with grpc_servers("s-1", "s-2") as up, running_process(("-m", "fakes.discovery")) as discovery:
         listed = targets_of(up)
         discovery.call("POST", "/standin/targets", listed)
@@ -74,14 +75,14 @@
 
                 def follows(present: set[str] = present) -> bool:
                     seen = calls(proxy, 20)
-                    assert seen.keys() <= {"s-1", "s-2"}  # no failed call meanwhile
+                    assert seen.keys() <= {"s-1", "s-2"}  # no call has failed
                     return seen.keys() == present
 
                 until(follows)
 
 
-def test_a_restart_of_the_control_service_costs_no_call(tmp_path: Path) -> None:
-    """The service stops, its client goes on with what it has, and the service comes back."""
+def test_no_call_fails_while_the_control_service_restarts(tmp_path: Path) -> None:
+    """While the service is down, its client must continue with the resources that it has."""
     with grpc_servers("s-1", "s-2") as up:
         known = roster(*targets_of(up))
         with contextlib.ExitStack() as stack:
@@ -98,7 +99,7 @@
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_an_envoy_gets_clusters_and_their_endpoints(tmp_path: Path, incremental: bool) -> None:
+def test_an_envoy_stream_gets_clusters_and_endpoints(tmp_path: Path, incremental: bool) -> None:
     known = roster(target("s-1", 9001), target("s-2", 9002))
     with control_service(tmp_path, known) as service, raw_stream(service, incremental) as stream:
         stream.request(CLUSTER_URL)
@@ -121,10 +122,9 @@
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_bad_stream_costs_only_itself(tmp_path: Path, incremental: bool) -> None:
-    """Streams with an unknown type, an unknown agent, too many requests and too many names.
-
-    Each is ended with a status that says why, and a good stream is served as before.
+def test_an_invalid_stream_does_not_affect_others(tmp_path: Path, incremental: bool) -> None:
+    """Streams with an unknown type, an unknown user agent, too many requests and too many names
+    are each ended with the right status. A valid stream must still be served.
     """
     known = roster(target("s-1", 9001))
     with control_service(tmp_path, known) as service, raw_stream(service, incremental) as good:
@@ -146,16 +146,14 @@
             assert greedy.end_status() is grpc.StatusCode.INVALID_ARGUMENT
         good.request(CLUSTER_URL, response_nonce=first.nonce)
         good.request(LISTENER_URL)
-        # Clusters with other bounds may come before it: proxies connected and disconnected.
+        # Clusters with changed limits may come first, because other proxies have come and gone.
         while (answer := good.receive()).type_url != LISTENER_URL:
             good.request(answer.type_url, response_nonce=answer.nonce)
 
 
 def test_nothing_is_removed_while_no_server_is_known(tmp_path: Path) -> None:
-    """A service is started without a list, and later its list turns empty.
-
-    Both times proxies get no response, in place of an empty snapshot that would take all
-    endpoints from them.
+    """A service is started without a list, and later its list becomes empty. Both times proxies
+    must get no response, because an empty snapshot would remove all their endpoints.
     """
     with running_process(("-m", "fakes.discovery")) as discovery:
         discovery.call("POST", "/standin/faults", {"status": 503})
@@ -166,7 +164,7 @@
             stream.request(CLUSTER_URL)
             discovery.call("POST", "/standin/targets", [target("s-1", 9001)])
             discovery.call("POST", "/standin/faults", {})
-            first = stream.receive()  # nothing came before a server was known
+            first = stream.receive()  # nothing was sent before a server was known
             assert len(first.resources) == 1
             stream.request(CLUSTER_URL, response_nonce=first.nonce)
             names = ["topup"]
@@ -181,7 +179,7 @@
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_client_status_has_the_reason_of_a_nack(tmp_path: Path, incremental: bool) -> None:
+def test_client_status_contains_the_reason_of_a_nack(tmp_path: Path, incremental: bool) -> None:
     known = roster(target("s-1", 9001))
     with control_service(tmp_path, known) as service, raw_stream(service, incremental) as stream:
         stream.request(CLUSTER_URL)
@@ -208,7 +206,7 @@
 
 @pytest.mark.parametrize("kind", list(ResourceType))
 @pytest.mark.parametrize("incremental", [False, True])
-def test_each_type_may_have_a_stream_of_its_own(
+def test_each_resource_type_has_its_own_discovery_service(
     tmp_path: Path, kind: ResourceType, incremental: bool
 ) -> None:
     names = {ResourceType.ENDPOINTS: ["topup"], ResourceType.ROUTES: ["wharfspread"]}.get(kind, [])
@@ -228,7 +226,7 @@
             stream.close()
 
 
-def test_the_node_does_not_import_what_the_control_service_needs() -> None:
+def test_a_node_does_not_import_grpc() -> None:
     code = (
         "import sys, loadbalancer.proxy.host, loadbalancer.proxy.downstream.listener; "
         "sys.exit('grpc' in sys.modules)"
@@ -236,8 +234,8 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, timeout=30).returncode == 0
 
 
-def test_a_server_that_fails_and_returns_costs_grpcs_client_no_call(tmp_path: Path) -> None:
-    """A server process is killed and started again; the client's calls go to the other one."""
+def test_a_grpc_client_uses_the_other_server_while_one_is_restarted(tmp_path: Path) -> None:
+    """A server process is killed and started again; the client's calls go to the other server."""
     with (
         grpc_servers("s-1", "s-2") as up,
         control_service(tmp_path, roster(*targets_of(up))) as process,
--- a/tests/control/xds/test_stream.py
+++ b/tests/control/xds/test_stream.py
@@ -1,4 +1,4 @@
-"""One stream's queue and requests, without a connection."""
+"""Tests of a stream's response queue and requests, without a connection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from loadbalancer.core.xds.target_proxies import ProxyKind
 
 
-def test_a_proxy_that_guesses_nonces_and_reads_nothing_fills_no_queue() -> None:
+def test_the_queue_is_limited_for_a_proxy_that_guesses_nonces_and_reads_nothing() -> None:
     stream = DiscoveryStream(ProxyIdentity("p1", ProxyGroup(ProxyKind.ENVOY, "")), Session(False))
     for i in range(100):
         stream.enqueue([DiscoveryResponse(kind, str(i), str(i), ()) for kind in ResourceType])
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_request_for_an_unknown_type_ends_the_stream_as_an_invalid_argument(
+def test_a_request_for_an_unknown_type_ends_the_stream_with_invalid_argument(
     incremental: bool,
 ) -> None:
     message = discovery_pb2.DeltaDiscoveryRequest if incremental else discovery_pb2.DiscoveryRequest
@@ -38,7 +38,7 @@
         return
         yield
 
-    # Neither identity nor session is touched.
+    # The request is rejected before identity or session is used.
     stream = DiscoveryStream(cast(Any, None), cast(Any, None))
     termination = asyncio.run(stream.read(request, no_more(), incremental))
     assert termination is not None
--- a/tests/control/xds/test_tls.py
+++ b/tests/control/xds/test_tls.py
@@ -1,4 +1,4 @@
-"""Certificates of both sides, and the node ids that they may use."""
+"""Tests of mutual TLS: certificates, and the node ids that they may be used with."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @contextlib.contextmanager
-def secured(tmp_path: Path, authority: trustme.CA) -> Iterator[Process]:
+def tls_service(tmp_path: Path, authority: trustme.CA) -> Iterator[Process]:
     issue(tmp_path, authority)
     authority.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
     with two_pools(tmp_path, TWO_POOLS + TLS) as process:
@@ -45,7 +45,10 @@
 def secure_stream(
     process: Process, authority: trustme.CA, signer: trustme.CA | None, name: str, node: str
 ) -> Any:
-    """The first answer of a stream under a certificate of this name, for this node id."""
+    """Open a stream with a certificate of this name and this node id; return the first response.
+
+    Without a signer the stream has no certificate.
+    """
     pair: dict[str, bytes] = {}
     if signer is not None:
         cert = signer.issue_cert(name)
@@ -67,10 +70,10 @@
         return next(answers)
 
 
-def test_a_certificates_name_is_bound_to_the_node_ids_it_may_use(
+def test_a_certificate_can_be_used_only_with_its_own_node_ids(
     tmp_path: Path, authority: trustme.CA
 ) -> None:
-    with secured(tmp_path, authority) as process:
+    with tls_service(tmp_path, authority) as process:
         for name, node in (("proxy.east.example", "east-7"), ("proxy.west.example", "west-1")):
             assert len(secure_stream(process, authority, authority, name, node).resources) == 2
         wrong = [
@@ -81,13 +84,13 @@
             with pytest.raises(grpc.RpcError) as caught:
                 secure_stream(process, authority, authority, name, node)
             assert caught.value.code() is grpc.StatusCode.PERMISSION_DENIED
-    assert "may not speak for 'west-1'" in process.log_text
+    assert "may not be used by node id 'west-1'" in process.log_text
 
 
-def test_no_certificate_or_a_strangers_gets_no_stream(
+def test_a_missing_certificate_or_one_of_another_authority_is_refused(
     tmp_path: Path, authority: trustme.CA
 ) -> None:
-    with secured(tmp_path, authority) as process:
+    with tls_service(tmp_path, authority) as process:
         for signer in (None, trustme.CA()):
             with pytest.raises(grpc.RpcError) as caught:
                 secure_stream(process, authority, signer, "proxy.east.example", "east-7")
@@ -98,7 +101,7 @@
 def test_a_renewed_certificate_is_used_without_a_restart(
     tmp_path: Path, authority: trustme.CA
 ) -> None:
-    with secured(tmp_path, authority) as process:
+    with tls_service(tmp_path, authority) as process:
         issue(tmp_path, authority)
         renewed = trustme.CA()
         renewed.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
--- a/tests/control/xds/test_wire.py
+++ b/tests/control/xds/test_wire.py
@@ -1,4 +1,4 @@
-"""Responses joined from serialised resources read as the published messages."""
+"""Tests that responses joined from serialized resources decode as the generated messages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_an_answer_is_joined_once_and_reads_as_the_published_message(incremental: bool) -> None:
+def test_a_response_is_cached_and_decodes_as_the_generated_message(incremental: bool) -> None:
     encoder = ResponseEncoder(incremental)
     body = any_pb2.Any(
         type_url=TYPE_URLS[ResourceType.ENDPOINTS], value=b"x" * 300
@@ -25,11 +25,11 @@
     for nonce in ("1", "2", "3"):
         removed = ("a", "b") if incremental else ()
         response = DiscoveryResponse(ResourceType.ENDPOINTS, "v", nonce, (row,), removed)
-        read = message.FromString(encoder.encode(response))
-        assert (read.nonce, read.type_url) == (nonce, TYPE_URLS[ResourceType.ENDPOINTS])
-        (found,) = read.resources
+        decoded = message.FromString(encoder.encode(response))
+        assert (decoded.nonce, decoded.type_url) == (nonce, TYPE_URLS[ResourceType.ENDPOINTS])
+        (found,) = decoded.resources
         if incremental:
-            assert list(read.removed_resources) == ["a", "b"]
+            assert list(decoded.removed_resources) == ["a", "b"]
             assert (found.name, found.version) == ("topup", row.version)
         assert (found.resource if incremental else found).value == b"x" * 300
-    assert encoder.joined == 1
+    assert encoder.cache_misses == 1
