--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -22,7 +22,7 @@
     Raises:
         InvalidInputError: the file can't be used; the text names the line.
     """
-    found: dict[str, tuple[Row, ...]] = dict.fromkeys(services, ())
+    rows_by_service: dict[str, tuple[Row, ...]] = dict.fromkeys(services, ())
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise InvalidInputError(
@@ -30,22 +30,22 @@
             )
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
-                _read_line(f"{path.name}:{number}", line, found)
+                _read_line(f"{path.name}:{number}", line, rows_by_service)
     except OSError as err:
         raise InvalidInputError(
             f"{path.name}: [unreadable] {err.strerror}; check the path in backends_file"
         ) from None
-    return found
+    return rows_by_service
 
 
-def _read_line(place: str, line: bytes, found: dict[str, tuple[Row, ...]]) -> None:
+def _read_line(location: str, line: bytes, rows_by_service: dict[str, tuple[Row, ...]]) -> None:
     try:
         raw = json.loads(line)
         service = raw["service"]
-        if service in found:
-            found[service] = tuple([row_from_target(target) for target in raw["targets"]])
+        if service in rows_by_service:
+            rows_by_service[service] = tuple([row_from_target(target) for target in raw["targets"]])
     except (ValueError, TypeError, KeyError, RecursionError, ListFormatError) as err:
-        right = 'write {"service": NAME, "targets": [...]}'
+        remedy = 'write {"service": NAME, "targets": [...]}'
         raise InvalidInputError(
-            f"{place}: [bad-row] {type(err).__name__}: {err}; {right}"
+            f"{location}: [bad-row] {type(err).__name__}: {err}; {remedy}"
         ) from None
--- a/loadbalancer/control/machine/codec.py
+++ b/loadbalancer/control/machine/codec.py
@@ -88,7 +88,7 @@
         return lambda value: None if value is None else inner(value)
     if typing.get_origin(type_) is tuple:
         item = _encoder(typing.get_args(type_)[0])
-        return lambda value: [item(one) for one in value]
+        return lambda value: [item(element) for element in value]
     record = _record_fields(type_)
     if record is None:
         return _unchanged
@@ -113,7 +113,7 @@
     def decode(value: Any) -> Any:
         if type(value) is not list:
             raise BadMessageError(MALFORMED)
-        return tuple([item(one) for one in value])
+        return tuple([item(element) for element in value])
 
     return decode
 
@@ -122,7 +122,7 @@
     def decode(value: Any) -> Any:
         if type(value) is not list or len(value) != len(decoders):
             raise BadMessageError(MALFORMED)
-        return type_(*[decode(one) for decode, one in zip(decoders, value, strict=True)])
+        return type_(*[decode(element) for decode, element in zip(decoders, value, strict=True)])
 
     return decode
 
--- a/loadbalancer/control/machine/file.py
+++ b/loadbalancer/control/machine/file.py
@@ -141,7 +141,7 @@
         top.fault("machine", "missing-key", "no machine is defined", "add a [[machine]] table")
     if top.faults:
         return None, sorted(top.faults)
-    found = ScaleFile(
+    scale_file = ScaleFile(
         regions,
         tuple(machines),
         tuple(nodes),
@@ -152,18 +152,18 @@
         rules,
         top.path("backends_file") if "backends_file" in raw else None,
     )
-    return found, []
+    return scale_file, []
 
 
 def _regions(top: Section) -> Mapping[str, tuple[str, ...]]:
     """Read the zones of each region; a zone belongs to one region only."""
     raw = top.raw.get("regions")
     if not isinstance(raw, dict) or not 1 <= len(raw) <= MAX_REGIONS:
-        right = 'write [regions] east = ["east-1"]'
-        top.fault("regions", "missing-key", f"not 1 to {MAX_REGIONS} regions", right)
+        remedy = 'write [regions] east = ["east-1"]'
+        top.fault("regions", "missing-key", f"not 1 to {MAX_REGIONS} regions", remedy)
         return {}
     table = top.sub(raw, "regions")
-    found: dict[str, tuple[str, ...]] = {}
+    zones_by_region: dict[str, tuple[str, ...]] = {}
     seen: set[str] = set()
     for name, zones in raw.items():
         if not tables.is_name_list(zones) or not 1 <= len(zones) <= MAX_ZONES:
@@ -183,8 +183,8 @@
                 "write each zone once",
             )
         seen.update(zones)
-        found[name] = tuple(zones)
-    return found
+        zones_by_region[name] = tuple(zones)
+    return zones_by_region
 
 
 def _limits(top: Section) -> Limits:
@@ -255,8 +255,8 @@
             zones = []
         for zone in zones:
             if zone not in all_zones:
-                right = tables.suggestion(zone, all_zones)
-                table.fault("zones", "unknown-zone", f"no zone {zone!r}", right)
+                remedy = tables.suggestion(zone, all_zones)
+                table.fault("zones", "unknown-zone", f"no zone {zone!r}", remedy)
         backends = tables.integer(table, "backends", 0, 0, MAX_BACKENDS)
         return ServiceSpec(name, region, tuple(zones), tables.rate(table, "rate"), backends)
 
@@ -271,8 +271,8 @@
         """Read an entry's name: unique among its kind, printable and limited in length."""
         name = table.text("name")
         if len(name) > MAX_NAME_LENGTH or not name.isprintable():
-            right = f"write at most {MAX_NAME_LENGTH} printable characters"
-            table.fault("name", "bad-value", "the name is too long or not printable", right)
+            remedy = f"write at most {MAX_NAME_LENGTH} printable characters"
+            table.fault("name", "bad-value", "the name is too long or not printable", remedy)
         elif name and name in self._names[kind]:
             table.fault(
                 "name",
@@ -292,17 +292,19 @@
         return region, zone
 
     def _address(self, table: Section, key: str) -> Address:
-        found = table.address(key)
-        if found is None:
+        address = table.address(key)
+        if address is None:
             return Address("", 0)
-        if not self._plain_network and not ip_address(found.host).is_loopback:
-            table.fault(key, "wide-listener", f"{found} is not a loopback address", LOOPBACK_REMEDY)
-        if found.port and found in self._addresses:
+        if not self._plain_network and not ip_address(address.host).is_loopback:
+            table.fault(
+                key, "wide-listener", f"{address} is not a loopback address", LOOPBACK_REMEDY
+            )
+        if address.port and address in self._addresses:
             table.fault(
                 key,
                 "twice",
-                f"{found} is used by another listener",
+                f"{address} is used by another listener",
                 "give each listener its own address",
             )
-        self._addresses.add(found)
-        return found
+        self._addresses.add(address)
+        return address
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -34,8 +34,8 @@
     value = table.raw.get(key, default)
     if type(value) is int and minimum <= value <= maximum:
         return value
-    right = f"write an integer from {minimum} to {maximum}"
-    table.fault(key, "bad-value", f"{key} is {value!r}", right)
+    remedy = f"write an integer from {minimum} to {maximum}"
+    table.fault(key, "bad-value", f"{key} is {value!r}", remedy)
     return default
 
 
@@ -85,12 +85,12 @@
     if len(rows) > max_tables:
         top.fault(kind, "too-many", f"more than {max_tables} of {kind}", "split the fleet")
         return []
-    found = []
+    entries = []
     for number, row in enumerate(rows):
         table = top.sub(row, kind, number)
         table.known(keys)
-        found.append(read(table))
-    return found
+        entries.append(read(table))
+    return entries
 
 
 def read_json_lines(
@@ -98,7 +98,7 @@
 ) -> list[T]:
     """Read the JSON Lines file that `file_key` names: one object per line."""
     lines = _json_lines(top, file_key, max_lines)
-    found: list[T] = []
+    entries: list[T] = []
     faults: list[Fault] = []
     for number, line in enumerate(lines, 1):
         table = Section(_json_object(line), (), {(): number}, top.folder, faults)
@@ -106,13 +106,13 @@
             table.fault("", "syntax", "not a JSON object", "write one object per line")
         else:
             table.known(keys)
-            found.append(read(table))
+            entries.append(read(table))
         if len(faults) >= MAX_FAULTS:
             break
     for fault in faults:
-        wrong = f"{top.path(file_key).name}:{fault.line}: {fault.wrong}"
-        top.fault(file_key, fault.rule, wrong, fault.right)
-    return found
+        problem = f"{top.path(file_key).name}:{fault.line}: {fault.wrong}"
+        top.fault(file_key, fault.rule, problem, fault.right)
+    return entries
 
 
 def _json_lines(top: Section, file_key: str, max_lines: int) -> list[bytes]:
@@ -133,8 +133,8 @@
         return []
     lines = data.splitlines()
     if len(data) > MAX_LINES_FILE_BYTES or len(lines) > max_lines:
-        wrong = f"{path.name} has more than {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines"
-        top.fault(file_key, "too-large", wrong, "split the fleet")
+        problem = f"{path.name} has more than {MAX_LINES_FILE_BYTES} bytes or {max_lines} lines"
+        top.fault(file_key, "too-large", problem, "split the fleet")
         return []
     return lines
 
--- a/loadbalancer/control/machine/list_format.py
+++ b/loadbalancer/control/machine/list_format.py
@@ -134,10 +134,10 @@
     ]
 
 
-def encode_empty(position: Position, **more: Any) -> bytes:
+def encode_empty(position: Position, **extra: Any) -> bytes:
     """Encode a response without an update: the caller's own version, and further keys."""
     raw: dict[str, Any] = {"rev": version_of(position), "all": False, "targets": []}
-    return json.dumps(raw | more, separators=(",", ":")).encode()
+    return json.dumps(raw | extra, separators=(",", ":")).encode()
 
 
 def encode_assignment(position: Position, assignment: NodeAssignment) -> bytes:
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -81,7 +81,7 @@
         self.file = file
         self.machine = machine
         self.counts: Counter[str] = Counter()
-        specs = [one.spec for one in file.machines]
+        specs = [other.spec for other in file.machines]
         self.logs = {name: ChangeLog(name, MAX_LOG_CHANGES, MAX_LOG_BYTES) for name in file.regions}
         seed = int.from_bytes(os.urandom(SEED_BYTES), "big")
         self.replica = Replica(spec, specs, self.logs, seed, now, timing)
@@ -96,7 +96,7 @@
             self.nodes,
             self.publisher,
             self.replica,
-            {one.spec.name: one.subscribers for one in file.machines},
+            {other.spec.name: other.subscribers for other in file.machines},
             file.limits.subscribers,
         )
         self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
@@ -106,27 +106,27 @@
         self._loader = LogLoader(
             self.replica, spec.region, services, file.backends, self._process_output
         )
-        self._live_machines = frozenset(one.spec.name for one in file.machines)
+        self._live_machines = frozenset(other.spec.name for other in file.machines)
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     def _bound_listeners(self) -> list[_OpenBoundListener]:
         return [
             _OpenBoundListener(
-                one.listen,
+                bound.listen,
                 BoundList(
-                    self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
+                    self.logs[self.nodes.regions[bound.service]], bound.service, MAX_BOUND_WATCHERS
                 ),
             )
-            for one in self.file.bound_listeners
-            if one.machine == self.machine.spec.name
+            for bound in self.file.bound_listeners
+            if bound.machine == self.machine.spec.name
         ]
 
     def _peer_streams(self) -> PeerStreams:
         spec = self.machine.spec
         return PeerStreams(
             Hello(spec.name, fleet_digest(self.file)),
-            {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
+            {other.spec.name: other.peers for other in self.file.machines if other.spec != spec},
             message_codec(),
             self.file.limits.backlog,
             self._on_message,
@@ -143,9 +143,11 @@
         """
         loop = asyncio.get_running_loop()
         await self.streams.open(self.machine.peers)
-        for one in self._listeners():
-            host, port = one.address.host, one.address.port
-            server = await loop.create_server(one.protocol, host, port, backlog=one.backlog)
+        for listener in self._listeners():
+            host, port = listener.address.host, listener.address.port
+            server = await loop.create_server(
+                listener.protocol, host, port, backlog=listener.backlog
+            )
             self._servers.append(server)
         self._tasks = [
             loop.create_task(_run_periodically(REPLICA_TICK_S, self._tick_replica)),
@@ -160,8 +162,8 @@
             ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
-        for one in self.bound_listeners:
-            yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
+        for bound in self.bound_listeners:
+            yield _Listener(partial(Watcher, bound.list), bound.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
         """Close all streams and listeners without a flush.
@@ -195,8 +197,8 @@
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
-        # If an exception interrupts the push, it is repeated at the next tick. Otherwise some
-        # nodes would learn of their new services only after a further change.
+        # After an exception for some node the push is repeated at the next tick. Otherwise that
+        # node would learn of its new services only after a further change.
         if self.nodes.pop_changed() and not self.node_requests.push_assignments():
             self.nodes.changed = True
 
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -128,7 +128,7 @@
     # ---- called by the machine ----------------------------------------------
 
     def wake(self, region: str, nodes: Iterable[str]) -> None:
-        """Answer the pending polls of these nodes for a region, if there are news for them."""
+        """Answer the pending polls of these nodes for a region, if there is something new."""
         now = time.monotonic_ns()
         for node in nodes:
             watcher = self._watchers.get(node, {}).get(region)
@@ -136,7 +136,7 @@
                 self._answer_pending(now, watcher)
 
     def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
-        """Answer the pending polls of these (node, region) pairs, if there are news for them."""
+        """Answer the pending polls of these (node, region) pairs, if there is something new."""
         for node, region in keys:
             self.wake(region, (node,))
 
@@ -197,8 +197,8 @@
             now, node, region, request.position, services, request.current, request.redirected
         )
         if isinstance(answer, Refused):
-            place = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
-            self._reject(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
+            parameter = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
+            self._reject(watcher, f"{parameter}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
             self._on_poll_ended(now, node)
             return
         self._replica.on_reported(now, region, request.position)
@@ -294,9 +294,9 @@
 
     # ---- replies ------------------------------------------------------------
 
-    def _reject(self, watcher: Watcher, why: str) -> None:
+    def _reject(self, watcher: Watcher, reason: str) -> None:
         self.counts["refused"] += 1
-        watcher.reply(HTTPStatus.BAD_REQUEST, why.encode())
+        watcher.reply(HTTPStatus.BAD_REQUEST, reason.encode())
 
     def _redirect(self, now: int, watcher: Watcher, request: PollRequest, machine: str) -> None:
         self.counts["sent elsewhere"] += 1
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -145,31 +145,31 @@
     return [_decode_change(f"change {index}", one, services) for index, one in enumerate(raw)]
 
 
-def _decode_change(place: str, raw: Any, services: Mapping[str, str]) -> SubmittedChange:
+def _decode_change(location: str, raw: Any, services: Mapping[str, str]) -> SubmittedChange:
     if not isinstance(raw, dict):
         raise BadChangeError(
-            f"{place}: [syntax] not an object; write one with service, rows and removed"
+            f"{location}: [syntax] not an object; write one with service, rows and removed"
         )
     unknown = raw.keys() - KEYS
     if unknown:
-        raise BadChangeError(f"{place}: [unknown-key] no key {min(unknown)!r}")
+        raise BadChangeError(f"{location}: [unknown-key] no key {min(unknown)!r}")
     service = raw.get("service")
     if not isinstance(service, str) or service not in services:
         quoted = str(service)[:MAX_QUOTED]
-        raise BadChangeError(f"{place}: [unknown-service] no service {quoted!r}")
+        raise BadChangeError(f"{location}: [unknown-service] no service {quoted!r}")
     rows, removed = raw.get("rows", []), raw.get("removed", [])
-    _check_rows(place, rows, removed)
+    _check_rows(location, rows, removed)
     try:
         decoded = tuple([row_from_target(row) for row in rows])
     except ListFormatError as err:
-        raise BadChangeError(f"{place}: [bad-value] {err}") from None
+        raise BadChangeError(f"{location}: [bad-value] {err}") from None
     return SubmittedChange(service, decoded, tuple(removed), raw.get("deleted") is True)
 
 
-def _check_rows(place: str, rows: Any, removed: Any) -> None:
+def _check_rows(location: str, rows: Any, removed: Any) -> None:
     if not isinstance(rows, list) or not isinstance(removed, list):
-        raise BadChangeError(f"{place}: [bad-value] rows and removed must be arrays")
+        raise BadChangeError(f"{location}: [bad-value] rows and removed must be arrays")
     if len(rows) + len(removed) > MAX_ROWS:
-        raise BadChangeError(f"{place}: [size] more than {MAX_ROWS} rows")
+        raise BadChangeError(f"{location}: [size] more than {MAX_ROWS} rows")
     if not all(isinstance(uid, str) and uid for uid in removed):
-        raise BadChangeError(f"{place}: [bad-value] removed must contain non-empty uids only")
+        raise BadChangeError(f"{location}: [bad-value] removed must contain non-empty uids only")
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -210,8 +210,8 @@
         state = self._regions[region]
         state.call = None
         if answer is None or answer.status != HTTPStatus.OK:
-            why = "silent" if answer is None else f"status {answer.status}"
-            self._on_failure(region, state, why)
+            event = "silent" if answer is None else f"status {answer.status}"
+            self._on_failure(region, state, event)
             return
         self.counts.received_bytes += _size(answer)
         try:
@@ -219,13 +219,13 @@
         except (ListFormatError, InvalidInputError):
             self._on_failure(region, state, "unusable answers")
 
-    def _on_failure(self, region: str, state: _RegionPolls, why: str) -> None:
+    def _on_failure(self, region: str, state: _RegionPolls, event: str) -> None:
         """Move to the next machine after a failed poll.
 
         The next machine may not have noticed yet that the previous one has failed, and would
         redirect the node back to it. So the node asks not to be redirected for STAY_S.
         """
-        self.counts.events[why] += 1
+        self.counts.events[event] += 1
         timing = self._timing
         state.machine = (state.machine + 1) % len(self._machines)
         state.redirect = None
@@ -260,13 +260,13 @@
         Without the delay, two machines that redirect to each other would be polled in a busy loop.
         """
         self.counts.events["moved"] += 1
-        again = state.redirect is not None
+        is_repeated = state.redirect is not None
         state.redirect = address
         state.stay_until = time.monotonic() + STAY_S
         if address in self._machines:
             state.machine = self._machines.index(address)
         self._forget_machine(state)
-        self._poll_later(region, self._timing.retry_s if again else 0.0)
+        self._poll_later(region, self._timing.retry_s if is_repeated else 0.0)
 
     def _forget_machine(self, state: _RegionPolls) -> None:
         """Reset what the polled machine is known to have sent and received."""
--- a/loadbalancer/control/xds/client_status.py
+++ b/loadbalancer/control/xds/client_status.py
@@ -73,13 +73,13 @@
 
     def answer(self, request: Any) -> Any:
         """Return the state of all proxies, or of those whose ids the request's matchers name."""
-        out = csds_pb2.ClientStatusResponse()
+        response = csds_pb2.ClientStatusResponse()
         wanted = {matcher.node_id.exact for matcher in request.node_matchers}
         wanted.discard("")
         for client in sorted(self._clients(), key=lambda client: client.identity.node_id):
             if not wanted or client.identity.node_id in wanted:
-                self._add(out.config.add(), client)
-        return out
+                self._add(response.config.add(), client)
+        return response
 
     def _add(self, config: Any, client: ConnectedClient) -> None:
         identity = client.identity
@@ -93,19 +93,19 @@
         if counted or rejected:
             config.node.metadata["load_reports"] = f"{counted} counted, {rejected} not"
         for status in client.session.status():
-            row = config.generic_xds_configs.add(
+            resource = config.generic_xds_configs.add(
                 type_url=TYPE_URLS[status.resource_type],
                 name=status.name,
                 version_info=status.version,
                 client_status=status.client_status.name,
             )
             if status.error_detail:
-                row.error_state.details = status.error_detail[:MAX_ERROR_DETAIL]
-                row.error_state.version_info = status.version
+                resource.error_state.details = status.error_detail[:MAX_ERROR_DETAIL]
+                resource.error_state.version_info = status.version
         for service, reason in sorted(self._withheld(identity.group).items()):
-            row = config.generic_xds_configs.add(
+            resource = config.generic_xds_configs.add(
                 type_url=TYPE_URLS[ResourceType.CLUSTER],
                 name=service,
                 client_status=ClientResourceStatus.DOES_NOT_EXIST.name,
             )
-            row.error_state.details = f"not served: {reason}"[:MAX_ERROR_DETAIL]
+            resource.error_state.details = f"not served: {reason}"[:MAX_ERROR_DETAIL]
--- a/loadbalancer/control/xds/encoder.py
+++ b/loadbalancer/control/xds/encoder.py
@@ -29,7 +29,7 @@
     return bytes(wrapped.SerializeToString(deterministic=True))
 
 
-def _serialised(name: str, body: message.Message, references: Sequence[str] = ()) -> Resource:
+def _serialized(name: str, body: message.Message, references: Sequence[str] = ()) -> Resource:
     return make_resource(name, _packed(body), references)
 
 
@@ -38,7 +38,7 @@
 
     It is for a proxy that has a cluster which this service does not have.
     """
-    return _serialised(name, messages.eds_cluster(name), [name])
+    return _serialized(name, messages.eds_cluster(name), [name])
 
 
 class Encoder:
@@ -80,16 +80,16 @@
         if old is not None and old[0] == plan.localities:
             return old[1]
         body = messages.cluster_load_assignment(plan.service, plan.localities)
-        made = _serialised(plan.service, body)
-        if old is not None and old[1] == made:
-            made = old[1]
-        self._endpoints[plan.service] = (plan.localities, made)
-        return made
+        resource = _serialized(plan.service, body)
+        if old is not None and old[1] == resource:
+            resource = old[1]
+        self._endpoints[plan.service] = (plan.localities, resource)
+        return resource
 
     def _other_resources(self, plans: Sequence[Plan]) -> Resources:
         """Serialize clusters, routes and listeners."""
         clusters = [
-            _serialised(plan.service, messages.cluster(plan, self._kind.proxyless), [plan.service])
+            _serialized(plan.service, messages.cluster(plan, self._kind.proxyless), [plan.service])
             for plan in plans
         ]
         if self._kind.proxyless:
@@ -97,9 +97,9 @@
         else:
             services = [plan.service for plan in plans]
             body = messages.route_configuration(messages.ROUTES_NAME, plans, self._kind)
-            routes = [_serialised(messages.ROUTES_NAME, body, services)]
+            routes = [_serialized(messages.ROUTES_NAME, body, services)]
             listener = messages.socket_listener(self._listen)
-            listeners = [_serialised(messages.LISTENER_NAME, listener, [messages.ROUTES_NAME])]
+            listeners = [_serialized(messages.LISTENER_NAME, listener, [messages.ROUTES_NAME])]
         return {
             ResourceType.CLUSTER: clusters,
             ResourceType.ROUTES: routes,
@@ -111,9 +111,9 @@
         routes, listeners = [], []
         for plan in plans:
             body = messages.route_configuration(plan.service, [plan], self._kind, ["*"])
-            routes.append(_serialised(plan.service, body, [plan.service]))
+            routes.append(_serialized(plan.service, body, [plan.service]))
             for host in plan.hosts:
                 if "*" not in host:
                     listener = messages.api_listener(host, plan.service)
-                    listeners.append(_serialised(host, listener, [plan.service]))
+                    listeners.append(_serialized(host, listener, [plan.service]))
         return routes, listeners
--- a/loadbalancer/control/xds/file.py
+++ b/loadbalancer/control/xds/file.py
@@ -119,8 +119,8 @@
     envoy_listener = top.address("envoy_listener", "127.0.0.1:10000")
     slow_start = top.text("slow_start", "weights")
     if slow_start not in ("weights", "proxy"):
-        wrong = f"slow_start is {slow_start!r}"
-        top.fault("slow_start", "bad-value", wrong, 'write "weights" or "proxy"')
+        problem = f"slow_start is {slow_start!r}"
+        top.fault("slow_start", "bad-value", problem, 'write "weights" or "proxy"')
     interval = _SECONDS.fullmatch(top.text("report_every", "10s"))
     if interval is None:
         top.fault(
@@ -132,8 +132,8 @@
     pools = _pools(top)
     tls = _tls(top) if "tls" in raw else None
     if listen is not None and tls is None and not ip_address(listen.host).is_loopback:
-        right = "listen on 127.0.0.1 or configure [tls], without which any host could connect"
-        top.fault("listen", "wide-listener", f"{listen} is not a loopback address", right)
+        remedy = "listen on 127.0.0.1 or configure [tls], without which any host could connect"
+        top.fault("listen", "wide-listener", f"{listen} is not a loopback address", remedy)
     if top.faults or listen is None or envoy_listener is None or interval is None:
         return None, sorted(top.faults)
     config = ControlConfig(
@@ -157,7 +157,7 @@
         top.fault(
             "pool", "too-many", f"more than {MAX_POOLS} pools", "start another control service"
         )
-    out = []
+    pools = []
     names: set[str] = set()
     for number, table in enumerate(tables):
         pool = top.sub(table, "pool", number)
@@ -168,8 +168,8 @@
                 "name", "twice", f"there is already a pool {name!r}", "give each its own name"
             )
         names.add(name)
-        out.append(_pool(pool, name))
-    return tuple(out)
+        pools.append(_pool(pool, name))
+    return tuple(pools)
 
 
 def _pool(table: Section, name: str) -> PoolConfig:
@@ -189,8 +189,8 @@
     table.known(SECTIONS["tls"])
     nodes = raw.get("nodes")
     if not isinstance(nodes, dict) or not nodes:
-        right = 'write nodes = { "proxy.example" = ["p-*"] }: node ids by certificate name'
-        table.fault("nodes", "missing-key", "no certificate name is mapped to node ids", right)
+        remedy = 'write nodes = { "proxy.example" = ["p-*"] }: node ids by certificate name'
+        table.fault("nodes", "missing-key", "no certificate name is mapped to node ids", remedy)
         return None
     node_ids: dict[str, tuple[str, ...]] = {}
     for name, patterns in nodes.items():
@@ -198,8 +198,8 @@
             isinstance(pattern, str) and pattern for pattern in patterns
         )
         if not valid or not patterns:
-            wrong = f"{name!r} has no list of node ids"
-            table.sub(nodes, "nodes").fault(name, "bad-value", wrong, 'write ["p-*"]')
+            problem = f"{name!r} has no list of node ids"
+            table.sub(nodes, "nodes").fault(name, "bad-value", problem, 'write ["p-*"]')
             continue
         node_ids[name] = tuple(patterns)
     certificate, key = table.path("certificate"), table.path("key")
--- a/loadbalancer/control/xds/load_reports.py
+++ b/loadbalancer/control/xds/load_reports.py
@@ -153,16 +153,16 @@
     Servers are found by address. Without endpoint statistics of known servers, a sub-zone that is
     a server's number stands for that server, and the locality's totals are the server's load.
     """
-    out = []
+    loads = []
     for stats in locality.upstream_endpoint_stats:
         address = stats.address.socket_address
         backend = pool.backend_at(address.address, address.port_value)
         if backend is not None:
-            out.append(_endpoint_load(backend, stats))
+            loads.append(_endpoint_load(backend, stats))
     sub_zone = locality.locality.sub_zone
-    if not out and sub_zone.isascii() and sub_zone.isdigit() and pool.is_listed(int(sub_zone)):
-        out.append(_endpoint_load(int(sub_zone), locality))
-    return out
+    if not loads and sub_zone.isascii() and sub_zone.isdigit() and pool.is_listed(int(sub_zone)):
+        loads.append(_endpoint_load(int(sub_zone), locality))
+    return loads
 
 
 def _endpoint_load(backend: int, stats: Any) -> EndpointLoad:
--- a/loadbalancer/control/xds/member_file.py
+++ b/loadbalancer/control/xds/member_file.py
@@ -76,8 +76,8 @@
             self._handle.cancel()
 
     def _read_stamp(self) -> FileStamp:
-        found = self._path.stat()
-        return FileStamp(found.st_mtime_ns, found.st_size, found.st_ino)
+        status = self._path.stat()
+        return FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
 
     def _poll(self) -> None:
         self._handle = None
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -27,7 +27,7 @@
 Members = FileMembers | Discovery | ConsulMembers
 
 
-def _unexpected(action: str, *arguments: int) -> NoReturn:
+def _raise_unexpected(action: str, *arguments: int) -> NoReturn:
     raise AssertionError(f"{action} {arguments}: the control service handles no requests")
 
 
@@ -44,7 +44,7 @@
         super().log(level, "pool %s: %s", self._pool_name, text, **kwargs)
 
 
-def polling(config: Config) -> Config:
+def with_polling_enabled(config: Config) -> Config:
     """Return the configuration with polling enabled; no list is pushed to the control service."""
     return replace(config, settings=replace(config.settings, poll=True))
 
@@ -68,14 +68,14 @@
     ) -> None:
         self.name = source.pool.name
         self.config = source.config
-        self.table = source.table
+        self.routes = source.routes
         self.load_reports = LoadReportAggregator(max(report_interval_s, 1) * SECOND)
-        self._drains = {service.name: DrainTracker() for service in source.table.services}
+        self._drains = {service.name: DrainTracker() for service in source.routes.services}
         self._on_change = on_change
         self._on_drain = on_drain
         self._log = PoolLog(self.name)
         self.members = self._make_members(source)
-        self.balancer = Balancer(polling(self.config).settings, self.config.seed, self)
+        self.balancer = Balancer(with_polling_enabled(self.config).settings, self.config.seed, self)
         self.confirmed_at = 0  # monotonic ns of the last successful update of the list
         self._views: list[ServerView] = []
         self._addresses: dict[int, tuple[str, int]] = {}
@@ -87,7 +87,7 @@
             return ConsulMembers(pool.consul, config, self._on_update, self._log, self._evidence_of)
         if pool.members is not None:
             return FileMembers(pool.members, config, self._on_update, self._log)
-        return Discovery(polling(config), self._on_update, self._log)
+        return Discovery(with_polling_enabled(config), self._on_update, self._log)
 
     def _evidence_of(self, backend: int) -> AttemptEvidence:
         """Return the evidence on a server from the proxies' load reports."""
@@ -111,13 +111,13 @@
 
     def reload(self, source: PoolInput) -> None:
         """Replace the routes and the address of discovery."""
-        self.table = source.table
+        self.routes = source.routes
         self._drains = {
             service.name: self._drains.get(service.name, DrainTracker())
-            for service in source.table.services
+            for service in source.routes.services
         }
         if isinstance(self.members, Discovery):
-            self.members.move(source.config.discovery, polling(source.config).settings)
+            self.members.move(source.config.discovery, with_polling_enabled(source.config).settings)
 
     def close(self) -> None:
         """Stop following the list of servers."""
@@ -193,10 +193,10 @@
 
     def plans(self, target: TargetProxies) -> list[Plan]:
         """Compute each service's plan for one group of proxies."""
-        settings, budget = self.config.settings, self.table.node_budget
+        settings, budget = self.config.settings, self.routes.node_budget
         return [
             make_plan(service, settings, budget, self._views, self._addresses, target)
-            for service in self.table.services
+            for service in self.routes.services
         ]
 
     # ---- drains -------------------------------------------------------------
@@ -245,19 +245,19 @@
 
     def send(self, request: int, backend: int, timeout: int) -> None:
         """Never called: there are no requests."""
-        _unexpected("send", request, backend, timeout)
+        _raise_unexpected("send", request, backend, timeout)
 
     def refuse(self, request: int, retry_after: int) -> None:
         """Never called: there are no requests."""
-        _unexpected("refuse", request, retry_after)
+        _raise_unexpected("refuse", request, retry_after)
 
     def fail(self, request: int) -> None:
         """Never called: there are no requests."""
-        _unexpected("fail", request)
+        _raise_unexpected("fail", request)
 
     def cancel(self, request: int, attempt: int) -> None:
         """Never called: there are no requests."""
-        _unexpected("cancel", request, attempt)
+        _raise_unexpected("cancel", request, attempt)
 
     def set_timer(self, token: int, due: int) -> None:
         """Call `Balancer.on_timer` at `due`, in monotonic nanoseconds."""
--- a/loadbalancer/control/xds/pool_inputs.py
+++ b/loadbalancer/control/xds/pool_inputs.py
@@ -15,7 +15,7 @@
 
     pool: PoolConfig
     config: Config
-    table: Table
+    routes: Table
 
 
 def read_inputs(control: ControlConfig) -> list[PoolInput]:
@@ -25,7 +25,7 @@
         ControlFileError: a routes file is invalid, or two pools have the same service or host.
         ConfigError: a pool's node configuration is invalid.
     """
-    out: list[PoolInput] = []
+    inputs: list[PoolInput] = []
     owners: dict[str, str] = {}
     for pool in control.pools:
         config = load({"PROXY_CONFIG": str(pool.config), "PROXY_LISTEN": str(control.listen)})
@@ -34,8 +34,8 @@
             raise ControlFileError("\n".join(f"{pool.routes}:{fault}" for fault in result.faults))
         for service in result.table.services:
             _claim_names(owners, pool, service)
-        out.append(PoolInput(pool, config, result.table))
-    return out
+        inputs.append(PoolInput(pool, config, result.table))
+    return inputs
 
 
 def _claim_names(owners: dict[str, str], pool: PoolConfig, service: Service) -> None:
--- a/loadbalancer/control/xds/proxy_identity.py
+++ b/loadbalancer/control/xds/proxy_identity.py
@@ -63,7 +63,7 @@
 
 def certificate_names(context: Any) -> list[str]:
     """Return the names in a client's certificate, subject alternative names first."""
-    found = context.auth_context()
+    auth_context = context.auth_context()
     keys = ("x509_subject_alternative_name", "x509_common_name")
-    names = [name.decode(errors="replace") for key in keys for name in found.get(key, ())]
+    names = [name.decode(errors="replace") for key in keys for name in auth_context.get(key, ())]
     return list(dict.fromkeys(names))
--- a/loadbalancer/control/xds/resource_messages.py
+++ b/loadbalancer/control/xds/resource_messages.py
@@ -69,42 +69,42 @@
 
 def cluster(plan: Plan, proxyless: bool) -> cluster_pb2.Cluster:
     """Create a service's cluster with its limits."""
-    out = eds_cluster(plan.service)
-    out.circuit_breakers.thresholds.append(_thresholds(plan))
+    message = eds_cluster(plan.service)
+    message.circuit_breakers.thresholds.append(_thresholds(plan))
     if proxyless:
         # gRPC clients report load only with this. An Envoy has the LRS server in its bootstrap.
-        out.lrs_server.self.SetInParent()
-        return out
+        message.lrs_server.self.SetInParent()
+        return message
     if plan.outlier_detection is not None:
-        _fill_outlier_detection(out.outlier_detection, plan.outlier_detection)
+        _fill_outlier_detection(message.outlier_detection, plan.outlier_detection)
     if plan.slow_start is not None:
-        slow_start = out.round_robin_lb_config.slow_start_config
+        slow_start = message.round_robin_lb_config.slow_start_config
         slow_start.slow_start_window.CopyFrom(_duration(plan.slow_start.window))
         slow_start.min_weight_percent.value = plan.slow_start.min_weight_percent
-    return out
+    return message
 
 
 def _thresholds(plan: Plan) -> circuit_breaker_pb2.CircuitBreakers.Thresholds:
-    out = circuit_breaker_pb2.CircuitBreakers.Thresholds()
-    out.max_requests.value = plan.max_requests
+    message = circuit_breaker_pb2.CircuitBreakers.Thresholds()
+    message.max_requests.value = plan.max_requests
     if plan.retry_budget is not None:
         # Envoy's budget is a percentage of active requests with a minimum count, not a rate. With
         # a minimum of 0, a service with little traffic could not retry any request.
-        out.retry_budget.budget_percent.value = 100.0 * plan.retry_budget.part
-        out.retry_budget.min_retry_concurrency.value = max(int(plan.retry_budget.floor), 1)
-    return out
+        message.retry_budget.budget_percent.value = 100.0 * plan.retry_budget.part
+        message.retry_budget.min_retry_concurrency.value = max(int(plan.retry_budget.floor), 1)
+    return message
 
 
 def _fill_outlier_detection(
-    out: outlier_detection_pb2.OutlierDetection, plan: OutlierDetection
+    message: outlier_detection_pb2.OutlierDetection, plan: OutlierDetection
 ) -> None:
     """Enable ejection by consecutive errors only; the Balancer has no rule on success rates."""
-    out.consecutive_5xx.value = plan.consecutive_errors
-    out.base_ejection_time.CopyFrom(_duration(plan.base_ejection_time))
-    out.max_ejection_time.CopyFrom(_duration(plan.max_ejection_time))
-    out.max_ejection_percent.value = plan.max_ejection_percent
-    out.enforcing_success_rate.value = 0
-    out.enforcing_failure_percentage.value = 0
+    message.consecutive_5xx.value = plan.consecutive_errors
+    message.base_ejection_time.CopyFrom(_duration(plan.base_ejection_time))
+    message.max_ejection_time.CopyFrom(_duration(plan.max_ejection_time))
+    message.max_ejection_percent.value = plan.max_ejection_percent
+    message.enforcing_success_rate.value = 0
+    message.enforcing_failure_percentage.value = 0
 
 
 # ---- endpoints -------------------------------------------------------------
@@ -114,18 +114,18 @@
     service: str, localities: Sequence[Locality]
 ) -> endpoint_pb2.ClusterLoadAssignment:
     """Create a service's endpoints, grouped by locality."""
-    out = endpoint_pb2.ClusterLoadAssignment(cluster_name=service)
+    message = endpoint_pb2.ClusterLoadAssignment(cluster_name=service)
     for locality in localities:
-        row = out.endpoints.add(priority=locality.priority)
-        row.locality.zone = locality.zone
-        row.locality.sub_zone = locality.sub_zone
-        row.load_balancing_weight.value = locality.weight
+        locality_endpoints = message.endpoints.add(priority=locality.priority)
+        locality_endpoints.locality.zone = locality.zone
+        locality_endpoints.locality.sub_zone = locality.sub_zone
+        locality_endpoints.load_balancing_weight.value = locality.weight
         for endpoint in locality.endpoints:
-            added = row.lb_endpoints.add(health_status=_health_status(endpoint))
+            added = locality_endpoints.lb_endpoints.add(health_status=_health_status(endpoint))
             added.endpoint.address.socket_address.address = endpoint.host
             added.endpoint.address.socket_address.port_value = endpoint.port
             added.load_balancing_weight.value = endpoint.weight
-    return out
+    return message
 
 
 def _health_status(endpoint: Endpoint) -> str:
@@ -139,19 +139,19 @@
 
 def socket_listener(listen: tuple[str, int]) -> listener_pb2.Listener:
     """Create the listener of an Envoy: one address for all services."""
-    out = listener_pb2.Listener(name=LISTENER_NAME)
-    out.address.socket_address.address, out.address.socket_address.port_value = listen
-    chain = out.filter_chains.add()
+    message = listener_pb2.Listener(name=LISTENER_NAME)
+    message.address.socket_address.address, message.address.socket_address.port_value = listen
+    chain = message.filter_chains.add()
     http = chain.filters.add(name="envoy.filters.network.http_connection_manager")
     http.typed_config.Pack(_connection_manager(ROUTES_NAME), deterministic=True)
-    return out
+    return message
 
 
 def api_listener(host: str, routes_name: str) -> listener_pb2.Listener:
     """Create the listener of a proxyless client for the host that it calls as `xds:///HOST`."""
-    out = listener_pb2.Listener(name=host)
-    out.api_listener.api_listener.Pack(_connection_manager(routes_name), deterministic=True)
-    return out
+    message = listener_pb2.Listener(name=host)
+    message.api_listener.api_listener.Pack(_connection_manager(routes_name), deterministic=True)
+    return message
 
 
 def _connection_manager(routes_name: str) -> manager_pb2.HttpConnectionManager:
@@ -190,32 +190,32 @@
 
 
 def _route(plan: RoutePlan, cluster_name: str, kind: ProxyKind) -> route_pb2.Route:
-    out = route_pb2.Route(name=plan.name, match=_match(plan.pattern))
+    message = route_pb2.Route(name=plan.name, match=_match(plan.pattern))
     if plan.methods:
         # A single matcher for all methods, because a route requires all its matchers to match.
         methods = "|".join(re.escape(method.decode()) for method in sorted(plan.methods))
-        out.match.headers.add(name=":method").string_match.safe_regex.regex = methods
+        message.match.headers.add(name=":method").string_match.safe_regex.regex = methods
     policy = plan.policy
     if policy is None:
         if kind.proxyless:
-            out.non_forwarding_action.SetInParent()
+            message.non_forwarding_action.SetInParent()
         else:
-            out.direct_response.status = DENIED_STATUS
-        return out
-    out.route.cluster = cluster_name
+            message.direct_response.status = DENIED_STATUS
+        return message
+    message.route.cluster = cluster_name
     if policy.timeout:
         timeout = _duration(policy.timeout)
-        out.route.timeout.CopyFrom(timeout)
-        out.route.max_stream_duration.max_stream_duration.CopyFrom(timeout)
+        message.route.timeout.CopyFrom(timeout)
+        message.route.max_stream_duration.max_stream_duration.CopyFrom(timeout)
     if plan.retry_on or plan.hedge_after:
-        _fill_retry_policy(out.route, plan, policy, kind)
-    return out
+        _fill_retry_policy(message.route, plan, policy, kind)
+    return message
 
 
 def _fill_retry_policy(
-    out: route_pb2.RouteAction, plan: RoutePlan, policy: Policy, kind: ProxyKind
+    message: route_pb2.RouteAction, plan: RoutePlan, policy: Policy, kind: ProxyKind
 ) -> None:
-    retry = out.retry_policy
+    retry = message.retry_policy
     conditions = [ENVOY_RETRY_ON[condition] for condition in plan.retry_on]
     retry.retry_on = "unavailable" if kind.proxyless else ",".join(conditions)
     retry.num_retries.value = plan.max_retries
@@ -224,7 +224,7 @@
     if plan.hedge_after:
         # At the timeout the next attempt starts while this one continues; the first response wins.
         retry.per_try_timeout.CopyFrom(_duration(plan.hedge_after))
-        out.hedge_policy.hedge_on_per_try_timeout = True
+        message.hedge_policy.hedge_on_per_try_timeout = True
     if policy.backoff_base:
         retry.retry_back_off.base_interval.CopyFrom(_duration(policy.backoff_base))
         retry.retry_back_off.max_interval.CopyFrom(_duration(policy.max_backoff))
@@ -239,6 +239,6 @@
     segments = (
         "[^/]+" if segment is None else re.escape(segment.decode()) for segment in pattern.segments
     )
-    out = route_pb2.RouteMatch()
-    out.safe_regex.regex = "/" + "/".join(segments) + ("(/.*)?" if pattern.prefix else "")
-    return out
+    message = route_pb2.RouteMatch()
+    message.safe_regex.regex = "/" + "/".join(segments) + ("(/.*)?" if pattern.prefix else "")
+    return message
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -123,7 +123,7 @@
             self._publication.cancel()
             self._publication = None
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started = loop.time()
         snapshots = {}
         for group in self._proxies.groups():
             snapshot = self._build(group)
@@ -132,7 +132,7 @@
         if snapshots:
             self._proxies.publish(snapshots)
         now = loop.time()
-        self._paused_until = now + max(PUBLISH_PAUSE_S, PUBLISH_PAUSE_FACTOR * (now - began))
+        self._paused_until = now + max(PUBLISH_PAUSE_S, PUBLISH_PAUSE_FACTOR * (now - started))
 
     def _build(self, group: ProxyGroup) -> Snapshot | None:
         return self._builder.build(group, self._proxies.count())
@@ -208,5 +208,5 @@
         return text
     names = ", ".join(missed[:MAX_LOGGED_PROXIES])
     unnamed = len(missed) - MAX_LOGGED_PROXIES
-    more = f" and {unnamed} more" if unnamed > 0 else ""
-    return f"{text}, NOT by {len(missed)}: {names}{more}"
+    suffix = f" and {unnamed} more" if unnamed > 0 else ""
+    return f"{text}, NOT by {len(missed)}: {names}{suffix}"
--- a/loadbalancer/control/xds/wire.py
+++ b/loadbalancer/control/xds/wire.py
@@ -79,12 +79,12 @@
 
 def encode_varint(number: int) -> bytes:
     """Encode a non-negative integer in base 128, least significant group first."""
-    out = bytearray()
+    encoded = bytearray()
     while number >= VARINT_CONTINUATION:
-        out.append(number & (VARINT_CONTINUATION - 1) | VARINT_CONTINUATION)
+        encoded.append(number & (VARINT_CONTINUATION - 1) | VARINT_CONTINUATION)
         number >>= VARINT_BITS
-    out.append(number)
-    return bytes(out)
+    encoded.append(number)
+    return bytes(encoded)
 
 
 def encode_field(number: int, body: bytes) -> bytes:
--- a/tests/control/machine/test_nodes.py
+++ b/tests/control/machine/test_nodes.py
@@ -137,7 +137,7 @@
     assert nodes.handover._serving == {"cart": {"n1"}}
 
 
-def test_a_report_is_sent_once_and_not_after_its_node_has_left(tmp_path: Path) -> None:
+def test_a_report_is_sent_once_and_not_after_its_node_polls_elsewhere(tmp_path: Path) -> None:
     """A node makes the same report twice and then polls another machine. A machine that connects
     later must not get this report, which may be older than the one made to the other machine.
     """
--- a/tests/control/xds/support.py
+++ b/tests/control/xds/support.py
@@ -73,10 +73,10 @@
         }
 
 
-def targets_of(up: dict[str, Process], **more: Any) -> list[dict[str, object]]:
+def targets_of(servers: dict[str, Process], **overrides: Any) -> list[dict[str, object]]:
     return [
-        target(name, int(p.address.rpartition(":")[2])) | more.get(name.replace("-", "_"), {})
-        for name, p in up.items()
+        target(name, int(p.address.rpartition(":")[2])) | overrides.get(name.replace("-", "_"), {})
+        for name, p in servers.items()
     ]
 
 
--- a/tests/control/xds/test_assessment.py
+++ b/tests/control/xds/test_assessment.py
@@ -27,13 +27,13 @@
     made: Any = object.__new__(ControlService)
     made._pools, made._was_stale = pools, False
 
-    async def play() -> None:
+    async def scenario() -> None:
         made._assess()
         async with asyncio.timeout(5.0):
             while pools[1].assess_reports.call_count < 3:
                 await asyncio.sleep(0.001)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_drain_is_pushed_and_reported_after_an_exception_in_its_publication(
@@ -50,10 +50,10 @@
     pool: Any = mock.Mock()
     pool.config.settings.drain_grace = 10_000_000  # 10 ms
 
-    async def play() -> None:
+    async def scenario() -> None:
         made._on_drain(pool)
         async with asyncio.timeout(5.0):
             while not all(step.called for step in steps.values()):
                 await asyncio.sleep(0.001)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/control/xds/test_load_reports.py
+++ b/tests/control/xds/test_load_reports.py
@@ -86,8 +86,8 @@
 
 def test_load_reports_of_a_grpc_client_are_counted(tmp_path: Path) -> None:
     with (
-        grpc_servers("s-1", "s-2") as up,
-        control_service(tmp_path, roster(*targets_of(up))) as process,
+        grpc_servers("s-1", "s-2") as servers,
+        control_service(tmp_path, roster(*targets_of(servers))) as process,
         grpc_client(process.address) as proxy,
     ):
 
--- a/tests/control/xds/test_service.py
+++ b/tests/control/xds/test_service.py
@@ -37,9 +37,9 @@
     """Two servers have a concurrency limit of 4. The third one is cold: it has a limit of 2 and
     three tenths of its weight. The shares of 2,000 calls may deviate by 5% of all calls.
     """
-    with grpc_servers("s-1", "s-2", "s-3") as up:
+    with grpc_servers("s-1", "s-2", "s-3") as servers:
         cold = {"s_3": {"boot_ms": int(time.time() * 1000)}}
-        known = roster(*targets_of(up, **cold))
+        known = roster(*targets_of(servers, **cold))
         with (
             control_service(tmp_path, known) as service,
             grpc_client(service.address) as proxy,
@@ -52,8 +52,8 @@
 
 def test_a_denied_route_is_denied_by_the_proxy(tmp_path: Path) -> None:
     with (
-        grpc_servers("s-1") as up,
-        control_service(tmp_path, roster(*targets_of(up))) as service,
+        grpc_servers("s-1") as servers,
+        control_service(tmp_path, roster(*targets_of(servers))) as service,
         grpc_client(service.address) as proxy,
     ):
         assert calls(proxy, 3, "Credit") == {"s-1": 3}
@@ -61,8 +61,11 @@
 
 
 def test_no_call_fails_while_a_server_drains_and_returns(tmp_path: Path) -> None:
-    with grpc_servers("s-1", "s-2") as up, running_process(("-m", "fakes.discovery")) as discovery:
-        listed = targets_of(up)
+    with (
+        grpc_servers("s-1", "s-2") as servers,
+        running_process(("-m", "fakes.discovery")) as discovery,
+    ):
+        listed = targets_of(servers)
         discovery.call("POST", "/standin/targets", listed)
         with (
             control_service(tmp_path, roster(*listed), discovery.address) as service,
@@ -83,8 +86,8 @@
 
 def test_no_call_fails_while_the_control_service_restarts(tmp_path: Path) -> None:
     """While the service is down, its client must continue with the resources that it has."""
-    with grpc_servers("s-1", "s-2") as up:
-        known = roster(*targets_of(up))
+    with grpc_servers("s-1", "s-2") as servers:
+        known = roster(*targets_of(servers))
         with contextlib.ExitStack() as stack:
             with control_service(tmp_path, known) as service:
                 port = int(service.address.rpartition(":")[2])
@@ -237,14 +240,14 @@
 def test_a_grpc_client_uses_the_other_server_while_one_is_restarted(tmp_path: Path) -> None:
     """A server process is killed and started again; the client's calls go to the other server."""
     with (
-        grpc_servers("s-1", "s-2") as up,
-        control_service(tmp_path, roster(*targets_of(up))) as process,
+        grpc_servers("s-1", "s-2") as servers,
+        control_service(tmp_path, roster(*targets_of(servers))) as process,
         grpc_client(process.address) as proxy,
     ):
         assert calls(proxy, 40).keys() == {"s-1", "s-2"}
-        port = up["s-2"].address
-        up["s-2"].child.kill()
-        up["s-2"].child.wait()
+        port = servers["s-2"].address
+        servers["s-2"].child.kill()
+        servers["s-2"].child.wait()
         until(lambda: calls(proxy, 20) == {"s-1": 20})
         arguments = ("-m", "fakes.topup_grpc", "--name", "s-2", "--listen", port)
         with running_process(arguments):
