--- a/loadbalancer/control/xds/stream.py
+++ b/loadbalancer/control/xds/stream.py
@@ -43,7 +43,8 @@
         self.identity = identity
         self.session = session
         self.only = only
-        # At most one response of each type; see `enqueue`.
+        # At most one response of each type: the session holds a newer one back until the older one
+        # is acknowledged or rejected, and `enqueue` replaces an unsent one.
         self.unsent: list[DiscoveryResponse] = []
         self._changed = asyncio.Event()
         self._closing = False
