--- a/loadbalancer/control/consul_relay.py
+++ b/loadbalancer/control/consul_relay.py
@@ -76,7 +76,7 @@
         return self.updater.merged_list.is_complete()
 
     def answer(self, version: int) -> bytes:
-        """Build the response for a node that has this version of the list, 0 for none."""
+        """Build the response for a node that has `version` of the list, 0 for none."""
         changed, is_full = self.revisions.since(version)
         rows = [removed_row(uid) if row is None else row for uid, row in changed.items()]
         return json.dumps({"rev": self.revisions.rev, "all": is_full, "targets": rows}).encode()
--- a/loadbalancer/control/machine/backends.py
+++ b/loadbalancer/control/machine/backends.py
@@ -17,7 +17,7 @@
 
 
 def read_backends(path: Path, services: Collection[str]) -> dict[str, tuple[Row, ...]]:
-    """Read the rows of these services; lines of other services are ignored.
+    """Read the rows of `services`; lines of other services are ignored.
 
     Raises:
         InvalidInputError: the file can't be used; the text names the line.
--- a/loadbalancer/control/machine/bound_list.py
+++ b/loadbalancer/control/machine/bound_list.py
@@ -27,7 +27,7 @@
         self._log = log
         self._pending: LongPolls[int] = LongPolls(self._answer_pending)  # version of each poller
 
-    # ---- called by connections ----------------------------------------------
+    # Called by connections.
 
     def ready(self) -> bool:
         """Return whether the log has been received; an empty list would empty the node's pool."""
@@ -65,7 +65,7 @@
         else:
             watcher.reply(HTTPStatus.OK, self._answer(since))
 
-    # ---- called by the machine ----------------------------------------------
+    # Called by the control machine.
 
     def on_change(self) -> None:
         """Answer all pending polls after a change of the service."""
--- a/loadbalancer/control/machine/file_tables.py
+++ b/loadbalancer/control/machine/file_tables.py
@@ -30,7 +30,7 @@
 
 
 def integer(table: Section, key: str, default: int, minimum: int, maximum: int) -> int:
-    """Read an integer within these limits."""
+    """Read an integer from `minimum` to `maximum`."""
     value = table.raw.get(key, default)
     if type(value) is int and minimum <= value <= maximum:
         return value
@@ -49,7 +49,7 @@
 
 
 def suggestion(value: str, names: list[str]) -> str:
-    """Suggest the most similar of these names, or list some of them if none is similar."""
+    """Suggest the entry of `names` that is most similar to `value`, or list some of them."""
     similar = get_close_matches(value, names, 1)
     if similar:
         return f"did you mean {similar[0]!r}?"
@@ -57,7 +57,7 @@
 
 
 def check_known(table: Section, key: str, names: Iterable[str], value: str) -> None:
-    """Record a fault if the value is not one of these names."""
+    """Record a fault if `value` is not one of `names`."""
     known = list(names)
     if value and value not in known:
         table.fault(key, f"unknown-{key}", f"no {key} {value!r}", suggestion(value, known))
--- a/loadbalancer/control/machine/list_format.py
+++ b/loadbalancer/control/machine/list_format.py
@@ -58,9 +58,6 @@
     pause_ms: int = 0  # delay before the next poll
 
 
-# ---- rows ---------------------------------------------------------------
-
-
 def canonical_json(target: Mapping[str, Any]) -> str:
     """Encode a target as canonical JSON, so that equal targets give equal texts."""
     return json.dumps(target, separators=(",", ":"), sort_keys=True)
@@ -84,9 +81,6 @@
     return canonical_json({"uid": uid, "state": STATE_REMOVED})
 
 
-# ---- encoding -----------------------------------------------------------
-
-
 def encode_plain_list(
     version: int, complete: bool, rows: Iterable[Row], removed: Iterable[str]
 ) -> bytes:
@@ -156,9 +150,6 @@
     }
 
 
-# ---- decoding -----------------------------------------------------------
-
-
 def decode(body: bytes, max_services: int) -> PollResponse:
     """Decode a control machine's response to a poll.
 
--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -133,8 +133,6 @@
             self._on_connected,
         )
 
-    # ---- sockets ---------------------------------------------------------
-
     async def open(self) -> None:
         """Listen on all addresses, and start the streams and the periodic work.
 
@@ -176,8 +174,6 @@
             server.close()
         self.streams.close()
 
-    # ---- periodic work ---------------------------------------------------
-
     def _tick_replica(self) -> None:
         run_logged(self.replica.on_tick, time.monotonic_ns())
         run_logged(self._loader.start_if_needed)
@@ -206,7 +202,7 @@
         """Return the names of the machines with a recent heartbeat, and this machine's own."""
         return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
 
-    # ---- the other machines ----------------------------------------------
+    # Streams to and from the other control machines.
 
     def _on_connected(self, machine: str) -> None:
         """Send the full state to a newly connected machine, which may have missed all updates."""
@@ -261,7 +257,7 @@
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
 
-    # ---- operators' calls ------------------------------------------------
+    # Called for operators.
 
     def submit(self, body: bytes, reply: Reply) -> None:
         """Propose the changes in a request body; `reply` is called exactly once."""
@@ -300,7 +296,7 @@
 
 
 async def _run_periodically(seconds: float, work: Callable[[], None]) -> None:
-    """Call `work` at this interval until cancelled; log exceptions and continue.
+    """Call `work` every `seconds` seconds until cancelled; log exceptions and continue.
 
     If an exception ended the task, the machine would still accept polls, but silently stop taking
     part in elections or noticing dead nodes.
--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingReport:
-    """The services that a node serves, given the assignment of this generation."""
+    """The services that a node serves, as it reports them in a poll."""
 
     serving: tuple[str, ...]
-    generation: int
+    generation: int  # of the last assignment that the node has received
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
         self._pending: LongPolls[PollRequest] = LongPolls(self._on_timeout)
         self._watchers: dict[str, dict[str, Watcher]] = {}  # of pending polls, by node and region
 
-    # ---- called by connections ----------------------------------------------
+    # Called by connections.
 
     def ready(self) -> bool:
         """Return True: polls are always accepted, and answered with what is available."""
@@ -125,10 +125,10 @@
             self._nodes.on_generation(request.node, request.region, report.generation)
         self._answer_or_end(now, watcher, request, first_poll=since == 0)
 
-    # ---- called by the machine ----------------------------------------------
+    # Called by the control machine.
 
     def wake(self, region: str, nodes: Iterable[str]) -> None:
-        """Answer the pending polls of these nodes for a region, if there is something new."""
+        """Answer the pending polls of `nodes` for a region, if there is something new."""
         now = time.monotonic_ns()
         for node in nodes:
             watcher = self._watchers.get(node, {}).get(region)
@@ -136,7 +136,7 @@
                 self._answer_pending(now, watcher)
 
     def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
-        """Answer the pending polls of these (node, region) pairs, if there is something new."""
+        """Answer the pending polls of the (node, region) pairs, if there is something new."""
         for node, region in keys:
             self.wake(region, (node,))
 
@@ -165,8 +165,6 @@
         """Return the nodes that have a pending poll."""
         return frozenset(self._watchers)
 
-    # ---- one poll -----------------------------------------------------------
-
     def _decode(self, now: int, since: int, hold_s: float, query: Query) -> PollRequest:
         """Decode a poll completely, or raise an error, before any state changes.
 
@@ -292,8 +290,6 @@
         if node not in self._watchers:
             self._nodes.on_response(now, node, pause_ns)
 
-    # ---- replies ------------------------------------------------------------
-
     def _reject(self, watcher: Watcher, reason: str) -> None:
         self.counts["refused"] += 1
         watcher.reply(HTTPStatus.BAD_REQUEST, reason.encode())
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -68,14 +68,12 @@
         self._unsent_reports: dict[str, tuple[str, ...]] = {}  # not yet sent to other machines
         self._sent: dict[tuple[str, str], NodeAssignment] = {}  # last sent, by node and region
 
-    # ---- assignments ----------------------------------------------------
-
     def is_registered(self, node: str) -> bool:
         """Return whether the control file names the node."""
         return node in self.assigner.nodes
 
     def services_in_region(self, node: str, region: str) -> frozenset[str]:
-        """Return the services of this region that the node is to hold."""
+        """Return the services of `region` that the node is to hold."""
         wanted = self.handover.wanted(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
@@ -116,7 +114,7 @@
         if sent is not None and generation < sent.generation:
             del self._sent[node, region]
 
-    # ---- polls and reports of nodes -------------------------------------
+    # Polls and reports of nodes.
 
     def on_poll(self, now: int, node: str) -> None:
         """Record that the node polls this machine."""
@@ -132,7 +130,10 @@
         self._deadlines[node] = now + pause_ns + POLL_GRACE_NS
 
     def on_report(self, node: str, serving: Collection[str], generation: int) -> None:
-        """Handle a node's report of what it serves, given the assignment of this generation."""
+        """Handle a node's report of the services it serves.
+
+        `generation` is that of the last assignment that the node has received.
+        """
         known = tuple(sorted(name for name in serving if name in self.regions))
         # A generation above all of this process's own ones was numbered by the machine's previous
         # process, and says nothing about which assignments of this process the node has received.
@@ -163,7 +164,7 @@
             # Sent to all machines: some may have connected meanwhile or declared the node dead.
             self._reports[node] = self._unsent_reports[node] = report
 
-    # ---- the other machines ---------------------------------------------
+    # Messages to and from the other control machines.
 
     def on_reports(self, reports: Iterable[NodeReport]) -> None:
         """Handle reports that nodes made to another machine."""
@@ -188,8 +189,6 @@
         """Handle another machine's presence update; return False if a complete one is needed."""
         return self.presence.on_update(now, machine, update)
 
-    # ---- releases -------------------------------------------------------
-
     def advance_releases(self, now: int, epoch: int | None) -> ReleaseGrant | None:
         """Advance releases once a second; return the grant to send to the other machines, if any.
 
@@ -205,8 +204,6 @@
         self._releasable = releasable
         return grant
 
-    # ---- liveness -------------------------------------------------------
-
     def on_tick(self, now: int) -> bool:
         """Update the nodes' liveness once a second; return whether services were reassigned."""
         self._expire_polls(now)
--- a/loadbalancer/control/machine/status.py
+++ b/loadbalancer/control/machine/status.py
@@ -52,7 +52,7 @@
 
 
 def report(machine: ReportedMachine, now: int) -> dict[str, Any]:
-    """Return the machine's state at this monotonic time in nanoseconds."""
+    """Return the machine's state at the monotonic time `now` in nanoseconds."""
     replica = machine.replica
     return {
         "machine": machine.machine.spec.name,
--- a/loadbalancer/control/machine/stream.py
+++ b/loadbalancer/control/machine/stream.py
@@ -256,7 +256,7 @@
         return True
 
     def abort(self, counter: str) -> None:
-        """Abort the stream, and increment the counter of this name."""
+        """Abort the stream, and increment the counter named `counter`."""
         self._aborted = True
         self._streams.counts[counter] += 1
         if self._transport is not None:
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -131,7 +131,7 @@
 
 
 def decode_changes(body: bytes, services: Mapping[str, str]) -> list[SubmittedChange]:
-    """Decode a call's body, a JSON array of changes to these services.
+    """Decode a call's body, a JSON array of changes to any of `services`.
 
     Raises:
         BadChangeError: the body or one of its changes is invalid.
--- a/loadbalancer/control/machine/subscriber.py
+++ b/loadbalancer/control/machine/subscriber.py
@@ -60,9 +60,9 @@
 
 
 class _ServingReport(NamedTuple):
-    """A report of the services that a node serves, given an assignment of this generation."""
+    """A report of the services that a node serves."""
 
-    generation: int
+    generation: int  # of the last assignment that the node has received
     serving: str  # service names, encoded as in the poll's query
 
 
@@ -138,8 +138,6 @@
                 state.timer.cancel()
                 state.timer = None
 
-    # ---- polls --------------------------------------------------------------
-
     def _poll(self, region: str) -> None:
         state = self._regions[region]
         state.timer = None
@@ -204,8 +202,6 @@
         loop = asyncio.get_running_loop()
         self._regions[region].timer = loop.call_later(seconds, self._poll, region)
 
-    # ---- responses ----------------------------------------------------------
-
     def _on_answer(self, region: str, answer: Response | None) -> None:
         state = self._regions[region]
         state.call = None
--- a/loadbalancer/control/xds/encoder.py
+++ b/loadbalancer/control/xds/encoder.py
@@ -55,7 +55,7 @@
         self._snapshot: Snapshot | None = None
 
     def build(self, plans: Sequence[Plan]) -> Snapshot:
-        """Build the snapshot of these plans; return the previous object if nothing has changed."""
+        """Build the snapshot of `plans`; return the previous object if nothing has changed."""
         endpoints = [self._endpoints_resource(plan) for plan in plans]
         self._endpoints = {plan.service: self._endpoints[plan.service] for plan in plans}
         # A change of servers affects only endpoints, so the other resources can be reused.
--- a/loadbalancer/control/xds/file.py
+++ b/loadbalancer/control/xds/file.py
@@ -71,7 +71,7 @@
     nodes: Mapping[str, tuple[str, ...]]
 
     def allows(self, names: list[str], node_id: str) -> bool:
-        """Return whether a certificate with these names may be used with this node id."""
+        """Return whether a certificate with any of `names` may be used with `node_id`."""
         patterns = (pattern for name in names for pattern in self.nodes.get(name, ()))
         return any(fnmatchcase(node_id, pattern) for pattern in patterns)
 
--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -137,8 +137,6 @@
         else:
             self._on_change()
 
-    # ---- the servers ----------------------------------------------------
-
     def refresh(self) -> None:
         """Use the Balancer's current view for the plans, unless it is empty.
 
@@ -185,8 +183,6 @@
         """Return whether a server is in the list."""
         return backend in self._addresses
 
-    # ---- plans ------------------------------------------------------------
-
     def services(self) -> Collection[str]:
         """Return the names of the services, which are also cluster names, in the file's order."""
         return self._drains.keys()
@@ -199,8 +195,6 @@
             for service in self.routes.services
         ]
 
-    # ---- drains -------------------------------------------------------------
-
     def accepting(self) -> frozenset[int]:
         """Return the servers that accept new requests in the current view."""
         return frozenset(view.backend for view in self._views if view.state == State.READY)
@@ -231,8 +225,6 @@
     def _draining(self) -> list[int]:
         return [view.backend for view in self._views if view.state == State.DRAINING]
 
-    # ---- load reports -------------------------------------------------------
-
     def assess_reports(self) -> None:
         """Assess the reports of all proxies together, and pass the result to the Balancer."""
         now = time.monotonic_ns()
@@ -241,7 +233,7 @@
             for found in self.load_reports.assess():
                 self.balancer.on_load_report(now, found.backend, found.latency_ratio, found.failing)
 
-    # ---- the Balancer's actions -----------------------------------------------
+    # The actions of the Balancer (`loadbalancer.core.Actions`).
 
     def send(self, request: int, backend: int, timeout: int) -> None:
         """Never called: there are no requests."""
--- a/loadbalancer/control/xds/proxies.py
+++ b/loadbalancer/control/xds/proxies.py
@@ -48,7 +48,7 @@
         self._streams.discard(stream)
 
     def has_capacity_for(self, group: ProxyGroup) -> bool:
-        """Return whether a proxy of this group may connect without exceeding `MAX_GROUPS`."""
+        """Return whether a proxy of `group` may connect without exceeding `MAX_GROUPS`."""
         return group in self._histories or len(self._histories) < MAX_GROUPS
 
     def open_session(self, group: ProxyGroup, incremental: bool) -> Session:
@@ -104,7 +104,7 @@
         ]
 
     def push_endpoints(self, node_ids: set[str]) -> None:
-        """Send the latest endpoints to these proxies without waiting for acknowledgements."""
+        """Send the latest endpoints to the given proxies without waiting for acknowledgements."""
         for stream in self._streams:
             if stream.identity.node_id in node_ids:
                 stream.push_endpoints()
--- a/loadbalancer/control/xds/resource_messages.py
+++ b/loadbalancer/control/xds/resource_messages.py
@@ -46,15 +46,12 @@
 
 
 def _aggregated_source() -> config_source_pb2.ConfigSource:
-    """Return the source of resources that stands for the ADS stream itself."""
+    """Create a reference that tells the proxy to request further resources on its ADS stream."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version="V3"
     )
 
 
-# ---- clusters ------------------------------------------------------------
-
-
 def eds_cluster(name: str) -> cluster_pb2.Cluster:
     """Create a cluster whose endpoints are delivered by EDS under the cluster's name."""
     return cluster_pb2.Cluster(
@@ -107,9 +104,6 @@
     message.enforcing_failure_percentage.value = 0
 
 
-# ---- endpoints -------------------------------------------------------------
-
-
 def cluster_load_assignment(
     service: str, localities: Sequence[Locality]
 ) -> endpoint_pb2.ClusterLoadAssignment:
@@ -134,9 +128,6 @@
     return "HEALTHY" if endpoint.healthy else "UNHEALTHY"
 
 
-# ---- listeners -------------------------------------------------------------
-
-
 def socket_listener(listen: tuple[str, int]) -> listener_pb2.Listener:
     """Create the listener of an Envoy: one address for all services."""
     message = listener_pb2.Listener(name=LISTENER_NAME)
@@ -164,9 +155,6 @@
     )
 
 
-# ---- routes ----------------------------------------------------------------
-
-
 def route_configuration(
     name: str, plans: Sequence[Plan], kind: ProxyKind, domains: Sequence[str] | None = None
 ) -> configuration_pb2.RouteConfiguration:
--- a/loadbalancer/control/xds/service.py
+++ b/loadbalancer/control/xds/service.py
@@ -109,8 +109,6 @@
             )
         return read_inputs(config)
 
-    # ---- publication ----------------------------------------------------
-
     def publish_soon(self) -> None:
         """Schedule a publication: at once, or after the pause with all changes until then."""
         if self._publication is None:
@@ -137,8 +135,6 @@
     def _build(self, group: ProxyGroup) -> Snapshot | None:
         return self._builder.build(group, self._proxies.count())
 
-    # ---- drains -------------------------------------------------------------
-
     def _on_drain(self, pool: Pool) -> None:
         """Publish a drain at once, and schedule its push to slow proxies and its report.
 
@@ -164,8 +160,6 @@
             for report in pool.due_drain_reports(service, now, in_use):
                 logger.info("%s", _drain_line(service, pool.address(report.backend), report))
 
-    # ---- load reports, status -----------------------------------------------
-
     def _assess(self) -> None:
         """Assess the load reports of all pools, and schedule the next assessment.
 
--- a/tests/control/machine/socketless.py
+++ b/tests/control/machine/socketless.py
@@ -74,7 +74,7 @@
         return connection
 
     def is_present(self, seconds: int) -> bool:
-        """Return whether one node counts as present after so many seconds without an event."""
+        """Return whether exactly one node is present after `seconds` seconds without an event."""
         self.machine.nodes.on_tick(time.monotonic_ns() + seconds * SECOND)
         return self.machine.nodes.presence.local_count() == 1
 
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("is_hello", [True, False])
-def test_a_stream_works_after_an_exception_while_it_is_opened(
+def test_messages_arrive_after_an_exception_while_the_stream_is_opened(
     is_hello: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Sending the Hello, or the callback after it, raises an exception. If that ended the dialling
--- a/tests/control/machine/test_generations.py
+++ b/tests/control/machine/test_generations.py
@@ -60,7 +60,7 @@
 
 
 def subscriber_after(events: list[Event]) -> Subscriber:
-    """Return a node's subscriber that has handled these events, without sockets."""
+    """Create a node's subscriber without sockets, and let it handle `events` in order."""
     holder = Holder("n1", REGIONS, HolderLimits())
     subscriber = Subscriber(holder, REGIONS, MACHINES, lambda *_: None, 1)
     for event in events:
@@ -95,7 +95,7 @@
         ([Event("west", 6, B), Event("east", None), Event("east", 5, A)], A),  # another machine
     ],
 )
-def test_an_older_assignment_of_the_same_machine_is_ignored(
+def test_an_older_assignment_is_ignored_unless_the_machine_restarted_or_is_another_one(
     events: list[Event], wanted: Mapping[str, str]
 ) -> None:
     """The responses to a node's polls for two regions, each with an assignment, can overtake each
--- a/tests/control/machine/test_machine.py
+++ b/tests/control/machine/test_machine.py
@@ -25,7 +25,7 @@
     others = [name for name in NAMES if name != leader]
 
     def view(name: str, *services: str) -> None:
-        """Let this machine's own handover allow n1 to release these services."""
+        """Make the handover of machine `name` allow node n1 to release `services`."""
         handover = region.machines[name].nodes.handover
         views = {"n1": frozenset(services)}
         monkeypatch.setattr(handover, "releasable", lambda node: views.get(node, frozenset()))
--- a/tests/control/machine/test_operator_calls.py
+++ b/tests/control/machine/test_operator_calls.py
@@ -13,7 +13,7 @@
 from tests.control_machines import Machines, rows
 
 
-def test_the_log_is_returned_from_a_version_on(region: Machines) -> None:
+def test_get_log_returns_the_changes_after_a_version(region: Machines) -> None:
     (first,) = region.change({"service": "pay", "rows": rows("l1")})
     (second,) = region.change({"service": "pay", "removed": ["l1"]})
     path = f"/log?region=east&from={first['version']}"
--- a/tests/control/xds/support.py
+++ b/tests/control/xds/support.py
@@ -80,9 +80,6 @@
     ]
 
 
-# ---- hand-driven streams ---------------------------------------------------
-
-
 class RawStream:
     """A hand-driven discovery stream of either variant of the protocol."""
 
@@ -212,7 +209,7 @@
         self.response = next(self.answers)
 
     def report(self, results: dict[int, tuple[int, int]], ms: int = 10) -> None:
-        """Report successes and errors by port, for an interval of so many milliseconds."""
+        """Report (successes, errors) by server port, for an interval of `ms` milliseconds."""
         message = lrs_pb2.LoadStatsRequest()
         stats = message.cluster_stats.add(cluster_name="topup")
         stats.load_report_interval.nanos = ms * 1_000_000
@@ -232,9 +229,6 @@
         self.channel.close()
 
 
-# ---- status and log of the service -------------------------------------------
-
-
 def client_configs(process: Process) -> Any:
     """Fetch the client status of all proxies by CSDS."""
     with grpc.insecure_channel(process.address) as channel:
@@ -271,8 +265,6 @@
     process.log_text += "".join(lines)
 
 
-# ---- two pools ----------------------------------------------------------------
-
 TWO_POOLS = """\
 version = 1
 listen = "127.0.0.1:0"
--- a/tests/control/xds/test_assessment.py
+++ b/tests/control/xds/test_assessment.py
@@ -36,7 +36,7 @@
     asyncio.run(scenario())
 
 
-def test_a_drain_is_pushed_and_reported_after_an_exception_in_its_publication(
+def test_a_drain_is_still_pushed_and_reported_after_an_exception_in_its_publication(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If an exception in the publication of a drain kept its timers from being set, proxies would
--- a/tests/control/xds/test_faulty_proxies.py
+++ b/tests/control/xds/test_faulty_proxies.py
@@ -215,7 +215,8 @@
         scripted_proxies(relay.address, 1, variant, "--reconnect") as one,
     ):
         for turn, cut in enumerate(range(0, 3600, 90)):
-            send_command(relay, cut=cut, drop=True)  # cuts the next connection after so many bytes
+            # Drop the connection, and cut the next one after `cut` bytes.
+            send_command(relay, cut=cut, drop=True)
             discovery.call("POST", "/standin/targets", target_list(turn + 2, 5))
             wait_until_applied(one, endpoints_of(target_list(turn + 2, 5)), only=True)
         consistent_states(one)
--- a/tests/control/xds/test_member_file.py
+++ b/tests/control/xds/test_member_file.py
@@ -37,7 +37,7 @@
 
 
 def replace_file(path: Path, servers: int) -> None:
-    """Replace the file with a list of so many servers."""
+    """Replace the file with a list of `servers` servers."""
     written = path.with_suffix(".new")
     written.write_text(json.dumps(roster(*(target(f"s-{n}", n) for n in range(1, servers + 1)))))
     os.replace(written, path)
@@ -67,6 +67,6 @@
 
 
 async def until_received(receiver: FaultyReceiver, servers: int) -> None:
-    """Wait until a list of so many servers has been received."""
+    """Wait until the receiver's last list has `servers` servers."""
     while not receiver.rows or len(receiver.rows[-1]) != servers:
         await asyncio.sleep(0.001)
--- a/tests/control/xds/test_pools.py
+++ b/tests/control/xds/test_pools.py
@@ -36,13 +36,14 @@
 def test_pools_have_their_own_servers_and_are_published_together(tmp_path: Path) -> None:
     with two_pools(tmp_path) as process, envoy_stream(process) as proxy:
         assert proxy.ports("topup") == {9001}
-        # The list from the file has precedence over the one in the node's configuration.
+        # A pool with a members file uses that list, not the one from discovery (which starts with
+        # b-0 at port 9001, the list in the pool's node configuration).
         assert proxy.ports("billing") == {9101, 9102}
         hosts = {h.name: list(h.domains) for h in proxy.routes.virtual_hosts}
         assert hosts == {"topup": ["app.svc"], "billing": ["bill.svc"]}
 
 
-def test_a_members_file_is_followed_and_an_invalid_one_ignored(tmp_path: Path) -> None:
+def test_changes_of_a_members_file_are_applied_and_invalid_ones_ignored(tmp_path: Path) -> None:
     """The file is replaced by invalid ones and by a valid one, then removed and written again. The
     proxies' endpoints must not change until there is a valid file.
     """
--- a/tests/control/xds/test_service.py
+++ b/tests/control/xds/test_service.py
@@ -33,7 +33,9 @@
 from tests.harness import ROOT, roster, target, until
 
 
-def test_a_grpc_client_follows_the_weights_of_cold_and_warm_servers(tmp_path: Path) -> None:
+def test_calls_of_a_grpc_client_are_distributed_by_the_weights_of_cold_and_warm_servers(
+    tmp_path: Path,
+) -> None:
     """Two servers have a concurrency limit of 4. The third one is cold: it has a limit of 2 and
     three tenths of its weight. The shares of 2,000 calls may deviate by 5% of all calls.
     """
@@ -98,9 +100,6 @@
                 assert calls(proxy, 40).keys() == {"s-1", "s-2"}
 
 
-# ---- raw streams -------------------------------------------------------
-
-
 @pytest.mark.parametrize("incremental", [False, True])
 def test_an_envoy_stream_gets_clusters_and_endpoints(tmp_path: Path, incremental: bool) -> None:
     known = roster(target("s-1", 9001), target("s-2", 9002))
--- a/tests/control/xds/test_tls.py
+++ b/tests/control/xds/test_tls.py
@@ -45,9 +45,10 @@
 def secure_stream(
     process: Process, authority: trustme.CA, signer: trustme.CA | None, name: str, node: str
 ) -> Any:
-    """Open a stream with a certificate of this name and this node id; return the first response.
+    """Open a stream with node id `node`, and return its first response.
 
-    Without a signer the stream has no certificate.
+    The client's certificate has the name `name` and is issued by `signer`; without a signer the
+    client has none.
     """
     pair: dict[str, bytes] = {}
     if signer is not None:
