--- a/loadbalancer/control/xds/client_status.py
+++ b/loadbalancer/control/xds/client_status.py
@@ -1,4 +1,4 @@
-"""The client status service (CSDS): what each proxy has acknowledged, waits for or rejected."""
+"""The client status discovery service (CSDS): the state of each proxy's resources."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from loadbalancer.core.xds.snapshot import ResourceType
 
 SERVICE = "envoy.service.status.v3.ClientStatusDiscoveryService"
-MAX_ERROR_DETAIL = 500  # of a NACK, for the operator
+MAX_ERROR_DETAIL = 500  # characters of a NACK's error that are shown to the operator
 
 
 class ConnectedClient(NamedTuple):
-    """One stream as the status service sees it."""
+    """A connected proxy's stream, as needed by the status service."""
 
     identity: ProxyIdentity
     session: Session
 
 
 class ClientStatusService:
-    """Answers from the streams as they are.
+    """Reports the current state of the connected proxies.
 
     Args:
-        clients: the connected proxies.
-        withheld: services that a group is not served, with the reason.
-        stale_lists: which lists of servers are stale; "" for none.
-        report_counts: a node's load reports.
+        clients: returns the connected proxies.
+        withheld: returns the services that are not served to a group, with the reasons.
+        stale_lists: returns which lists of servers are stale, "" for none.
+        report_counts: returns how many load reports of a node were counted and rejected.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._report_counts = report_counts
 
     def handler(self) -> Any:
-        """The gRPC method handler: one answer a call, or one for each message of a stream."""
+        """Return the gRPC handler: one response for each call, or for each message of a stream."""
 
         async def fetch(request: Any, context: Any) -> Any:
             del context
@@ -72,14 +72,14 @@
         )
 
     def answer(self, request: Any) -> Any:
-        """All proxies, or those that the request's node matchers name by their id."""
-        out = csds_pb2.ClientStatusResponse()
+        """Return the state of all proxies, or of those whose ids the request's matchers name."""
+        response = csds_pb2.ClientStatusResponse()
         wanted = {matcher.node_id.exact for matcher in request.node_matchers}
         wanted.discard("")
         for client in sorted(self._clients(), key=lambda client: client.identity.node_id):
             if not wanted or client.identity.node_id in wanted:
-                self._add(out.config.add(), client)
-        return out
+                self._add(response.config.add(), client)
+        return response
 
     def _add(self, config: Any, client: ConnectedClient) -> None:
         identity = client.identity
@@ -93,19 +93,19 @@
         if counted or rejected:
             config.node.metadata["load_reports"] = f"{counted} counted, {rejected} not"
         for status in client.session.status():
-            row = config.generic_xds_configs.add(
+            resource = config.generic_xds_configs.add(
                 type_url=TYPE_URLS[status.resource_type],
                 name=status.name,
                 version_info=status.version,
                 client_status=status.client_status.name,
             )
             if status.error_detail:
-                row.error_state.details = status.error_detail[:MAX_ERROR_DETAIL]
-                row.error_state.version_info = status.version
+                resource.error_state.details = status.error_detail[:MAX_ERROR_DETAIL]
+                resource.error_state.version_info = status.version
         for service, reason in sorted(self._withheld(identity.group).items()):
-            row = config.generic_xds_configs.add(
+            resource = config.generic_xds_configs.add(
                 type_url=TYPE_URLS[ResourceType.CLUSTER],
                 name=service,
                 client_status=ClientResourceStatus.DOES_NOT_EXIST.name,
             )
-            row.error_state.details = f"not served: {reason}"[:MAX_ERROR_DETAIL]
+            resource.error_state.details = f"not served: {reason}"[:MAX_ERROR_DETAIL]
