--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -45,23 +45,23 @@
 
     def __enter__(self) -> int:
         """Begin the event; returns its time."""
-        assert not self._host.inside, "an event within an event"
-        return self._host.enter()
+        assert not self._host.in_event, "an event within an event"
+        return self._host.begin_event()
 
     def __exit__(self, *_exception: object) -> None:
         """End the event, also after an exception."""
-        self._host.leave()
+        self._host.end_event()
 
 
 class BalancerEvents(OpenRequests, ABC):
-    """Brackets each event: `enter`, calls of the Balancer, `leave`.
+    """Brackets each event: `begin_event`, calls of the Balancer, `end_event`.
 
-    Every `enter` is followed by `leave`, also after an exception. A fault of the Balancer's in
+    Every `begin_event` is followed by `end_event`, also after an exception. A fault of the Balancer's in
     an event of a request is logged and ends neither the process nor the event.
 
     Failure: an exception leaves an event between the two, as from new settings or a new share
     of the limits. Every outcome after that would be queued for an event that never ends: none
-    is reported any more, and requests wait for their deadlines. So `leave` stands in a
+    is reported any more, and requests wait for their deadlines. So `end_event` stands in a
     `finally` everywhere, and ends the event also where its own reports raise.
 
     `now` is the time of the event under way, in monotonic nanoseconds.
@@ -74,7 +74,7 @@
         self.config = config
         self.loop = loop
         self.now = time.monotonic_ns()
-        self.inside = False  # an event is under way
+        self.in_event = False  # an event is under way
         # Attempt, outcome, duration and the backend's load; not reported yet.
         self._outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
         self._timers = TimerHeap(loop, self._on_timers_due)
@@ -85,23 +85,23 @@
 
     # ---- the bracket of an event -----------------------------------------
 
-    def enter(self) -> int:
+    def begin_event(self) -> int:
         """Begin an event; returns its time."""
-        self.inside = True
+        self.in_event = True
         self.now = now = time.monotonic_ns()
         return now
 
-    def leave(self) -> None:
+    def end_event(self) -> None:
         """End an event: report the outcomes that it caused, then arm the timer."""
         try:
             if self._outcomes:
                 self._report_outcomes()
         finally:
-            self.inside = False
+            self.in_event = False
             self._timers.arm()
 
     def event(self) -> Event:
-        """An event that doesn't come with each request; those use `enter` and `leave`.
+        """An event that doesn't come with each request; those use `begin_event` and `end_event`.
 
         A context manager costs more than the calls, and a request has several pairs.
         """
@@ -109,15 +109,15 @@
 
     def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
         """Call an event of the Balancer, in a bracket of its own or within the present one."""
-        inside = self.inside
-        now = self.now if inside else self.enter()
+        inside = self.in_event
+        now = self.now if inside else self.begin_event()
         try:
             event(now, *args)
         except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
             self._log_fault()
         finally:
             if not inside:
-                self.leave()
+                self.end_event()
 
     def _log_fault(self) -> None:
         logger.exception("the balancer raised")
@@ -136,8 +136,8 @@
             return
         attempt.closed = True
         attempt.connection = None
-        inside = self.inside
-        now = self.now if inside else self.enter()
+        inside = self.in_event
+        now = self.now if inside else self.begin_event()
         request = attempt.request
         self._outcomes.append((attempt, outcome, now - attempt.sent, load))
         try:
@@ -145,7 +145,7 @@
                 self.end(request)
         finally:
             if not inside:
-                self.leave()
+                self.end_event()
 
     def _report_outcomes(self) -> None:
         """Report the queued outcomes, and those that reporting them causes."""
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -36,7 +36,7 @@
         """
         if self.open_count >= self.config.max_open or incoming.cls.number < 0:
             return None
-        now = self.enter()
+        now = self.begin_event()
         self._last_id += 1
         number = self._last_id
         remaining = incoming.timeout - waited_ns
@@ -63,7 +63,7 @@
             if not request.open_attempts:
                 self.end_unanswered(request, BAD_GATEWAY)
         finally:
-            self.leave()
+            self.end_event()
         return request
 
     def client_disconnected(self, request: Request) -> None:
@@ -78,7 +78,7 @@
         """
         if request.ended:
             return
-        self.enter()
+        self.begin_event()
         try:
             streaming = request.started
             self.end(request)
@@ -88,7 +88,7 @@
             else:
                 self.give_up_unwritten(request)
         finally:
-            self.leave()
+            self.end_event()
 
     def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more: it has closed, or waits for this answer.
@@ -99,22 +99,22 @@
         """
         if request.ended or request.half_closed:
             return
-        self.enter()
+        self.begin_event()
         try:
             request.half_closed = True
             self.notify_balancer(self.balancer.on_client_half_closed, request.id)
             if request.flow is None:  # a long body is under way already
                 self.give_up_unwritten(request)
         finally:
-            self.leave()
+            self.end_event()
 
     def upload_stalled(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
-        self.enter()
+        self.begin_event()
         try:
             self._give_up_all(request, Outcome.TIMEOUT)
         finally:
-            self.leave()
+            self.end_event()
 
     def _give_up_all(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -25,7 +25,7 @@
         self._timers.add(due, token)
 
     def _on_timers_due(self) -> None:
-        now = self.enter()
+        now = self.begin_event()
         try:
             while (item := self._timers.pop_due(now)) is not None:
                 if isinstance(item, Attempt):
@@ -37,7 +37,7 @@
                 else:
                     self._on_balancer_timer(item, now)
         finally:
-            self.leave()
+            self.end_event()
 
     def _on_balancer_timer(self, token: int, now: int) -> None:
         """Report a timer of the Balancer.
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -126,7 +126,7 @@
     request = host.request(cast(Any, client), cast(Any, incoming), 0)
     assert request is not None
     for _ in range(attempts):
-        host.enter()
+        host.begin_event()
         host.send(request.id, BACKEND, 0)
-        host.leave()
+        host.end_event()
     return request
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -25,9 +25,9 @@
 
 
 def by_cancel(host: Node, request: Request, _clock: Clock) -> None:
-    host.enter()
+    host.begin_event()
     host.cancel(request.id, 0)
-    host.leave()
+    host.end_event()
 
 
 def by_timeout(host: Node, _request: Request, clock: Clock) -> None:
@@ -40,9 +40,9 @@
 
 
 def by_removed_backend(host: Node, _request: Request, _clock: Clock) -> None:
-    host.enter()
+    host.begin_event()
     host.withdraw([BACKEND])
-    host.leave()
+    host.end_event()
 
 
 def by_client_that_leaves_while_it_streams(host: Node, request: Request, _clock: Clock) -> None:
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -36,9 +36,9 @@
     balancer.acts = lambda: host.send(1, BACKEND, 0)
     request = admit(host, client)
     balancer.acts = lambda: host.send(request.id, BACKEND, 0)
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.names() == ["on_request", *["on_outcome"] * 3]
     assert request.open_attempts == 0
 
@@ -48,9 +48,9 @@
 ) -> None:
     request = admit(host, client)
     clock.now += TIMEOUT_NS
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.outcomes == [Outcome.MOOT]
     assert not upstream.attempts
 
@@ -62,9 +62,9 @@
     request = admit(host, client)
     client.half_closed = True
     clock.now += 51 * MS
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.names() == ["on_request", "on_client_half_closed", "on_outcome"]
     assert balancer.outcomes == [Outcome.MOOT]
     assert not upstream.attempts
@@ -240,10 +240,10 @@
     first, second, third = (admit(host, c, attempts=1) for c in (client, Client(), Client()))
     balancer.acts = raise_fault
     monkeypatch.setattr(client, "respond_empty", lambda _status, _retry_after: raise_fault())
-    host.enter()
+    host.begin_event()
     host.conclude(first.attempts[0], Outcome.RESET)
     host.conclude(second.attempts[0], Outcome.OK)
-    host.leave()
+    host.end_event()
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK]
     host.conclude(third.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK, Outcome.OK]
@@ -261,9 +261,9 @@
     request = admit(host, client, attempts=1)
     request.flow = cast(Any, SimpleNamespace(discard=raise_fault))
     balancer.acts = raise_fault
-    host.enter()
+    host.begin_event()
     host.conclude(request.attempts[0], Outcome.RESET)
-    host.leave()
+    host.end_event()
     assert not host.requests
     assert host.open_count == 0  # a stop waits for those that are open
     assert not host.open_request_ids
@@ -335,7 +335,7 @@
             pass
         assert balancer.outcomes == []
     assert balancer.outcomes == [Outcome.OK]
-    assert not host.inside
+    assert not host.in_event
 
 
 def test_an_event_of_the_balancers_ends_whatever_it_raises(host: Node) -> None:
@@ -346,4 +346,4 @@
 
     with pytest.raises(KeyboardInterrupt):
         host.notify_balancer(interrupt)
-    assert not host.inside
+    assert not host.in_event
