--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -57,9 +57,9 @@
             or remaining <= 0
             or len(open_request.attempts) > open_request.max_attempts
         ):
-            self.conclude(attempt, Outcome.MOOT)
+            self.record_outcome(attempt, Outcome.MOOT)
         elif limit <= 0:
-            self.conclude(attempt, Outcome.TIMEOUT)
+            self.record_outcome(attempt, Outcome.TIMEOUT)
         else:
             attempt.limit = limit
             self._timers.add(now + limit, attempt)
@@ -106,7 +106,7 @@
         connection = attempt.connection
         if connection is not None and not connection.abandon():
             outcome = self._outcome_unwritten(attempt, outcome)
-        self.conclude(attempt, outcome)
+        self.record_outcome(attempt, outcome)
 
     def _outcome_unwritten(self, attempt: Attempt, outcome: Outcome) -> Outcome:
         """The outcome of an attempt that is given up with its request not written.
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -124,7 +124,9 @@
 
     # ---- outcomes ----------------------------------------------------------
 
-    def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
+    def record_outcome(
+        self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()
+    ) -> None:
         """Settle an attempt, unless it is settled: the first outcome counts.
 
         Args:
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -114,7 +114,9 @@
     def discovery(self) -> Source:
         """Where the endpoint list comes from."""
 
-    def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
+    def record_outcome(
+        self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()
+    ) -> None:
         """Settle an attempt, with the load that its backend reports."""
 
     def may_begin(self, attempt: Attempt) -> bool:
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -113,7 +113,7 @@
             # The client has left or the attempt is no longer wanted; nothing was written.
             self.attempt = None
             self._close()
-            self.host.conclude(attempt, Outcome.MOOT)
+            self.host.record_outcome(attempt, Outcome.MOOT)
 
     def begin(self, attempt: Attempt) -> None:
         """Send an attempt's request on this connection, which was idle."""
@@ -175,7 +175,9 @@
         if client is not None:
             client.abort_response()
         if attempt is not None:
-            self.host.conclude(attempt, outcome if self.request_written else Outcome.CONNECT_FAILED)
+            self.host.record_outcome(
+                attempt, outcome if self.request_written else Outcome.CONNECT_FAILED
+            )
 
     def _close(self) -> None:
         if self._state is CLOSING or self._state is CLOSED:
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -48,7 +48,7 @@
         host, backend = self.host, attempt.backend
         address = host.discovery.endpoint_list.endpoints.get(backend)
         if address is None:
-            host.conclude(attempt, Outcome.CONNECT_FAILED)
+            host.record_outcome(attempt, Outcome.CONNECT_FAILED)
             return
         while (conn := self._take_idle(backend)) is not None:
             if conn.usable():
@@ -56,7 +56,7 @@
                 return
             conn.abandon()
         if not host.may_open_upstream():
-            host.conclude(attempt, Outcome.MOOT)
+            host.record_outcome(attempt, Outcome.MOOT)
             return
         conn = BackendConnection(self, backend, address)
         attempt.connection = conn
@@ -65,7 +65,7 @@
         except OSError:
             conn.abandon()
             attempt.connection = None
-            host.conclude(attempt, Outcome.MOOT)
+            host.record_outcome(attempt, Outcome.MOOT)
 
     def connecting(self, backends: Sequence[int]) -> list[Attempt]:
         """Attempts that wait for a connection to one of these to be established."""
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -150,7 +150,7 @@
         elif reader.status in REQUEST_FAULT_STATUSES:
             host.finish(request, 400)
         self._recycle(reusable)
-        host.conclude(attempt, outcome, self._load())
+        host.record_outcome(attempt, outcome, self._load())
 
     def _outcome(self) -> Outcome:
         status = self.reader.status
@@ -243,7 +243,7 @@
         reusable = self._reusable()
         flow.finish()
         self._recycle(reusable)
-        self.host.conclude(attempt, Outcome.OK, self._load())
+        self.host.record_outcome(attempt, Outcome.OK, self._load())
 
     def pause_flow(self) -> None:
         """The client reads too slowly; the backend's silence is not its own meanwhile."""
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -107,7 +107,7 @@
     def send(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
         if self.settles_as is not None:
-            self._host.conclude(attempt, self.settles_as)
+            self._host.record_outcome(attempt, self.settles_as)
             return
         attempt.connected = True
         attempt.connection = cast(Any, Connection(self.written))
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -144,7 +144,7 @@
 ) -> None:
     request = admit(host, client, attempts=1)
     attempt = request.attempts[0]
-    host.conclude(attempt, Outcome.RESET)
-    host.conclude(attempt, Outcome.OK)
+    host.record_outcome(attempt, Outcome.RESET)
+    host.record_outcome(attempt, Outcome.OK)
     host.give_up(attempt, Outcome.TIMEOUT)
     assert balancer.outcomes == [Outcome.RESET]
--- a/tests/proxy/test_balancer_faults.py
+++ b/tests/proxy/test_balancer_faults.py
@@ -40,7 +40,7 @@
 def as_its_attempt_fails(host: Node, client: Client, monkeypatch: pytest.MonkeyPatch) -> None:
     request = admit(host, client)
     raise_in_the_next_dispatch(monkeypatch)
-    host.conclude(request.attempts[0], Outcome.CONNECT_FAILED)
+    host.record_outcome(request.attempts[0], Outcome.CONNECT_FAILED)
 
 
 @pytest.mark.parametrize("fault", [as_it_arrives, as_its_attempt_fails])
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -90,7 +90,7 @@
     upstream.written = True
     request = admit(host, client, attempts=1)
     balancer.acts = raise_fault
-    host.conclude(request.attempts[0], Outcome.RESET)
+    host.record_outcome(request.attempts[0], Outcome.RESET)
     assert client.statuses == [502]
     assert not host.requests
 
@@ -173,7 +173,7 @@
     balancer.acts = raise_fault
     with pytest.raises(ZeroDivisionError):
         event(host)
-    host.conclude(request.attempts[0], Outcome.OK)
+    host.record_outcome(request.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.OK]
     assert not host.requests
 
@@ -195,7 +195,7 @@
     monkeypatch.setattr(upstream, "close_idle", lambda _backend: None, raising=False)
     with pytest.raises(ZeroDivisionError):
         host.on_list_update(Update.FULL, [], [BACKEND])
-    host.conclude(request.attempts[0], Outcome.OK)
+    host.record_outcome(request.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.OK]
 
 
@@ -241,11 +241,11 @@
     balancer.acts = raise_fault
     monkeypatch.setattr(client, "respond_empty", lambda _status, _retry_after: raise_fault())
     host.begin_event()
-    host.conclude(first.attempts[0], Outcome.RESET)
-    host.conclude(second.attempts[0], Outcome.OK)
+    host.record_outcome(first.attempts[0], Outcome.RESET)
+    host.record_outcome(second.attempts[0], Outcome.OK)
     host.end_event()
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK]
-    host.conclude(third.attempts[0], Outcome.OK)
+    host.record_outcome(third.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK, Outcome.OK]
     assert not host.requests
 
@@ -262,7 +262,7 @@
     request.flow = cast(Any, SimpleNamespace(discard=raise_fault))
     balancer.acts = raise_fault
     host.begin_event()
-    host.conclude(request.attempts[0], Outcome.RESET)
+    host.record_outcome(request.attempts[0], Outcome.RESET)
     host.end_event()
     assert not host.requests
     assert host.open_count == 0  # a stop waits for those that are open
@@ -279,13 +279,13 @@
     host.budget.reserve(1)
     request = admit(host, client, attempts=2)
     first, second = request.attempts
-    host.conclude(first, Outcome.OK)
+    host.record_outcome(first, Outcome.OK)
     assert request.ended
     assert host.open_count == 0
     assert not host.open_request_ids
     assert host.requests == {request.id: request}
     assert host.budget.buffered == 1
-    host.conclude(second, Outcome.CANCELLED)
+    host.record_outcome(second, Outcome.CANCELLED)
     assert not host.requests
     assert host.budget.buffered == 0
 
@@ -330,7 +330,7 @@
     upstream.written = True
     request = admit(host, client, attempts=1)
     with host.event():
-        host.conclude(request.attempts[0], Outcome.OK)
+        host.record_outcome(request.attempts[0], Outcome.OK)
         with pytest.raises(AssertionError), host.event():
             pass
         assert balancer.outcomes == []
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -52,7 +52,7 @@
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
 
-    def conclude(self, _attempt: Attempt, outcome: Outcome) -> None:
+    def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
         self.concluded.append(outcome)
 
 
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -115,7 +115,7 @@
     def body_sent(self, _attempt: Attempt) -> None:
         pass
 
-    def conclude(self, _attempt: Attempt, outcome: Outcome) -> None:
+    def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
         self.concluded.append(outcome)
 
 
--- a/tests/proxy/upstream/test_pool.py
+++ b/tests/proxy/upstream/test_pool.py
@@ -28,7 +28,7 @@
     def may_open_upstream(self) -> bool:
         return False
 
-    def conclude(self, _attempt: Attempt, outcome: Outcome) -> None:
+    def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
         self.concluded.append(outcome)
 
 
