--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -133,11 +133,11 @@
 
     # ---- long messages -------------------------------------------------------
 
-    def body_begins(self, attempt: Attempt) -> None:
+    def on_body_started(self, attempt: Attempt) -> None:
         """The first bytes of a long body are about to be written: it can't be sent again."""
         self.notify_balancer(self.balancer.on_body_started, attempt.request.id, attempt.number)
 
-    def body_received(self, request: Request) -> None:
+    def on_body_received(self, request: Request) -> None:
         """A long body has been read from its client to the end.
 
         Until then neither the request's timeout nor its attempts' run: the time is the
@@ -154,20 +154,20 @@
                 self._timers.add(request.deadline, attempt)
         self._timers.arm()
 
-    def body_sent(self, attempt: Attempt) -> None:
+    def on_body_sent(self, attempt: Attempt) -> None:
         """A long body has been written to its end, by this attempt.
 
         Until then the time is that of the backend, which takes the bytes slowly.
         """
         request = attempt.request
         now = time.monotonic_ns()
-        # As in `body_received`: what is left of the request's time, from here on.
+        # As in `on_body_received`: what is left of the request's time, from here on.
         attempt.limit = max(request.deadline - now, 0)
         attempt.sent = now
         self._timers.add(request.deadline, attempt)
         self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
 
-    def response_begins(self, attempt: Attempt) -> None:
+    def on_response_started(self, attempt: Attempt) -> None:
         """A long response has begun to go to the client: with that its timeout is over.
 
         Failure: another attempt of a hedged request answers too, in the middle of this
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -84,7 +84,7 @@
         if incoming.flow is not None:
             request = self._request
             if request is not None and request.flow is incoming.flow:
-                host.body_received(request)
+                host.on_body_received(request)
             incoming.flow.finish()
             return
         incoming.chunked = False  # it is complete, so its length is known
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -91,7 +91,7 @@
     def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more, but may wait for its answer."""
 
-    def body_received(self, request: Request) -> None:
+    def on_body_received(self, request: Request) -> None:
         """A long body has been read to its end."""
 
     def upload_stalled(self, request: Request) -> None:
@@ -122,13 +122,13 @@
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt may write its first byte, now that its connection is established."""
 
-    def response_begins(self, attempt: Attempt) -> None:
+    def on_response_started(self, attempt: Attempt) -> None:
         """A long response has begun to go to the client."""
 
-    def body_begins(self, attempt: Attempt) -> None:
+    def on_body_started(self, attempt: Attempt) -> None:
         """The first bytes of a long body are about to be written."""
 
-    def body_sent(self, attempt: Attempt) -> None:
+    def on_body_sent(self, attempt: Attempt) -> None:
         """A long body has been written to its end, by this attempt."""
 
     def finish(self, request: Request, status: int, retry_after_ns: int = 0) -> None:
--- a/loadbalancer/proxy/upstream/request_writer.py
+++ b/loadbalancer/proxy/upstream/request_writer.py
@@ -151,7 +151,7 @@
             return
         flow = attempt.request.flow
         if flow is not None and not flow.forwarded:
-            self.host.body_begins(attempt)
+            self.host.on_body_started(attempt)
         if attempt.request.chunked:
             data = b"%x\r\n%s\r\n" % (len(data), data)
         transport.write(data)
@@ -167,4 +167,4 @@
             transport.write(b"0\r\n\r\n")
         self.request_written = True
         self._state = AWAITING_RESPONSE
-        self.host.body_sent(attempt)
+        self.host.on_body_sent(attempt)
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -212,7 +212,7 @@
         # One read must not bring more than about a window, however much has arrived.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
         flow = self._download = Flow(host.budget, self)
-        host.response_begins(attempt)
+        host.on_response_started(attempt)
         client.begin_streaming(reader.content_type, reader.length, flow)
         self._forward()
 
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -113,7 +113,7 @@
     def upload_stalled(self, made: Any) -> None:
         self.events.append(("upload stalled", made.label))
 
-    def body_received(self, made: Any) -> None:
+    def on_body_received(self, made: Any) -> None:
         self.events.append(("body received", made.label))
 
     def freed(self) -> None:
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -109,10 +109,10 @@
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
 
-    def body_begins(self, _attempt: Attempt) -> None:
+    def on_body_started(self, _attempt: Attempt) -> None:
         pass
 
-    def body_sent(self, _attempt: Attempt) -> None:
+    def on_body_sent(self, _attempt: Attempt) -> None:
         pass
 
     def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
