--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -56,8 +56,8 @@
 class BalancerEvents(OpenRequests, ABC):
     """Brackets each event: `begin_event`, calls of the Balancer, `end_event`.
 
-    Every `begin_event` is followed by `end_event`, also after an exception. A fault of the Balancer's in
-    an event of a request is logged and ends neither the process nor the event.
+    Every `begin_event` is followed by `end_event`, also after an exception. A fault of the
+    Balancer's in an event of a request is logged and ends neither the process nor the event.
 
     Failure: an exception leaves an event between the two, as from new settings or a new share
     of the limits. Every outcome after that would be queued for an event that never ends: none
