--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -69,7 +69,7 @@
         """Cancel an attempt; nothing where it is settled or not known."""
         open_request = self.requests.get(request)
         if open_request is not None and 0 <= attempt < len(open_request.attempts):
-            self.give_up(open_request.attempts[attempt], Outcome.CANCELLED)
+            self.abort_attempt(open_request.attempts[attempt], Outcome.CANCELLED)
 
     # ---- before the first byte -------------------------------------------
 
@@ -95,7 +95,7 @@
 
     # ---- giving up ---------------------------------------------------------
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """Close an attempt's connection and settle it, unless it is settled.
 
         Where the request's last byte never left this process the attempt has not been
@@ -119,17 +119,17 @@
         is_long = waited_ns * CONNECT_TIMEOUT_FRACTION >= self.config.settings.connect_timeout
         return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and is_long else Outcome.MOOT
 
-    def give_up_unwritten(self, request: Request) -> None:
+    def abort_unwritten_attempts(self, request: Request) -> None:
         """Give up those of a request's attempts that no backend can have begun."""
         for attempt in list(request.attempts):
             connection = attempt.connection
             if connection is None or not connection.request_written:
-                self.give_up(attempt, Outcome.CANCELLED)
+                self.abort_attempt(attempt, Outcome.CANCELLED)
 
     def withdraw(self, backends: Sequence[int]) -> None:
         """Give up what waits for a connection to these backends to be established."""
         for attempt in self.upstream.connecting(backends):
-            self.give_up(attempt, Outcome.CANCELLED)
+            self.abort_attempt(attempt, Outcome.CANCELLED)
 
     # ---- long messages -------------------------------------------------------
 
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -86,7 +86,7 @@
             if streaming:
                 self._give_up_all(request, Outcome.CANCELLED)
             else:
-                self.give_up_unwritten(request)
+                self.abort_unwritten_attempts(request)
         finally:
             self.end_event()
 
@@ -104,7 +104,7 @@
             request.half_closed = True
             self.notify_balancer(self.balancer.on_client_half_closed, request.id)
             if request.flow is None:  # a long body is under way already
-                self.give_up_unwritten(request)
+                self.abort_unwritten_attempts(request)
         finally:
             self.end_event()
 
@@ -118,4 +118,4 @@
 
     def _give_up_all(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
-            self.give_up(attempt, outcome)
+            self.abort_attempt(attempt, outcome)
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -30,7 +30,7 @@
             while (item := self._timers.pop_due(now)) is not None:
                 if isinstance(item, Attempt):
                     if not item.closed and self._is_timed_out(item, now):
-                        self.give_up(item, Outcome.TIMEOUT)
+                        self.abort_attempt(item, Outcome.TIMEOUT)
                 elif isinstance(item, Request):
                     if not item.ended:
                         self._on_backstop(item, now)
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -146,5 +146,5 @@
     attempt = request.attempts[0]
     host.record_outcome(attempt, Outcome.RESET)
     host.record_outcome(attempt, Outcome.OK)
-    host.give_up(attempt, Outcome.TIMEOUT)
+    host.abort_attempt(attempt, Outcome.TIMEOUT)
     assert balancer.outcomes == [Outcome.RESET]
