--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -126,9 +126,9 @@
             if connection is None or not connection.request_written:
                 self.abort_attempt(attempt, Outcome.CANCELLED)
 
-    def withdraw(self, backends: Sequence[int]) -> None:
+    def cancel_connecting(self, backends: Sequence[int]) -> None:
         """Give up what waits for a connection to these backends to be established."""
-        for attempt in self.upstream.connecting(backends):
+        for attempt in self.upstream.connecting_attempts(backends):
             self.abort_attempt(attempt, Outcome.CANCELLED)
 
     # ---- long messages -------------------------------------------------------
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -158,7 +158,7 @@
             self.notify_balancer(self.balancer.on_members, update, rows)
             if self.balancer.ready or update == Update.FULL:
                 self._on_list_usable()
-            self.withdraw(stale)
+            self.cancel_connecting(stale)
 
     # ---- two processes as one node -------------------------------------------
 
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -67,7 +67,7 @@
             attempt.connection = None
             host.record_outcome(attempt, Outcome.MOOT)
 
-    def connecting(self, backends: Sequence[int]) -> list[Attempt]:
+    def connecting_attempts(self, backends: Sequence[int]) -> list[Attempt]:
         """Attempts that wait for a connection to one of these to be established."""
         return [c.attempt for c in self.pending if c.attempt is not None and c.backend in backends]
 
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -112,7 +112,7 @@
         attempt.connected = True
         attempt.connection = cast(Any, Connection(self.written))
 
-    def connecting(self, _backends: list[int]) -> list[Attempt]:
+    def connecting_attempts(self, _backends: list[int]) -> list[Attempt]:
         return self.attempts
 
 
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -41,7 +41,7 @@
 
 def by_removed_backend(host: Node, _request: Request, _clock: Clock) -> None:
     host.begin_event()
-    host.withdraw([BACKEND])
+    host.cancel_connecting([BACKEND])
     host.end_event()
 
 
