--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -22,7 +22,7 @@
 
     __slots__ = (
         "body", "chunked", "cls", "fields", "flow", "has_idempotency_key", "head", "hint",
-        "http10", "keep_alive", "key", "label", "length", "lines", "method", "path", "policy",
+        "http10", "keep_alive", "key", "client_request_id", "length", "lines", "method", "path", "policy",
         "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
     )  # fmt: skip
 
@@ -40,7 +40,7 @@
         self.head = b""
         self.path = b""  # without its query
         self.policy: Policy | None = None  # its route's, where there is a routes file
-        self.label = b""  # the id that its client gave it
+        self.client_request_id = b""  # the id that its client gave it
         self.keep_alive = True
         self.readiness_check = False
         self.cls: ClassState = NO_CLASS
