--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -74,7 +74,7 @@
             self._write_response(READY_HEAD if ready else EMPTY_HEADS[503])
             return
         request_id = incoming.client_request_id
-        if request_id in host.open_request_ids or label in host.other_process_request_ids:
+        if request_id in host.open_request_ids or request_id in host.other_process_request_ids:
             # Failure: with two open requests under one id, a backend that drops repeats by
             # the id answers one of them with the other's response.
             self._release_content(incoming)
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -21,9 +21,9 @@
     """
 
     __slots__ = (
-        "body", "chunked", "cls", "fields", "flow", "has_idempotency_key", "head", "hint",
-        "http10", "keep_alive", "key", "client_request_id", "length", "lines", "method", "path", "policy",
-        "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
+        "body", "chunked", "client_request_id", "cls", "fields", "flow", "has_idempotency_key",
+        "head", "hint", "http10", "keep_alive", "key", "length", "lines", "method", "path",
+        "policy", "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -68,9 +68,9 @@
     """One open request of a client, with all attempts made for it. Times in nanoseconds."""
 
     __slots__ = (
-        "arrived", "attempts", "body", "chunked", "client", "deadline", "ended", "flow",
-        "half_closed", "head", "id", "client_request_id", "max_attempts", "open_attempts", "size", "started",
-        "timeout", "unsafe",
+        "arrived", "attempts", "body", "chunked", "client", "client_request_id", "deadline",
+        "ended", "flow", "half_closed", "head", "id", "max_attempts", "open_attempts", "size",
+        "started", "timeout", "unsafe",
     )  # fmt: skip
 
     def __init__(
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -191,7 +191,7 @@
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
-    monkeypatch.setattr(upstream, "connecting", lambda _backends: raise_fault())
+    monkeypatch.setattr(upstream, "connecting_attempts", lambda _backends: raise_fault())
     monkeypatch.setattr(upstream, "close_idle", lambda _backend: None, raising=False)
     with pytest.raises(ZeroDivisionError):
         host.on_list_update(Update.FULL, [], [BACKEND])
