--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts as a host makes them: sent, given up, and how their long messages get on."""
+"""Sends and aborts the attempts that the Balancer asks for, and tracks their long messages."""
 
 from __future__ import annotations
 
@@ -18,30 +18,37 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that is older than this is sent only if its client still has its side open.
+# Before a request older than this is sent, its client is checked for a half-close.
 HALF_CLOSE_CHECK_AGE_NS = 50 * MS
-# A connection that is not established after this fraction of the connect timeout counts
-# against its backend where its attempt times out first.
-CONNECT_TIMEOUT_FRACTION = 4
-# So long after its deadline a request that the Balancer has given no answer is failed.
+# An attempt that times out before its connection is established counts as a failed connect, and
+# so against its backend, once it has waited for at least 1/4 of the connect timeout.
+CONNECT_TIMEOUT_DIVISOR = 4
+# A request that the Balancer has not answered is failed this long after its deadline.
 BACKSTOP_NS = 10 * MS
 
 
 class AttemptHost(BalancerEvents, ABC):
-    """Makes the attempts that the Balancer asks for."""
+    """The part of a host that makes the attempts requested by the Balancer."""
 
     upstream: ConnectionPool
 
     # ---- actions of the Balancer -----------------------------------------
 
     def send(self, request: int, backend: int, timeout: int) -> None:
-        """Send a request's next attempt; `timeout` in nanoseconds, 0 for the request's own."""
+        """Send the next attempt of a request.
+
+        Args:
+            request: the number of the request.
+            backend: the number of the backend.
+            timeout: in nanoseconds; 0 for the remaining time of the request.
+        """
         open_request = self.requests.get(request)
         if open_request is None:
-            # Failure: the Balancer has a request that the host has forgotten, as both their ends
-            # of it raised. It shows as this line, and as a slot in use that no outcome frees: an
-            # outcome names its attempt by the number, which only the forgotten request had.
-            logger.info("send for request %d, which is not open", request)
+            # The Balancer still has a request that the host has forgotten, because both raised
+            # while they ended it. The slot that the Balancer counts for it stays in use: the
+            # outcome that would free it has to name the attempt by its number, and only the
+            # forgotten request could give it that number.
+            logger.info("cannot send request %d for the balancer: it is not open", request)
             return
         now = self.now
         attempt = Attempt(open_request, len(open_request.attempts), backend, now)
@@ -66,7 +73,7 @@
             self.upstream.send(attempt)
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Cancel an attempt; nothing where it is settled or not known."""
+        """Cancel an attempt; does nothing if it is settled or unknown."""
         open_request = self.requests.get(request)
         if open_request is not None and 0 <= attempt < len(open_request.attempts):
             self.abort_attempt(open_request.attempts[attempt], Outcome.CANCELLED)
@@ -74,10 +81,10 @@
     # ---- before the first byte -------------------------------------------
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Whether an attempt may write its first byte, now that its connection is established.
+        """Whether an attempt whose connection was just established may write its first byte.
 
-        Failure: while it connected, its client has left or the Balancer has given it up. A
-        backend would run a request that nobody waits for, or run it a second time.
+        While it was connecting, its client may have left or the Balancer may have dropped the
+        attempt. Sent nevertheless, the request would be executed for nobody, or twice.
         """
         request = attempt.request
         self._check_half_closed(request)
@@ -86,93 +93,97 @@
         return self.balancer.may_begin(time.monotonic_ns(), request.id, attempt.number)
 
     def _check_half_closed(self, request: Request) -> None:
-        """Learn whether a request's client has ended its sending.
+        """Update `half_closed` from the client's socket.
 
-        The client's socket is asked: the event loop may have the end still to report.
+        The socket is read directly because the event loop may not have reported the end yet.
         """
         if not request.half_closed and request.client is not None:
             request.half_closed = request.client.has_half_closed()
 
-    # ---- giving up ---------------------------------------------------------
+    # ---- aborting attempts -------------------------------------------------
 
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Close an attempt's connection and settle it, unless it is settled.
+        """Close an attempt's connection and settle the attempt, unless it is settled already.
 
-        Where the request's last byte never left this process the attempt has not been
-        executed, whatever `outcome` says. Everywhere else it may have been.
+        If the request's last byte never left this process, the attempt was not executed, and
+        `outcome` is replaced by one that says so. Otherwise it may have been executed.
         """
         if attempt.closed:
             return
         connection = attempt.connection
         if connection is not None and not connection.abandon():
-            outcome = self._outcome_unwritten(attempt, outcome)
+            outcome = self._outcome_if_unwritten(attempt, outcome)
         self.record_outcome(attempt, outcome)
 
-    def _outcome_unwritten(self, attempt: Attempt, outcome: Outcome) -> Outcome:
-        """The outcome of an attempt that is given up with its request not written.
+    def _outcome_if_unwritten(self, attempt: Attempt, outcome: Outcome) -> Outcome:
+        """The outcome of an attempt that is aborted before its request was written.
 
-        Failure: a machine that has vanished never answers a connect. Where attempts time
-        out before the connect does, nothing else shows that the backend is gone. A short
-        wait may be this process's own lateness, and does not count against the backend.
+        A machine that has failed never answers a connect. If attempts time out before the
+        connect timeout, only their timeouts show that the backend is unreachable, so they count
+        as failed connects. A short wait may be due to a delay in this process and does not
+        count against the backend.
         """
         waited_ns = self.now - attempt.sent
-        is_long = waited_ns * CONNECT_TIMEOUT_FRACTION >= self.config.settings.connect_timeout
-        return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and is_long else Outcome.MOOT
+        waited_long = waited_ns * CONNECT_TIMEOUT_DIVISOR >= self.config.settings.connect_timeout
+        return (
+            Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and waited_long else Outcome.MOOT
+        )
 
     def abort_unwritten_attempts(self, request: Request) -> None:
-        """Give up those of a request's attempts that no backend can have begun."""
+        """Abort those attempts of a request that no backend can have begun to execute."""
         for attempt in list(request.attempts):
             connection = attempt.connection
             if connection is None or not connection.request_written:
                 self.abort_attempt(attempt, Outcome.CANCELLED)
 
     def cancel_connecting(self, backends: Sequence[int]) -> None:
-        """Give up what waits for a connection to these backends to be established."""
+        """Cancel the attempts that wait for a connection to one of these backends."""
         for attempt in self.upstream.connecting_attempts(backends):
             self.abort_attempt(attempt, Outcome.CANCELLED)
 
     # ---- long messages -------------------------------------------------------
 
     def on_body_started(self, attempt: Attempt) -> None:
-        """The first bytes of a long body are about to be written: it can't be sent again."""
+        """Tell the Balancer that a long body is about to be written, so it can't be sent again."""
         self.notify_balancer(self.balancer.on_body_started, attempt.request.id, attempt.number)
 
     def on_body_received(self, request: Request) -> None:
-        """A long body has been read from its client to the end.
+        """Start the timeouts of a request whose long body has been received completely.
 
-        Until then neither the request's timeout nor its attempts' run: the time is the
-        client's.
+        While the body is being received, neither the request's nor its attempts' timeouts
+        apply, because that time depends on the client.
         """
         now = time.monotonic_ns()
         request.deadline = now + request.timeout
         self._timers.add(request.deadline + BACKSTOP_NS, request)
         for attempt in request.attempts:
             if not attempt.closed:
-                # The time of an upload runs only from the end of its body, so the attempt's
-                # own shorter timeout does not apply: the request's deadline bounds it.
+                # The attempt may have been sent long before the end of the body, so its own
+                # shorter timeout does not apply; it may last until the request's deadline.
                 attempt.limit = request.deadline - attempt.sent
                 self._timers.add(request.deadline, attempt)
         self._timers.arm()
 
     def on_body_sent(self, attempt: Attempt) -> None:
-        """A long body has been written to its end, by this attempt.
+        """Measure an attempt from the end of its long body, which has been written.
 
-        Until then the time is that of the backend, which takes the bytes slowly.
+        The time before that depends on how fast the backend accepted the body.
         """
         request = attempt.request
         now = time.monotonic_ns()
-        # As in `on_body_received`: what is left of the request's time, from here on.
+        # As in `on_body_received`, the attempt may last until the request's deadline.
         attempt.limit = max(request.deadline - now, 0)
         attempt.sent = now
         self._timers.add(request.deadline, attempt)
         self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
 
     def on_response_started(self, attempt: Attempt) -> None:
-        """A long response has begun to go to the client: with that its timeout is over.
+        """Handle the start of a long response's streaming to the client.
 
-        Failure: another attempt of a hedged request answers too, in the middle of this
-        response. The Balancer cancels the others first; only then does an attempt's end
-        also end the request.
+        The attempt's timeout no longer applies. The Balancer is notified before `started` is
+        set, so that it can cancel the other attempts of a hedged request: once `started` is
+        set, the outcome of any attempt also ends the request, and the outcome of another
+        attempt would cut this response off.
         """
         request = attempt.request
         self.open_request_ids.discard(request.client_request_id)
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -1,8 +1,8 @@
-"""How events reach a host's Balancer, and the one outcome of each attempt.
+"""Delivers events to a host's Balancer and reports exactly one outcome for each attempt.
 
-A Balancer calls its host's actions while it handles an event, and an action may settle an
-attempt at once, as where no connection can be opened. The Balancer must not be called
-again from within: an outcome is queued, and reported once the event's call has returned.
+While the Balancer handles an event it calls its host's actions. An action may settle an attempt
+immediately, for example if no connection can be opened. The Balancer is not reentrant, so the
+outcome is queued and reported after the Balancer's handler has returned.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 OK = Outcome.OK
 
 
-class Event:
-    """The bracket of one event, as a context manager that gives the event's time.
+class EventScope:
+    """Context manager for the scope of one event; entering it returns the event's time.
 
-    Failure: an event begins within another one. The inner one's end would report the outer one's
-    outcomes, and call the Balancer from within its own call. So that raises before it begins.
+    Scopes must not nest: the end of an inner event would report the outer event's outcomes and
+    so call the Balancer while it still handles the outer event. A nested scope raises
+    AssertionError on entry.
     """
 
     __slots__ = ("_host",)
@@ -44,27 +45,28 @@
         self._host = host
 
     def __enter__(self) -> int:
-        """Begin the event; returns its time."""
-        assert not self._host.in_event, "an event within an event"
+        """Begin the event and return its time."""
+        assert not self._host.in_event, "events must not nest"
         return self._host.begin_event()
 
     def __exit__(self, *_exception: object) -> None:
-        """End the event, also after an exception."""
+        """End the event, whether or not an exception was raised in it."""
         self._host.end_event()
 
 
 class BalancerEvents(OpenRequests, ABC):
-    """Brackets each event: `begin_event`, calls of the Balancer, `end_event`.
+    """Runs the Balancer's handlers in events, from `begin_event` to `end_event`.
 
-    Every `begin_event` is followed by `end_event`, also after an exception. A fault of the
-    Balancer's in an event of a request is logged and ends neither the process nor the event.
+    Each call of `begin_event` must be matched by `end_event` in a `finally` block. An event left
+    open by an exception, such as one raised while new settings or a new share of the limits are
+    applied, would make every later outcome wait in the queue for an event that never ends:
+    outcomes would no longer be reported, and requests would wait until their deadlines. For the
+    same reason `end_event` ends the event even if reporting its outcomes raises.
 
-    Failure: an exception leaves an event between the two, as from new settings or a new share
-    of the limits. Every outcome after that would be queued for an event that never ends: none
-    is reported any more, and requests wait for their deadlines. So `end_event` stands in a
-    `finally` everywhere, and ends the event also where its own reports raise.
+    An exception that the Balancer raises in an event of a request is logged; it ends neither the
+    process nor the event.
 
-    `now` is the time of the event under way, in monotonic nanoseconds.
+    `now` is the time of the current event in nanoseconds of the monotonic clock.
     """
 
     balancer: Balancer
@@ -74,25 +76,25 @@
         self.config = config
         self.loop = loop
         self.now = time.monotonic_ns()
-        self.in_event = False  # an event is under way
-        # Attempt, outcome, duration and the backend's load; not reported yet.
+        self.in_event = False  # whether an event is in progress
+        # Outcomes still to be reported: attempt, outcome, duration in ns, the backend's load.
         self._outcomes: deque[tuple[Attempt, Outcome, int, Sequence[float]]] = deque()
         self._timers = TimerHeap(loop, self._on_timers_due)
 
     @abstractmethod
     def _on_timers_due(self) -> None:
-        """The earliest timer is due."""
+        """Handle all timers that are due; called when the earliest one is."""
 
-    # ---- the bracket of an event -----------------------------------------
+    # ---- events ------------------------------------------------------------
 
     def begin_event(self) -> int:
-        """Begin an event; returns its time."""
+        """Begin an event and return its time."""
         self.in_event = True
         self.now = now = time.monotonic_ns()
         return now
 
     def end_event(self) -> None:
-        """End an event: report the outcomes that it caused, then arm the timer."""
+        """End the event: report the outcomes it caused, then arm the timer."""
         try:
             if self._outcomes:
                 self._report_outcomes()
@@ -100,39 +102,43 @@
             self.in_event = False
             self._timers.arm()
 
-    def event(self) -> Event:
-        """An event that doesn't come with each request; those use `begin_event` and `end_event`.
+    def event(self) -> EventScope:
+        """Return the scope of one event, for events that are not part of every request.
 
-        A context manager costs more than the calls, and a request has several pairs.
+        Each request causes several events, and a context manager costs more than a pair of plain
+        calls, so the code run for every request calls `begin_event` and `end_event` instead.
         """
-        return Event(self)
+        return EventScope(self)
 
     def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
-        """Call an event of the Balancer, in a bracket of its own or within the present one."""
+        """Call one of the Balancer's event handlers with the event's time and `args`.
+
+        Uses the current event if there is one, and an event of its own otherwise.
+        """
         inside = self.in_event
         now = self.now if inside else self.begin_event()
         try:
             event(now, *args)
-        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+        except Exception:  # noqa: BLE001 -- an error in the Balancer must not end the process
             self._log_fault()
         finally:
             if not inside:
                 self.end_event()
 
     def _log_fault(self) -> None:
-        logger.exception("the balancer raised")
+        logger.exception("the balancer raised an exception while handling an event")
 
     # ---- outcomes ----------------------------------------------------------
 
     def record_outcome(
         self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()
     ) -> None:
-        """Settle an attempt, unless it is settled: the first outcome counts.
+        """Settle an attempt with its outcome; does nothing if it is settled already.
 
         Args:
-            attempt: the attempt; its connection is the caller's to close or to use again.
-            outcome: how it ended.
-            load: the backend's report of its load, by the settings' columns.
+            attempt: the attempt. The caller closes or reuses its connection.
+            outcome: how the attempt ended.
+            load: the load that the backend reported, in the order of the settings' columns.
         """
         if attempt.closed:
             return
@@ -150,7 +156,7 @@
                 self.end_event()
 
     def _report_outcomes(self) -> None:
-        """Report the queued outcomes, and those that reporting them causes."""
+        """Report the queued outcomes, including those queued while reporting."""
         outcomes = self._outcomes
         while outcomes:
             self._report_outcome(*outcomes.popleft())
@@ -160,10 +166,10 @@
     ) -> None:
         """Report one outcome to the Balancer.
 
-        Failure: that a client has half-closed is also seen by `send` and `may_begin`, from
-        which the Balancer may not be called. It would retry for that client, who may have
-        left, and a backend would run a request that nobody waits for. So it learns of the
-        end here, before each outcome that it decides on.
+        If the client has half-closed its connection, the Balancer is told before the outcome.
+        `send` and `may_begin` also detect a half-close, but must not call the Balancer
+        themselves. Without this notice the Balancer could retry for a client that may have left,
+        and a backend would execute a request whose response nobody reads.
         """
         request = attempt.request
         try:
@@ -180,24 +186,24 @@
                 load,
                 attempt.connected,
             )
-        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+        except Exception:  # noqa: BLE001 -- an error in the Balancer must not end the process
             self._log_fault()
-            # 502 and no rejection: an attempt may have been executed.
+            # 502, not a 503 rejection: an attempt may have been executed, so the client must
+            # not be told that the request can safely be sent again.
             if not request.open_attempts:
                 self.end_unanswered(request, BAD_GATEWAY)
         finally:
             self.forget(request)
 
     def end_unanswered(self, request: Request, status: int) -> None:
-        """End a request that the Balancer gives no answer to, here and at the Balancer.
+        """End a request that the Balancer failed to answer, both in the host and the Balancer.
 
-        Failure: the Balancer raises in an event of a request, and the host alone forgets it. In
-        the Balancer it is still queued: it is dispatched later, for no client, and its slot is
-        in use for good, as the host has nothing to send and no outcome comes. With each such
-        fault the concurrency limit has one slot less. So the Balancer learns of the end too.
+        The Balancer must be notified. If only the host forgot the request, the Balancer could
+        still have it queued and dispatch it later. The host could not send it, so no outcome
+        would ever free its slot, and the concurrency limit would lose one slot for good.
 
-        Failure: the client's connection raises as it is answered. The outcomes that are queued
-        behind this request's would wait for the next event. So that is logged, and no more.
+        An exception raised while the client is answered is only logged. If it propagated, the
+        outcomes queued after this one would not be reported until the next event.
         """
         run_logged(self.finish, request, status)
         self.notify_balancer(self.balancer.on_client_disconnected, request.id)
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -1,7 +1,7 @@
-"""A client's request and its attempts at backends, shared by the host and its adapters.
+"""A client's request and its attempts, shared by the host and its connection classes.
 
-The protocols here describe the connections on both sides as far as the host uses them:
-the host knows no adapter's class, and no adapter knows another's.
+The protocols here describe the client and backend connections as far as the host uses them, so
+that the host does not depend on the connection classes, nor they on each other.
 """
 
 from __future__ import annotations
@@ -15,38 +15,41 @@
 
 
 class Client(Protocol):
-    """The connection that a request came on."""
+    """The client connection on which a request was received."""
 
     def respond(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         """Send a complete 200 response."""
 
     def respond_empty(self, status: int, retry_after_ns: int) -> None:
-        """Send a response without content; `retry_after_ns` in nanoseconds, 0 for none."""
+        """Send a response without content, with Retry-After unless `retry_after_ns` is 0."""
 
     def begin_streaming(self, content_type: bytes, length: int, flow: Flow) -> None:
-        """Send the head of a 200 response whose content follows through `flow`.
+        """Send the head of a 200 response and forward its content from `flow`.
 
-        A negative `length` means that the length is not known.
+        A negative `length` means that the content's length is unknown.
         """
 
     def abort_response(self) -> None:
-        """End the connection so that the client sees its response as incomplete."""
+        """Close the connection in such a way that the client detects a truncated response."""
 
     def has_half_closed(self) -> bool:
-        """Whether the client has ended its sending, read from the socket itself."""
+        """Whether the client has shut down its side of the connection, read from the socket."""
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt is sent on."""
+    """The backend connection on which an attempt is sent."""
 
     request_written: bool
 
     def abandon(self) -> bool:
-        """Close; False where the request's last byte certainly never left this process."""
+        """Close the connection.
+
+        Returns False if the request's last byte certainly never left this process.
+        """
 
 
 class ReceivedRequest(Protocol):
-    """A request as its adapter has read it; the host does not modify it."""
+    """A request as read from its client connection; the host does not modify it."""
 
     head: bytes
     client_request_id: bytes
@@ -65,7 +68,10 @@
 
 
 class Request:
-    """One open request of a client, with all attempts made for it. Times in nanoseconds."""
+    """One open request of a client, with all attempts made for it.
+
+    Times are in nanoseconds, points in time by the monotonic clock.
+    """
 
     __slots__ = (
         "arrived", "attempts", "body", "chunked", "client", "client_request_id", "deadline",
@@ -75,43 +81,44 @@
 
     def __init__(
         self,
-        rid: int,
+        number: int,
         client: Client,
         incoming: ReceivedRequest,
         now: int,
         remaining: int,
         max_attempts: int,
     ) -> None:
-        self.id = rid
+        self.id = number  # unique in this process; `client_request_id` is the client's
         self.client: Client | None = client  # None once the request has ended
         self.head = incoming.head
         self.client_request_id = incoming.client_request_id
-        # No safe method (RFC 9110, section 9.2.1): a second run may have a second effect.
+        # Not a safe method (RFC 9110, section 9.2.1): executing it twice may have two effects.
         self.unsafe = incoming.method != b"GET"
         self.body = incoming.body
         self.size = incoming.size
         self.arrived = now
         self.deadline = now + remaining
         self.timeout = remaining
-        self.max_attempts = max_attempts  # by the settings in force at its admission
-        self.flow: Flow | None = incoming.flow  # of a body that is forwarded as it comes
-        self.chunked = incoming.chunked  # that body's length is not known
-        self.started = False  # a response has begun to go to the client
+        self.max_attempts = max_attempts  # from the settings in force when it was admitted
+        self.flow: Flow | None = incoming.flow  # a long body, forwarded while it is received
+        self.chunked = incoming.chunked  # whether that body's length is unknown
+        self.started = False  # whether the client has been sent a part of a response
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
         self.ended = False
-        self.half_closed = False  # its client has ended its sending: no attempt begins any more
+        self.half_closed = False  # its client has shut down its sending side: no new attempt begins
 
     @property
     def receiving(self) -> bool:
-        """Whether its body is still being read; its timeout runs only from the end of it."""
+        """Whether the body is still being received; the timeout starts only after its end."""
         return self.flow is not None and not self.flow.complete
 
 
 class Attempt:
-    """One send of a request. It has exactly one outcome.
+    """One attempt to send a request to a backend. It has exactly one outcome.
 
-    `sent` and `limit` in nanoseconds: when it was sent, and how long it may take.
+    `sent` is when it was sent, by the monotonic clock; `limit` is its timeout. Both are in
+    nanoseconds.
     """
 
     __slots__ = (
@@ -124,6 +131,6 @@
         self.backend = backend
         self.sent = sent
         self.limit = 0
-        self.closed = False  # its outcome is settled
-        self.connected = False  # whether its connection has ever been established
+        self.closed = False  # whether its outcome is settled
+        self.connected = False  # whether its connection was ever established
         self.connection: AttemptConnection | None = None
--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -1,7 +1,7 @@
-"""Flow control: long messages in bounded windows, within one budget for the process.
+"""Flow control: forwards long messages through bounded buffers, within one process-wide budget.
 
-One type for both directions: bytes come from a source that can be paused and go to a
-sink that says when it accepts no more. No copy of a whole long message is retained.
+Request bodies and responses use the same type: bytes come from a source that can be paused and
+go to a sink that signals when it accepts no more. A long message is never buffered as a whole.
 """
 
 from __future__ import annotations
@@ -9,27 +9,30 @@
 from collections import deque
 from typing import Protocol
 
-STREAMING_THRESHOLD_BYTES = 64 << 10  # a message up to this size is forwarded in one piece
-MAX_MESSAGE_BYTES = 32 << 20  # of any message's content
-MIN_WINDOW_BYTES = 64 << 10  # buffered between source and sink while the budget has capacity
-WINDOW_FRACTION = 16  # a window is one in so many of the bytes that the budget has free
-BASELINE_MB = 32  # memory of the program itself, connections included
+STREAMING_THRESHOLD_BYTES = (
+    64 << 10
+)  # messages up to this size are buffered completely before they are forwarded
+MAX_MESSAGE_BYTES = 32 << 20  # largest content accepted, of a request or a response
+MIN_WINDOW_BYTES = 64 << 10  # smallest window while usage is within the soft limit
+WINDOW_FRACTION = 16  # a window is 1/16 of the free bytes below the soft limit
+BASELINE_MB = 32  # memory of the process without message buffers, connections included
 MIN_SOFT_LIMIT_BYTES = 4 << 20
 
 
 class BodyReader(Protocol):
-    """Reads a body, and can wait for the budget to have capacity again."""
+    """Reads a request body; can be paused until the budget has free capacity."""
 
     def resume_body(self) -> None:
-        """Read on."""
+        """Continue reading the body."""
 
 
 class BufferBudget:
-    """Bytes of request bodies and responses buffered, over all connections.
+    """Counts the buffered bytes of request bodies and responses over all connections.
 
-    Above `soft_limit` windows shrink to one read, and reading a short body is paused.
-    The oldest incomplete body is never paused: with every body waiting for the memory
-    of the others none would complete, and all would run into their timeouts.
+    While more than `soft_limit` bytes are buffered, a flow's window is zero, so that its source
+    is paused after each read, and the reading of bodies that are buffered whole is paused too.
+    The oldest incomplete body is never paused: if every body waited for memory used by the
+    others, none would complete and all would time out.
     """
 
     __slots__ = ("buffered", "incomplete", "paused", "soft_limit")
@@ -38,21 +41,24 @@
         self.soft_limit = max((memory_mb - BASELINE_MB << 20) // 2, MIN_SOFT_LIMIT_BYTES)
         self.buffered = 0
         self.paused: dict[BodyReader, None] = {}
-        self.incomplete: dict[BodyReader, None] = {}  # larger bodies, oldest first
+        self.incomplete: dict[BodyReader, None] = {}  # bodies larger than one read, oldest first
 
     def window(self) -> int:
         """Bytes that a flow may buffer before its source is paused.
 
-        A fraction of what is free: the sooner a backend has delivered its response, the
-        sooner its connection serves other requests. With many flows each comes down to
-        MIN_WINDOW_BYTES, and to 0 above the soft limit.
+        The window grows with the free memory: the sooner a backend has delivered its response,
+        the sooner its connection can serve other requests. With many flows the window shrinks
+        to MIN_WINDOW_BYTES, and above the soft limit it is 0.
         """
         if self.buffered > self.soft_limit:
             return 0
         return max(MIN_WINDOW_BYTES, (self.soft_limit - self.buffered) // WINDOW_FRACTION)
 
     def pause_if_needed(self, reader: BodyReader) -> bool:
-        """Note a body that has to wait; if True, `resume_body` is called when it may go on."""
+        """Pause a body if memory is short and it is not the oldest incomplete one.
+
+        If this returns True, the caller stops reading until its `resume_body` is called.
+        """
         if self.buffered <= self.soft_limit or reader not in self.incomplete:
             return False
         if reader is next(iter(self.incomplete)):
@@ -61,7 +67,10 @@
         return True
 
     def body_finished(self, reader: BodyReader) -> None:
-        """A body is complete or dropped: the next oldest is the one that may always grow."""
+        """Handle a body that is complete or discarded.
+
+        The oldest remaining body may now always be read, and is resumed if it was paused.
+        """
         self.paused.pop(reader, None)
         if self.incomplete.pop(reader, self) is None:
             oldest = next(iter(self.incomplete), None)
@@ -74,7 +83,7 @@
         self.buffered += size
 
     def release(self, size: int) -> None:
-        """Count `size` bytes as buffered no longer, and resume the bodies that waited."""
+        """Subtract `size` bytes; resume paused bodies once usage is within the soft limit."""
         self.buffered -= size
         if self.paused and self.buffered <= self.soft_limit:
             waiting, self.paused = self.paused, {}
@@ -83,31 +92,32 @@
 
 
 class Source(Protocol):
-    """Where the bytes of a flow come from."""
+    """The connection from which the bytes of a flow are read."""
 
     def pause_flow(self) -> None:
-        """Read no more until `resume_flow`."""
+        """Stop reading until `resume_flow` is called."""
 
     def resume_flow(self) -> None:
-        """Read on."""
+        """Continue reading."""
 
 
 class Sink(Protocol):
-    """Where the bytes of a flow go to."""
+    """The connection to which the bytes of a flow are written."""
 
     def flow_write(self, data: bytes) -> None:
-        """The next bytes."""
+        """Write the next bytes."""
 
     def flow_end(self) -> None:
-        """All bytes have been given to `flow_write`."""
+        """Finish the message: every byte has been passed to `flow_write`."""
 
 
 class Flow:
-    """One long message between its source and its sink.
+    """One long message on its way from its source to its sink.
 
-    Without a sink yet, or with one that accepts no more, it buffers a window and pauses
-    its source. `forwarded`: bytes have gone to a sink and are buffered no longer, so the
-    message can't be sent a second time. `complete`: the source has given its last byte.
+    While it has no sink, or one that accepts no more bytes, it buffers one window and then
+    pauses its source. `forwarded` is set once bytes have been passed to a sink: they are no
+    longer buffered, so the message cannot be sent a second time. `complete` is set once the
+    source has delivered its last byte.
     """
 
     __slots__ = (
@@ -121,13 +131,13 @@
         self._sink: Sink | None = None
         self._chunks: deque[bytes] = deque()
         self._blocked = False
-        self.paused = False  # the source is; written here alone
+        self.paused = False  # whether the source is paused; changed only by this class
         self.buffered = 0
         self.forwarded = False
         self.complete = False
 
     def push(self, data: bytes) -> None:
-        """The next bytes from the source; dropped after `discard`."""
+        """Accept the next bytes from the source; drops them after `discard`."""
         if self._source is None:
             return
         self._chunks.append(data)
@@ -139,34 +149,34 @@
             self._source.pause_flow()
 
     def finish(self) -> None:
-        """The source has given everything, and is free for other work."""
+        """Mark the message complete and release its source."""
         self.complete = True
         source, self._source = self._source, None
         self._resume(source)
         self._forward()
 
     def attach(self, sink: Sink) -> None:
-        """Forward to this sink from now on."""
+        """Set the sink and forward the buffered bytes to it."""
         self._sink = sink
         self._blocked = False
         self._forward()
 
     def detach(self, sink: Sink) -> None:
-        """This sink is closed; another may follow if nothing has been forwarded."""
+        """Remove a closed sink. Another may be attached if nothing has been forwarded."""
         if self._sink is sink:
             self._sink = None
 
     def block(self) -> None:
-        """The sink accepts no more until `unblock`."""
+        """Stop writing to the sink until `unblock` is called."""
         self._blocked = True
 
     def unblock(self) -> None:
-        """The sink accepts bytes again."""
+        """Continue writing to the sink."""
         self._blocked = False
         self._forward()
 
     def discard(self) -> None:
-        """Give the message up: nothing is buffered or forwarded any more, the source reads on."""
+        """Drop the message: free its buffer, forward nothing more and let the source read on."""
         self._sink = None
         self._chunks.clear()
         buffered, self.buffered = self.buffered, 0
@@ -191,7 +201,8 @@
             sink, self._sink = self._sink, None
             sink.flow_end()
         elif self.paused and self._source is not None:
-            # Not before half the window is free, or each write would pause and resume it.
+            # Resume only once half the window is free; otherwise the source would be paused and
+            # resumed with each write.
             if 2 * self.buffered <= self._budget.window():
                 self.paused = False
                 self._source.resume_flow()
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -1,4 +1,4 @@
-"""What a host does when its timers come due: the Balancer's, attempts' and requests'."""
+"""Handles due timers: those set by the Balancer, attempt timeouts and request deadlines."""
 
 from __future__ import annotations
 
@@ -13,15 +13,20 @@
 
 logger = logging.getLogger(__name__)
 
-# A timer of the Balancer whose event raised is set again after this time.
+# Delay before a timer of the Balancer fires again if its handler raised an exception.
 RETRY_AFTER_FAULT_NS = 100 * MS
 
 
 class TimerEvents(AttemptHost, ABC):
-    """Ends what has run out of time. All timers that are due are one event."""
+    """Times out attempts and requests. All timers due at one time are handled in one event."""
 
     def set_timer(self, token: int, due: int) -> None:
-        """Set a timer of the Balancer, beside those that are set already."""
+        """Set a timer for the Balancer; timers set earlier stay set.
+
+        Args:
+            token: passed to `Balancer.on_timer`.
+            due: when the timer fires, in nanoseconds of the monotonic clock.
+        """
         self._timers.add(due, token)
 
     def _on_timers_due(self) -> None:
@@ -40,10 +45,11 @@
             self.end_event()
 
     def _on_balancer_timer(self, token: int, now: int) -> None:
-        """Report a timer of the Balancer.
+        """Call the Balancer for one of its timers; if it raises, set the timer again.
 
-        Failure: the Balancer sets its next timer within this event. After a fault before
-        that it would never be called again, and queued requests would wait for good.
+        The Balancer sets its next timer in this call. If it raised before doing so and the
+        timer were not set again, no timer would ever call it, and queued requests would wait
+        forever.
         """
         try:
             self.balancer.on_timer(now, token)
@@ -52,10 +58,11 @@
             self.set_timer(token, now + RETRY_AFTER_FAULT_NS)
 
     def _is_timed_out(self, attempt: Attempt, now: int) -> bool:
-        """Whether an attempt's time is over.
+        """Whether an attempt has exceeded its timeout.
 
-        It does not run while its request's body is received, nor once its response is
-        streamed; the end of the body sets it again.
+        The timeout does not apply while the request's body is being received from the client,
+        nor once the response is being streamed. When the body has been received, a new timeout
+        is set.
         """
         request = attempt.request
         if request.started or request.receiving:
@@ -63,17 +70,17 @@
         return attempt.sent + attempt.limit <= now
 
     def _on_backstop(self, request: Request, now: int) -> None:
-        """Fail a request that the Balancer owed an answer before now.
+        """Fail a request that the Balancer has not answered by its deadline.
 
-        Failure: the Balancer gives no answer to a request, by a fault of its own, and the
-        client waits until it gives up. Where this event comes late, as after a pause of the
-        process, it may have ended the last attempt itself: that outcome is reported first, as
-        the Balancer's answer to it says whether a retry is harmless.
+        Without this, an error in the Balancer would leave the client waiting until it gives up
+        by itself. If this event runs late, for example after the process was paused, it may
+        itself have timed out the request's last attempt. That outcome is reported first: the
+        Balancer's answer to it tells the client whether a retry is safe.
         """
         if request.started or request.receiving or request.deadline > now:
             return
         self._report_outcomes()
         if request.ended:
             return
-        logger.info("request %d was overdue", request.id)
+        logger.info("request %d: no answer from the balancer by its deadline", request.id)
         self.end_unanswered(request, GATEWAY_TIMEOUT)
--- a/loadbalancer/proxy/timers.py
+++ b/loadbalancer/proxy/timers.py
@@ -1,8 +1,8 @@
-"""The timers of one host: a heap of all of them, and one timer of the event loop.
+"""The timers of one host, in a heap driven by a single timer of the event loop.
 
-An attempt or a request nearly always ends before its timer comes due. Its entry is left in
-the heap and skipped when it comes up: that costs less than a timer of the loop for each,
-which would have to be cancelled.
+An attempt or a request nearly always ends before its timer is due. Its entry stays in the heap
+and is ignored once it is due. That costs less than one event-loop timer for each, which would
+have to be cancelled.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Attempt, Request
 
-    TimerItem = int | Attempt | Request  # a token of the Balancer's, or what may time out
+    TimerItem = int | Attempt | Request  # a token of the Balancer, or what may time out
 
 UNARMED = 1 << 63  # later than any time on the monotonic clock, in nanoseconds
-# The loop rounds to whole milliseconds; a call before the time would only come again.
+# Added to each delay. The event loop rounds delays to whole milliseconds: without it the timer
+# could fire just before the item is due, and would have to be set a second time.
 ROUNDING_S = 0.0005
 
 
 class TimerHeap:
-    """Items by the time at which they are due, on the monotonic clock in nanoseconds.
+    """Items ordered by their due times, in nanoseconds of the monotonic clock.
 
-    `on_due` is called by the event loop once the earliest one is due; it takes the items
-    with `pop_due` and calls `arm` at its end.
+    The event loop calls `on_due` when the earliest item is due. `on_due` removes the due items
+    with `pop_due` and finally calls `arm`.
     """
 
     __slots__ = ("_armed_at", "_count", "_handle", "_heap", "_loop", "_on_due")
@@ -38,17 +39,17 @@
         self._loop = loop
         self._on_due = on_due
         self._heap: list[tuple[int, int, TimerItem]] = []
-        self._count = 0  # orders items that are due at the same time
+        self._count = 0  # keeps items with equal due times in the order they were added
         self._handle: asyncio.TimerHandle | None = None
         self._armed_at = UNARMED
 
     def add(self, due: int, item: TimerItem) -> None:
-        """Add an item; takes effect with the next `arm`."""
+        """Add an item; `on_due` is not scheduled for it until the next call of `arm`."""
         self._count += 1
         heappush(self._heap, (due, self._count, item))
 
     def arm(self) -> None:
-        """Have `on_due` called when the earliest item is due."""
+        """Schedule the call of `on_due` for the time at which the earliest item is due."""
         heap = self._heap
         if not heap or heap[0][0] >= self._armed_at:
             return
@@ -59,7 +60,7 @@
         self._handle = self._loop.call_later(delay_s, self._fire)
 
     def pop_due(self, now: int) -> TimerItem | None:
-        """Remove and return the earliest item if it is due at `now`."""
+        """Remove and return the earliest item if it is due at `now`, else return None."""
         heap = self._heap
         if heap and heap[0][0] <= now:
             return heappop(heap)[2]
