--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -46,7 +46,7 @@
 
     def __enter__(self) -> int:
         """Begin the event and return its time."""
-        assert not self._host.in_event, "events must not nest"
+        assert not self._host.in_event, "an event within an event"
         return self._host.begin_event()
 
     def __exit__(self, *_exception: object) -> None:
--- a/loadbalancer/proxy/upstream/__init__.py
+++ b/loadbalancer/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to backends: the pool, and one connection's states, request and response."""
+"""Connections to backends: the connection pool, requests written and responses read."""
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: how it is established and how it ends."""
+"""One connection to a backend: connecting, reuse and closing."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 
 class Pool(Protocol):
-    """What a connection uses of the pool that it belongs to."""
+    """The part of the connection pool that its connections use."""
 
     host: BackendHost
     count: int
     pending: dict[BackendConnection, None]
 
     def release(self, conn: BackendConnection) -> None:
-        """Take the connection back for the next attempt."""
+        """Make the connection available to the next attempt."""
 
     def remove(self, conn: BackendConnection) -> None:
-        """Forget the connection, which closes."""
+        """Remove the connection, which is closing."""
 
 
 class BackendConnection(ResponseReceiver):
     """One connection to one backend; it carries one attempt at a time.
 
-    This part establishes and closes it; its bases send requests and receive responses.
-    Whatever ends it, the attempt on it gets its outcome, and its descriptor is counted
-    off once.
+    This class opens and closes the connection; its base classes send requests and receive
+    responses. Unless the caller takes over the attempt by `abandon`, the end of the connection
+    settles its attempt. The pool's count of descriptors is decremented exactly once.
     """
 
     __slots__ = ("_loop_owns_socket", "_task", "backend", "idle_since", "pool")
@@ -47,14 +47,14 @@
         super().__init__(pool.host, address)
         self.pool = pool
         self.backend = backend
-        self.idle_since = 0  # nanoseconds, set by the pool
+        self.idle_since = 0  # monotonic clock in nanoseconds, set by the pool
         self._loop_owns_socket = False
         self._task: asyncio.Task[None] | None = None
 
-    # ---- establishment ---------------------------------------------------
+    # ---- connecting --------------------------------------------------------
 
     def connect(self, attempt: Attempt) -> None:
-        """Connect for an attempt; OSError where this process gets no socket."""
+        """Connect and then send an attempt; raises OSError if no socket can be created."""
         host = self.host
         self.attempt = attempt
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -74,14 +74,17 @@
         release_socket(transport, sock)
 
     def _establish_done(self, task: asyncio.Task[None]) -> None:
-        """Free the socket of a connection that was never made: no transport closes it."""
+        """Close the socket of a connection that was not established.
+
+        Such a connection has no transport that would close it.
+        """
         failed = task.cancelled() or task.exception() is not None
         self._task = None
         if not failed or self.transport is not None:
             return
         assert self._sock is not None
         if self._loop_owns_socket:
-            self._sock.detach()  # the loop has closed it, and its number may be in use again
+            self._sock.detach()  # the loop has closed it, and its number may have been reused
         else:
             self._sock.close()
         self._close()
@@ -89,45 +92,45 @@
         self._fail(Outcome.RESET)
 
     def _connect_timed_out(self) -> None:
-        # Between the TCP handshake and connection_made there is a turn of the loop: a
-        # connection that was established in time is no failure.
+        # connection_made is called one iteration of the event loop after the TCP handshake. A
+        # connection whose handshake was complete in time must not fail in between.
         if not self._loop_owns_socket:
             self._fail(Outcome.RESET)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, unless its attempt has been given up or may no longer begin."""
+        """Send the request, unless its attempt has been aborted or may no longer begin."""
         self.transport = cast(asyncio.Transport, transport)
         self.pool.pending.pop(self, None)
         self._stop_timer()
         if self._state is not CONNECTING:
             self.transport.abort()
             return
-        # With no buffer above the kernel's, a write that leaves anything behind pauses this
-        # connection at once: not paused means that every byte has left the process.
+        # With a limit of 0 the transport pauses writing as soon as a write leaves anything in
+        # its buffer. While writing is not paused, every byte has been passed to the kernel.
         self.transport.set_write_buffer_limits(high=0)
         attempt = self.attempt
         assert attempt is not None
         if self.host.may_begin(attempt):
             self._write_request()
         else:
-            # The client has left or the attempt is no longer wanted; nothing was written.
+            # The client has left or the attempt is no longer needed; nothing was written.
             self.attempt = None
             self._close()
             self.host.record_outcome(attempt, Outcome.MOOT)
 
     def begin(self, attempt: Attempt) -> None:
-        """Send an attempt's request on this connection, which was idle."""
+        """Send an attempt on this idle connection."""
         self.request_written = False
         self._content_began_s = 0.0
         self.reader.reset()
         self.attempt = attempt
         self._write_request()
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether an idle connection is still open, as far as the kernel knows.
 
-        Failure: the backend has closed it, and the loop has not yet read that. A request
-        written to it would be answered by a reset and count as one that may have run.
+        The backend may have closed it without the event loop having noticed yet. A request
+        written to it would be answered with a reset and count as possibly executed.
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self._sock is None:
@@ -138,9 +141,9 @@
             return True
         except OSError:
             return False
-        return False  # the backend's end of sending, or bytes that answer no request
+        return False  # end of stream, or bytes that belong to no response
 
-    # ---- the end ---------------------------------------------------------
+    # ---- closing -----------------------------------------------------------
 
     def _recycle(self, reusable: bool) -> None:
         if reusable:
@@ -150,24 +153,25 @@
             self._close()
 
     def abandon(self) -> bool:
-        """Close: a response that comes late must reach nobody.
+        """Close without settling the attempt, so that a late response is not delivered.
 
-        False where the request's last byte was certainly never written.
+        Returns False if the request's last byte was certainly never written.
         """
         self.attempt = None
         self._close()
         return self.request_written
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 -- asyncio's signature
-        """The connection has ended, on this side or the backend's."""
+        """Handle the end of the connection, whichever side closed it."""
         self._fail(Outcome.RESET)
         self._release_descriptor()
 
     def _fail(self, outcome: Outcome) -> None:
-        """Close, and settle the attempt if there is one.
+        """Close the connection and settle its attempt, if there is one.
 
-        RESET: the connection has ended, or the backend has fallen silent. ERROR: it sent
-        what is no response. Either is CONNECT_FAILED where the request can't have begun.
+        `outcome` is RESET if the connection ended or the backend stopped sending, and ERROR if
+        the backend sent a malformed response. The attempt gets CONNECT_FAILED instead if the
+        backend cannot have begun to execute the request.
         """
         attempt, self.attempt = self.attempt, None
         client, self._client = self._client, None
@@ -194,19 +198,19 @@
         if self.transport is not None:
             if not self.request_written:
                 self._stop_sending(self.transport)
-            # No orderly close, which would wait for bytes that nobody will read.
+            # Not close(), which would first write the buffered bytes, although nobody needs them.
             self.transport.abort()
         elif self._task is not None and not self._loop_owns_socket:
-            # Later than this the loop owns the socket, and a cancelled task would close it
-            # while the loop still uses its number: then connection_made aborts it.
+            # Once the loop owns the socket the task is not cancelled: cancelling would close the
+            # socket while the loop still uses its descriptor. connection_made aborts it instead.
             self._task.cancel()
 
     def _stop_sending(self, transport: asyncio.Transport) -> None:
-        """Make sure that what the loop still buffers of a request never leaves.
+        """Prevent the rest of a request in the transport's buffer from being sent.
 
-        Failure: an aborted transport closes its socket only in the loop's next iteration.
-        Until then the loop may write its buffer out, so that the backend receives the last
-        byte of a request that counts as never executed, and its client sends it again.
+        An aborted transport closes its socket only in the event loop's next iteration, and may
+        write out its buffer until then. The backend would receive the last byte of a request
+        that is reported as not executed and that may therefore be sent again.
         """
         if self._sock is not None and transport.get_write_buffer_size():
             with contextlib.suppress(OSError):
--- a/loadbalancer/proxy/upstream/load_report.py
+++ b/loadbalancer/proxy/upstream/load_report.py
@@ -1,11 +1,11 @@
-"""The load that a backend reports about itself in the field X-Server-Load."""
+"""Parses the load that a backend reports in the header field X-Server-Load."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from math import isfinite
 
-# Names of figures on the wire, beside those that settings may use for the same figure.
+# Names of reported figures, each with the name of the settings' column for the same figure.
 COLUMN_OF_WIRE_NAME = {
     b"inflight": "rif",
     b"queue": "q",
@@ -17,10 +17,10 @@
 
 
 def parse_load_report(value: bytes, columns: Sequence[str]) -> Sequence[float]:
-    """The figures of a report `name=figure,name=figure ...` in the order of `columns`.
+    """Return the figures of a report `name=figure,name=figure,...` in the order of `columns`.
 
-    Empty where one is missing, malformed or not finite: a report that is wrong in part
-    says nothing reliable about the rest.
+    Returns an empty sequence if a column is missing, one of its figures is not finite, or any
+    part of the report is malformed: the other figures of such a report can't be relied on.
     """
     figures: dict[str, float] = {}
     try:
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to backends: which one carries an attempt, which are closed."""
+"""The pool of connections to backends: selects, opens, retains and closes connections."""
 
 from __future__ import annotations
 
@@ -13,45 +13,48 @@
     from loadbalancer.proxy.exchange import Attempt
     from loadbalancer.proxy.ports import BackendHost
 
-IDLE_MARGIN_NS = 2_000_000_000  # closed so long before the backend would close it
+IDLE_MARGIN_NS = (
+    2_000_000_000  # idle connections are closed this long before the backend would close them
+)
 
 
 class ConnectionPool:
-    """All connections to backends, those that are idle by backend and by age.
-
-    The rules:
-
-    1. An attempt goes out on the connection to its backend that became idle last, so that
-       the surplus grows old and is closed.
-    2. One that the backend has closed, as far as the kernel knows, is not used.
-    3. Without a usable one a new one is opened, if the host has a descriptor for it. If
-       not, the attempt is moot: the backend is not to blame.
-    4. A connection comes back after a complete response that leaves it reusable, unless
-       its backend's address has changed or its backend has been removed.
-    5. The idle connections of a backend that is removed or changes its address are closed
-       at once.
-    6. The oldest idle connection is closed where descriptors are needed otherwise, and
-       each one some time before its backend would close it.
+    """All connections to backends; idle ones are indexed by backend and by age.
+
+    Rules:
+
+    1. An attempt is sent on the connection to its backend that became idle most recently, so
+       that surplus connections age and are closed.
+    2. An idle connection that the backend has closed, as far as the kernel knows, is not used.
+    3. If no idle connection can be used, a new one is opened, provided that a descriptor is
+       available. Otherwise the attempt's outcome is MOOT, which does not count against the
+       backend.
+    4. After a complete response a reusable connection becomes idle, unless the backend's address
+       has changed or the backend has been removed.
+    5. When a backend is removed or its address changes, its idle connections are closed
+       immediately.
+    6. The oldest idle connection is closed when its descriptor is needed for something else.
+       Every idle connection is closed some time before the backend would close it.
     """
 
     __slots__ = ("by_age", "count", "host", "idle", "pending")
 
     def __init__(self, host: BackendHost) -> None:
         self.host = host
-        self.count = 0  # descriptors, of connections not yet established too
-        self.pending: dict[BackendConnection, None] = {}  # not yet established
+        self.count = 0  # open descriptors, including those of connections not yet established
+        self.pending: dict[BackendConnection, None] = {}  # connections not yet established
         self.idle: dict[int, list[BackendConnection]] = {}  # by backend, oldest first
-        self.by_age: dict[BackendConnection, None] = {}  # the same ones, oldest first
+        self.by_age: dict[BackendConnection, None] = {}  # all idle connections, oldest first
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt (rules 1 to 3); its outcome may be settled before this returns."""
+        """Send an attempt by rules 1 to 3. Its outcome may be settled before this returns."""
         host, backend = self.host, attempt.backend
         address = host.discovery.endpoint_list.endpoints.get(backend)
         if address is None:
             host.record_outcome(attempt, Outcome.CONNECT_FAILED)
             return
         while (conn := self._take_idle(backend)) is not None:
-            if conn.usable():
+            if conn.is_usable():
                 conn.begin(attempt)
                 return
             conn.abandon()
@@ -68,7 +71,7 @@
             host.record_outcome(attempt, Outcome.MOOT)
 
     def connecting_attempts(self, backends: Sequence[int]) -> list[Attempt]:
-        """Attempts that wait for a connection to one of these to be established."""
+        """Attempts that wait for a connection to one of these backends to be established."""
         return [c.attempt for c in self.pending if c.attempt is not None and c.backend in backends]
 
     def _take_idle(self, backend: int) -> BackendConnection | None:
@@ -82,7 +85,7 @@
         return conn
 
     def release(self, conn: BackendConnection) -> None:
-        """Take a connection back for the next attempt, by rule 4."""
+        """Make a connection idle, or close it if its backend's address has changed (rule 4)."""
         if self.host.discovery.endpoint_list.endpoints.get(conn.backend) != conn.address:
             conn.abandon()
             return
@@ -91,7 +94,7 @@
         self.by_age[conn] = None
 
     def remove(self, conn: BackendConnection) -> None:
-        """Forget a connection that closes, whatever its state was."""
+        """Remove a closing connection, in whatever state it was."""
         self.pending.pop(conn, None)
         if conn in self.by_age:
             del self.by_age[conn]
@@ -101,21 +104,21 @@
                 del self.idle[conn.backend]
 
     def close_idle(self, backend: int) -> None:
-        """Close the idle connections to a backend, by rule 5."""
+        """Close the idle connections to a backend (rule 5)."""
         for conn in list(self.idle.get(backend, ())):
             conn.abandon()
 
     def idle_count(self) -> int:
-        """How many connections are idle."""
+        """The number of idle connections."""
         return len(self.by_age)
 
     def trim(self, max_idle: int) -> None:
-        """Close the oldest idle connections beyond this number."""
+        """Close the oldest idle connections until at most `max_idle` are left."""
         while len(self.by_age) > max_idle and self.close_oldest():
             pass
 
     def close_oldest(self) -> bool:
-        """Close the connection that has been idle longest; False where none is idle."""
+        """Close the connection that has been idle longest; returns False if none is idle."""
         conn = next(iter(self.by_age), None)
         if conn is None:
             return False
@@ -123,10 +126,13 @@
         return True
 
     def close_expired(self, now: int) -> None:
-        """Close what has been idle nearly as long as backends allow; `now` in nanoseconds.
+        """Close connections that have been idle nearly as long as backends allow.
 
-        Failure: at the limit itself a request crosses the backend's close, is answered by
-        a reset, and counts as one that may have run.
+        At the limit itself a request could be sent just as the backend closes the connection.
+        The backend would answer with a reset, and the request would count as possibly executed.
+
+        Args:
+            now: nanoseconds of the monotonic clock.
         """
         limit = self.host.config.idle_close
         oldest = now - max(limit - IDLE_MARGIN_NS, limit // 2)
--- a/loadbalancer/proxy/upstream/request_writer.py
+++ b/loadbalancer/proxy/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writing an attempt's request to a connection, and what of it may have left the process."""
+"""Writes requests to a backend connection and tracks whether one may have been received."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from loadbalancer.proxy.flow_control import Flow
     from loadbalancer.proxy.ports import BackendHost
 
-# How long the last byte of an unsafe request is withheld, in seconds.
+# How long the last byte of an unsafe request is withheld; see `_write_request`.
 LAST_BYTE_DELAY_S = 0.002
 
 
 class RequestWriter(asyncio.Protocol, ABC):
     """The part of a connection that sends requests.
 
-    `request_written` decides what may be sent again: it is False for as long as a part of
-    the request, its last byte included, has certainly not left the process, so that the
-    backend can't have begun it. It stays readable after the connection's end.
+    `request_written` decides whether the request may be sent again. It is False while at least
+    the last byte of the request has certainly not left this process, so that the backend cannot
+    have begun to execute it. It remains valid after the connection is closed.
     """
 
     __slots__ = (
@@ -46,18 +46,21 @@
         self.transport: asyncio.Transport | None = None
         self.request_written = False
         self._state: ConnectionState = CONNECTING
-        # The one timer of the current state: of connecting, of the last byte's delay, or
-        # of the response's next bytes.
+        # The timer of the current state: for the connect timeout, the delay of the last byte or
+        # the timeout of the response's next bytes.
         self._timer: asyncio.TimerHandle | None = None
         self._pieces: Sequence[bytes] = ()
         self._next_piece = 0
         self._delays_last_byte = False
         self._write_paused = False
-        self._upload: Flow | None = None  # a long request body that is forwarded as it comes
+        self._upload: Flow | None = None  # a long request body, forwarded while it is received
 
     @abstractmethod
     def abandon(self) -> bool:
-        """Close; False where the request's last byte was certainly never written."""
+        """Close without settling the attempt.
+
+        Returns False if the request's last byte was certainly never written.
+        """
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -82,11 +85,11 @@
             self._pieces = (message,)
             self._write_pieces()
             return
-        # Failure: the backend has closed this connection, or resets it as the request
-        # comes in, and this process learns of it only after writing. The client of an
-        # unsafe request then gets a 502 for a request that never ran. The close or reset
-        # arrives within the delay; as no backend runs a request without its last byte,
-        # the request may still be sent to another one.
+        # The backend may have closed this connection, or may reset it when the request arrives,
+        # and this process would notice only after the whole request is written. An unsafe
+        # request could then not be retried, and its client would get a 502 although it was never
+        # executed. So the last byte is delayed until a close or reset would have arrived. No
+        # backend executes a request without its last byte, so it can still be sent to another.
         self._delays_last_byte = True
         self._pieces = (message[:-1], message[-1:])
         self._write_pieces()
@@ -99,7 +102,7 @@
         self._write_pieces()
 
     def _write_pieces(self) -> None:
-        """Write piece by piece, never a further one while the kernel accepts no more."""
+        """Write the pieces in order; stops while the kernel accepts no more bytes."""
         transport = self.transport
         assert transport is not None
         pieces = self._pieces
@@ -109,32 +112,32 @@
                 return
             transport.write(pieces[self._next_piece])
             if transport.is_closing():
-                # The write itself failed: the kernel took nothing of this piece, so the
-                # last byte never left. connection_lost settles the attempt.
+                # The write failed and the kernel accepted nothing of this piece, so the last byte
+                # never left this process. connection_lost settles the attempt.
                 return
             self._next_piece += 1
         if self._next_piece > last:
-            # A part of the last piece may still wait above the kernel, but how much of it
-            # has left is unknown from here on.
+            # A part of the last piece may still be in the transport's buffer, but from here on
+            # it is unknown how much of it has left this process.
             self.request_written = True
             self._state = AWAITING_RESPONSE
             self._pieces = ()
 
     def pause_writing(self) -> None:
-        """The kernel accepts no more for now."""
+        """Stop writing: the kernel accepts no more bytes for now."""
         self._write_paused = True
         if self._upload is not None:
             self._upload.block()
 
     def resume_writing(self) -> None:
-        """The kernel accepts bytes again."""
+        """Continue writing: the kernel accepts bytes again."""
         self._write_paused = False
         if self._upload is not None:
             self._upload.unblock()
         elif self._state is SENDING:
             self._write_pieces()
 
-    # ---- a long body: this connection is the sink of its flow ------------
+    # ---- long bodies: this connection is the sink of the flow --------------
 
     def _begin_upload(self, flow: Flow, head: bytes) -> None:
         assert self.transport is not None
@@ -145,7 +148,7 @@
         flow.attach(self)
 
     def flow_write(self, data: bytes) -> None:
-        """The next bytes of the body."""
+        """Write the next bytes of the body, as a chunk if its length is unknown."""
         attempt, transport = self.attempt, self.transport
         if attempt is None or transport is None:
             return
@@ -157,7 +160,7 @@
         transport.write(data)
 
     def flow_end(self) -> None:
-        """All of the body has been given to the kernel or waits right above it."""
+        """Finish the request: all of its body has been passed to the transport."""
         attempt, transport = self.attempt, self.transport
         self._upload = None
         if attempt is None or transport is None or transport.is_closing():
--- a/loadbalancer/proxy/upstream/response_reader.py
+++ b/loadbalancer/proxy/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Reading one response after another from a connection's bytes (RFC 9112); no I/O, no clock."""
+"""Parses consecutive responses from the bytes of a connection (RFC 9112); no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 from loadbalancer.proxy.flow_control import MAX_MESSAGE_BYTES, STREAMING_THRESHOLD_BYTES
 
-MAX_HEAD_BYTES = 16 << 10  # of a response, without its content
+MAX_HEAD_BYTES = 16 << 10  # of a response's status line and header fields
 OK_STATUS = 200
-# Another response follows these (RFC 9110, section 15.2); after 101 another protocol.
+# Statuses followed by another response (RFC 9110, section 15.2). 101 is not one of them: what
+# follows it is another protocol.
 INTERIM_STATUSES = frozenset(range(100, 200)) - {101}
 MAX_INTERIM_RESPONSES = 8
 
@@ -18,10 +19,10 @@
 class ResponseState(Enum):
     """How far the response has been read."""
 
-    HEAD = "head"  # the head has not been read to its end
+    HEAD = "head"  # the status line and header fields are incomplete
     CONTENT = "content"
     COMPLETE = "complete"
-    MALFORMED = "malformed"  # can't be read, or larger than accepted; never completes
+    MALFORMED = "malformed"  # unparsable or too large; never becomes complete
 
 
 HEAD = ResponseState.HEAD
@@ -31,13 +32,13 @@
 
 
 class ResponseReader:
-    """One connection's responses: `feed` it bytes, then look at `state` and the fields.
+    """Reads the responses of one connection; `feed` updates `state` and the other attributes.
 
-    `chunks` holds the content of a 200 that nobody has taken yet; the content of any
-    other response is counted in `size` and dropped. `length` is -1 where the response
-    does not state it. `keep_alive` tells, once the response is complete, whether the
-    connection can carry another request: not after bytes beyond the response's end, which
-    would pass for a response to the next request.
+    `chunks` contains the content of a 200 response that has not been taken yet. The content of
+    other responses is counted in `size` and dropped. `length` is the stated Content-Length, or
+    -1. Once the response is complete, `keep_alive` tells whether the connection can carry
+    another request. It cannot if bytes followed the response, as they would be taken for the
+    response to the next request.
     """
 
     __slots__ = (
@@ -50,7 +51,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Begin with the response to a new request."""
+        """Prepare for the response to a new request."""
         self._interim = 0
         self._begin_response()
 
@@ -69,16 +70,16 @@
         self._closes = False
 
     def close(self) -> None:
-        """Drop what has been read.
+        """Drop the buffered content and the parser.
 
-        The parser refers back to its reader. Left in a ring, each closed connection would
-        stay in memory until the garbage collector comes by.
+        The parser and this reader refer to each other. If the cycle were not broken, each closed
+        connection would stay in memory until the garbage collector's next run.
         """
         self._parser = None
         self.chunks = []
 
     def feed(self, data: bytes) -> None:
-        """Read the next bytes; `state` and the fields follow."""
+        """Parse the next bytes and update `state` and the other attributes."""
         parser = self._parser
         if parser is None:
             return
@@ -94,9 +95,10 @@
             self.state = MALFORMED
 
     def feed_eof(self) -> bool:
-        """The backend has ended its sending; True where that completes the response.
+        """Handle the end of the backend's stream; returns whether it completes the response.
 
-        It does for a response with neither a length nor chunks (RFC 9112, section 6.3).
+        It completes only a response that has neither a Content-Length nor chunked encoding
+        (RFC 9112, section 6.3).
         """
         if self.state is not CONTENT or self.length >= 0 or self._chunked:
             return False
@@ -104,7 +106,7 @@
         return True
 
     def take_chunks(self) -> list[bytes]:
-        """The content read since the last call."""
+        """Return and remove the content read since the last call."""
         chunks, self.chunks = self.chunks, []
         return chunks
 
@@ -135,27 +137,27 @@
             self.load_report = value
 
     def on_headers_complete(self) -> None:
-        """The head has been read."""
+        """Handle the end of the header fields."""
         parser = self._parser
         if self.state is COMPLETE or parser is None:
             return
         self.status = parser.get_status_code()
         self.state = CONTENT
-        # Without a length and without chunks the response ends with its connection. Unless
-        # the backend has announced that end, it can't be told from a broken connection:
-        # the client would get a truncated response as a complete one.
+        # A response with neither a length nor chunked encoding ends when its connection is closed.
+        # Unless the backend has announced that with `Connection: close`, the end cannot be told
+        # from a failed connection, and a client could get a truncated response as complete.
         unbounded = self.length < 0 and not self._chunked and not self._closes
         if self.status == OK_STATUS and (unbounded or self.length > MAX_MESSAGE_BYTES):
             self.state = MALFORMED
 
     def on_body(self, body: bytes) -> None:
-        """The next bytes of the content."""
+        """Handle the next bytes of the content."""
         if self.state is COMPLETE:
             self.keep_alive = False
             return
         self.size += len(body)
         if self.status != OK_STATUS:
-            # Clients get the status alone: the content is of no use to anybody.
+            # Clients get only the status, so the content is not needed.
             if self.size > STREAMING_THRESHOLD_BYTES:
                 self.state = MALFORMED
         elif self.size > MAX_MESSAGE_BYTES:
@@ -164,7 +166,7 @@
             self.chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """The response has been read to its end; an interim one is followed by another."""
+        """Handle the end of a response; an interim response is followed by another one."""
         parser = self._parser
         if self.state is COMPLETE or parser is None:
             return
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -1,4 +1,4 @@
-"""Receiving the response to a connection's attempt: buffered until complete, or streamed."""
+"""Receives the response to an attempt, and buffers it until it is complete or streams it."""
 
 from __future__ import annotations
 
@@ -26,30 +26,34 @@
     from loadbalancer.proxy.exchange import Attempt, Client
     from loadbalancer.proxy.ports import BackendHost
 
-# How long a response that has begun may pause, in multiples of the connect timeout: within
-# its head, and within its content, whose sender may be slow.
+# How long a response that is being buffered may pause, in multiples of the connect timeout.
+# Within the content the limit is higher, because the sender of the content may be slow.
 HEAD_TIMEOUT_FACTOR = 1.0
 CONTENT_TIMEOUT_FACTOR = 3.0
-STREAM_TIMEOUT_S = 5.0  # the same while the client has a part of it already
-# A response of unknown length may be a long one whose sender is slow: one that is not
-# complete so long after its first content is streamed. Buffered up to the threshold it
-# would come after its request's deadline. Once streamed, a malformed one can't be retried.
+STREAM_TIMEOUT_S = 5.0  # how long a response may pause while it is streamed to the client
+# A response of unknown length is streamed if it is not complete this long after its first
+# content. It may be a long response with a slow sender, which would exceed its request's deadline
+# if it were buffered up to the threshold. It is not streamed sooner because a streamed response
+# that turns out to be malformed can't be retried.
 UNKNOWN_LENGTH_DELAY_S = 0.03
 
-OVERLOAD_STATUSES = (503, 504)  # with X-Not-Processed: the backend has not begun the request
-# What a backend says of the request and not of itself. Any other backend would say the
-# same, so there is no further attempt; except for the statuses that ask to come again.
+OVERLOAD_STATUSES = (
+    503,
+    504,
+)  # with X-Not-Processed: 1, the backend has not begun to execute the request
+# Statuses that report a fault of the request, not of the backend. Another backend would respond
+# alike, so the request is not retried. The excluded statuses invite the client to retry.
 REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 421, 425, 429}
 
 
 class ResponseReceiver(RequestWriter):
     """The part of a connection that receives responses.
 
-    A response up to STREAMING_THRESHOLD_BYTES reaches the client only once it is complete.
-    One that can't be read, is larger than accepted or stops before its end is malformed:
-    the attempt's outcome is an error after which the request may have run, and the
-    connection is closed. It does not count as a reset: a backend that sends one is
-    running. A longer response is streamed; if it breaks off, the client's is aborted.
+    A response of up to STREAMING_THRESHOLD_BYTES is sent to the client only once it is complete.
+    If it is unparsable, too large or stalls, the attempt's outcome is ERROR, so that the request
+    counts as possibly executed, and the connection is closed. The outcome is not RESET, because
+    a backend that sends such a response is evidently running. A longer response is streamed; if
+    it breaks off, the response to the client is aborted.
     """
 
     __slots__ = ("_client", "_content_began_s", "_download", "_sock", "reader")
@@ -58,26 +62,28 @@
         super().__init__(host, address)
         self.reader = ResponseReader()
         self._sock: socket.socket | None = None
-        self._client: Client | None = None  # while streaming
-        self._download: Flow | None = None  # the response that is streamed
-        self._content_began_s = 0.0  # first content of unknown length, on the loop's clock
+        self._client: Client | None = None  # while a response is streamed
+        self._download: Flow | None = None  # the response being streamed
+        self._content_began_s = (
+            0.0  # when the first content of unknown length arrived, by the loop's clock
+        )
 
     @abstractmethod
     def _recycle(self, reusable: bool) -> None:
-        """The response is complete: go idle if reusable, else close."""
+        """After a complete response, return the connection to the pool or close it."""
 
     @abstractmethod
     def _close(self) -> None:
-        """Close, without an outcome; nothing where it is closed already."""
+        """Close without settling the attempt; does nothing if closed already."""
 
     @abstractmethod
     def _fail(self, outcome: Outcome) -> None:
-        """Close, and settle the attempt if there is one."""
+        """Close the connection and settle its attempt, if there is one."""
 
     def data_received(self, data: bytes) -> None:
-        """The next bytes of the response."""
+        """Process the next bytes of the response."""
         if self.attempt is None:
-            # Bytes on an idle connection would pass for a response to the next request.
+            # Bytes on an idle connection would be taken for the response to the next request.
             self._close()
             return
         reader = self.reader
@@ -97,18 +103,18 @@
             self._restart_timeout()
 
     def _discard_if_unwanted(self, attempt: Attempt) -> None:
-        """Drop the content of a response that is not complete and that nobody gets.
+        """Drop the content of an incomplete response whose request has ended.
 
-        Failure: its client has left, so that it is not streamed, and the attempt goes on to its
-        outcome, as it may have been executed and is not to be sent again. Buffered, up to
-        MAX_MESSAGE_BYTES of each such attempt would lie outside the budget, and a few would
-        take the process past its memory. Nobody gets the content, so it is dropped as it comes.
+        Its client has left, so the response is not streamed, but the attempt continues to its
+        outcome because it may have been executed. If the content were buffered, each such attempt
+        could hold up to MAX_MESSAGE_BYTES that the buffer budget does not count, and a few of
+        them would exceed the process's memory limit.
         """
         if self.reader.state is CONTENT and attempt.request.ended:
             self.reader.take_chunks()
 
     def _restart_timeout(self) -> None:
-        """Give the response up if nothing more of it comes; its time begins anew."""
+        """Restart the timer that fails the attempt if no further bytes arrive."""
         if not self.request_written:
             return
         self._stop_timer()
@@ -118,12 +124,12 @@
         self._timer = self.host.loop.call_later(limit_s, self._fail, Outcome.ERROR)
 
     def eof_received(self) -> bool:
-        """The backend has ended its sending: its response is complete, or never will be.
+        """Handle the end of the backend's stream, which either completes the response or fails it.
 
-        Failure: the loop goes on writing what it buffers of a request after this end. The
-        backend could receive the request's last byte while the attempt counts as one that
-        can't have executed, and its client is told that a retry is harmless. Closing at
-        once drops what is not written.
+        Returns False, so that the transport is closed. Otherwise the event loop would go on
+        writing the rest of a request from its buffer. The backend could receive the request's
+        last byte while the attempt counts as not executed and the client is told that a retry
+        is safe. Closing the connection immediately drops what has not been written.
         """
         if self.attempt is None:
             return False
@@ -136,7 +142,10 @@
         return False
 
     def _respond(self) -> None:
-        """Give the client a complete response, if it is one for it, and settle the attempt."""
+        """Settle the attempt by its complete response, and send that to the client if it is a 200.
+
+        A response that reports a fault of the request ends the request with a 400.
+        """
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         reader, host = self.reader, self.host
@@ -155,8 +164,8 @@
     def _outcome(self) -> Outcome:
         status = self.reader.status
         if status == OK_STATUS:
-            # Before the request's last byte is written no backend has begun it: such a
-            # response is not one to this request.
+            # No backend executes a request before it has received the last byte, so a response
+            # that arrives earlier is not a response to this request.
             return Outcome.OK if self.request_written else Outcome.ERROR
         if status in OVERLOAD_STATUSES and self.reader.not_processed:
             return Outcome.FULL
@@ -173,16 +182,16 @@
         )
 
     def _load(self) -> Sequence[float]:
-        """The backend's load in the settings' order of columns, or nothing."""
+        """The backend's reported load in the order of the settings' columns; empty if none."""
         report, config = self.reader.load_report, self.host.config
         if not report or not config.reports:
             return ()
         return parse_load_report(report, config.settings.load_columns)
 
-    # ---- a long response: this connection is the source of its flow ------
+    # ---- long responses: this connection is the source of the flow ---------
 
     def _must_stream(self) -> bool:
-        """Whether the response is forwarded as it comes, by what has been read of it."""
+        """Whether the response must be streamed, judging by the part read so far."""
         reader, attempt = self.reader, self.attempt
         return (
             reader.status == OK_STATUS
@@ -193,7 +202,7 @@
         )
 
     def _is_slow(self) -> bool:
-        """Whether a response of unknown length has been under way for long."""
+        """Whether a response of unknown length has taken UNKNOWN_LENGTH_DELAY_S or longer."""
         if self.reader.length >= 0 or not self.reader.size:
             return False
         now = self.host.loop.time()
@@ -201,7 +210,7 @@
         return now - self._content_began_s >= UNKNOWN_LENGTH_DELAY_S
 
     def _begin_streaming(self) -> None:
-        """Forward what has been read; from here on the client gets this response or none."""
+        """Start streaming the response; after this the client can get no other response."""
         attempt, reader, host = self.attempt, self.reader, self.host
         assert attempt is not None
         assert self._sock is not None
@@ -209,7 +218,7 @@
         client = self._client = attempt.request.client
         assert client is not None
         self._state = STREAMING
-        # One read must not bring more than about a window, however much has arrived.
+        # Limits how much one read can deliver to about one window.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
         flow = self._download = Flow(host.budget, self)
         host.on_response_started(attempt)
@@ -217,7 +226,7 @@
         self._forward()
 
     def _forward(self) -> None:
-        """Give the client what the last read brought, and the end where it has come."""
+        """Forward newly read content to the client, and finish if the response is complete."""
         flow = self._download
         self._stop_timer()
         if flow is None:
@@ -225,7 +234,7 @@
         for chunk in self.reader.take_chunks():
             flow.push(chunk)
         if self._state is not STREAMING:
-            return  # closed meanwhile, for the client has gone
+            return  # closed meanwhile, because the client has disconnected
         progress = self.reader.state
         if progress is COMPLETE:
             self._download = None
@@ -236,7 +245,7 @@
             self._start_stream_timer()
 
     def _end_streaming(self, flow: Flow) -> None:
-        """The response is complete: this connection is free, whatever the client still reads."""
+        """Settle the attempt and release the connection, while the client may still be reading."""
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         self._client = None
@@ -246,13 +255,13 @@
         self.host.record_outcome(attempt, Outcome.OK, self._load())
 
     def pause_flow(self) -> None:
-        """The client reads too slowly; the backend's silence is not its own meanwhile."""
+        """Stop reading because the client reads too slowly, and suspend the backend's timeout."""
         self._stop_timer()
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume_flow(self) -> None:
-        """The client has read on."""
+        """Continue reading and restart the backend's timeout."""
         if self.transport is None or self._state is CLOSING or self._state is CLOSED:
             return
         self.transport.resume_reading()
--- a/loadbalancer/proxy/upstream/states.py
+++ b/loadbalancer/proxy/upstream/states.py
@@ -5,8 +5,8 @@
                                 +--> STREAMING ----+
     any of them -> CLOSING -> CLOSED
 
-The names at the module's end are the same members: each request compares with several,
-and a global is read faster than an enum's attribute.
+The members are also module globals: several are compared with for each request, and reading
+a global is faster than reading an attribute of the enum.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection is in its life; exactly one of these at a time."""
+    """The state of a connection to a backend."""
 
     CONNECTING = "connecting"  # until the event loop has reported the connection as made
     IDLE = "idle"  # in the pool, without an attempt
-    SENDING = "sending"  # a part of the request has certainly not left this process
+    SENDING = "sending"  # at least a part of the request has certainly not left this process
     AWAITING_RESPONSE = "awaiting response"  # the response is buffered until it is complete
-    STREAMING = "streaming"  # the client has a part of the response
-    CLOSING = "closing"  # of no use any more; its descriptor is still open
-    CLOSED = "closed"  # its descriptor is free
+    STREAMING = "streaming"  # the response is forwarded to the client as it arrives
+    CLOSING = "closing"  # no longer usable, but its descriptor is still open
+    CLOSED = "closed"  # its descriptor has been closed
 
 
 CONNECTING = ConnectionState.CONNECTING
--- a/tests/proxy/upstream/test_pool.py
+++ b/tests/proxy/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool's rules over connections that only note that they are closed."""
+"""The connection pool's rules, tested with fake connections that record how they are used."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from loadbalancer.proxy.upstream.pool import IDLE_MARGIN_NS, ConnectionPool
 
 SECOND_NS = 1_000_000_000
-HOME = Address("127.0.0.1", 8001)
+BACKEND_ADDRESS = Address("127.0.0.1", 8001)
 
 
 class Host:
-    """A host with one backend, number 1, and no descriptor for further connections."""
+    """A host with one backend, number 1, that may open no further connections."""
 
     def __init__(self) -> None:
-        self.endpoints = {1: HOME}
+        self.endpoints = {1: BACKEND_ADDRESS}
         self.discovery = SimpleNamespace(endpoint_list=SimpleNamespace(endpoints=self.endpoints))
         self.config = SimpleNamespace(idle_close=10 * SECOND_NS)
         self.concluded: list[Outcome] = []
@@ -33,18 +33,18 @@
 
 
 class Connection:
-    """A connection that is open until it is abandoned; `usable` as the test says."""
+    """A connection that is open until it is abandoned; the test sets whether it is usable."""
 
     def __init__(self, pool: ConnectionPool, usable: bool = True, backend: int = 1) -> None:
         self.pool = pool
         self.backend = backend
-        self.address = HOME
+        self.address = BACKEND_ADDRESS
         self.idle_since = 0
         self.closed = False
         self.attempts: list[Attempt] = []
         self._usable = usable
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self._usable
 
     def begin(self, attempt: Attempt) -> None:
@@ -67,7 +67,7 @@
 
 
 def idle(pool: ConnectionPool, count: int, **properties: Any) -> list[Connection]:
-    """So many idle connections, oldest first."""
+    """Put `count` idle connections into the pool; returns them, oldest first."""
     conns = [Connection(pool, **properties) for _ in range(count)]
     for conn in conns:
         pool.release(cast(Any, conn))
@@ -78,7 +78,7 @@
     return Attempt(cast(Any, None), 0, backend, 0)
 
 
-def test_the_connection_that_became_idle_last_is_used_first(pool: ConnectionPool) -> None:
+def test_the_most_recently_idle_connection_is_used_first(pool: ConnectionPool) -> None:
     first, last = idle(pool, 2)
     pool.send(attempt())
     assert (len(first.attempts), len(last.attempts)) == (0, 1)
@@ -88,7 +88,7 @@
     assert pool.idle_count() == 0
 
 
-def test_a_connection_that_its_backend_has_closed_is_closed_and_not_used(
+def test_a_connection_that_its_backend_closed_is_closed_and_not_used(
     pool: ConnectionPool,
 ) -> None:
     (usable,) = idle(pool, 1)
@@ -103,7 +103,7 @@
 def test_without_a_descriptor_an_attempt_is_moot_and_without_an_address_it_fails(
     host: Host, pool: ConnectionPool, backend: int, outcome: Outcome
 ) -> None:
-    """The want of descriptors is this process's own: it must not count against a backend."""
+    """A lack of descriptors in this process must not count against the backend."""
     pool.send(attempt(backend))
     assert host.concluded == [outcome]
 
@@ -119,16 +119,18 @@
     assert pool.idle_count() == 0
 
 
-def test_the_idle_connections_of_one_backend_are_closed_alone(
+def test_close_idle_closes_only_the_connections_of_the_given_backend(
     host: Host, pool: ConnectionPool
 ) -> None:
-    host.endpoints[2] = HOME
+    host.endpoints[2] = BACKEND_ADDRESS
     removed, other = idle(pool, 2), idle(pool, 1, backend=2)
     pool.close_idle(1)
     assert [conn.closed for conn in (*removed, *other)] == [True, True, False]
 
 
-def test_the_oldest_are_closed_first(pool: ConnectionPool) -> None:
+def test_close_oldest_and_trim_close_the_oldest_idle_connections_first(
+    pool: ConnectionPool,
+) -> None:
     conns = idle(pool, 4)
     assert pool.close_oldest()
     assert [conn.closed for conn in conns] == [True, False, False, False]
@@ -138,7 +140,7 @@
     assert not pool.close_oldest()
 
 
-def test_what_is_idle_nearly_as_long_as_backends_allow_is_closed(
+def test_close_expired_closes_connections_shortly_before_the_idle_limit(
     host: Host, pool: ConnectionPool
 ) -> None:
     conns = idle(pool, 3)
