--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -41,7 +41,7 @@
         self.soft_limit = max((memory_mb - BASELINE_MB << 20) // 2, MIN_SOFT_LIMIT_BYTES)
         self.buffered = 0
         self.paused: dict[BodyReader, None] = {}
-        self.incomplete: dict[BodyReader, None] = {}  # bodies larger than one read, oldest first
+        self.incomplete: dict[BodyReader, None] = {}  # all but small bodies, oldest first
 
     def window(self) -> int:
         """Bytes that a flow may buffer before its source is paused.
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -1,4 +1,4 @@
-"""How a host ends attempts: what it reports of them, above all whether they may have run."""
+"""How a host ends attempts, and whether it reports that they may have been executed."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     host._on_timers_due()
 
 
-def by_backend_that_accepts_no_more(host: Node, request: Request, _clock: Clock) -> None:
+def by_stalled_upload(host: Node, request: Request, _clock: Clock) -> None:
     host.upload_stalled(request)
 
 
@@ -45,7 +45,7 @@
     host.end_event()
 
 
-def by_client_that_leaves_while_it_streams(host: Node, request: Request, _clock: Clock) -> None:
+def by_disconnect_during_streaming(host: Node, request: Request, _clock: Clock) -> None:
     request.started = True
     host.client_disconnected(request)
 
@@ -53,9 +53,9 @@
 ENDS = [
     by_cancel,
     by_timeout,
-    by_backend_that_accepts_no_more,
+    by_stalled_upload,
     by_removed_backend,
-    by_client_that_leaves_while_it_streams,
+    by_disconnect_during_streaming,
 ]
 
 
@@ -70,10 +70,11 @@
     end: Callable[[Node, Request, Clock], None],
     written: bool,
 ) -> None:
-    """The Balancer rejects an unsafe request with a 503 where none of its attempts ran.
+    """An attempt aborted after its request was written must count as possibly executed.
 
-    An attempt whose request was written, and that is given up then, may have run. Reported as
-    one that did not, the client would be invited to send the request a second time.
+    The Balancer rejects an unsafe request with a 503 if none of its attempts was executed. If
+    the attempt were reported as not executed, the client would be told that it may send the
+    request again, and it could be executed twice.
     """
     upstream.written = written
     request = admit(host, client, attempts=1)
@@ -85,7 +86,7 @@
 
 @pytest.mark.parametrize("leaves", [Node.client_disconnected, Node.client_half_closed])
 @pytest.mark.parametrize("written", [False, True])
-def test_a_client_that_leaves_ends_only_what_was_not_written(
+def test_a_leaving_client_ends_only_unwritten_attempts(
     host: Node,
     balancer: Balancer,
     upstream: Upstream,
@@ -104,16 +105,17 @@
     ("leaves", "outcomes"),
     [(Node.client_disconnected, [Outcome.MOOT]), (Node.client_half_closed, [])],
 )
-def test_a_long_body_goes_on_only_where_its_client_may_wait_for_the_answer(
+def test_a_long_body_is_sent_on_only_if_its_client_may_still_read_the_response(
     host: Node,
     balancer: Balancer,
     client: Client,
     leaves: Callable[[Node, Request], None],
     outcomes: list[Outcome],
 ) -> None:
-    """All of it has been read, and its end waits in this process to be written.
+    """The body has been read completely, but its end has not been written to the backend.
 
-    Where its client is gone that end is discarded: the attempt can never be completed.
+    If the client has disconnected, the unwritten end is discarded and the attempt can never be
+    completed, so it is aborted. A client that only half-closed may still read the response.
     """
     request = admit(host, client, attempts=1)
     flow = request.flow = Flow(host.budget, cast(Any, None))
@@ -129,10 +131,10 @@
         (CONNECT_TIMEOUT_NS // 4, Outcome.CONNECT_FAILED),
     ],
 )
-def test_an_attempt_that_times_out_unwritten_counts_against_its_backend_after_a_while(
+def test_an_unwritten_attempt_counts_against_its_backend_after_a_minimum_wait(
     host: Node, balancer: Balancer, client: Client, clock: Clock, waited_ns: int, outcome: Outcome
 ) -> None:
-    """A machine that has vanished answers no connect, and attempts may time out before that."""
+    """A failed machine answers no connect, and attempts may time out before the connect does."""
     request = admit(host, client, attempts=1)
     clock.now += waited_ns
     host.upload_stalled(request)
--- a/tests/proxy/test_balancer_faults.py
+++ b/tests/proxy/test_balancer_faults.py
@@ -1,4 +1,4 @@
-"""A fault of the Balancer in a request's event: the Balancer forgets the request as well."""
+"""Exceptions raised by the Balancer for a request: it must forget the request as the host does."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def state(host: Node) -> BalancerState:
-    """The state of the host's Balancer, a real one with one endpoint."""
+    """The state of the host's Balancer, which is a real one with one endpoint."""
     host.balancer = core.Balancer(host.config.settings, 1, host)
     host.balancer.start(host.now)
     host.balancer.on_members(host.now, Update.FULL, [Listing(BACKEND, State.READY)])
@@ -51,26 +51,27 @@
     monkeypatch: pytest.MonkeyPatch,
     fault: Callable[[Node, Client, pytest.MonkeyPatch], None],
 ) -> None:
-    """The Balancer raises once it has queued a request, whose client gets a 502.
+    """The Balancer raises after it has queued a request, and the client gets a 502.
 
-    The host alone forgot the request. The Balancer's next dispatch sent it: the host logged
-    `send for request 1, which is not open` and did nothing, no outcome came, and the slot was in
-    use from then on. After as many faults as there are slots the node served nobody.
+    Only the host used to forget the request. The Balancer's next dispatch then sent it, which
+    the host ignored as the request was not open. No outcome was reported, so its slot stayed in
+    use. After as many exceptions as there are slots, the node served no more requests.
     """
     fault(host, client, monkeypatch)
     assert client.statuses == [502]
     assert not host.requests
-    host.notify_balancer(host.balancer.on_settings, host.config.settings)  # it dispatches
+    host.notify_balancer(host.balancer.on_settings, host.config.settings)  # causes a dispatch
     assert state.in_flight == 0
     assert not state.requests
 
 
-def test_an_overdue_request_whose_answer_raises_leaves_the_balancer(
+def test_the_balancer_forgets_an_overdue_request_whose_client_connection_raises(
     host: Node, state: BalancerState, client: Client, clock: Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A request is overdue, and its client's connection raises as it gets its 504.
+    """The client's connection raises while an overdue request is answered with a 504.
 
-    The exception went past the report of the request's end: the Balancer kept the request.
+    The exception used to prevent the host from telling the Balancer about the end of the
+    request, so the Balancer retained it.
     """
     state.max_in_flight = 0  # nothing is sent
     admit(host, client)
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -1,6 +1,7 @@
-"""A change that comes between two events of a request: a list, a window's end, a stop.
+"""Changes between two events of a request: a new list, an expired repeat window, a stop.
 
-The peers force each order: a full accept queue holds a connection back until it is emptied.
+The tests force the order of events: a listener with a full accept queue delays a connection until
+the test empties the queue.
 """
 
 from __future__ import annotations
@@ -38,10 +39,10 @@
 def test_a_request_that_waits_for_a_connection_to_a_draining_backend_is_sent_to_another(
     tmp_path: Path,
 ) -> None:
-    """The list says that a backend drains, while a connection to it is still coming up.
+    """A new endpoint list drains a backend while a connection to it is being established.
 
-    Nothing may be written on that connection later: the request has not begun, so it is
-    sent to the other backend.
+    The request has not been sent, so it must go to the other backend, and nothing may be written
+    on the connection to the draining one.
     """
     with FullBacklog() as first, listen() as second, listen() as discovery:
         rows = [target("s-1", first.port), target("s-2", second.getsockname()[1])]
@@ -51,7 +52,7 @@
             poll.message()
             client = proxy.connect()
             client.send(request("/credit/1", b"once", rid="waits", timeout=LONG_MS))
-            probe = proxy.connect()  # answered once the request before it has been read
+            probe = proxy.connect()  # its answer shows that the earlier request has been read
             probe.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             probe.message()
             change = roster(rows[0] | {"state": "leaving"}, rows[1], rev=8, complete=False)
@@ -62,13 +63,14 @@
             assert client.message()[2] == b"served"
 
 
-def test_a_keyed_retry_whose_connection_comes_up_after_its_window_is_not_sent(
+def test_a_keyed_retry_connected_after_its_repeat_window_is_not_sent(
     tmp_path: Path,
 ) -> None:
-    """A request with a key may have run; its retry's connection comes up too late.
+    """The first attempt of a request with an idempotency key may have been executed.
 
-    Backends no longer recognise the key by then, so a second run would have a second
-    effect: nothing is written, and the client gets an error.
+    When its retry's connection is established, the repeat window has expired and backends no
+    longer recognise the key. The retry could have a second effect, so nothing is written and the
+    client gets a 502.
     """
     keyed = dict(SETTINGS["classes"][0]) | {
         "name": "keyed", "effect": "token", "dedup_scope": "zone",
@@ -90,7 +92,7 @@
             poll.send(answer(json.dumps(both).encode()))
             accept(discovery).message()  # the next poll: the list has been read
             sent = time.monotonic()
-            peer.reset()  # it may have run; its retry connects to the other one
+            peer.reset()  # possibly executed; the retry connects to the other backend
             until(second.is_awaited)
             until(lambda: time.monotonic() > sent + REPEAT_WINDOW_S)
             retry = second.open()
@@ -101,13 +103,13 @@
 @pytest.mark.parametrize(
     ("path", "body"), [("/balance/1", None), ("/credit/1", b"x")], ids=["safe", "unsafe"]
 )
-def test_half_a_line_on_an_idle_connection_is_no_response(
+def test_bytes_on_an_idle_connection_are_not_taken_for_a_response(
     backend: socket.socket, n: Running, path: str, body: bytes | None
 ) -> None:
-    """A backend writes a part of a response on an idle connection.
+    """A backend writes a part of a response, such as a 408, on an idle connection.
 
-    Sent there, the next request would get it as the beginning of its own response: it is
-    sent on a new connection, and nothing is written on that one.
+    On this connection the next request would take it as the start of its own response. So that
+    request is sent on a new connection, and nothing is written on the old one.
     """
     client = n.connect()
     client.send(request(path, body, rid="first"))
@@ -124,10 +126,10 @@
     assert idle.ends() == b""
 
 
-def test_signals_during_a_stop_change_nothing_for_an_open_request(
+def test_signals_during_a_stop_do_not_affect_an_open_request(
     tmp_path: Path, backend: socket.socket, n: Running
 ) -> None:
-    """A reload and a second stop come while the node waits for its last response."""
+    """SIGHUP and a second SIGTERM arrive while the stopping node waits for its last response."""
     with listen() as moved:
         client = n.connect()
         client.send(request("/credit/1", b"once", rid="open"))
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -1,4 +1,4 @@
-"""The heap of timers over a loop that only notes which of its timers is set."""
+"""The timer heap, tested with a fake event loop that records the timers set on it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Handle:
-    """A timer of the loop."""
+    """A timer of the fake event loop."""
 
     def __init__(self, delay_s: float, callback: Callable[[], None]) -> None:
         self.delay_s = delay_s
@@ -25,7 +25,7 @@
 
 
 class Loop:
-    """A loop whose timers are called by the test."""
+    """A fake event loop whose timers are fired by the test."""
 
     def __init__(self) -> None:
         self.handles: list[Handle] = []
@@ -35,7 +35,7 @@
         return self.handles[-1]
 
     def armed(self) -> list[float]:
-        """The delays of the timers that are set, rounded to a hundredth of a second."""
+        """The delays in seconds of the timers not cancelled, rounded to two digits."""
         return [round(handle.delay_s, 2) for handle in self.handles if not handle.cancelled]
 
 
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def heap(loop: Loop, fired: list[str], monkeypatch: pytest.MonkeyPatch) -> TimerHeap:
-    """An empty heap at the time 100 s."""
+    """An empty heap; the monotonic clock stands at 100 s."""
     monkeypatch.setattr("time.monotonic_ns", lambda: 100 * SECOND_NS)
     return TimerHeap(cast(Any, loop), lambda: fired.append("due"))
 
@@ -67,23 +67,23 @@
         heap.add(due_s * SECOND_NS, due_s)
         heap.arm()
     assert loop.armed() == [3.0]
-    assert len(loop.handles) == 2  # that of 105 s changed nothing
+    assert len(loop.handles) == 2  # the item due at 105 s set no timer
 
 
-def test_a_time_that_has_passed_is_due_at_once(heap: TimerHeap, loop: Loop) -> None:
+def test_an_item_due_in_the_past_fires_immediately(heap: TimerHeap, loop: Loop) -> None:
     heap.add(90 * SECOND_NS, 1)
     heap.arm()
     assert loop.armed() == [0.0]
 
 
-def test_items_come_by_their_times_and_those_of_one_time_in_their_order(heap: TimerHeap) -> None:
+def test_items_are_returned_by_due_time_and_then_in_order_of_insertion(heap: TimerHeap) -> None:
     for due, item in ((30, 3), (20, 1), (20, 2), (40, 4)):
         heap.add(due, item)
     popped = [heap.pop_due(30) for _ in range(4)]
     assert popped == [1, 2, 3, None]
 
 
-def test_once_it_has_fired_the_next_item_sets_it_again(
+def test_after_firing_the_timer_is_set_for_the_next_item(
     heap: TimerHeap, loop: Loop, fired: list[str]
 ) -> None:
     heap.add(101 * SECOND_NS, 1)
--- a/tests/proxy/upstream/conftest.py
+++ b/tests/proxy/upstream/conftest.py
@@ -1,4 +1,4 @@
-"""A node in front of one backend, for tests of what passes between a client and it."""
+"""Fixtures: a node with one backend, and a client connected to the node."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def proxied(tmp_path: Path, request: pytest.FixtureRequest) -> Iterator[Proxied]:
-    """The parameter, where there is one, is the node's memory limit in MB."""
+    """A node with one backend; an indirect parameter sets the node's memory limit in MB."""
     limits = {"memory_mb": getattr(request, "param", 128)}
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
--- a/tests/proxy/upstream/proxied.py
+++ b/tests/proxy/upstream/proxied.py
@@ -1,4 +1,4 @@
-"""A node in front of one backend, and messages too long to hold."""
+"""A node with one backend, and messages too long to be buffered whole."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from tests.harness import Peer, Running, accept, answer, request
 
 SIZE = 3_000_000  # bytes
-LONG = bytes(range(256)) * (SIZE // 256)
+LONG_CONTENT = bytes(range(256)) * (SIZE // 256)
 
 
 class Proxied:
-    """A node in front of one backend, and the connections to both.
+    """A node with one backend, and the test's connections to both.
 
-    It retains them: those that a test has not closed are open while the node stops.
+    The connections are retained, so that those a test has not closed stay open until the node
+    has stopped.
     """
 
     def __init__(self, running: Running, backend: socket.socket) -> None:
@@ -23,38 +24,41 @@
         self._peers: list[Peer] = []
 
     def connect(self) -> Peer:
-        """A client's connection."""
+        """Open a client connection to the node."""
         self._peers.append(self.running.connect())
         return self._peers[-1]
 
     def accept(self) -> Peer:
-        """The node's next connection to the backend."""
+        """Accept the node's next connection to the backend."""
         self._peers.append(accept(self._backend))
         return self._peers[-1]
 
     def forward(self, client: Peer, data: bytes) -> Peer:
-        """Send a request; the backend's connection, which has received it."""
+        """Send a request; returns the backend's connection after it has received the request."""
         client.send(data)
         peer = self.accept()
         peer.message()
         return peer
 
     def begin_upload(self, client: Peer) -> Peer:
-        """Send the first part of a long body; the backend's connection, which has some of it."""
-        client.send(request("/credit", LONG)[: 4 * STREAMING_THRESHOLD_BYTES])
+        """Send a part of a long body; returns the backend's connection, which has received some."""
+        client.send(request("/credit", LONG_CONTENT)[: 4 * STREAMING_THRESHOLD_BYTES])
         peer = self.accept()
         receive_some(peer)
         return peer
 
     def begin_response(self, client: Peer) -> Peer:
-        """Send a request, and the first part of a long response, of which the client has some."""
+        """Send a request and a part of a long response.
+
+        Returns the backend's connection after the client has received some of the response.
+        """
         peer = self.forward(client, request())
-        peer.send(answer(LONG)[: 2 * STREAMING_THRESHOLD_BYTES])
+        peer.send(answer(LONG_CONTENT)[: 2 * STREAMING_THRESHOLD_BYTES])
         receive_some(client)
         return peer
 
     def assert_next_request_is_served(self) -> None:
-        """A new client's request goes to the backend on a new connection."""
+        """Assert that a new client's request is sent on a new backend connection and answered."""
         client = self.connect()
         client.send(request(rid="next"))
         peer = self.accept()
--- a/tests/proxy/upstream/test_abandoned_responses.py
+++ b/tests/proxy/upstream/test_abandoned_responses.py
@@ -1,4 +1,4 @@
-"""Long responses whose clients have left before they began."""
+"""Long responses to clients that disconnected before the response began."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     target,
     until,
 )
-from tests.proxy.upstream.proxied import LONG
+from tests.proxy.upstream.proxied import LONG_CONTENT
 
 MEMORY_MB = 48
 CLIENTS = 3
-RESPONSE = answer(LONG * 9)  # 27 MB, of at most 32
+RESPONSE = answer(LONG_CONTENT * 9)  # 27 MB; the limit is 32 MiB
 
 
-def test_a_long_response_whose_client_has_left_takes_no_memory(tmp_path: Path) -> None:
-    """Clients of unsafe requests leave; then their backends answer with 27 MB each.
+def test_a_long_response_to_a_disconnected_client_is_not_buffered(tmp_path: Path) -> None:
+    """Clients of unsafe requests disconnect, then their backends send responses of 27 MB each.
 
-    An attempt that may have been executed goes on to its outcome, and its response was buffered
-    for nobody: 27 MB each outside the budget of 48 MB, and up to 32 for any such attempt. Its
-    outcome comes as before: the connections are used again, and nothing is sent twice.
+    Such attempts may have been executed, so they continue to their outcomes. Their responses
+    used to be buffered in full, outside the buffer budget and beyond the memory limit of 48 MB.
+    The connections must still be reused afterwards, and no request may be sent twice.
     """
     settings = {"classes": patient_classes()}
     limits = {"memory_mb": MEMORY_MB}
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -1,4 +1,4 @@
-"""The timeout of connecting to a backend, over real sockets and the loop that nodes run on."""
+"""The connect timeout, tested with real sockets and uvloop, the event loop of nodes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Loop:
-    """The event loop, which may be late in taking over a socket that has connected."""
+    """The event loop, with a delay before it takes over a connected socket."""
 
     def __init__(self, delay_s: float) -> None:
         self._loop = asyncio.get_running_loop()
@@ -39,32 +39,32 @@
 
 
 class Host:
-    """Lets every attempt begin, and notes how it ends and that its descriptor is free."""
+    """A host that lets every attempt begin; records outcomes and the closed descriptor."""
 
     def __init__(self, delay_s: float) -> None:
         self.loop = Loop(delay_s)
         settings = SimpleNamespace(connect_timeout=int(TIMEOUT_S * NS_PER_SECOND))
         self.config = SimpleNamespace(settings=settings)
-        self.concluded: list[Outcome] = []
-        self.is_freed = asyncio.Event()
-        self.on_descriptor_closed = self.is_freed.set
+        self.outcomes: list[Outcome] = []
+        self.descriptor_closed = asyncio.Event()
+        self.on_descriptor_closed = self.descriptor_closed.set
 
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
 
     def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
-        self.concluded.append(outcome)
+        self.outcomes.append(outcome)
 
 
-def connecting(host: Host, port: int) -> tuple[BackendConnection, Any]:
-    """A connection that has begun to connect for an attempt, and its pool."""
+def begin_connecting(host: Host, port: int) -> tuple[BackendConnection, Any]:
+    """Begin to connect for an attempt; returns the connection and its pool."""
     pool = SimpleNamespace(host=host, pending={}, count=0, remove=lambda _: None)
-    made = BackendConnection(cast(Any, pool), 1, Address("127.0.0.1", port))
+    connection = BackendConnection(cast(Any, pool), 1, Address("127.0.0.1", port))
     outgoing = SimpleNamespace(head=HEAD, flow=None, chunked=False, body=[], unsafe=False)
     attempt = Attempt(cast(Any, outgoing), 0, 1, time.monotonic_ns())
     attempt.limit = 10 * NS_PER_SECOND
-    made.connect(attempt)
-    return made, pool
+    connection.connect(attempt)
+    return connection, pool
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
@@ -72,56 +72,56 @@
         runner.run(main)
 
 
-def test_a_connect_that_is_never_answered_ends_with_its_timeout() -> None:
-    """A backend's machine has vanished: no connect to it is answered, nor refused.
+def test_a_connect_that_is_never_answered_ends_at_the_connect_timeout() -> None:
+    """A backend's machine has failed, so that connects are neither accepted nor refused.
 
-    The attempt must not wait for its request's deadline. Nothing of it was sent, so another
-    backend may get it; and the kernel's further tries end with it, so that no connection
-    comes up later.
+    The attempt must not wait for the request's deadline. As nothing was sent, its outcome is
+    CONNECT_FAILED and the request can be sent to another backend. The socket is closed, so that
+    the kernel stops sending SYNs and no connection is established later.
     """
 
     async def main() -> None:
         host = Host(delay_s=0.0)
         with FullBacklog() as backend:
-            _, pool = connecting(host, backend.port)
+            _, pool = begin_connecting(host, backend.port)
             await asyncio.sleep(TIMEOUT_S / 2)
-            assert host.concluded == []
+            assert host.outcomes == []
             assert backend.is_awaited()
-            await asyncio.wait_for(host.is_freed.wait(), 5)
-            assert host.concluded == [Outcome.CONNECT_FAILED]
+            await asyncio.wait_for(host.descriptor_closed.wait(), 5)
+            assert host.outcomes == [Outcome.CONNECT_FAILED]
             assert pool.count == 0
             assert not backend.is_awaited()
 
     run(main())
 
 
-def test_a_connection_that_was_established_in_time_is_no_failure_where_the_loop_is_late() -> None:
-    """The timeout comes due between the handshake and the loop's report of the connection.
+def test_a_connection_established_in_time_does_not_fail_if_the_event_loop_is_late() -> None:
+    """The timeout expires between the TCP handshake and the event loop's connection_made.
 
-    The backend has answered in time, and must not be taken for one that is gone: its attempt
-    goes on, and its request is sent once.
+    The backend accepted in time and must not count as unreachable: the attempt continues, and
+    its request is sent once.
     """
 
     async def main() -> None:
         host = Host(delay_s=3 * TIMEOUT_S)
         with listen() as backend:
-            connection, pool = connecting(host, backend.getsockname()[1])
+            connection, pool = begin_connecting(host, backend.getsockname()[1])
             peer, _ = await asyncio.get_running_loop().run_in_executor(None, backend.accept)
             peer.settimeout(5)
             await asyncio.sleep(2 * TIMEOUT_S)
-            assert host.concluded == []
+            assert host.outcomes == []
             received = await asyncio.get_running_loop().run_in_executor(None, peer.recv, 65536)
             assert received.startswith(HEAD)
             assert pool.count == 1
             assert connection.abandon()
-            await asyncio.wait_for(host.is_freed.wait(), 5)
-            assert await_end(peer) == b""
+            await asyncio.wait_for(host.descriptor_closed.wait(), 5)
+            assert receive_to_end(peer) == b""
 
     run(main())
 
 
-def await_end(peer: socket.socket) -> bytes:
-    """What still comes up to the end of a connection, also where that is a reset."""
+def receive_to_end(peer: socket.socket) -> bytes:
+    """Return what is still received; empty if the connection is closed or reset."""
     with peer:
         try:
             return peer.recv(65536)
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -1,8 +1,8 @@
-"""A backend that ends its sending while a part of the request is still to be written.
+"""A backend that shuts down its sending side before the whole request has been written.
 
-The loop would go on writing what it buffers. The backend would then have the whole request
-and might run it, while the node takes its last byte for one that never left: it would send
-an unsafe request to another backend as well, or tell its client that a retry is harmless.
+If the event loop went on writing the rest from its buffer, the backend would receive the whole
+request and might execute it. The node, however, would take the last byte as unsent: it would
+send an unsafe request to another backend too, or tell the client that a retry is safe.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from tests.harness import LIMIT, LONG_MS, Peer, accept, node, request, roster, target
 
 RECEIVE_BUFFER_BYTES = 64 << 10  # of the backend's connections
-# How much the kernel accepts depends on its settings: with one of these sizes the node has
-# read the whole body while a part of it still waits to be written.
+# The test needs a body that the node has read completely but not written completely. How much the
+# kernel accepts depends on its settings; one of these sizes fits.
 BODY_SIZES = (4_000_000, 4_500_000, 5_000_000)
-SETTLE_S = 0.2  # for the node to read the body, and to see the backend's end
+SETTLE_S = 0.2  # for the node to read the body, or to notice the backend's shutdown
 SHORT_BODY = b"x" * 1000
 
 
 @contextlib.contextmanager
 def slow_backend() -> Any:
-    """A listener whose connections receive little ahead of what is read from them."""
+    """Listen with a small receive buffer, so that senders block unless the test reads."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.bind(("127.0.0.1", 0))
@@ -46,7 +46,7 @@
 
 
 def received_completely(peer: Peer) -> bool:
-    """Read to the connection's end; whether a request came to its last byte."""
+    """Read until the connection ends; returns whether a complete request was received."""
     try:
         peer.message()
     except EOFError:
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("size", BODY_SIZES)
-def test_an_upload_that_a_half_closed_backend_received_is_not_rejected(
+def test_an_upload_received_by_a_half_closed_backend_is_not_rejected(
     tmp_path: Path, size: int
 ) -> None:
     with slow_backend() as backend:
@@ -73,7 +73,7 @@
 
 
 class Transport:
-    """A transport whose kernel accepts nothing: what is written waits in its buffer."""
+    """A transport for which the kernel accepts nothing: written bytes stay in its buffer."""
 
     def __init__(self, connection: BackendConnection) -> None:
         self.connection = connection
@@ -98,12 +98,12 @@
 
 
 class Host:
-    """A host that lets every attempt begin, and notes how attempts end."""
+    """A host that lets every attempt begin, and records outcomes."""
 
     on_descriptor_closed: Any = staticmethod(lambda: None)
 
     def __init__(self) -> None:
-        self.concluded: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         self.loop = SimpleNamespace(call_later=lambda *_: SimpleNamespace(cancel=lambda: None))
 
     def may_begin(self, _attempt: Attempt) -> bool:
@@ -116,11 +116,11 @@
         pass
 
     def record_outcome(self, _attempt: Attempt, outcome: Outcome) -> None:
-        self.concluded.append(outcome)
+        self.outcomes.append(outcome)
 
 
 def complete_upload() -> Flow:
-    """A body that is forwarded as it comes, all of which has been read."""
+    """Return the flow of a streamed body that has been read completely."""
     source = SimpleNamespace(pause_flow=lambda: None, resume_flow=lambda: None)
     flow = Flow(BufferBudget(128), cast(Any, source))
     flow.push(SHORT_BODY)
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("streamed", [False, True], ids=["buffered", "streamed"])
-def test_nothing_is_written_after_the_end_of_the_backends_sending(streamed: bool) -> None:
+def test_nothing_is_written_after_the_backend_has_half_closed(streamed: bool) -> None:
     host = Host()
     pool = SimpleNamespace(host=host, pending={}, count=1, remove=lambda _: None)
     connection = BackendConnection(cast(Any, pool), 1, Address("127.0.0.1", 8001))
@@ -141,14 +141,14 @@
     connection.connection_made(cast(Any, transport))
     written = transport.written
     connection.eof_received()
-    connection.resume_writing()  # as the loop does when its buffer is empty
+    connection.resume_writing()  # as the event loop does once the transport's buffer is empty
     assert transport.written == written
     assert transport.aborted
-    assert host.concluded == [Outcome.CONNECT_FAILED]
+    assert host.outcomes == [Outcome.CONNECT_FAILED]
 
 
 class Reader(threading.Thread):
-    """A backend that reads one connection to its end, from the moment that it is told to."""
+    """A backend that reads one connection to its end once `begin` is set."""
 
     def __init__(self, listener: socket.socket) -> None:
         super().__init__()
@@ -164,10 +164,10 @@
                 self.received += len(data)
 
 
-async def abandon_within_one_turn(listener: socket.socket, reader: Reader) -> tuple[bool, int]:
-    """Abandon an upload in the turn in which its backend has just read all but its end.
+async def abandon_within_one_iteration(listener: socket.socket, reader: Reader) -> tuple[bool, int]:
+    """Abandon an upload in the loop iteration in which its backend has read all but its end.
 
-    Returns what `abandon` says, and how many bytes the request has.
+    Returns the result of `abandon` and the size of the body.
     """
     host = Host()
     loop = asyncio.get_running_loop()
@@ -193,23 +193,23 @@
     flow.finish()
     reader.begin.set()
     while reader.received < size - len(SHORT_BODY) * 50:
-        time.sleep(0.01)  # the loop is late
+        time.sleep(0.01)  # blocks the event loop on purpose
     written = connection.abandon()
     await closed.wait()
     return written, size
 
 
-def test_an_abandoned_upload_gets_no_further() -> None:
-    """An attempt is given up while the end of its body waits for the kernel.
+def test_nothing_more_of_an_abandoned_upload_is_sent() -> None:
+    """An attempt is aborted while the end of its body is in the transport's buffer.
 
-    The loop is late, the backend has read meanwhile, so that the kernel accepts bytes again:
-    the rest would leave before the aborted connection is closed.
+    The event loop is late and the backend has read meanwhile, so the kernel accepts bytes again.
+    The event loop could write the rest before it closes the aborted connection.
     """
     with slow_backend() as listener:
         reader = Reader(listener)
         reader.start()
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            written, size = runner.run(abandon_within_one_turn(listener, reader))
+            written, size = runner.run(abandon_within_one_iteration(listener, reader))
         reader.join(LIMIT)
         assert not written
         assert reader.received < size
--- a/tests/proxy/upstream/test_long_messages.py
+++ b/tests/proxy/upstream/test_long_messages.py
@@ -1,4 +1,4 @@
-"""Bodies and answers too long to hold: passed on in windows, and cut so that it shows."""
+"""Long bodies and responses, which are streamed; clients can detect truncated ones."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES
 from tests.harness import Peer, answer, request
-from tests.proxy.upstream.proxied import LONG, SIZE, Proxied
+from tests.proxy.upstream.proxied import LONG_CONTENT, SIZE, Proxied
 
 
-def body(peer: Peer) -> tuple[str, dict[str, str], bytes]:
-    """One message, by length or in chunks, without extensions and trailers."""
+def read_message(peer: Peer) -> tuple[str, dict[str, str], bytes]:
+    """Read a message with a Content-Length or in chunks; drops chunk extensions and trailers."""
     line, headers, got = peer.message()
     if headers.get("transfer-encoding") != "chunked":
         return line, headers, got
@@ -38,13 +38,13 @@
     return first
 
 
-def chunked(data: bytes, step: int = 50_000) -> bytes:
+def encode_chunks(data: bytes, step: int = 50_000) -> bytes:
     parts = [data[i : i + step] for i in range(0, len(data), step)]
     return b"".join(b"%x;why=not\r\n%s\r\n" % (len(p), p) for p in parts) + b"0\r\nX-T: 1\r\n\r\n"
 
 
-def sending(peer: Peer, data: bytes, close: bool = False) -> threading.Thread:
-    """Send beside whatever this test does; a peer that goes away ends it."""
+def send_in_thread(peer: Peer, data: bytes, close: bool = False) -> threading.Thread:
+    """Send in a thread; it ends early if the other side closes the connection."""
 
     def send() -> None:
         with contextlib.suppress(OSError):
@@ -58,25 +58,27 @@
 
 
 @pytest.mark.parametrize("way", ["length", "chunked", "expect"])
-def test_a_long_body_goes_on_unchanged(proxied: Proxied, client: Peer, way: str) -> None:
+def test_a_long_body_is_forwarded_unchanged(proxied: Proxied, client: Peer, way: str) -> None:
     if way == "chunked":
         head = request("/credit", b"", Content_Length="", Transfer_Encoding="chunked")
-        thread = sending(client, head + chunked(LONG))
+        thread = send_in_thread(client, head + encode_chunks(LONG_CONTENT))
     elif way == "expect":
-        client.send(request("/credit", b"", Content_Length=str(len(LONG)), Expect="100-continue"))
+        client.send(
+            request("/credit", b"", Content_Length=str(len(LONG_CONTENT)), Expect="100-continue")
+        )
         assert client.message()[0] == "HTTP/1.1 100 Continue"
-        thread = sending(client, LONG)
+        thread = send_in_thread(client, LONG_CONTENT)
     else:
-        thread = sending(client, request("/credit", LONG))
+        thread = send_in_thread(client, request("/credit", LONG_CONTENT))
     peer = proxied.accept()
-    line, headers, got = body(peer)
+    line, headers, got = read_message(peer)
     assert line == "POST /credit HTTP/1.1"
     assert headers["x-request-id"] == "9b1f03aa5c7e2d41"
-    assert got == LONG
+    assert got == LONG_CONTENT
     peer.send(answer(b"done"))
     assert client.message()[2] == b"done"
     thread.join()
-    client.send(request())  # the connections are kept, both of them
+    client.send(request())  # both connections are kept alive
     peer.message()
     peer.send(answer(b"next"))
     assert client.message()[2] == b"next"
@@ -84,31 +86,31 @@
 
 @pytest.mark.parametrize("way", ["length", "chunked", "close"])
 @pytest.mark.parametrize("version", ["1.0", "1.1"])
-def test_a_long_answer_goes_on_unchanged(
+def test_a_long_response_is_forwarded_unchanged(
     proxied: Proxied, client: Peer, way: str, version: str
 ) -> None:
     peer = proxied.forward(client, request().replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
     if way == "length":
-        thread = sending(peer, answer(LONG))
+        thread = send_in_thread(peer, answer(LONG_CONTENT))
     elif way == "chunked":
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        thread = sending(peer, head + chunked(LONG))
+        thread = send_in_thread(peer, head + encode_chunks(LONG_CONTENT))
     else:
         peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-        thread = sending(peer, LONG, close=True)
+        thread = send_in_thread(peer, LONG_CONTENT, close=True)
     if version == "1.0":
         head, _, got = client.ends().partition(b"\r\n\r\n")
         assert b"chunked" not in head
     else:
-        _, _, got = body(client)
+        _, _, got = read_message(client)
     thread.join()
-    assert got == LONG
+    assert got == LONG_CONTENT
 
 
-def test_a_slow_answer_without_a_length_goes_on_before_it_ends(
+def test_a_slow_response_of_unknown_length_is_streamed_before_it_ends(
     proxied: Proxied, client: Peer
 ) -> None:
-    """Far under 64 KiB, but it might become longer: its first bytes do not wait for that."""
+    """It stays far below the streaming threshold, but might have become longer."""
     peer = proxied.forward(client, request())
     peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     sent = 0
@@ -121,10 +123,10 @@
             client.more()
     client.sock.settimeout(20.0)
     peer.send(b"0\r\n\r\n")
-    assert body(client)[2] == b"x" * sent
+    assert read_message(client)[2] == b"x" * sent
 
 
-def test_pieces_of_one_byte_in_both_directions(proxied: Proxied, client: Peer) -> None:
+def test_messages_sent_byte_by_byte_in_both_directions(proxied: Proxied, client: Peer) -> None:
     for byte in request("/credit", b"slow"):
         client.send(bytes([byte]))
     peer = proxied.accept()
@@ -134,16 +136,16 @@
     assert client.message()[2] == b"as slow"
 
 
-def test_white_space_around_a_value_is_none_of_it(proxied: Proxied, client: Peer) -> None:
+def test_white_space_around_a_field_value_is_ignored(proxied: Proxied, client: Peer) -> None:
     peer = proxied.forward(client, request(X_Timeout_Ms="1500 \t", X_Priority_Class=" balance "))
     peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: \t2 \r\n\r\nok")
     assert client.message()[2] == b"ok"
 
 
-def test_requests_behind_one_another_are_answered_in_turn(proxied: Proxied, client: Peer) -> None:
-    long = request("/credit", LONG, rid="a3")
+def test_pipelined_requests_are_answered_in_order(proxied: Proxied, client: Peer) -> None:
+    long = request("/credit", LONG_CONTENT, rid="a3")
     first = request(rid="a1") + request("/credit", b"x", rid="a2")
-    thread = sending(client, first + long + request(rid="a4"))
+    thread = send_in_thread(client, first + long + request(rid="a4"))
     peer = proxied.accept()
     for rid in ("a1", "a2", "a3", "a4"):
         _, headers, _ = peer.message()
@@ -154,7 +156,7 @@
     thread.join()
 
 
-def test_a_continue_that_waits_behind_an_answer_stands_nowhere_in_it(
+def test_100_continue_for_a_pipelined_request_is_not_sent_within_the_previous_response(
     proxied: Proxied, client: Peer
 ) -> None:
     asks = request("/credit", b"", rid="a2", Content_Length="4", Expect="100-continue")
@@ -170,7 +172,9 @@
     assert client.message()[2] == b"second"
 
 
-def test_an_answer_that_breaks_off_is_cut_and_not_replaced(proxied: Proxied, client: Peer) -> None:
+def test_a_streamed_response_that_breaks_off_is_truncated_and_not_retried(
+    proxied: Proxied, client: Peer
+) -> None:
     peer = proxied.begin_response(client)
     peer.reset()
     got = client.ends()
@@ -180,11 +184,11 @@
 
 
 @pytest.mark.parametrize("way", ["stalls", "ends early"])
-def test_an_answer_that_stalls_or_ends_early_is_cut_so_that_it_shows(
+def test_a_response_that_stalls_or_ends_early_is_truncated(
     proxied: Proxied, client: Peer, way: str
 ) -> None:
     peer = proxied.forward(client, request())
-    peer.send(answer(LONG)[: 3 * STREAMING_THRESHOLD_BYTES])
+    peer.send(answer(LONG_CONTENT)[: 3 * STREAMING_THRESHOLD_BYTES])
     if way == "ends early":
         peer.sock.shutdown(socket.SHUT_WR)
     got = client.ends()
@@ -193,10 +197,14 @@
 
 
 @pytest.mark.parametrize("way", ["resets", "answers"])
-def test_a_long_body_whose_server_goes_is_refused_while_it_can_not_have_run(
+def test_a_long_body_is_rejected_if_its_backend_fails_before_the_end(
     proxied: Proxied, client: Peer, way: str
 ) -> None:
-    """Its bytes are held no more: it goes to nobody else. An early answer is not one to it."""
+    """Its first bytes are no longer buffered, so it can't be sent to another backend.
+
+    It can't have been executed, so the client gets a 503. An early response is ignored, as it
+    can't be a response to the complete request.
+    """
     peer = proxied.begin_upload(client)
     if way == "resets":
         peer.reset()
@@ -207,20 +215,22 @@
     assert headers["connection"] == "close"
     client.close()
     if way == "answers":
-        return  # the only server rests after that
+        return  # the only backend is not used for a while after a 503
     proxied.assert_next_request_is_served()
 
 
-def test_a_long_body_that_may_have_run_is_failed(proxied: Proxied, client: Peer) -> None:
-    thread = sending(client, request("/credit", LONG))
+def test_a_long_body_that_may_have_been_executed_gets_a_502(proxied: Proxied, client: Peer) -> None:
+    thread = send_in_thread(client, request("/credit", LONG_CONTENT))
     peer = proxied.accept()
-    assert peer.message()[2] == LONG
+    assert peer.message()[2] == LONG_CONTENT
     peer.reset()
     assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
     thread.join()
 
 
-def test_noise_behind_a_long_answer_puts_nothing_into_it(proxied: Proxied, client: Peer) -> None:
+def test_a_malformed_pipelined_request_adds_nothing_to_a_streamed_response(
+    proxied: Proxied, client: Peer
+) -> None:
     peer = proxied.begin_response(client)
     client.send(b"\x8a\xff\r\n\r\n")
     got = client.ends()
@@ -229,15 +239,17 @@
     assert peer.ends() == b""
 
 
-def test_a_body_that_is_cut_off_frees_its_server_at_once(proxied: Proxied, client: Peer) -> None:
+def test_an_upload_that_ends_early_closes_its_backend_connection_at_once(
+    proxied: Proxied, client: Peer
+) -> None:
     peer = proxied.begin_upload(client)
     client.sock.shutdown(socket.SHUT_WR)
     assert len(peer.ends()) < SIZE
-    assert client.ends() == b""  # not the 408 of a body that is waited for
+    assert client.ends() == b""  # no 408, which is for a body that stalls
 
 
 @pytest.mark.parametrize("when", ["body", "answer"])
-def test_a_client_that_leaves_in_the_middle_frees_its_server(
+def test_a_client_that_disconnects_midway_closes_the_backend_connection(
     proxied: Proxied, client: Peer, when: str
 ) -> None:
     begin = {"body": proxied.begin_upload, "answer": proxied.begin_response}
@@ -246,16 +258,16 @@
     assert len(peer.ends()) < SIZE
 
 
-def test_a_length_over_the_maximum_is_refused_before_its_body(client: Peer) -> None:
+def test_a_content_length_over_the_maximum_is_rejected_before_the_body(client: Peer) -> None:
     client.send(request("/credit", b"", Content_Length=str((32 << 20) + 1)))
     assert client.message()[0] == "HTTP/1.1 413 Content Too Large"
 
 
 @pytest.mark.parametrize("proxied", [48], indirect=True)
-def test_more_than_memory_holds_passes_and_small_requests_are_served_beside(
+def test_responses_larger_than_memory_are_streamed_while_small_requests_are_served(
     proxied: Proxied,
 ) -> None:
-    """8 answers of 9 MB that nobody reads yet, at 48 MB: then each comes whole."""
+    """8 responses of 9 MB wait for their clients at a limit of 48 MB; later each is complete."""
     clients: list[Peer] = []
     threads: list[threading.Thread] = []
     for i in range(8):
@@ -263,7 +275,7 @@
         peer = proxied.forward(client, request(rid=f"long{i}", timeout=2000))
         while not client.buffer:
             if not threads or len(threads) == i:
-                threads.append(sending(peer, answer(LONG * 3)))
+                threads.append(send_in_thread(peer, answer(LONG_CONTENT * 3)))
             assert client.more()
         clients.append(client)
     small = proxied.connect()
@@ -272,6 +284,6 @@
     assert small.message()[2] == b"served"
     assert proxied.running.resident_mb() < 48
     for client in clients:
-        assert client.message()[2] == LONG * 3
+        assert client.message()[2] == LONG_CONTENT * 3
     for thread in threads:
         thread.join()
--- a/tests/proxy/upstream/test_response_reader.py
+++ b/tests/proxy/upstream/test_response_reader.py
@@ -1,4 +1,4 @@
-"""The response reader alone: bytes in, a state and the fields out."""
+"""The response reader in isolation: it is fed bytes, and its state and attributes checked."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def read(data: bytes) -> ResponseReader:
-    """A reader that has been fed these bytes at once."""
+    """Return a reader that has been fed these bytes in one call."""
     reader = ResponseReader()
     reader.feed(data)
     return reader
 
 
-def test_a_complete_response_leaves_its_fields_and_the_connection_open() -> None:
+def test_a_complete_response_sets_the_attributes_and_keeps_the_connection_alive() -> None:
     reader = read(
         b"HTTP/1.1 200 OK\r\nContent-Length: \t2 \r\nContent-Type: text/plain\r\n"
         b"X-Server-Load: rif=3\r\n\r\nok"
@@ -49,7 +49,7 @@
         (OK, COMPLETE),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", COMPLETE),
         (b"HTTP/1.1 200 OK\r\nConnection: keep-alive, Close\r\n\r\nok", CONTENT),
-        (b"HTTP/1.1 200 OK\r\n\r\nok", MALFORMED),  # its end would be any broken connection's
+        (b"HTTP/1.1 200 OK\r\n\r\nok", MALFORMED),  # can't be told from a failed connection
         (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_MESSAGE_BYTES + 1), MALFORMED),
         (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % MAX_MESSAGE_BYTES, CONTENT),
         (b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * MAX_HEAD_BYTES, MALFORMED),
@@ -60,7 +60,7 @@
     assert read(data).state is state
 
 
-def test_one_byte_at_a_time_reads_the_same() -> None:
+def test_a_response_fed_byte_by_byte_is_read_alike() -> None:
     reader = ResponseReader()
     for byte in OK:
         assert reader.state is not COMPLETE
@@ -69,10 +69,10 @@
     assert b"".join(reader.take_chunks()) == b"ok"
 
 
-@pytest.mark.parametrize("behind", [b"\x8a\x00noise", OK, b"HTTP/1.1 408 Requ"])
-def test_bytes_behind_a_response_are_no_part_of_it_and_end_the_connection(behind: bytes) -> None:
-    """They would pass for a response to the next request on this connection."""
-    reader = read(OK + behind)
+@pytest.mark.parametrize("trailing", [b"\x8a\x00noise", OK, b"HTTP/1.1 408 Requ"])
+def test_bytes_after_a_response_are_not_part_of_it_and_prevent_keep_alive(trailing: bytes) -> None:
+    """They would be taken for the response to the next request on this connection."""
+    reader = read(OK + trailing)
     assert reader.state is COMPLETE
     assert reader.take_chunks() == [b"ok"]
     assert not reader.keep_alive
@@ -85,18 +85,18 @@
     assert reader.keep_alive
 
 
-def test_more_interim_responses_than_accepted_count_as_the_final_one() -> None:
+def test_an_interim_response_over_the_maximum_counts_as_final() -> None:
     reader = read(b"HTTP/1.1 103 Early Hints\r\n\r\n" * (MAX_INTERIM_RESPONSES + 1))
     assert (reader.state, reader.status) == (COMPLETE, 103)
 
 
-def test_a_switch_of_protocols_is_a_response_behind_which_nothing_follows() -> None:
+def test_switching_protocols_is_a_final_response_without_keep_alive() -> None:
     reader = read(b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: h2c\r\n\r\n")
     assert (reader.state, reader.status) == (COMPLETE, 101)
     assert not reader.keep_alive
 
 
-def test_the_content_of_an_error_is_counted_and_dropped() -> None:
+def test_the_content_of_an_error_response_is_counted_and_dropped() -> None:
     size = STREAMING_THRESHOLD_BYTES
     head = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: %d\r\n\r\n"
     reader = read(head % size + b"e" * size)
@@ -116,17 +116,17 @@
         (b"HTTP/1.1 500 Oops\r\n\r\n", True),
     ],
 )
-def test_the_end_of_sending_completes_only_what_has_no_other_end(
+def test_end_of_stream_completes_only_responses_of_unknown_length(
     head: bytes, completes: bool
 ) -> None:
-    """A response with a length or chunks that ends early is truncated, not complete."""
+    """A response with a length or in chunks that ends early is truncated, not complete."""
     reader = read(head + b"ok")
     assert reader.feed_eof() is completes
     assert (reader.state is COMPLETE) is completes
     assert not reader.keep_alive
 
 
-def test_a_reset_reader_retains_nothing_of_the_last_response() -> None:
+def test_reset_clears_the_previous_response() -> None:
     reader = read(b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
     reader.reset()
     assert (reader.state, reader.status, reader.not_processed) == (HEAD, 0, False)
@@ -134,7 +134,7 @@
     assert (reader.state, reader.status, reader.length) == (COMPLETE, 200, 2)
 
 
-def test_a_closed_reader_reads_no_more() -> None:
+def test_a_closed_reader_ignores_further_bytes() -> None:
     reader = ResponseReader()
     reader.close()
     reader.feed(OK)
--- a/tests/proxy/upstream/test_unfinished_uploads.py
+++ b/tests/proxy/upstream/test_unfinished_uploads.py
@@ -1,4 +1,4 @@
-"""Long bodies whose clients leave before the node has written them to a backend."""
+"""Uploads whose clients disconnect before the node has written the body to a backend."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 )
 
 RECEIVE_BUFFER_BYTES = 4096  # of the backend's connections
-MANY_BYTES = 30_000_000  # more than the kernel's buffers and the node's hold
-# Half of what the node reads ahead of the kernel's buffers, with its memory of 128 MB. What those
-# hold differs from connection to connection.
+MANY_BYTES = 30_000_000  # more than fits into the buffers of the kernel and the node together
+# Half of what the node buffers of an upload beyond the kernel's buffers, at its memory limit of
+# 128 MB. It is only half because the capacity of the kernel's buffers varies between connections.
 WAITING_BYTES = 1_500_000
 SETTLE_S = 0.2
 
 
 @pytest.fixture
 def backend() -> Iterator[socket.socket]:
-    """A backend that receives little ahead of what is read from it."""
+    """A backend with a small receive buffer."""
     with listen() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         yield sock
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
-    """A node whose requests may take very long."""
+    """A node with very long request timeouts."""
     known = roster(target("s-1", backend.getsockname()[1]))
     with node(tmp_path, known, settings={"classes": patient_classes()}) as running:
         yield running
@@ -55,7 +55,7 @@
 
 
 def accept_upload(backend: socket.socket) -> Peer:
-    """Accept an upload's connection, and wait until its buffers are full."""
+    """Accept an upload's connection, and wait until its receive buffer is full."""
     peer = accept(backend)
     before, unread = -1, 0
     while unread != before or not unread:
@@ -66,16 +66,16 @@
 
 
 def kernel_capacity(n: Running, backend: socket.socket) -> int:
-    """How much of an upload the kernel's buffers hold towards a backend that does not read.
+    """Measure how much of an upload fits into the kernel's buffers if the backend does not read.
 
-    The node discards what they don't hold as soon as the backend ends its sending.
+    The node discards the rest of the upload once the backend shuts down its sending side.
     """
     client = n.connect()
     sender = threading.Thread(target=client.send, args=(upload(MANY_BYTES),))
     sender.start()
     peer = accept_upload(backend)
     peer.sock.shutdown(socket.SHUT_WR)
-    time.sleep(SETTLE_S)  # for the node to learn of it
+    time.sleep(SETTLE_S)  # for the node to notice
     buffered = len(peer.ends())
     client.message()
     sender.join()
@@ -84,21 +84,21 @@
     return buffered
 
 
-def test_an_upload_that_waits_in_the_node_ends_with_its_client(
+def test_an_upload_buffered_in_the_node_ends_when_its_client_disconnects(
     n: Running, backend: socket.socket
 ) -> None:
-    """A client leaves once the node has read its long body, of which the end still waits.
+    """A client disconnects after the node has read its long body but not yet written its end.
 
-    That end is discarded with the client's request. Its attempt went on nevertheless, to the
-    request's deadline: it used its slot and its backend's connection, and then counted
-    against the backend as one that could not be connected to.
+    The unwritten end is discarded with the request, so the attempt can never be completed. It
+    used to continue until the request's deadline: it occupied a slot and a backend connection,
+    and then counted as a failed connect against the backend.
     """
     message = upload(kernel_capacity(n, backend) + WAITING_BYTES)
     client = n.connect()
     client.send(message)
     peer = accept_upload(backend)
     client.reset()
-    time.sleep(SETTLE_S)  # for the node to learn of it
-    # Its end comes long before the deadline, or the peer's own limit passes.
+    time.sleep(SETTLE_S)  # for the node to notice
+    # The connection must end long before the deadline; otherwise the peer's timeout fails this.
     assert len(peer.ends()) < len(message)
     peer.close()
