--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -68,7 +68,7 @@
         elif limit <= 0:
             self.record_outcome(attempt, Outcome.TIMEOUT)
         else:
-            attempt.limit = limit
+            attempt.timeout = limit
             self._timers.add(now + limit, attempt)
             self.upstream.send(attempt)
 
@@ -108,7 +108,7 @@
         If the request's last byte never left this process, the attempt was not executed, and
         `outcome` is replaced by one that says so. Otherwise it may have been executed.
         """
-        if attempt.closed:
+        if attempt.settled:
             return
         connection = attempt.connection
         if connection is not None and not connection.abandon():
@@ -123,7 +123,7 @@
         as failed connects. A short wait may be due to a delay in this process and does not
         count against the backend.
         """
-        waited_ns = self.now - attempt.sent
+        waited_ns = self.now - attempt.sent_at
         waited_long = waited_ns * CONNECT_TIMEOUT_DIVISOR >= self.config.settings.connect_timeout
         return (
             Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and waited_long else Outcome.MOOT
@@ -157,10 +157,10 @@
         request.deadline = now + request.timeout
         self._timers.add(request.deadline + BACKSTOP_NS, request)
         for attempt in request.attempts:
-            if not attempt.closed:
+            if not attempt.settled:
                 # The attempt may have been sent long before the end of the body, so its own
                 # shorter timeout does not apply; it may last until the request's deadline.
-                attempt.limit = request.deadline - attempt.sent
+                attempt.timeout = request.deadline - attempt.sent_at
                 self._timers.add(request.deadline, attempt)
         self._timers.arm()
 
@@ -172,8 +172,8 @@
         request = attempt.request
         now = time.monotonic_ns()
         # As in `on_body_received`, the attempt may last until the request's deadline.
-        attempt.limit = max(request.deadline - now, 0)
-        attempt.sent = now
+        attempt.timeout = max(request.deadline - now, 0)
+        attempt.sent_at = now
         self._timers.add(request.deadline, attempt)
         self.notify_balancer(self.balancer.on_body_sent, request.id, attempt.number)
 
@@ -187,7 +187,7 @@
         """
         request = attempt.request
         self.open_request_ids.discard(request.client_request_id)
-        duration = time.monotonic_ns() - attempt.sent
+        duration = time.monotonic_ns() - attempt.sent_at
         event = self.balancer.on_response_started
         self.notify_balancer(event, request.id, attempt.number, duration)
         request.started = True
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -140,14 +140,14 @@
             outcome: how the attempt ended.
             load: the load that the backend reported, in the order of the settings' columns.
         """
-        if attempt.closed:
+        if attempt.settled:
             return
-        attempt.closed = True
+        attempt.settled = True
         attempt.connection = None
         inside = self.in_event
         now = self.now if inside else self.begin_event()
         request = attempt.request
-        self._outcomes.append((attempt, outcome, now - attempt.sent, load))
+        self._outcomes.append((attempt, outcome, now - attempt.sent_at, load))
         try:
             if (outcome == OK or request.started) and not request.ended:
                 self.end(request)
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -117,20 +117,19 @@
 class Attempt:
     """One attempt to send a request to a backend. It has exactly one outcome.
 
-    `sent` is when it was sent, by the monotonic clock; `limit` is its timeout. Both are in
-    nanoseconds.
+    `sent_at` is by the monotonic clock; `timeout` counts from then. Both are in nanoseconds.
     """
 
     __slots__ = (
-        "backend", "closed", "connected", "connection", "limit", "number", "request", "sent",
+        "backend", "connected", "connection", "number", "request", "sent_at", "settled", "timeout",
     )  # fmt: skip
 
-    def __init__(self, request: Request, number: int, backend: int, sent: int) -> None:
+    def __init__(self, request: Request, number: int, backend: int, sent_at: int) -> None:
         self.request = request
         self.number = number
         self.backend = backend
-        self.sent = sent
-        self.limit = 0
-        self.closed = False  # whether its outcome is settled
+        self.sent_at = sent_at
+        self.timeout = 0
+        self.settled = False  # whether its outcome is settled
         self.connected = False  # whether its connection was ever established
         self.connection: AttemptConnection | None = None
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -34,7 +34,7 @@
         try:
             while (item := self._timers.pop_due(now)) is not None:
                 if isinstance(item, Attempt):
-                    if not item.closed and self._is_timed_out(item, now):
+                    if not item.settled and self._is_timed_out(item, now):
                         self.abort_attempt(item, Outcome.TIMEOUT)
                 elif isinstance(item, Request):
                     if not item.ended:
@@ -67,7 +67,7 @@
         request = attempt.request
         if request.started or request.receiving:
             return False
-        return attempt.sent + attempt.limit <= now
+        return attempt.sent_at + attempt.timeout <= now
 
     def _on_backstop(self, request: Request, now: int) -> None:
         """Fail a request that the Balancer has not answered by its deadline.
--- a/loadbalancer/proxy/upstream/request_writer.py
+++ b/loadbalancer/proxy/upstream/request_writer.py
@@ -75,7 +75,7 @@
         attempt.connected = True
         request = attempt.request
         self._next_piece = 0
-        remaining = attempt.sent + attempt.limit - time.monotonic_ns()
+        remaining = attempt.sent_at + attempt.timeout - time.monotonic_ns()
         head = b"%s%d\r\n\r\n" % (request.head, max(remaining // MS, 1))
         if request.flow is not None:
             self._begin_upload(request.flow, head)
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -220,7 +220,7 @@
         host._timers._fire()
     assert host._timers._handle is not None
     host._timers._fire()
-    assert request.attempts[1].closed
+    assert request.attempts[1].settled
     assert balancer.outcomes == [Outcome.TIMEOUT]
 
 
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -62,7 +62,7 @@
     connection = BackendConnection(cast(Any, pool), 1, Address("127.0.0.1", port))
     outgoing = SimpleNamespace(head=HEAD, flow=None, chunked=False, body=[], unsafe=False)
     attempt = Attempt(cast(Any, outgoing), 0, 1, time.monotonic_ns())
-    attempt.limit = 10 * NS_PER_SECOND
+    attempt.timeout = 10 * NS_PER_SECOND
     connection.connect(attempt)
     return connection, pool
 
