--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -24,7 +24,7 @@
 # so against its backend, once it has waited for at least 1/4 of the connect timeout.
 CONNECT_TIMEOUT_DIVISOR = 4
 # A request that the Balancer has not answered is failed this long after its deadline.
-BACKSTOP_NS = 10 * MS
+ANSWER_GRACE_NS = 10 * MS
 
 
 class AttemptHost(BalancerEvents, ABC):
@@ -155,7 +155,7 @@
         """
         now = time.monotonic_ns()
         request.deadline = now + request.timeout
-        self._timers.add(request.deadline + BACKSTOP_NS, request)
+        self._timers.add(request.deadline + ANSWER_GRACE_NS, request)
         for attempt in request.attempts:
             if not attempt.settled:
                 # The attempt may have been sent long before the end of the body, so its own
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core import Outcome
-from loadbalancer.proxy.attempts import BACKSTOP_NS, AttemptHost
+from loadbalancer.proxy.attempts import ANSWER_GRACE_NS, AttemptHost
 from loadbalancer.proxy.exchange import Request
 from loadbalancer.proxy.open_requests import BAD_GATEWAY
 
@@ -45,7 +45,7 @@
         self.requests[number] = request
         self.open_count += 1
         self.open_request_ids.add(request.client_request_id)
-        self._timers.add(request.deadline + BACKSTOP_NS, request)
+        self._timers.add(request.deadline + ANSWER_GRACE_NS, request)
         try:
             self.balancer.on_request(
                 now,
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -38,7 +38,7 @@
                         self.abort_attempt(item, Outcome.TIMEOUT)
                 elif isinstance(item, Request):
                     if not item.ended:
-                        self._on_backstop(item, now)
+                        self._fail_if_unanswered(item, now)
                 else:
                     self._on_balancer_timer(item, now)
         finally:
@@ -69,7 +69,7 @@
             return False
         return attempt.sent_at + attempt.timeout <= now
 
-    def _on_backstop(self, request: Request, now: int) -> None:
+    def _fail_if_unanswered(self, request: Request, now: int) -> None:
         """Fail a request that the Balancer has not answered by its deadline.
 
         Without this, an error in the Balancer would leave the client waiting until it gives up
