--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -18,7 +18,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Before a request older than this is sent, its client is checked for a half-close.
+# Before a request older than this is sent, or any request is retried, its client's socket is
+# checked for a half-close.
 HALF_CLOSE_CHECK_AGE_NS = 50 * MS
 # An attempt that times out before its connection is established counts as a failed connect, and
 # so against its backend, once it has waited for at least 1/4 of the connect timeout.
@@ -124,10 +125,8 @@
         count against the backend.
         """
         waited_ns = self.now - attempt.sent_at
-        waited_long = waited_ns * CONNECT_TIMEOUT_DIVISOR >= self.config.settings.connect_timeout
-        return (
-            Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and waited_long else Outcome.MOOT
-        )
+        is_long = waited_ns * CONNECT_TIMEOUT_DIVISOR >= self.config.settings.connect_timeout
+        return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT and is_long else Outcome.MOOT
 
     def abort_unwritten_attempts(self, request: Request) -> None:
         """Abort those attempts of a request that no backend can have begun to execute."""
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -115,14 +115,14 @@
 
         Uses the current event if there is one, and an event of its own otherwise.
         """
-        inside = self.in_event
-        now = self.now if inside else self.begin_event()
+        was_in_event = self.in_event
+        now = self.now if was_in_event else self.begin_event()
         try:
             event(now, *args)
         except Exception:  # noqa: BLE001 -- an error in the Balancer must not end the process
             self._log_fault()
         finally:
-            if not inside:
+            if not was_in_event:
                 self.end_event()
 
     def _log_fault(self) -> None:
@@ -144,15 +144,15 @@
             return
         attempt.settled = True
         attempt.connection = None
-        inside = self.in_event
-        now = self.now if inside else self.begin_event()
+        was_in_event = self.in_event
+        now = self.now if was_in_event else self.begin_event()
         request = attempt.request
         self._outcomes.append((attempt, outcome, now - attempt.sent_at, load))
         try:
             if (outcome == OK or request.started) and not request.ended:
                 self.end(request)
         finally:
-            if not inside:
+            if not was_in_event:
                 self.end_event()
 
     def _report_outcomes(self) -> None:
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -55,16 +55,16 @@
     client_request_id: bytes
     method: bytes
     body: list[bytes]
-    size: int
-    flow: Flow | None
+    size: int  # of the body
+    flow: Flow | None  # of a long body, forwarded while it is received
     chunked: bool
-    cls: ClassState
-    timeout: int
+    cls: ClassState  # the class of the request
+    timeout: int  # in nanoseconds
     tenant: int
     key: int
-    hint: int
-    retried: bool
-    policy: Policy | None
+    hint: int  # the client's estimate of the work
+    retried: bool  # whether the client marked the request as a retry
+    policy: Policy | None  # that of its route, if there is a routes file
 
 
 class Request:
--- a/loadbalancer/proxy/timer_events.py
+++ b/loadbalancer/proxy/timer_events.py
@@ -53,7 +53,7 @@
         """
         try:
             self.balancer.on_timer(now, token)
-        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+        except Exception:  # noqa: BLE001 -- an error in the Balancer must not end the process
             self._log_fault()
             self.set_timer(token, now + RETRY_AFTER_FAULT_NS)
 
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -169,9 +169,9 @@
     def _fail(self, outcome: Outcome) -> None:
         """Close the connection and settle its attempt, if there is one.
 
-        `outcome` is RESET if the connection ended or the backend stopped sending, and ERROR if
-        the backend sent a malformed response. The attempt gets CONNECT_FAILED instead if the
-        backend cannot have begun to execute the request.
+        Callers pass RESET if connecting failed, the connection ended or a streamed response
+        stalled, and ERROR if a response was malformed or stalled while it was buffered. The
+        attempt gets CONNECT_FAILED instead if the backend cannot have begun to execute the request.
         """
         attempt, self.attempt = self.attempt, None
         client, self._client = self._client, None
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -37,10 +37,8 @@
 # that turns out to be malformed can't be retried.
 UNKNOWN_LENGTH_DELAY_S = 0.03
 
-OVERLOAD_STATUSES = (
-    503,
-    504,
-)  # with X-Not-Processed: 1, the backend has not begun to execute the request
+# Together with X-Not-Processed: 1 these mean that the backend has not begun to execute the request.
+OVERLOAD_STATUSES = (503, 504)
 # Statuses that report a fault of the request, not of the backend. Another backend would respond
 # alike, so the request is not retried. The excluded statuses invite the client to retry.
 REQUEST_FAULT_STATUSES = frozenset(range(400, 500)) - {408, 421, 425, 429}
@@ -64,9 +62,8 @@
         self._sock: socket.socket | None = None
         self._client: Client | None = None  # while a response is streamed
         self._download: Flow | None = None  # the response being streamed
-        self._content_began_s = (
-            0.0  # when the first content of unknown length arrived, by the loop's clock
-        )
+        # When the first content of a response of unknown length arrived, by the loop's clock.
+        self._content_began_s = 0.0
 
     @abstractmethod
     def _recycle(self, reusable: bool) -> None:
