--- a/tests/core/replicated_log/group.py
+++ b/tests/core/replicated_log/group.py
@@ -1,4 +1,4 @@
-"""Six control machines of two regions with messages in memory, for the tests of this folder."""
+"""Six control machines in two regions that exchange messages in memory, for this folder's tests."""
 
 from __future__ import annotations
 
@@ -8,9 +8,7 @@
 from loadbalancer.core.assignment.model import START, Change, MachineSpec, Position, Row
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
-from loadbalancer.core.replicated_log.messages import (
-    Message,
-)
+from loadbalancer.core.replicated_log.messages import Message
 from loadbalancer.core.replicated_log.raft import RaftMember
 from loadbalancer.core.replicated_log.replication import ProposalOutcome, Replica, Role, Timing
 from loadbalancer.core.replicated_log.state import Membership, Outbox
@@ -18,11 +16,11 @@
 REGIONS = ("east", "west")
 SPECS = [MachineSpec(f"{region}-{i}", region, region) for region in REGIONS for i in range(3)]
 EAST = ["east-0", "east-1", "east-2"]
-STEP = 50 * MS  # between two ticks; a message takes one
+STEP = 50 * MS  # between two ticks; a message is delivered one step after it was sent
 
 
 class Sent(NamedTuple):
-    """A message under way."""
+    """A message in transit."""
 
     sender: str
     recipient: str
@@ -30,7 +28,7 @@
 
 
 class Group:
-    """Six machines; messages of one step arrive in the next, except those that `drops` names."""
+    """Six machines. Messages sent in one step arrive in the next, unless `drops` returns True."""
 
     def __init__(
         self, services: int = 4, max_changes: int = 500, max_message_bytes: int = 4096
@@ -41,12 +39,12 @@
         self.timing = Timing(max_message_bytes=max_message_bytes)
         self.replicas: dict[str, Replica] = {}
         self.logs: dict[str, dict[str, ChangeLog]] = {}
-        self.starts = 0  # of all machines; seeds a replica
-        self.stopped: set[str] = set()
-        self.under_way: list[Sent] = []
+        self.starts = 0  # of all machines; used as the seed of the next replica
+        self.stopped: set[str] = set()  # machines whose process is suspended
+        self.in_transit: list[Sent] = []
         self.drops: Callable[[Sent], bool] = lambda _: False
-        self.loads: list[str] = []
-        self.seen: list[Message] = []
+        self.loads: list[str] = []  # the leaders that loaded the log, in order
+        self.sent: list[Message] = []  # all messages sent so far
         self.committed: dict[str, list[Change]] = {}
         for spec in SPECS:
             self.start(spec.name)
@@ -60,7 +58,7 @@
         self.replicas[name] = Replica(spec, SPECS, logs, self.starts, self.now, self.timing)
 
     def heal(self) -> None:
-        """No message is lost from now on."""
+        """Drop no more messages."""
         self.drops = lambda _: False
 
     def kill(self, *names: str) -> None:
@@ -71,7 +69,7 @@
         until = self.now + span
         while self.now < until and not (done is not None and done()):
             self.now += STEP
-            arriving, self.under_way = self.under_way, []
+            arriving, self.in_transit = self.in_transit, []
             for sent in arriving:
                 self._deliver(sent)
             for name in self.replicas:
@@ -81,7 +79,7 @@
 
     def _deliver(self, sent: Sent) -> None:
         if sent.recipient in self.stopped:
-            self.under_way.append(sent)
+            self.in_transit.append(sent)
         elif sent.recipient in self.replicas and not self.drops(sent):
             replica = self.replicas[sent.recipient]
             replica.on_message(self.now, sent.sender, sent.message)
@@ -97,8 +95,8 @@
     def drain(self, name: str) -> None:
         replica = self.replicas[name]
         for recipient, message in replica.drain_outgoing():
-            self.seen.append(message)
-            self.under_way.append(Sent(name, recipient, message))
+            self.sent.append(message)
+            self.in_transit.append(Sent(name, recipient, message))
         replica.drain_restored()
         self.committed[name] += [change for region, change in replica.drain_committed()]
 
@@ -127,22 +125,23 @@
         self.drain(name)
         return proposal.position
 
-    def everywhere(self, uid: str) -> bool:
+    def all_have(self, uid: str) -> bool:
         return all(self.has(name, uid) for name in self.replicas)
 
 
 def started(**sizes: int) -> Group:
+    """Return a group whose members have loaded their logs and elected leaders."""
     group = Group(**sizes)
     assert group.run(15 * SECOND, group.ready)
     return group
 
 
-def cut(group: Group, *names: str) -> None:
-    """Nothing passes between these and the others."""
+def partition(group: Group, *names: str) -> None:
+    """Drop all messages between these machines and the others."""
     group.drops = lambda sent: (sent.sender in names) != (sent.recipient in names)
 
 
 def member_of(log: ChangeLog, outbox: Outbox | None = None) -> RaftMember:
-    """The east's first member by itself, just started, at time 0."""
+    """Return the first member of the region east alone, just started, at time 0."""
     membership = Membership("east", "east-0", tuple(EAST))
     return RaftMember(membership, log, 1, 0, Timing(), [] if outbox is None else outbox)
--- a/tests/core/replicated_log/members.py
+++ b/tests/core/replicated_log/members.py
@@ -1,4 +1,4 @@
-"""One member of a group of five by itself, which is given messages in any order."""
+"""One member of a group of five, without the others, to which tests pass messages in any order."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from loadbalancer.core.replicated_log.state import Membership, Outbox
 
 GROUP = tuple(f"east-{i}" for i in range(5))
-TERM = 3  # of the election that is under way
-NOW = 3 * SECOND  # nobody has been heard for longer than an election timeout
-COMMITTED = Position(1, 1)  # the one entry that all have
+TERM = 3  # of the current election
+NOW = 3 * SECOND  # later than the first election timeout
+COMMITTED = Position(1, 1)  # the only entry that all members have
 
 
 def member_of_five(outbox: Outbox | None = None) -> RaftMember:
-    """A follower in the term before `TERM`, whose log ends with `COMMITTED`."""
+    """Return a follower in the term before `TERM`, whose log ends with `COMMITTED`."""
     log = ChangeLog("east", 100, 1 << 20)
     log.append(Change(COMMITTED, "a"))
     member = RaftMember(
@@ -32,14 +32,14 @@
 
 
 def pre_candidate(outbox: Outbox | None = None) -> RaftMember:
-    """One that has asked for pre-votes in `TERM`."""
+    """Return a member that has requested pre-votes for `TERM`."""
     member = member_of_five(outbox)
     member.on_tick(NOW)
     return member
 
 
 def leader(outbox: Outbox | None = None) -> RaftMember:
-    """One that leads in `TERM`; its own first entry has the index 2, and is uncommitted."""
+    """Return the leader of `TERM`; the first entry of its term is uncommitted and has index 2."""
     member = pre_candidate(outbox)
     for is_pre_vote in (True, False):
         for number in (1, 2):
@@ -52,17 +52,17 @@
 
 
 def vote(term: int = TERM, granted: bool = True, pre_vote: bool = False) -> RequestVoteResponse:
-    """A vote for a ballot in `term`, of a voter that is in no later term."""
+    """Return a response to a vote request for `term`; the voter's own term is the one before."""
     return RequestVoteResponse("east", term, term - 1, granted, pre_vote)
 
 
 def heartbeat(term: int = TERM) -> AppendEntries:
-    """A leader's message without entries."""
+    """Return a leader's message without entries."""
     return AppendEntries("east", term, START, COMMITTED, (), 0)
 
 
 def answer(
     index: int, term: int = TERM, success: bool = True, voting: bool = True
 ) -> AppendEntriesResponse:
-    """A follower's answer to entries."""
+    """Return a follower's response to entries."""
     return AppendEntriesResponse("east", term, success, index, voting)
--- a/tests/core/replicated_log/test_append_answers.py
+++ b/tests/core/replicated_log/test_append_answers.py
@@ -1,4 +1,4 @@
-"""Followers' answers that come late, twice, or from before a restart."""
+"""The leader and followers' responses that are late, duplicated, or from before a restart."""
 
 from __future__ import annotations
 
@@ -10,31 +10,38 @@
 from loadbalancer.core.replicated_log.state import Outbox
 from tests.core.replicated_log.members import COMMITTED, GROUP, NOW, TERM, answer, leader
 
-Answers = list[tuple[int, AppendEntriesResponse]]  # the sender's number, the answer
-OWN = 3  # index of the change that the leader proposes
+Answers = list[tuple[int, AppendEntriesResponse]]  # the sender's number and its response
+PROPOSED = 3  # index of the change that is proposed to the leader
 
 
 @pytest.mark.parametrize(
     ("received", "committed"),
     [
-        ([(1, answer(OWN)), (2, answer(OWN))], OWN),
-        ([(1, answer(OWN)), (2, answer(2))], 2),
-        ([(1, answer(OWN)), (1, answer(OWN)), (1, answer(OWN))], 1),  # twice
-        ([(1, answer(OWN)), (1, answer(2)), (2, answer(OWN))], OWN),  # out of order
-        ([(1, answer(OWN)), (1, answer(1, success=False)), (2, answer(OWN))], OWN),
-        ([(1, answer(OWN, TERM - 1)), (2, answer(OWN, TERM - 1))], 1),  # of an earlier term
-        ([(1, answer(OWN, voting=False)), (2, answer(OWN))], 1),  # restarted
-        ([(1, answer(OWN)), (1, answer(1, voting=False)), (2, answer(OWN))], 1),
-        ([(1, answer(OWN, success=False)), (2, answer(OWN, success=False))], 1),
+        ([(1, answer(PROPOSED)), (2, answer(PROPOSED))], PROPOSED),
+        ([(1, answer(PROPOSED)), (2, answer(2))], 2),
+        ([(1, answer(PROPOSED)), (1, answer(PROPOSED)), (1, answer(PROPOSED))], 1),  # duplicates
+        ([(1, answer(PROPOSED)), (1, answer(2)), (2, answer(PROPOSED))], PROPOSED),  # out of order
+        ([(1, answer(PROPOSED)), (1, answer(1, success=False)), (2, answer(PROPOSED))], PROPOSED),
+        (
+            [(1, answer(PROPOSED, TERM - 1)), (2, answer(PROPOSED, TERM - 1))],
+            1,
+        ),  # of an earlier term
+        (
+            [(1, answer(PROPOSED, voting=False)), (2, answer(PROPOSED))],
+            1,
+        ),  # from a restarted follower
+        ([(1, answer(PROPOSED)), (1, answer(1, voting=False)), (2, answer(PROPOSED))], 1),
+        ([(1, answer(PROPOSED, success=False)), (2, answer(PROPOSED, success=False))], 1),
         ([(1, answer(99)), (2, answer(99)), (3, answer(99))], 1),  # beyond the log
     ],
 )
-def test_an_entry_is_committed_only_by_present_answers_of_a_majority(
+def test_an_entry_is_committed_only_by_current_responses_of_a_majority(
     received: Answers, committed: int
 ) -> None:
-    """Answers come twice, out of order, from an earlier term, or from followers that have lost
-    their logs since. Counted, they would commit an entry that no majority has, which the next
-    leader may lack.
+    """Responses are duplicated, out of order, of an earlier term, or from restarted followers.
+
+    If they counted, the leader would commit an entry that no majority has, and the next leader
+    might not have it.
     """
     member = leader()
     member.propose(Change(START, "a", (Row("u", "x"),)))
@@ -43,14 +50,12 @@
     assert member.log.commit_index == committed
 
 
-def test_a_late_answer_sends_nothing_again_that_the_follower_has() -> None:
-    """A follower has answered that it has all entries. Its earlier answer, and then its earlier
-    rejection, come after that.
-    """
+def test_a_late_response_does_not_cause_entries_to_be_sent_again() -> None:
+    """A follower acknowledges all entries. Its earlier response and rejection arrive after that."""
     outbox: Outbox = []
     member = leader(outbox)
     member.propose(Change(START, "a", (Row("u", "x"),)))
-    member.on_message(NOW, GROUP[1], answer(OWN))
+    member.on_message(NOW, GROUP[1], answer(PROPOSED))
     outbox.clear()
     member.on_message(NOW, GROUP[1], answer(COMMITTED.revision))
     assert not outbox
@@ -58,13 +63,15 @@
     ((recipient, message),) = outbox
     assert recipient == GROUP[1]
     assert isinstance(message, AppendEntries)
-    assert message.prev_log == Position(TERM, OWN)
+    assert message.prev_log == Position(TERM, PROPOSED)
     assert not message.entries
 
 
-def test_a_late_answer_does_not_hold_back_new_entries(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A follower has answered all; an earlier answer of it comes after that. Counted as the last
-    one, it would leave the bound on unanswered entries reached, and nothing more would be sent.
+def test_a_late_response_does_not_block_new_entries(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A follower acknowledges all entries; an earlier response of it arrives after that.
+
+    If that were taken as the latest one, the limit on entries in flight would remain reached, and
+    no more entries would be sent.
     """
     monkeypatch.setattr(leader_module, "MAX_ENTRIES_IN_FLIGHT", 1)
     outbox: Outbox = []
@@ -73,12 +80,15 @@
         member.on_message(NOW, GROUP[1], answer(index))
     outbox.clear()
     member.propose(Change(START, "a", (Row("u", "x"),)))
-    sent = [one.message for one in outbox if one.recipient == GROUP[1]]
-    assert [len(one.entries) for one in sent if isinstance(one, AppendEntries)] == [1]
+    messages = [sent.message for sent in outbox if sent.recipient == GROUP[1]]
+    assert [len(one.entries) for one in messages if isinstance(one, AppendEntries)] == [1]
 
 
-def test_a_rejection_that_names_more_than_the_log_has_is_probed_at_its_end() -> None:
-    """A follower names an index that is not in the leader's log, as after a restart of all."""
+def test_a_rejection_with_an_index_beyond_the_log_is_probed_at_the_end_of_the_log() -> None:
+    """A follower returns an index that the leader's log does not have.
+
+    This happens after all members have restarted.
+    """
     outbox: Outbox = []
     member = leader(outbox)
     member.on_message(NOW, GROUP[1], answer(99, success=False))
@@ -89,8 +99,9 @@
 
 
 def test_many_late_rejections_cause_one_probe() -> None:
-    """A link delivers ten duplicates of a rejection at once. A message for each would double the
-    messages with each round.
+    """Ten duplicates of a rejection arrive at once.
+
+    If each caused a message, the number of messages would grow with each round trip.
     """
     outbox: Outbox = []
     member = leader(outbox)
@@ -99,8 +110,8 @@
     assert [sent.recipient for sent in outbox] == [GROUP[1]]
 
 
-def test_an_answer_of_a_later_term_ends_the_leaders_own() -> None:
-    """A follower has entered a later term; an answer of an earlier one changes nothing."""
+def test_a_response_of_a_later_term_makes_the_leader_step_down() -> None:
+    """A follower has entered a later term. A response of an earlier term has no effect."""
     member = leader()
     member.on_message(NOW, GROUP[1], answer(2, TERM - 1))
     assert member.current_term == TERM
--- a/tests/core/replicated_log/test_append_messages.py
+++ b/tests/core/replicated_log/test_append_messages.py
@@ -1,4 +1,4 @@
-"""AppendEntries that come late, twice, out of order, or of another leader."""
+"""The follower and AppendEntries that are late, duplicated, reordered, or of another leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 SECOND_ENTRY, THIRD_ENTRY = (Change(Position(TERM, index), "a") for index in (2, 3))
-OTHER_ENTRY = Change(Position(TERM + 1, 2), "b")  # of the next leader, in place of these
+OTHER_ENTRY = Change(Position(TERM + 1, 2), "b")  # of the next leader; conflicts with both
 
 
 def append(
@@ -30,7 +30,7 @@
 
 BOTH = append(COMMITTED, SECOND_ENTRY, THIRD_ENTRY)
 FIRST_OF_BOTH = append(COMMITTED, SECOND_ENTRY)
-REST = append(SECOND_ENTRY.position, THIRD_ENTRY)
+SECOND_OF_BOTH = append(SECOND_ENTRY.position, THIRD_ENTRY)
 BOTH_COMMITTED = append(COMMITTED, SECOND_ENTRY, THIRD_ENTRY, commit=3)
 LAST = THIRD_ENTRY.position
 
@@ -38,13 +38,18 @@
 @pytest.mark.parametrize(
     ("messages", "last", "commit_index", "answers"),
     [
-        ([FIRST_OF_BOTH, REST], LAST, 1, [(True, 2), (True, 3)]),
-        ([BOTH, BOTH], LAST, 1, [(True, 3), (True, 3)]),  # twice
+        ([FIRST_OF_BOTH, SECOND_OF_BOTH], LAST, 1, [(True, 2), (True, 3)]),
+        ([BOTH, BOTH], LAST, 1, [(True, 3), (True, 3)]),  # duplicate
         ([BOTH, FIRST_OF_BOTH], LAST, 1, [(True, 3), (True, 2)]),  # late
-        ([REST, FIRST_OF_BOTH, REST], LAST, 1, [(False, 1), (True, 2), (True, 3)]),  # overtaken
+        (
+            [SECOND_OF_BOTH, FIRST_OF_BOTH, SECOND_OF_BOTH],
+            LAST,
+            1,
+            [(False, 1), (True, 2), (True, 3)],
+        ),  # reordered
         ([BOTH_COMMITTED, FIRST_OF_BOTH], LAST, 3, [(True, 3), (True, 3)]),
         ([BOTH_COMMITTED, append(COMMITTED)], LAST, 3, [(True, 3), (True, 3)]),
-        # A leader that says how far it has committed, and not yet what: these are another's.
+        # The new leader's commit index arrives before its entries; those here are another leader's.
         ([BOTH, append(COMMITTED, commit=3, term=4)], LAST, 1, [(True, 3), (True, 1)]),
         (
             [BOTH, append(COMMITTED, OTHER_ENTRY, commit=2, term=4)],
@@ -55,23 +60,27 @@
         ([BOTH, append(Position(4, 3), term=4)], LAST, 1, [(True, 3), (False, 1)]),
         ([BOTH, append(Position(4, 9), term=4)], LAST, 1, [(True, 3), (False, 3)]),
         (
-            [append(COMMITTED, OTHER_ENTRY, commit=2, term=4), BOTH_COMMITTED],  # a former leader's
+            [
+                append(COMMITTED, OTHER_ENTRY, commit=2, term=4),
+                BOTH_COMMITTED,
+            ],  # of a former leader
             OTHER_ENTRY.position,
             2,
             [(True, 2), (False, 2)],
         ),
     ],
 )
-def test_entries_in_any_order_leave_what_the_last_leader_has_sent(
+def test_entries_in_any_order_result_in_the_log_of_the_last_leader(
     messages: list[AppendEntries],
     last: Position,
     commit_index: int,
     answers: list[tuple[bool, int]],  # success and match index
 ) -> None:
-    """Entries come twice, late, in another order, or from a former leader.
+    """Entries are duplicated, late, reordered, or from a former leader.
 
-    A late message that removed entries which the follower has answered for could undo what is
-    committed; one that commits what does not match its leader's log would commit other entries.
+    If a late message removed entries that the follower has acknowledged, committed entries could be
+    lost. If a message committed entries that do not match its leader's log, members would commit
+    different entries.
     """
     outbox: Outbox = []
     member = member_of_five(outbox)
@@ -87,8 +96,8 @@
     ] == answers
 
 
-def test_a_leader_takes_no_entries_of_its_own_term() -> None:
-    """Another member sends as the leader of the same term, which no correct one does."""
+def test_a_leader_ignores_entries_of_its_own_term() -> None:
+    """Another member sends entries as the leader of the same term, which is a protocol error."""
     outbox: Outbox = []
     member = leader(outbox)
     member.on_message(NOW, GROUP[1], heartbeat())
--- a/tests/core/replicated_log/test_change_log.py
+++ b/tests/core/replicated_log/test_change_log.py
@@ -1,4 +1,4 @@
-"""A region's change log: what a subscriber resumes from, and what it costs."""
+"""A region's change log: deltas for subscribers, compaction, and snapshots."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return log
 
 
-def test_a_subscriber_is_given_the_changes_of_its_services_in_order() -> None:
+def test_a_delta_has_the_changes_of_the_subscribers_services_in_order() -> None:
     log = log_of(change(1, 1), change(1, 2, "b"), change(2, 3), change(2, 4, "c"))
     delta = log.delta_since(Position(1, 1), ["a", "b"])
     assert delta is not None
@@ -38,7 +38,7 @@
     assert log.contains(Position(1, 2))
 
 
-def test_a_compacted_log_reaches_back_for_what_has_not_changed_since() -> None:
+def test_a_compacted_log_has_deltas_for_services_that_have_not_changed_since() -> None:
     log = log_of(*(change(1, n, "a" if n < 4 else "b") for n in range(1, 9)), max_changes=3)
     assert len(log) == 3
     assert log.compacted_since(Position(1, 3), ["a", "b"]) == {"b"}
@@ -57,11 +57,11 @@
     assert sum(len(entries) for entries in log._changes_by_service.values()) == len(log)
 
 
-def test_a_service_deleted_and_created_again_beyond_the_log_is_replaced() -> None:
-    """A service is deleted and created again, and the deletion is compacted away.
+def test_a_service_that_was_deleted_and_created_again_is_replaced() -> None:
+    """A service is deleted and created again, and the deletion is compacted.
 
-    A subscriber from before must get the new service as a replacement: with a delta it would keep
-    the old service's rows for ever.
+    A subscriber with an earlier position must get all rows of the new service as a replacement.
+    With a delta it would keep the rows of the old service.
     """
     deletion = Change(Position(1, 2), "a", deleted=True)
     filler = [change(1, revision, "b") for revision in range(3, 9)]
@@ -71,7 +71,7 @@
     assert log.replacements(["x"])[0].deleted
 
 
-def test_a_change_that_does_not_follow_is_refused() -> None:
+def test_a_change_that_does_not_follow_the_log_is_refused() -> None:
     log = log_of(change(2, 1))
     for bad in (change(2, 1), change(2, 3), change(1, 2), Change(Position(0, 2), "a")):
         with pytest.raises(InvalidInputError, match="does not follow"):
@@ -90,29 +90,29 @@
     assert snapshot.position == Position(1, 2)
     other = ChangeLog("east", 10, 1000)
     other.restore(snapshot)
-    assert other.delta_since(Position(1, 1), ["a"]) is not None  # a has not changed since
+    assert other.delta_since(Position(1, 1), ["a"]) is not None  # "a" has not changed since
     assert other.compacted_since(Position(1, 1), ["b"]) == {"b"}
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_deltas_lead_to_what_the_snapshot_has(seed: int) -> None:
-    draw = Random(seed)
+def test_deltas_result_in_the_same_rows_as_the_log(seed: int) -> None:
+    random = Random(seed)
     log = ChangeLog("east", 12, 1 << 20)
     copy: dict[str, dict[str, Row]] = {}
     position = START
     services = ["a", "b", "c"]
     for revision in range(1, 300):
-        name = draw.choice(["a", "b", "c", "d"])
-        uid = f"u{draw.randrange(4)}"
-        at = Position(1 + revision // 50, revision)
-        what = draw.random()
-        if what < 0.1:
-            log.append(Change(at, name, deleted=True))
-        elif what < 0.4:
-            log.append(Change(at, name, removed=(uid,)))
+        name = random.choice(["a", "b", "c", "d"])
+        uid = f"u{random.randrange(4)}"
+        next_position = Position(1 + revision // 50, revision)
+        kind = random.random()
+        if kind < 0.1:
+            log.append(Change(next_position, name, deleted=True))
+        elif kind < 0.4:
+            log.append(Change(next_position, name, removed=(uid,)))
         else:
-            log.append(Change(at, name, (Row(uid, str(revision)),)))
-        if draw.random() < 0.3:
+            log.append(Change(next_position, name, (Row(uid, str(revision)),)))
+        if random.random() < 0.3:
             delta = log.delta_since(position, services)
             if delta is None:
                 copy = {k: dict(v) for k, v in log.snapshot(services).services.items()}
--- a/tests/core/replicated_log/test_fetch_server.py
+++ b/tests/core/replicated_log/test_fetch_server.py
@@ -1,4 +1,4 @@
-"""Fetches that come after another of the same learner, or for another snapshot."""
+"""Fetches that follow another one of the same learner, or request a chunk of another snapshot."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def server(max_changes: int = 100) -> tuple[FetchServer, ChangeLog]:
-    """A server of a log with four changes, whose snapshot has several chunks."""
+    """Return a server of a log with four changes, whose snapshot has several chunks."""
     log = ChangeLog("east", max_changes, 1 << 20)
     for revision in range(1, 5):
         append(log, revision)
@@ -21,10 +21,10 @@
     log.append(Change(Position(1, revision), f"s{revision}", (Row("u", "x" * 20),)))
 
 
-def test_a_learners_later_fetch_takes_the_place_of_the_one_that_waits() -> None:
-    """A learner has restarted, or given a fetch up, and fetches again from an earlier position.
+def test_a_learners_later_fetch_replaces_the_waiting_one() -> None:
+    """A learner restarts, or its fetch times out, and it fetches again from an earlier position.
 
-    The fetch that waited must not be answered as well: its answer would be of no use.
+    The earlier fetch must not be answered as well: the learner would ignore the answer.
     """
     serving, log = server()
     assert serving.on_fetch(0, "west-0", Fetch("east", log.position, 1)) is None
@@ -36,10 +36,8 @@
     assert serving.on_tick(2 * SECOND) == []
 
 
-def test_a_chunk_of_another_snapshot_begins_with_the_newest_one() -> None:
-    """A learner asks for the second chunk of a snapshot that another machine had begun, or that
-    this one has no more.
-    """
+def test_a_request_for_a_chunk_of_an_unknown_snapshot_gets_the_first_chunk_of_the_latest() -> None:
+    """A learner requests a chunk of another machine's snapshot, or one that does not exist."""
     serving, log = server(max_changes=1)
     first = serving.on_fetch(0, "west-0", Fetch("east", START, 1))
     assert isinstance(first, InstallSnapshot)
@@ -57,8 +55,11 @@
     assert again.chunk == 0
 
 
-def test_a_learner_that_goes_on_with_changes_costs_no_snapshot_any_more() -> None:
-    """A learner has its snapshot by another machine: its chunks must not stay here for ever."""
+def test_the_chunks_of_a_learner_that_fetches_changes_again_are_discarded() -> None:
+    """A learner has got its snapshot from another machine.
+
+    The chunks of this machine's snapshot must not stay in memory.
+    """
     serving, log = server(max_changes=1)
     assert isinstance(serving.on_fetch(0, "west-0", Fetch("east", START, 1)), InstallSnapshot)
     assert serving._chunks
--- a/tests/core/replicated_log/test_follower.py
+++ b/tests/core/replicated_log/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower: entries that come late, twice or from an earlier term."""
+"""The follower and entries that are late, duplicated or from an earlier term."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 def test_late_duplicate_and_older_entries_change_nothing() -> None:
-    """AppendEntries come again, in reverse order, and once more after their leader has died.
+    """AppendEntries arrive again in reverse order, and once more after their leader has died.
 
-    The follower's log must not change, and those of an earlier term must be refused.
+    The follower's log must not change, and messages of an earlier term must be rejected.
     """
     group = started()
     leader = group.leader()
-    group.seen.clear()
+    group.sent.clear()
     for i in range(5):
         group.propose(leader, f"u{i}")
         group.run(2 * STEP)
-    assert group.run(2 * SECOND, lambda: group.everywhere("u4"))
+    assert group.run(2 * SECOND, lambda: group.all_have("u4"))
     old = [
-        message for message in group.seen if isinstance(message, AppendEntries) and message.entries
+        message for message in group.sent if isinstance(message, AppendEntries) and message.entries
     ]
     follower = next(name for name in EAST if name != leader)
     before = group.logs[follower]["east"].log_snapshot()
@@ -35,17 +35,17 @@
         group.replicas[follower].on_message(group.now, leader, message)
     group.kill(leader)
     assert group.run(10 * SECOND, lambda: group.leader() in EAST)
-    for message in old:  # now of an older epoch, from a leader that no longer is
+    for message in old:  # now of an older epoch, from a former leader
         group.replicas[follower].on_message(group.now, leader, message)
     assert group.replicas[follower].counts["older epochs"] >= len(old)
     assert group.logs[follower]["east"].log_snapshot().rows == before.rows
 
 
-def test_entries_of_an_older_history_are_refused_whatever_their_term() -> None:
-    """A log was lost and loaded again; a leader of the history before sends with a later term.
+def test_entries_of_an_older_history_are_rejected_whatever_their_term() -> None:
+    """A log was lost and loaded again; a leader of the earlier history sends with a later term.
 
-    Taking its entries would bring back what was lost, below positions that subscribers have. The
-    member must refuse them and stay in its own term.
+    If its entries were appended, the lost history would return, with positions below those that
+    subscribers have. The member must reject them and stay in its own term.
     """
     log = ChangeLog("east", 100, 1 << 20)
     log.reset(Position(256, 1_000_000))
--- a/tests/core/replicated_log/test_learner.py
+++ b/tests/core/replicated_log/test_learner.py
@@ -1,4 +1,4 @@
-"""Learners: snapshots in chunks, and what a learner refuses."""
+"""Learners: snapshots in chunks, and snapshots that a learner ignores."""
 
 from __future__ import annotations
 
@@ -6,17 +6,14 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.learner import Learner
-from loadbalancer.core.replicated_log.messages import (
-    FetchResponse,
-    InstallSnapshot,
-)
-from tests.core.replicated_log.group import STEP, Sent, cut, started
+from loadbalancer.core.replicated_log.messages import FetchResponse, InstallSnapshot
+from tests.core.replicated_log.group import STEP, Sent, partition, started
 
 
-def test_a_learner_refuses_snapshots_that_are_older_or_implausible() -> None:
+def test_a_learner_ignores_snapshots_that_are_older_or_implausible() -> None:
     """A learner is sent snapshots older than its log, or with an implausible number of chunks.
 
-    None may be installed; each is counted.
+    None may be installed; each must be counted.
     """
     log = ChangeLog("east", 100, 1 << 20)
     log.append(Change(Position(3, 1), "a"))
@@ -32,10 +29,11 @@
         assert learner.counts["useless images"] == number + 1
 
 
-def test_a_learner_installs_a_complete_snapshot_or_none() -> None:
-    """Every third chunk of a snapshot is lost on its way to a learner.
+def test_a_learner_installs_only_complete_snapshots() -> None:
+    """Every third chunk of a snapshot for a learner is lost.
 
-    The learner must never show a part of the snapshot, and must have all once the loss ends.
+    The learner must never expose a part of the snapshot, and must have all of it once no more
+    chunks are lost.
     """
     group = started(services=30, max_message_bytes=400)
     group.kill("west-1")
@@ -50,7 +48,7 @@
         if message.region != "east":
             return False
         chunks += 1
-        return chunks % 3 == 0  # every third is lost: the snapshot is begun again at another source
+        return chunks % 3 == 0  # then the learner starts again with another source
 
     group.drops = drops
     log = group.logs["west-1"]["east"]
@@ -65,17 +63,17 @@
 
 
 def test_a_learner_behind_the_compacted_log_gets_a_snapshot_and_never_an_older_one() -> None:
-    """A learner is cut off until the log no longer reaches back to its position.
+    """A learner is partitioned until the changes after its position have been compacted.
 
-    It must get a snapshot; late answers and an older snapshot must not take its position back.
+    It must get a snapshot. Late answers and an older snapshot must not change its position.
     """
     group = started(max_changes=20)
-    cut(group, "west-1")
+    partition(group, "west-1")
     for i in range(40):
         group.propose(group.leader(), f"u{i}")
         group.run(2 * STEP)
     group.heal()
-    assert group.run(5 * SECOND, lambda: group.everywhere("u39"))
+    assert group.run(5 * SECOND, lambda: group.all_have("u39"))
     log = group.logs["west-1"]["east"]
     old = FetchResponse("east", 1, START, ())
     position = log.position
--- a/tests/core/replicated_log/test_learner_messages.py
+++ b/tests/core/replicated_log/test_learner_messages.py
@@ -1,4 +1,4 @@
-"""Answers to a learner's fetches that come late, twice, out of order, or of another history."""
+"""Answers to a learner's fetches that are late, duplicated, reordered, or of another history."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def learner() -> Learner:
-    """One whose log ends with `LAST`."""
+    """Return a learner whose log ends with `LAST`."""
     log = ChangeLog("east", 100, 1 << 20)
     for revision in range(1, LAST.revision + 1):
         log.append(Change(Position(3, revision), "a"))
@@ -37,7 +37,7 @@
 
 
 def answered(one: Learner, request_id: int, *positions: tuple[int, int]) -> Sequence[Position]:
-    """The positions of the changes to apply, of an answer with changes at these."""
+    """Answer with changes at the given positions; return the positions of those to apply."""
     changes = tuple(Change(Position(*position), "a") for position in positions)
     response = FetchResponse("east", request_id, LAST, changes)
     return [change.position for change in one.on_response(response)]
@@ -48,10 +48,10 @@
     [
         ([(3, 6), (3, 7)], [(3, 6), (3, 7)], ""),
         ([(4, 6), (5, 7)], [(4, 6), (5, 7)], ""),
-        ([(3, 4), (3, 5), (3, 6)], [(3, 6)], ""),  # the log has gone on since the fetch
+        ([(3, 4), (3, 5), (3, 6)], [(3, 6)], ""),  # the log has advanced since the fetch
         ([(3, 4), (3, 5)], [], ""),
         ([], [], ""),
-        ([(3, 7)], [], ""),  # one is missing before it
+        ([(3, 7)], [], ""),  # a gap before it
         ([(3, 6), (3, 8)], [], "out of order"),
         ([(4, 6), (3, 7)], [], "out of order"),
         ([(2, 6)], [], ""),  # of an older history
@@ -60,16 +60,17 @@
 def test_only_changes_that_follow_the_log_are_applied(
     positions: list[tuple[int, int]], applied: list[tuple[int, int]], counted: str
 ) -> None:
-    """A source has another history, or the learner's log has gone on while the answer was under
-    way. A change that does not follow must not enter the log: it would be lost or applied twice.
+    """A source has another history, or the learner's log has advanced since the fetch.
+
+    If changes that do not follow the log were applied, changes would be lost or applied twice.
     """
     one = learner()
     assert answered(one, fetched(one).request_id, *positions) == applied
     assert one.counts == ({counted: 1} if counted else {})
 
 
-def test_an_answer_counts_once_and_only_for_the_pending_fetch() -> None:
-    """A source answers after the learner has turned to the next one, or twice."""
+def test_only_the_first_answer_to_the_pending_fetch_is_used() -> None:
+    """A source answers twice, or after the learner has switched to another source."""
     one = learner()
     first = fetched(one)
     assert one.poll(SECOND - 1) is None
@@ -79,18 +80,18 @@
     assert answered(one, second.request_id, (3, 6)) == []
     assert one.counts == {"unanswered": 1, "late answers": 2}
     third = fetched(one, SECOND)
-    one.stop()  # a leader's entries come instead
+    one.stop()  # as when a leader sends entries
     assert answered(one, third.request_id, (3, 6)) == []
 
 
 def chunk(request_id: int, number: int, position: Position = OFFERED) -> InstallSnapshot:
-    """The first or second chunk of a snapshot of two, each with one service."""
+    """Return a chunk, number 0 or 1, of a snapshot of two chunks with one service each."""
     service = ServiceRows(f"s{number}", 1, (Row("u", "x"),))
     return InstallSnapshot("east", request_id, position, number, 2, (service,), 0, (), START)
 
 
 def received(one: Learner, numbers: Sequence[int], *, doubled: bool = False) -> LogSnapshot | None:
-    """What comes of chunks with these numbers, each in answer to a fetch."""
+    """Answer fetches with chunks of these numbers; return the result of the last one."""
     snapshot = None
     for number in numbers:
         request_id = fetched(one).request_id
@@ -108,15 +109,15 @@
 def test_a_snapshot_is_complete_with_all_its_chunks_in_order(
     numbers: list[int], is_complete: bool, doubled: bool
 ) -> None:
-    """Chunks come twice or in another order; one that is missing would be missing services."""
+    """Chunks are duplicated or reordered. A snapshot without a chunk would lack services."""
     snapshot = received(learner(), numbers, doubled=doubled)
     assert (snapshot is not None) is is_complete
     if snapshot is not None:
         assert snapshot.rows.keys() == {"s0", "s1"}
 
 
-def test_chunks_of_two_snapshots_are_not_joined() -> None:
-    """The source's log goes on between two fetches, or the learner turns to another source."""
+def test_chunks_of_two_snapshots_are_not_combined() -> None:
+    """The source's log advances between two fetches, or the learner switches to another source."""
     one = learner()
     assert received(one, [0]) is None
     fetch = fetched(one)
--- a/tests/core/replicated_log/test_raft_log.py
+++ b/tests/core/replicated_log/test_raft_log.py
@@ -1,4 +1,4 @@
-"""One member's log: committed and uncommitted entries."""
+"""One member's Raft log: committed and uncommitted entries."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def test_a_load_replaces_the_log_when_its_last_entry_is_committed() -> None:
-    """A lost log is loaded again, and the load is committed up to its middle.
+    """A lost log is loaded again, and only a part of the load is committed.
 
-    Until its last entry is committed too, the change log must serve what it had before.
+    Until its last entry is committed as well, the change log must keep its earlier content.
     """
     log = ChangeLog("east", 100, 1 << 20)
     log.append(Change(Position(1, 1), "old"))
--- a/tests/core/replicated_log/test_recovery.py
+++ b/tests/core/replicated_log/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: members that restart without their logs, and logs that are loaded again."""
+"""Recovery of members that restart without their logs, and reload of lost logs."""
 
 from __future__ import annotations
 
@@ -14,41 +14,39 @@
 )
 from loadbalancer.core.replicated_log.model import Role
 from loadbalancer.core.replicated_log.state import Outbox
-from tests.core.replicated_log.group import EAST, SPECS, cut, member_of, started
+from tests.core.replicated_log.group import EAST, SPECS, member_of, partition, started
 
 
 def test_a_restarted_member_neither_votes_nor_counts_until_it_has_caught_up() -> None:
-    """A change is committed by two machines of three; both restart, one of them at first only.
+    """Two machines of three commit a change. Both are killed, and one of them restarts.
 
-    The two that run are a majority, but one has lost what it acknowledged. They must not elect a
-    leader without the change: the log is loaded again when the third is back.
+    The two running machines are a majority, but one has lost what it had acknowledged. They must
+    not elect a leader without the change. When the third machine is back, the log is loaded again.
     """
     group = started()
     leader = group.leader()
     holder, lagging = (name for name in EAST if name != leader)
-    cut(group, lagging)
+    partition(group, lagging)
     group.propose(leader, "by-two")
     assert group.run(SECOND, lambda: group.has(holder, "by-two"))
     group.kill(leader, holder)
     group.start(holder)
-    group.drops = (
-        lambda sent: "west" in sent.sender + sent.recipient
-    )  # no help from learners either
+    # The other region's learners, which may have the change, are not reachable either.
+    group.drops = lambda sent: "west" in sent.sender + sent.recipient
     group.run(20 * SECOND)
-    # The two that run are a majority, but one of them has lost what it acknowledged.
     assert group.leader() == ""
     assert group.replicas[holder].role is Role.RECOVERING
     group.start(leader)
     group.heal()
     assert group.run(20 * SECOND, lambda: group.leader() in EAST and group.ready())
-    assert group.loads[-1] in (leader, holder)  # two of three had lost it: loaded again
+    assert group.loads[-1] in (leader, holder)  # two of three had lost the log
     assert group.logs[lagging]["east"].position.revision >= 2_000_000
 
 
-def test_a_restarted_member_recovers_from_its_two_others() -> None:
-    """One follower restarts without its log while the others run.
+def test_a_restarted_member_recovers_from_the_two_others() -> None:
+    """One follower restarts without its log while the others are running.
 
-    It must catch up and vote again without a new load: then the group survives its leader's death.
+    It must catch up and vote again without a reload, so that the group survives its leader's death.
     """
     group = started()
     loads = len(group.loads)
@@ -62,11 +60,11 @@
     assert len(group.loads) == loads
 
 
-def test_all_six_restarted_load_again_above_all_that_is_reported() -> None:
+def test_after_a_restart_of_all_machines_the_log_is_loaded_above_all_reports() -> None:
     """All machines of both regions restart without their logs; subscribers report old positions.
 
-    The log that is loaded must be in a higher term and from a higher index than any plausible
-    report, or subscribers would refuse its changes as older than their own.
+    The log must be loaded in a higher term and from a higher index than any plausible report.
+    Otherwise subscribers would ignore its changes as older than their own.
     """
     group = started()
     before = group.logs["east-0"]["east"].position
@@ -75,22 +73,22 @@
     for name in names:
         group.start(name)
     group.run(2 * SECOND)
-    # Subscribers report to whichever machine they ask, of either region.
+    # Subscribers report to the machine that they poll, which may be of another region.
     group.replicas["west-1"].on_reported(group.now, "east", Position(before.epoch + 700, 3_000_007))
     group.replicas["west-1"].on_reported(group.now, "east", Position(-1, 1 << 60))
     assert group.run(20 * SECOND, group.ready)
     position = group.logs["west-0"]["east"].position
     assert position.epoch > before.epoch + 700
     assert position.revision > 3_000_007
-    # Loaded completely or not at all, at every machine.
+    # Every machine has the complete log.
     for name in names:
         assert sorted(group.logs[name]["east"].services()) == sorted(group.source("east"))
 
 
-def test_a_position_reported_after_the_load_begins_a_history_above_it() -> None:
+def test_a_position_reported_after_the_reload_begins_a_history_above_it() -> None:
     """A subscriber reports a position of a lost log only after the log has been loaded again.
 
-    A history above it must begin with all that was committed, and changes go on in it.
+    A new history above that position must begin, with all committed rows, and accept changes.
     """
     group = started()
     group.propose(group.leader(), "kept")
@@ -98,22 +96,22 @@
     lost = Position(2_000, 7_000_005)
     for spec in SPECS[:3]:
         group.replicas[spec.name].on_reported(group.now, "east", lost)
-    above = lambda: all(  # noqa: E731
+    all_above = lambda: all(  # noqa: E731
         group.logs[name]["east"].position > lost
         and group.logs[name]["east"].position.revision > lost.revision
         for name in group.replicas
     )
-    assert group.run(10 * SECOND, above)
-    assert group.everywhere("kept")
-    group.propose(group.leader(), "on")
-    assert group.run(2 * SECOND, lambda: group.everywhere("on"))
+    assert group.run(10 * SECOND, all_above)
+    assert group.all_have("kept")
+    group.propose(group.leader(), "new")
+    assert group.run(2 * SECOND, lambda: group.all_have("new"))
 
 
 def test_a_member_does_not_count_as_recovered_while_another_recovers() -> None:
-    """Two members of three have restarted; one catches up with the third's log.
+    """Two members of three have restarted; one of them catches up with the third's log.
 
-    The other restarted one may have acknowledged entries that the third does not have. The log
-    that was caught up with need not have all that was committed: no vote before it has recovered.
+    The other one may have acknowledged entries that the third does not have. So the third's log
+    may lack committed entries, and the member must not vote until the other one has recovered.
     """
     entry = Change(Position(1, 1), "a")
     member = member_of(ChangeLog("east", 100, 1 << 20))
@@ -136,11 +134,11 @@
     assert catch_up() is Role.FOLLOWER
 
 
-def test_answers_to_an_earlier_start_of_a_member_do_not_count() -> None:
-    """A member restarts twice; an answer to its first start comes after the second.
+def test_responses_to_an_earlier_incarnation_do_not_count() -> None:
+    """A member restarts twice; a response to its first incarnation arrives in the second.
 
-    The sender may have restarted since, and have less than the answer says: only an answer with
-    the nonce of this start counts.
+    The sender may have restarted since then, and have less than it reported. Only a response with
+    the nonce of the current incarnation counts.
     """
     entry = Change(Position(1, 1), "a")
     member = member_of(ChangeLog("east", 100, 1 << 20))
@@ -153,10 +151,10 @@
     assert member.role is Role.RECOVERING
 
 
-def test_a_snapshot_of_an_older_history_is_for_recovering_members_alone() -> None:
+def test_only_a_recovering_member_accepts_a_snapshot_of_an_older_history() -> None:
     """A machine offers a snapshot of the history before the log was lost.
 
-    A member with the new history must keep it; one that has nothing may serve the old one on.
+    A member with the new history must keep it. A member without a log may serve the old history.
     """
     log = ChangeLog("east", 100, 1 << 20)
     log.reset(Position(256, 1_000_000))
@@ -169,12 +167,13 @@
 
 
 def test_a_member_does_not_install_a_snapshot_of_an_older_history() -> None:
-    """A member hears no leader and fetches. The machine that answers has not heard of the new
-    history: its snapshot, of a later term, must not replace what the member has committed.
+    """A member without contact to its leader fetches from a machine without the new history.
+
+    That machine's snapshot has a later term, but must not replace what the member has committed.
     """
     group = started()
     member = next(name for name in EAST if name != group.leader())
-    cut(group, member)
+    partition(group, member)
     group.run(3 * SECOND)
     replica, log = group.replicas[member], group.logs[member]["east"]
     pending = replica._learners["east"]._pending
@@ -188,10 +187,10 @@
     assert log.log_snapshot() == before
 
 
-def test_a_reload_is_not_granted_below_a_reported_term() -> None:
-    """Machines without logs elect a leader to load the log; a subscriber knows a later term.
+def test_a_vote_for_a_reload_in_a_term_not_above_all_reports_is_denied() -> None:
+    """Members without logs elect a leader to load the log; a subscriber has reported a later term.
 
-    In a lower term, the subscriber would refuse all that is loaded: such a vote is refused.
+    If the log were loaded in a lower term, the subscriber would ignore all its changes.
     """
     outbox: Outbox = []
     member = member_of(ChangeLog("east", 100, 1 << 20), outbox)
--- a/tests/core/replicated_log/test_recovery_messages.py
+++ b/tests/core/replicated_log/test_recovery_messages.py
@@ -1,4 +1,4 @@
-"""Answers to a restarted member that are old, incomplete, or of a leader whose log may be void."""
+"""Recovery of a member that gets responses which are old, incomplete, or of a new history."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
     ("answered_at", "is_loaded"),
     [(40 * SECOND, True), (40 * SECOND - 2 * Timing().election_timeout_ns, False), (0, False)],
 )
-def test_only_fresh_answers_show_that_the_log_is_lost(answered_at: int, is_loaded: bool) -> None:
-    """Two others had lost their logs as well, and have fallen silent since. What they said before
-    says nothing of what they have now: no load of the log may begin by it.
+def test_only_recent_responses_show_that_the_log_is_lost(answered_at: int, is_loaded: bool) -> None:
+    """Two other members had lost their logs as well, and have not responded since.
+
+    Their old responses do not show whether they have a log now, so they must not cause a reload.
     """
     outbox: Outbox = []
     member = restarted(outbox)
@@ -52,8 +53,10 @@
 
 @pytest.mark.parametrize(("term", "role"), [(2, Role.RECOVERING), (3, Role.FOLLOWER)])
 def test_a_leader_of_an_earlier_term_does_not_complete_a_recovery(term: int, role: Role) -> None:
-    """A member has caught up with a leader, but another one has entered a later term. The later
-    term's leader may have committed what the restarted member acknowledged, and has lost.
+    """A member has caught up with a leader, but another member has entered a later term.
+
+    The leader of the later term may have committed entries that the member had acknowledged before
+    its restart.
     """
     member = restarted()
     respond(member, 0, "east-1", term=term)
@@ -64,11 +67,13 @@
 
 
 @pytest.mark.parametrize(("recovering", "role"), [(False, Role.RECOVERING), (True, Role.FOLLOWER)])
-def test_only_a_load_that_began_after_the_restart_makes_what_was_lost_void(
+def test_only_a_reload_that_began_after_the_restart_completes_a_recovery(
     recovering: bool, role: Role
 ) -> None:
-    """A leader sends a new history. If it was seen without a log since this member's restart, the
-    load began after that, and has nothing that the member acknowledged; otherwise it may have.
+    """A leader sends a new history.
+
+    If the leader was seen without a log since this member's restart, the load began after that, and
+    contains nothing that the member had acknowledged before. Otherwise it may contain such entries.
     """
     member = restarted()
     respond(member, 0, "east-1", recovering=recovering)
--- a/tests/core/replicated_log/test_replication.py
+++ b/tests/core/replicated_log/test_replication.py
@@ -1,4 +1,4 @@
-"""One machine's logs: who may write, what is refused, and regions cut from each other."""
+"""One machine's replicas: proposals, invalid messages, and partitions between regions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.core.replicated_log.group import EAST, started
 
 
-def test_one_writer_a_service_and_the_others_name_the_leader() -> None:
+def test_only_the_home_regions_leader_accepts_proposals_and_others_name_it() -> None:
     group = started()
     wrong = group.replicas["west-0"].propose("east-s0", [Row("u", "x")])
     assert wrong.outcome is ProposalOutcome.WRONG_REGION
@@ -28,9 +28,9 @@
 
 
 def test_proposals_without_a_majority_are_bounded() -> None:
-    """Proposals come faster than a majority can answer.
+    """Proposals arrive faster than a majority can respond.
 
-    The queue of uncommitted entries must not grow without end: the next proposal is refused.
+    The number of uncommitted entries must be limited: the next proposal is refused.
     """
     group = started()
     leader = group.leader()
@@ -40,13 +40,13 @@
     assert last.outcome is ProposalOutcome.BUSY
 
 
-def test_regions_cut_from_each_other_go_on_and_converge() -> None:
-    """The regions are cut from each other, first but for one link, then entirely.
+def test_partitioned_regions_commit_their_own_changes_and_converge() -> None:
+    """The regions are partitioned from each other: first except for one link, then completely.
 
-    Each commits its own services' changes meanwhile, and has the other's once the cut ends.
+    Each must commit its own services' changes meanwhile, and receive the other's afterwards.
     """
     group = started()
-    # One machine of the west still reaches one of the east; its own region learns from it.
+    # One machine of the west still reaches one of the east; the rest of the west fetches from it.
     group.drops = lambda sent: sent.sender[0] != sent.recipient[0] and {
         sent.sender,
         sent.recipient,
@@ -54,8 +54,8 @@
         "east-0",
         "west-0",
     }
-    group.propose(group.leader(), "through")
-    assert group.run(15 * SECOND, lambda: group.everywhere("through"))
+    group.propose(group.leader(), "by-one-link")
+    assert group.run(15 * SECOND, lambda: group.all_have("by-one-link"))
     group.drops = lambda sent: sent.sender[0] != sent.recipient[0]
     group.propose(group.leader(), "east-alone")
     west = group.replicas[group.leader("west")]
@@ -65,16 +65,16 @@
     assert all(group.has(name, "east-alone") == (name in EAST) for name in group.replicas)
     assert "w" in (group.logs["west-2"]["west"].rows("west-s0") or {})
     group.heal()
-    assert group.run(5 * SECOND, lambda: group.everywhere("east-alone"))
+    assert group.run(5 * SECOND, lambda: group.all_have("east-alone"))
     assert group.run(
         5 * SECOND, lambda: "w" in (group.logs["east-1"]["west"].rows("west-s0") or {})
     )
 
 
-def test_messages_that_can_not_be_used_are_counted_and_change_nothing() -> None:
-    """Messages come of unknown senders or regions, with implausible terms, or out of order.
+def test_invalid_messages_are_counted_and_change_nothing() -> None:
+    """Messages are from unknown senders or regions, with implausible terms, or out of order.
 
-    None may change the log or the term, and the group must go on.
+    None may change the log or the term, and the group must continue to commit changes.
     """
     group = started()
     replica = group.replicas["east-0"]
@@ -89,16 +89,16 @@
     ]
     for sender, message in bad:
         replica.on_message(group.now, sender, message)
-    follows_not = Change(Position(before[0].epoch, before[0].revision + 7), "east-s0")
+    not_consecutive = Change(Position(before[0].epoch, before[0].revision + 7), "east-s0")
     leader = group.leader()
     follower = next(name for name in EAST if name != leader)
     history = group.logs[follower]["east"].history
     term = group.replicas[leader].current_term
-    wrong = AppendEntries("east", term, history, before[0], (follows_not,), 10**9)
+    wrong = AppendEntries("east", term, history, before[0], (not_consecutive,), 10**9)
     group.replicas[follower].on_message(group.now, leader, wrong)
     assert (group.logs["east-0"]["east"].position, replica.current_term) == before
     assert sum(replica.counts.values()) >= 5
     assert replica.counts["messages of no member"] == 1
     assert group.replicas[follower].counts["unsound messages"] == 1
-    group.propose(group.leader(), "on")
-    assert group.run(2 * SECOND, lambda: group.everywhere("on"))
+    group.propose(group.leader(), "new")
+    assert group.run(2 * SECOND, lambda: group.all_have("new"))
--- a/tests/core/replicated_log/test_vote_messages.py
+++ b/tests/core/replicated_log/test_vote_messages.py
@@ -1,4 +1,4 @@
-"""Votes and requests for them that come late, twice, or for another ballot."""
+"""Votes and vote requests that are late, duplicated, or of another election."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 PRE, VOTE = vote(pre_vote=True), vote()
 Votes = list[tuple[int, RequestVoteResponse | AppendEntries]]  # the sender's number, the message
-ASKED: Votes = [(1, PRE), (2, PRE)]  # a majority with the candidate itself
-WON: Votes = [*ASKED, (1, VOTE), (2, VOTE)]
+PRE_VOTES: Votes = [(1, PRE), (2, PRE)]  # a majority together with the candidate itself
+WON: Votes = [*PRE_VOTES, (1, VOTE), (2, VOTE)]
 
 
 @pytest.mark.parametrize(
     ("received", "role"),
     [
-        (ASKED, Role.CANDIDATE),
+        (PRE_VOTES, Role.CANDIDATE),
         (WON, Role.LEADER),
-        ([(1, PRE), (1, PRE), (1, PRE)], Role.PRE_CANDIDATE),  # twice
-        ([*ASKED, (1, VOTE), (1, VOTE), (1, VOTE)], Role.CANDIDATE),
-        ([*ASKED, (3, PRE), (4, PRE)], Role.CANDIDATE),  # late: of the ballot before
+        ([(1, PRE), (1, PRE), (1, PRE)], Role.PRE_CANDIDATE),  # duplicates
+        ([*PRE_VOTES, (1, VOTE), (1, VOTE), (1, VOTE)], Role.CANDIDATE),
+        ([*PRE_VOTES, (3, PRE), (4, PRE)], Role.CANDIDATE),  # late pre-votes
         ([(1, VOTE), (2, VOTE), (3, VOTE)], Role.PRE_CANDIDATE),
         ([(n, vote(TERM - 1, pre_vote=True)) for n in (1, 2, 3)], Role.PRE_CANDIDATE),
-        ([*ASKED, *((n, vote(TERM - 1)) for n in (1, 2, 3))], Role.CANDIDATE),
+        ([*PRE_VOTES, *((n, vote(TERM - 1)) for n in (1, 2, 3))], Role.CANDIDATE),
         ([(n, vote(granted=False, pre_vote=True)) for n in (1, 2, 3)], Role.PRE_CANDIDATE),
-        ([*ASKED, (4, heartbeat()), (1, VOTE), (2, VOTE)], Role.FOLLOWER),  # another has won
+        ([*PRE_VOTES, (4, heartbeat()), (1, VOTE), (2, VOTE)], Role.FOLLOWER),  # another has won
         ([(1, PRE), (4, heartbeat()), (2, PRE), (3, PRE)], Role.FOLLOWER),
     ],
 )
-def test_only_a_majority_of_votes_for_this_ballot_counts(received: Votes, role: Role) -> None:
-    """Votes come twice, late, or for another ballot, or after another candidate has won.
+def test_only_a_majority_of_votes_in_this_election_counts(received: Votes, role: Role) -> None:
+    """Votes are duplicated, late, of another election, or arrive after another candidate has won.
 
-    Counted, they would make a leader that no majority has elected, beside the elected one.
+    If they counted, a member without a majority could become a second leader.
     """
     member = pre_candidate()
     for number, message in received:
@@ -57,10 +57,10 @@
     assert member.role is role
 
 
-def test_votes_that_come_after_an_election_is_won_change_nothing() -> None:
-    """The last votes come when the majority has elected the leader already.
+def test_votes_that_arrive_after_an_election_is_won_change_nothing() -> None:
+    """The last votes arrive when a majority has already elected the leader.
 
-    Taken for a second election they would append a second first entry of the term.
+    If they counted as another election, the first entry of the term would be appended twice.
     """
     member = pre_candidate()
     for number, message in [*WON, (3, VOTE), (4, VOTE)]:
@@ -70,8 +70,10 @@
 
 
 def test_votes_for_a_reload_do_not_count_once_a_later_term_has_a_leader() -> None:
-    """A member without a log asks to load it again. Before the votes come, a leader of a later
-    term is heard. The member must not lead: it would lead in that leader's term.
+    """A recovering member requests votes for a reload.
+
+    Before the votes arrive, it receives entries of the leader of a later term. It must not become
+    leader, because that would be in the other leader's term.
     """
     outbox: Outbox = []
     member = member_of_five(outbox)
@@ -91,10 +93,10 @@
     ("request_", "state", "granted"),
     [
         (RequestVote("east", TERM, START, LAST), {}, True),
-        (RequestVote("east", TERM, START, START), {}, False),  # it lacks what is committed
+        (RequestVote("east", TERM, START, START), {}, False),  # lacks committed entries
         (RequestVote("east", TERM, START, Position(9, 9)), {"history": Position(1, 0)}, False),
         (RequestVote("east", TERM - 1, START, LAST), {}, True),
-        (RequestVote("east", TERM - 1, START, LAST), {"voted_for": "east-1"}, True),  # twice
+        (RequestVote("east", TERM - 1, START, LAST), {"voted_for": "east-1"}, True),  # duplicate
         (RequestVote("east", TERM - 1, START, LAST), {"voted_for": "east-2"}, False),
         (RequestVote("east", TERM - 2, START, LAST), {}, False),  # late
         (RequestVote("east", TERM, START, LAST), {"role": Role.RECOVERING}, False),
@@ -120,12 +122,13 @@
         (RequestVote("east", TERM - 1, START, START, reload=True), {"waited": True}, False),
     ],
 )
-def test_a_vote_is_granted_only_where_no_other_can_have_it(
+def test_a_vote_is_granted_only_if_it_is_safe(
     request_: RequestVote, state: dict[str, object], granted: bool
 ) -> None:
-    """A request for a vote comes late, twice, from a member that lacks committed entries, or while
-    a leader is at work. Granted, it could elect a second leader of a term, or one that lacks what
-    is committed.
+    """A vote request is late, duplicated, of a member without all committed entries, or not needed.
+
+    If the vote were granted, it could elect a second leader of a term, or a leader that lacks
+    committed entries, or replace a working leader.
     """
     outbox: Outbox = []
     member = member_of_five(outbox)
@@ -142,7 +145,7 @@
 
 
 def test_a_member_votes_once_in_a_term_and_repeats_its_vote() -> None:
-    """Two candidates ask in one term, and the first one's request comes again after that."""
+    """Two candidates request votes in one term, and the first one's request is duplicated."""
     outbox: Outbox = []
     member = member_of_five(outbox)
     request = RequestVote("east", TERM, START, LAST)
@@ -155,9 +158,11 @@
     assert getattr(outbox[-1].message, "vote_granted", None) is True
 
 
-def test_a_vote_stands_after_its_leader_has_sent() -> None:
-    """A member has voted for the leader of its term, which falls silent. Another candidate's
-    request, of the same term, comes late: granted, the term could have two leaders.
+def test_a_vote_remains_valid_after_the_leader_has_sent_entries() -> None:
+    """A member has voted for the leader of its term, which then stops sending.
+
+    Another candidate's request of the same term arrives late. If it were granted, the term could
+    have two leaders.
     """
     outbox: Outbox = []
     member = member_of_five(outbox)
