--- a/tests/core/assignment/fleets.py
+++ b/tests/core/assignment/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets that the tests of assignment share, and what they ask of an assignment."""
+"""Fleets, and helper functions on assignments, that the tests of assignment share."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     services: Sequence[ServiceSpec],
     rules: AssignmentRules,
 ) -> Assignment:
-    """One assignment; an `Assigner` costs less for further sets of living nodes."""
+    """Compute one assignment; for several sets of living nodes, sharing an `Assigner` is faster."""
     return Assigner(nodes, services, rules).assign(alive)
 
 
 def moved(before: Assignment, after: Assignment) -> set[str]:
-    """The services whose holders differ."""
+    """Return the services whose holders differ."""
     return {name for name in before.holders if before.holders[name] != after.holders.get(name)}
 
 
-def moved_slots(before: Assignment, after: Assignment) -> int:
-    """Holders that have lost a service which they held before."""
+def moved_pairs(before: Assignment, after: Assignment) -> int:
+    """Count the pairs of node and service that are only in the earlier assignment."""
     return sum(
         len(set(before.holders[name]) - set(after.holders.get(name, ()))) for name in before.holders
     )
@@ -68,7 +68,7 @@
 
 
 SMALL_NODES = make_nodes(12)
-SMALL_SERVICES = make_services(40, 1000)  # one node of a zone has room for all of them
+SMALL_SERVICES = make_services(40, 1000)  # one node of a zone has capacity for all of them
 
 
 @cache
--- a/tests/core/assignment/test_handover_orders.py
+++ b/tests/core/assignment/test_handover_orders.py
@@ -1,4 +1,4 @@
-"""A handover under reports in any order: nobody releases too early, and every move ends."""
+"""A handover with reports in any order: no node releases too early, and every move completes."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclass
 class Node:
-    """A node that follows its orders, at once or late."""
+    """A node that applies its assignment, at once or late."""
 
     loaded: set[str] = field(default_factory=set)
-    wanted: frozenset[str] = frozenset()
-    draining: set[str] = field(default_factory=set)  # released once their requests end
+    required: frozenset[str] = frozenset()
+    draining: set[str] = field(default_factory=set)  # released when their requests have ended
     generation: int = 0
 
 
-class World:
-    """Nodes, the reports that they have sent, and one handover that receives them in any order."""
+class Fleet:
+    """Nodes, their reports in transit, and one handover that receives these in any order."""
 
     def __init__(self) -> None:
         self.handover = Handover(NODES)
@@ -49,12 +49,12 @@
         return sorted(set(NAMES) - self.dead)
 
     def answer(self, name: str, busy: bool) -> None:
-        """Give the node what it is to hold; a busy one drains before it releases."""
+        """Send the node its assignment; a busy node drains a service before it releases it."""
         node = self.nodes[name]
         node.generation = self.handover.generation
-        node.wanted = self.handover.required(name)
+        node.required = self.handover.required(name)
         releasable = self.handover.releasable(name)
-        assert not node.wanted & releasable
+        assert not node.required & releasable
         node.draining = set()
         for service in sorted(node.loaded & releasable):
             if busy:
@@ -64,7 +64,7 @@
                 self.check_served(service, name)
 
     def check_served(self, service: str, released_by: str) -> None:
-        """As many serve as the assignment asks for, without the one that has released."""
+        """Assert that as many other nodes serve as the assignment requires."""
         if service not in self.assignment.holders:
             return
         serving = Counter(
@@ -81,7 +81,7 @@
 
     def load(self, name: str) -> None:
         node = self.nodes[name]
-        missing = sorted(node.wanted - node.loaded)
+        missing = sorted(node.required - node.loaded)
         node.loaded.update(missing[:1])
 
     def load_all(self, name: str) -> None:
@@ -98,11 +98,11 @@
         self.reports.append((name, frozenset(node.loaded), node.generation))
 
     def receive(self, number: int, again: bool) -> None:
-        """One of the reports under way arrives; `again`: it will arrive once more."""
+        """Deliver one of the reports in transit; `again`: it will be delivered once more."""
         if not self.reports:
             return
-        place = number % len(self.reports)
-        name, loaded, generation = self.reports[place] if again else self.reports.pop(place)
+        index = number % len(self.reports)
+        name, loaded, generation = self.reports[index] if again else self.reports.pop(index)
         self.handover.on_report(name, loaded, generation)
 
     def receive_all(self, last_first: bool) -> None:
@@ -136,8 +136,8 @@
         self.assigner = FEWER if fewer else ASSIGNER
         self.assign()
 
-    def settle(self) -> None:
-        """Let everything arrive, in order, until nothing moves any more."""
+    def complete_moves(self) -> None:
+        """Deliver all messages in order until all moves are complete."""
         self.reports.clear()
         for _ in range(4):
             for name in self.living():
@@ -147,20 +147,20 @@
                 self.receive(0, again=False)
 
 
-OF_A_LIVING_NODE: dict[str, Callable[..., None]] = {
-    "answer": World.answer,
-    "load": World.load,
-    "report": World.send_report,
-    "kill": World.kill,
+LIVING_NODE_STEPS: dict[str, Callable[..., None]] = {
+    "answer": Fleet.answer,
+    "load": Fleet.load,
+    "report": Fleet.send_report,
+    "kill": Fleet.kill,
 }
-OTHERS: dict[str, Callable[..., None]] = {
-    "drain": World.drain,
-    "receive": World.receive,
-    "receive all": World.receive_all,
-    "answer all": World.answer_all,
-    "report all": World.report_all,
-    "return": World.bring_back,
-    "services": World.change_services,
+OTHER_STEPS: dict[str, Callable[..., None]] = {
+    "drain": Fleet.drain,
+    "receive": Fleet.receive,
+    "receive all": Fleet.receive_all,
+    "answer all": Fleet.answer_all,
+    "report all": Fleet.report_all,
+    "return": Fleet.bring_back,
+    "services": Fleet.change_services,
 }
 names = st.sampled_from(NAMES)
 steps = st.one_of(
@@ -178,29 +178,29 @@
 )
 
 
-def run_step(world: World, step: tuple[Any, ...]) -> None:
+def run_step(fleet: Fleet, step: tuple[Any, ...]) -> None:
     kind, *values = step
-    if kind in OTHERS:
-        OTHERS[kind](world, *values)
-    elif values[0] not in world.dead:
-        OF_A_LIVING_NODE[kind](world, *values)
+    if kind in OTHER_STEPS:
+        OTHER_STEPS[kind](fleet, *values)
+    elif values[0] not in fleet.dead:
+        LIVING_NODE_STEPS[kind](fleet, *values)
 
 
 @given(st.just(True) | st.booleans(), st.lists(steps, max_size=60))
 @settings(max_examples=250, deadline=None, derandomize=True)
-def test_in_any_order_of_reports_nobody_releases_too_early_and_all_moves_end(
+def test_in_any_order_of_reports_no_node_releases_too_early_and_all_moves_complete(
     warm: bool, run: list[tuple[Any, ...]]
 ) -> None:
-    """Reports are late, lost and doubled while nodes die and return and services change.
+    """Reports are late, lost and duplicated while nodes die and return, and services change.
 
-    A node that released a service too early would leave it to fewer nodes than it needs, or none.
+    If a node released a service too early, fewer nodes than required would serve it, or none.
     """
-    world = World()
+    fleet = Fleet()
     if warm:
-        world.settle()
+        fleet.complete_moves()
     for step in run:
-        run_step(world, step)
-    world.settle()
-    for name in set(NAMES) - world.dead:
-        assert world.nodes[name].loaded == set(world.assignment.services_by_node[name])
-    assert world.handover.pending_moves() == 0
+        run_step(fleet, step)
+    fleet.complete_moves()
+    for name in set(NAMES) - fleet.dead:
+        assert fleet.nodes[name].loaded == set(fleet.assignment.services_by_node[name])
+    assert fleet.handover.pending_moves() == 0
--- a/tests/core/assignment/test_liveness.py
+++ b/tests/core/assignment/test_liveness.py
@@ -1,4 +1,4 @@
-"""Which nodes count as alive: a timeout for death, a longer time for recovery, damped flapping."""
+"""Liveness of nodes: the heartbeat timeout, the recovery time, and flap damping."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     flap_memory_ns=600 * SECOND,
 )
 STEP = 500 * MS
-NOTHING = LivenessChange((), ())
+NO_CHANGE = LivenessChange((), ())
 
 
 class Run:
-    """One node with or without heartbeats, looked at every half second."""
+    """One node with or without heartbeats, checked every half second."""
 
     def __init__(self) -> None:
         self.now = 0
         self.liveness = Liveness(0, ["n", "other"], RULES)
 
-    def until(self, wanted: LivenessChange, heartbeats: bool, limit: int = 120 * SECOND) -> int:
-        """How long it takes for this to come out of a turn."""
+    def until(self, expected: LivenessChange, heartbeats: bool, limit: int = 120 * SECOND) -> int:
+        """Return how long it takes until this change occurs; any other change is an error."""
         start = self.now
         while self.now - start <= limit:
             self.now += STEP
@@ -34,10 +34,10 @@
             if heartbeats:
                 self.liveness.on_heartbeat(self.now, "n")
             change = self.liveness.advance(self.now)
-            if change == wanted:
+            if change == expected:
                 return self.now - start
-            assert change == NOTHING
-        raise AssertionError("never")
+            assert change == NO_CHANGE
+        raise AssertionError(f"no {expected} within {limit} ns")
 
     def die(self) -> int:
         return self.until(LivenessChange(("n",), ()), heartbeats=False)
@@ -45,47 +45,47 @@
     def come_back(self) -> int:
         return self.until(LivenessChange((), ("n",)), heartbeats=True)
 
-    def live(self, span: int) -> None:
+    def stay_alive(self, span: int) -> None:
         for _ in range(span // STEP):
             self.now += STEP
             self.liveness.on_heartbeat(self.now, "other")
             self.liveness.on_heartbeat(self.now, "n")
-            assert self.liveness.advance(self.now) == NOTHING
+            assert self.liveness.advance(self.now) == NO_CHANGE
 
 
-def test_all_count_as_alive_at_first_and_die_of_silence() -> None:
+def test_all_nodes_count_as_alive_at_first_and_die_without_heartbeats() -> None:
     run = Run()
     assert run.liveness.alive == {"n", "other"}
     assert run.die() == RULES.timeout_ns
     assert run.liveness.alive == {"other"}
 
 
-def test_a_short_silence_is_no_death() -> None:
+def test_a_gap_shorter_than_the_timeout_is_no_death() -> None:
     liveness = Liveness(0, ["n"], RULES)
     for now in range(0, 60 * SECOND, RULES.timeout_ns - 1):
-        assert liveness.advance(now) == NOTHING
+        assert liveness.advance(now) == NO_CHANGE
         liveness.on_heartbeat(now, "n")
 
 
-def test_one_is_back_only_after_it_has_stayed() -> None:
+def test_a_node_counts_as_alive_again_only_after_the_recovery_time() -> None:
     run = Run()
     run.die()
     assert run.come_back() == RULES.recovery_time_ns + STEP  # from its first heartbeat on
     assert run.liveness.alive == {"n", "other"}
 
 
-def test_a_gap_while_it_waits_begins_the_wait_anew() -> None:
+def test_a_gap_during_the_recovery_time_restarts_it() -> None:
     run = Run()
     run.die()
-    run.live(4 * SECOND)
+    run.stay_alive(4 * SECOND)
     run.now += RULES.timeout_ns
     run.liveness.on_heartbeat(run.now, "other")
-    assert run.liveness.advance(run.now) == NOTHING
+    assert run.liveness.advance(run.now) == NO_CHANGE
     assert run.come_back() == RULES.recovery_time_ns + STEP
 
 
-def test_each_return_takes_longer_up_to_a_bound() -> None:
-    """A node dies and returns again and again, and would move its services each time."""
+def test_the_recovery_time_doubles_up_to_a_maximum() -> None:
+    """A node dies and returns again and again. Without damping it moves its services each time."""
     run = Run()
     waits = []
     for _ in range(8):
@@ -94,18 +94,18 @@
     assert waits == [5, 10, 20, 40, 60, 60, 60, 60]
 
 
-def test_one_that_has_lived_long_begins_anew() -> None:
+def test_the_recovery_time_is_reset_after_a_long_time_alive() -> None:
     run = Run()
     for _ in range(4):
         run.die()
         run.come_back()
-    run.live(RULES.flap_memory_ns)
+    run.stay_alive(RULES.flap_memory_ns)
     run.die()
     assert run.come_back() == RULES.recovery_time_ns + STEP
 
 
-def test_a_rack_that_goes_and_comes_at_once_is_one_change_each_way() -> None:
-    """A rack loses its power for 7 seconds. Each change of the living set moves services."""
+def test_the_loss_and_the_return_of_a_rack_are_one_change_each() -> None:
+    """A rack loses power for 7 s. Each change of the set of living nodes moves services."""
     rack = [f"n{number:02}" for number in range(40)]
     liveness = Liveness(0, [*rack, "other"], RULES)
     changes = []
@@ -114,15 +114,15 @@
         if not 5 * SECOND <= now < 12 * SECOND:
             for node in rack:
                 liveness.on_heartbeat(now, node)
-        if (change := liveness.advance(now)) != NOTHING:
+        if (change := liveness.advance(now)) != NO_CHANGE:
             changes.append(change)
     assert changes == [LivenessChange(tuple(rack), ()), LivenessChange((), tuple(rack))]
 
 
-def test_a_heartbeat_that_is_counted_late_does_not_age_its_node() -> None:
-    """A heartbeat of a second ago is counted after a newer one, as from another machine."""
+def test_a_late_heartbeat_does_not_replace_a_newer_one() -> None:
+    """A heartbeat from one second ago is processed after a newer one, as from another machine."""
     run = Run()
-    run.live(10 * SECOND)
+    run.stay_alive(10 * SECOND)
     assert run.liveness.on_heartbeat(run.now - SECOND, "n")
     assert run.die() == RULES.timeout_ns
 
--- a/tests/core/assignment/test_release.py
+++ b/tests/core/assignment/test_release.py
@@ -1,4 +1,4 @@
-"""Who may let nodes release services, and how long that counts."""
+"""Release grants: which machine may send them, and how long they are valid."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 def leading(since: int, until: int, epoch: int = 4) -> ReleaseAuthority:
-    found = authority(since * SECOND)
+    leader = authority(since * SECOND)
     for second in range(since, until + 1):
-        found.on_tick(second * SECOND, epoch)
-    return found
+        leader.on_tick(second * SECOND, epoch)
+    return leader
 
 
 def test_a_leader_grants_the_services_of_its_region_after_the_delay() -> None:
@@ -41,7 +41,7 @@
 
 
 def test_a_deposed_leader_grants_nothing_and_its_delay_starts_again() -> None:
-    """A leader is deposed and elected again: meanwhile another may have granted."""
+    """A leader is deposed and elected again. Another leader may have granted releases meanwhile."""
     machine = leading(0, 5)
     machine.on_tick(6 * SECOND, None)
     assert machine.grant(6 * SECOND, {"n1": {"pay"}}) is None
@@ -65,7 +65,7 @@
     assert machine.grant(6 * SECOND, {"n1": {"pay"}}) is None
 
 
-def test_only_a_grant_lets_nodes_release_and_only_until_it_ends() -> None:
+def test_nodes_may_release_only_by_a_grant_and_only_until_it_expires() -> None:
     machine = authority()
     assert machine.grant(0, {"n1": {"pay"}}) is None
     assert machine.releasable(0, "n1") == frozenset()
@@ -79,12 +79,14 @@
 
 
 def test_a_pause_voids_grants_for_good_and_restarts_a_leaders_delay() -> None:
-    """A machine is stopped and continues. Grants that waited in its socket may be of any age; if
-    they counted, the last holders of a service could release it.
+    """A machine's process is suspended and continues.
+
+    Grants that waited in its socket may be of any age. If they were valid, the last holders of a
+    service could release it.
     """
     machine = authority()
     machine.on_grant(0, "east-b", GRANT)
-    assert machine.releasable(SECOND + 1, "n1") == frozenset()  # before its first turn
+    assert machine.releasable(SECOND + 1, "n1") == frozenset()  # before the next tick
     machine.on_tick(SECOND + 1, None)
     assert machine.releasable(SECOND + 1, "n1") == frozenset()  # and after it
     leader = leading(0, 5)
@@ -94,11 +96,11 @@
 
 
 def test_a_grant_of_an_older_epoch_is_ignored() -> None:
-    """A deposed leader still sends grants by what it saw before a link failed."""
+    """A deposed leader still sends grants, based on its view from before a link failed."""
     machine = authority()
     assert machine.on_grant(0, "east-b", ReleaseGrant("east", 5, ()))
     assert not machine.on_grant(0, "east-a", GRANT)
-    machine.on_tick(60 * SECOND, None)  # a pause, and the newer grant has long ended
+    machine.on_tick(60 * SECOND, None)  # after a pause, when the newer grant has expired
     assert not machine.on_grant(60 * SECOND, "east-a", GRANT)
     assert machine.releasable(60 * SECOND, "n1") == frozenset()
     assert machine.counts == {"older epoch": 2}
@@ -114,7 +116,7 @@
         ("east-b", ReleaseGrant("east", 9, (NodeRelease("n1", ()),) * 4), "too many"),
     ],
 )
-def test_unusable_grants_are_counted_and_ignored(
+def test_invalid_grants_are_counted_and_ignored(
     sender: str, grant: ReleaseGrant, reason: str
 ) -> None:
     machine = authority()
@@ -123,7 +125,7 @@
     assert machine.counts == {reason: 1}
 
 
-def test_a_grant_is_bounded() -> None:
+def test_the_size_of_a_grant_is_limited() -> None:
     views = {"n1": {"pay", "cart"}, "n2": {"pay", "cart"}, "n3": {"pay"}}
     grant = leading(0, 5).grant(5 * SECOND, views)
     assert grant is not None
--- a/tests/core/assignment/test_substitutes.py
+++ b/tests/core/assignment/test_substitutes.py
@@ -1,4 +1,4 @@
-"""Substitutes of dead nodes in a zone that is partly lost: which nodes, and at what cost."""
+"""Substitutes for dead nodes in a partly lost zone: the choice of nodes, and its cost."""
 
 from __future__ import annotations
 
@@ -26,17 +26,19 @@
     names,
 )
 
-DIGEST_OF_1650_DEAD = "76c2f3f4f412f85db9954df91d269321"  # what a walk of full orders gives too
-MAX_LOOKUPS = 200_000  # nodes, in an assignment; 4,500 full orders of a zone have 8.8 million
+# Of the assignment with 1,650 dead nodes; a walk of the complete orders gives the same.
+DIGEST_OF_1650_DEAD = "76c2f3f4f412f85db9954df91d269321"
+# Of nodes in one assignment. The complete orders of a zone for 4,500 services have 8.8 million.
+MAX_LOOKUPS = 200_000
 
 
 def partly_lost(dead: int) -> frozenset[str]:
-    """The nodes that live while this many of one zone's 1,950 are dead."""
+    """Return the living nodes when this many of one zone's 1,950 nodes are dead."""
     return names(FULL_NODES) - {f"east-1-{number:04}" for number in range(dead)}
 
 
 class CountingNodes(frozenset[str]):
-    """Living nodes that count how often one of them is looked up."""
+    """A set of living nodes that counts lookups."""
 
     lookups = 0
 
@@ -49,32 +51,36 @@
 def test_a_partly_lost_zone_costs_no_walk_of_the_zone_for_each_service(
     dead: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Most nodes of a zone are dead, or full with the others' services. If each service walked
-    the zone for a substitute, an assignment would take many seconds just when it is urgent.
+    """Most nodes of a zone are dead, or full with the services of the dead ones.
+
+    If the zone were walked for each service, an assignment would take many seconds at a time when
+    it is urgent.
     """
     counts = Counter[str]()
-    rank, able = zones._mix64, _AvailableNodes.with_rate
+    mix64, with_rate = zones._mix64, _AvailableNodes.with_rate
 
-    def counted_rank(value: int) -> int:
+    def counted_mix64(value: int) -> int:
         counts["ranked"] += 1
-        return rank(value)
+        return mix64(value)
 
-    def counted_able(nodes: _AvailableNodes, rate: float) -> list[str]:
-        found = able(nodes, rate)
-        counts["listed"] += len(found)
-        return found
+    def counted_with_rate(nodes: _AvailableNodes, rate: float) -> list[str]:
+        available = with_rate(nodes, rate)
+        counts["listed"] += len(available)
+        return available
 
     full()
-    monkeypatch.setattr(zones, "_mix64", counted_rank)
-    monkeypatch.setattr(_AvailableNodes, "with_rate", counted_able)
+    monkeypatch.setattr(zones, "_mix64", counted_mix64)
+    monkeypatch.setattr(_AvailableNodes, "with_rate", counted_with_rate)
     living = CountingNodes(partly_lost(dead))
     full().assign(living)
     assert living.lookups + counts.total() < MAX_LOOKUPS, (living.lookups, counts)
 
 
 def test_a_partly_lost_zone_uses_its_living_nodes_to_their_limits() -> None:
-    """1,650 of a zone's 1,950 nodes are dead. The others are used up to their own limits, and
-    every service that finds no capacity is stated as such.
+    """1,650 of a zone's 1,950 nodes are dead.
+
+    The others must be used up to their own limits, and every service without capacity must be
+    reported.
     """
     after = full().assign(partly_lost(1650))
     assert_consistent(after)
@@ -92,14 +98,16 @@
         if len(living) < wanted:
             few = len(living) < RULES.min_per_zone
             short[spec.name] = Constraint.MINIMUM if few else Constraint.CAPACITY
-        rates[spec.name] = spec.rate / 3 / wanted  # of a holder, once another zone is lost
+        rates[spec.name] = spec.rate / 3 / wanted  # of one holder, if another zone is lost
         for node in living:
             load[node] += rates[spec.name]
-    stated = {(one.service, one.constraint) for one in after.unmet if one.zone == "east-1"}
-    assert stated == set(short.items())
+    reported = {
+        (unmet.service, unmet.constraint) for unmet in after.unmet if unmet.zone == "east-1"
+    }
+    assert reported == set(short.items())
     assert max(load.values()) <= RULES.node_rate * (1 + 1e-9)
     assert max(map(len, after.services_by_node.values())) <= FULL_NODES[0].capacity
-    for service in short:  # no node that could take it was left out
+    for service in short:  # no other node could take it
         others = load.keys() - set(after.holders[service])
         free = RULES.node_rate - min(load[node] for node in others)
         assert rates[service] > free - 1e-6
@@ -108,13 +116,13 @@
 
 
 def walked(
-    search: Substitutes, service: str, count: int, rate: float, without: Collection[str]
+    search: Substitutes, service: str, count: int, rate: float, excluded: Collection[str]
 ) -> list[str]:
-    """The definition of `Substitutes.choose`: a walk of the service's full order."""
+    """Choose substitutes by a walk of the service's complete order, as `choose` is defined."""
     chosen: list[str] = []
     for name in search._zone.order(service):
-        able = name in search._living and name not in without
-        if len(chosen) < count and able and search._loads.reserve(name, rate):
+        eligible = name in search._living and name not in excluded
+        if len(chosen) < count and eligible and search._loads.reserve(name, rate):
             chosen.append(name)
     return chosen
 
@@ -139,6 +147,6 @@
 ) -> None:
     random = Random(living)
     sets = [frozenset(random.sample(sorted(names(ONE_ZONE_NODES)), living)) for _ in range(2)]
-    got = [one_zone().assign(alive) for alive in sets]
+    assignments = [one_zone().assign(alive) for alive in sets]
     monkeypatch.setattr(Substitutes, "choose", walked)
-    assert got == [one_zone().assign(alive) for alive in sets]
+    assert assignments == [one_zone().assign(alive) for alive in sets]
--- a/tests/core/assignment/test_validation.py
+++ b/tests/core/assignment/test_validation.py
@@ -1,4 +1,4 @@
-"""Tables of nodes, services and machines that can't be used are refused in one line."""
+"""Invalid tables of nodes and services are rejected with a one-line message."""
 
 from __future__ import annotations
 
@@ -7,11 +7,7 @@
 import pytest
 
 from loadbalancer.core.assignment.assigner import Assigner
-from loadbalancer.core.assignment.model import (
-    InvalidInputError,
-    NodeSpec,
-    ServiceSpec,
-)
+from loadbalancer.core.assignment.model import InvalidInputError, NodeSpec, ServiceSpec
 from tests.core.assignment.fleets import RULES
 
 NODE = NodeSpec("n", "east", "east-1", 4)
@@ -70,7 +66,7 @@
         ),
     ],
 )
-def test_tables_that_cannot_be_used_get_one_clear_line(
+def test_invalid_tables_are_rejected_with_a_one_line_message(
     nodes: list[NodeSpec], services: list[ServiceSpec], message: str
 ) -> None:
     with pytest.raises(InvalidInputError) as caught:
