--- a/tests/core/replicated_log/test_append_answers.py
+++ b/tests/core/replicated_log/test_append_answers.py
@@ -81,7 +81,7 @@
     outbox.clear()
     member.propose(Change(START, "a", (Row("u", "x"),)))
     messages = [sent.message for sent in outbox if sent.recipient == GROUP[1]]
-    assert [len(sent.entries) for sent in messages if isinstance(sent, AppendEntries)] == [1]
+    assert [len(item.entries) for item in messages if isinstance(item, AppendEntries)] == [1]
 
 
 def test_a_rejection_with_an_index_beyond_the_log_is_probed_at_the_end_of_the_log() -> None:
--- a/tests/core/subscription/holders.py
+++ b/tests/core/subscription/holders.py
@@ -1,14 +1,8 @@
-"""Holders and updates that the tests of a node's side share."""
+"""Holders and updates that the tests of a node's subscriptions share."""
 
 from __future__ import annotations
 
-from loadbalancer.core.assignment.model import (
-    Change,
-    Delta,
-    Position,
-    Row,
-    Snapshot,
-)
+from loadbalancer.core.assignment.model import Change, Delta, Position, Row, Snapshot
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.limits import ROW_BYTES, SERVICE_BYTES, HolderLimits
 from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
@@ -26,14 +20,14 @@
 
 
 def make(*services: str, limits: HolderLimits | None = None) -> Holder:
-    """A holder that is to hold these services of region r, and has been told nothing of them."""
+    """Return a holder that is assigned these services of region r, and has no rows of them yet."""
     holder = Holder("n", ["r", "q"], limits or HolderLimits())
     assert holder.on_assignment(0, dict.fromkeys(services, "r"), ()) == ()
     return holder
 
 
 def holding(*services: str, limits: HolderLimits | None = None) -> Holder:
-    """A holder that holds these services with two backends each, as of (2, 10)."""
+    """Return a holder that has these services with two backends each, as of position (2, 10)."""
     holder = make(*services, limits=limits)
     snapshot = Snapshot("r", P(2, 10), {service: rows("a", "b") for service in services})
     assert holder.on_update(0, snapshot) == UpdateResult(UpdateStatus.APPLIED, services)
@@ -45,7 +39,7 @@
 
 
 def bytes_of(count: int) -> int:
-    """What a service with so many rows of names of four characters takes."""
+    """Return the memory of a service with `count` rows whose uids have four characters."""
     return SERVICE_BYTES + count * (ROW_BYTES + 4 + len(row("0000").body))
 
 
@@ -54,5 +48,7 @@
 
 
 def bytes_of_service(holder: Holder, service: str) -> int:
-    found = holder.rows(service) or {}
-    return SERVICE_BYTES + sum(ROW_BYTES + len(one.uid) + len(one.body) for one in found.values())
+    backends = holder.rows(service) or {}
+    return SERVICE_BYTES + sum(
+        ROW_BYTES + len(backend.uid) + len(backend.body) for backend in backends.values()
+    )
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -1,4 +1,4 @@
-"""A holder never goes back, applies no half change, and drops nothing in use."""
+"""A holder's position never decreases, changes are applied completely, services in use are kept."""
 
 from __future__ import annotations
 
@@ -36,52 +36,53 @@
 
 
 @pytest.mark.parametrize(
-    ("base", "position", "kind"),
+    ("base", "position", "status"),
     [
         (P(2, 10), P(2, 11), UpdateStatus.APPLIED),
-        (P(2, 10), P(3, 11), UpdateStatus.APPLIED),  # a new leader's first
-        (P(2, 9), P(2, 10), UpdateStatus.OLDER),  # twice
+        (P(2, 10), P(3, 11), UpdateStatus.APPLIED),  # first change of a new leader
+        (P(2, 9), P(2, 10), UpdateStatus.OLDER),  # duplicate
         (P(2, 8), P(2, 9), UpdateStatus.OLDER),  # late
-        (P(1, 10), P(1, 11), UpdateStatus.OLDER),  # of a leader deposed
+        (P(1, 10), P(1, 11), UpdateStatus.OLDER),  # of a deposed leader
         (P(1, 99), P(1, 100), UpdateStatus.OLDER),
         (P(1, 10), P(2, 11), UpdateStatus.GAP),
-        (P(2, 9), P(2, 11), UpdateStatus.GAP),  # begins too early
-        (P(2, 11), P(2, 12), UpdateStatus.GAP),  # one lost
+        (P(2, 9), P(2, 11), UpdateStatus.GAP),  # base before the position
+        (P(2, 11), P(2, 12), UpdateStatus.GAP),  # an update was lost
         (P(3, 11), P(3, 12), UpdateStatus.GAP),
         (P(2, 10), P(2, 9), UpdateStatus.MALFORMED),
         (P(2, 10), P(3, 9), UpdateStatus.MALFORMED),
     ],
 )
-def test_what_a_delta_does_depends_on_its_positions(
-    base: Position, position: Position, kind: UpdateStatus
+def test_the_result_of_a_delta_depends_on_its_positions(
+    base: Position, position: Position, status: UpdateStatus
 ) -> None:
-    """Answers come late, twice, or not at all, and some are of a deposed leader. A node that
-    applied such a delta would bring back removed backends, or miss changes for good.
+    """Answers are late, duplicated, lost, or of a deposed leader.
+
+    If a node applied such a delta, removed backends could return, or changes be lost permanently.
     """
     holder = holding("s")
     result = holder.on_update(7, delta(base, position, Change(position, "s", removed=("a",))))
-    assert result.status is kind
-    applied = kind is UpdateStatus.APPLIED
+    assert result.status is status
+    applied = status is UpdateStatus.APPLIED
     assert holder.rows("s") == (rows("b") if applied else rows("a", "b"))
     assert holder.position("r") == (position if applied else P(2, 10))
     assert holder.age(10, "r") == (3 if applied else 10)
 
 
 @pytest.mark.parametrize(
-    ("position", "kind"),
+    ("position", "status"),
     [
         (P(2, 10), UpdateStatus.APPLIED),
         (P(2, 30), UpdateStatus.APPLIED),
-        (P(3, 1), UpdateStatus.APPLIED),  # a log that was begun anew
+        (P(3, 1), UpdateStatus.APPLIED),  # a log that was loaded again
         (P(2, 9), UpdateStatus.OLDER),
         (P(1, 99), UpdateStatus.OLDER),
     ],
 )
-def test_a_snapshot_is_applied_unless_it_is_older(position: Position, kind: UpdateStatus) -> None:
-    """A snapshot that was delayed comes after a newer one."""
+def test_a_snapshot_is_applied_unless_it_is_older(position: Position, status: UpdateStatus) -> None:
+    """A delayed snapshot arrives after a newer one."""
     holder = holding("s")
-    assert holder.on_update(7, Snapshot("r", position, {"s": rows("c")})).status is kind
-    applied = kind is UpdateStatus.APPLIED
+    assert holder.on_update(7, Snapshot("r", position, {"s": rows("c")})).status is status
+    applied = status is UpdateStatus.APPLIED
     assert holder.rows("s") == (rows("c") if applied else rows("a", "b"))
     assert holder.position("r") == (position if applied else P(2, 10))
 
@@ -89,12 +90,12 @@
 @pytest.mark.parametrize(
     "change",
     [
-        Change(P(2, 10), "s", removed=("a",)),  # has been applied before the delta's base
+        Change(P(2, 10), "s", removed=("a",)),  # at the delta's base
         Change(P(2, 13), "s", removed=("a",)),
         Change(P(2, 13), "s", complete=True),
     ],
 )
-def test_a_delta_that_contradicts_itself_changes_nothing(change: Change) -> None:
+def test_an_inconsistent_delta_changes_nothing(change: Change) -> None:
     holder = holding("s")
     valid = Change(P(2, 11), "s", (row("c"),))
     result = holder.on_update(7, delta(P(2, 10), P(2, 12), valid, change))
@@ -102,7 +103,7 @@
     assert holder.rows("s") == rows("a", "b")
 
 
-def test_a_service_begins_with_its_first_complete_change() -> None:
+def test_a_new_service_needs_a_complete_change_first() -> None:
     holder = holding("s")
     assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
@@ -115,7 +116,7 @@
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), also, part)) == UpdateResult(
         UpdateStatus.GAP
     )
-    assert holder.rows("s") == rows("a", "b")  # nothing of it was applied
+    assert holder.rows("s") == rows("a", "b")  # no part of it was applied
     complete = Change(P(2, 10), "t", (row("a"),), complete=True)
     assert holder.on_update(2, delta(P(2, 10), P(2, 10), complete)) == UpdateResult(
         UpdateStatus.APPLIED, ("t",)
@@ -126,20 +127,20 @@
     assert holder.rows("t") == rows("a", "c")
 
 
-def test_a_change_and_a_move_in_the_same_instant() -> None:
-    """The change goes out to those who hold the service just as it is assigned here."""
+def test_a_change_of_a_service_at_the_time_of_its_assignment() -> None:
+    """A service changes at the same time as it is assigned to the node."""
     change = Change(P(2, 11), "t", (row("a", draining=True),))
     complete = Change(P(2, 11), "t", (row("a", draining=True), row("b")), complete=True)
-    before = delta(P(2, 10), P(2, 11), change)  # as if it had been held all along
+    before = delta(P(2, 10), P(2, 11), change)  # as sent to earlier holders
     together = delta(P(2, 10), P(2, 11), complete)
-    holder = holding("s")  # the change comes first
+    holder = holding("s")  # the change arrives first
     assert holder.on_update(1, before).status is UpdateStatus.NOT_WANTED
     assert holder.on_assignment(2, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
     late = Change(P(2, 11), "t", complete.rows, complete=True)
     assert holder.on_update(3, delta(P(2, 11), P(2, 11), late)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", draining=True), "b": row("b")}
-    holder = holding("s")  # the move comes first
+    holder = holding("s")  # the assignment arrives first
     assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.on_update(2, before).status is UpdateStatus.GAP
     assert holder.on_update(3, together).status is UpdateStatus.APPLIED
@@ -147,8 +148,10 @@
 
 
 def test_an_answer_to_an_earlier_poll_does_not_cover_later_services() -> None:
-    """A service is assigned while a poll is under way. Its answer leaves that service out, so
-    the service must not count as current at the answer's position.
+    """A service is assigned while a poll is open.
+
+    The answer to that poll does not include the service, so the service must not count as current
+    at the answer's position.
     """
     holder = holding("s")
     early = holder.make_subscription("r")
@@ -161,25 +164,25 @@
         holder.on_update(2, delta(P(2, 10), P(2, 10), complete), second).status
         is UpdateStatus.APPLIED
     )
-    # In between t's backend was drained; this answer leaves it out, as t was not polled.
+    # Meanwhile t's backend was drained. This answer does not include that, as its poll lacked t.
     assert holder.on_update(3, delta(P(2, 10), P(2, 11)), early).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a")
     assert holder.current_services("r") == {"s"}
 
 
-def test_a_snapshot_from_before_an_assignment_leaves_what_it_does_not_name() -> None:
+def test_a_snapshot_does_not_change_services_that_it_does_not_include() -> None:
     holder = holding("s", "t")
     assert (
         holder.on_update(1, Snapshot("r", P(2, 20), {"s": rows("c")})).status
         is UpdateStatus.APPLIED
     )
-    assert holder.rows("t") == rows("a", "b")  # served on with what is held
+    assert holder.rows("t") == rows("a", "b")  # the old rows are still served
     assert holder.current_services("r") == {"s"}
     stale = Change(P(2, 21), "t", (row("d"),))
     assert holder.on_update(2, delta(P(2, 20), P(2, 21), stale)).status is UpdateStatus.GAP
 
 
-def test_a_deleted_service_is_empty_and_may_come_anew() -> None:
+def test_a_deleted_service_has_no_rows_and_may_be_created_again() -> None:
     holder = holding("s")
     deletion = Change(P(2, 11), "s", deleted=True)
     assert holder.on_update(1, delta(P(2, 10), P(2, 11), deletion)) == UpdateResult(
@@ -194,13 +197,15 @@
 
 
 def test_a_service_is_dropped_only_when_releasable_and_idle() -> None:
-    """A service moves away. Dropping it with requests in flight, or before another node serves,
-    fails these requests.
+    """A service moves to another node.
+
+    If it were dropped with requests in flight, or before the other node serves it, requests would
+    fail.
     """
     holder = holding("s")
     assert holder.on_request_start("s")
     assert holder.on_request_start("s")
-    assert holder.on_assignment(1, {}, ()) == ()  # moved away, nobody serves yet
+    assert holder.on_assignment(1, {}, ()) == ()  # moved away, but no other node serves it yet
     assert holder.on_request_start("s")
     holder.on_request_end("s")
     assert holder.rows("s") == rows("a", "b")
@@ -229,8 +234,8 @@
     assert holder.drain_released() == ("s",)
 
 
-def test_a_revoked_release_does_not_count() -> None:
-    """A new holder dies, and control takes the permission to release back."""
+def test_a_service_is_retained_after_its_release_was_revoked() -> None:
+    """A new holder dies, and the control machine revokes the permission to release the service."""
     holder = holding("s")
     assert holder.on_request_start("s")
     assert holder.on_assignment(1, {}, ("s",)) == ()
@@ -240,7 +245,7 @@
 
 
 def test_a_service_that_is_never_idle_is_closed_after_the_drain_timeout() -> None:
-    """Requests of a service that moved away never pause, so it would never be released."""
+    """A service has moved away, but its requests never pause, so it could never be released."""
     holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
     assert holder.on_request_start("s")
     assert holder.on_assignment(100, {}, ("s",)) == ()
@@ -256,20 +261,20 @@
     assert holder.drain_released() == ("s",)
 
 
-def test_a_service_that_comes_back_serves_on_and_has_to_come_completely() -> None:
+def test_a_service_that_is_assigned_again_is_served_and_has_to_be_sent_completely() -> None:
     holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
     assert holder.on_request_start("s")
     assert holder.on_assignment(100, {}, ("s",)) == ()
     assert holder.on_assignment(200, {}, ("s",)) == ()  # closed
     assert holder.on_assignment(201, {"s": "r"}, ()) == ()
     assert holder.on_request_start("s")
-    assert holder.current_services("r") == frozenset()  # it may not have been followed meanwhile
+    assert holder.current_services("r") == frozenset()  # changes may not have been sent meanwhile
     holder.on_request_end("s")
     holder.on_request_end("s")
     assert holder.drain_released() == ()
 
 
-def test_a_service_dropped_and_back_at_once_is_not_named_as_released() -> None:
+def test_a_service_that_is_dropped_and_assigned_again_is_not_returned_as_released() -> None:
     holder = holding("s")
     assert holder.on_assignment(1, {}, ("s",)) == ()
     assert holder.on_assignment(2, {"s": "r"}, ()) == ()
@@ -277,15 +282,15 @@
     assert holder.rows("s") is None
 
 
-def test_a_cold_service_that_moves_on_before_it_came_is_dropped() -> None:
+def test_a_service_that_moves_away_before_its_rows_were_received_is_dropped() -> None:
     holder = make("s")
     assert holder.on_assignment(1, {}, ()) == ()
     assert holder.subscribed_services("r") == frozenset()
     assert holder.retained_bytes == 0
 
 
-def test_without_control_it_serves_on_and_its_age_shows() -> None:
-    """Control is unreachable for a day: the node serves on."""
+def test_without_a_control_machine_a_node_continues_to_serve_and_its_age_increases() -> None:
+    """No control machine is reachable for a day."""
     holder = make("s")
     assert holder.age(5, "r") is None
     assert (
--- a/tests/core/subscription/test_holder_orders.py
+++ b/tests/core/subscription/test_holder_orders.py
@@ -1,4 +1,4 @@
-"""A holder under updates in any order."""
+"""A holder that receives updates in any order."""
 
 from __future__ import annotations
 
@@ -8,14 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.core.assignment.model import (
-    START,
-    Change,
-    Delta,
-    Position,
-    Snapshot,
-    Update,
-)
+from loadbalancer.core.assignment.model import START, Change, Delta, Position, Snapshot, Update
 from loadbalancer.core.subscription.holder import Holder
 from loadbalancer.core.subscription.updates import Subscription, UpdateStatus
 from tests.core.subscription.holders import (
@@ -31,18 +24,19 @@
 
 
 class History:
-    """One region's log as it was accepted, and what each place in it looks like.
+    """The committed changes of one region's log, and the rows at each of its positions.
 
-    At one place the leader is deposed: its epoch has a branch that was never accepted. That goes
-    to holders which are further on; to others nobody sends what is not accepted.
+    At one position the leader is deposed; its epoch then has a branch of changes that were never
+    committed. These are sent only to holders whose position is later than the branch, since no
+    control machine sends uncommitted changes otherwise.
     """
 
     def __init__(self, drawn: list[tuple[str, str, str]], branch_at: int) -> None:
         self.branch_at = branch_at % (len(drawn) + 1)
         self.changes: list[Change] = []
         self.states: list[dict[str, Rows]] = [{service: {} for service in SERVICES}]
-        for number, (service, uid, what) in enumerate(drawn, start=1):
-            change = self.change(self.position(number), service, uid, what)
+        for number, (service, uid, kind) in enumerate(drawn, start=1):
+            change = self.change(self.position(number), service, uid, kind)
             self.changes.append(change)
             self.states.append(after(self.states[-1], change))
 
@@ -52,12 +46,12 @@
         return P(1 if number <= self.branch_at else 2, number)
 
     @staticmethod
-    def change(position: Position, service: str, uid: str, what: str) -> Change:
-        """Two rows at once, so that half of a change can be told."""
+    def change(position: Position, service: str, uid: str, kind: str) -> Change:
+        """Return a change of two rows, so that a partly applied change can be detected."""
         other = uid + "2"
-        if what == "remove":
+        if kind == "remove":
             return Change(position, service, removed=(uid, other))
-        draining = what == "leave"
+        draining = kind == "drain"
         return Change(position, service, (row(uid, draining), row(other, draining)))
 
     def delta(self, first: int, last: int, services: frozenset[str]) -> Delta:
@@ -69,7 +63,7 @@
         return Snapshot("r", self.position(number), {name: state[name] for name in services})
 
     def branch(self, first: int) -> Delta:
-        """What the deposed leader still sends: one of its own changes after the last common one."""
+        """Return a delta of the deposed leader with a change that was never committed."""
         base = P(1, self.branch_at + first) if self.branch_at + first else START
         lost = P(1, base.revision + 1)
         wrong = Change(lost, "s", (row("wrong"), *(row(uid) for uid in UIDS)))
@@ -77,8 +71,8 @@
 
 
 def after(state: dict[str, Rows], change: Change) -> dict[str, Rows]:
-    changed = {uid: one for uid, one in state[change.service].items() if uid not in change.removed}
-    changed |= {one.uid: one for one in change.rows}
+    changed = {uid: old for uid, old in state[change.service].items() if uid not in change.removed}
+    changed |= {new.uid: new for new in change.rows}
     return {**state, change.service: changed}
 
 
@@ -86,7 +80,7 @@
     st.tuples(
         st.sampled_from(SERVICES),
         st.sampled_from(UIDS),
-        st.sampled_from(("add", "leave", "remove")),
+        st.sampled_from(("add", "drain", "remove")),
     ),
     min_size=1,
     max_size=12,
@@ -108,7 +102,7 @@
 
 
 def drawn_update(history: History, holder: Holder, message: tuple[str, int, int]) -> Update | None:
-    """One update of many kinds: the one that is due, any other, one that was never accepted."""
+    """Return an update of the drawn kind: the next one, any other, or an uncommitted one."""
     kind, one, other = message
     last = len(history.changes)
     first, second = sorted((one % (last + 1), other % (last + 1)))
@@ -119,7 +113,7 @@
             return history.delta(first, second, following)
         case "next":
             return history.delta(here, min(here + 1 + one % 3, last), following)
-        case "request":  # what a control machine answers: changes, and what is missing completely
+        case "request":  # as a control machine answers: changes, and other services completely
             there = max(here, second)
             new = holder.subscribed_services("r") - following
             update = history.delta(here, there, following)
@@ -148,24 +142,24 @@
         assert holder.rows(service) == state[service]
 
 
-def assert_drains_last(before: Mapping[str, Rows], holder: Holder, history: History) -> None:
-    """A backend that drains is sent nothing, unless a later change takes it up again."""
+def assert_still_draining(before: Mapping[str, Rows], holder: Holder, history: History) -> None:
+    """Assert that draining backends are still draining, unless a later change has ended that."""
     state = history.states[holder.position("r").revision]
     for service, old in before.items():
-        for uid, one in (holder.rows(service) or {}).items():
-            if uid in old and old[uid].draining and not one.draining:
-                assert state[service][uid] == one
+        for uid, new in (holder.rows(service) or {}).items():
+            if uid in old and old[uid].draining and not new.draining:
+                assert state[service][uid] == new
 
 
 @given(histories, numbers, messages)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_updates_in_any_order_never_take_a_holder_back(
+def test_updates_in_any_order_never_revert_a_holder(
     drawn: list[tuple[str, str, str]], branch_at: int, run: list[tuple[str, int, int]]
 ) -> None:
-    """Updates are lost, doubled, late, or of a deposed leader, while assignments change.
+    """Updates are lost, duplicated, late, or of a deposed leader, while assignments change.
 
-    Whatever comes: positions never go back, services are as accepted at their position, and a
-    backend that drains is not taken up again.
+    Positions must never decrease, services must have the committed rows of their position, and a
+    draining backend must not be used again.
     """
     history = History(drawn, branch_at)
     holder = make(*SERVICES[:2])
@@ -182,7 +176,7 @@
                 continue
             update, request = drawn_now, holder.make_subscription("r")
             sent.append((update, request))
-            if message[2] % 4 == 3:  # not applied now: late, or lost
+            if message[2] % 4 == 3:  # delayed or lost
                 continue
         position = holder.position("r")
         before = {service: dict(holder.rows(service) or {}) for service in SERVICES}
@@ -194,7 +188,7 @@
         assert_as_of_its_position(holder, history)
         known = holder.subscribed_services("r")
         assert holder.retained_bytes == sum(bytes_of_service(holder, name) for name in known)
-        assert_drains_last(before, holder, history)
+        assert_still_draining(before, holder, history)
     last = len(history.changes)
     holder.on_assignment(0, dict.fromkeys(SERVICES, "r"), ())
     holder.on_update(0, history.snapshot(last, holder.subscribed_services("r")))
--- a/tests/core/subscription/test_limits.py
+++ b/tests/core/subscription/test_limits.py
@@ -1,12 +1,10 @@
-"""Limits of a node that are out of range."""
+"""Limits of a holder that are out of range."""
 
 from __future__ import annotations
 
 import pytest
 
-from loadbalancer.core.assignment.model import (
-    InvalidInputError,
-)
+from loadbalancer.core.assignment.model import InvalidInputError
 from loadbalancer.core.subscription.limits import HolderLimits
 
 
--- a/tests/core/subscription/test_service_table.py
+++ b/tests/core/subscription/test_service_table.py
@@ -1,11 +1,8 @@
-"""Bounds on a node's services: what does not fit, and what becomes of it."""
+"""Limits on a node's services, and services that exceed them."""
 
 from __future__ import annotations
 
-from loadbalancer.core.assignment.model import (
-    Change,
-    Snapshot,
-)
+from loadbalancer.core.assignment.model import Change, Snapshot
 from loadbalancer.core.subscription.limits import HolderLimits
 from loadbalancer.core.subscription.updates import UpdateResult, UpdateStatus
 from tests.core.subscription.holders import (
@@ -19,7 +16,7 @@
 )
 
 
-def test_no_more_services_than_the_bound() -> None:
+def test_the_number_of_services_is_limited() -> None:
     holder = holding("s", limits=HolderLimits(max_services=3))
     wanted = dict.fromkeys(("s", "t", "u", "v", "w"), "r")
     assert holder.on_assignment(1, wanted, ()) == ("v", "w")
@@ -28,7 +25,7 @@
     assert holder.subscribed_services("r") == {"t", "v"}
 
 
-def test_no_service_is_added_beyond_the_bound_on_bytes() -> None:
+def test_no_service_is_added_if_it_would_exceed_the_memory_limit() -> None:
     limits = HolderLimits(max_services=2, max_bytes=bytes_of(400))
     holder = make("s", limits=limits)
     assert (
@@ -42,9 +39,10 @@
     assert holder.on_assignment(4, {"s": "r", "t": "r"}, ()) == ()
 
 
-def test_a_refused_service_takes_nothing_new_and_loses_what_drains() -> None:
-    """A service outgrows the node's memory. Its drains must still be followed, or requests go to
-    backends that shut down.
+def test_a_refused_service_gets_no_new_rows_but_removals_and_drains_are_applied() -> None:
+    """A service exceeds the node's memory limit.
+
+    If its drains were not applied, requests would be sent to backends that shut down.
     """
     limits = HolderLimits(max_services=2, max_bytes=bytes_of(200) + bytes_of(100))
     holder = make("s", "t", limits=limits)
@@ -77,7 +75,7 @@
     assert holder.current_services("r") == {
         "s",
         "t",
-    }  # changes are enough as long as there is no room
+    }  # deltas are sufficient until the service fits
     drain = Change(P(1, 3), "s", (row("0007", draining=True), row("9999")), ("0003",))
     result = holder.on_update(3, delta(P(1, 2), P(1, 3), drain))
     assert result == UpdateResult(UpdateStatus.OVER_LIMIT, ("s",), ("s",))
@@ -88,14 +86,14 @@
     space = Change(P(1, 4), "t", deleted=True)
     assert holder.on_update(4, delta(P(1, 3), P(1, 4), space)).status is UpdateStatus.APPLIED
     smaller = Change(P(1, 5), "s", removed=tuple(f"{n:04}" for n in range(100, 200)))
-    assert holder.current_services("r") == {"t"}  # it fits: it is to come completely
+    assert holder.current_services("r") == {"t"}  # s fits now, so it has to be sent completely
     assert holder.on_update(5, delta(P(1, 4), P(1, 5), smaller)).status is UpdateStatus.GAP
     anew = Change(P(1, 5), "s", tuple(numbered(100).values()), complete=True)
     assert holder.on_update(6, delta(P(1, 4), P(1, 5), anew)).status is UpdateStatus.APPLIED
     assert holder.rows("s") == numbered(100)
 
 
-def test_free_bytes_let_a_refused_service_come_again() -> None:
+def test_a_refused_service_is_requested_again_when_memory_is_free() -> None:
     holder = make("s", "t", limits=HolderLimits(max_services=2, max_bytes=1 << 16))
     first = {"s": numbered(110), "t": numbered(110)}
     assert holder.on_update(1, Snapshot("r", P(1, 1), first)).refused == ("t",)
@@ -103,4 +101,4 @@
     assert not holder.on_request_start("t")
     assert holder.current_services("r") == {"s", "t"}
     assert holder.on_assignment(2, {"t": "r"}, ("s",)) == ()
-    assert holder.current_services("r") == frozenset()  # t is to come completely now
+    assert holder.current_services("r") == frozenset()  # t has to be sent completely now
--- a/tests/core/subscription/test_unknown_services.py
+++ b/tests/core/subscription/test_unknown_services.py
@@ -1,4 +1,4 @@
-"""Services that clients ask for and that are not held."""
+"""Queries for services that clients request and the node does not hold."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 )
 
 
-def test_ten_thousand_unknown_names_cost_no_more_than_the_bound() -> None:
-    """A client tries 10,000 names of services in ten seconds."""
+def test_queries_for_ten_thousand_unknown_names_are_limited() -> None:
+    """A client requests 10,000 different names of services in ten seconds."""
     limits = HolderLimits(max_unknown_names=100, queries_per_s=5.0)
     holder = holding("s", limits=limits)
     queries = []
     for number in range(10_000):
-        now = number * SECOND // 1000  # in ten seconds
+        now = number * SECOND // 1000
         if (query := holder.on_unknown_service(now, f"name-{number}")) is not None:
             queries.append((now, query))
         assert len(holder._unknown) <= limits.max_unknown_names
@@ -39,4 +39,4 @@
     assert holder.on_unknown_service(11 * SECOND, "") is None
     assert holder.on_unknown_service(11 * SECOND, "x" * 257) is None
     assert holder.on_assignment(12 * SECOND, {"s": "r", "x": "r"}, ()) == ()
-    assert holder.on_unknown_service(30 * SECOND, "x") is None  # on its way
+    assert holder.on_unknown_service(30 * SECOND, "x") is None  # assigned, not received yet
