--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -242,7 +242,7 @@
                 self._revoke_release(node, service)
         for node in sorted(retained):
             serves = node in self._serving.get(service, ())
-            # The node itself must not count: if it serves, one more is missing without it.
+            # The node itself must not count: if it serves (which adds 1), one more is missing.
             if counts.missing(node) + serves <= 0 and self._release(node, service) and serves:
                 counts.remove(node)
 
--- a/loadbalancer/core/replicated_log/model.py
+++ b/loadbalancer/core/replicated_log/model.py
@@ -27,19 +27,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Timeouts in nanoseconds, and limits of messages and queues."""
+    """Timeouts in nanoseconds, and limits of messages and queues.
+
+    Attributes:
+        heartbeat_interval_ns: time between two heartbeats of a leader.
+        election_timeout_ns: minimum election timeout; each is drawn from one to two times this.
+        fetch_timeout_ns: time after which a learner fetches from the next machine.
+        fetch_hold_ns: maximum time for which a fetch waits for new changes.
+        reload_wait_ns: time without a leader after which a lost log is loaded again.
+        unreachable_wait_ns: the same if some member does not respond.
+        new_history_interval_ns: minimum time between new histories that begin because of a reported
+            position.
+        max_message_bytes: approximate maximum size of the changes in one message.
+        max_uncommitted: number of uncommitted entries at which the leader refuses proposals.
+    """
 
     heartbeat_interval_ns: int = 200 * MS
-    election_timeout_ns: int = (
-        1_000 * MS
-    )  # minimum; the timeout is drawn from one to two times this
-    fetch_timeout_ns: int = 1_000 * MS  # after which a learner fetches from the next machine
-    fetch_hold_ns: int = 400 * MS  # how long a fetch waits for new changes
-    reload_wait_ns: int = 5 * SECOND  # without a leader, before a lost log is loaded again
-    unreachable_wait_ns: int = 30 * SECOND  # the same while a member does not answer
-    new_history_interval_ns: int = 30 * SECOND  # minimum between histories begun above a report
-    max_message_bytes: int = 256 * 1024  # of changes in one message
-    max_uncommitted: int = 4096  # entries; above it the leader rejects proposals
+    election_timeout_ns: int = 1_000 * MS
+    fetch_timeout_ns: int = 1_000 * MS
+    fetch_hold_ns: int = 400 * MS
+    reload_wait_ns: int = 5 * SECOND
+    unreachable_wait_ns: int = 30 * SECOND
+    new_history_interval_ns: int = 30 * SECOND
+    max_message_bytes: int = 256 * 1024
+    max_uncommitted: int = 4096
 
 
 def componentwise_max(first: Position, second: Position) -> Position:
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -3,10 +3,10 @@
 A node holds a service if it has the service's rows (its backends) and receives their changes. It
 has a position in the log of each region. Below, "control machine" is the one that the node polls.
 
-Updates. Positions never decrease: an update of an older epoch or revision is ignored, and one that
-does not follow the current position is ignored until a snapshot is received. The changes of each
-service in an update are applied completely or not at all. If a service no longer fits into the
-limits, only rows that were removed or are draining are dropped, and no rows are added. Without
+Updates. Positions never decrease: an update of an older epoch or revision is ignored. An update
+that does not follow the current position is ignored as well, and the host has to request another.
+The changes of each service in an update are applied completely or not at all. If a service exceeds
+the limits, its rows that were removed or are draining are dropped, and no rows are added. Without
 contact to the control machine, the node continues to serve what it holds; `age` returns for how
 long.
 
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -104,9 +104,7 @@
     generation_before = handover.generation
     handover.on_dead("z1-1")
     assert handover.releasable("z1-0") == frozenset()
-    assert not handover.on_serving(
-        "z1-0", "s", generation_before
-    )  # made before it may have released
+    assert not handover.on_serving("z1-0", "s", generation_before)
     assert handover.required("z1-0") == frozenset()
     assert handover.on_serving("z1-0", "s", handover.generation)
     assert handover.required("z1-0") == {"s"}
--- a/tests/core/replicated_log/test_append_messages.py
+++ b/tests/core/replicated_log/test_append_messages.py
@@ -90,9 +90,9 @@
     assert member.log.commit_index == commit_index
     responses = [sent.message for sent in outbox]
     assert [
-        (one.success, one.match_index)
-        for one in responses
-        if isinstance(one, AppendEntriesResponse)
+        (response.success, response.match_index)
+        for response in responses
+        if isinstance(response, AppendEntriesResponse)
     ] == answers
 
 
--- a/tests/core/replicated_log/test_election.py
+++ b/tests/core/replicated_log/test_election.py
@@ -14,7 +14,7 @@
 from tests.core.replicated_log.group import EAST, started
 
 
-@pytest.mark.parametrize("direction", ["receives nothing", "nobody receives"])
+@pytest.mark.parametrize("direction", ["receives nothing", "sends nothing"])
 def test_a_leader_with_one_way_links_is_replaced(direction: str) -> None:
     """A leader receives no messages, or none of its messages arrive; the other direction works.
 
--- a/tests/core/replicated_log/test_learner_messages.py
+++ b/tests/core/replicated_log/test_learner_messages.py
@@ -22,7 +22,7 @@
 OFFERED = Position(4, 9)  # of the snapshots
 
 
-def learner() -> Learner:
+def make_learner() -> Learner:
     """Return a learner whose log ends with `LAST`."""
     log = ChangeLog("east", 100, 1 << 20)
     for revision in range(1, LAST.revision + 1):
@@ -30,17 +30,17 @@
     return Learner(log, SOURCES, SECOND)
 
 
-def fetched(one: Learner, now: int = 0) -> Fetch:
-    polled = one.poll(now)
+def fetched(learner: Learner, now: int = 0) -> Fetch:
+    polled = learner.poll(now)
     assert polled is not None
     return polled.fetch
 
 
-def answered(one: Learner, request_id: int, *positions: tuple[int, int]) -> Sequence[Position]:
+def answered(learner: Learner, request_id: int, *positions: tuple[int, int]) -> Sequence[Position]:
     """Answer with changes at the given positions; return the positions of those to apply."""
     changes = tuple(Change(Position(*position), "a") for position in positions)
     response = FetchResponse("east", request_id, LAST, changes)
-    return [change.position for change in one.on_response(response)]
+    return [change.position for change in learner.on_response(response)]
 
 
 @pytest.mark.parametrize(
@@ -64,24 +64,24 @@
 
     If changes that do not follow the log were applied, changes would be lost or applied twice.
     """
-    one = learner()
-    assert answered(one, fetched(one).request_id, *positions) == applied
-    assert one.counts == ({counted: 1} if counted else {})
+    learner = make_learner()
+    assert answered(learner, fetched(learner).request_id, *positions) == applied
+    assert learner.counts == ({counted: 1} if counted else {})
 
 
 def test_only_the_first_answer_to_the_pending_fetch_is_used() -> None:
     """A source answers twice, or after the learner has switched to another source."""
-    one = learner()
-    first = fetched(one)
-    assert one.poll(SECOND - 1) is None
-    second = fetched(one, SECOND)
-    assert answered(one, first.request_id, (3, 6)) == []
-    assert answered(one, second.request_id, (3, 6)) == [(3, 6)]
-    assert answered(one, second.request_id, (3, 6)) == []
-    assert one.counts == {"unanswered": 1, "late answers": 2}
-    third = fetched(one, SECOND)
-    one.stop()  # as when a leader sends entries
-    assert answered(one, third.request_id, (3, 6)) == []
+    learner = make_learner()
+    first = fetched(learner)
+    assert learner.poll(SECOND - 1) is None
+    second = fetched(learner, SECOND)
+    assert answered(learner, first.request_id, (3, 6)) == []
+    assert answered(learner, second.request_id, (3, 6)) == [(3, 6)]
+    assert answered(learner, second.request_id, (3, 6)) == []
+    assert learner.counts == {"unanswered": 1, "late answers": 2}
+    third = fetched(learner, SECOND)
+    learner.stop()  # as when a leader sends entries
+    assert answered(learner, third.request_id, (3, 6)) == []
 
 
 def chunk(request_id: int, number: int, position: Position = OFFERED) -> InstallSnapshot:
@@ -90,14 +90,16 @@
     return InstallSnapshot("east", request_id, position, number, 2, (service,), 0, (), START)
 
 
-def received(one: Learner, numbers: Sequence[int], *, doubled: bool = False) -> LogSnapshot | None:
+def received(
+    learner: Learner, numbers: Sequence[int], *, doubled: bool = False
+) -> LogSnapshot | None:
     """Answer fetches with chunks of these numbers; return the result of the last one."""
     snapshot = None
     for number in numbers:
-        request_id = fetched(one).request_id
-        snapshot = one.on_chunk(chunk(request_id, number))
+        request_id = fetched(learner).request_id
+        snapshot = learner.on_chunk(chunk(request_id, number))
         if doubled:
-            assert one.on_chunk(chunk(request_id, number)) is None
+            assert learner.on_chunk(chunk(request_id, number)) is None
     return snapshot
 
 
@@ -110,7 +112,7 @@
     numbers: list[int], is_complete: bool, doubled: bool
 ) -> None:
     """Chunks are duplicated or reordered. A snapshot without a chunk would lack services."""
-    snapshot = received(learner(), numbers, doubled=doubled)
+    snapshot = received(make_learner(), numbers, doubled=doubled)
     assert (snapshot is not None) is is_complete
     if snapshot is not None:
         assert snapshot.rows.keys() == {"s0", "s1"}
@@ -118,16 +120,16 @@
 
 def test_chunks_of_two_snapshots_are_not_combined() -> None:
     """The source's log advances between two fetches, or the learner switches to another source."""
-    one = learner()
-    assert received(one, [0]) is None
-    fetch = fetched(one)
+    learner = make_learner()
+    assert received(learner, [0]) is None
+    fetch = fetched(learner)
     assert (fetch.snapshot, fetch.chunk) == (OFFERED, 1)
-    assert one.on_chunk(chunk(fetch.request_id, 1, Position(4, 10))) is None
-    assert fetched(one).snapshot is None
+    assert learner.on_chunk(chunk(fetch.request_id, 1, Position(4, 10))) is None
+    assert fetched(learner).snapshot is None
 
-    one = learner()
-    assert received(one, [0]) is None
-    fetched(one)  # lost
-    fetch = fetched(one, SECOND)
+    learner = make_learner()
+    assert received(learner, [0]) is None
+    fetched(learner)  # lost
+    fetch = fetched(learner, SECOND)
     assert fetch.snapshot is None
-    assert one.on_chunk(chunk(fetch.request_id, 1)) is None
+    assert learner.on_chunk(chunk(fetch.request_id, 1)) is None
--- a/tests/core/replicated_log/test_vote_messages.py
+++ b/tests/core/replicated_log/test_vote_messages.py
@@ -152,7 +152,7 @@
     for candidate in ("east-1", "east-2", "east-1"):
         member.on_message(NOW, candidate, request)
     votes = [sent.message for sent in outbox]
-    assert [getattr(one, "vote_granted", None) for one in votes] == [True, False, True]
+    assert [getattr(response, "vote_granted", None) for response in votes] == [True, False, True]
     later = RequestVote("east", TERM + 1, START, LAST)
     member.on_message(NOW + SECOND, "east-2", later)
     assert getattr(outbox[-1].message, "vote_granted", None) is True
@@ -171,4 +171,4 @@
     member.on_message(NOW, "east-1", heartbeat())
     member.on_message(NOW + 10 * SECOND, "east-2", request)
     responses = [sent.message for sent in outbox if isinstance(sent.message, RequestVoteResponse)]
-    assert [one.vote_granted for one in responses] == [True, False]
+    assert [response.vote_granted for response in responses] == [True, False]
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -191,8 +191,8 @@
     assert holder.rows("s") is None
     assert not holder.on_request_start("s")
     assert holder.retained_bytes == SERVICE_BYTES
-    anew = Change(P(2, 12), "s", (row("z"),))
-    assert holder.on_update(2, delta(P(2, 11), P(2, 12), anew)).status is UpdateStatus.APPLIED
+    recreated = Change(P(2, 12), "s", (row("z"),))
+    assert holder.on_update(2, delta(P(2, 11), P(2, 12), recreated)).status is UpdateStatus.APPLIED
     assert holder.rows("s") == rows("z")
 
 
--- a/tests/core/subscription/test_holder_orders.py
+++ b/tests/core/subscription/test_holder_orders.py
@@ -71,8 +71,10 @@
 
 
 def after(state: dict[str, Rows], change: Change) -> dict[str, Rows]:
-    changed = {uid: old for uid, old in state[change.service].items() if uid not in change.removed}
-    changed |= {new.uid: new for new in change.rows}
+    changed = {
+        uid: backend for uid, backend in state[change.service].items() if uid not in change.removed
+    }
+    changed |= {backend.uid: backend for backend in change.rows}
     return {**state, change.service: changed}
 
 
@@ -103,25 +105,25 @@
 
 def drawn_update(history: History, holder: Holder, message: tuple[str, int, int]) -> Update | None:
     """Return an update of the drawn kind: the next one, any other, or an uncommitted one."""
-    kind, one, other = message
+    kind, first_number, second_number = message
     last = len(history.changes)
-    first, second = sorted((one % (last + 1), other % (last + 1)))
-    here = holder.position("r").revision
-    following = holder.current_services("r")
+    first, second = sorted((first_number % (last + 1), second_number % (last + 1)))
+    current = holder.position("r").revision
+    up_to_date = holder.current_services("r")
     match kind:
         case "delta":
-            return history.delta(first, second, following)
+            return history.delta(first, second, up_to_date)
         case "next":
-            return history.delta(here, min(here + 1 + one % 3, last), following)
+            return history.delta(current, min(current + 1 + first_number % 3, last), up_to_date)
         case "request":  # as a control machine answers: changes, and other services completely
-            there = max(here, second)
-            new = holder.subscribed_services("r") - following
-            update = history.delta(here, there, following)
+            target = max(current, second)
+            new = holder.subscribed_services("r") - up_to_date
+            update = history.delta(current, target, up_to_date)
             complete = tuple(
                 Change(
                     update.position,
                     name,
-                    tuple(history.states[there][name].values()),
+                    tuple(history.states[target][name].values()),
                     complete=True,
                 )
                 for name in sorted(new)
@@ -129,8 +131,8 @@
             return replace(update, changes=update.changes + complete)
         case "snapshot":
             return history.snapshot(second, holder.subscribed_services("r"))
-        case "branch" if history.branch_at < here:
-            return history.branch(one % 4)
+        case "branch" if history.branch_at < current:
+            return history.branch(first_number % 4)
         case _:
             return None
 
--- a/tests/core/subscription/test_publisher.py
+++ b/tests/core/subscription/test_publisher.py
@@ -239,9 +239,8 @@
     waits = rig.publisher.subscribe(0, rig.node, "east", position, SERVICES, current)
     assert isinstance(waits, Wait)
     assert waits.until_ns is not None
-    assert rig.node in rig.publisher.on_change(
-        "east", rig.change("s0")
-    )  # answered before the delay ends
+    # A change is sent before the delay ends.
+    assert rig.node in rig.publisher.on_change("east", rig.change("s0"))
     later = rig.publisher.subscribe(waits.until_ns, rig.node, "east", position, SERVICES, current)
     assert isinstance(later, SendUpdate)
     assert isinstance(later.update, Delta)
--- a/tests/core/subscription/test_service_table.py
+++ b/tests/core/subscription/test_service_table.py
@@ -54,10 +54,10 @@
     other = Change(P(1, 2), "t", (row("0001", draining=True),), ("0002",))
     result = holder.on_update(2, delta(P(1, 1), P(1, 2), other, growing, more))
     assert result == UpdateResult(UpdateStatus.OVER_LIMIT, ("t", "s"), ("s",))
-    found = holder.rows("s")
-    assert found is not None
-    assert found.keys() == (numbered(200).keys() | {"9999"}) - {"0003"}
-    assert found["0007"].draining
+    rows = holder.rows("s")
+    assert rows is not None
+    assert rows.keys() == (numbered(200).keys() | {"9999"}) - {"0003"}
+    assert rows["0007"].draining
     assert holder.retained_bytes <= limits.max_bytes
     assert holder.position("r") == P(1, 2)
 
@@ -88,8 +88,8 @@
     smaller = Change(P(1, 5), "s", removed=tuple(f"{n:04}" for n in range(100, 200)))
     assert holder.current_services("r") == {"t"}  # s fits now, so it has to be sent completely
     assert holder.on_update(5, delta(P(1, 4), P(1, 5), smaller)).status is UpdateStatus.GAP
-    anew = Change(P(1, 5), "s", tuple(numbered(100).values()), complete=True)
-    assert holder.on_update(6, delta(P(1, 4), P(1, 5), anew)).status is UpdateStatus.APPLIED
+    complete = Change(P(1, 5), "s", tuple(numbered(100).values()), complete=True)
+    assert holder.on_update(6, delta(P(1, 4), P(1, 5), complete)).status is UpdateStatus.APPLIED
     assert holder.rows("s") == numbered(100)
 
 
