--- a/loadbalancer/core/assignment/assignment.py
+++ b/loadbalancer/core/assignment/assignment.py
@@ -23,12 +23,12 @@
         NO_NODE: no living node of any zone has capacity.
     """
 
-    CONNECTIONS = "more nodes share the backends than their connections allow"
-    RATE = "the zone has too few nodes for the rate"
-    MINIMUM = "fewer nodes of the zone hold it than the least"
-    CAPACITY = "its nodes are lost and no living node of the zone has room"
-    ZONES = "no living node of its zones has room, other zones hold it"
-    NO_NODE = "no living node has room"
+    CONNECTIONS = "more nodes hold the service than the connections of its backends allow"
+    RATE = "the zone has too few holders for the rate of the service"
+    MINIMUM = "the zone has fewer holders than the required minimum"
+    CAPACITY = "holders in the zone are dead and no living node of the zone has capacity"
+    ZONES = "no living node of the service's zones has capacity; nodes of other zones hold it"
+    NO_NODE = "no living node has capacity"
 
 
 class UnmetConstraint(NamedTuple):
--- a/loadbalancer/core/assignment/handover.py
+++ b/loadbalancer/core/assignment/handover.py
@@ -91,8 +91,6 @@
         """Return how many pairs of node and service are retained until others serve."""
         return sum(len(nodes) for nodes in self._retained.values())
 
-    # ---- events -------------------------------------------------------------
-
     def on_assignment(self, assignment: Assignment) -> None:
         """Begin to move services according to a new assignment.
 
@@ -189,8 +187,6 @@
             _discard(self._serving, service, node)
             self._settle(service)
 
-    # ---- validity of reports ------------------------------------------------
-
     def _is_valid_report(self, node: str, service: str, generation: int | None) -> bool:
         if generation is None:
             return True
@@ -213,10 +209,8 @@
                 self._node_min_generation.get(node, 0), generation
             )
 
-    # ---- moves --------------------------------------------------------------
-
     def _move(self, service: str, old: frozenset[str], new: frozenset[str], is_first: bool) -> None:
-        """Move a service from its old to its new holders; `is_first`: by the first assignment."""
+        """Move a service between holders; `is_first`: there was no assignment before this one."""
         for node in old - new:
             if not self._retain(node, service):
                 _discard(self._serving, service, node)
@@ -247,7 +241,7 @@
                 counts.remove(node)
 
     def _release(self, node: str, service: str) -> bool:
-        """Allow the node to release the service; False if it has too many releasable services."""
+        """Allow the node to release the service; False if it may already release too many."""
         releasable = self._releasable_by.setdefault(node, set())
         if len(releasable) >= MAX_RETAINED:
             return False
@@ -268,7 +262,7 @@
             self._ignore_earlier_reports(node, service)
 
     def _retain(self, node: str, service: str) -> bool:
-        """Track the node as a former holder; False if it has too many such services."""
+        """Track the node as a former holder; False if too many services are tracked for it."""
         services = self._retained_by.setdefault(node, set())
         if service not in services and len(services) >= MAX_RETAINED:
             return False
--- a/loadbalancer/core/assignment/model.py
+++ b/loadbalancer/core/assignment/model.py
@@ -18,7 +18,7 @@
 
 
 class InvalidInputError(ConfigurationError, ValueError):
-    """An invalid input; the message says where it is and which rule it breaks."""
+    """An invalid input; the message says where the input is invalid, and which rule it breaks."""
 
 
 class Position(NamedTuple):
@@ -42,7 +42,7 @@
     name: str
     region: str
     zone: str
-    capacity: int  # maximum number of services that it can hold
+    capacity: int  # maximum number of services that the node can hold
     rate: float = 0.0  # maximum requests a second; 0 if not stated
 
 
@@ -52,7 +52,7 @@
 
     name: str
     region: str  # home region, whose control machines accept the service's changes
-    zones: tuple[str, ...]  # whose nodes receive its clients' requests
+    zones: tuple[str, ...]  # zones whose nodes receive the requests for this service
     rate: float  # peak requests a second, over all zones
     backends: int
 
--- a/loadbalancer/core/assignment/presence.py
+++ b/loadbalancer/core/assignment/presence.py
@@ -14,7 +14,8 @@
 
 from loadbalancer.core.balancing.model import SECOND
 
-MACHINE_TIMEOUT_NS = 3 * SECOND  # without a message from a machine, until its nodes are discarded
+# The nodes of a machine are discarded after this time without a message from the machine.
+MACHINE_TIMEOUT_NS = 3 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/loadbalancer/core/assignment/release.py
+++ b/loadbalancer/core/assignment/release.py
@@ -102,12 +102,12 @@
         self._regions = {spec.name: spec.region for spec in machines}
         self._homes = homes
         self._last_tick = now
-        self._epoch: int | None = None  # in which this machine leads its region
+        self._epoch: int | None = None  # the epoch in which this machine leads its region, if any
         self._leading_since = now
         self._grants: dict[str, _AcceptedGrant] = {}  # by region
 
     def on_tick(self, now: int, epoch: int | None) -> None:
-        """Advance the time; `epoch` is the one in which this machine leads its region, if any."""
+        """Advance the time; `epoch` is that in which this machine leads, None if it does not."""
         paused = self._paused(now)
         if paused:
             self._void_grants()
@@ -135,7 +135,7 @@
         return grant
 
     def on_grant(self, now: int, sender: str, grant: ReleaseGrant) -> bool:
-        """Handle another machine's grant; return False if it is invalid, and count it."""
+        """Handle another machine's grant; an invalid grant is counted, and False is returned."""
         reason = self._rejection_reason(sender, grant)
         if reason:
             self.counts[reason] += 1
--- a/loadbalancer/core/replicated_log/change_log.py
+++ b/loadbalancer/core/replicated_log/change_log.py
@@ -131,8 +131,6 @@
         self._compacted_deletion = 0  # deletions up to this revision may have been compacted
         self._epoch_starts: list[Position] = []  # the first position of each epoch
 
-    # ---- writing ----------------------------------------------------------
-
     def append(self, change: Change) -> None:
         """Apply the next committed change. One without a service only advances the position.
 
@@ -214,8 +212,6 @@
         self._last_deletion = self._compacted_deletion = snapshot.last_deletion
         self._epoch_starts = list(snapshot.epoch_starts)
 
-    # ---- reading ----------------------------------------------------------
-
     def log_snapshot(self) -> LogSnapshot:
         """Return the current state, unaffected by later changes, in time linear in the services."""
         rows = {name: service.rows for name, service in self._services.items()}
--- a/loadbalancer/core/replicated_log/election.py
+++ b/loadbalancer/core/replicated_log/election.py
@@ -22,8 +22,6 @@
         self._state = state
         self._on_elected = on_elected
 
-    # ---- candidate -------------------------------------------------------
-
     def start_pre_vote(self, now: int) -> None:
         """Ask the other members whether they would grant a vote.
 
@@ -102,8 +100,6 @@
         if state.role is not Role.RECOVERING and response.current_term <= MAX_TERM:
             state.observe_term(now, response.current_term)
 
-    # ---- voter -----------------------------------------------------------
-
     def on_request(self, now: int, sender: str, request: RequestVote) -> None:
         """Grant or deny a vote. At most one candidate gets this member's vote in a term."""
         state = self._state
--- a/loadbalancer/core/replicated_log/fetch_server.py
+++ b/loadbalancer/core/replicated_log/fetch_server.py
@@ -25,7 +25,7 @@
     """A fetch that waits for new changes."""
 
     fetch: Fetch
-    deadline: int  # time in nanoseconds at which it is answered without changes
+    deadline: int  # time in nanoseconds at which the fetch is answered without changes
 
 
 class FetchServer:
--- a/loadbalancer/core/replicated_log/follower.py
+++ b/loadbalancer/core/replicated_log/follower.py
@@ -42,7 +42,8 @@
         match_index = request.prev_log.revision + len(request.entries)
         state.commit(min(request.leader_commit, match_index))
         self._recovery.complete_if_caught_up(request.term)
-        # Entries committed here are in every later leader's log, even if it did not send them.
+        # Entries committed here are in every later leader's log, even if that leader did not send
+        # them to this member.
         self._respond(sender, success=True, match_index=max(match_index, state.log.commit_index))
 
     def _follow(self, now: int, leader: str, request: AppendEntries) -> None:
--- a/loadbalancer/core/replicated_log/leader.py
+++ b/loadbalancer/core/replicated_log/leader.py
@@ -1,4 +1,4 @@
-"""The leader's part: it replicates its log, commits entries, and checks that it has a quorum.
+"""The leader's part of Raft: replicating the log, committing entries, and checking the quorum.
 
 Implements sections 5.3 (log replication) and 5.4.2 (committing entries from previous terms) of the
 paper, and section 6.2 (a leader without a quorum steps down) of the thesis.
@@ -29,11 +29,11 @@
 
     next_index: int
     acknowledged_index: int  # the highest index for which the follower has responded
-    contact_at: int  # time of its last response as a voting member
+    contact_at: int  # time of the follower's last response as a voting member
     match_index: int = 0
-    probing: bool = False  # one message at a time, until its last matching index is known
+    probing: bool = False  # send one message at a time, until the last matching index is known
     probed_at: int = 0  # time of the last probe
-    needs_snapshot: bool = False  # the entries that it needs were compacted in the leader's log
+    needs_snapshot: bool = False  # the follower's next entries were compacted in the leader's log
 
 
 class Leader:
@@ -45,8 +45,6 @@
         self._new_history_at = now - state.timing.new_history_interval_ns
         self._progress: dict[str, _Progress] = {}
 
-    # ---- start of a term, and timers -------------------------------------
-
     def start(self, now: int, new_history: bool) -> None:
         """Become the leader of the current term.
 
@@ -74,8 +72,6 @@
         elif now >= self._heartbeat_at:
             self._send_heartbeats(now)
 
-    # ---- new entries -----------------------------------------------------
-
     def propose(self, change: Change) -> Position:
         """Append a change at the next index, replicate it, and return its position."""
         position = self._state.append(change)
@@ -125,8 +121,6 @@
         self._state.counts["histories begun above a report"] += 1
         self._new_history_at = now
 
-    # ---- log replication -------------------------------------------------
-
     def _send_heartbeats(self, now: int) -> None:
         self._heartbeat_at = now + self._state.timing.heartbeat_interval_ns
         for other, progress in self._progress.items():
@@ -190,7 +184,7 @@
         if response.voting:
             progress.contact_at = now
         else:
-            progress.match_index = 0  # it has restarted and lost its entries
+            progress.match_index = 0  # the follower has restarted and lost its entries
         if not response.success:
             self._decrement_next_index(now, sender, progress, response.match_index)
             return
@@ -225,8 +219,6 @@
         progress.probed_at = now
         self._send_append(other, progress, self._entries_from(progress.next_index) or ())
 
-    # ---- commit ----------------------------------------------------------
-
     def _advance_commit_index(self) -> None:
         """Commit up to the last entry that a majority has, if that is of the current term.
 
--- a/loadbalancer/core/replicated_log/learner.py
+++ b/loadbalancer/core/replicated_log/learner.py
@@ -1,4 +1,4 @@
-"""A learner: it receives a region's committed changes without a vote in its Raft group.
+"""A learner, which receives a region's committed changes without a vote in its Raft group.
 
 A learner fetches from one machine at a time, which answers when it has new changes, or without any
 when the long poll expires. After an answer without new changes, and after a timeout, the learner
@@ -95,7 +95,8 @@
             change for change in response.changes if change.position.revision > position.revision
         ]
         if not newer or newer[0].position.revision != position.revision + 1:
-            self._switch_source()  # it has nothing newer, or there is a gap before its changes
+            # The source has nothing newer, or there is a gap before its changes.
+            self._switch_source()
             return ()
         for before, after in pairwise(newer):
             if (
--- a/loadbalancer/core/replicated_log/messages.py
+++ b/loadbalancer/core/replicated_log/messages.py
@@ -59,8 +59,8 @@
     region: str
     term: int
     success: bool
-    match_index: int  # on success the logs match up to it; otherwise the last index that may match
-    voting: bool = True  # False while the follower is recovering: it counts for no majority
+    match_index: int  # on success, the last matching index; otherwise the last one that may match
+    voting: bool = True  # False while the follower is recovering and counts for no majority
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResponse:
-    """The answer to a `Fetch`: committed changes after its position."""
+    """The answer to a `Fetch`: committed changes after the position of the fetch."""
 
     region: str
     request_id: int
@@ -90,7 +90,7 @@
     """Rows of one service in a snapshot chunk; a large service is divided among several."""
 
     service: str
-    last_changed: int  # revision of its last change
+    last_changed: int  # revision of the service's last change
     rows: tuple[Row, ...]
 
 
@@ -128,8 +128,8 @@
     nonce: int
     recovering: bool  # the sender has lost its own log as well
     term: int
-    last_log: Position  # its last entry, committed or not
-    highest_reported: Position  # the highest epoch and the highest revision reported to it
+    last_log: Position  # the sender's last entry, committed or not
+    highest_reported: Position  # highest epoch and highest revision reported to the sender
 
 
 RaftMessage = (
--- a/loadbalancer/core/replicated_log/raft.py
+++ b/loadbalancer/core/replicated_log/raft.py
@@ -60,8 +60,6 @@
         self._recovery = Recovery(self.state, self._election, now)
         self._follower = Follower(self.state, self._recovery)
 
-    # ---- for the replica -------------------------------------------------
-
     @property
     def role(self) -> Role:
         """This member's role in its group."""
@@ -123,8 +121,6 @@
         state.committed, state.replaced = [], False
         return drained
 
-    # ---- events ----------------------------------------------------------
-
     def on_tick(self, now: int) -> None:
         """Handle timeouts of the current role."""
         role = self.state.role
--- a/loadbalancer/core/replicated_log/raft_log.py
+++ b/loadbalancer/core/replicated_log/raft_log.py
@@ -79,8 +79,6 @@
         self._base = Position(0, history.revision)
         self._uncommitted = []
 
-    # ---- leader ----------------------------------------------------------
-
     def append(self, change: Change) -> None:
         """Append the leader's next entry."""
         self._uncommitted.append(change)
@@ -114,8 +112,6 @@
             end += 1
         return tuple(self._uncommitted[start:end])
 
-    # ---- follower ----------------------------------------------------------
-
     def append_entries(self, previous: Position, entries: Sequence[Change]) -> bool:
         """Append a leader's entries after `previous` (paper, figure 2, AppendEntries steps 2 to 4).
 
@@ -146,8 +142,6 @@
             self._uncommitted.append(entry)
         return True
 
-    # ---- commit ----------------------------------------------------------
-
     def commit(self, index: int) -> Committed:
         """Commit the entries up to `index`, which a majority has, and apply them."""
         count = min(index - self._base.revision, len(self._uncommitted))
--- a/loadbalancer/core/replicated_log/replication.py
+++ b/loadbalancer/core/replicated_log/replication.py
@@ -42,7 +42,7 @@
 class ProposalOutcome(Enum):
     """The result of a proposal; the values appear in the HTTP answers to operators."""
 
-    PROPOSED = "proposed"  # in the leader's log; committed once `drain_committed` returns it
+    PROPOSED = "proposed"  # in the log; committed once `drain_committed` returns the change
     NOT_LEADER = "not leader"
     WRONG_REGION = "wrong region"
     BUSY = "busy"  # too many entries are uncommitted, or the log is being loaded
@@ -127,8 +127,6 @@
         offset = sum(name.encode()) % len(members) if members else 0
         return members[offset:] + members[:offset] + learners
 
-    # ---- state -----------------------------------------------------------
-
     @property
     def role(self) -> Role:
         """This machine's role in its own region's Raft group."""
@@ -136,12 +134,12 @@
 
     @property
     def current_term(self) -> int:
-        """The highest term of its own region's group that it has entered."""
+        """The highest term that this machine has entered in its own region's Raft group."""
         return self._member.current_term
 
     @property
     def leader(self) -> str:
-        """The leader of its own region's group, or "" if unknown."""
+        """The leader of this machine's own region, or "" if unknown."""
         return self._member.leader
 
     @property
@@ -152,8 +150,6 @@
             total += learner.counts
         return total
 
-    # ---- proposals and loads ---------------------------------------------
-
     def propose(
         self,
         service: str,
@@ -201,7 +197,7 @@
         return self._region
 
     def needs_load(self) -> bool:
-        """Return whether this machine is its region's leader, and the log has to be loaded."""
+        """Return whether this machine is its region's leader and has to load the region's log."""
         return self._member.needs_load()
 
     def load(self, services: Mapping[str, Iterable[Row]]) -> None:
@@ -221,7 +217,7 @@
         elif (learner := self._learners.get(region)) is not None:
             learner.on_reported(position)
 
-    # ---- results for the owner -------------------------------------------
+    # The drain_ methods return what events have produced. The owner calls them after each event.
 
     def drain_committed(self) -> list[CommittedChange]:
         """Return the changes that were appended to the logs since the last call."""
@@ -242,8 +238,6 @@
         self._outbox.clear()
         return drained
 
-    # ---- events ----------------------------------------------------------
-
     def on_tick(self, now: int) -> None:
         """Handle timeouts; to be called about every 50 ms."""
         self._member.on_tick(now)
--- a/loadbalancer/core/replicated_log/state.py
+++ b/loadbalancer/core/replicated_log/state.py
@@ -65,10 +65,10 @@
         self.log = log
         self.role = Role.RECOVERING
         self.current_term = 0
-        self.voted_for = ""  # in the current term; "" if it has not voted
+        self.voted_for = ""  # in the current term; "" if this member has not voted
         self.leader = ""  # of the current term; "" if unknown
         self.vote_request: RequestVote | None = None  # the one for which votes are being counted
-        self.votes: set[str] = set()  # the members that have granted it
+        self.votes: set[str] = set()  # the members that have granted `vote_request`
         self.leader_contact_at = now  # time of the last AppendEntries
         self.needs_snapshot = False  # the entries after this log were compacted in the leader's
         self.highest_reported = START  # highest epoch and highest revision of any subscriber
@@ -82,8 +82,6 @@
         self.election_at = now
         self.reset_election_timer(now)
 
-    # ---- roles and terms -------------------------------------------------
-
     def observe_term(self, now: int, term: int) -> None:
         """Enter a higher term that was received in a message (paper, section 5.1)."""
         if self.role is Role.RECOVERING:
@@ -108,8 +106,6 @@
         """Return whether a leader sent within the minimum election timeout (paper, section 6)."""
         return now - self.leader_contact_at < self.timing.election_timeout_ns
 
-    # ---- log -------------------------------------------------------------
-
     def append(self, change: Change) -> Position:
         """Append a change as the leader's next entry; its position is replaced by the entry's."""
         position = Position(self.current_term, self.log.last.revision + 1)
@@ -122,8 +118,6 @@
         self.committed += committed.changes
         self.replaced |= committed.replaced
 
-    # ---- histories -------------------------------------------------------
-
     def record_reported(self, position: Position) -> bool:
         """Record a position that was reported; return False if it is implausible."""
         if not is_plausible(position):
@@ -148,8 +142,6 @@
         highest_known = max(self.highest_reported.revision, self.log.last.revision)
         return Position(self.current_term, (highest_known // INDEX_STRIDE + 1) * INDEX_STRIDE)
 
-    # ---- messages --------------------------------------------------------
-
     def send(self, recipient: str, message: Message) -> None:
         """Put a message into the outbox."""
         self._outbox.append(Outgoing(recipient, message))
--- a/loadbalancer/core/subscription/holder.py
+++ b/loadbalancer/core/subscription/holder.py
@@ -74,8 +74,6 @@
         """The approximate memory use of the services in bytes."""
         return self._services.bytes
 
-    # ---- assignment ---------------------------------------------------------
-
     def on_assignment(
         self, now: int, wanted: Mapping[str, str], releasable: Collection[str]
     ) -> tuple[str, ...]:
@@ -130,8 +128,6 @@
                     f"assignment: service {name!r} is of region {service.region!r}, not {region!r}"
                 )
 
-    # ---- subscriptions ------------------------------------------------------
-
     def subscribed_services(self, region: str) -> frozenset[str]:
         """Return the services of a region to subscribe to: all that are wanted or still held.
 
@@ -198,8 +194,6 @@
             raise InvalidInputError(f"update: unknown region {name!r}, must be one of {known}")
         return region
 
-    # ---- requests -----------------------------------------------------------
-
     def serving(self) -> frozenset[str]:
         """Return the services that are held completely and accept requests."""
         return frozenset(name for name, service in self._services.items() if service.serves)
@@ -235,8 +229,6 @@
         """Return the services that were dropped since the last call."""
         return self._services.drain_released()
 
-    # ---- updates ------------------------------------------------------------
-
     def on_update(
         self, now: int, update: Update, request: Subscription | None = None
     ) -> UpdateResult:
--- a/loadbalancer/core/subscription/publisher.py
+++ b/loadbalancer/core/subscription/publisher.py
@@ -74,8 +74,6 @@
         self._pacer = Pacer(limits.snapshot_rate, limits.snapshot_burst)
         self._subscribers = Subscribers()
 
-    # ---- nodes and machines -------------------------------------------------
-
     def on_registered_nodes(self, nodes: Mapping[str, str]) -> None:
         """Replace the registered nodes, whether alive or not; `nodes` has their regions."""
         self._placement = Placement(nodes, self._machines)
@@ -109,8 +107,6 @@
         self._subscribers.remove(node, region)
         self._pacer.forget(SubscriberKey(node, region))
 
-    # ---- answers ------------------------------------------------------------
-
     def subscribe(
         self,
         now: int,
@@ -253,8 +249,6 @@
         self.counts["bytes"] += size
         return SendUpdate(update, size)
 
-    # ---- waiting subscribers ------------------------------------------------
-
     def on_change(self, region: str, change: Change) -> tuple[str, ...]:
         """Return the waiting nodes to answer again after a change was appended to the log.
 
--- a/loadbalancer/core/subscription/service_table.py
+++ b/loadbalancer/core/subscription/service_table.py
@@ -29,7 +29,7 @@
     current: bool = False  # whether the rows are as of the region's position
     bytes: int = SERVICE_BYTES
     in_flight: int = 0  # requests
-    releasable_since: int | None = None  # time in nanoseconds; None if it must be retained
+    releasable_since: int | None = None  # time in ns; None if not releasable
     closed: bool = False  # refuses new requests
 
     @property
@@ -50,7 +50,7 @@
         self._limits = limits
         self._services: dict[str, ServiceState] = {}
         self._by_region: dict[str, set[str]] = {region: set() for region in regions}
-        self._refused: dict[str, int] = {}  # by service, the bytes that it would need
+        self._refused: dict[str, int] = {}  # bytes that are needed, by service
         self._dropped: dict[str, None] = {}  # in order, since the last `drain_released`
 
     def __contains__(self, name: str) -> bool:
@@ -82,7 +82,7 @@
         return name in self._refused
 
     def is_delta_sufficient(self, name: str) -> bool:
-        """Return whether deltas of the service are sufficient, so it need not be sent completely.
+        """Return whether deltas of a service are sufficient, instead of all its rows.
 
         This includes refused services, because their complete rows would not fit.
         """
@@ -146,7 +146,7 @@
         return dropped
 
     def _fits(self, service: ServiceState, size: int) -> bool:
-        """Return whether the limit allows the service to take `size` bytes instead of its own."""
+        """Return whether all services fit into `max_bytes` if this one takes `size` bytes."""
         return self.bytes - service.bytes + size <= self._limits.max_bytes
 
     def _replace(self, service: ServiceState, rows: Rows | None) -> None:
--- a/loadbalancer/core/subscription/subscribers.py
+++ b/loadbalancer/core/subscription/subscribers.py
@@ -49,7 +49,7 @@
         return self._subscribers.get(SubscriberKey(node, region))
 
     def is_waiting(self, node: str, region: str) -> bool:
-        """Return whether there is such a subscriber, and its poll waits for a change."""
+        """Return whether the node has subscribed, and its poll waits for a change."""
         subscriber = self._subscribers.get(SubscriberKey(node, region))
         return subscriber is not None and subscriber.waiting
 
--- a/loadbalancer/core/subscription/unknown_services.py
+++ b/loadbalancer/core/subscription/unknown_services.py
@@ -23,7 +23,7 @@
     def __init__(self, limits: HolderLimits) -> None:
         self._limits = limits
         self._queried: OrderedDict[str, int] = OrderedDict()  # time by name, oldest first
-        self._bucket: TokenBucket | None = None  # created for the first name, as it needs the time
+        self._bucket: TokenBucket | None = None  # created with the first name's time
 
     def __len__(self) -> int:
         """Return the number of stored names."""
--- a/tests/core/assignment/test_handover.py
+++ b/tests/core/assignment/test_handover.py
@@ -104,6 +104,7 @@
     generation_before = handover.generation
     handover.on_dead("z1-1")
     assert handover.releasable("z1-0") == frozenset()
+    # A report from before does not count: the node may have released the service since.
     assert not handover.on_serving("z1-0", "s", generation_before)
     assert handover.required("z1-0") == frozenset()
     assert handover.on_serving("z1-0", "s", handover.generation)
