--- a/loadbalancer/control/machine/node_requests.py
+++ b/loadbalancer/control/machine/node_requests.py
@@ -1,4 +1,4 @@
-"""Nodes' polls of a control machine, and its answers in the list's form."""
+"""Answers nodes' polls of a control machine, in the extended format of the endpoint list."""
 
 from __future__ import annotations
 
@@ -31,41 +31,41 @@
 from loadbalancer.sources.http_get import parse_decimal
 from loadbalancer.sources.watchers import Query, Watcher
 
-MAX_HEAD_BYTES = 64 << 10  # of a poll: it may name the services of a node
-MAX_NAMES = 1024  # services that one poll may name
-MAX_QUOTED = 64  # characters of a wrong name that an answer repeats
-REDIRECT_PAUSE_NS = 2 * SECOND  # for a redirected node to poll the other machine
+MAX_HEAD_BYTES = 64 << 10  # of a poll, which may name all services of a node
+MAX_NAMES = 1024  # services that one parameter of a poll may name
+MAX_QUOTED = 64  # characters of an invalid name that an error message repeats
+REDIRECT_PAUSE_NS = 2 * SECOND  # time that a redirected node has to poll the other machine
 
 
 class SubscriberConnection(Watcher):
-    """One connection of a node that knows of services."""
+    """One connection of a node that is assigned services."""
 
     max_request_bytes = MAX_HEAD_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class ServingReport:
-    """The services that a node serves, as of the assignment of a generation."""
+    """The services that a node serves, as it reports them in a poll."""
 
     serving: tuple[str, ...]
-    generation: int
+    generation: int  # of the last assignment that the node has received
 
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """What a node polls for, while it waits."""
+    """One decoded poll of a node for the changes of a region's log."""
 
     node: str
     region: str
-    position: Position
-    current: frozenset[str] | None  # services that it has as of `position`; None: it does not say
-    redirected: bool
-    deadline_ns: int  # when it is answered at the latest
-    report: ServingReport | None  # None where the last one still holds
+    position: Position  # up to which the node has the log
+    current: frozenset[str] | None  # services that it has as of `position`; None if not stated
+    redirected: bool  # the node asks not to be redirected again
+    deadline_ns: int  # when the poll must be answered at the latest
+    report: ServingReport | None  # None if the node's last report is still valid
 
 
 class NodeRequests:
-    """The host of all `SubscriberConnection`s at one machine."""
+    """The request handler that all `SubscriberConnection`s of one machine share."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         addresses: Mapping[str, Address],
         max_watchers: int,
     ) -> None:
-        """`addresses` are those for subscribers, by machine."""
+        """`addresses` maps each machine to its address for subscribers."""
         self.max_connections = max_watchers
         self.connections = 0
         self.counts: Counter[str] = Counter()
@@ -83,28 +83,32 @@
         self._publisher = publisher
         self._replica = replica
         self._addresses = addresses
-        self._waiting: LongPolls[PollRequest] = LongPolls(self._on_timeout)
-        self._watchers: dict[str, dict[str, Watcher]] = {}  # whose poll waits, by node and region
+        self._pending: LongPolls[PollRequest] = LongPolls(self._on_timeout)
+        self._watchers: dict[str, dict[str, Watcher]] = {}  # of pending polls, by node and region
 
-    # ---- what a connection calls --------------------------------------------
+    # Called by connections.
 
     def ready(self) -> bool:
-        """Whether polls are answered: always, each with what there is for it."""
+        """Return True: polls are always accepted, and answered with what is available."""
         return True
 
     def is_waiting(self, caller: Watcher) -> bool:
-        """Whether the connection's last poll has no answer yet."""
-        return caller in self._waiting
+        """Return whether the connection's last poll is still unanswered."""
+        return caller in self._pending
 
     def cancel(self, caller: Watcher) -> None:
-        """The connection's poll needs no answer any more."""
-        request = self._stop_waiting(caller)
+        """Drop the connection's pending poll without an answer."""
+        request = self._remove_pending(caller)
         if request is not None:
             self._publisher.cancel(request.node, request.region)
             self._on_poll_ended(time.monotonic_ns(), request.node)
 
     def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
-        """A poll: the version that the node has, and for how many seconds it may wait."""
+        """Handle a poll.
+
+        `since` is the version that the node has, 0 for none. The response may be delayed by up to
+        `hold_s` seconds.
+        """
         now = time.monotonic_ns()
         try:
             request = self._decode(now, since, hold_s, query)
@@ -121,49 +125,51 @@
             self._nodes.on_generation(request.node, request.region, report.generation)
         self._answer_or_end(now, watcher, request, first_poll=since == 0)
 
-    # ---- what the machine calls ---------------------------------------------
+    # Called by the control machine.
 
     def wake(self, region: str, nodes: Iterable[str]) -> None:
-        """There may be something new for these nodes in a region."""
+        """Answer the pending polls of `nodes` for a region, if there is something new."""
         now = time.monotonic_ns()
         for node in nodes:
             watcher = self._watchers.get(node, {}).get(region)
             if watcher is not None:
-                self._answer_waiting(now, watcher)
+                self._answer_pending(now, watcher)
 
     def wake_keys(self, keys: Iterable[SubscriberKey]) -> None:
-        """There may be something new for these nodes in these regions."""
+        """Answer the pending polls of the (node, region) pairs, if there is something new."""
         for node, region in keys:
             self.wake(region, (node,))
 
     def push_assignments(self) -> bool:
-        """Answer the waiting nodes whose assignment has changed; False after a fault at one."""
+        """Answer the pending polls of all nodes whose assignment has changed.
+
+        Returns False if that raised an exception for some node. It is logged, and the other nodes
+        are still answered.
+        """
         now = time.monotonic_ns()
         pushed = [
             run_logged(self._push_assignment, now, watcher, request)
-            for watcher, request in self._waiting.items()
+            for watcher, request in self._pending.items()
         ]
         return all(pushed)
 
     def _push_assignment(self, now: int, watcher: Watcher, request: PollRequest) -> None:
         if self._nodes.changed_assignment(now, request.node, request.region) is not None:
-            self._answer_waiting(now, watcher)
+            self._answer_pending(now, watcher)
 
-    def waiting_count(self) -> int:
-        """How many polls wait for an answer."""
-        return len(self._waiting)
+    def pending_count(self) -> int:
+        """Return the number of pending polls."""
+        return len(self._pending)
 
-    def waiting_nodes(self) -> frozenset[str]:
-        """The nodes whose polls wait for an answer."""
+    def pending_nodes(self) -> frozenset[str]:
+        """Return the nodes that have a pending poll."""
         return frozenset(self._watchers)
 
-    # ---- one poll -----------------------------------------------------------
-
     def _decode(self, now: int, since: int, hold_s: float, query: Query) -> PollRequest:
-        """All of a poll, or an error: from one that is rejected nothing may be taken.
+        """Decode a poll completely, or raise an error, before any state changes.
 
-        Failure: a poll is noted as one that waits before its report turns out to be unreadable. It
-        is never answered, and its node counts as present for an hour, dead or not.
+        If a poll were recorded as open before its report turned out to be invalid, it would never
+        be answered, and its node would count as present for an hour even if it is dead.
         """
         node, region = (query.get(key, [""])[0] for key in ("node", "region"))
         if not self._nodes.is_registered(node):
@@ -182,15 +188,15 @@
     def _answer(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
     ) -> None:
-        """Answer now, or let the poll wait until there is something to send."""
+        """Answer a poll now, or keep it pending until there is something to send."""
         node, region = request.node, request.region
         services = self._nodes.services_in_region(node, region)
         answer = self._publisher.subscribe(
             now, node, region, request.position, services, request.current, request.redirected
         )
         if isinstance(answer, Refused):
-            place = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
-            self._reject(watcher, f"{place}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
+            parameter = "region" if answer.reason is Refusal.UNKNOWN_REGION else "version"
+            self._reject(watcher, f"{parameter}: [{answer.reason.value}] {region[:MAX_QUOTED]!r}")
             self._on_poll_ended(now, node)
             return
         self._replica.on_reported(now, region, request.position)
@@ -211,7 +217,10 @@
         answer: RetryAfter | Wait,
         first_poll: bool,
     ) -> None:
-        """There is no update to send yet: the assignment alone, a pause, or a long poll."""
+        """Handle a poll without an update to send: answer with a pause or the assignment, or wait.
+
+        At its deadline the poll gets an empty response.
+        """
         node, region = request.node, request.region
         assignment = self._nodes.changed_assignment(now, node, region, first_poll)
         if isinstance(answer, RetryAfter):
@@ -228,33 +237,33 @@
 
     def _wait(self, now: int, watcher: Watcher, request: PollRequest, until_ns: int | None) -> None:
         due_ns = request.deadline_ns if until_ns is None else min(request.deadline_ns, until_ns)
-        self._waiting.add(watcher, request, max(due_ns - now, 0) / SECOND)
+        self._pending.add(watcher, request, max(due_ns - now, 0) / SECOND)
         self._watchers.setdefault(request.node, {})[request.region] = watcher
 
     def _on_timeout(self, watcher: Watcher) -> None:
-        self._answer_waiting(time.monotonic_ns(), watcher)
+        self._answer_pending(time.monotonic_ns(), watcher)
 
-    def _answer_waiting(self, now: int, watcher: Watcher) -> None:
-        request = self._stop_waiting(watcher)
+    def _answer_pending(self, now: int, watcher: Watcher) -> None:
+        request = self._remove_pending(watcher)
         if request is not None:
             self._answer_or_end(now, watcher, request)
 
     def _answer_or_end(
         self, now: int, watcher: Watcher, request: PollRequest, first_poll: bool = False
     ) -> None:
-        """Answer a poll that does not wait, or end its connection.
+        """Answer a poll that is not pending, or close its connection if that raises an exception.
 
-        Failure: the answer raises. The walk over the other waiting polls ends with it, and this
-        one gets no answer, while its node counts as present for an hour, dead or not. A fault ends
-        this connection alone, and its node has to poll again in time.
+        If the exception were passed on, the other pending polls would not be answered. This poll
+        would stay unanswered, and its node would count as present for an hour even if it is dead.
+        Closing the connection makes the node poll again, or count as absent if it does not.
         """
         if not run_logged(self._answer, now, watcher, request, first_poll):
             self._on_poll_ended(now, request.node)
             watcher.abort()
 
-    def _stop_waiting(self, watcher: Watcher) -> PollRequest | None:
-        """The connection's poll, which does not wait any more; None where none waited."""
-        request = self._waiting.take(watcher)
+    def _remove_pending(self, watcher: Watcher) -> PollRequest | None:
+        """Remove and return the connection's pending poll, or None if it has none."""
+        request = self._pending.pop(watcher)
         if request is not None:
             watchers = self._watchers[request.node]
             del watchers[request.region]
@@ -263,28 +272,27 @@
         return request
 
     def _supersede(self, request: PollRequest) -> None:
-        """End the node's earlier connection if its poll for the region waits still.
+        """Close the node's earlier connection if its poll for the same region is still pending.
 
-        Failure: a connection is lost unnoticed, and the node polls on a new one. Answers on the
-        lost one count as received; its late end makes the node absent although its new poll waits.
-        With one poll for each node and region, that end finds no poll to cancel.
+        This happens if a connection is lost unnoticed and the node polls again on a new one. If
+        both polls were kept, a response on the lost connection would count as received, and its
+        late close would mark the node absent although its new poll is pending. With one pending
+        poll for each node and region, the late close finds no poll to cancel.
         """
         earlier = self._watchers.get(request.node, {}).get(request.region)
         if earlier is not None:
-            self._stop_waiting(earlier)
+            self._remove_pending(earlier)
             self._publisher.cancel(request.node, request.region)
             earlier.abort()
 
     def _on_poll_ended(self, now: int, node: str, pause_ns: int = 0) -> None:
-        """The node has to poll again after a pause, unless another region's poll of it waits."""
+        """Start the deadline for the node's next poll, unless one for another region is pending."""
         if node not in self._watchers:
             self._nodes.on_response(now, node, pause_ns)
 
-    # ---- replies ------------------------------------------------------------
-
-    def _reject(self, watcher: Watcher, why: str) -> None:
+    def _reject(self, watcher: Watcher, reason: str) -> None:
         self.counts["refused"] += 1
-        watcher.reply(HTTPStatus.BAD_REQUEST, why.encode())
+        watcher.reply(HTTPStatus.BAD_REQUEST, reason.encode())
 
     def _redirect(self, now: int, watcher: Watcher, request: PollRequest, machine: str) -> None:
         self.counts["sent elsewhere"] += 1
@@ -301,7 +309,7 @@
         assignment: NodeAssignment | None,
         pause_ns: int = 0,
     ) -> None:
-        """Send the answer; `pause_ns`: before the node polls again."""
+        """Send a response; `pause_ns` is the delay before the node is expected to poll again."""
         self._on_poll_ended(now, request.node, pause_ns)
         if assignment is not None:
             self._nodes.on_assignment_sent(request.node, request.region, assignment)
@@ -315,7 +323,7 @@
         return None
     generation = parse_decimal(query.get("generation", ["0"])[0])
     if generation is None:
-        raise InvalidInputError("generation: [range] no whole number")
+        raise InvalidInputError("generation: [range] not a non-negative integer")
     return ServingReport(tuple(_names(query["serving"][0])), generation)
 
 
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -109,7 +109,7 @@
         return (record.rev, record.boot, State.DRAINING - record.state)
     if isinstance(record, ReaderRecord):
         return record[1:7]
-    return (record.incarnation, record.number, *record[1:2], *record[5:9])
+    return (record.incarnation, record.sequence_number, *record[1:2], *record[5:9])
 
 
 class Joined(NamedTuple, Generic[R]):
@@ -228,7 +228,7 @@
         """The servers that have records."""
         return list(self._records)
 
-    def of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
+    def records_of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
         """All records of one server."""
         return list(self._records.get(server, {}).values())
 
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -113,7 +113,7 @@
         failing = [record for record in records if record.failures]
         if sum(record.failures for record in failing) >= MIN_FAILURES:
             confirmed = len(failing) >= self._min_witnesses
-            kind = ReportedState.SILENT if confirmed else ReportedState.DOUBTED
+            kind = ReportedState.SILENT if confirmed else ReportedState.SUSPECTED
             return Verdict(kind, 0, observed_at, any(record.cold for record in failing))
         if sum(record.rejections for record in records) >= MIN_REJECTIONS:
             return Verdict(ReportedState.FULL, 0, observed_at, cold=False)
@@ -133,7 +133,7 @@
         for server in sorted(self._records.servers()):
             reported = self._reported.get(server)
             verdict = reported.name.lower() if reported else "-"
-            for record, written_at in self._records.of_server(server):
+            for record, written_at in self._records.records_of_server(server):
                 age_ms = (now - written_at) // MS
                 writer, text = _description(record)
                 rows.append([f"{server:016x}", writer, age_ms, text, verdict])
