--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -14,7 +14,10 @@
 
 
 class UpdateStatus(Enum):
-    """The result of an update. Measurements record the names of the members.
+    """The result of an update.
+
+    Measurements record the names of the members. The values are part of the recorded digests of
+    simulated runs, so they must not change; the attributes describe the members.
 
     Attributes:
         APPLIED: the update was applied.
@@ -26,11 +29,11 @@
     """
 
     APPLIED = "applied"
-    OLDER = "ignored: its epoch or revision is older than the node's position"
-    GAP = "ignored: it does not follow the node's position, a snapshot is needed"
-    OVER_LIMIT = "applied, except for new rows of services that exceed the limits"
-    NOT_WANTED = "applied, but the node holds none of its services"
-    MALFORMED = "ignored: its positions or changes are inconsistent"
+    OLDER = "of an older epoch or revision: ignored"
+    GAP = "does not follow what is held: ask for a snapshot"
+    OVER_LIMIT = "applied, less what is new in services that don't fit"
+    NOT_WANTED = "applied, and nothing of it is held here"
+    MALFORMED = "its positions or its changes contradict themselves: ignored"
 
 
 APPLIED_STATUSES = (UpdateStatus.APPLIED, UpdateStatus.OVER_LIMIT, UpdateStatus.NOT_WANTED)
