--- a/tests/core/balancing/test_admission.py
+++ b/tests/core/balancing/test_admission.py
@@ -1,4 +1,4 @@
-"""What is queued, what goes behind the others, and how long each waits."""
+"""Tests of queueing times and deferred requests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.recording_host import PURE, build
 
 
-def test_every_queued_request_is_answered_by_its_own_time() -> None:
-    """A head that may wait longer must not hide those behind it."""
-    near = RequestClass("near", 200 * MS, 250 * MS, Effect.SIDE_EFFECT)
-    balancer, host = build(Settings(classes=(near,)), count=1)
+def test_every_queued_request_is_rejected_at_the_end_of_its_own_wait() -> None:
+    """A request at the head of the queue that may wait longer must not delay those behind it."""
+    short_deadline = RequestClass("short_deadline", 200 * MS, 250 * MS, Effect.SIDE_EFFECT)
+    balancer, host = build(Settings(classes=(short_deadline,)), count=1)
     for i in range(10):
         balancer.on_request(1, i, 0, 250 * MS)
     slots = balancer.state.max_in_flight
@@ -26,8 +26,8 @@
     assert host.named("refuse") == [("refuse", 90)]
 
 
-def test_a_marked_client_retry_goes_behind_first_tries() -> None:
-    """Asked to stay away past its objective, a client that is back is late already."""
+def test_a_marked_client_retry_is_deferred() -> None:
+    """A client that was asked to wait beyond its objective returns late."""
     balancer, host = build(Settings(classes=(PURE,), max_retry_after=SECOND), count=1)
     for i in range(balancer.state.max_in_flight):
         balancer.on_request(MS, i, 0, SECOND)
@@ -39,13 +39,13 @@
     assert [c[1] for c in host.named("send")] == [51, 50]
 
 
-def test_a_try_late_by_its_first_goes_behind() -> None:
-    """Less time remaining than usual shows how long ago the client began."""
+def test_a_request_late_by_its_first_try_is_deferred() -> None:
+    """A remaining time other than the usual one shows how long ago the client's first try was."""
     balancer, host = build(Settings(classes=(PURE,)), count=1)
     for i in range(balancer.state.max_in_flight):
         balancer.on_request(MS, i, 0, 500 * MS)
-    balancer.on_request(MS, 50, 0, 300 * MS)  # began 700 ms ago, its objective is 200
-    balancer.on_request(MS, 51, 0, 980 * MS)  # a last try, begun 20 ms ago
+    balancer.on_request(MS, 50, 0, 300 * MS)  # first try 700 ms ago, with an objective of 200 ms
+    balancer.on_request(MS, 51, 0, 980 * MS)  # a last try; first try 20 ms ago
     balancer.on_request(MS, 52, 0, 500 * MS)
     host.calls.clear()
     for i in range(3):
@@ -53,8 +53,8 @@
     assert [c[1] for c in host.named("send")] == [51, 52, 50]
 
 
-def test_first_tries_do_not_pass_for_late_beside_longer_last_tries() -> None:
-    """Last tries may have the most time left; compared with them all others would look late."""
+def test_first_tries_are_not_deferred_for_last_tries_with_more_time() -> None:
+    """Last tries may have the longest remaining time; compared with them others would look late."""
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(30):
         balancer.on_request(MS, i, 0, 980 * MS if i % 3 == 2 else 400 * MS)
@@ -62,15 +62,15 @@
     assert balancer.state.queued > 0
 
 
-def test_remaining_times_that_vary_show_nothing() -> None:
+def test_with_varied_remaining_times_nothing_is_deferred() -> None:
     balancer, _ = build(Settings(classes=(PURE,)), count=1)
     for i in range(40):
         balancer.on_request(MS, i, 0, (1000 - 25 * (i * 7 % 40)) * MS)
-    assert balancer.state.deferred <= 2  # only while few have been seen
+    assert balancer.state.deferred <= 2  # only while there are few samples
 
 
 def test_a_queue_that_is_never_served_does_not_grow() -> None:
-    """Deferred requests may be rejected for ever without a turn: their queue must not grow."""
+    """Deferred requests may all be rejected without ever being sent: their queue must not grow."""
     balancer, _ = build(Settings(classes=(PURE,), max_retry_after=SECOND), count=1)
     for k in range(50):
         now = k * SECOND
--- a/tests/core/balancing/test_balancer.py
+++ b/tests/core/balancing/test_balancer.py
@@ -1,4 +1,4 @@
-"""The Balancer's events."""
+"""Tests of the Balancer's event interface."""
 
 from __future__ import annotations
 
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -1,4 +1,4 @@
-"""The greedy solve against brute force, and the curve it climbs."""
+"""Tests of the class shares: the greedy solve is compared with a brute-force search."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.recording_host import build
 
 
-def stand(flow: ClassTraffic, share: int) -> float:
+def expected_utility(flow: ClassTraffic, share: int) -> float:
     rate, mean, old, objective, weight = flow
     if rate <= 0 or mean <= 0:
         return 1.0
@@ -34,10 +34,10 @@
     return utility(objective, t, weight)
 
 
-def best(total: int, flows: list[ClassTraffic]) -> float:
+def best_min_utility(total: int, flows: list[ClassTraffic]) -> float:
     n = len(flows)
     return max(
-        min(stand(f, s) for f, s in zip(flows, shares, strict=True))
+        min(expected_utility(f, s) for f, s in zip(flows, shares, strict=True))
         for shares in product(range(1, total - n + 2), repeat=n)
         if sum(shares) == total
     )
@@ -58,22 +58,26 @@
 
 @pytest.mark.parametrize("flows", CASES)
 @pytest.mark.parametrize("total", [3, 5, 9, 12])
-def test_greedy_is_max_min(flows: list[ClassTraffic], total: int) -> None:
+def test_the_greedy_solve_is_max_min_optimal(flows: list[ClassTraffic], total: int) -> None:
     shares = solve(total, flows)
     assert sum(shares) == total
     assert min(shares) >= 1
-    got = min(stand(f, s) for f, s in zip(flows, shares, strict=True))
-    assert got == pytest.approx(best(total, flows))
+    min_utility = min(expected_utility(f, s) for f, s in zip(flows, shares, strict=True))
+    assert min_utility == pytest.approx(best_min_utility(total, flows))
 
 
-def test_too_few_slots_gives_each_class_one() -> None:
+def test_with_too_few_slots_each_class_gets_one() -> None:
     assert solve(2, CASES[1]) == [1, 1, 1]
 
 
-def test_priority_weights_move_shares_when_requests_are_rejected() -> None:
-    rich = RequestClass("rich", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=10.0)
-    poor = RequestClass("poor", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
-    balancer, host = build(Settings(classes=(rich, poor)), count=6)
+def test_under_overload_shares_follow_the_priority_weights() -> None:
+    high_priority = RequestClass(
+        "high_priority", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=10.0
+    )
+    low_priority = RequestClass(
+        "low_priority", 200 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0
+    )
+    balancer, host = build(Settings(classes=(high_priority, low_priority)), count=6)
     for k in range(12):
         now = (k + 1) * SECOND // 2
         for i in range(60):
@@ -86,18 +90,24 @@
     assert balancer.classes[0].share > 2 * balancer.classes[1].share
 
 
-def test_a_class_rejected_at_a_small_share_gets_a_larger_one() -> None:
-    """Equation 8 with a rejected class's mean predicts that one more slot cures it."""
-    poor = RequestClass("poor", 800 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0)
-    rich = RequestClass("rich", 750 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=5.0)
-    balancer, host = build(Settings(classes=(poor, rich)), count=40)
+def test_a_class_with_many_rejections_gets_a_much_larger_share() -> None:
+    """Equation 8 assumes that all arrivals are served: for a class that is mostly rejected it would
+    predict that one more slot is enough.
+    """
+    low_priority = RequestClass(
+        "low_priority", 800 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=1.0
+    )
+    high_priority = RequestClass(
+        "high_priority", 750 * MS, SECOND, Effect.SIDE_EFFECT, priority_weight=5.0
+    )
+    balancer, host = build(Settings(classes=(low_priority, high_priority)), count=40)
     for c, share in zip(balancer.classes, (157, 2), strict=True):
         c.share, c.share_sum, c.cycles = share, share * 6.0, 6.0
     for _ in range(3):
-        for c, came, served in zip(balancer.classes, (195, 120), (120, 4), strict=True):
-            c.arrivals += came
+        for c, arrived, served in zip(balancer.classes, (195, 120), (120, 4), strict=True):
+            c.arrivals += arrived
             c.served += served
             c.response_time += served * 400.0 * MS
-            c.rejected += came - served
+            c.rejected += arrived - served
         class_weights.update(balancer.state)
     assert balancer.classes[1].share > 20
--- a/tests/core/balancing/test_dispatch.py
+++ b/tests/core/balancing/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Requests leave while slots are free, and are queued else."""
+"""Tests of dispatch: requests are sent while slots are free, and queued otherwise."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.recording_host import build
 
 
-def test_requests_beyond_the_total_are_queued_and_rejected_in_time() -> None:
+def test_requests_beyond_max_in_flight_are_queued_and_later_rejected() -> None:
     balancer, host = build(count=1)
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
--- a/tests/core/balancing/test_endpoint_caps.py
+++ b/tests/core/balancing/test_endpoint_caps.py
@@ -1,4 +1,4 @@
-"""How an endpoint's slots are divided among the nodes."""
+"""Tests of how an endpoint's slots are divided among the nodes."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from tests.recording_host import PURE, build
 
 
-def test_an_endpoints_slots_fall_to_different_nodes() -> None:
-    """With more nodes than slots each endpoint's slots fall to different nodes."""
-    given: dict[int, int] = {}
+def test_an_endpoints_slots_belong_to_different_nodes() -> None:
+    """With more nodes than slots, each endpoint's slots belong to different nodes."""
+    slots_by_endpoint: dict[int, int] = {}
     for node in range(24):
         balancer, _ = build(Settings(classes=(PURE,), node=node, nodes=24), count=48)
         for b in balancer.endpoints.values():
-            given[b.id] = given.get(b.id, 0) + b.cap
-    assert set(given.values()) == {4}
+            slots_by_endpoint[b.id] = slots_by_endpoint.get(b.id, 0) + b.cap
+    assert set(slots_by_endpoint.values()) == {4}
 
 
-def test_fractions_of_a_slot_are_not_rounded_up_everywhere() -> None:
-    """A limit just over 2 must not put a third request on every endpoint."""
+def test_fractional_limits_are_not_rounded_up_everywhere() -> None:
+    """A limit just over 2 must not allow a third request at every endpoint."""
     balancer, host = build(count=20)
     for limit, slots in ((1.0, 20), (2.0, 40), (2.1, 42), (2.5, 50)):
         balancer.state.concurrency_limit = limit
--- a/tests/core/balancing/test_final_answer.py
+++ b/tests/core/balancing/test_final_answer.py
@@ -1,4 +1,4 @@
-"""Which requests are rejected, and what wait is requested."""
+"""Tests of which requests are rejected, and with which Retry-After."""
 
 from __future__ import annotations
 
@@ -18,20 +18,22 @@
 
 
 @pytest.mark.parametrize(
-    ("max_retry_after", "marks_retry", "wanted"),
+    ("max_retry_after", "marks_retry", "expected"),
     [(SECOND, False, 0), (SECOND, True, SECOND), (100 * MS, False, 100 * MS)],
 )
-def test_no_wait_past_the_objective_is_requested_of_unmarked_clients(
-    max_retry_after: int, marks_retry: bool, wanted: int
+def test_no_retry_after_beyond_the_objective_if_clients_do_not_mark_retries(
+    max_retry_after: int, marks_retry: bool, expected: int
 ) -> None:
-    """They would come back late, look like new, and keep a jam going."""
+    """Their retries would be late already, could not be told from first tries, and would keep the
+    overload going.
+    """
     settings = Settings(classes=(PURE,), max_retry_after=max_retry_after, marks_retry=marks_retry)
     balancer, host = build(settings, count=1)
     for i in range(20):
         balancer.on_request(1, i, 0, SECOND)
     balancer.on_timer(190 * MS, Timer.WAKE)
     assert host.waits
-    assert set(host.waits) == {wanted}
+    assert set(host.waits) == {expected}
 
 
 @pytest.mark.parametrize(
@@ -41,12 +43,12 @@
         (Effect.SIDE_EFFECT, Scope.ALL, False, 0, "refuse"),
         (Effect.SIDE_EFFECT, Scope.ALL, True, 0, "fail"),
         (Effect.TOKEN, Scope.ALL, True, 59, "refuse"),
-        (Effect.TOKEN, Scope.ALL, True, 60, "fail"),  # its key may be forgotten
-        (Effect.TOKEN, Scope.ZONE, True, 0, "fail"),  # a client's repeat may reach another zone
+        (Effect.TOKEN, Scope.ALL, True, 60, "fail"),  # endpoints may no longer know its key
+        (Effect.TOKEN, Scope.ZONE, True, 0, "fail"),  # a client's retry may reach another zone
         (Effect.TOKEN, Scope.ZONE, False, 0, "refuse"),
     ],
 )
-def test_a_request_is_rejected_only_where_trying_again_is_harmless(
+def test_a_request_is_rejected_only_if_a_retry_is_harmless(
     effect: Effect, scope: Scope, executed: bool, at: int, answer: str
 ) -> None:
     balancer, host = build(Settings(classes=(replace(KEYED, effect=effect, scope=scope),)))
@@ -55,5 +57,5 @@
         request.first_executed = Attempt(balancer.endpoints[100], 0)
     balancer.state.now = at * MS
     final_answer.reject_or_fail(balancer.state, request)
-    final_answer.reject_or_fail(balancer.state, request)  # and once only
+    final_answer.reject_or_fail(balancer.state, request)  # a second call does nothing
     assert [c for c in host.calls if c[0] in ("refuse", "fail")] == [(answer, 1)]
--- a/tests/core/balancing/test_list_updates.py
+++ b/tests/core/balancing/test_list_updates.py
@@ -1,4 +1,4 @@
-"""What updates of the endpoint list change, and when the list is polled."""
+"""Tests of updates and polls of the endpoint list."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from tests.recording_host import PURE, Host, build
 
 
-def test_a_draining_endpoint_gets_nothing_new() -> None:
+def test_a_draining_endpoint_gets_no_new_requests() -> None:
     balancer, host = build(count=1)
     balancer.on_members(5, Update.DELTA, [Listing(100, State.DRAINING)])
     balancer.on_request(6, 1, 0, SECOND)
     assert host.named("send") == []
 
 
-def test_the_list_is_polled_again_after_a_failed_call() -> None:
+def test_the_list_is_polled_again_after_a_failed_poll() -> None:
     host = Host()
     balancer = Balancer(Settings(classes=(PURE,), poll=True), 1, host)
     balancer.start(0)
@@ -40,8 +40,8 @@
 
 @pytest.mark.parametrize("within", [2 * SECOND, 10 * SECOND])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_failed_list_calls_are_repeated_within_the_stated_time(within: int, seed: int) -> None:
-    """A node that does not poll counts as notified of drains that it never saw."""
+def test_failed_polls_are_retried_within_poll_within(within: int, seed: int) -> None:
+    """A node that does not poll in time is assumed to know of drains that it has not seen."""
     settings = Settings(classes=(PURE,), poll=True, poll_within=within, nodes=50)
     balancer, host = build(settings, seed=seed)
     polled = [0]
@@ -55,8 +55,8 @@
     assert max(b - a for a, b in pairwise(polled)) <= within
 
 
-def test_removed_endpoints_leave_nothing_behind() -> None:
-    """Endpoints are replaced under new ids: a list of all there were would grow for ever."""
+def test_records_of_removed_endpoints_are_deleted() -> None:
+    """Replaced endpoints have new ids, so records of removed ones would accumulate."""
     balancer, _ = build(count=3)
     for i in range(200):
         rows = [Listing(1000 + i, State.READY), Listing(999 + i, State.GONE)]
--- a/tests/core/balancing/test_model.py
+++ b/tests/core/balancing/test_model.py
@@ -1,4 +1,4 @@
-"""Settings are checked as they are made."""
+"""Tests of the checks of Settings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.recording_host import PURE, UNSAFE, Host
 
 
-def test_settings_are_checked() -> None:
+def test_invalid_settings_and_class_numbers_are_refused() -> None:
     with pytest.raises(ValueError, match="class"):
         Settings(classes=())
     with pytest.raises(ValueError, match="balancers"):
--- a/tests/core/balancing/test_outlier_detection.py
+++ b/tests/core/balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are left out of rotation, and how they return."""
+"""Tests of back-off, ejection and probing of endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 
 def test_an_endpoint_that_rejects_backs_off() -> None:
-    """It answers at once, so it would always have fewest in flight and draw everything."""
+    """It responds immediately, so it would always have the fewest requests in flight and attract
+    all traffic.
+    """
     balancer, host = build(Settings(classes=(PURE, UNSAFE), max_attempts=2), count=2)
     for i in range(20):
         balancer.on_request(MS * i, i, 0, SECOND)
@@ -34,7 +36,7 @@
 
 
 def test_a_single_time_out_leaves_an_endpoint_in_rotation() -> None:
-    """Under load attempts time out at healthy endpoints; three in a row are silence."""
+    """Under load, attempts also time out at healthy endpoints; three in a row mean silence."""
     balancer, host = build(Settings(classes=(UNSAFE,)), count=4)
     endpoint = balancer.endpoints[100]
     for i in range(40):
@@ -52,7 +54,7 @@
 
 
 def test_an_unresponsive_endpoint_is_probed_once_nothing_is_in_flight() -> None:
-    """Unresponsive, it gets nothing, so no answer could ever clear it."""
+    """An unresponsive endpoint gets no requests, so no response could ever clear the state."""
     balancer, host = build(Settings(classes=(UNSAFE,)), count=1)
     balancer.on_request(MS, 0, 0, SECOND)
     balancer.on_request(SECOND, 1, 0, SECOND)
@@ -62,8 +64,8 @@
     assert [c[1] for c in host.named("send")] == [0, 1]
 
 
-def test_resets_by_chance_eject_no_endpoint_and_leave_the_budget_alone() -> None:
-    """Each third connection breaks as it is used: all is served all the same."""
+def test_random_resets_eject_no_endpoint_and_do_not_use_up_the_budget() -> None:
+    """Every third connection breaks when it is used, and all requests are still served."""
     balancer, host = build(Settings(classes=(PURE,), max_attempts=4), count=4)
     for i in range(90):
         now = 10 * MS * (i + 1)
@@ -80,7 +82,7 @@
 
 
 def test_never_more_than_half_of_the_endpoints_are_ejected() -> None:
-    """What looks like the loss of most endpoints is more likely a fault of this node."""
+    """An apparent loss of most endpoints is more likely a fault of this node."""
     balancer, _ = build(count=5)
     for endpoint in balancer.endpoints.values():
         outlier_detection.eject(balancer.state, SECOND, endpoint, True, False)
@@ -88,18 +90,18 @@
     assert sum(e.ejected_until > 0 for e in balancer.endpoints.values()) == 2
 
 
-def test_an_ejection_doubles_until_an_answer_and_ends_in_a_probe() -> None:
+def test_ejections_double_until_a_response_and_end_with_a_probe() -> None:
     balancer, host = build(Settings(classes=(UNSAFE,)), count=4)
     state, endpoint = balancer.state, balancer.endpoints[100]
-    now, spans = SECOND, []
+    now, durations = SECOND, []
     for _ in range(5):
         outlier_detection.eject(state, now, endpoint, True, False)
-        spans.append(endpoint.ejected_until - now)
+        durations.append(endpoint.ejected_until - now)
         now = endpoint.ejected_until
         balancer.on_timer(now, Timer.WAKE)
         assert not endpoint.ejected_until
         assert endpoint.probing
-    assert spans == [SECOND, 2 * SECOND, 4 * SECOND, 8 * SECOND, 8 * SECOND]
+    assert durations == [SECOND, 2 * SECOND, 4 * SECOND, 8 * SECOND, 8 * SECOND]
     for request in range(12):
         balancer.on_request(now, request, 0, SECOND)
     (probe,) = (c[1] for c in host.named("send") if c[2] == 100)  # one at a time
@@ -108,7 +110,7 @@
     assert endpoint.next_ejection_ns == SECOND
 
 
-def test_errors_back_an_endpoint_off_only_when_they_come_in_a_row() -> None:
+def test_only_consecutive_errors_make_an_endpoint_back_off() -> None:
     balancer, _ = build(count=2)
     state, endpoint, c = balancer.state, balancer.endpoints[100], balancer.classes[0]
     for number in range(1, outlier_detection.MAX_ERRORS + 1):
@@ -120,8 +122,8 @@
     assert endpoint.consecutive_errors == 0
 
 
-def test_a_failed_connect_means_that_the_process_may_be_a_new_one() -> None:
-    """Its successor answers before the list names it: it is cold from its return."""
+def test_after_failed_connects_an_endpoint_returns_cold() -> None:
+    """The new process may respond before it is in the list, so the endpoint returns cold."""
     balancer, _ = build(count=4)
     endpoint, c = balancer.endpoints[100], balancer.classes[0]
     for _ in range(outlier_detection.MAX_LOST_FAILURES):
--- a/tests/core/balancing/test_retries.py
+++ b/tests/core/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""What is sent again, and at what cost to the budget."""
+"""Tests of which requests are resent, attempt timeouts, and the retry budget."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def test_an_unsafe_request_that_may_have_executed_is_failed() -> None:
-    """An unsafe request's attempt ends with an error after it has executed. A second send
-    would have its effect twice, and so would a client that is wanted to try again.
+    """An unsafe request's attempt may end with an error after it has executed. Resending it, or
+    telling the client to retry, could have its effect twice.
     """
     balancer, host = build()
     balancer.on_request(1, 9, 1, SECOND)
@@ -28,9 +28,9 @@
     assert len(host.named("send")) == 1
 
 
-def test_a_keyed_request_is_sent_again_within_its_window_only() -> None:
-    """A keyed request's connection is reset. Within the window its endpoints drop the repeat;
-    after it nobody does, and a client wanted to try again would have the effect twice.
+def test_a_keyed_request_is_resent_within_its_repeat_window_only() -> None:
+    """After a reset a keyed request may have executed. Endpoints discard a repeat within the window
+    only: a later one, by the node or by the client, would have the effect twice.
     """
     balancer, host = build()
     balancer.on_request(MS, 1, 2, SECOND)
@@ -38,20 +38,20 @@
     balancer.on_outcome(50 * MS, 1, 0, Outcome.RESET, 49 * MS, False)
     balancer.on_outcome(70 * MS, 2, 0, Outcome.RESET, 69 * MS, False)
     assert [c[1] for c in host.named("send")] == [1, 2, 1]
-    # Told that trying again is harmless its client would, and nobody drops the repeat any more.
+    # A rejection would invite a retry that no endpoint discards any more.
     assert host.named("fail") == [("fail", 2)]
     assert not host.named("refuse")
 
 
-def test_an_unsafe_request_that_never_executed_is_sent_again() -> None:
+def test_an_unsafe_request_that_has_not_executed_is_resent() -> None:
     balancer, host = build()
     balancer.on_request(1, 9, 1, SECOND)
     balancer.on_outcome(5 * MS, 9, 0, Outcome.FULL, 5 * MS, False)
     assert len(host.named("send")) == 2
 
 
-def test_errors_that_come_at_once_leave_the_retry_budget_alone() -> None:
-    """Charged in full, a few failing endpoints used it up and others idled."""
+def test_immediate_errors_do_not_use_up_the_retry_budget() -> None:
+    """Charged in full, a few failing endpoints would use up the budget while others are idle."""
     balancer, host = build(Settings(classes=(PURE,), max_attempts=3))
     for i in range(40):
         balancer.on_request(MS * i, i, 0, SECOND)
@@ -60,7 +60,7 @@
     assert len(host.named("send")) == 80
 
 
-def test_slow_errors_are_bounded_by_the_retry_budget() -> None:
+def test_retries_after_slow_errors_are_limited_by_the_retry_budget() -> None:
     balancer, host = build(Settings(classes=(PURE,), max_attempts=3))
     for i in range(40):
         balancer.on_request(SECOND * i, i, 0, SECOND)
@@ -69,8 +69,8 @@
     assert len(host.named("send")) < 80
 
 
-def test_an_attempt_ends_before_the_objective_and_a_repeatable_one_earlier() -> None:
-    """Objective 200 ms, latency 10 ms: a repeatable one gets the objective as its least."""
+def test_an_attempt_times_out_before_the_objective_and_a_repeatable_one_earlier() -> None:
+    """Objective 200 ms, latency 10 ms: the early timeout is at least the objective."""
     classes = (replace(PURE, deadline=6 * SECOND), UNSAFE, replace(UNSAFE, late_weight=0.5))
     balancer, _ = build(Settings(classes=classes, max_attempts=2), count=1)
     timeouts = []
@@ -82,7 +82,7 @@
     assert timeouts == [200 * MS, 594 * MS, 900 * MS]
 
 
-def test_without_credit_an_attempt_is_not_ended_early() -> None:
+def test_without_retry_credit_there_is_no_early_timeout() -> None:
     balancer, _ = build(Settings(classes=(PURE,), max_attempts=2), count=1)
     request = Request(1, balancer.classes[0], 0, 900 * MS, 0, 2)
     request.objective_at = 600 * MS
@@ -101,7 +101,7 @@
         (Effect.TOKEN, False, 60, True),
     ],
 )
-def test_a_further_attempt_is_allowed_by_effect_execution_and_window(
+def test_a_retry_is_allowed_by_effect_execution_and_repeat_window(
     effect: Effect, executed: bool, at: int, allowed: bool
 ) -> None:
     balancer, _ = build(Settings(classes=(replace(KEYED, effect=effect),)), count=1)
@@ -111,10 +111,10 @@
         request.first_executed = request.attempts[0]
     assert retries.may_resend(at * MS, request) == allowed
     request.in_flight = 1
-    assert not retries.may_resend(at * MS, request)  # never two at a time
+    assert not retries.may_resend(at * MS, request)  # only one attempt at a time
     request.in_flight = 0
     request.body_sent = True
-    assert not retries.may_resend(at * MS, request)  # its bytes are not retained
+    assert not retries.may_resend(at * MS, request)  # its body is not buffered
     request.body_sent = False
     request.max_attempts = 1
     assert not retries.may_resend(at * MS, request)
--- a/tests/core/balancing/test_rotation.py
+++ b/tests/core/balancing/test_rotation.py
@@ -1,4 +1,4 @@
-"""Which endpoints may take one more request."""
+"""Tests of which endpoints are in rotation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.recording_host import build
 
 
-def test_endpoints_stand_by_their_requests_in_flight() -> None:
+def test_endpoints_are_in_buckets_by_requests_in_flight() -> None:
     balancer, _ = build(count=3)
     state, endpoint = balancer.state, balancer.endpoints[101]
     endpoint.in_flight = 2
@@ -37,7 +37,7 @@
         {"backoff_until": 2 * SECOND},
     ],
 )
-def test_each_reason_alone_takes_an_endpoint_out(values: dict[str, Any]) -> None:
+def test_each_condition_alone_takes_an_endpoint_out_of_rotation(values: dict[str, Any]) -> None:
     balancer, _ = build(count=2)
     state, endpoint = balancer.state, balancer.endpoints[100]
     state.now = SECOND
@@ -53,7 +53,7 @@
     assert endpoint.bucket is state.local_buckets[0]
 
 
-def test_long_messages_leave_their_slots_to_others_up_to_a_number() -> None:
+def test_transfers_do_not_count_against_the_cap_up_to_a_limit() -> None:
     balancer, _ = build(count=1)
     endpoint = balancer.endpoints[100]
     endpoint.cap = 2
--- a/tests/core/balancing/test_settings.py
+++ b/tests/core/balancing/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""New settings under load: what is open keeps its rules, and a bad file changes nothing."""
+"""Tests of reloaded settings: open requests keep their rules, invalid files change nothing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.proxy.test_reload import replace_config
 
 
-def changed(tmp_path: Path, change: Any) -> str:
+def changed_configuration(tmp_path: Path, change: Any) -> str:
     raw = json.loads((tmp_path / "config.json").read_text())
     raw["settings"] = copy.deepcopy(raw["settings"])
     change(raw)
@@ -29,7 +29,7 @@
     return peer
 
 
-def test_a_reload_brings_a_class_and_drops_another(tmp_path: Path) -> None:
+def test_a_reload_adds_a_class_and_removes_another(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
         client = n.connect()
         client.send(request("/fresh/1"))
@@ -39,14 +39,14 @@
         peer = accept(backend)
         peer.message()
 
-        def bring(raw: dict[str, Any]) -> None:
+        def add_class(raw: dict[str, Any]) -> None:
             classes = raw["settings"]["classes"]
             raw["settings"]["classes"] = [classes[0] | {"name": "fresh"}, classes[0]]
 
-        replace_config(tmp_path, changed(tmp_path, bring))
+        replace_config(tmp_path, changed_configuration(tmp_path, add_class))
         n.process.send_signal(signal.SIGHUP)
         n.says("new settings: classes fresh, balance")
-        peer.reset()  # may have run: by the rules of its admission it is not sent again
+        peer.reset()  # it may have executed: by the rules of its admission it is not resent
         assert in_flight.message()[0] == "HTTP/1.1 502 Bad Gateway"
         client = n.connect()
         client.send(request("/fresh/1", rid="f"))
@@ -56,10 +56,10 @@
         assert n.stop() == 0
 
 
-# ---- the real program -----------------------------------------------------
+# ---- invalid files -----------------------------------------------------
 
 
-def drop(*path: Any) -> Any:
+def remove_key(*path: Any) -> Any:
     def change(raw: Any) -> None:
         for key in path[:-1]:
             raw = raw[key]
@@ -68,7 +68,7 @@
     return change
 
 
-def put(value: Any, *path: Any) -> Any:
+def set_key(value: Any, *path: Any) -> Any:
     def change(raw: Any) -> None:
         for key in path[:-1]:
             raw = raw[key]
@@ -77,31 +77,31 @@
     return change
 
 
-BAD: dict[str, Any] = {
-    "name": drop("name"),
-    "limits": drop("limits"),
-    "lacks 'settings'": drop("settings"),
-    "settings.rules.cold": drop("settings", "rules", "cold"),
-    "settings.limits.max_attempts": drop("settings", "limits", "max_attempts"),
-    "lack 'deadline'": drop("settings", "classes", 1, "deadline"),
-    "settings.classes.credit": drop("settings", "classes", 1, "credit"),
-    "lack 'effect'": drop("settings", "classes", 0, "effect"),
-    "'balance' needs": put(0, "settings", "classes", 0, "deadline"),
-    "'credit' needs": put(-5, "settings", "classes", 1, "target"),
-    "max_attempts must": put(0, "settings", "limits", "max_attempts"),
-    "stands twice": put("credit", "settings", "classes", 0, "name"),
-    "unusable value": put("soon", "settings", "classes", 0, "deadline"),
-    "drain_grace": put(-1, "settings", "rules", "drain_grace"),
-    "settings.realms": put([{"name": "a"}], "settings", "realms"),
-    "at least one": put([], "settings", "classes"),
-    "no host:port": put("nowhere", "discovery"),
+INVALID_CHANGES: dict[str, Any] = {
+    "name": remove_key("name"),
+    "limits": remove_key("limits"),
+    "lacks 'settings'": remove_key("settings"),
+    "settings.rules.cold": remove_key("settings", "rules", "cold"),
+    "settings.limits.max_attempts": remove_key("settings", "limits", "max_attempts"),
+    "lack 'deadline'": remove_key("settings", "classes", 1, "deadline"),
+    "settings.classes.credit": remove_key("settings", "classes", 1, "credit"),
+    "lack 'effect'": remove_key("settings", "classes", 0, "effect"),
+    "'balance' needs": set_key(0, "settings", "classes", 0, "deadline"),
+    "'credit' needs": set_key(-5, "settings", "classes", 1, "target"),
+    "max_attempts must": set_key(0, "settings", "limits", "max_attempts"),
+    "stands twice": set_key("credit", "settings", "classes", 0, "name"),
+    "unusable value": set_key("soon", "settings", "classes", 0, "deadline"),
+    "drain_grace": set_key(-1, "settings", "rules", "drain_grace"),
+    "settings.realms": set_key([{"name": "a"}], "settings", "realms"),
+    "at least one": set_key([], "settings", "classes"),
+    "no host:port": set_key("nowhere", "discovery"),
 }
 
 
-@pytest.mark.parametrize("fault", BAD)
-def test_a_file_with_a_fault_is_one_line_and_changes_nothing(tmp_path: Path, fault: str) -> None:
+@pytest.mark.parametrize("fault", INVALID_CHANGES)
+def test_an_invalid_file_is_logged_and_changes_nothing(tmp_path: Path, fault: str) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        replace_config(tmp_path, changed(tmp_path, BAD[fault]))
+        replace_config(tmp_path, changed_configuration(tmp_path, INVALID_CHANGES[fault]))
         n.process.send_signal(signal.SIGHUP)
         n.says(fault)
         client = n.connect()
@@ -112,7 +112,7 @@
         assert n.stop() == 0
 
 
-def test_files_that_are_empty_or_cut_off_change_nothing(tmp_path: Path) -> None:
+def test_empty_and_truncated_files_change_nothing(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
         complete = (tmp_path / "config.json").read_text()
         for text in ("", complete[: len(complete) // 2], "\0", "null"):
@@ -128,7 +128,7 @@
         assert n.stop() == 0
 
 
-def test_an_absolute_target_is_taken_for_its_path(tmp_path: Path) -> None:
+def test_of_an_absolute_target_the_path_is_used(tmp_path: Path) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
         client = n.connect()
         client.send(request().replace(b"GET /", b"GET http://app.svc/"))
--- a/tests/core/balancing/test_slow_start.py
+++ b/tests/core/balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""How much a cold endpoint gets."""
+"""Tests of how much load a cold endpoint gets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.recording_host import PURE, build
 
 
-def test_a_cold_endpoints_slots_grow_as_it_warms_up() -> None:
-    """In a zone that has just restarted two slots an endpoint would leave most of it idle."""
+def test_a_cold_endpoints_slots_increase_as_it_warms_up() -> None:
+    """With two slots per endpoint, a zone that has just restarted would be mostly idle."""
     start = Listing(100, State.READY, boot=20 * SECOND)
     settings = Settings(classes=(PURE,), cold=10 * SECOND, cold_from=0.2)
     balancer, _ = build(settings, count=1)
@@ -30,7 +30,7 @@
     assert caps == [4, 12, 18]
 
 
-def test_a_cold_endpoint_gets_its_part_only() -> None:
+def test_a_cold_endpoint_gets_few_requests() -> None:
     cold = [Listing(100 + i, State.READY) for i in range(3)]
     balancer, host = build(Settings(classes=(PURE,), cold=10 * SECOND), count=3)
     now = 20 * SECOND
@@ -39,12 +39,12 @@
         at = now + i * 5 * MS
         balancer.on_request(at, i, 0, SECOND)
         balancer.on_outcome(at + MS, i, 0, Outcome.OK, MS, True)
-    got = [c[2] for c in host.named("send")]
-    assert got.count(100) < got.count(101) / 5
+    sent_to = [c[2] for c in host.named("send")]
+    assert sent_to.count(100) < sent_to.count(101) / 5
 
 
-def test_sends_to_a_cold_endpoint_are_spaced_by_its_present_part() -> None:
-    """The gap follows the usual rate, the nodes that share the budget and the warmth."""
+def test_sends_to_a_cold_endpoint_are_spaced_by_its_capacity_fraction() -> None:
+    """The gap depends on the usual send rate, the sharing nodes, and the capacity fraction."""
     settings = Settings(
         classes=(PURE,), cold=10 * SECOND, cold_from=0.5, fall_multiple=2.0, fall=SECOND
     )
@@ -59,7 +59,7 @@
     endpoint.sharers = 3
     slow_start.space_sends(state, state.now, endpoint)
     assert endpoint.backoff_until == state.now + 600 * MS
-    state.send_rate = 0.0  # no usual rate is known: one send a window
+    state.send_rate = 0.0  # the usual rate is unknown: one send per window
     slow_start.space_sends(state, state.now, endpoint)
     assert endpoint.backoff_until == state.now + SECOND
 
@@ -67,18 +67,18 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(("nodes", "servers"), [(2, 10), (20, 16), (30, 16), (200, 60)])
 @pytest.mark.parametrize("load", [0.4, 0.9])
-def test_the_sum_of_all_nodes_stays_within_a_cold_servers_budget(
+def test_sends_of_all_nodes_stay_within_a_cold_servers_budget(
     nodes: int, servers: int, load: float, seed: int
 ) -> None:
-    """Many Balancers that exchange nothing send to servers of which some have just started.
+    """Many Balancers that exchange no messages send to servers of which some have just started.
 
-    Each window of the settings' length is counted against N + 2 x root of N + 2, where N is
-    what the settings allow the server in it: multiple x present capacity x window, in mean
-    requests.
+    The work sent to a server in each window of length `Settings.fall` must not exceed
+    N + 2 * sqrt(N) + 2 mean requests, where N is `fall_multiple` x present capacity x window.
     """
     world = World(nodes, servers, load, seed)
     world.run(3 * SECOND)
-    for begin in range(0, servers // 2, max(servers // 6, 1)):  # half are replaced, in steps
+    # Half of the servers are restarted, in steps.
+    for begin in range(0, servers // 2, max(servers // 6, 1)):
         world.restart(list(range(begin, min(begin + servers // 6, servers // 2))), SECOND)
         world.run(1500 * MS)
     world.run(3 * SECOND)
--- a/tests/core/balancing/test_transferring.py
+++ b/tests/core/balancing/test_transfers.py
@@ -1,4 +1,4 @@
-"""Attempts that transfer a long message: their slots and durations, and whether they are resent."""
+"""Tests of attempts that transfer a long message: slots, durations, and resending."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tests.recording_host import build
 
 
-def test_attempts_that_only_move_bytes_leave_slots_to_others_within_a_bound() -> None:
+def test_transferring_attempts_free_their_slots_up_to_a_limit() -> None:
     balancer, host = build(count=1)
     balancer.on_request(0, 1, 0, 900 * MS)
     cap = balancer.endpoints[100].cap
-    for rid in range(2, 60):
-        balancer.on_response_started(rid, rid - 1, 0, 5 * MS)
-        balancer.on_request(rid, rid, 0, 900 * MS)
+    for request_id in range(2, 60):
+        balancer.on_response_started(request_id, request_id - 1, 0, 5 * MS)
+        balancer.on_request(request_id, request_id, 0, 900 * MS)
     assert len(host.named("send")) == cap + MAX_TRANSFERRING
     balancer.on_outcome(100, 1, 0, Outcome.OK, SECOND, True)
     assert (
@@ -24,29 +24,29 @@
     )
 
 
-def test_a_long_answer_teaches_the_time_of_its_first_bytes() -> None:
-    one, _ = build(count=1)
-    two, _ = build(count=1)
-    for balancer, elapsed in ((one, 9 * SECOND), (two, 5 * MS)):
+def test_the_latency_of_a_long_response_is_its_time_to_first_byte() -> None:
+    long_response, _ = build(count=1)
+    short_response, _ = build(count=1)
+    for balancer, elapsed in ((long_response, 9 * SECOND), (short_response, 5 * MS)):
         balancer.on_request(0, 1, 0, 900 * MS)
-        if balancer is one:
+        if balancer is long_response:
             balancer.on_response_started(5 * MS, 1, 0, 5 * MS)
         balancer.on_outcome(elapsed, 1, 0, Outcome.OK, elapsed, True)
-    assert one.classes[0].latency == two.classes[0].latency
+    assert long_response.classes[0].latency == short_response.classes[0].latency
 
 
-def test_what_was_spent_is_never_sent_again_and_refused_only_if_it_never_ran() -> None:
-    for outcome, said in ((Outcome.CONNECT_FAILED, "refuse"), (Outcome.RESET, "fail")):
+def test_an_unbuffered_body_is_not_resent_and_rejected_only_if_not_executed() -> None:
+    for outcome, final_response in ((Outcome.CONNECT_FAILED, "refuse"), (Outcome.RESET, "fail")):
         balancer, host = build()
         balancer.on_request(0, 1, 1, 900 * MS)
         balancer.on_body_started(1, 1, 0)
         balancer.on_outcome(2, 1, 0, outcome, 1, False)
         assert len(host.named("send")) == 1
-        assert host.named(said) == [(said, 1)]
+        assert host.named(final_response) == [(final_response, 1)]
         assert balancer.state.transferring == 0
 
 
-def test_an_upload_is_no_silence_of_its_server() -> None:
+def test_an_endpoint_is_not_silent_during_an_upload() -> None:
     balancer, host = build(count=1)
     balancer.on_request(0, 1, 1, 900 * MS)
     balancer.on_body_started(1, 1, 0)
