--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -40,21 +40,25 @@
     Raises:
         ValueError: the tenant is unknown.
     """
-    c = request.request_class
-    c.arrivals += 1
-    elapsed = elapsed_before(c, remaining)
+    request_class = request.request_class
+    request_class.arrivals += 1
+    elapsed = elapsed_before(request_class, remaining)
     if elapsed:
         request.objective_at -= elapsed
-        if elapsed + c.latency >= c.latency_objective:
+        if elapsed + request_class.latency >= request_class.latency_objective:
             # Counted from the first try it can only be late: requests that can be in time go first.
-            request.objective_at = now + c.latency_objective
+            request.objective_at = now + request_class.latency_objective
             request.deferred = True
-    slack = min(request.objective_at, request.deadline) - now - int(c.latency)
+    slack = min(request.objective_at, request.deadline) - now - int(request_class.latency)
     request.wait_until = now + max(int(slack * WAIT_PART), 0)
     if state.quota:
         request.deferred = _exceeds_quota(state, now, request.tenant) or request.deferred
     retry_after = state.settings.max_retry_after
-    if retry and c.spec.late_weight <= 0 and retry_after > c.latency_objective:
+    if (
+        retry
+        and request_class.spec.late_weight <= 0
+        and retry_after > request_class.latency_objective
+    ):
         # Its first try was rejected with a Retry-After beyond the objective: it is late already.
         request.deferred = True
     enqueue(state, request, False)
@@ -65,10 +69,12 @@
 
     `hint` is that estimate in nanoseconds.
     """
-    c = request.request_class
-    if c.spec.objective_stretch:
-        stretched = c.latency_objective + int(c.spec.objective_stretch * hint)
-        request.objective_at = now + min(stretched, c.spec.deadline)
+    request_class = request.request_class
+    if request_class.spec.objective_stretch:
+        stretched = request_class.latency_objective + int(
+            request_class.spec.objective_stretch * hint
+        )
+        request.objective_at = now + min(stretched, request_class.spec.deadline)
 
 
 def elapsed_before(request_class: ClassState, remaining: int) -> int:
@@ -109,21 +115,23 @@
 
 def enqueue(state: BalancerState, request: Request, front: bool) -> None:
     """Add a request to the end of its queue, or to the front if `front`."""
-    c = request.request_class
+    request_class = request.request_class
     request.state = QUEUED
     if request.deferred:
         state.deferred += 1
-        c.deferred += 1
-        queue = c.deferred_queue
+        request_class.deferred += 1
+        queue = request_class.deferred_queue
     else:
         state.queued += 1
-        c.queued += 1
+        request_class.queued += 1
         tenant = request.tenant if state.quota else 0
-        queue = c.queues[tenant]
-        if state.quota and not c.queued_by_tenant[tenant]:
+        queue = request_class.queues[tenant]
+        if state.quota and not request_class.queued_by_tenant[tenant]:
             # Stride scheduling: an idle tenant must not accumulate turns.
-            c.passes[tenant] = max(c.passes[tenant], c.virtual_time)
-        c.queued_by_tenant[tenant] += 1
+            request_class.passes[tenant] = max(
+                request_class.passes[tenant], request_class.virtual_time
+            )
+        request_class.queued_by_tenant[tenant] += 1
     if front:
         queue.appendleft(request)
     else:
@@ -132,18 +140,18 @@
 
 def dequeue(state: BalancerState, request: Request) -> None:
     """Count a request as no longer queued; its queue entry is removed lazily at the front."""
-    c = request.request_class
+    request_class = request.request_class
     request.state = ACTIVE
     if request.deferred:
         state.deferred -= 1
-        c.deferred -= 1
-        queue = c.deferred_queue
+        request_class.deferred -= 1
+        queue = request_class.deferred_queue
     else:
         state.queued -= 1
-        c.queued -= 1
+        request_class.queued -= 1
         tenant = request.tenant if state.quota else 0
-        c.queued_by_tenant[tenant] -= 1
-        queue = c.queues[tenant]
+        request_class.queued_by_tenant[tenant] -= 1
+        queue = request_class.queues[tenant]
     # Without this, a queue that is never served would keep every request that was added to it.
     while queue and queue[0].state is not QUEUED:
         queue.popleft()
--- a/loadbalancer/core/balancing/class_weights.py
+++ b/loadbalancer/core/balancing/class_weights.py
@@ -39,12 +39,12 @@
     weight: float  # cost of missing the objective
 
 
-def predict(rate: float, mean: float, old: float, new: float) -> float:
-    """Predict the mean response time at share `new` from `mean` at share `old`.
+def predict(rate: float, mean: float, old_share: float, new_share: float) -> float:
+    """Predict the mean response time at share `new_share` from `mean` at share `old_share`.
 
     Equations 8 and 9 of the paper; infinite if the class would be saturated.
     """
-    denominator = 1.0 / mean + rate * (1.0 / old - 1.0 / new)
+    denominator = 1.0 / mean + rate * (1.0 / old_share - 1.0 / new_share)
     return 1.0 / denominator if denominator > 0 else inf
 
 
@@ -54,12 +54,12 @@
     return float((-miss) ** ALPHA if miss <= 0 else -weight * miss**BETA)
 
 
-def utility_at(flow: ClassTraffic, share: int) -> float:
+def utility_at(traffic: ClassTraffic, share: int) -> float:
     """The utility of a class at a given share."""
-    rate, mean, old, objective, weight = flow
+    rate, mean, old_share, objective, weight = traffic
     if rate <= 0 or mean <= 0:
         return IDLE_UTILITY
-    time = predict(rate, mean, max(old, 1.0), share)
+    time = predict(rate, mean, max(old_share, 1.0), share)
     if time == inf:
         # Increases with the share, so that saturated classes are ranked by their overload.
         bound = -weight * (MAX_OBJECTIVES - 1.0) ** BETA
@@ -67,7 +67,7 @@
     return utility(objective, time, weight)
 
 
-def solve(total: int, flows: Sequence[ClassTraffic]) -> list[int]:
+def solve(total: int, traffic_by_class: Sequence[ClassTraffic]) -> list[int]:
     """Max-min fair integer shares of `total` slots, each at least 1.
 
     The running time of the paper's dynamic program is quadratic in `total`. Adding slots one
@@ -75,12 +75,12 @@
     never decreases with the share. A class without traffic stays at one slot until all
     others have reached IDLE_UTILITY.
     """
-    shares = [1] * len(flows)
-    utilities = [utility_at(flow, 1) for flow in flows]
-    for _ in range(total - len(flows)):
-        low = min(range(len(flows)), key=utilities.__getitem__)
-        shares[low] += 1
-        utilities[low] = utility_at(flows[low], shares[low])
+    shares = [1] * len(traffic_by_class)
+    utilities = [utility_at(traffic, 1) for traffic in traffic_by_class]
+    for _ in range(total - len(traffic_by_class)):
+        lowest = min(range(len(traffic_by_class)), key=utilities.__getitem__)
+        shares[lowest] += 1
+        utilities[lowest] = utility_at(traffic_by_class[lowest], shares[lowest])
     return shares
 
 
@@ -94,30 +94,32 @@
 
 def update(state: BalancerState) -> None:
     """Recompute the shares from the decayed sums of all cycles so far, and decay the sums."""
-    flows = []
+    traffic_by_class = []
     for request_class in state.classes:
         request_class.cycles = request_class.cycles * DECAY + 1
         request_class.share_sum = request_class.share_sum * DECAY + request_class.share
-        flows.append(_flow(request_class))
+        traffic_by_class.append(_measure_traffic(request_class))
         request_class.arrivals *= DECAY
         request_class.rejected *= DECAY
         request_class.response_time *= DECAY
         request_class.served *= DECAY
-    for request_class, share in zip(state.classes, solve(state.max_in_flight, flows), strict=True):
+    for request_class, share in zip(
+        state.classes, solve(state.max_in_flight, traffic_by_class), strict=True
+    ):
         request_class.share = share
 
 
-def _flow(request_class: ClassState) -> ClassTraffic:
+def _measure_traffic(request_class: ClassState) -> ClassTraffic:
     """The rate, mean response time and share of a class over the cycles so far, decayed."""
     objective = request_class.latency_objective
-    seen = request_class.served + request_class.rejected
+    finished = request_class.served + request_class.rejected
     rejected_time = request_class.rejected * REJECTED_OBJECTIVES * objective
-    mean = (request_class.response_time + rejected_time) / seen if seen else 0.0
+    mean = (request_class.response_time + rejected_time) / finished if finished else 0.0
     # Equation 8 assumes that all arrivals are served. If this share served only part of them,
     # the share that would have served all is extrapolated from it.
     share = request_class.share_sum / request_class.cycles
-    if seen:
-        share /= max(request_class.served / seen, MIN_SERVED_PART)
+    if finished:
+        share /= max(request_class.served / finished, MIN_SERVED_PART)
     rate = request_class.arrivals / (request_class.cycles * CYCLE_NS / SECOND)
     weight = request_class.spec.priority_weight
     return ClassTraffic(rate, mean / SECOND, share, objective / SECOND, weight)
--- a/loadbalancer/core/balancing/concurrency_limit.py
+++ b/loadbalancer/core/balancing/concurrency_limit.py
@@ -25,9 +25,7 @@
 GROWTH = 1.15  # factors on the limit per cycle
 CUT = 0.9
 SEVERE_CUT = CUT * CUT * CUT
-MAX_REJECTED_PART = (
-    0.05  # rejections by endpoints, as a part of outcomes, above which the limit is cut
-)
+MAX_REJECTED_PART = 0.05  # of outcomes; more rejections by endpoints cut the limit
 MAX_TIMEOUT_PART = 0.04  # the same for time-outs; an unresponsive endpoint's are counted once
 MIN_SAMPLES = 3  # attempts needed to measure a class's congestion
 CARRIED_SAMPLES = 10  # below so many samples, a class's sums are carried into the next cycle
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -67,10 +67,10 @@
     """
     if attempt.state is (OPEN if transferring else TRANSFERRING):
         attempt.state = TRANSFERRING if transferring else OPEN
-        step = 1 if transferring else -1
+        change = 1 if transferring else -1
         endpoint = attempt.endpoint
-        endpoint.transferring += step
-        state.transferring += step
+        endpoint.transferring += change
+        state.transferring += change
         rotation.update(state, endpoint)
         if transferring:
             dispatch(state, state.now)
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -39,9 +39,9 @@
     """Set this node's rank in its zone, and the queue length's column in load reports."""
     columns = settings.load_columns
     state.queue_column = columns.index("q") if "q" in columns else -1
-    own = settings.node % settings.zones == settings.zone % settings.zones
-    same = range(settings.zone, settings.nodes, settings.zones) if own else ()
-    state.peers = max(1, len(same) or -(-settings.nodes // settings.zones))
+    numbered_by_zone = settings.node % settings.zones == settings.zone % settings.zones
+    zone_nodes = range(settings.zone, settings.nodes, settings.zones) if numbered_by_zone else ()
+    state.peers = max(1, len(zone_nodes) or -(-settings.nodes // settings.zones))
     state.zone_rank = settings.node // settings.zones
 
 
@@ -59,24 +59,24 @@
         endpoints = sorted(zones[zone], key=lambda e: e.id)
         count = len(endpoints)
         state.ready += count
-        nodes, place = _place_in(state, zone)
+        nodes, node_index = _index_in(state, zone)
         # With more nodes than endpoints, a shift of 1 per endpoint would not reach all nodes.
-        spread = max(nodes, count)
+        shift_span = max(nodes, count)
         for index, endpoint in enumerate(endpoints):
             endpoint.rounding_offset = index * ROUNDING_STEP % 1.0
             endpoint.sharing_nodes = nodes
-            endpoint.node_rank = (place - index * spread // count) % nodes
+            endpoint.node_rank = (node_index - index * shift_span // count) % nodes
     update(state)
 
 
-def _place_in(state: BalancerState, zone: int) -> tuple[int, int]:
+def _index_in(state: BalancerState, zone: int) -> tuple[int, int]:
     """The number of nodes that share a zone's endpoints, and this node's index among them."""
     settings = state.settings
     if zone == settings.zone:
         return state.peers, state.zone_rank
-    inside = len(range(zone % settings.zones, settings.nodes, settings.zones))
-    earlier = len(range(zone % settings.zones, settings.node, settings.zones))
-    return max(1, settings.nodes - inside), settings.node - earlier
+    zone_nodes = len(range(zone % settings.zones, settings.nodes, settings.zones))
+    earlier_zone_nodes = len(range(zone % settings.zones, settings.node, settings.zones))
+    return max(1, settings.nodes - zone_nodes), settings.node - earlier_zone_nodes
 
 
 def update(state: BalancerState) -> None:
@@ -87,37 +87,39 @@
     node also uses slots that belong to other nodes, at the endpoints where its rank exceeds
     the number of slots by the least.
     """
-    local = sum(1 for e in state.endpoints.values() if e.local and e.state == State.READY)
+    ready_local = sum(1 for e in state.endpoints.values() if e.local and e.state == State.READY)
     limit = state.concurrency_limit
-    if local:
-        limit = max(limit, MIN_SLOTS * state.peers / local)
-    silence = outlier_detection.silence_limit(state)
-    total = assigned = usable = 0
+    if ready_local:
+        limit = max(limit, MIN_SLOTS * state.peers / ready_local)
+    max_silence = outlier_detection.silence_limit(state)
+    total_cap = own_endpoints = usable_slots = 0
     reserve: list[tuple[int, int, Endpoint]] = []
     for endpoint in state.endpoints.values():
         if endpoint.state != State.READY:
             continue
         depth = limit if endpoint.local else limit * OTHER_ZONES_PART
         slots = int(depth + endpoint.rounding_offset)
-        _set_cap(state, endpoint, depth, local)
-        total += endpoint.cap
-        assigned += slots > endpoint.node_rank
+        _set_cap(state, endpoint, depth, ready_local)
+        total_cap += endpoint.cap
+        own_endpoints += slots > endpoint.node_rank
         silent = (
             endpoint.in_flight > endpoint.transferring
-            and state.now - endpoint.silent_since > silence
+            and state.now - endpoint.silent_since > max_silence
         )
         if not (silent or endpoint.unresponsive or endpoint.probing or endpoint.ejected_until):
-            usable += endpoint.cap
+            usable_slots += endpoint.cap
             if (
                 not endpoint.cap
                 and endpoint.cold_until <= state.now
                 and endpoint.node_rank < RESERVE_REACH * slots
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
-    missing = max(min(assigned, MIN_SLOTS), 1) - usable
-    if missing > 0 and state.slot_allocator is None:  # else the node can lease slots from others
-        total += _use_reserve(state, reserve, missing)
-    state.max_in_flight = max(total, 1)
+    missing_slots = max(min(own_endpoints, MIN_SLOTS), 1) - usable_slots
+    if (
+        missing_slots > 0 and state.slot_allocator is None
+    ):  # else the node can lease slots from others
+        total_cap += _use_reserve(state, reserve, missing_slots)
+    state.max_in_flight = max(total_cap, 1)
 
 
 def _use_reserve(state: BalancerState, reserve: list[tuple[int, int, Endpoint]], count: int) -> int:
@@ -135,7 +137,7 @@
     return added
 
 
-def _set_cap(state: BalancerState, endpoint: Endpoint, depth: float, local: int) -> None:
+def _set_cap(state: BalancerState, endpoint: Endpoint, depth: float, ready_local: int) -> None:
     """Set one endpoint's cap, if the nodes that share it have a limit of `depth` slots."""
     warm = endpoint.cold_until <= state.now
     ratio = max(endpoint.latency_ratio, endpoint.reported_ratio)
@@ -152,7 +154,7 @@
     rank = endpoint.node_rank
     endpoint.node_cap = -(-(slots - rank) // nodes) if slots > rank else 0
     if state.slot_allocator is not None and endpoint.local and warm:
-        endpoint.node_cap = state.slot_allocator.cap(endpoint.id, rank, slots, local)
+        endpoint.node_cap = state.slot_allocator.cap(endpoint.id, rank, slots, ready_local)
     endpoint.cap = endpoint.node_cap
     if state.limit_share is not None:
         endpoint.cap = state.limit_share.share_of(endpoint.id, endpoint.node_cap)
--- a/loadbalancer/core/balancing/endpoint_selection.py
+++ b/loadbalancer/core/balancing/endpoint_selection.py
@@ -26,8 +26,8 @@
 
     Endpoints that are found silent are marked unresponsive and so leave the rotation.
     """
-    for pool in (state.local_buckets, state.remote_buckets):
-        for bucket in pool:
+    for buckets in (state.local_buckets, state.remote_buckets):
+        for bucket in buckets:
             while bucket:
                 best = _least_loaded(state, now, bucket)
                 waiting = best.in_flight > best.transferring
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -90,8 +90,8 @@
             back_off(state, now, request_class, endpoint, endpoint.consecutive_rejections)
         else:
             endpoint.consecutive_errors += 1
-            times = endpoint.consecutive_errors + 1 - MAX_ERRORS
-            back_off(state, now, request_class, endpoint, times)
+            step = endpoint.consecutive_errors + 1 - MAX_ERRORS
+            back_off(state, now, request_class, endpoint, step)
     elif outcome in (TIMEOUT, CONNECT_FAILED, RESET):
         _not_answered(state, now, request_class, endpoint, outcome, duration)
     if endpoint.unresponsive and not endpoint.in_flight:
@@ -120,12 +120,18 @@
     endpoint.connect_failed = outcome == CONNECT_FAILED
     # A single lost connection is weak evidence: if the process has ended, the next one fails as
     # well. So is a single time-out, which load may cause: at one slot it looks like silence.
-    lost = outcome in (CONNECT_FAILED, RESET)
+    connection_lost = outcome in (CONNECT_FAILED, RESET)
     failures = endpoint.consecutive_failures
     silent = failures >= MAX_SILENT_FAILURES and now - endpoint.silent_since >= duration
-    if silent or (lost and failures >= MAX_LOST_FAILURES):
-        eject(state, now, endpoint, lost=lost, restarted=outcome == CONNECT_FAILED)
-    elif lost:
+    if silent or (connection_lost and failures >= MAX_LOST_FAILURES):
+        eject(
+            state,
+            now,
+            endpoint,
+            connection_lost=connection_lost,
+            restarted=outcome == CONNECT_FAILED,
+        )
+    elif connection_lost:
         # Short after random failures; grows while all connections fail.
         back_off(state, now, request_class, endpoint, failures - 1)
 
@@ -144,25 +150,28 @@
 
 
 def back_off(
-    state: BalancerState, now: int, request_class: ClassState, endpoint: Endpoint, times: int
+    state: BalancerState, now: int, request_class: ClassState, endpoint: Endpoint, step: int
 ) -> None:
-    """Pause sends to an endpoint for about a mean latency, doubled `times` - 1 times.
+    """Pause sends to an endpoint for about a mean latency, doubled `step` - 1 times.
 
-    Does nothing if `times` is below 1. Jitter keeps nodes from resuming at the same time.
+    Does nothing if `step` is below 1. Jitter keeps nodes from resuming at the same time.
     """
-    if times < 1:
+    if step < 1:
         return
-    span = int(request_class.latency * (0.5 + state.random.random()))
-    span <<= min(times - 1, MAX_BACKOFF_DOUBLINGS)
-    endpoint.backoff_until = max(endpoint.backoff_until, now + min(span, MAX_BACKOFF_NS))
+    backoff_ns = int(request_class.latency * (0.5 + state.random.random()))
+    backoff_ns <<= min(step - 1, MAX_BACKOFF_DOUBLINGS)
+    endpoint.backoff_until = max(endpoint.backoff_until, now + min(backoff_ns, MAX_BACKOFF_NS))
     state.wake(endpoint.backoff_until, endpoint)
 
 
-def eject(state: BalancerState, now: int, endpoint: Endpoint, lost: bool, restarted: bool) -> None:
+def eject(
+    state: BalancerState, now: int, endpoint: Endpoint, connection_lost: bool, restarted: bool
+) -> None:
     """Take a silent or unreachable endpoint out of rotation; at most half of the ready ones.
 
-    `lost`: a connection was lost, as opposed to missing responses. `restarted`: its process may
-    have been replaced by the time it returns, which the list may show later: it returns cold.
+    `connection_lost`: a connection was lost, as opposed to missing responses. `restarted`: the
+    process may have been replaced by the time the endpoint returns, which the list may show only
+    later: it returns cold.
     """
     if endpoint.ejected_until or (state.ejected + 1) * 2 > state.ready:
         return
@@ -170,7 +179,7 @@
     endpoint.next_ejection_ns = min(endpoint.next_ejection_ns * 2, MAX_EJECTION_NS)
     if restarted:
         endpoint.cold_until = endpoint.ejected_until + state.settings.cold
-    reason = "connection failed or reset" if lost else "no answer since the send"
+    reason = "connection failed or reset" if connection_lost else "no answer since the send"
     state.log(now, f"backend {endpoint.id} out: {reason}")
     state.ejected += 1
     state.wake(endpoint.ejected_until, endpoint)
@@ -208,7 +217,7 @@
     bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
     endpoint.latency_ratio += REPORT_GAIN * (bounded - endpoint.latency_ratio)
     if failing:
-        eject(state, now, endpoint, lost=True, restarted=False)
+        eject(state, now, endpoint, connection_lost=True, restarted=False)
 
 
 def on_peer_report(
@@ -227,7 +236,7 @@
     if reported == ReportedState.FULL:
         back_off(state, now, state.classes[0], endpoint, 1)
     elif reported == ReportedState.SILENT:
-        eject(state, now, endpoint, lost=True, restarted=restarted)
+        eject(state, now, endpoint, connection_lost=True, restarted=restarted)
         if endpoint.ejected_until and not endpoint.consecutive_failures:
             # The nodes whose attempts failed probe it on behalf of all: here it stays ejected
             # until they report.
--- a/loadbalancer/core/balancing/request_classes.py
+++ b/loadbalancer/core/balancing/request_classes.py
@@ -17,30 +17,37 @@
 
 def replace(state: BalancerState, now: int, settings: Settings) -> None:
     """Switch to the classes of new settings."""
-    current = {c.spec.name: c for c in state.classes if not c.retires_at}
+    current = {
+        class_state.spec.name: class_state
+        for class_state in state.classes
+        if not class_state.retires_at
+    }
     classes = []
     for spec in settings.classes:
-        c = current.get(spec.name)
-        if c is None or c.spec != spec:
-            fresh = ClassState(0, spec, len(settings.tenants))
-            if c is not None:
-                fresh.copy_averages(c)
-            c = fresh
-        classes.append(c)
-    for c in state.classes:
-        if c not in classes:
-            c.retires_at = c.retires_at or now + RETIRE_AFTER_NS
-            c.arrivals = 0.0
-            classes.append(c)
+        class_state = current.get(spec.name)
+        if class_state is None or class_state.spec != spec:
+            new_state = ClassState(0, spec, len(settings.tenants))
+            if class_state is not None:
+                new_state.copy_averages(class_state)
+            class_state = new_state
+        classes.append(class_state)
+    for class_state in state.classes:
+        if class_state not in classes:
+            class_state.retires_at = class_state.retires_at or now + RETIRE_AFTER_NS
+            class_state.arrivals = 0.0
+            classes.append(class_state)
     _renumber(state, classes)
 
 
 def drop_retired(state: BalancerState, now: int) -> None:
     """Remove the retired classes that have no requests queued or in flight."""
     remaining = [
-        c
-        for c in state.classes
-        if not c.retires_at or now < c.retires_at or c.has_queued() or c.in_flight
+        class_state
+        for class_state in state.classes
+        if not class_state.retires_at
+        or now < class_state.retires_at
+        or class_state.has_queued()
+        or class_state.in_flight
     ]
     if len(remaining) < len(state.classes):
         _renumber(state, remaining)
@@ -49,16 +56,19 @@
 def _renumber(state: BalancerState, classes: list[ClassState]) -> None:
     """Make `classes` the list of classes, renumber them, and keep their congestion samples."""
     sums = {
-        id(c): (state.congestion_sum[c.number], state.congestion_samples[c.number])
-        for c in state.classes
+        id(class_state): (
+            state.congestion_sum[class_state.number],
+            state.congestion_samples[class_state.number],
+        )
+        for class_state in state.classes
     }
-    for c in state.classes:
-        c.number = -1
+    for class_state in state.classes:
+        class_state.number = -1
     state.classes = classes
     state.congestion_sum, state.congestion_samples = [], []
-    for number, c in enumerate(classes):
-        c.number = number
-        congestion, samples = sums.get(id(c), (0.0, 0.0))
+    for number, class_state in enumerate(classes):
+        class_state.number = number
+        congestion, samples = sums.get(id(class_state), (0.0, 0.0))
         state.congestion_sum.append(congestion)
         state.congestion_samples.append(samples)
     state.turn = state.remaining_in_turn = 0
@@ -71,10 +81,12 @@
     two versions the client means.
     """
     first = None
-    for c in state.classes:
-        if c.spec.name == name and (not c.retires_at or now < c.retires_at):
-            effect = c.effect
+    for class_state in state.classes:
+        if class_state.spec.name == name and (
+            not class_state.retires_at or now < class_state.retires_at
+        ):
+            effect = class_state.effect
             if safe == (effect == Effect.PURE) and (keyed or effect != Effect.TOKEN):
-                return c
-            first = first or c
+                return class_state
+            first = first or class_state
     return first
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -64,10 +64,10 @@
 
 def attempt_timeout(state: BalancerState, now: int, request: Request) -> int:
     """The timeout of the request's next attempt, in nanoseconds."""
-    c = request.request_class
+    request_class = request.request_class
     end = request.deadline
-    if c.spec.late_weight <= 0:
-        margin = int(c.latency_objective * OBJECTIVE_MARGIN)
+    if request_class.spec.late_weight <= 0:
+        margin = int(request_class.latency_objective * OBJECTIVE_MARGIN)
         end = min(end, request.objective_at - margin)
     timeout = max(end - now, MIN_TIMEOUT_NS)
     allows_early_timeout = True
@@ -81,7 +81,10 @@
         and len(request.attempts) + 1 < max_attempts(request)
         and state.retry_credit >= 1.0
     ):
-        limit = max(EARLY_LATENCIES * c.latency, EARLY_OBJECTIVE_PART * c.latency_objective)
+        limit = max(
+            EARLY_LATENCIES * request_class.latency,
+            EARLY_OBJECTIVE_PART * request_class.latency_objective,
+        )
         timeout = min(timeout, int(limit))
     return timeout
 
@@ -95,8 +98,8 @@
 
 def retry_or_finish(state: BalancerState, now: int, request: Request, cost: float) -> None:
     """Queue the request again, ahead of others, or give its final response."""
-    c = request.request_class
-    request.wait_until = min(request.objective_at, request.deadline) - int(c.latency)
+    request_class = request.request_class
+    request.wait_until = min(request.objective_at, request.deadline) - int(request_class.latency)
     allowed = now < request.wait_until and may_resend(now, request)
     if allowed and request.first_executed is not None:
         allowed = state.retry_credit >= cost
--- a/loadbalancer/core/balancing/rotation.py
+++ b/loadbalancer/core/balancing/rotation.py
@@ -30,17 +30,17 @@
         and not endpoint.ejected_until
         and endpoint.backoff_until <= state.now
     ):
-        pool = state.local_buckets if endpoint.local else state.remote_buckets
-        while len(pool) <= in_flight:
-            pool.append([])
-        bucket = pool[in_flight]
-    old = endpoint.bucket
-    if old is bucket:
+        buckets = state.local_buckets if endpoint.local else state.remote_buckets
+        while len(buckets) <= in_flight:
+            buckets.append([])
+        bucket = buckets[in_flight]
+    old_bucket = endpoint.bucket
+    if old_bucket is bucket:
         return
-    if old is not None:
-        last = old.pop()
+    if old_bucket is not None:
+        last = old_bucket.pop()
         if last is not endpoint:
-            old[endpoint.bucket_index] = last
+            old_bucket[endpoint.bucket_index] = last
             last.bucket_index = endpoint.bucket_index
     if bucket is not None:
         endpoint.bucket_index = len(bucket)
--- a/loadbalancer/core/balancing/scheduling.py
+++ b/loadbalancer/core/balancing/scheduling.py
@@ -42,9 +42,9 @@
     over_share = None
     for step in range(count):
         number = (start + step) % count
-        c = classes[number]
-        if c.deferred if deferred else c.queued:
-            if c.in_flight < c.share:
+        request_class = classes[number]
+        if request_class.deferred if deferred else request_class.queued:
+            if request_class.in_flight < request_class.share:
                 return _take_turn(state, number)
             if over_share is None:
                 over_share = number
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -24,8 +24,8 @@
 from tests.recording_host import build
 
 
-def expected_utility(flow: ClassTraffic, share: int) -> float:
-    rate, mean, old, objective, weight = flow
+def expected_utility(traffic: ClassTraffic, share: int) -> float:
+    rate, mean, old, objective, weight = traffic
     if rate <= 0 or mean <= 0:
         return 1.0
     t = predict(rate, mean, max(old, 1.0), share)
@@ -34,10 +34,10 @@
     return utility(objective, t, weight)
 
 
-def best_min_utility(total: int, flows: list[ClassTraffic]) -> float:
-    n = len(flows)
+def best_min_utility(total: int, traffic_by_class: list[ClassTraffic]) -> float:
+    n = len(traffic_by_class)
     return max(
-        min(expected_utility(f, s) for f, s in zip(flows, shares, strict=True))
+        min(expected_utility(f, s) for f, s in zip(traffic_by_class, shares, strict=True))
         for shares in product(range(1, total - n + 2), repeat=n)
         if sum(shares) == total
     )
@@ -56,14 +56,16 @@
 ]
 
 
-@pytest.mark.parametrize("flows", CASES)
+@pytest.mark.parametrize("traffic_by_class", CASES)
 @pytest.mark.parametrize("total", [3, 5, 9, 12])
-def test_the_greedy_solve_is_max_min_optimal(flows: list[ClassTraffic], total: int) -> None:
-    shares = solve(total, flows)
+def test_the_greedy_solve_is_max_min_optimal(
+    traffic_by_class: list[ClassTraffic], total: int
+) -> None:
+    shares = solve(total, traffic_by_class)
     assert sum(shares) == total
     assert min(shares) >= 1
-    min_utility = min(expected_utility(f, s) for f, s in zip(flows, shares, strict=True))
-    assert min_utility == pytest.approx(best_min_utility(total, flows))
+    min_utility = min(expected_utility(f, s) for f, s in zip(traffic_by_class, shares, strict=True))
+    assert min_utility == pytest.approx(best_min_utility(total, traffic_by_class))
 
 
 def test_with_too_few_slots_each_class_gets_one() -> None:
