--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -261,8 +261,10 @@
         self._release_slot(request, attempt)
         request_class, endpoint = request.request_class, attempt.endpoint
         if outcome == OK:
-            answer_time = attempt.first_byte or duration
-            outlier_detection.record_success(state, now, request_class, endpoint, answer_time, load)
+            response_time = attempt.first_byte or duration
+            outlier_detection.record_success(
+                state, now, request_class, endpoint, response_time, load
+            )
             class_weights.count_served(request, now)
         else:
             outlier_detection.record_failure(state, now, request_class, endpoint, outcome, duration)
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -115,9 +115,8 @@
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
     missing_slots = max(min(own_endpoints, MIN_SLOTS), 1) - usable_slots
-    if (
-        missing_slots > 0 and state.slot_allocator is None
-    ):  # else the node can lease slots from others
+    # Where nodes exchange messages, this node leases slots of other nodes instead.
+    if missing_slots > 0 and state.slot_allocator is None:
         total_cap += _use_reserve(state, reserve, missing_slots)
     state.max_in_flight = max(total_cap, 1)
 
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -93,14 +93,14 @@
             step = endpoint.consecutive_errors + 1 - MAX_ERRORS
             back_off(state, now, request_class, endpoint, step)
     elif outcome in (TIMEOUT, CONNECT_FAILED, RESET):
-        _not_answered(state, now, request_class, endpoint, outcome, duration)
+        _record_no_response(state, now, request_class, endpoint, outcome, duration)
     if endpoint.unresponsive and not endpoint.in_flight:
         # With nothing in flight no response can clear the flag: probe the endpoint instead.
         endpoint.unresponsive = False
         endpoint.probing = True
 
 
-def _not_answered(
+def _record_no_response(
     state: BalancerState,
     now: int,
     request_class: ClassState,
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -99,10 +99,8 @@
 
     def __init__(self, endpoint: Endpoint, sent: int) -> None:
         self.endpoint = endpoint
-        self.zone, self.cell = (
-            endpoint.zone,
-            endpoint.cell,
-        )  # the endpoint's at the time of the send
+        # The endpoint may move to another zone or cell after the send.
+        self.zone, self.cell = endpoint.zone, endpoint.cell
         self.sent = sent
         self.state = AttemptState.OPEN
         self.first_byte = 0  # time to first byte of a long response; 0: unknown
@@ -172,9 +170,8 @@
         # A queue may contain requests that are no longer queued; the counts are exact.
         self.queues: list[deque[Request]] = [deque() for _ in range(max(1, tenants))]
         self.queued_by_tenant = [0] * max(1, tenants)
-        self.passes = [0.0] * max(
-            1, tenants
-        )  # stride scheduling: each tenant's pass (virtual time)
+        # Stride scheduling: each tenant's pass, its virtual time.
+        self.passes = [0.0] * max(1, tenants)
         self.virtual_time = 0.0  # the pass of the tenant served last
         self.queued = 0
         self.deferred_queue: deque[Request] = deque()
@@ -184,9 +181,8 @@
         self.remaining_histogram = [0] * (REMAINING_STEPS + 1)
         self.remaining_samples = 0
         self.usual_remaining_step = 0  # the most frequent step of the histogram
-        self.latency = (
-            spec.latency_objective * INITIAL_LATENCY_PART
-        )  # moving average of its attempts
+        # Moving average of the latency of its attempts.
+        self.latency = spec.latency_objective * INITIAL_LATENCY_PART
         self.latency_samples = 0.0
         self.base_latency = 0.0  # mean latency at uncongested endpoints; 0: unknown
         # For `class_weights`: sums over cycles, decayed once per cycle.
--- a/loadbalancer/simulator/wire_format.py
+++ b/loadbalancer/simulator/wire_format.py
@@ -64,9 +64,8 @@
 ENDPOINT_LIST = struct.Struct(">BHI")  # list, rows
 # Instance, request, class, tenant, key, remaining, hint, flags.
 REQUEST = struct.Struct(">BIIHHQQQB")
-PROBE_OUTCOME = struct.Struct(
-    ">BIIQBB"
-)  # instance, backend, duration, outcome, number of load values
+# Instance, backend, duration, outcome, number of load values.
+PROBE_OUTCOME = struct.Struct(">BIIQBB")
 PEER_MESSAGE = struct.Struct(">BIIH")  # instance, peer, bytes
 
 # Flags of a request.
