--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -1,7 +1,8 @@
-"""One control machine: the decisions of `loadbalancer.core`, and the sockets around them.
+"""One control machine: connects the decisions of `loadbalancer.core` with sockets and timers.
 
-It listens for the other machines, for subscribers (nodes), for nodes of one service each, and for
-operators. The replicated log is ticked twenty times a second, the registry of nodes once a second.
+It listens for the other control machines, for subscribers (nodes that are assigned services), on
+bound listeners (each serves one service to plain nodes), and for operators. The replicated log is
+ticked twenty times a second, the registry of nodes once a second.
 """
 
 from __future__ import annotations
@@ -46,20 +47,20 @@
 from loadbalancer.sources.watchers import Watcher
 
 REPLICA_TICK_S = 0.05
-NODES_TICK_S = 1.0  # presence, liveness, assignment and releases
-MAX_LOG_CHANGES, MAX_LOG_BYTES = 100_000, 64 << 20  # of committed changes that are retained
-LOG_ANSWER_BYTES = 1 << 20  # of changes in one answer to GET /log
+NODES_TICK_S = 1.0  # interval of presence, liveness, assignment and releases
+MAX_LOG_CHANGES, MAX_LOG_BYTES = 100_000, 64 << 20  # committed changes retained for each region
+LOG_ANSWER_BYTES = 1 << 20  # approximate size of the changes in one response to GET /log
 MAX_BOUND_WATCHERS = 1024  # connections to one bound listener
-ACCEPT_BACKLOG = 4096  # connections that wait to be accepted, on a listener of the machine
-BOUND_ACCEPT_BACKLOG = 100  # the same on a bound listener
-SEED_BYTES = 8  # of the replica's seed, which must differ at each start
-MAX_QUOTED = 64  # characters of a wrong value that an answer repeats
+ACCEPT_BACKLOG = 4096  # accept queue of the listeners for subscribers and operators
+BOUND_ACCEPT_BACKLOG = 100  # accept queue of a bound listener
+SEED_BYTES = 8  # size of the replica's random seed, which must differ at each start
+MAX_QUOTED = 64  # characters of an invalid value that an error message repeats
 
 logger = logging.getLogger(__name__)
 
 
 class _OpenBoundListener(NamedTuple):
-    """A listener that serves one service to a node that knows of no others."""
+    """A bound listener of this machine, with the list that it serves."""
 
     address: Address
     list: BoundList
@@ -72,7 +73,7 @@
 
 
 class ControlMachine:
-    """One machine of the file, from its start to its end."""
+    """One control machine of the file, with its listeners, streams and timers."""
 
     def __init__(self, file: ScaleFile, machine: Machine, timing: Timing | None = None) -> None:
         now = time.monotonic_ns()
@@ -80,14 +81,14 @@
         self.file = file
         self.machine = machine
         self.counts: Counter[str] = Counter()
-        specs = [one.spec for one in file.machines]
+        specs = [other.spec for other in file.machines]
         self.logs = {name: ChangeLog(name, MAX_LOG_CHANGES, MAX_LOG_BYTES) for name in file.regions}
         seed = int.from_bytes(os.urandom(SEED_BYTES), "big")
         self.replica = Replica(spec, specs, self.logs, seed, now, timing)
         rate = file.limits.snapshot_rate
         limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
         self.publisher = Publisher(spec, specs, self.logs, limits)
-        self.publisher.on_nodes({node.name: node.region for node in file.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
         self.nodes = NodeRegistry(file, now, self.releases)
@@ -95,7 +96,7 @@
             self.nodes,
             self.publisher,
             self.replica,
-            {one.spec.name: one.subscribers for one in file.machines},
+            {other.spec.name: other.subscribers for other in file.machines},
             file.limits.subscribers,
         )
         self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
@@ -105,50 +106,50 @@
         self._loader = LogLoader(
             self.replica, spec.region, services, file.backends, self._process_output
         )
-        self._live_machines = frozenset(one.spec.name for one in file.machines)
+        self._live_machines = frozenset(other.spec.name for other in file.machines)
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
     def _bound_listeners(self) -> list[_OpenBoundListener]:
         return [
             _OpenBoundListener(
-                one.listen,
+                bound.listen,
                 BoundList(
-                    self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
+                    self.logs[self.nodes.regions[bound.service]], bound.service, MAX_BOUND_WATCHERS
                 ),
             )
-            for one in self.file.bound_listeners
-            if one.machine == self.machine.spec.name
+            for bound in self.file.bound_listeners
+            if bound.machine == self.machine.spec.name
         ]
 
     def _peer_streams(self) -> PeerStreams:
         spec = self.machine.spec
         return PeerStreams(
             Hello(spec.name, fleet_digest(self.file)),
-            {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
+            {other.spec.name: other.peers for other in self.file.machines if other.spec != spec},
             message_codec(),
             self.file.limits.backlog,
             self._on_message,
             self._on_connected,
         )
 
-    # ---- sockets ---------------------------------------------------------
-
     async def open(self) -> None:
-        """Listen at all addresses and begin.
+        """Listen on all addresses, and start the streams and the periodic work.
 
         Raises:
-            OSError: an address can't be listened on.
+            OSError: the machine can't listen on one of its addresses.
         """
         loop = asyncio.get_running_loop()
         await self.streams.open(self.machine.peers)
-        for one in self._listeners():
-            host, port = one.address.host, one.address.port
-            server = await loop.create_server(one.protocol, host, port, backlog=one.backlog)
+        for listener in self._listeners():
+            host, port = listener.address.host, listener.address.port
+            server = await loop.create_server(
+                listener.protocol, host, port, backlog=listener.backlog
+            )
             self._servers.append(server)
         self._tasks = [
-            loop.create_task(_every(REPLICA_TICK_S, self._tick_replica)),
-            loop.create_task(_every(NODES_TICK_S, self._tick_nodes)),
+            loop.create_task(_run_periodically(REPLICA_TICK_S, self._tick_replica)),
+            loop.create_task(_run_periodically(NODES_TICK_S, self._tick_nodes)),
         ]
 
     def _listeners(self) -> Iterator[_Listener]:
@@ -159,19 +160,20 @@
             ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
-        for one in self.bound_listeners:
-            yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
+        for bound in self.bound_listeners:
+            yield _Listener(partial(Watcher, bound.list), bound.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
-        """End all streams and listeners at once: a majority has all that is committed."""
+        """Close all streams and listeners without a flush.
+
+        Nothing is lost: a change counts as committed only once a majority has stored it.
+        """
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
             server.close()
         self.streams.close()
 
-    # ---- time ------------------------------------------------------------
-
     def _tick_replica(self) -> None:
         run_logged(self.replica.on_tick, time.monotonic_ns())
         run_logged(self._loader.start_if_needed)
@@ -179,31 +181,31 @@
 
     def _tick_nodes(self) -> None:
         now = time.monotonic_ns()
-        if self.nodes.on_time(now):
+        if self.nodes.on_tick(now):
             self.counts["assignments"] += 1
         self.nodes.send_changes(self.streams.send_all)
         live = self.live_machines(now)
         if live != self._live_machines:
             self._live_machines = live
             logger.info("control machines alive: %s", ", ".join(sorted(live)))
-            self.node_requests.wake_keys(self.publisher.on_living(live))
+            self.node_requests.wake_keys(self.publisher.on_live_machines(live))
         leads = self.replica.role is Role.LEADER
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
             self.streams.send_all(grant)
-        # Failure: a fault in the push, and the nodes whose turn had not come learn of their new
-        # services only after a further change. What was not pushed is left to the next tick.
-        if self.nodes.take_changed() and not self.node_requests.push_assignments():
+        # After an exception for some node the push is repeated at the next tick. Otherwise that
+        # node would learn of its new services only after a further change.
+        if self.nodes.pop_changed() and not self.node_requests.push_assignments():
             self.nodes.changed = True
 
     def live_machines(self, now: int) -> frozenset[str]:
-        """The names of the machines that were heard lately, this one included."""
-        return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
+        """Return the names of the machines with a recent heartbeat, and this machine's own."""
+        return frozenset(self.nodes.presence.live_machines(now) | {self.machine.spec.name})
 
-    # ---- the other machines ----------------------------------------------
+    # Streams to and from the other control machines.
 
     def _on_connected(self, machine: str) -> None:
-        """A stream to another machine is up: it may have missed everything until now."""
+        """Send the full state to a newly connected machine, which may have missed all updates."""
         self.nodes.send_full_state(lambda message: self.streams.send(machine, message))
 
     def _on_message(self, sender: str, message: Any) -> None:
@@ -226,21 +228,21 @@
         self._process_output()
 
     def _process_output(self) -> None:
-        """Publish what the replica has committed, and send its messages.
+        """Publish the changes that the replica has committed, and send its messages.
 
-        Failure: the replica's lists are drained before they are walked, and one item raises. What
-        follows it is lost: operators get a 504 for changes that are committed, nodes are not told
-        of them, and the replica's messages are not sent. A fault costs only the step that raises.
+        Each item is processed by itself, because the replica's lists are emptied when they are
+        read. If an exception ended the loop, the remaining items would be lost: operators would
+        get 504 for committed changes, nodes would miss them, and messages would not be sent.
         """
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             run_logged(self._wake_restored, region)
-            self._update_bound(region, "")
-        for region, change in self.replica.committed():
+            self._update_bound_lists(region, "")
+        for region, change in self.replica.drain_committed():
             run_logged(self.submissions.on_committed, region, change)
             if change.service:
                 run_logged(self._wake_changed, region, change)
-                self._update_bound(region, change.service)
-        for recipient, message in self.replica.outgoing():
+                self._update_bound_lists(region, change.service)
+        for recipient, message in self.replica.drain_outgoing():
             run_logged(self.streams.send, recipient, message)
 
     def _wake_restored(self, region: str) -> None:
@@ -249,27 +251,27 @@
     def _wake_changed(self, region: str, change: Change) -> None:
         self.node_requests.wake(region, self.publisher.on_change(region, change))
 
-    def _update_bound(self, region: str, service: str) -> None:
-        """Notify bound listeners of a change of a region's service, "" for all of its services."""
+    def _update_bound_lists(self, region: str, service: str) -> None:
+        """Notify bound lists that a service of a region has changed, "" for all its services."""
         for _, bound in self.bound_listeners:
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
 
-    # ---- operators' calls ------------------------------------------------
+    # Called for operators.
 
     def submit(self, body: bytes, reply: Reply) -> None:
-        """Propose the changes in a body; `reply` is called once."""
+        """Propose the changes in a request body; `reply` is called exactly once."""
         self.submissions.submit(body, reply)
         self._process_output()
 
     def log_after(self, region: str, version: int) -> OperatorResponse:
-        """Committed changes after a version, about LOG_ANSWER_BYTES."""
+        """Return committed changes after a version, about LOG_ANSWER_BYTES of them."""
         log = self.logs.get(region)
         if log is None:
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
             return OperatorResponse(HTTPStatus.BAD_REQUEST, text.encode())
         try:
-            changes = log.after(position_of(version), LOG_ANSWER_BYTES)
+            changes = log.changes_after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
             return OperatorResponse(HTTPStatus.BAD_REQUEST, str(err).encode())
         if changes is None:
@@ -289,16 +291,15 @@
         return OperatorResponse(HTTPStatus.OK, json.dumps(answer).encode())
 
     def status(self) -> dict[str, Any]:
-        """The machine's state for GET /status."""
+        """Return the machine's state for GET /status."""
         return status.report(self, time.monotonic_ns())
 
 
-async def _every(seconds: float, work: Callable[[], None]) -> None:
-    """Do this work at this interval for ever.
+async def _run_periodically(seconds: float, work: Callable[[], None]) -> None:
+    """Call `work` every `seconds` seconds until cancelled; log exceptions and continue.
 
-    Failure: one tick raises, and the task ends with it. The machine accepts polls still, but no
-    longer takes part in elections, or no longer notices that nodes die, and the log has no line.
-    Each tick's fault is logged, and the next tick comes.
+    If an exception ended the task, the machine would still accept polls, but silently stop taking
+    part in elections or noticing dead nodes.
     """
     while True:
         await asyncio.sleep(seconds)
--- a/loadbalancer/core/balancing/ports.py
+++ b/loadbalancer/core/balancing/ports.py
@@ -16,7 +16,7 @@
 class LimitShare(Protocol):
     """Divides each endpoint's cap while two processes serve as one node."""
 
-    def share_of(self, backend: int, cap: int) -> int:
+    def cap_for(self, backend: int, cap: int) -> int:
         """This process's part of the node's `cap` at an endpoint, in requests."""
 
 
--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -19,13 +19,13 @@
 from loadbalancer.core.endpoints.list_replica import ListReplica
 from loadbalancer.core.endpoints.list_versions import PackedDelta
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Outgoing
+from loadbalancer.core.gossip.messages import MessageKind, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
 FANOUT = 4  # children of a node in the tree
 NO_TREE = -1  # as the root of a piece that is not passed on
-PIECES_PER_S = 250  # that a node sends; a receiver accepts NODE_DATAGRAMS from one node
+PIECES_PER_S = 250  # that a node sends; a receiver accepts MAX_DATAGRAMS_PER_NODE from one node
 BURST = 64  # pieces
 MAX_QUEUED = 8192  # pieces; further ones are dropped, and requested by nodes that lack them
 BUSY_QUEUED = 200  # pieces in the queue from which on other nodes' requests are ignored
@@ -49,7 +49,7 @@
         self._packings = TokenBucket(PACKINGS_PER_S, PACKINGS_PER_S, now)
 
     @property
-    def busy(self) -> bool:
+    def has_queued_pieces(self) -> bool:
         """Whether pieces wait for the rate."""
         return bool(self._queue)
 
@@ -147,5 +147,5 @@
 
     def _queue_piece(self, to: int, piece: Piece, body: bytes) -> None:
         if len(self._queue) < MAX_QUEUED:
-            message = self._members.message(Kind.PIECE, digest=tuple(piece), body=body)
+            message = self._members.message(MessageKind.PIECE, digest=tuple(piece), body=body)
             self._queue.append(Outgoing(to, message))
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -25,7 +25,7 @@
 from loadbalancer.core.endpoints.list_versions import FULL_LIST, ListDelta, PackedDelta, unpack
 from loadbalancer.core.endpoints.polling_role import PollingRole
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, ReaderState
+from loadbalancer.core.gossip.messages import Message, MessageKind, Outgoing, ReaderState
 
 PUSH_DELAY_NS = 300 * MS  # of each further reader's push, which the first one's may cancel
 MAX_WAITING_DELTAS = 8  # complete deltas that do not fit yet
@@ -64,7 +64,7 @@
         random = Random(seed)
         self.replica = ListReplica()
         self.readers = ListReaders(members.me, nodes, count, now)
-        self.role = PollingRole(members, self.readers, now)
+        self.polling_role = PollingRole(members, self.readers, now)
         self.sender = DeltaSender(members, nodes, datagram, random, now)
         self.assembler = PieceAssembler(self.sender.piece_bytes)
         self.counters = self.sender.counters
@@ -81,14 +81,14 @@
         self._removal_since: int | None = None  # a delta waits for a second reader
 
     @property
-    def polls(self) -> bool:
+    def is_polling(self) -> bool:
         """Whether this node polls the list service."""
-        return self.role.polls
+        return self.polling_role.is_polling
 
     @property
-    def busy(self) -> bool:
+    def has_queued_pieces(self) -> bool:
         """Whether pieces wait for the rate alone."""
-        return self.sender.busy
+        return self.sender.has_queued_pieces
 
     # ---- the list service's answers ------------------------------------------------
 
@@ -101,23 +101,25 @@
             due = now + PUSH_DELAY_NS * self.readers.active_preceding(now)
             self._push = PendingPush(due, self.replica.packed(delta))
             self._apply_waiting(now)
-        self.role.on_answer(now, self.replica.version)
+        self.polling_role.on_answer(now, self.replica.version)
 
     def on_failure(self, now: int, older: bool) -> None:
         """A call of this node has failed, or answered with an `older` version."""
-        self.role.on_failure(now, older, self.replica.version)
+        self.polling_role.on_failure(now, older, self.replica.version)
 
-    def on_unconnected(self, now: int) -> None:
+    def on_gossip_disconnected(self, now: int) -> None:
         """Not connected to the gossip: this node polls itself after a while without messages."""
-        self.role.update_unconnected(now)
+        self.polling_role.update_disconnected(now)
 
     # ---- messages ------------------------------------------------------------------
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
         """Take a PIECE or answer a WANT; other kinds are ignored."""
-        if message.kind == Kind.PIECE and len(message.digest) == len(Piece._fields):
+        if message.kind == MessageKind.PIECE and len(message.digest) == len(Piece._fields):
             self._on_piece(now, Piece(*message.digest), message.body)
-        elif message.kind == Kind.WANT and (request := PieceRequest.from_numbers(message.digest)):
+        elif message.kind == MessageKind.WANT and (
+            request := PieceRequest.from_numbers(message.digest)
+        ):
             self.sender.answer(now, message.origin, request, self.replica, self.assembler)
         else:
             return []
@@ -203,7 +205,7 @@
         self._apply_waiting(now)  # a second reader may have confirmed a removal
         requests = self._request_missing(now)
         defer = not self.caught_up or self._repair.may_arrive(now)
-        self.role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
+        self.polling_role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
         if self._push is not None and now >= self._push.due:
             self.sender.push(self._push.packed)
             self._push = None
@@ -230,6 +232,6 @@
         ]
         version = self.replica.version
         return {
-            "epoch": version.epoch, "rev": version.rev, "reads": self.polls,
+            "epoch": version.epoch, "rev": version.rev, "reads": self.is_polling,
             "rows": len(self.replica.rows), "readers": rows, "counts": dict(self.counters),
         }  # fmt: skip
--- a/simulation/list_world/client.py
+++ b/simulation/list_world/client.py
@@ -49,7 +49,7 @@
         self._listener = listener
         self._backoff = PollBackoff(settings, Random(world.random.getrandbits(32)))
         if self._shared is not None:
-            self._backoff.share()
+            self._backoff.use_list_readers()
         self._polling = False
         self._was_reader = False  # at the last update from others
         self._calls = 0  # the number of the last call
@@ -61,13 +61,17 @@
     def begin(self) -> None:
         """Pass on the list that the node has at its start."""
         if self._shared is not None and self.rows:
-            self._shared.replica.begin(self.rev, self.rows)
+            self._shared.replica.load_configured_list(self.rev, self.rows)
         self._listener(Update.CACHED, self.rows)
 
     def watch(self) -> None:
         """Poll from now on, or once the pause after a failure is over."""
         shared = self._shared
-        if self._polling or not self._is_running() or (shared is not None and not shared.polls):
+        if (
+            self._polling
+            or not self._is_running()
+            or (shared is not None and not shared.is_polling)
+        ):
             return
         if self._world.now < self._not_before:
             due, self._not_before = self._not_before, 0
@@ -103,8 +107,8 @@
         shared = self._shared
         if shared is None or not self._is_running():
             return
-        if shared.polls != self._was_reader:
-            self._was_reader = shared.polls
+        if shared.is_polling != self._was_reader:
+            self._was_reader = shared.is_polling
             if self._was_reader:
                 self.watch()
             else:
--- a/tests/core/replicated_log/group.py
+++ b/tests/core/replicated_log/group.py
@@ -12,7 +12,7 @@
     Message,
 )
 from loadbalancer.core.replicated_log.raft import RaftMember
-from loadbalancer.core.replicated_log.replication import Outcome, Replica, Role, Timing
+from loadbalancer.core.replicated_log.replication import ProposalOutcome, Replica, Role, Timing
 from loadbalancer.core.replicated_log.state import Membership, Outbox
 
 REGIONS = ("east", "west")
@@ -96,11 +96,11 @@
 
     def drain(self, name: str) -> None:
         replica = self.replicas[name]
-        for recipient, message in replica.outgoing():
+        for recipient, message in replica.drain_outgoing():
             self.seen.append(message)
             self.under_way.append(Sent(name, recipient, message))
-        replica.restored()
-        self.committed[name] += [change for region, change in replica.committed()]
+        replica.drain_restored()
+        self.committed[name] += [change for region, change in replica.drain_committed()]
 
     def source(self, region: str) -> dict[str, list[Row]]:
         return {f"{region}-s{i}": [Row(f"u{i}", "loaded")] for i in range(self.services)}
@@ -122,7 +122,7 @@
 
     def propose(self, name: str, uid: str) -> Position:
         proposal = self.replicas[name].propose("east-s0", [Row(uid, "x")])
-        assert proposal.outcome is Outcome.PROPOSED
+        assert proposal.outcome is ProposalOutcome.PROPOSED
         assert proposal.position is not None
         self.drain(name)
         return proposal.position
