--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -1,13 +1,13 @@
 """Admission: maximum queueing time, deferred requests, and tenants' quotas.
 
 Every request is queued first; `dispatch` sends it at once if a slot is free.
-- Queueing time: a queued request is rejected once WAIT_PART of its slack has passed. Slack is
-  the time until its latency objective or its client's deadline, whichever is earlier, minus
-  the mean latency of its class. An admitted request is thus answered well within its
+- Queueing time: a queued request is rejected once MAX_WAIT_SLACK_FRACTION of its slack has passed.
+  Slack is the time until its latency objective or its client's deadline, whichever is earlier,
+  minus the mean latency of its class. An admitted request is thus answered well within its
   objective, and so can be a client that retries immediately after a rejection.
 - Deferral: a request that exceeds its tenant's quota, or that is certain to miss the objective
-  counted from its client's first try, is queued behind all other requests of all classes.
-  Under overload it is the first to be rejected, when its queueing time ends.
+  counted from its client's first try, is queued behind all other requests of all classes. Under
+  overload it is the first to be rejected, when its queueing time ends.
 - Quota: a token bucket per tenant, filled at this node's part of the tenant's rate, with a
   capacity of one second of that rate.
 
@@ -25,9 +25,9 @@
 )
 from loadbalancer.core.balancing.state import BalancerState
 
-WAIT_PART = 0.25  # part of its slack for which a request may be queued
-# A remaining time counts as that of first tries only if this part of all requests has it.
-USUAL_PART = 0.25
+MAX_WAIT_SLACK_FRACTION = 0.25  # a request may be queued for this fraction of its slack
+# The most frequent remaining time is that of first tries if this fraction of requests has it.
+MIN_USUAL_STEP_FRACTION = 0.25
 
 QUEUED, ACTIVE = RequestState.QUEUED, RequestState.ACTIVE
 
@@ -50,7 +50,7 @@
             request.objective_at = now + request_class.latency_objective
             request.deferred = True
     slack = min(request.objective_at, request.deadline) - now - int(request_class.latency)
-    request.wait_until = now + max(int(slack * WAIT_PART), 0)
+    request.wait_until = now + max(int(slack * MAX_WAIT_SLACK_FRACTION), 0)
     if state.quota:
         request.deferred = _exceeds_quota(state, now, request.tenant) or request.deferred
     retry_after = state.settings.max_retry_after
@@ -95,7 +95,7 @@
     if histogram[step] > histogram[c.usual_remaining_step]:
         c.usual_remaining_step = step
     usual = c.usual_remaining_step
-    if abs(step - usual) <= 1 or histogram[usual] < USUAL_PART * c.remaining_samples:
+    if abs(step - usual) <= 1 or histogram[usual] < MIN_USUAL_STEP_FRACTION * c.remaining_samples:
         return 0
     return max(deadline - remaining, 0)
 
--- a/loadbalancer/core/balancing/balancer.py
+++ b/loadbalancer/core/balancing/balancer.py
@@ -1,13 +1,13 @@
 """Balancer: the event interface between a host and one node's load-balancing decisions.
 
-The design follows the gateway of Pacifici et al., "Performance Management for Cluster-Based
+The design follows the gateway of Pacifici et al. 2005, "Performance Management for Cluster-Based
 Web Services": a FIFO queue per class, limits on requests in flight per endpoint and in total,
-weighted round robin over integer class shares, and a periodic recomputation of those shares
-from an M/M/1 response time prediction and utility curves. The package's doc comment lists
-which module decides what; the modules share one BalancerState.
+weighted round robin over integer class shares, and a periodic recomputation of those shares from
+an M/M/1 response time prediction and utility curves. The package's doc comment lists which module
+decides what; the modules share one BalancerState.
 
-A Balancer performs no I/O, reads no clock and uses no global state: the host reports each
-event with its time (integer nanoseconds), and the Balancer calls the host's Actions.
+A Balancer performs no I/O, reads no clock and uses no global state: the host reports each event
+with its time (integer nanoseconds), and the Balancer calls the host's Actions.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
     from loadbalancer.core.routes.table import Policy
 
 FIRST_ATTEMPT = 0  # attempts of a request are numbered from 0
-SEND_RATE_GAIN = 0.3  # gain of the moving average of the send rate, per cycle
+SEND_RATE_GAIN = 0.3  # gain per cycle of the moving average of the send rate
 
 OK = Outcome.OK
 QUEUED, ENDED = RequestState.QUEUED, RequestState.ENDED
@@ -79,7 +79,7 @@
         self.state = BalancerState(settings, seed, actions)
         endpoint_caps.set_zone_rank(self.state, settings)
 
-    # ---- start, settings, list ----------------------------------------
+    # Start, settings and the endpoint list.
 
     def start(self, now: int) -> None:
         """Set the first timers; must be the first event."""
@@ -115,7 +115,7 @@
         endpoint_caps.assign_ranks(state)
         dispatch(state, now)
 
-    # ---- requests -----------------------------------------------------
+    # Events of requests and their clients.
 
     def on_request(  # noqa: PLR0913 - everything the host knows about a new request
         self,
@@ -188,7 +188,7 @@
         if not request.in_flight:
             state.requests.pop(request_id, None)
 
-    # ---- attempts -----------------------------------------------------
+    # Events of attempts.
 
     def may_begin(self, now: int, request_id: int, number: int) -> bool:
         """Whether an attempt whose connection is established may send its first byte."""
@@ -307,7 +307,7 @@
         attempt.state = ATTEMPT_ENDED
         state.outcomes += 1
 
-    # ---- reports from other nodes and from proxies -------------------------------
+    # Reports on endpoints from other nodes and from proxies.
 
     def on_load_report(self, now: int, backend: int, ratio: float, failing: bool) -> None:
         """Handle a load report on an endpoint; `ratio` is its latency relative to the fleet's."""
@@ -321,7 +321,7 @@
         self.state.now = now
         outlier_detection.on_peer_report(self.state, now, backend, reported, ratio, cold)
 
-    # ---- time ---------------------------------------------------------
+    # Timers.
 
     def on_timer(self, now: int, token: int) -> None:
         """Handle a timer that has come due; `token` is the Timer it was set with."""
@@ -374,7 +374,7 @@
         class_weights.update(state)
         dispatch(state, now)
 
-    # ---- plug-ins of the host, and read access --------------------------------
+    # Plug-ins of the host, and read access to the state.
 
     def dispatch(self, now: int) -> None:
         """Send queued requests while slots are free; to be called after the caps have changed."""
--- a/loadbalancer/core/balancing/class_weights.py
+++ b/loadbalancer/core/balancing/class_weights.py
@@ -1,11 +1,12 @@
 """Divides a node's slots among the request classes.
 
-The method is that of Pacifici et al., "Performance Management for Cluster-Based Web Services"
-("the paper"). Every cycle, an M/M/1 model predicts each class's mean response time at any
-share from the rate, response time and share of earlier cycles (equations 8 and 9); a utility
-curve rates the prediction against the class's latency objective; and the integer shares, each
-at least 1 and with a sum of `BalancerState.max_in_flight` (the paper's N_g), are chosen to
-maximise the smallest utility. Rates are per second, times in seconds.
+The method is that of Pacifici et al. 2005, "Performance Management for Cluster-Based Web Services"
+("the paper"), except that the shares are found by a greedy search (see `solve`). Every cycle, an
+M/M/1 model predicts each class's mean response time at any share from the rate, response time and
+share of earlier cycles (equations 8 and 9); a utility curve rates the prediction against the
+class's latency objective; and the integer shares, each at least 1 and with a sum of
+`BalancerState.max_in_flight` (the paper's N_g), are chosen to maximise the smallest utility. Rates
+are per second, times in seconds.
 """
 
 from __future__ import annotations
@@ -19,11 +20,16 @@
 from loadbalancer.core.balancing.state import BalancerState
 
 CYCLE_NS = SECOND // 2
-DECAY = 0.85  # per cycle, of earlier cycles' sums: averages sparse traffic over several seconds
+# Factor per cycle on the sums of earlier cycles: averages sparse traffic over several seconds.
+DECAY = 0.85
 ALPHA = BETA = 1.0  # exponents of the utility curve, within and beyond the objective
-MAX_OBJECTIVES = 10.0  # upper bound of a predicted response time, in latency objectives
-REJECTED_OBJECTIVES = 10.0  # response time that a rejection counts as, in latency objectives
-MIN_SERVED_PART = 0.02  # lower bound of the served part from which the needed share is extrapolated
+MAX_RESPONSE_TIME_OBJECTIVES = (
+    10.0  # upper bound of a predicted response time, in latency objectives
+)
+# A rejection counts as a response time of this multiple of the latency objective.
+REJECTED_RESPONSE_TIME_OBJECTIVES = 10.0
+# Lower bound of the fraction of requests served, from which the share for all is extrapolated.
+MIN_SERVED_FRACTION = 0.02
 IDLE_UTILITY = 1.0  # utility of a class without traffic: the same as for a response time of 0
 
 ENDED = RequestState.ENDED
@@ -50,7 +56,7 @@
 
 def utility(objective: float, time: float, weight: float) -> float:
     """The paper's utility of a response time; `weight` applies only beyond the objective."""
-    miss = min(time / objective, MAX_OBJECTIVES) - 1.0
+    miss = min(time / objective, MAX_RESPONSE_TIME_OBJECTIVES) - 1.0
     return float((-miss) ** ALPHA if miss <= 0 else -weight * miss**BETA)
 
 
@@ -62,7 +68,7 @@
     time = predict(rate, mean, max(old_share, 1.0), share)
     if time == inf:
         # Increases with the share, so that saturated classes are ranked by their overload.
-        bound = -weight * (MAX_OBJECTIVES - 1.0) ** BETA
+        bound = -weight * (MAX_RESPONSE_TIME_OBJECTIVES - 1.0) ** BETA
         return float(bound - weight * rate * objective / share)
     return utility(objective, time, weight)
 
@@ -113,13 +119,13 @@
     """The rate, mean response time and share of a class over the cycles so far, decayed."""
     objective = request_class.latency_objective
     finished = request_class.served + request_class.rejected
-    rejected_time = request_class.rejected * REJECTED_OBJECTIVES * objective
+    rejected_time = request_class.rejected * REJECTED_RESPONSE_TIME_OBJECTIVES * objective
     mean = (request_class.response_time + rejected_time) / finished if finished else 0.0
     # Equation 8 assumes that all arrivals are served. If this share served only part of them,
     # the share that would have served all is extrapolated from it.
     share = request_class.share_sum / request_class.cycles
     if finished:
-        share /= max(request_class.served / finished, MIN_SERVED_PART)
+        share /= max(request_class.served / finished, MIN_SERVED_FRACTION)
     rate = request_class.arrivals / (request_class.cycles * CYCLE_NS / SECOND)
     weight = request_class.spec.priority_weight
     return ClassTraffic(rate, mean / SECOND, share, objective / SECOND, weight)
--- a/loadbalancer/core/balancing/dispatch.py
+++ b/loadbalancer/core/balancing/dispatch.py
@@ -1,7 +1,9 @@
 """Sends queued requests while slots are free.
 
-A request may be sent while the node has fewer than `max_in_flight` attempts in flight, not
-counting transfers of long messages, and some endpoint is below its cap. `scheduling` selects
+The two limits are those of Pacifici et al. 2005, "Performance Management for Cluster-Based Web
+Services": a request may be sent while the node has fewer than `BalancerState.max_in_flight` (N_g)
+attempts in flight and some endpoint is below its cap (N_{g,s}). Unlike there, transfers of long
+messages are not counted, so that they leave their slots to other requests. `scheduling` selects
 the request, `endpoint_selection` the endpoint.
 """
 
--- a/loadbalancer/core/balancing/endpoint_caps.py
+++ b/loadbalancer/core/balancing/endpoint_caps.py
@@ -1,19 +1,19 @@
 """Divides the slots of each endpoint among the nodes and sets this node's caps.
 
-The concurrency limit is the number of requests, or slots, that all nodes together may use at
-one endpoint. Pacifici et al. ("the paper", see `class_weights`) divide it among the nodes in
-proportion to their load, which needs a global manager. Here each slot belongs to one node: at
-each endpoint the nodes are ranked by a rule that all of them evaluate identically from the
-settings and the endpoint list, and slot i belongs to the node of rank i modulo the number of
-nodes. Ranks are shifted from one endpoint to the next. With more nodes than slots, most nodes
-have no slot at most endpoints and a few slots elsewhere.
+The concurrency limit is the number of requests, or slots, that all nodes together may use at one
+endpoint. Pacifici et al. 2005, "Performance Management for Cluster-Based Web Services" ("the
+paper"), divide it among the nodes in proportion to their load, which needs a global manager. Here
+each slot belongs to one node: at each endpoint the nodes are ranked by a rule that all of them
+evaluate identically from the settings and the endpoint list, and slot i belongs to the node of
+rank i modulo the number of nodes. Ranks are shifted from one endpoint to the next. With more nodes
+than slots, most nodes have no slot at most endpoints and a few slots elsewhere.
 
 Inputs: the concurrency limit, the listed endpoints, this node's number and zone, and the
 measurements of the endpoints. Results, all in requests: `Endpoint.cap` (the paper's N_{g,s}),
-`Endpoint.node_cap` and `BalancerState.max_in_flight` (N_g). Nodes of other zones share a
-separate part of an endpoint's slots. Where nodes exchange messages, a `SlotAllocator` divides
-the slots of dead nodes among the others; while two processes serve as this node, a
-`LimitShare` divides its caps between them.
+`Endpoint.node_cap` and `BalancerState.max_in_flight` (N_g). Nodes of other zones share a separate
+part of an endpoint's slots. Where nodes exchange messages, a `SlotAllocator` divides the slots of
+dead nodes among the others; while two processes serve as this node, a `LimitShare` divides its
+caps between them.
 """
 
 from __future__ import annotations
@@ -23,15 +23,19 @@
 from loadbalancer.core.balancing.records import Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-OTHER_ZONES_PART = 0.34  # part of the limit for the nodes of other zones
+# The fraction of an endpoint's concurrency limit that is given to the nodes of other zones.
+OTHER_ZONES_LIMIT_FRACTION = 0.34
 # Golden section, for rounding offsets that are spread evenly: among any consecutive endpoints a
 # fractional limit is rounded up at the part that its fraction states. Rounded up at all of them,
 # a limit just over 2 would give 3 slots.
 ROUNDING_STEP = 0.618034
-MIN_SLOTS = 3  # that a node has in its zone on average at least, however many nodes there are
-RESERVE_REACH = 4  # reserve slots need a rank below this multiple of an endpoint's slots
+# Slots that each node has on average in its own zone at least, however many nodes there are.
+MIN_SLOTS = 3
+# A node may use a reserve slot where its rank is below this multiple of the endpoint's slots.
+MAX_RESERVE_RANK_MULTIPLE = 4
 SLOW_RATIO = 1.5  # latency relative to the fleet's above which an endpoint's limit is reduced
-STALE_GAIN = 0.05  # per cycle, with which an unmeasured latency ratio returns to 1
+# Gain per cycle with which the latency ratio of an unmeasured endpoint returns to 1.
+STALE_LATENCY_RATIO_GAIN = 0.05
 FRESH_ANSWER_NS = 2 * SECOND  # how long an endpoint's last response is evidence of its load
 
 
@@ -97,7 +101,7 @@
     for endpoint in state.endpoints.values():
         if endpoint.state != State.READY:
             continue
-        depth = limit if endpoint.local else limit * OTHER_ZONES_PART
+        depth = limit if endpoint.local else limit * OTHER_ZONES_LIMIT_FRACTION
         slots = int(depth + endpoint.rounding_offset)
         _set_cap(state, endpoint, depth, ready_local)
         total_cap += endpoint.cap
@@ -111,7 +115,7 @@
             if (
                 not endpoint.cap
                 and endpoint.cold_until <= state.now
-                and endpoint.node_rank < RESERVE_REACH * slots
+                and endpoint.node_rank < MAX_RESERVE_RANK_MULTIPLE * slots
             ):
                 reserve.append((endpoint.node_rank - slots, endpoint.id, endpoint))
     missing_slots = max(min(own_endpoints, MIN_SLOTS), 1) - usable_slots
@@ -144,7 +148,7 @@
         depth = min(depth, max(1.0, depth / ratio))
         if not endpoint.in_flight and state.now - endpoint.last_seen > FRESH_ANSWER_NS:
             # Without a slot it is not measured; its last latency must not count forever.
-            endpoint.latency_ratio += STALE_GAIN * (1.0 - endpoint.latency_ratio)
+            endpoint.latency_ratio += STALE_LATENCY_RATIO_GAIN * (1.0 - endpoint.latency_ratio)
     if not warm:
         depth = slow_start.cold_limit(state, endpoint, depth)
     nodes = endpoint.sharing_nodes
--- a/loadbalancer/core/balancing/endpoint_selection.py
+++ b/loadbalancer/core/balancing/endpoint_selection.py
@@ -1,10 +1,12 @@
 """Selects the endpoint that a request is sent to.
 
-Of the endpoints in rotation, those of the node's own zone are preferred, then those with the
-fewest of this node's requests in flight. Among equals, CANDIDATE_COUNT are sampled at random
-and the one with the lowest load cost, as of its last response, is selected. A retry goes to an
-endpoint that has not had an attempt yet if possible. The repeat of a request with an
-idempotency key goes to the group of endpoints that know the key, regardless of their load.
+Pacifici et al. 2005, "Performance Management for Cluster-Based Web Services", leave this selection
+open; the rule is this project's own. Of the endpoints in rotation, those of the node's own zone
+are preferred, then those with the fewest of this node's requests in flight. Among equals,
+CANDIDATE_COUNT are sampled at random and the one with the lowest load cost, as of its last
+response, is selected. A retry goes to an endpoint that has not had an attempt yet if possible. The
+repeat of a request with an idempotency key goes to the group of endpoints that know the key,
+regardless of their load.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
 from loadbalancer.core.balancing.state import BalancerState
 
 CANDIDATE_COUNT = 3  # endpoints sampled at random, of which the best is selected
-DEFAULT_LOAD_COST = 1.0  # of an endpoint whose last response is too old to show its load
+DEFAULT_LOAD_COST = 1.0  # load cost of an endpoint whose last response is too old to show it
 
 ALL, ZONE, TOKEN, READY = Scope.ALL, Scope.ZONE, Effect.TOKEN, State.READY
 
--- a/loadbalancer/core/balancing/hedging.py
+++ b/loadbalancer/core/balancing/hedging.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 from loadbalancer.core.balancing import retries, rotation
-from loadbalancer.core.balancing.latency import MAX_RATIO, RATIO_GAIN
+from loadbalancer.core.balancing.latency import LATENCY_RATIO_GAIN, MAX_LATENCY_RATIO
 from loadbalancer.core.balancing.model import Effect
 from loadbalancer.core.balancing.outlier_detection import MAX_BACKOFF_NS
 from loadbalancer.core.balancing.records import Endpoint, Request
@@ -19,7 +19,7 @@
 from loadbalancer.core.balancing.state import BalancerState
 from loadbalancer.core.routes.table import HedgingSpec
 
-HEDGE_BURST = 2.0  # minimum capacity of a route's allowance
+HEDGE_BURST = 2.0  # minimum capacity of a route's hedge allowance
 
 
 def may_hedge(state: BalancerState, request: Request) -> bool:
@@ -55,8 +55,8 @@
     endpoint.backoff_until = max(endpoint.backoff_until, now + min(duration, MAX_BACKOFF_NS))
     rotation.update(state, endpoint)
     state.wake(endpoint.backoff_until, endpoint)
-    ratio = min(duration / request.request_class.latency, MAX_RATIO)
+    ratio = min(duration / request.request_class.latency, MAX_LATENCY_RATIO)
     if ratio > endpoint.latency_ratio:
-        endpoint.latency_ratio += RATIO_GAIN * (ratio - endpoint.latency_ratio)
+        endpoint.latency_ratio += LATENCY_RATIO_GAIN * (ratio - endpoint.latency_ratio)
         endpoint.load_cost = max(endpoint.load_cost, ratio)
         endpoint.last_seen = now
--- a/loadbalancer/core/balancing/latency.py
+++ b/loadbalancer/core/balancing/latency.py
@@ -9,12 +9,15 @@
 from loadbalancer.core.balancing.records import ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-MAX_OBJECTIVES = 1.2  # upper bound of a recorded duration, in latency objectives
-MIN_STABLE_SAMPLES = 20  # up to so many, a class's mean follows new samples quickly
-FAST_GAIN = 0.2  # per sample, of the moving average of a class's latency, at first ...
-SLOW_GAIN = 0.05  # ... and after MIN_STABLE_SAMPLES
-RATIO_GAIN = 0.2  # per sample, of the moving average of an endpoint's latency ratio
-MAX_RATIO = 10.0  # upper bound of one sample of that ratio
+MAX_DURATION_OBJECTIVES = 1.2  # upper bound of a recorded duration, in latency objectives
+# A class with more samples than this uses STABLE_LATENCY_GAIN instead of INITIAL_LATENCY_GAIN.
+MIN_STABLE_SAMPLES = 20
+# Gains per sample of the moving average of a class's latency: a new class adapts faster.
+INITIAL_LATENCY_GAIN = 0.2
+STABLE_LATENCY_GAIN = 0.05
+# Gain per sample of the moving average of an endpoint's latency ratio.
+LATENCY_RATIO_GAIN = 0.2
+MAX_LATENCY_RATIO = 10.0  # upper bound of one sample of an endpoint's latency ratio
 
 
 def record(
@@ -26,13 +29,17 @@
     like congestion of the whole fleet and cut the concurrency limit of all endpoints.
     """
     objective = request_class.latency_objective
-    duration = min(duration, int(MAX_OBJECTIVES * objective))
-    gain = SLOW_GAIN if request_class.latency_samples > MIN_STABLE_SAMPLES else FAST_GAIN
+    duration = min(duration, int(MAX_DURATION_OBJECTIVES * objective))
+    gain = (
+        STABLE_LATENCY_GAIN
+        if request_class.latency_samples > MIN_STABLE_SAMPLES
+        else INITIAL_LATENCY_GAIN
+    )
     request_class.latency_samples += 1
     request_class.latency += gain * (duration - request_class.latency)
     number = request_class.number
     state.congestion_sum[number] += duration / objective
     state.congestion_samples[number] += 1
-    ratio = min(duration / request_class.latency, MAX_RATIO)
-    endpoint.latency_ratio += RATIO_GAIN * (ratio - endpoint.latency_ratio)
+    ratio = min(duration / request_class.latency, MAX_LATENCY_RATIO)
+    endpoint.latency_ratio += LATENCY_RATIO_GAIN * (ratio - endpoint.latency_ratio)
     return ratio
--- a/loadbalancer/core/balancing/list_updates.py
+++ b/loadbalancer/core/balancing/list_updates.py
@@ -16,14 +16,19 @@
 from loadbalancer.core.balancing.state import BalancerState
 from loadbalancer.core.endpoints.poll_timing import poll_timings
 
-FIRST_POLL_PART = 4  # first polls are spread over at most this fraction of `poll_within`: 1/4
-FIRST_POLL_SPREAD_NS = 100 * MS  # per node
+# First polls are spread over at most `Settings.poll_within` divided by this.
+FIRST_POLL_SPREAD_DIVISOR = 4
+# First polls are spread over this time multiplied by the number of nodes, if that is less.
+FIRST_POLL_SPREAD_PER_NODE_NS = 100 * MS
 
 
 def schedule_first_poll(state: BalancerState, now: int) -> None:
     """Schedule the first poll at a random time, as the list service has a rate limit."""
     settings = state.settings
-    spread = min(settings.poll_within // FIRST_POLL_PART, settings.nodes * FIRST_POLL_SPREAD_NS)
+    spread = min(
+        settings.poll_within // FIRST_POLL_SPREAD_DIVISOR,
+        settings.nodes * FIRST_POLL_SPREAD_PER_NODE_NS,
+    )
     state.actions.set_timer(Timer.LIST, now + state.random.randrange(1, spread + 2))
 
 
--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -4,18 +4,18 @@
 - Back-off: a short pause after a rejection, an error or a lost connection, doubled with each
   consecutive one. An endpoint that rejects requests responds immediately, so it always has the
   fewest requests in flight and would attract all traffic.
-- Unresponsive: the endpoint has requests in flight and has not responded for SILENCE_LATENCIES
-  mean latencies. It gets no further request until it responds, or until its last attempt has
-  ended and it is probed.
+- Unresponsive: the endpoint has requests in flight and has not responded for
+  MAX_SILENCE_MEAN_LATENCIES mean latencies. It gets no further request until it responds, or until
+  its last attempt has ended and it is probed.
 - Ejection: after consecutive failures without a response in between. It lasts
-  `Endpoint.next_ejection_ns`, which is doubled each time. At most half of the ready endpoints
-  are ejected at once: an apparent loss of most of them is more likely a fault of this node or
-  its network.
+  `Endpoint.next_ejection_ns`, which is doubled each time. At most half of the ready endpoints are
+  ejected at once: an apparent loss of most of them is more likely a fault of this node or its
+  network.
 - Probing: an endpoint that returns gets one request at a time until it responds.
 
 Inputs: outcomes and durations of this node's attempts (`record_success`, `record_failure`), and
-reports of other nodes (`on_load_report`, `on_peer_report`), which never end an attempt.
-Times are nanoseconds.
+reports of other nodes (`on_load_report`, `on_peer_report`), which never end an attempt. Times are
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -27,18 +27,23 @@
 from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-SILENCE_LATENCIES = 6.0  # mean latencies of the slowest class without a response
-MAX_SILENT_FAILURES = 3  # consecutive failures without a response that eject a silent endpoint
-MAX_LOST_FAILURES = 4  # the same if the last failure is a lost connection
+# An endpoint is unresponsive after this multiple of the slowest class's mean latency.
+MAX_SILENCE_MEAN_LATENCIES = 6.0
+# Consecutive failures that eject an endpoint which has not responded since the failed send.
+MAX_SILENT_FAILURES = 3
+# Consecutive failures that eject an endpoint if the last one is a lost connection.
+MAX_LOST_FAILURES = 4
 MAX_ERRORS = 3  # consecutive errors after which an endpoint backs off
 MAX_BACKOFF_NS = 2 * SECOND
 MAX_BACKOFF_DOUBLINGS = 6
 MAX_EJECTION_NS = 8 * SECOND
-SLOW_RATIO = 1.5  # latency ratio up to which a response ends a cold endpoint's send spacing
-REPORT_GAIN = 0.3  # of the moving average of an endpoint's latency ratio, per load report
-MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of a reported latency ratio
-FAILED_LOAD_COST = 4.0  # of an endpoint that rejected a request or responded with an error
-UNANSWERED_LOAD_COST = 6.0  # of an endpoint that did not respond
+# A response with at most this latency ratio ends the send spacing of a cold endpoint.
+SLOW_RATIO = 1.5
+# Gain per load report of the moving average of an endpoint's latency ratio.
+LOAD_REPORT_GAIN = 0.3
+MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.1, 10.0  # bounds of a reported latency ratio
+FAILED_LOAD_COST = 4.0  # load cost of an endpoint that rejected or failed a request
+UNANSWERED_LOAD_COST = 6.0  # load cost of an endpoint that did not respond
 
 FULL, ERROR, TIMEOUT = Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT
 CONNECT_FAILED, RESET = Outcome.CONNECT_FAILED, Outcome.RESET
@@ -46,7 +51,7 @@
 
 def silence_limit(state: BalancerState) -> float:
     """How long an endpoint with requests in flight may go without a response, in ns."""
-    return SILENCE_LATENCIES * max(c.latency for c in state.classes)
+    return MAX_SILENCE_MEAN_LATENCIES * max(c.latency for c in state.classes)
 
 
 def record_success(
@@ -214,8 +219,8 @@
     endpoint = state.endpoints.get(backend)
     if endpoint is None:
         return
-    bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
-    endpoint.latency_ratio += REPORT_GAIN * (bounded - endpoint.latency_ratio)
+    bounded = min(max(ratio, MIN_LATENCY_RATIO), MAX_LATENCY_RATIO)
+    endpoint.latency_ratio += LOAD_REPORT_GAIN * (bounded - endpoint.latency_ratio)
     if failing:
         eject(state, now, endpoint, connection_lost=True, restarted=False)
 
--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -17,9 +17,10 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.request_policy_state import RequestPolicyState
 
-REMAINING_STEPS = 64  # of the histogram of remaining times
+REMAINING_STEPS = 64  # number of steps of the histogram of remaining times
 FIRST_EJECTION_NS = SECOND  # duration of an endpoint's first ejection
-INITIAL_LATENCY_PART = 1 / 4  # of the objective: the assumed mean latency of a new class
+# The mean latency of a new class is assumed to be this fraction of its latency objective.
+INITIAL_LATENCY_OBJECTIVE_FRACTION = 1 / 4
 
 
 class RequestState(IntEnum):
@@ -62,7 +63,7 @@
         # Requests in flight, and their limits.
         self.in_flight = 0
         self.transferring = 0  # those in flight that transfer a long message
-        self.cap = 0  # limit of `in_flight` for this process (N_{g,s} in Pacifici et al.)
+        self.cap = 0  # limit of `in_flight` for this process (N_{g,s} in Pacifici et al. 2005)
         self.node_cap = 0  # the same for all processes that serve as this node
         self.sharing_nodes = 1  # nodes that share its slots
         self.node_rank = 0  # this node's rank among them
@@ -182,7 +183,7 @@
         self.remaining_samples = 0
         self.usual_remaining_step = 0  # the most frequent step of the histogram
         # Moving average of the latency of its attempts.
-        self.latency = spec.latency_objective * INITIAL_LATENCY_PART
+        self.latency = spec.latency_objective * INITIAL_LATENCY_OBJECTIVE_FRACTION
         self.latency_samples = 0.0
         self.base_latency = 0.0  # mean latency at uncongested endpoints; 0: unknown
         # For `class_weights`: sums over cycles, decayed once per cycle.
--- a/loadbalancer/core/balancing/retries.py
+++ b/loadbalancer/core/balancing/retries.py
@@ -1,17 +1,17 @@
 """Retries: whether another attempt may be sent, its timeout, and when to give up.
 
-- A request that may have executed is resent only if a second execution has no effect, or if
-  its idempotency key makes the repeat harmless, which it does within the repeat window. There
-  is one attempt at a time, apart from hedges (`hedging`).
+- A request that may have executed is resent only if a second execution has no effect, or if its
+  idempotency key makes the repeat harmless, which it does within the repeat window. There is one
+  attempt at a time, apart from hedges (`hedging`).
 - The number of attempts is limited by the settings and by the route's policy.
 - A retry must be able to finish in time: it is queued, ahead of other requests, only while the
   objective and the client's deadline are more than a mean latency away.
-- The retry budget bounds repeated work: each first attempt earns RETRY_PART of a retry, up to
-  RETRY_BURST. An attempt that failed quickly has cost little and is charged by its duration;
-  one that never executed costs nothing.
-- An attempt times out at its client's deadline, or just before the objective if late responses
-  are of no use. While the budget has credit, an attempt that may be repeated times out
-  earlier, after EARLY_LATENCIES mean latencies.
+- The retry budget bounds repeated work: each first attempt earns RETRY_CREDIT_PER_FIRST_ATTEMPT of
+  a retry, up to MAX_RETRY_CREDIT. An attempt that failed quickly has cost little and is charged by
+  its duration; one that never executed costs nothing.
+- An attempt times out at its client's deadline, or just before the objective if late responses are
+  of no use. While the budget has credit, an attempt that may be repeated times out earlier, after
+  EARLY_TIMEOUT_MEAN_LATENCIES mean latencies.
 
 Times are nanoseconds.
 """
@@ -21,12 +21,16 @@
 from loadbalancer.core.balancing import admission, final_answer
 from loadbalancer.core.balancing.model import MS, Effect, Outcome, State
 from loadbalancer.core.balancing.records import Request, RequestState
-from loadbalancer.core.balancing.state import RETRY_BURST, BalancerState
-
-OBJECTIVE_MARGIN = 0.03  # part of the objective by which an attempt ends before it
-EARLY_LATENCIES = 5.0  # early timeout of a repeatable attempt, in mean latencies ...
-EARLY_OBJECTIVE_PART = 1.0  # ... but at least this part of the latency objective
-RETRY_PART = 0.1  # retries of possibly executed requests that a first attempt earns
+from loadbalancer.core.balancing.state import MAX_RETRY_CREDIT, BalancerState
+
+# An attempt times out before its objective by this fraction of it, if late responses are useless.
+TIMEOUT_MARGIN_OBJECTIVE_FRACTION = 0.03
+# The early timeout of a repeatable attempt is this multiple of its class's mean latency.
+EARLY_TIMEOUT_MEAN_LATENCIES = 5.0
+# The early timeout is at least this fraction of the latency objective.
+MIN_EARLY_TIMEOUT_OBJECTIVE_FRACTION = 1.0
+# Each first attempt earns this part of a retry of a request that may have executed.
+RETRY_CREDIT_PER_FIRST_ATTEMPT = 0.1
 MIN_TIMEOUT_NS = MS
 # Outcomes of attempts that have certainly not executed.
 NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
@@ -59,7 +63,7 @@
 
 def earn_credit(state: BalancerState) -> None:
     """Add the part of a retry that a first attempt earns."""
-    state.retry_credit = min(state.retry_credit + RETRY_PART, RETRY_BURST)
+    state.retry_credit = min(state.retry_credit + RETRY_CREDIT_PER_FIRST_ATTEMPT, MAX_RETRY_CREDIT)
 
 
 def attempt_timeout(state: BalancerState, now: int, request: Request) -> int:
@@ -67,7 +71,7 @@
     request_class = request.request_class
     end = request.deadline
     if request_class.spec.late_weight <= 0:
-        margin = int(request_class.latency_objective * OBJECTIVE_MARGIN)
+        margin = int(request_class.latency_objective * TIMEOUT_MARGIN_OBJECTIVE_FRACTION)
         end = min(end, request.objective_at - margin)
     timeout = max(end - now, MIN_TIMEOUT_NS)
     allows_early_timeout = True
@@ -82,8 +86,8 @@
         and state.retry_credit >= 1.0
     ):
         limit = max(
-            EARLY_LATENCIES * request_class.latency,
-            EARLY_OBJECTIVE_PART * request_class.latency_objective,
+            EARLY_TIMEOUT_MEAN_LATENCIES * request_class.latency,
+            MIN_EARLY_TIMEOUT_OBJECTIVE_FRACTION * request_class.latency_objective,
         )
         timeout = min(timeout, int(limit))
     return timeout
--- a/loadbalancer/core/balancing/route_policies.py
+++ b/loadbalancer/core/balancing/route_policies.py
@@ -60,7 +60,7 @@
         self.node_budget.spec = node
         self._routes = {key: state for key, state in self._routes.items() if key[0] in names}
 
-    # ---- hooks of one request, in the order of the calls -----------------
+    # The hooks of `ports.Policies`, in the order in which a request reaches them.
 
     def apply_policy(self, now: int, request: Request, policy: Policy) -> None:
         """Apply a policy to a new request, which keeps it until it ends."""
@@ -167,8 +167,6 @@
         for budget in policy_state.budgets:
             budget.active -= 1
 
-    # ---- hedges, back-off and budgets ---------------------------------------------------------
-
     def _hedge(self, now: int, request: Request, policy_state: RequestPolicyState) -> None:
         """Send a hedge to another endpoint with a free slot, within the route's allowance.
 
--- a/loadbalancer/core/balancing/scheduling.py
+++ b/loadbalancer/core/balancing/scheduling.py
@@ -1,7 +1,8 @@
 """Selects the queued request that is sent next.
 
-Work-conserving weighted round robin over the classes: a class keeps the turn for as many
-requests as its share has slots, and classes with fewer requests in flight than their share
+The scheduler is that of Pacifici et al. 2005, "Performance Management for Cluster-Based Web
+Services": work-conserving weighted round robin over the classes. A class keeps the turn for as
+many requests as its share has slots, and classes with fewer requests in flight than their share
 come first. Deferred requests are sent only when no other request is queued. Within a class,
 tenants are scheduled by stride scheduling (Waldspurger) in proportion to their portions; a
 tenant's requests are sent in order of arrival, retries first.
--- a/loadbalancer/core/balancing/slow_start.py
+++ b/loadbalancer/core/balancing/slow_start.py
@@ -13,10 +13,11 @@
 from loadbalancer.core.balancing.records import Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-# Part of the budget that is used. The remainder allows for nodes whose endpoint lists differ,
-# and for requests that need more work than others.
-BUDGET_PART = 0.5
-MIN_COLD_SLOTS = 2  # of all nodes together at a cold endpoint, if its limit allows as many
+# The fraction of the budget that is used. The remainder allows for nodes whose endpoint lists
+# differ, and for requests that need more work than others.
+USED_BUDGET_FRACTION = 0.5
+# Slots of all nodes together at a cold endpoint, unless its limit is lower.
+MIN_COLD_SLOTS = 2
 
 
 def mark_if_cold(settings: Settings, endpoint: Endpoint, now: int) -> None:
@@ -53,7 +54,12 @@
     """
     settings = state.settings
     usual_rate = state.send_rate * settings.nodes / max(state.ready, 1)
-    rate = BUDGET_PART * settings.fall_multiple * capacity_fraction(state, endpoint) * usual_rate
+    rate = (
+        USED_BUDGET_FRACTION
+        * settings.fall_multiple
+        * capacity_fraction(state, endpoint)
+        * usual_rate
+    )
     gap = settings.fall if rate <= 0 else min(int(SECOND * endpoint.sharers / rate), settings.fall)
     endpoint.backoff_until = now + gap
     state.wake(endpoint.backoff_until, endpoint)
--- a/loadbalancer/core/balancing/state.py
+++ b/loadbalancer/core/balancing/state.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.ports import LimitShare, Policies, SlotAllocator
 
-INITIAL_CONCURRENCY_LIMIT = 4.0  # of requests of all nodes together at one endpoint
-RETRY_BURST = 10.0  # maximum and initial retry credit, in retries
+INITIAL_CONCURRENCY_LIMIT = 4.0  # requests of all nodes together at one endpoint
+MAX_RETRY_CREDIT = 10.0  # maximum and initial credit of the retry budget, in retries
 LOG_INTERVAL_NS = SECOND
 
 TIMER_WAKE = Timer.WAKE
@@ -49,7 +49,7 @@
         self.local_buckets: list[list[Endpoint]] = [[]]
         self.remote_buckets: list[list[Endpoint]] = [[]]
         # Attempts in flight, and queued requests.
-        self.max_in_flight = 0  # limit of `in_flight` (N_g in Pacifici et al., see `class_weights`)
+        self.max_in_flight = 0  # limit of `in_flight` (N_g in Pacifici et al. 2005)
         self.in_flight = 0
         self.transferring = 0  # those in flight that transfer a long message
         self.queued = 0
@@ -65,7 +65,7 @@
         self.stride = [1.0 / max(t.portion, 1e-6) for t in settings.tenants]
         self.credit = [max(q * SECOND, 1.0) for q in self.quota]
         self.credit_at = [0] * tenants
-        self.retry_credit = RETRY_BURST
+        self.retry_credit = MAX_RETRY_CREDIT
         # Plug-ins of the host.
         self.policies: Policies | None = None  # if a routes file is used
         self.limit_share: LimitShare | None = None  # while two processes serve as this node
--- a/loadbalancer/simulator/adapter.py
+++ b/loadbalancer/simulator/adapter.py
@@ -78,8 +78,6 @@
             raise WireError(f"{len(body) - offset} bytes follow the last record")
         return len(self._reply), b"".join(self._reply)
 
-    # ---- instances -----------------------------------------------------
-
     def _on_start(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.START
         _, number, seed, size = layout.unpack_from(body, offset)
@@ -113,8 +111,6 @@
         self._call(number, Balancer.on_timer, now, token)
         return offset + layout.size
 
-    # ---- the endpoint list ----------------------------------------------
-
     def _on_endpoint_list(self, _now: int, body: bytes, offset: int) -> int:
         layout = wire_format.ENDPOINT_LIST
         _, list_number, rows = layout.unpack_from(body, offset)
@@ -144,8 +140,6 @@
         self._call(number, Balancer.on_members, now, Update(kind), entries)
         return offset + layout.size
 
-    # ---- requests and attempts --------------------------------------------
-
     def _on_request(self, now: int, body: bytes, offset: int) -> int:
         layout = wire_format.REQUEST
         _, number, request, class_number, tenant, key, remaining, hint, flags = layout.unpack_from(
--- a/tests/core/balancing/test_class_weights.py
+++ b/tests/core/balancing/test_class_weights.py
@@ -14,7 +14,7 @@
 )
 from loadbalancer.core.balancing import class_weights
 from loadbalancer.core.balancing.class_weights import (
-    MAX_OBJECTIVES,
+    MAX_RESPONSE_TIME_OBJECTIVES,
     ClassTraffic,
     predict,
     solve,
@@ -30,7 +30,7 @@
         return 1.0
     t = predict(rate, mean, max(old, 1.0), share)
     if t == float("inf"):
-        return -weight * (MAX_OBJECTIVES - 1.0) - weight * rate * objective / share
+        return -weight * (MAX_RESPONSE_TIME_OBJECTIVES - 1.0) - weight * rate * objective / share
     return utility(objective, t, weight)
 
 
--- a/tests/core/balancing/test_final_answer.py
+++ b/tests/core/balancing/test_final_answer.py
@@ -24,8 +24,8 @@
 def test_no_retry_after_beyond_the_objective_if_clients_do_not_mark_retries(
     max_retry_after: int, marks_retry: bool, expected: int
 ) -> None:
-    """Their retries would be late already, could not be told from first tries, and would keep the
-    overload going.
+    """A client that waits beyond its objective returns late. Without a mark its retry looks like a
+    first try, takes a slot from requests that are in time, and so keeps the overload going.
     """
     settings = Settings(classes=(PURE,), max_retry_after=max_retry_after, marks_retry=marks_retry)
     balancer, host = build(settings, count=1)
--- a/tests/core/balancing/test_latency.py
+++ b/tests/core/balancing/test_latency.py
@@ -17,7 +17,7 @@
     assert c.latency == 60 * MS
     assert c.latency_samples == 1
     assert ratio == pytest.approx(100 / 60)
-    assert endpoint.latency_ratio == pytest.approx(1 + latency.RATIO_GAIN * (100 / 60 - 1))
+    assert endpoint.latency_ratio == pytest.approx(1 + latency.LATENCY_RATIO_GAIN * (100 / 60 - 1))
     assert balancer.state.congestion_sum[0] == 0.5
     assert balancer.state.congestion_samples[0] == 1
 
@@ -26,7 +26,7 @@
     """Otherwise a few time-outs of one unresponsive endpoint look like congestion of all."""
     balancer, _ = build(count=1)
     latency.record(balancer.state, balancer.classes[0], balancer.endpoints[100], 60_000 * MS)
-    assert balancer.state.congestion_sum[0] == pytest.approx(latency.MAX_OBJECTIVES)
+    assert balancer.state.congestion_sum[0] == pytest.approx(latency.MAX_DURATION_OBJECTIVES)
 
 
 def test_a_class_with_many_samples_follows_new_durations_slowly() -> None:
--- a/tests/core/balancing/test_settings_reload.py
+++ b/tests/core/balancing/test_settings_reload.py
@@ -56,9 +56,6 @@
         assert n.stop() == 0
 
 
-# ---- invalid files -----------------------------------------------------
-
-
 def remove_key(*path: Any) -> Any:
     def change(raw: Any) -> None:
         for key in path[:-1]:
@@ -77,6 +74,7 @@
     return change
 
 
+# By the text that the log must contain: a change that makes the configuration invalid.
 INVALID_CHANGES: dict[str, Any] = {
     "name": remove_key("name"),
     "limits": remove_key("limits"),
@@ -98,12 +96,12 @@
 }
 
 
-@pytest.mark.parametrize("fault", INVALID_CHANGES)
-def test_an_invalid_file_is_logged_and_changes_nothing(tmp_path: Path, fault: str) -> None:
+@pytest.mark.parametrize("expected_text", INVALID_CHANGES)
+def test_an_invalid_file_is_logged_and_changes_nothing(tmp_path: Path, expected_text: str) -> None:
     with listen() as backend, node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as n:
-        replace_config(tmp_path, changed_configuration(tmp_path, INVALID_CHANGES[fault]))
+        replace_config(tmp_path, changed_configuration(tmp_path, INVALID_CHANGES[expected_text]))
         n.process.send_signal(signal.SIGHUP)
-        n.says(fault)
+        n.says(expected_text)
         client = n.connect()
         client.send(request())
         peer = serve(backend, client)
--- a/tests/core/balancing/test_slot_distribution.py
+++ b/tests/core/balancing/test_slot_distribution.py
@@ -13,7 +13,11 @@
 
 from loadbalancer.core import Balancer, Listing, Outcome, Settings, State, Update
 from loadbalancer.core.balancing.class_weights import CYCLE_NS
-from loadbalancer.core.balancing.endpoint_caps import MIN_SLOTS, OTHER_ZONES_PART, RESERVE_REACH
+from loadbalancer.core.balancing.endpoint_caps import (
+    MAX_RESERVE_RANK_MULTIPLE,
+    MIN_SLOTS,
+    OTHER_ZONES_LIMIT_FRACTION,
+)
 from loadbalancer.core.balancing.model import MS, SECOND, Timer
 from loadbalancer.core.balancing.records import Endpoint
 from tests.many_nodes import World
@@ -60,7 +64,7 @@
         limit = max(4.0, MIN_SLOTS * peers / local)
         assert int(limit) <= own[server + 1] <= int(limit) + 1
         # A node computes the limit from its own zone, which may have one endpoint less.
-        spilled = OTHER_ZONES_PART * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
+        spilled = OTHER_ZONES_LIMIT_FRACTION * max(4.0, MIN_SLOTS * (peers + 1) / max(local - 1, 1))
         assert others[server + 1] <= int(spilled) + 1
 
 
@@ -92,9 +96,11 @@
             check_reserve_slots(host.balancer)
     assert [host.balancer.settings.node for host in world.hosts if host.idle] == []
     floor = MIN_SLOTS * (len(world.hosts) / world.zones + 1) / (len(world.servers) // world.zones)
-    max_in_flight = RESERVE_REACH * (int(max(*limits, floor)) + 1)
+    max_in_flight = MAX_RESERVE_RANK_MULTIPLE * (int(max(*limits, floor)) + 1)
     if world.zones > 1:
-        max_in_flight += RESERVE_REACH * (int(OTHER_ZONES_PART * max(*limits, floor)) + 1)
+        max_in_flight += MAX_RESERVE_RANK_MULTIPLE * (
+            int(OTHER_ZONES_LIMIT_FRACTION * max(*limits, floor)) + 1
+        )
     assert max(server.max_out for server in world.servers) <= max_in_flight
 
 
@@ -107,7 +113,7 @@
     reserve = own = 0
     for b in backends:
         within = b.node_rank < int(
-            (limit if b.local else limit * OTHER_ZONES_PART) + b.rounding_offset
+            (limit if b.local else limit * OTHER_ZONES_LIMIT_FRACTION) + b.rounding_offset
         )
         own += within
         reserve += b.cap > 0 and not within
--- a/tests/core/balancing/test_unexpected_events.py
+++ b/tests/core/balancing/test_unexpected_events.py
@@ -8,7 +8,7 @@
 
 from loadbalancer.core import Balancer, Listing, Outcome, Settings, State, Update
 from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, Timer
-from loadbalancer.core.balancing.outlier_detection import MAX_RATIO
+from loadbalancer.core.balancing.outlier_detection import MAX_LATENCY_RATIO
 from loadbalancer.core.balancing.records import FIRST_EJECTION_NS
 from loadbalancer.core.balancing.request_classes import RETIRE_AFTER_NS
 from tests.core.balancing.policy_harness import HEDGED_POLICY, PolicyHarness
@@ -29,9 +29,6 @@
     )  # fmt: skip
 
 
-# ---- the endpoint list -------------------------------------------------------
-
-
 def test_repeated_list_timers_start_one_poll_at_a_time() -> None:
     """Two consecutive failures set two timers; the second one must not start another poll."""
     balancer, host = build(Settings(classes=(PURE,), poll=True))
@@ -75,9 +72,6 @@
     assert (endpoint.state, endpoint.boot, endpoint.cold_until) == (State.GONE, 0, 0)
 
 
-# ---- attempts and requests -----------------------------------------------------
-
-
 def test_events_of_an_unknown_request_or_attempt_change_nothing() -> None:
     balancer, host = build()
     balancer.on_request(1, 1, 0, SECOND)
@@ -163,9 +157,6 @@
     assert not balancer.may_begin(3, 1, 0)
 
 
-# ---- reports of other nodes and of proxies ---------------------------------------
-
-
 def test_reports_on_an_unknown_endpoint_are_ignored() -> None:
     balancer, _ = build()
     balancer.on_load_report(1, UNKNOWN, 9.0, failing=True)
@@ -196,10 +187,7 @@
 def test_an_extreme_latency_in_a_load_report_is_bounded() -> None:
     balancer, _ = build()
     balancer.on_load_report(SECOND, 100, 1e9, failing=False)
-    assert 1.0 < balancer.endpoints[100].latency_ratio < MAX_RATIO
-
-
-# ---- timers ------------------------------------------------------------------------
+    assert 1.0 < balancer.endpoints[100].latency_ratio < MAX_LATENCY_RATIO
 
 
 def test_early_and_duplicate_wake_ups_change_nothing() -> None:
@@ -291,9 +279,6 @@
     assert host.named("fail") == [("fail", 1)]
 
 
-# ---- settings ------------------------------------------------------------------------
-
-
 def test_repeated_settings_do_not_postpone_a_class_retirement() -> None:
     balancer, _ = build(Settings(classes=(PURE, UNSAFE)))
     without_unsafe = Settings(classes=(PURE,))
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -63,7 +63,7 @@
     return found
 
 
-def test_empty_batch() -> None:
+def test_an_empty_batch_gets_an_empty_reply() -> None:
     data = bytes.fromhex("00000001 00000000 00000000 00000001f568bf90")
     assert replies(data) == [bytes.fromhex("00000001 00000000 00000000")]
 
