--- a/loadbalancer/core/balancing/outlier_detection.py
+++ b/loadbalancer/core/balancing/outlier_detection.py
@@ -4,18 +4,18 @@
 - Back-off: a short pause after a rejection, an error or a lost connection, doubled with each
   consecutive one. An endpoint that rejects requests responds immediately, so it always has the
   fewest requests in flight and would attract all traffic.
-- Unresponsive: the endpoint has requests in flight and has not responded for SILENCE_LATENCIES
-  mean latencies. It gets no further request until it responds, or until its last attempt has
-  ended and it is probed.
+- Unresponsive: the endpoint has requests in flight and has not responded for
+  MAX_SILENCE_MEAN_LATENCIES mean latencies. It gets no further request until it responds, or until
+  its last attempt has ended and it is probed.
 - Ejection: after consecutive failures without a response in between. It lasts
-  `Endpoint.next_ejection_ns`, which is doubled each time. At most half of the ready endpoints
-  are ejected at once: an apparent loss of most of them is more likely a fault of this node or
-  its network.
+  `Endpoint.next_ejection_ns`, which is doubled each time. At most half of the ready endpoints are
+  ejected at once: an apparent loss of most of them is more likely a fault of this node or its
+  network.
 - Probing: an endpoint that returns gets one request at a time until it responds.
 
 Inputs: outcomes and durations of this node's attempts (`record_success`, `record_failure`), and
-reports of other nodes (`on_load_report`, `on_peer_report`), which never end an attempt.
-Times are nanoseconds.
+reports of other nodes (`on_load_report`, `on_peer_report`), which never end an attempt. Times are
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -27,18 +27,23 @@
 from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, ClassState, Endpoint
 from loadbalancer.core.balancing.state import BalancerState
 
-SILENCE_LATENCIES = 6.0  # mean latencies of the slowest class without a response
-MAX_SILENT_FAILURES = 3  # consecutive failures without a response that eject a silent endpoint
-MAX_LOST_FAILURES = 4  # the same if the last failure is a lost connection
+# An endpoint is unresponsive after this multiple of the slowest class's mean latency.
+MAX_SILENCE_MEAN_LATENCIES = 6.0
+# Consecutive failures that eject an endpoint which has not responded since the failed send.
+MAX_SILENT_FAILURES = 3
+# Consecutive failures that eject an endpoint if the last one is a lost connection.
+MAX_LOST_FAILURES = 4
 MAX_ERRORS = 3  # consecutive errors after which an endpoint backs off
 MAX_BACKOFF_NS = 2 * SECOND
 MAX_BACKOFF_DOUBLINGS = 6
 MAX_EJECTION_NS = 8 * SECOND
-SLOW_RATIO = 1.5  # latency ratio up to which a response ends a cold endpoint's send spacing
-REPORT_GAIN = 0.3  # of the moving average of an endpoint's latency ratio, per load report
-MIN_RATIO, MAX_RATIO = 0.1, 10.0  # bounds of a reported latency ratio
-FAILED_LOAD_COST = 4.0  # of an endpoint that rejected a request or responded with an error
-UNANSWERED_LOAD_COST = 6.0  # of an endpoint that did not respond
+# A response with at most this latency ratio ends the send spacing of a cold endpoint.
+SLOW_RATIO = 1.5
+# Gain per load report of the moving average of an endpoint's latency ratio.
+LOAD_REPORT_GAIN = 0.3
+MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.1, 10.0  # bounds of a reported latency ratio
+FAILED_LOAD_COST = 4.0  # load cost of an endpoint that rejected or failed a request
+UNANSWERED_LOAD_COST = 6.0  # load cost of an endpoint that did not respond
 
 FULL, ERROR, TIMEOUT = Outcome.FULL, Outcome.ERROR, Outcome.TIMEOUT
 CONNECT_FAILED, RESET = Outcome.CONNECT_FAILED, Outcome.RESET
@@ -46,7 +51,7 @@
 
 def silence_limit(state: BalancerState) -> float:
     """How long an endpoint with requests in flight may go without a response, in ns."""
-    return SILENCE_LATENCIES * max(c.latency for c in state.classes)
+    return MAX_SILENCE_MEAN_LATENCIES * max(c.latency for c in state.classes)
 
 
 def record_success(
@@ -90,17 +95,17 @@
             back_off(state, now, request_class, endpoint, endpoint.consecutive_rejections)
         else:
             endpoint.consecutive_errors += 1
-            times = endpoint.consecutive_errors + 1 - MAX_ERRORS
-            back_off(state, now, request_class, endpoint, times)
+            step = endpoint.consecutive_errors + 1 - MAX_ERRORS
+            back_off(state, now, request_class, endpoint, step)
     elif outcome in (TIMEOUT, CONNECT_FAILED, RESET):
-        _not_answered(state, now, request_class, endpoint, outcome, duration)
+        _record_no_response(state, now, request_class, endpoint, outcome, duration)
     if endpoint.unresponsive and not endpoint.in_flight:
         # With nothing in flight no response can clear the flag: probe the endpoint instead.
         endpoint.unresponsive = False
         endpoint.probing = True
 
 
-def _not_answered(
+def _record_no_response(
     state: BalancerState,
     now: int,
     request_class: ClassState,
@@ -120,12 +125,18 @@
     endpoint.connect_failed = outcome == CONNECT_FAILED
     # A single lost connection is weak evidence: if the process has ended, the next one fails as
     # well. So is a single time-out, which load may cause: at one slot it looks like silence.
-    lost = outcome in (CONNECT_FAILED, RESET)
+    connection_lost = outcome in (CONNECT_FAILED, RESET)
     failures = endpoint.consecutive_failures
     silent = failures >= MAX_SILENT_FAILURES and now - endpoint.silent_since >= duration
-    if silent or (lost and failures >= MAX_LOST_FAILURES):
-        eject(state, now, endpoint, lost=lost, restarted=outcome == CONNECT_FAILED)
-    elif lost:
+    if silent or (connection_lost and failures >= MAX_LOST_FAILURES):
+        eject(
+            state,
+            now,
+            endpoint,
+            connection_lost=connection_lost,
+            restarted=outcome == CONNECT_FAILED,
+        )
+    elif connection_lost:
         # Short after random failures; grows while all connections fail.
         back_off(state, now, request_class, endpoint, failures - 1)
 
@@ -144,25 +155,28 @@
 
 
 def back_off(
-    state: BalancerState, now: int, request_class: ClassState, endpoint: Endpoint, times: int
+    state: BalancerState, now: int, request_class: ClassState, endpoint: Endpoint, step: int
 ) -> None:
-    """Pause sends to an endpoint for about a mean latency, doubled `times` - 1 times.
+    """Pause sends to an endpoint for about a mean latency, doubled `step` - 1 times.
 
-    Does nothing if `times` is below 1. Jitter keeps nodes from resuming at the same time.
+    Does nothing if `step` is below 1. Jitter keeps nodes from resuming at the same time.
     """
-    if times < 1:
+    if step < 1:
         return
-    span = int(request_class.latency * (0.5 + state.random.random()))
-    span <<= min(times - 1, MAX_BACKOFF_DOUBLINGS)
-    endpoint.backoff_until = max(endpoint.backoff_until, now + min(span, MAX_BACKOFF_NS))
+    backoff_ns = int(request_class.latency * (0.5 + state.random.random()))
+    backoff_ns <<= min(step - 1, MAX_BACKOFF_DOUBLINGS)
+    endpoint.backoff_until = max(endpoint.backoff_until, now + min(backoff_ns, MAX_BACKOFF_NS))
     state.wake(endpoint.backoff_until, endpoint)
 
 
-def eject(state: BalancerState, now: int, endpoint: Endpoint, lost: bool, restarted: bool) -> None:
+def eject(
+    state: BalancerState, now: int, endpoint: Endpoint, connection_lost: bool, restarted: bool
+) -> None:
     """Take a silent or unreachable endpoint out of rotation; at most half of the ready ones.
 
-    `lost`: a connection was lost, as opposed to missing responses. `restarted`: its process may
-    have been replaced by the time it returns, which the list may show later: it returns cold.
+    `connection_lost`: a connection was lost, as opposed to missing responses. `restarted`: the
+    process may have been replaced by the time the endpoint returns, which the list may show only
+    later: it returns cold.
     """
     if endpoint.ejected_until or (state.ejected + 1) * 2 > state.ready:
         return
@@ -170,7 +184,7 @@
     endpoint.next_ejection_ns = min(endpoint.next_ejection_ns * 2, MAX_EJECTION_NS)
     if restarted:
         endpoint.cold_until = endpoint.ejected_until + state.settings.cold
-    reason = "connection failed or reset" if lost else "no answer since the send"
+    reason = "connection failed or reset" if connection_lost else "no answer since the send"
     state.log(now, f"backend {endpoint.id} out: {reason}")
     state.ejected += 1
     state.wake(endpoint.ejected_until, endpoint)
@@ -205,10 +219,10 @@
     endpoint = state.endpoints.get(backend)
     if endpoint is None:
         return
-    bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
-    endpoint.latency_ratio += REPORT_GAIN * (bounded - endpoint.latency_ratio)
+    bounded = min(max(ratio, MIN_LATENCY_RATIO), MAX_LATENCY_RATIO)
+    endpoint.latency_ratio += LOAD_REPORT_GAIN * (bounded - endpoint.latency_ratio)
     if failing:
-        eject(state, now, endpoint, lost=True, restarted=False)
+        eject(state, now, endpoint, connection_lost=True, restarted=False)
 
 
 def on_peer_report(
@@ -227,7 +241,7 @@
     if reported == ReportedState.FULL:
         back_off(state, now, state.classes[0], endpoint, 1)
     elif reported == ReportedState.SILENT:
-        eject(state, now, endpoint, lost=True, restarted=restarted)
+        eject(state, now, endpoint, connection_lost=True, restarted=restarted)
         if endpoint.ejected_until and not endpoint.consecutive_failures:
             # The nodes whose attempts failed probe it on behalf of all: here it stays ejected
             # until they report.
