--- a/loadbalancer/core/balancing/admission.py
+++ b/loadbalancer/core/balancing/admission.py
@@ -1,13 +1,13 @@
 """Admission: maximum queueing time, deferred requests, and tenants' quotas.
 
 Every request is queued first; `dispatch` sends it at once if a slot is free.
-- Queueing time: a queued request is rejected once WAIT_PART of its slack has passed. Slack is
-  the time until its latency objective or its client's deadline, whichever is earlier, minus
-  the mean latency of its class. An admitted request is thus answered well within its
+- Queueing time: a queued request is rejected once MAX_WAIT_SLACK_FRACTION of its slack has passed.
+  Slack is the time until its latency objective or its client's deadline, whichever is earlier,
+  minus the mean latency of its class. An admitted request is thus answered well within its
   objective, and so can be a client that retries immediately after a rejection.
 - Deferral: a request that exceeds its tenant's quota, or that is certain to miss the objective
-  counted from its client's first try, is queued behind all other requests of all classes.
-  Under overload it is the first to be rejected, when its queueing time ends.
+  counted from its client's first try, is queued behind all other requests of all classes. Under
+  overload it is the first to be rejected, when its queueing time ends.
 - Quota: a token bucket per tenant, filled at this node's part of the tenant's rate, with a
   capacity of one second of that rate.
 
@@ -25,9 +25,9 @@
 )
 from loadbalancer.core.balancing.state import BalancerState
 
-WAIT_PART = 0.25  # part of its slack for which a request may be queued
-# A remaining time counts as that of first tries only if this part of all requests has it.
-USUAL_PART = 0.25
+MAX_WAIT_SLACK_FRACTION = 0.25  # a request may be queued for this fraction of its slack
+# The most frequent remaining time is that of first tries if this fraction of requests has it.
+MIN_USUAL_STEP_FRACTION = 0.25
 
 QUEUED, ACTIVE = RequestState.QUEUED, RequestState.ACTIVE
 
@@ -40,21 +40,25 @@
     Raises:
         ValueError: the tenant is unknown.
     """
-    c = request.request_class
-    c.arrivals += 1
-    elapsed = elapsed_before(c, remaining)
+    request_class = request.request_class
+    request_class.arrivals += 1
+    elapsed = elapsed_before(request_class, remaining)
     if elapsed:
         request.objective_at -= elapsed
-        if elapsed + c.latency >= c.latency_objective:
+        if elapsed + request_class.latency >= request_class.latency_objective:
             # Counted from the first try it can only be late: requests that can be in time go first.
-            request.objective_at = now + c.latency_objective
+            request.objective_at = now + request_class.latency_objective
             request.deferred = True
-    slack = min(request.objective_at, request.deadline) - now - int(c.latency)
-    request.wait_until = now + max(int(slack * WAIT_PART), 0)
+    slack = min(request.objective_at, request.deadline) - now - int(request_class.latency)
+    request.wait_until = now + max(int(slack * MAX_WAIT_SLACK_FRACTION), 0)
     if state.quota:
         request.deferred = _exceeds_quota(state, now, request.tenant) or request.deferred
     retry_after = state.settings.max_retry_after
-    if retry and c.spec.late_weight <= 0 and retry_after > c.latency_objective:
+    if (
+        retry
+        and request_class.spec.late_weight <= 0
+        and retry_after > request_class.latency_objective
+    ):
         # Its first try was rejected with a Retry-After beyond the objective: it is late already.
         request.deferred = True
     enqueue(state, request, False)
@@ -65,10 +69,12 @@
 
     `hint` is that estimate in nanoseconds.
     """
-    c = request.request_class
-    if c.spec.objective_stretch:
-        stretched = c.latency_objective + int(c.spec.objective_stretch * hint)
-        request.objective_at = now + min(stretched, c.spec.deadline)
+    request_class = request.request_class
+    if request_class.spec.objective_stretch:
+        stretched = request_class.latency_objective + int(
+            request_class.spec.objective_stretch * hint
+        )
+        request.objective_at = now + min(stretched, request_class.spec.deadline)
 
 
 def elapsed_before(request_class: ClassState, remaining: int) -> int:
@@ -89,7 +95,7 @@
     if histogram[step] > histogram[c.usual_remaining_step]:
         c.usual_remaining_step = step
     usual = c.usual_remaining_step
-    if abs(step - usual) <= 1 or histogram[usual] < USUAL_PART * c.remaining_samples:
+    if abs(step - usual) <= 1 or histogram[usual] < MIN_USUAL_STEP_FRACTION * c.remaining_samples:
         return 0
     return max(deadline - remaining, 0)
 
@@ -109,21 +115,23 @@
 
 def enqueue(state: BalancerState, request: Request, front: bool) -> None:
     """Add a request to the end of its queue, or to the front if `front`."""
-    c = request.request_class
+    request_class = request.request_class
     request.state = QUEUED
     if request.deferred:
         state.deferred += 1
-        c.deferred += 1
-        queue = c.deferred_queue
+        request_class.deferred += 1
+        queue = request_class.deferred_queue
     else:
         state.queued += 1
-        c.queued += 1
+        request_class.queued += 1
         tenant = request.tenant if state.quota else 0
-        queue = c.queues[tenant]
-        if state.quota and not c.queued_by_tenant[tenant]:
+        queue = request_class.queues[tenant]
+        if state.quota and not request_class.queued_by_tenant[tenant]:
             # Stride scheduling: an idle tenant must not accumulate turns.
-            c.passes[tenant] = max(c.passes[tenant], c.virtual_time)
-        c.queued_by_tenant[tenant] += 1
+            request_class.passes[tenant] = max(
+                request_class.passes[tenant], request_class.virtual_time
+            )
+        request_class.queued_by_tenant[tenant] += 1
     if front:
         queue.appendleft(request)
     else:
@@ -132,18 +140,18 @@
 
 def dequeue(state: BalancerState, request: Request) -> None:
     """Count a request as no longer queued; its queue entry is removed lazily at the front."""
-    c = request.request_class
+    request_class = request.request_class
     request.state = ACTIVE
     if request.deferred:
         state.deferred -= 1
-        c.deferred -= 1
-        queue = c.deferred_queue
+        request_class.deferred -= 1
+        queue = request_class.deferred_queue
     else:
         state.queued -= 1
-        c.queued -= 1
+        request_class.queued -= 1
         tenant = request.tenant if state.quota else 0
-        c.queued_by_tenant[tenant] -= 1
-        queue = c.queues[tenant]
+        request_class.queued_by_tenant[tenant] -= 1
+        queue = request_class.queues[tenant]
     # Without this, a queue that is never served would keep every request that was added to it.
     while queue and queue[0].state is not QUEUED:
         queue.popleft()
--- a/loadbalancer/core/subscription/updates.py
+++ b/loadbalancer/core/subscription/updates.py
@@ -14,7 +14,10 @@
 
 
 class UpdateStatus(Enum):
-    """The result of an update. Measurements record the names of the members.
+    """The result of an update.
+
+    Measurements record the names of the members. The values are part of the recorded digests of
+    simulated runs, so they must not change; the attributes describe the members.
 
     Attributes:
         APPLIED: the update was applied.
