--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -41,9 +41,8 @@
         self.soft_limit = max((memory_mb - BASELINE_MB << 20) // 2, MIN_SOFT_LIMIT_BYTES)
         self.buffered = 0
         self.paused: dict[BodyReader, None] = {}
-        self.incomplete: dict[
-            BodyReader, None
-        ] = {}  # bodies buffered whole, but small ones; by age
+        # Incomplete bodies that are buffered whole, without small ones; oldest first.
+        self.incomplete: dict[BodyReader, None] = {}
 
     def window(self) -> int:
         """Bytes that a flow may buffer before its source is paused.
