--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -21,8 +21,8 @@
 # Before a request older than this is sent, or any request is retried, its client's socket is
 # checked for a half-close.
 HALF_CLOSE_CHECK_AGE_NS = 50 * MS
-# An attempt that times out before its connection is established counts as a failed connect, and
-# so against its backend, once it has waited for at least 1/4 of the connect timeout.
+# An attempt that times out before its request is written counts as a failed connect, and so
+# against its backend, if it has waited for at least the connect timeout divided by this.
 CONNECT_TIMEOUT_DIVISOR = 4
 # A request that the Balancer has not answered is failed this long after its deadline.
 ANSWER_GRACE_NS = 10 * MS
@@ -33,8 +33,6 @@
 
     upstream: ConnectionPool
 
-    # ---- actions of the Balancer -----------------------------------------
-
     def send(self, request: int, backend: int, timeout: int) -> None:
         """Send the next attempt of a request.
 
@@ -79,8 +77,6 @@
         if open_request is not None and 0 <= attempt < len(open_request.attempts):
             self.abort_attempt(open_request.attempts[attempt], Outcome.CANCELLED)
 
-    # ---- before the first byte -------------------------------------------
-
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt whose connection was just established may write its first byte.
 
@@ -101,8 +97,6 @@
         if not request.half_closed and request.client is not None:
             request.half_closed = request.client.has_half_closed()
 
-    # ---- aborting attempts -------------------------------------------------
-
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """Close an attempt's connection and settle the attempt, unless it is settled already.
 
@@ -140,7 +134,7 @@
         for attempt in self.upstream.connecting_attempts(backends):
             self.abort_attempt(attempt, Outcome.CANCELLED)
 
-    # ---- long messages -------------------------------------------------------
+    # Streaming of long bodies and responses.
 
     def on_body_started(self, attempt: Attempt) -> None:
         """Tell the Balancer that a long body is about to be written, so it can't be sent again."""
--- a/loadbalancer/proxy/balancer_events.py
+++ b/loadbalancer/proxy/balancer_events.py
@@ -85,8 +85,6 @@
     def _on_timers_due(self) -> None:
         """Handle all timers that are due; called when the earliest one is."""
 
-    # ---- events ------------------------------------------------------------
-
     def begin_event(self) -> int:
         """Begin an event and return its time."""
         self.in_event = True
@@ -128,8 +126,6 @@
     def _log_fault(self) -> None:
         logger.exception("the balancer raised an exception while handling an event")
 
-    # ---- outcomes ----------------------------------------------------------
-
     def record_outcome(
         self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()
     ) -> None:
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -1,7 +1,7 @@
 """A client's request and its attempts, shared by the host and its connection classes.
 
-The protocols here describe the client and backend connections as far as the host uses them, so
-that the host does not depend on the connection classes, nor they on each other.
+The protocols here declare what the host uses of client and backend connections, so that the host
+does not depend on the connection classes, nor they on each other.
 """
 
 from __future__ import annotations
--- a/loadbalancer/proxy/flow_control.py
+++ b/loadbalancer/proxy/flow_control.py
@@ -9,12 +9,11 @@
 from collections import deque
 from typing import Protocol
 
-STREAMING_THRESHOLD_BYTES = (
-    64 << 10
-)  # messages up to this size are buffered completely before they are forwarded
+# Messages up to this size are buffered completely before they are forwarded.
+STREAMING_THRESHOLD_BYTES = 64 << 10
 MAX_MESSAGE_BYTES = 32 << 20  # largest content accepted, of a request or a response
 MIN_WINDOW_BYTES = 64 << 10  # smallest window while usage is within the soft limit
-WINDOW_FRACTION = 16  # a window is 1/16 of the free bytes below the soft limit
+WINDOW_FRACTION = 16  # a window is the free bytes below the soft limit, divided by this
 BASELINE_MB = 32  # memory of the process without message buffers, connections included
 MIN_SOFT_LIMIT_BYTES = 4 << 20
 
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -51,8 +51,6 @@
         self._loop_owns_socket = False
         self._task: asyncio.Task[None] | None = None
 
-    # ---- connecting --------------------------------------------------------
-
     def connect(self, attempt: Attempt) -> None:
         """Connect and then send an attempt; raises OSError if no socket can be created."""
         host = self.host
@@ -127,7 +125,7 @@
         self._write_request()
 
     def is_usable(self) -> bool:
-        """Whether an idle connection is still open, as far as the kernel knows.
+        """Whether the kernel has received neither a close nor any bytes on an idle connection.
 
         The backend may have closed it without the event loop having noticed yet. A request
         written to it would be answered with a reset and count as possibly executed.
@@ -143,8 +141,6 @@
             return False
         return False  # end of stream, or bytes that belong to no response
 
-    # ---- closing -----------------------------------------------------------
-
     def _recycle(self, reusable: bool) -> None:
         if reusable:
             self._state = IDLE
--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -25,7 +25,7 @@
 
     1. An attempt is sent on the connection to its backend that became idle most recently, so
        that surplus connections age and are closed.
-    2. An idle connection that the backend has closed, as far as the kernel knows, is not used.
+    2. An idle connection is not used if the kernel has received the backend's close or any bytes.
     3. If no idle connection can be used, a new one is opened, provided that a descriptor is
        available. Otherwise the attempt's outcome is MOOT, which does not count against the
        backend.
--- a/loadbalancer/proxy/upstream/request_writer.py
+++ b/loadbalancer/proxy/upstream/request_writer.py
@@ -137,7 +137,7 @@
         elif self._state is SENDING:
             self._write_pieces()
 
-    # ---- long bodies: this connection is the sink of the flow --------------
+    # For long bodies this connection is the sink of the flow.
 
     def _begin_upload(self, flow: Flow, head: bytes) -> None:
         assert self.transport is not None
--- a/loadbalancer/proxy/upstream/response_reader.py
+++ b/loadbalancer/proxy/upstream/response_reader.py
@@ -110,7 +110,7 @@
         chunks, self.chunks = self.chunks, []
         return chunks
 
-    # ---- callbacks of the parser ----------------------------------------
+    # Callbacks of httptools.HttpResponseParser, which requires these names.
 
     def on_message_begin(self) -> None:
         """Another response begins."""
--- a/loadbalancer/proxy/upstream/response_receiver.py
+++ b/loadbalancer/proxy/upstream/response_receiver.py
@@ -185,7 +185,7 @@
             return ()
         return parse_load_report(report, config.settings.load_columns)
 
-    # ---- long responses: this connection is the source of the flow ---------
+    # For long responses this connection is the source of the flow.
 
     def _must_stream(self) -> bool:
         """Whether the response must be streamed, judging by the part read so far."""
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def heap(loop: Loop, fired: list[str], monkeypatch: pytest.MonkeyPatch) -> TimerHeap:
-    """An empty heap; the monotonic clock stands at 100 s."""
+    """An empty heap. The monotonic clock is patched to return 100 s."""
     monkeypatch.setattr("time.monotonic_ns", lambda: 100 * SECOND_NS)
     return TimerHeap(cast(Any, loop), lambda: fired.append("due"))
 
--- a/tests/proxy/upstream/test_abandoned_responses.py
+++ b/tests/proxy/upstream/test_abandoned_responses.py
@@ -23,14 +23,14 @@
 
 MEMORY_MB = 48
 CLIENTS = 3
-RESPONSE = answer(LONG_CONTENT * 9)  # 27 MB; the limit is 32 MiB
+RESPONSE = answer(LONG_CONTENT * 9)  # just below MAX_MESSAGE_BYTES
 
 
 def test_a_long_response_to_a_disconnected_client_is_not_buffered(tmp_path: Path) -> None:
-    """Clients of unsafe requests disconnect, then their backends send responses of 27 MB each.
+    """Clients of unsafe requests disconnect, then their backends send very long responses.
 
     Such attempts may have been executed, so they continue to their outcomes. Their responses
-    used to be buffered in full, outside the buffer budget and beyond the memory limit of 48 MB.
+    used to be buffered in full, outside the buffer budget, and exceeded the memory limit.
     The connections must still be reused afterwards, and no request may be sent twice.
     """
     settings = {"classes": patient_classes()}
--- a/tests/proxy/upstream/test_long_messages.py
+++ b/tests/proxy/upstream/test_long_messages.py
@@ -267,7 +267,10 @@
 def test_responses_larger_than_memory_are_streamed_while_small_requests_are_served(
     proxied: Proxied,
 ) -> None:
-    """8 responses of 9 MB wait for their clients at a limit of 48 MB; later each is complete."""
+    """Responses that exceed the memory limit together wait for their clients to read them.
+
+    They must neither exceed the limit nor block a small request, and each must be complete.
+    """
     clients: list[Peer] = []
     threads: list[threading.Thread] = []
     for i in range(8):
--- a/tests/proxy/upstream/test_unfinished_uploads.py
+++ b/tests/proxy/upstream/test_unfinished_uploads.py
@@ -28,8 +28,8 @@
 
 RECEIVE_BUFFER_BYTES = 4096  # of the backend's connections
 MANY_BYTES = 30_000_000  # more than fits into the buffers of the kernel and the node together
-# Half of what the node buffers of an upload beyond the kernel's buffers, at its memory limit of
-# 128 MB. It is only half because the capacity of the kernel's buffers varies between connections.
+# Half of what the node buffers of an upload beyond the kernel's buffers, at the memory limit that
+# the harness sets. Only half, because the capacity of the kernel's buffers varies by connection.
 WAITING_BYTES = 1_500_000
 SETTLE_S = 0.2
 
