--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -1,9 +1,9 @@
-"""What a Balancer has learned, as plain data for the process that succeeds it.
+"""Exports what a Balancer has learned, and restores it in the process that succeeds it.
 
-Times are written as spans before or after the moment of writing, so that the two
-processes need no common clock. `parse` checks all of the data before `restore` changes
-anything. Restored state is never more permissive than a fresh start: a cold endpoint
-stays cold for the time that remained, and an ejected one stays ejected.
+The exported data is plain. Times are written as durations relative to the time of the export, so
+that the two processes need no common clock. `parse` checks all of the data before `restore`
+changes anything. Restored state is never more permissive than a fresh start: a cold endpoint
+stays cold for the remaining time, and an ejected one stays ejected.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     from loadbalancer.core.balancing.records import ClassState, Endpoint
     from loadbalancer.core.balancing.state import BalancerState
 
-LONGEST_NS = 3600 * SECOND  # bound of any restored span
-MAX_RATIO = 10.0  # bound of a restored latency ratio or load cost
+MAX_DURATION_NS = 3600 * SECOND  # upper bound of a restored duration
+MAX_RATIO = 10.0  # upper bound of a restored latency ratio or load cost
 
 # Keys of the exported data.
 LIMIT, SEND_RATE, RETRY_CREDIT = "level", "send_rate", "retry_credit"
@@ -32,11 +32,11 @@
 
 
 class LearnedStateError(ProtocolError, ValueError):
-    """Malformed data; also a ValueError, as for any unsuitable value."""
+    """The exported data is malformed; also a ValueError, as for any unsuitable value."""
 
 
 class LearnedClass(NamedTuple):
-    """What was learned of a request class, by its name; latencies in nanoseconds."""
+    """What was learned of a request class; latencies in nanoseconds."""
 
     latency: float
     latency_samples: float
@@ -46,18 +46,18 @@
 
 
 class LearnedEndpoint(NamedTuple):
-    """What was learned of an endpoint, by its id; spans in ns."""
+    """What was learned of an endpoint; durations in nanoseconds."""
 
     latency_ratio: float
     load_cost: float
-    cold: int  # remaining time of the slow start
-    ejected: int  # remaining time of the ejection
-    backoff: int  # length of the next ejection
+    cold: int  # remaining time of its slow start
+    ejected: int  # remaining time of its ejection
+    backoff: int  # duration of its next ejection
     consecutive_failures: int
 
 
 class LearnedState(NamedTuple):
-    """What a Balancer has learned."""
+    """What a Balancer has learned: its classes by name, its endpoints by id."""
 
     concurrency_limit: float
     send_rate: float
@@ -67,64 +67,64 @@
 
 
 def export(balancer: Balancer, now: int) -> dict[str, Any]:
-    """What this Balancer has learned, as data for JSON."""
+    """Return what this Balancer has learned, as data that JSON can represent."""
     state = balancer.state
     return {
         LIMIT: state.concurrency_limit,
         SEND_RATE: state.send_rate,
         RETRY_CREDIT: state.retry_credit,
         CLASSES: {
-            c.spec.name: [
-                c.latency,
-                c.latency_samples,
-                c.base_latency,
-                c.share,
-                c.remaining_histogram,
+            request_class.spec.name: [
+                request_class.latency,
+                request_class.latency_samples,
+                request_class.base_latency,
+                request_class.share,
+                request_class.remaining_histogram,
             ]
-            for c in state.classes
-            if not c.retires_at  # a retired class may have the name of one in force
+            for request_class in state.classes
+            if not request_class.retires_at  # a retired class may share its name with a current one
         },
         ENDPOINTS: {
-            str(e.id): [
-                e.latency_ratio,
-                e.load_cost,
-                max(e.cold_until - now, 0),
-                max(e.ejected_until - now, 0),
-                e.backoff,
-                e.consecutive_failures,
+            str(endpoint.id): [
+                endpoint.latency_ratio,
+                endpoint.load_cost,
+                max(endpoint.cold_until - now, 0),
+                max(endpoint.ejected_until - now, 0),
+                endpoint.backoff,
+                endpoint.consecutive_failures,
             ]
-            for e in state.endpoints.values()
+            for endpoint in state.endpoints.values()
         },
     }
 
 
 def parse(raw: Any) -> LearnedState:
-    """Check exported data; raises LearnedStateError where any of it is malformed."""
+    """Check and convert exported data; raises LearnedStateError if any of it is malformed."""
     try:
         classes = {str(name): _parse_class(row) for name, row in raw[CLASSES].items()}
         endpoints = {int(key): _parse_endpoint(row) for key, row in raw[ENDPOINTS].items()}
         return LearnedState(
-            min(max(_figure(raw[LIMIT]), MIN_LIMIT), MAX_LIMIT),
-            _figure(raw[SEND_RATE]),
-            _figure(raw[RETRY_CREDIT]),
+            min(max(_non_negative(raw[LIMIT]), MIN_LIMIT), MAX_LIMIT),
+            _non_negative(raw[SEND_RATE]),
+            _non_negative(raw[RETRY_CREDIT]),
             classes,
             endpoints,
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as err:
-        raise LearnedStateError(f"not what a Balancer has learned: {err}") from None
+        raise LearnedStateError(f"malformed learned state: {err}") from None
 
 
 def restore(balancer: Balancer, now: int, learned: LearnedState) -> None:
-    """Restore what was learned, for the classes and endpoints that are still known."""
+    """Restore what was learned of the classes and endpoints that this Balancer knows too."""
     state = balancer.state
     state.now = now
     state.concurrency_limit = learned.concurrency_limit
     state.send_rate = learned.send_rate
     state.retry_credit = min(learned.retry_credit, state.retry_credit)
-    for c in state.classes:
-        learned_class = learned.classes.get(c.spec.name)
+    for request_class in state.classes:
+        learned_class = learned.classes.get(request_class.spec.name)
         if learned_class is not None:
-            _restore_class(c, learned_class)
+            _restore_class(request_class, learned_class)
     for endpoint in state.endpoints.values():
         learned_endpoint = learned.endpoints.get(endpoint.id)
         if learned_endpoint is not None:
@@ -135,9 +135,9 @@
 def _parse_class(row: Any) -> LearnedClass:
     latency, samples, base, share, histogram = row
     return LearnedClass(
-        _span(latency),
-        _figure(samples),
-        _span(base, 0.0),
+        _duration(latency),
+        _non_negative(samples),
+        _duration(base, 0.0),
         max(int(share), 1),
         _histogram(histogram),
     )
@@ -146,22 +146,22 @@
 def _parse_endpoint(row: Any) -> LearnedEndpoint:
     ratio, cost, cold, ejected, backoff, failures = row
     return LearnedEndpoint(
-        min(_figure(ratio), MAX_RATIO),
-        min(_figure(cost), MAX_RATIO),
-        int(_span(cold, 0.0)),
-        int(_span(ejected, 0.0)),
+        min(_non_negative(ratio), MAX_RATIO),
+        min(_non_negative(cost), MAX_RATIO),
+        int(_duration(cold, 0.0)),
+        int(_duration(ejected, 0.0)),
         min(max(int(backoff), FIRST_EJECTION), MAX_EJECTION_NS),
         max(int(failures), 0),
     )
 
 
-def _restore_class(c: ClassState, learned: LearnedClass) -> None:
-    c.latency, c.latency_samples = learned.latency, learned.latency_samples
-    c.base_latency = learned.base_latency
-    c.share = learned.share
-    histogram = c.remaining_histogram = list(learned.remaining_histogram)
-    c.remaining_seen = sum(histogram)
-    c.usual_remaining = max(range(len(histogram)), key=histogram.__getitem__)
+def _restore_class(state: ClassState, learned: LearnedClass) -> None:
+    state.latency, state.latency_samples = learned.latency, learned.latency_samples
+    state.base_latency = learned.base_latency
+    state.share = learned.share
+    histogram = state.remaining_histogram = list(learned.remaining_histogram)
+    state.remaining_seen = sum(histogram)
+    state.usual_remaining = max(range(len(histogram)), key=histogram.__getitem__)
 
 
 def _restore_endpoint(
@@ -179,19 +179,19 @@
         state.wake(endpoint.ejected_until, endpoint)
 
 
-def _figure(value: Any) -> float:
+def _non_negative(value: Any) -> float:
     number = float(value)
     if not isfinite(number) or number < 0:
-        raise LearnedStateError(f"{value!r} is no figure")
+        raise LearnedStateError(f"{value!r} is not a finite number from 0 on")
     return number
 
 
-def _span(value: Any, minimum: float = 1.0) -> float:
-    return min(max(_figure(value), minimum), float(LONGEST_NS))
+def _duration(value: Any, minimum: float = 1.0) -> float:
+    return min(max(_non_negative(value), minimum), float(MAX_DURATION_NS))
 
 
 def _histogram(value: Any) -> tuple[int, ...]:
-    counts = tuple(int(_figure(count)) for count in value)
+    counts = tuple(int(_non_negative(count)) for count in value)
     if len(counts) != REMAINING_STEPS + 1:
-        raise LearnedStateError("the times left are counted in other steps")
+        raise LearnedStateError("the histogram of remaining times has another number of buckets")
     return counts
--- a/tests/core/test_learned_state.py
+++ b/tests/core/test_learned_state.py
@@ -1,4 +1,4 @@
-"""What one process leaves the next, as plain data."""
+"""Tests for exporting what a Balancer has learned, and restoring it in another process."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 from tests.recording_host import KEYED, PURE, build, rows
 
 
-def learned() -> dict[str, object]:
+def exported_data() -> dict[str, object]:
     balancer, _ = build(count=4)
     balancer.on_members(0, Update.DELTA, [Listing(9, State.READY, boot=1)])
-    for rid in range(1, 30):
-        balancer.on_request(rid * MS, rid, rid % 3, 900 * MS)
-        balancer.on_outcome(rid * MS + 5 * MS, rid, 0, Outcome.OK, 5 * MS, True)
+    for request in range(1, 30):
+        balancer.on_request(request * MS, request, request % 3, 900 * MS)
+        balancer.on_outcome(request * MS + 5 * MS, request, 0, Outcome.OK, 5 * MS, True)
     eject(balancer.state, SECOND, balancer.endpoints[101], True, False)
     return learned_state.export(balancer, SECOND)
 
 
-def test_what_was_learned_passes_through_json_as_spans() -> None:
-    raw = json.loads(json.dumps(learned()))
-    heir, _ = build(count=4)
-    heir.on_members(0, Update.DELTA, [Listing(9, State.READY)])
-    now = 500 * SECOND  # of another clock
-    learned_state.restore(heir, now, learned_state.parse(raw))
-    assert heir.classes[0].latency == raw["classes"]["pure"][0] != build()[0].classes[0].latency
-    assert heir.endpoints[101].ejected_until > now
-    assert heir.state.ejected == 1
-    assert now < heir.endpoints[9].cold_until <= now + heir.settings.cold  # cold as it was
+def test_learned_state_passes_through_json_with_times_as_durations() -> None:
+    raw = json.loads(json.dumps(exported_data()))
+    successor, _ = build(count=4)
+    successor.on_members(0, Update.DELTA, [Listing(9, State.READY)])
+    now = 500 * SECOND  # the successor has another clock
+    learned_state.restore(successor, now, learned_state.parse(raw))
+    assert (
+        successor.classes[0].latency == raw["classes"]["pure"][0] != build()[0].classes[0].latency
+    )
+    assert successor.endpoints[101].ejected_until > now
+    assert successor.state.ejected == 1
+    assert now < successor.endpoints[9].cold_until <= now + successor.settings.cold  # still cold
     for step in range(1, 200):
-        heir.on_timer(now + step * SECOND, 1)
-    assert heir.state.ejected == 0
-    assert not heir.endpoints[101].ejected_until
+        successor.on_timer(now + step * SECOND, 1)
+    assert successor.state.ejected == 0
+    assert not successor.endpoints[101].ejected_until
 
 
-def test_of_two_classes_of_one_name_the_one_that_counts_is_exported() -> None:
+def test_of_two_classes_with_one_name_the_current_one_is_exported() -> None:
     balancer, _ = build(Settings(classes=(KEYED, PURE)))
     balancer.classes[1].latency = 77.0 * MS
     balancer.on_settings(1, Settings(classes=(replace(PURE, latency_objective=150 * MS),)))
@@ -49,12 +51,14 @@
     }
 
 
-def test_what_is_not_known_any_more_is_skipped() -> None:
-    heir, _ = build(count=1)
-    heir.on_members(0, Update.FULL, rows(1, first=500))
-    learned_state.restore(heir, SECOND, learned_state.parse(json.loads(json.dumps(learned()))))
-    assert set(heir.endpoints) == {500}
-    assert heir.state.ejected == 0
+def test_endpoints_that_are_no_longer_known_are_skipped() -> None:
+    successor, _ = build(count=1)
+    successor.on_members(0, Update.FULL, rows(1, first=500))
+    learned_state.restore(
+        successor, SECOND, learned_state.parse(json.loads(json.dumps(exported_data())))
+    )
+    assert set(successor.endpoints) == {500}
+    assert successor.state.ejected == 0
 
 
 @pytest.mark.parametrize(
@@ -70,13 +74,13 @@
         ("send_rate", None),
     ],
 )
-def test_data_of_another_form_is_refused_completely(key: str, value: object) -> None:
-    with pytest.raises(ValueError, match="not what a Balancer has learned"):
-        learned_state.parse(learned() | {key: value})
+def test_malformed_data_is_refused_completely(key: str, value: object) -> None:
+    with pytest.raises(ValueError, match="malformed learned state"):
+        learned_state.parse(exported_data() | {key: value})
 
 
-def test_what_was_learned_late_permits_no_more_than_is_known_here() -> None:
-    """A process has spent credit, and the list has named a new start, before the data comes."""
+def test_restored_state_is_not_more_permissive_than_the_present_one() -> None:
+    """Before the data arrives, retry credit is spent and the list reports a later start."""
     balancer, _ = build(Settings((PURE,), cold=10 * SECOND), count=0)
     old, _ = build(Settings((PURE,), cold=10 * SECOND), count=0)
     old.on_members(0, Update.FULL, [Listing(100, State.READY, boot=SECOND)])
