--- a/loadbalancer/core/endpoints/attempt_evidence.py
+++ b/loadbalancer/core/endpoints/attempt_evidence.py
@@ -1,9 +1,9 @@
-"""What a Balancer's own attempts show of a server, to confirm or refute a source's report.
+"""Evidence from a Balancer's own attempts that confirms or refutes a source's report of a server.
 
-A source of a list may be wrong, so `merged_list` compares it with the results of attempts. The
-Balancer knows which servers it has ejected as silent or unreachable, and which answered recently.
-Where it may eject no further server (never more than half of all), the consecutive failures still
-show it.
+A source of the endpoint list may be wrong, so `merged_list` compares its reports with the results
+of attempts. The Balancer knows which endpoints it has ejected as unresponsive or unreachable, and
+which have answered recently. It never ejects more than half of its endpoints: once it may eject no
+more, the number of consecutive failures is still evidence.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_SILENT_FAILURES
 
-RECENT_ANSWER_NS = 5 * SECOND  # how long an answer shows that a server is alive
+RECENT_ANSWER_NS = 5 * SECOND  # how long an answer is evidence that a server is alive
 
 
 class AttemptEvidence(Enum):
-    """What attempts show of a server."""
+    """What a node's own attempts show of a server."""
 
-    UNKNOWN = auto()  # it is not known, or was not used recently
-    ALIVE = auto()  # it answered recently
-    DEAD = auto()  # it is silent or unreachable
+    UNKNOWN = auto()  # the Balancer does not know the server, or has no recent conclusive result
+    ALIVE = auto()  # it has answered recently, and no attempt has failed since
+    DEAD = auto()  # it is ejected, or too many consecutive attempts have failed
 
 
 def no_evidence(_server: object) -> AttemptEvidence:
-    """The evidence of whoever makes no attempts."""
+    """Return the evidence of a caller that makes no attempts itself."""
     return AttemptEvidence.UNKNOWN
 
 
 def evidence_of(balancer: Balancer, now: int, backend: int) -> AttemptEvidence:
-    """What a Balancer's attempts show of a server; `now` in nanoseconds.
+    """Return what a Balancer's attempts show of an endpoint; `now` in nanoseconds.
 
-    One lost connection does not make a server dead: that takes MAX_SILENT_FAILURES consecutive
-    failures with no answer between.
+    A single lost connection does not make an endpoint DEAD: that takes an ejection, or
+    MAX_SILENT_FAILURES consecutive failures with no answer between them.
     """
     endpoint = balancer.endpoints.get(backend)
     if endpoint is None:
--- a/loadbalancer/core/endpoints/departure_limits.py
+++ b/loadbalancer/core/endpoints/departure_limits.py
@@ -1,4 +1,4 @@
-"""How many servers may be drained on the sources' reports alone; times in nanoseconds."""
+"""Limits on how many servers are drained on the sources' reports alone; times in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeLimits:
-    """Limits on what sources' reports alone change in the merged list.
+    """Limits on the changes that sources' reports alone make to the merged list.
 
     Attributes:
-        max_drained_part: of the present pool, drained within a window; at least one server.
-        window_ns: of `max_drained_part`.
-        max_unconfirmed_part: of the pool, drained at any one time on health checks that no
-            attempt confirms; at least one server.
-        empty_confirm_ns: how long an empty list is repeated until it is believed.
-        drain_ns: from the drain of a deregistered server until it is listed as removed.
-        flap_threshold: changes of health, decaying, from which a server is flapping.
-        flap_half_life_ns: in which changes of health lose half of their count.
+        max_drained_fraction: the fraction of the present pool that may be drained within
+            `window_ns`, but at least one server.
+        window_ns: the time to which `max_drained_fraction` refers.
+        max_unconfirmed_fraction: the fraction of the pool that may at any one time be drained on
+            health checks that no attempt confirms, but at least one server.
+        empty_confirm_ns: how long a source must repeat an empty list before it is applied.
+        drain_ns: how long a deregistered server drains before it is listed as removed.
+        flap_threshold: the penalty from which a server is flapping (see `flap_detector`).
+        flap_half_life_ns: the half-life of that penalty.
     """
 
-    max_drained_part: float = 0.2
+    max_drained_fraction: float = 0.2
     window_ns: int = 30 * SECOND
-    max_unconfirmed_part: float = 0.25
+    max_unconfirmed_fraction: float = 0.25
     empty_confirm_ns: int = 60 * SECOND
     drain_ns: int = 2 * SECOND
     flap_threshold: float = 4.0
@@ -32,35 +33,35 @@
 
 
 class DepartureLimiter:
-    """A leaky bucket of the servers drained on reports alone.
+    """Limits departures by a leaky bucket that counts the servers drained on reports alone.
 
-    Its capacity follows the size of the present pool, which each call is given.
+    Its capacity depends on the size of the present pool, which is passed to each call.
     """
 
-    __slots__ = ("_leaked_at", "_level", "_limits")
+    __slots__ = ("_leaked_until", "_drained_count", "_limits")
 
     def __init__(self, limits: MergeLimits) -> None:
         self._limits = limits
-        self._level = 0.0  # servers drained, less what has leaked
-        self._leaked_at = 0
+        self._drained_count = 0.0  # servers drained, minus those that have leaked out
+        self._leaked_until = 0
 
     def leak(self, now: int, pool_size: int) -> None:
-        """Let the bucket leak at the rate that empties a full one in a window."""
-        leaked = self._capacity(pool_size) * (now - self._leaked_at) / self._limits.window_ns
-        self._level = max(self._level - max(leaked, 0.0), 0.0)
-        self._leaked_at = now
+        """Let the bucket leak at the rate that empties a full one in `window_ns`."""
+        leaked = self._capacity(pool_size) * (now - self._leaked_until) / self._limits.window_ns
+        self._drained_count = max(self._drained_count - max(leaked, 0.0), 0.0)
+        self._leaked_until = now
 
     def has_capacity(self, pool_size: int) -> bool:
         """Whether one more server may be drained now."""
-        return self._level + 1.0 <= self._capacity(pool_size)
+        return self._drained_count + 1.0 <= self._capacity(pool_size)
 
     def count_departure(self) -> None:
-        """One more server is drained on reports alone."""
-        self._level += 1.0
+        """Count one more server drained on reports alone."""
+        self._drained_count += 1.0
 
-    def allows_unconfirmed(self, unconfirmed: int, pool_size: int) -> bool:
-        """Whether, beside these, one more may be drained on health checks alone."""
-        return unconfirmed + 1 <= max(self._limits.max_unconfirmed_part * pool_size, 1.0)
+    def allows_unconfirmed(self, unconfirmed_count: int, pool_size: int) -> bool:
+        """Whether, beside so many servers, one more may be drained on health checks alone."""
+        return unconfirmed_count + 1 <= max(self._limits.max_unconfirmed_fraction * pool_size, 1.0)
 
     def _capacity(self, pool_size: int) -> float:
-        return max(self._limits.max_drained_part * pool_size, 1.0)
+        return max(self._limits.max_drained_fraction * pool_size, 1.0)
--- a/loadbalancer/core/endpoints/flap_detector.py
+++ b/loadbalancer/core/endpoints/flap_detector.py
@@ -1,32 +1,33 @@
-"""Finds servers whose health changes again and again, by a penalty that decays.
+"""Detects servers whose health changes repeatedly, by a penalty that decays exponentially.
 
-Source: the penalty, its half-life and its two thresholds are those of BGP's route flap damping
-(RFC 2439).
+The penalty, its half-life and its two thresholds follow BGP's route flap damping (RFC 2439).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIN_PENALTY = 0.01  # changes; a penalty that has decayed below this counts as none
+NEGLIGIBLE_PENALTY = 0.01  # a penalty that has decayed to this counts as none
 
 
 @dataclass(slots=True)
 class FlapDetector:
-    """One server's changes of health.
+    """The recent changes of one server's health.
 
     Attributes:
-        penalty: 1 a change, decaying, as of `updated_at` (ns).
-        is_flapping: set at the threshold, and cleared at half of it.
+        penalty: grows by 1 with each change, and decays in between; as of `updated_at`.
+        updated_at: the time of the last update, ns.
+        is_flapping: set once the penalty reaches the threshold, and cleared below half of it.
+        was_healthy: the health at the last update; None before the first one.
     """
 
     penalty: float = 0.0
     updated_at: int = 0
     is_flapping: bool = False
-    was_healthy: bool | None = None  # None before the first update
+    was_healthy: bool | None = None
 
     def update(self, now: int, is_healthy: bool, threshold: float, half_life_ns: int) -> None:
-        """Let the penalty decay, and count a change of health."""
+        """Let the penalty decay, and add 1 if the health has changed."""
         self.penalty *= 0.5 ** (max(now - self.updated_at, 0) / half_life_ns)
         self.updated_at = now
         if self.was_healthy is not None and is_healthy != self.was_healthy:
@@ -37,6 +38,6 @@
         elif self.penalty < threshold / 2:
             self.is_flapping = False
 
-    def may_decay(self) -> bool:
-        """Whether the penalty is not yet negligible."""
-        return self.penalty > MIN_PENALTY
+    def has_penalty(self) -> bool:
+        """Whether the penalty has not decayed to a negligible one yet."""
+        return self.penalty > NEGLIGIBLE_PENALTY
--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -1,33 +1,34 @@
-"""Merges what several sources report of the servers into one endpoint list; no I/O, no clock.
-
-A source reports servers by id: the platform's list, Consul's health checks, a file. The merged
-list says of each server whether it is ready, draining or removed, with a weight and a start time.
-The rules are there so that no fault of a source can empty the pool:
-
-- **Age and rank.** Of the sources that report a server, the one of highest rank decides while
-  its report is fresh; an old report decides only where no source has a fresher one.
-- **One process, one server.** Reports of several sources with the same address are of one server.
-  Two ids of one source at one address are one process: the first is listed. A new id at the
-  address of one that was removed, or a known id at a new address, starts cold.
-- **Departures are rate limited.** On reports alone at most `MergeLimits.max_drained_part` of the
-  pool may be drained in `window_ns` (a leaky bucket). Further departures wait, longest waiting
-  first, so every real one is carried out in the end.
-- **Unconfirmed failures.** What only health checks say (critical) drains at most
-  `max_unconfirmed_part` of the pool at any one time, unless this node's own attempts confirm it:
-  if half a pool is critical but still answers, the other half must not get its load. What was done
-  on purpose (maintenance, deregistration) has no such limit, only the rate limit.
-- **Confirmation.** A server that this node's own attempts have found dead is drained at once,
-  outside the rate limit; one that answers them is drained after those of which nothing is known.
-- **Orders.** The platform's list is written by whoever runs the servers: its drains are orders
-  with a grace period of their own, and are carried out at once (`Source.is_authoritative`). An
-  empty list is believed no sooner than another source's.
-- **Empty lists.** A complete list without servers is ignored until it has been repeated for
+"""Merges several sources' reports of servers into one endpoint list; no I/O, no clock.
+
+Each source (the platform's list, Consul's health checks, or a file) reports servers by id. The
+merged list has the state of each server (ready, draining or removed), its weight and its start
+time. Its rules prevent a faulty source from emptying the pool:
+
+- **Precedence.** Of the sources that report a server, the one of highest rank with a fresh report
+  decides. A stale report decides only if no source has a fresh one.
+- **One process, one server.** Reports of several sources with the same address are about one
+  server. Two ids of one source at one address are one process, and only the first is listed. A
+  new id at the address of a removed server starts cold, and so does a known id at a new address.
+- **Rate limit.** On reports alone, at most `MergeLimits.max_drained_fraction` of the pool may be
+  drained within `window_ns` (a leaky bucket). Further departures wait. Those that have waited
+  longest come first, so every real departure is carried out in the end.
+- **Unconfirmed failures.** Servers that only health checks report as failed (critical) are drained
+  up to `max_unconfirmed_fraction` of the pool at any one time, unless this node's own attempts
+  confirm the failure. If half a pool is reported critical but still answers, the other half must
+  not get its load. Deliberate changes (maintenance, deregistration) are not subject to this limit,
+  only to the rate limit.
+- **Evidence of attempts.** A server that this node's own attempts have found dead is drained at
+  once, outside the rate limit. A server that answers them is drained after those without evidence.
+- **Authoritative sources.** The platform's list is written by the operators of the servers. Its
+  drains are orders with a grace period of their own, and are carried out at once
+  (`Source.is_authoritative`). Its empty lists are treated like those of any other source.
+- **Empty lists.** A complete list without servers is ignored until the source has repeated it for
   `empty_confirm_ns`.
-- **Flapping.** A server whose state changes again and again stays in its present state until it
-  has been stable, so the merged list changes a bounded number of times.
+- **Flapping.** A server whose health changes repeatedly stays in its present state until it has
+  been stable, which bounds the number of changes of the merged list.
 
-Times are in nanoseconds. Limit of the design: a real outage that no attempts of this node confirm
-is acted on at the rate limit only.
+Limitation: a real outage that none of this node's attempts confirms is acted on only as fast as
+the rate limit allows. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -44,12 +45,12 @@
 
 
 class MergedList:
-    """The merged list.
+    """One endpoint list, merged from the reports of several sources.
 
     Args:
         sources: all sources of the list.
-        limits: on what reports alone may change; None for the defaults.
-        evidence_of: what this node's own attempts show of a server, by its id.
+        limits: the limits on changes made on reports alone; None for the defaults.
+        evidence_of: returns what this node's own attempts show of a server, by its id.
     """
 
     __slots__ = ("_departures", "_evidence_of", "_intake", "_limits", "_sources", "_table",
@@ -67,17 +68,17 @@
         self._table = ServerTable()
         self._intake = ReportIntake(sources, self._table, self._limits.empty_confirm_ns)
         self._departures = DepartureLimiter(self._limits)
-        self._unsettled_uids: set[str] = set()  # of servers that time alone may change
+        self._unsettled_uids: set[str] = set()  # ids of servers that `_is_unsettled`
 
     @property
     def changes(self) -> int:
-        """How many times a server of the merged list has changed."""
+        """How many times a listed server has changed."""
         return self._table.changes
 
     def update(
         self, now: int, source: str, reports: Iterable[ServerReport], complete: bool
     ) -> bool:
-        """Merge a source's answer; with `complete`, servers that it does not name are removed.
+        """Merge a source's answer; with `complete`, its servers not in `reports` are removed.
 
         Returns whether the merged list has changed.
         """
@@ -87,17 +88,17 @@
     def is_complete(self) -> bool:
         """Whether all sources of some rank have sent complete lists.
 
-        Before that the merged list must not be used: a part of it would empty a pool.
+        Until then the merged list must not be used: a partial list would empty a pool.
         """
         return self._intake.is_complete()
 
     def servers(self) -> list[ListedServer]:
-        """All servers by id, with the reason of each one's state; also those never listed."""
+        """All servers ordered by id, including those never listed."""
         by_uid = sorted(self._table.servers.values(), key=lambda server: server.uid)
         return [server.listed(self._sources) for server in by_uid]
 
     def reassess(self, now: int) -> bool:
-        """Bring the merged list up to date; whether it has changed."""
+        """Bring the merged list up to date; returns whether it has changed."""
         table = self._table
         before = table.changes
         self._departures.leak(now, table.pool_size())
@@ -116,7 +117,7 @@
         return table.changes != before
 
     def next_reassessment_at(self, now: int) -> int:
-        """When `reassess` may change something by time alone; 0 where nothing waits."""
+        """When to call `reassess` without a new report; 0 if no server or list is waiting."""
         servers = (self._table.servers[uid] for uid in self._unsettled_uids)
         waits = any(
             s.waiting_since is not None or s.flaps.is_flapping or self._awaits_removal(s)
@@ -127,7 +128,7 @@
     # ---- one server's state ------------------------------------------------
 
     def _assess(self, now: int, server: MergedServer) -> None:
-        """Bring a server's state up to date, save for a drain that has to be allowed."""
+        """Bring a server's state up to date, except for a drain that the limits must allow."""
         report = server.deciding_report(self._sources)
         is_healthy = report.health.is_healthy
         limits = self._limits
@@ -137,40 +138,40 @@
             if server.state != State.READY and server.flaps.is_flapping:
                 server.reason = "flapping: held out"
             else:
-                self._make_ready(now, server, report)
+                self._list_as_ready(now, server, report)
         elif server.state == State.READY:
             if server.waiting_since is None:
                 server.waiting_since = now
         elif server.state == State.GONE:
-            # It is not listed, so no limit on departures applies.
+            # The server is not listed, so no limit on departures applies.
             server.reason = f"never in: {report.health.name.lower()}"
         elif self._awaits_removal(server) and now - server.since >= limits.drain_ns:
             self._table.set_state(now, server, State.GONE, 0.0, "deregistered")
             self._table.release_address(server)
 
     def _awaits_removal(self, server: MergedServer) -> bool:
-        """Whether it is draining, and listed as removed after that."""
+        """Whether a server drains after its deregistration, and is listed as removed next."""
         is_draining = server.state == State.DRAINING
         return is_draining and server.deciding_report(self._sources).health == Health.GONE
 
     def _is_unsettled(self, server: MergedServer) -> bool:
-        """Whether time alone, or the removal of another server, may change its state."""
+        """Whether time alone, or the removal of another server, may change a server's state."""
         is_waiting = server.waiting_since is not None
-        return server.state != State.READY or is_waiting or server.flaps.may_decay()
+        return server.state != State.READY or is_waiting or server.flaps.has_penalty()
 
     # ---- ready -------------------------------------------------------------
 
-    def _make_ready(self, now: int, server: MergedServer, report: ServerReport) -> None:
-        """List a server as ready, cold where it may be another process than before."""
+    def _list_as_ready(self, now: int, server: MergedServer, report: ServerReport) -> None:
+        """List a server as ready, and as cold if it may be another process than before."""
         table = self._table
         listed = table.listed_at(report.address)
         if listed is None or listed is server:
-            server.boot = self._boot_of(now, server, report)
+            server.boot = self._boot_to_list(now, server, report)
         elif listed.deciding_report(self._sources).health.is_healthy:
             server.reason = f"the same address as {listed.uid}"
             return
         else:
-            # Only one process can listen at an address: the earlier one has ended.
+            # Only one process can listen at an address, so the earlier one has ended.
             listed.waiting_since = None
             table.set_state(now, listed, State.GONE, 0.0, f"replaced by {server.uid}")
             table.to_reassess.add(listed.uid)
@@ -179,8 +180,8 @@
         table.list_at(report.address, server)
         table.set_state(now, server, State.READY, report.weight, report.health.name.lower())
 
-    def _boot_of(self, now: int, server: MergedServer, report: ServerReport) -> int:
-        """The start time to list; `now` for another process whose start is not reported."""
+    def _boot_to_list(self, now: int, server: MergedServer, report: ServerReport) -> int:
+        """The start time to list: `now` for another process whose start time is not reported."""
         has_moved = server.address != report.address
         if server.state != State.GONE and has_moved:
             self._table.release_address(server)
@@ -190,7 +191,7 @@
         return report.boot if report.boot not in (0, server.boot) else now
 
     def _updated_boot(self, reported: int, known: int) -> int:
-        """The start time of the same process; a new one counts as a change."""
+        """The start time of a server that has not moved; a newly reported one is a change."""
         if reported in (0, known):
             return known
         self._table.changes += 1
@@ -199,7 +200,7 @@
     # ---- draining ----------------------------------------------------------
 
     def _drain_waiting(self, now: int, servers: list[MergedServer]) -> None:
-        """Drain the servers that wait, those that answer attempts last."""
+        """Drain the waiting servers if the limits allow it, those that answer attempts last."""
         answers = {
             server.uid: self._evidence_of(server.uid) is AttemptEvidence.ALIVE for server in servers
         }
@@ -207,24 +208,24 @@
             self._drain_if_allowed(now, server)
 
     def _drain_if_allowed(self, now: int, server: MergedServer) -> None:
-        """Drain a ready server that is to leave, where the limits allow it now."""
+        """Drain a ready server that is reported unhealthy, if the limits allow it now."""
         health = server.deciding_report(self._sources).health
         reported = health.name.lower()
-        by_checks = health == Health.CRITICAL
+        by_health_checks = health == Health.CRITICAL
         if self._evidence_of(server.uid) is AttemptEvidence.DEAD:
             server.is_confirmed_dead = True
             self._drain(now, server, f"{reported}, and its own answers agree")
         elif server.drain_order(self._sources) is not None:
             self._drain(now, server, f"{reported}, as ordered")
-        elif by_checks and server.flaps.is_flapping:
+        elif by_health_checks and server.flaps.is_flapping:
             server.reason = "flapping: held in"
-        elif by_checks and not self._allows_unconfirmed():
+        elif by_health_checks and not self._allows_unconfirmed():
             server.reason = f"{reported}, not believed: too many at once, none confirmed"
         elif not self._departures.has_capacity(self._table.pool_size()):
             server.reason = f"{reported}, waits: too many leave at once"
         else:
             self._departures.count_departure()
-            self._drain(now, server, reported, is_unconfirmed=by_checks)
+            self._drain(now, server, reported, is_unconfirmed=by_health_checks)
 
     def _allows_unconfirmed(self) -> bool:
         table = self._table
--- a/loadbalancer/core/endpoints/merged_server.py
+++ b/loadbalancer/core/endpoints/merged_server.py
@@ -1,4 +1,4 @@
-"""One server of the merged list: the sources' reports of it, and which of them decides."""
+"""One server of the merged list: the sources' reports of it, and the report that decides."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SourceHealth(NamedTuple):
-    """The health that one source reports, and since when (ns)."""
+    """The health of a server that one source reports, and since when (ns)."""
 
     source: str
     health: Health
@@ -21,12 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One server of the merged list, and why it is in its state; times in nanoseconds.
+    """One server as the merged list shows it, with the reason for its state; times in nanoseconds.
 
     Attributes:
+        boot: the start time of its process; 0 if not reported.
         since: when it entered its state.
-        reason: for its state, as operators read it.
-        reports: by the sources' names.
+        reason: why it is in its state; shown to operators.
+        reports: the health that each source reports, ordered by the sources' names.
+        cell: the number of its cell, 0 if not reported.
+        kind: the number of its kind, 0 if not reported.
     """
 
     uid: str
@@ -45,11 +48,11 @@
 
 @dataclass(slots=True)
 class StoredReport:
-    """The last report of one source; times in nanoseconds.
+    """The latest report of one source; times in nanoseconds.
 
     Attributes:
-        health_since: when the source first reported this health.
-        received_at: when it last did.
+        health_since: when the source first reported the present health.
+        received_at: when the latest report was received.
     """
 
     report: ServerReport
@@ -59,14 +62,15 @@
 
 @dataclass(slots=True)
 class MergedServer:
-    """One server, with the reports on it and its state in the merged list.
+    """One server, with the sources' reports of it and its state in the merged list.
 
     Attributes:
-        reports: the last one of each source, by the source's name.
-        address: as listed.
-        waiting_since: since when (ns) it has been ready and waited to be drained.
-        is_unconfirmed: drained on health checks alone.
-        is_confirmed_dead: drained, and this node's own attempts found it dead.
+        reports: the latest report of each source, by the source's name.
+        address: the address at which it was last listed.
+        waiting_since: since when (ns) it has been waiting, still ready, to be drained; None if it
+            is not waiting.
+        is_unconfirmed: whether it was drained on health checks alone.
+        is_confirmed_dead: whether it was drained because this node's own attempts found it dead.
     """
 
     uid: str
@@ -83,7 +87,7 @@
     flaps: FlapDetector = field(default_factory=FlapDetector)
 
     def drain_order(self, sources: Mapping[str, Source]) -> ServerReport | None:
-        """The report of an authoritative source that orders the server out, if any."""
+        """The report of an authoritative source that orders its drain or removal, if any."""
         for name, stored in self.reports.items():
             ordered = stored.report.health >= Health.MAINTENANCE
             if ordered and sources[name].is_authoritative:
@@ -91,7 +95,10 @@
         return None
 
     def deciding_report(self, sources: Mapping[str, Source]) -> ServerReport:
-        """The report that decides: a drain order, else the fresh one of highest rank."""
+        """The report that decides its state: a drain order, or the fresh report of highest rank.
+
+        A stale report decides only where no report is fresh.
+        """
         order = self.drain_order(sources)
         if order is not None:
             return order
@@ -112,13 +119,13 @@
         )
 
     def listed(self, sources: Mapping[str, Source]) -> ListedServer:
-        """The server as the merged list shows it."""
+        """Return the server as the merged list shows it."""
         report = self.deciding_report(sources)
         healths = tuple(
             SourceHealth(name, stored.report.health, stored.health_since)
             for name, stored in sorted(self.reports.items())
         )
-        # Cell and kind are of whichever source reports them.
+        # Not every source reports cell and kind: each is taken from any that does.
         all_reports = [stored.report for stored in self.reports.values()]
         cell = next((r.cell for r in all_reports if r.cell), 0)
         kind = next((r.kind for r in all_reports if r.kind), 0)
--- a/loadbalancer/core/endpoints/server_report.py
+++ b/loadbalancer/core/endpoints/server_report.py
@@ -1,4 +1,4 @@
-"""What a source reports of one server, and how much its reports count; times in nanoseconds."""
+"""A source's report of one server, and the precedence of sources; times in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Health(IntEnum):
-    """The state of a server as a source reports it; the greater, the worse."""
+    """The health of a server as a source reports it; a greater value is worse."""
 
     PASSING = 0
     WARNING = 1
     CRITICAL = 2
     MAINTENANCE = 3
-    GONE = 4  # reported before, and missing from a complete list since
+    GONE = 4  # was reported before, but is missing from a later complete list
 
     @property
     def is_healthy(self) -> bool:
-        """Whether a server in this state may take requests."""
+        """Whether a server with this health may get requests."""
         return self <= Health.WARNING
 
 
@@ -28,10 +28,10 @@
     """A source of the endpoint list.
 
     Attributes:
-        name: of the source.
-        rank: of the sources with a fresh report, the one of highest rank decides.
-        fresh_ns: how long a report counts as fresh; 0: until the next one.
-        is_authoritative: its drains and removals are orders, carried out at once.
+        name: identifies the source.
+        rank: among the sources with a fresh report, the one of highest rank decides.
+        fresh_ns: how long a report stays fresh; 0 if it does so until the next one.
+        is_authoritative: whether its drains and removals are orders, which are carried out at once.
     """
 
     name: str
@@ -42,18 +42,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """One server as one source reports it.
+    """One source's report of one server.
 
     Attributes:
         uid: the source's id of the server.
-        host: of its address.
-        port: of its address.
-        zone: its zone's name, "" where not reported.
-        health: its state.
-        weight: its present one.
-        boot: the start of its process, ns; 0 where not reported.
-        cell: 0 where not reported.
-        kind: 0 where not reported.
+        host: the host of its address.
+        port: the port of its address.
+        zone: the name of its zone, "" if not reported.
+        health: its reported health.
+        weight: its present load balancing weight.
+        boot: the start time of its process, ns; 0 if not reported.
+        cell: the number of its cell, 0 if not reported.
+        kind: the number of its kind, 0 if not reported.
     """
 
     uid: str
@@ -68,5 +68,5 @@
 
     @property
     def address(self) -> Address:
-        """Where the server listens."""
+        """The address at which the server listens."""
         return self.host, self.port
--- a/loadbalancer/core/endpoints/server_table.py
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -10,12 +10,12 @@
 
 
 class ServerTable:
-    """The servers, and which of them have to be reassessed.
+    """The servers, and the ids of those that have to be reassessed.
 
     Attributes:
-        servers: by id.
-        to_reassess: ids of servers with new reports. A long list comes in many small answers:
-            only servers that may change are reassessed.
+        servers: all servers, by id.
+        to_reassess: ids of servers with new reports. A long list comes in many short answers, so
+            only servers that may change are reassessed after each one.
         changes: how many times a listed server has changed.
     """
 
@@ -26,13 +26,15 @@
         self.servers: dict[str, MergedServer] = {}
         self.to_reassess: set[str] = set()
         self.changes = 0
-        self._uids_by_address: dict[Address, str] = {}  # of the server listed at an address
-        # The pool's size is counted once for each value of `changes`.
+        self._uids_by_address: dict[
+            Address, str
+        ] = {}  # the id of the server listed at each address
+        # The pool's size is counted again only when `changes` differs from `_counted_at`.
         self._counted_at = 0
         self._pool_size = 0
 
     def get_or_create(self, uid: str) -> MergedServer:
-        """The server of an id, a new one where it is unknown."""
+        """The server with this id, created if it is unknown."""
         server = self.servers.get(uid)
         if server is None:
             server = self.servers[uid] = MergedServer(uid)
@@ -41,23 +43,23 @@
     # ---- addresses -------------------------------------------------------
 
     def listed_at(self, address: Address) -> MergedServer | None:
-        """The server that is listed at an address."""
+        """The server that is listed at an address, if any."""
         uid = self._uids_by_address.get(address)
         return None if uid is None else self.servers[uid]
 
     def list_at(self, address: Address, server: MergedServer) -> None:
-        """List a server at an address, and no longer at another.
+        """List a server at an address, and no longer at its previous one.
 
-        Guards against an address that still stands for a server that has moved away: a server
-        that is reported there later would be taken for that one, or, once that one is removed,
-        end the merge with a KeyError.
+        Guards against an address that still refers to a server that has moved away. A server
+        reported at that address later would be taken for the one that moved or, after that one's
+        removal, would make the merge raise KeyError.
         """
         self.release_address(server)
         server.address = address
         self._uids_by_address[address] = server.uid
 
     def release_address(self, server: MergedServer) -> None:
-        """The server is not listed at its address any more."""
+        """Stop listing a server at its address."""
         if self._uids_by_address.get(server.address) == server.uid:
             del self._uids_by_address[server.address]
 
@@ -66,7 +68,7 @@
     def set_state(
         self, now: int, server: MergedServer, state: State, weight: float, reason: str
     ) -> None:
-        """Set a server's state; a change of state or weight counts in `changes`."""
+        """Set a server's state; `changes` counts each change of a state or weight."""
         server.reason = reason
         server.is_unconfirmed = server.is_unconfirmed and state != State.GONE
         if state != server.state:
@@ -76,7 +78,7 @@
             self.changes += 1
 
     def pool_size(self) -> int:
-        """Servers that are ready, and those drained on health checks alone."""
+        """The number of servers that are ready or were drained on health checks alone."""
         if self._counted_at != self.changes:
             self._pool_size = sum(
                 server.state == State.READY or server.is_unconfirmed
@@ -86,11 +88,11 @@
         return self._pool_size
 
     def unconfirmed_count(self) -> int:
-        """Servers drained on health checks alone."""
+        """The number of servers drained on health checks alone."""
         return sum(server.is_unconfirmed for server in self.servers.values())
 
     def drop_removed(self, among: Iterable[str]) -> set[str]:
-        """Remove servers that no source reports any more; returns their ids."""
+        """Drop unlisted servers that no source reports any more; returns their ids."""
         present = [self.servers[uid] for uid in among if uid in self.servers]
         removed = {server.uid for server in present if server.is_removed()}
         for uid in removed:
--- a/tests/core/endpoints/reported_pool.py
+++ b/tests/core/endpoints/reported_pool.py
@@ -1,4 +1,4 @@
-"""Pools of servers as sources report them, for tests of the merged list."""
+"""Reports of pools of servers, for tests of the merged list."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def report(number: int, health: Health = Health.PASSING, **fields: Any) -> ServerReport:
-    """Server `s-NUMBER` at its own port."""
-    plain = ServerReport(f"s-{number}", "127.0.0.1", 9000 + number, "east", health)
-    return replace(plain, **fields)
+    """A report of server `s-NUMBER`, which has a port of its own."""
+    default = ServerReport(f"s-{number}", "127.0.0.1", 9000 + number, "east", health)
+    return replace(default, **fields)
 
 
 def pool(count: int, *unhealthy: int, health: Health = Health.CRITICAL) -> list[ServerReport]:
-    """Servers 1 to `count`, some of them in another state."""
+    """Reports of servers 1 to `count`; those in `unhealthy` have this `health`."""
     return [
         report(number, health if number in unhealthy else Health.PASSING)
         for number in range(1, count + 1)
@@ -38,7 +38,7 @@
     evidence_of: Callable[[str], AttemptEvidence] = no_evidence,
     limits: MergeLimits | None = None,
 ) -> MergedList:
-    """A merged list of so many ready servers, reported by Consul at time 0."""
+    """A merged list of `count` ready servers, reported by Consul at time 0."""
     merged = MergedList([CONSUL], limits, evidence_of)
     assert merged.update(0, "consul", pool(count), complete=True)
     assert len(ready(merged)) == count
@@ -46,12 +46,12 @@
 
 
 def attempts_find(dead: Collection[str]) -> Callable[[str], AttemptEvidence]:
-    """Attempts to all servers, which these do not answer."""
+    """Evidence of attempts to all servers: these are dead, and all others alive."""
     return lambda uid: AttemptEvidence.DEAD if uid in dead else AttemptEvidence.ALIVE
 
 
 def ready(merged: MergedList) -> set[str]:
-    """Ids of the servers that are listed as ready."""
+    """The ids of the servers that are listed as ready."""
     return {server.uid for server in merged.servers() if server.state == State.READY}
 
 
--- a/tests/core/endpoints/test_attempt_evidence.py
+++ b/tests/core/endpoints/test_attempt_evidence.py
@@ -1,4 +1,4 @@
-"""What a node's own attempts show of a server."""
+"""Tests for the evidence that a node's own attempts give of a server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.recording_host import build
 
 
-def test_a_server_is_alive_or_dead_by_a_balancers_own_attempts() -> None:
+def test_answers_and_failures_of_attempts_show_whether_a_server_is_alive() -> None:
     balancer, _ = build(count=2)
     assert evidence_of(balancer, SECOND, 100) is AttemptEvidence.UNKNOWN
     assert evidence_of(balancer, SECOND, 9) is AttemptEvidence.UNKNOWN
--- a/tests/core/endpoints/test_merged_identity.py
+++ b/tests/core/endpoints/test_merged_identity.py
@@ -1,4 +1,4 @@
-"""Which reports are of one server, which source decides, and when a server starts cold."""
+"""Tests of the merged list: which reports are about one server, and which source decides."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def list_reports() -> list[ServerReport]:
-    """Servers 1 to 4 under the platform's ids of them."""
+    """Reports of servers 1 to 4 under the platform's ids."""
     return [report(number, uid=f"uid-{number}") for number in range(1, 5)]
 
 
 @pytest.fixture
-def merged_of_two() -> MergedList:
+def merged_from_two_sources() -> MergedList:
     """Servers 1 to 4, reported by the platform's list and by Consul."""
     merged = MergedList([CONSUL, LIST])
     merged.update(0, "list", list_reports(), complete=True)
@@ -55,19 +55,20 @@
     merged.update(5 * SECOND, "consul", [*pool(9), moved], complete=True)
     listed = server(merged, "s-10")
     assert (listed.port, listed.boot, listed.state) == (9999, 5 * SECOND, State.READY)
-    # Its old address is free for another server.
+    # Its old address may be used by another server.
     merged.update(6 * SECOND, "consul", [*pool(9), moved, report(11, port=9010)], complete=True)
     other = server(merged, "s-11")
     assert (other.state, other.boot) == (State.READY, 0)
 
 
-def test_a_server_that_replaces_another_leaves_its_old_address() -> None:
-    """Server 1 moves to the address of server 2, which is in maintenance; both are deregistered.
+def test_a_server_that_moves_to_anothers_address_frees_its_old_one() -> None:
+    """Merging raised KeyError while a freed address still referred to a removed id.
 
-    Then another server listens at the old address of server 1. While that address still stood for
-    the id that was removed, merging the answer raised KeyError, and the source's reader stopped.
+    Server 1 moves to the address of server 2, which is in maintenance, and both are deregistered.
+    Then another server listens at the old address of server 1. The error stopped the source's
+    reader.
     """
-    merged = pool_list(3, limits=MergeLimits(max_drained_part=1.0))
+    merged = pool_list(3, limits=MergeLimits(max_drained_fraction=1.0))
     in_maintenance = report(2, Health.MAINTENANCE)
     merged.update(SECOND, "consul", [report(1), in_maintenance, report(3)], complete=True)
     moved = report(1, port=9002)
@@ -86,12 +87,12 @@
     merged.update(SECOND, "consul", reports, complete=True)
     assert len(ready(merged)) == 3
     assert server(merged, "s-9").reason == "the same address as s-1"
-    # The first is deregistered: the second takes its place.
+    # The first id is deregistered, so the second one is listed.
     merged.update(2 * SECOND, "consul", reports[1:], complete=True)
     assert ready(merged) == {"s-2", "s-3", "s-9"}
 
 
-def test_a_server_found_dead_starts_cold_when_it_is_back() -> None:
+def test_a_server_found_dead_starts_cold_when_it_returns() -> None:
     dead = {"s-1"}
     merged = pool_list(10, attempts_find(dead))
     merged.update(SECOND, "consul", pool(10, 1), complete=True)
@@ -106,31 +107,31 @@
 
 
 def test_reports_of_two_sources_with_one_address_are_of_one_server(
-    merged_of_two: MergedList,
+    merged_from_two_sources: MergedList,
 ) -> None:
-    assert ready(merged_of_two) == {f"uid-{number}" for number in range(1, 5)}
-    sources = {found.source for found in server(merged_of_two, "uid-1").reports}
+    assert ready(merged_from_two_sources) == {f"uid-{number}" for number in range(1, 5)}
+    sources = {found.source for found in server(merged_from_two_sources, "uid-1").reports}
     assert sources == {"consul", "list"}
 
 
 def test_the_source_of_higher_rank_decides_while_its_report_is_fresh(
-    merged_of_two: MergedList,
+    merged_from_two_sources: MergedList,
 ) -> None:
-    """Consul reports a server critical, and then nothing more; the list goes on reporting it."""
-    merged_of_two.update(SECOND, "consul", pool(4, 2), complete=True)
-    assert server(merged_of_two, "uid-2").state == State.DRAINING
-    merged_of_two.update(8 * SECOND, "list", list_reports(), complete=True)
-    assert server(merged_of_two, "uid-2").state == State.DRAINING
-    merged_of_two.update(20 * SECOND, "list", list_reports(), complete=True)
-    assert server(merged_of_two, "uid-2").state == State.READY
+    """Consul reports a server as critical and then nothing more; the list keeps reporting it."""
+    merged_from_two_sources.update(SECOND, "consul", pool(4, 2), complete=True)
+    assert server(merged_from_two_sources, "uid-2").state == State.DRAINING
+    merged_from_two_sources.update(8 * SECOND, "list", list_reports(), complete=True)
+    assert server(merged_from_two_sources, "uid-2").state == State.DRAINING
+    merged_from_two_sources.update(20 * SECOND, "list", list_reports(), complete=True)
+    assert server(merged_from_two_sources, "uid-2").state == State.READY
 
 
 def test_an_authoritative_source_drains_at_once_whatever_others_report() -> None:
     merged = MergedList([CONSUL, Source("platform", 0, is_authoritative=True)])
     merged.update(0, "platform", pool(10), complete=True)
     merged.update(0, "consul", pool(10), complete=True)
-    orders = pool(10, *range(1, 9), health=Health.MAINTENANCE)
-    merged.update(SECOND, "platform", orders, complete=False)
+    drain_orders = pool(10, *range(1, 9), health=Health.MAINTENANCE)
+    merged.update(SECOND, "platform", drain_orders, complete=False)
     assert ready(merged) == {"s-9", "s-10"}
     assert server(merged, "s-1").reason == "maintenance, as ordered"
 
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -1,4 +1,4 @@
-"""The merged list: no fault of a source empties the pool, and every real departure is acted on."""
+"""Tests of the merged list: faulty sources can't empty the pool, real departures take effect."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 )
 
 
-def test_health_decides_the_state() -> None:
+def test_reported_health_decides_the_state() -> None:
     reports = pool(10)
     reports[:3] = [
         report(1, Health.WARNING, weight=0.5),
         report(2, Health.CRITICAL),
         report(3, Health.MAINTENANCE),
     ]
-    merged = pool_list(10, limits=MergeLimits(max_drained_part=1.0))
+    merged = pool_list(10, limits=MergeLimits(max_drained_fraction=1.0))
     merged.update(SECOND, "consul", reports, complete=True)
     first = server(merged, "s-1")
     assert (first.state, first.weight) == (State.READY, 0.5)
@@ -43,7 +43,7 @@
     assert server(merged, "s-4").reports == (("consul", Health.PASSING, 0),)
 
 
-def test_a_server_that_begins_critical_is_listed_once_it_passes() -> None:
+def test_a_server_first_reported_critical_is_listed_once_it_passes() -> None:
     merged = MergedList([CONSUL])
     merged.update(0, "consul", pool(3, 2), complete=True)
     assert ready(merged) == {"s-1", "s-3"}
@@ -55,8 +55,8 @@
 def test_a_deregistered_server_drains_and_is_then_removed() -> None:
     merged = pool_list(10)
     merged.update(SECOND, "consul", pool(9), complete=True)
-    last = server(merged, "s-10")
-    assert (last.state, last.reason) == (State.DRAINING, "gone")
+    drained_server = server(merged, "s-10")
+    assert (drained_server.state, drained_server.reason) == (State.DRAINING, "gone")
     assert merged.next_reassessment_at(SECOND) == 2 * SECOND
     merged.reassess(2 * SECOND)
     assert server(merged, "s-10").state == State.DRAINING
@@ -68,8 +68,8 @@
 # ---- empty and missing answers ---------------------------------------------
 
 
-def test_an_empty_answer_is_ignored_until_it_has_been_repeated_for_a_minute() -> None:
-    """A source loses its data and answers with an empty list. All servers are up."""
+def test_an_empty_list_is_ignored_until_repeated_for_a_minute() -> None:
+    """A source has lost its data and answers with an empty list, while all servers are up."""
     merged = pool_list(10)
     for second in range(1, 60):
         merged.update(second * SECOND, "consul", [], complete=True)
@@ -79,7 +79,7 @@
     assert ready(merged) == set()
 
 
-def test_an_answer_with_servers_restarts_the_minute_of_an_empty_one() -> None:
+def test_an_answer_with_servers_restarts_the_confirmation_of_an_empty_list() -> None:
     merged = pool_list(10)
     merged.update(SECOND, "consul", [], complete=True)
     merged.update(50 * SECOND, "consul", pool(10), complete=True)
@@ -88,7 +88,7 @@
     assert len(ready(merged)) == 10
 
 
-def test_a_silent_source_removes_nothing() -> None:
+def test_a_source_that_stops_reporting_removes_nothing() -> None:
     merged = pool_list(10)
     for minute in range(1, 100):
         assert not merged.reassess(minute * MINUTE)
@@ -98,21 +98,21 @@
 # ---- limits on departures --------------------------------------------------
 
 
-def test_half_the_list_departs_at_the_rate_limit() -> None:
-    """Half of the servers are deregistered at once. A fifth of the pool may go in a window."""
+def test_deregistering_half_the_list_is_rate_limited() -> None:
+    """Half of the servers are deregistered at once; a fifth of the pool may depart per window."""
     merged = pool_list(100)
     departed = []
     for second in range(1, 121):
         merged.update(second * SECOND, "consul", pool(50), complete=True)
         departed.append(100 - len(ready(merged)))
-    assert departed[0] == 16  # a fifth of what is left
+    assert departed[0] == 16  # a fifth of the pool that remains
     assert departed[29] <= 36
     assert departed[-1] == 50
     assert all(0 <= later - earlier <= 2 for earlier, later in pairwise(departed))
 
 
 def test_critical_servers_that_answer_are_drained_up_to_a_quarter_of_the_pool() -> None:
-    """Health checks find half of the pool critical, by a fault of the checks: all answer."""
+    """Faulty health checks report half of the pool as critical, but all servers answer."""
     unhealthy = range(1, 51)
     merged = pool_list(100, attempts_find(dead=()))
     for second in range(1, 600):
@@ -140,12 +140,12 @@
 
 
 def test_replacing_an_unconfirmed_server_lets_another_be_drained_unconfirmed() -> None:
-    """Of four servers one may be drained on its checks alone.
+    """Of four servers one may be drained on its health checks alone.
 
-    That one's address gets another server, so that it counts no longer. The platform's list still
-    reports it, so that it is not forgotten.
+    Another server replaces that one at its address, so it must no longer count toward the limit.
+    The platform's list still reports it, so it is not dropped.
     """
-    merged = MergedList([CONSUL, LIST], MergeLimits(max_drained_part=1.0))
+    merged = MergedList([CONSUL, LIST], MergeLimits(max_drained_fraction=1.0))
     merged.update(0, "consul", pool(4), complete=True)
     merged.update(0, "list", [report(5, Health.CRITICAL), report(1)], complete=False)
     merged.update(SECOND, "consul", pool(4, 1), complete=True)
@@ -161,8 +161,8 @@
 def test_no_sequence_of_answers_drains_more_than_the_limit(seed: int) -> None:
     """Two sources answer at random, and attempts find some servers dead.
 
-    Departures that no attempt confirms stay within the limit of each window. Once the sources
-    agree again, the servers that they report are ready, and no others.
+    Departures that no attempt confirms stay within the limit of every window. Once the sources
+    agree again, exactly the servers that they report are ready.
     """
     random = Random(seed)
     count = random.choice([1, 5, 40])
@@ -175,7 +175,7 @@
     merged = MergedList([CONSUL, LIST], limits, evidence_of)
     merged.update(0, "consul", pool(count), complete=True)
     now = 0
-    departed_at: list[int] = []  # of servers that no attempt found dead
+    departed_at: list[int] = []  # of servers that attempts did not find dead
     before = ready(merged)
     for _ in range(300):
         now += random.randrange(1, 3 * SECOND)
@@ -194,7 +194,7 @@
         departed_at += [now for uid in before - after if uid not in dead]
         before = after
         recent = [at for at in departed_at if now - at < limits.window_ns]
-        assert len(recent) <= 2 * max(limits.max_drained_part * count, 1.0)
+        assert len(recent) <= 2 * max(limits.max_drained_fraction * count, 1.0)
     dead = set()
     remaining = pool(count)[: count // 2 + 1]
     for _ in range(400):
@@ -207,14 +207,14 @@
 # ---- flapping --------------------------------------------------------------
 
 
-def test_flapping_checks_change_the_list_a_bounded_number_of_times() -> None:
-    """The checks of thirty servers out of 270 fail and pass in turn, every second for an hour."""
+def test_flapping_health_checks_change_the_list_a_bounded_number_of_times() -> None:
+    """The checks of 30 out of 270 servers fail and pass alternately each second for an hour."""
     merged = pool_list(270)
     changes = merged.changes
     for second in range(1, 3601):
         flapping = range(1, 31) if second % 2 else ()
         merged.update(second * SECOND, "consul", pool(270, *flapping), complete=True)
-    # Each may leave and come back a few times before it is held in its state.
+    # Each may be drained and return a few times before it is held in its state.
     assert merged.changes - changes <= 30 * 4
     assert len(ready(merged)) >= 240
     for second in range(3601, 3800):
@@ -222,7 +222,7 @@
     assert len(ready(merged)) == 270
 
 
-def test_a_flapping_server_that_then_dies_is_drained_in_the_end() -> None:
+def test_a_flapping_server_that_stays_critical_is_drained() -> None:
     merged = pool_list(10)
     for second in range(1, 20):
         unhealthy = [1] if second % 2 else []
