--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -214,15 +214,17 @@
         by_health_checks = health == Health.CRITICAL
         if self._evidence_of(server.uid) is AttemptEvidence.DEAD:
             server.is_confirmed_dead = True
-            self._drain(now, server, f"{reported}, and its own answers agree")
+            self._drain(now, server, f"{reported}, confirmed by failed attempts")
         elif server.drain_order(self._sources) is not None:
             self._drain(now, server, f"{reported}, as ordered")
         elif by_health_checks and server.flaps.is_flapping:
             server.reason = "flapping: held in"
         elif by_health_checks and not self._allows_unconfirmed():
-            server.reason = f"{reported}, not believed: too many at once, none confirmed"
+            server.reason = (
+                f"{reported}, ignored: too many servers at once, none confirmed by attempts"
+            )
         elif not self._departures.has_capacity(self._table.pool_size()):
-            server.reason = f"{reported}, waits: too many leave at once"
+            server.reason = f"{reported}, waiting: too many servers depart at once"
         else:
             self._departures.count_departure()
             self._drain(now, server, reported, is_unconfirmed=by_health_checks)
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -119,7 +119,9 @@
         merged.update(second * SECOND, "consul", pool(100, *unhealthy), complete=True)
         assert len(ready(merged)) >= 75
     servers = merged.servers()
-    retained = [s for s in servers if s.state == State.READY and "not believed" in s.reason]
+    retained = [
+        s for s in servers if s.state == State.READY and "none confirmed by attempts" in s.reason
+    ]
     assert len(retained) == 25
 
 
@@ -128,7 +130,7 @@
     merged = pool_list(100, attempts_find(dead={f"s-{number}" for number in unhealthy}))
     merged.update(SECOND, "consul", pool(100, *unhealthy), complete=True)
     assert len(ready(merged)) == 50
-    assert "own answers agree" in server(merged, "s-1").reason
+    assert "confirmed by failed attempts" in server(merged, "s-1").reason
 
 
 def test_servers_that_answer_depart_last() -> None:
--- a/tests/sources/consul/test_node.py
+++ b/tests/sources/consul/test_node.py
@@ -127,7 +127,7 @@
             for server in servers[5:]:
                 server.child.kill()
             set_status(agent, *(f"t-{number}" for number in range(6, 11)), status="critical")
-            confirmed, by_checks = "and its own answers agree", "(critical)"
+            confirmed, by_checks = "confirmed by failed attempts", "(critical)"
             loaded.send_until(lambda: loaded.logged(confirmed) + loaded.logged(by_checks) >= 5)
             assert loaded.logged(confirmed) >= 3
             loaded.send(100)
@@ -145,7 +145,7 @@
             loaded.send_until(lambda: loaded.logged("(critical)") >= 1)
             loaded.send(400)
             assert loaded.logged("(critical)") <= 2
-            assert not loaded.logged("own answers agree")
+            assert not loaded.logged("confirmed by failed attempts")
 
 
 def test_without_an_agent_a_node_goes_on_with_the_last_known_list(tmp_path: Path) -> None:
