--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -1,7 +1,8 @@
-"""Sends deltas of the list in pieces: down a tree from the reader, and to nodes on request.
+"""Sends deltas of the endpoint list in pieces: down a tree from a reader, and on request.
 
-A reader's update goes down a tree over the alive nodes that begins at the reader, in pieces that
-each node passes on as they come, so that no node sends more than FANOUT copies.
+A list reader's delta travels down a tree of the alive nodes that has the reader at its root. Each
+node forwards a piece to its children as soon as the piece arrives, so that no node has to send the
+delta to more than FANOUT nodes, and to the children of those that are dead.
 """
 
 from __future__ import annotations
@@ -22,45 +23,45 @@
 from loadbalancer.core.gossip.messages import Kind, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
-PIECE_HEAD_BYTES = 88  # of a PIECE message without its body, at most (checked by a test)
+PIECE_HEADER_BYTES = 88  # upper bound for a PIECE message without its body (checked by a test)
 FANOUT = 4  # children of a node in the tree
-NO_TREE = -1  # as the root of a piece that is not passed on
-PIECES_PER_S = 250  # that a node sends; a receiver accepts NODE_DATAGRAMS from one node
-BURST = 64  # pieces
-MAX_QUEUED = 8192  # pieces; further ones are dropped, and requested by nodes that lack them
-BUSY_QUEUED = 200  # pieces in the queue from which on other nodes' requests are ignored
-PACKINGS_PER_S = 10  # deltas packed on request: each takes milliseconds
-MAX_REQUESTED = 16  # pieces of one request
+NO_TREE = -1  # as the root of a piece that is not to be forwarded
+PIECES_PER_S = 250  # that a node sends; a receiver accepts up to NODE_DATAGRAMS of one node
+BURST_PIECES = 64
+MAX_QUEUED_PIECES = 8192  # further ones are dropped; nodes that lack them request them
+BUSY_QUEUE_PIECES = 200  # with more pieces queued, other nodes' requests are ignored
+PACKINGS_PER_S = 10  # deltas packed for requests: each one takes milliseconds
+MAX_REQUESTED_PIECES = 16  # in one request
 
 
 class DeltaSender:
-    """The queue of pieces, and its rate."""
+    """Queues pieces for other nodes, and sends them at a limited rate."""
 
     def __init__(
         self, members: Membership, nodes: int, datagram: int, random: Random, now: int
     ) -> None:
         self.counters: Counter[str] = Counter()
-        self.piece_bytes = datagram - PIECE_HEAD_BYTES
+        self.piece_bytes = datagram - PIECE_HEADER_BYTES
         self._members = members
-        self._nodes = nodes
+        self._node_count = nodes
         self._random = random
         self._queue: deque[Outgoing] = deque()
-        self._rate = TokenBucket(PIECES_PER_S, BURST, now)
-        self._packings = TokenBucket(PACKINGS_PER_S, PACKINGS_PER_S, now)
+        self._send_tokens = TokenBucket(PIECES_PER_S, BURST_PIECES, now)
+        self._packing_tokens = TokenBucket(PACKINGS_PER_S, PACKINGS_PER_S, now)
 
     @property
     def has_queued_pieces(self) -> bool:
-        """Whether pieces wait for the rate."""
+        """Whether pieces wait for the rate limit."""
         return bool(self._queue)
 
-    def may_send(self, now: int) -> bool:
-        """Whether the rate allows one message; if so it is charged."""
-        return self._rate.take(now)
+    def take_send_token(self, now: int) -> bool:
+        """Charge one message to the rate limit; False if the limit does not allow it now."""
+        return self._send_tokens.take(now)
 
     def flush(self, now: int) -> list[Outgoing]:
-        """The pieces that the rate allows now."""
+        """Remove and return the queued pieces that the rate limit allows now."""
         out = []
-        while self._queue and self._rate.take(now):
+        while self._queue and self._send_tokens.take(now):
             out.append(self._queue.popleft())
         self.counters["pieces sent"] += len(out)
         return out
@@ -68,39 +69,40 @@
     # ---- down the tree -------------------------------------------------------------
 
     def children(self, root: int) -> list[int]:
-        """The nodes that this one passes pieces on to in a root's tree.
+        """The nodes to which this one forwards pieces in the tree with this root.
 
-        The children of a dead child are among them.
+        The children of a dead child are among them. Nodes have positions in the tree in
+        breadth-first order from the root, like the items of a heap.
         """
-        found: list[int] = []
-        places = [(self._members.me - root) % self._nodes]
-        while places and len(found) < FANOUT * FANOUT:
-            first = FANOUT * places.pop() + 1
-            for place in range(first, min(first + FANOUT, self._nodes)):
-                node = (root + place) % self._nodes
+        children: list[int] = []
+        positions = [(self._members.me - root) % self._node_count]
+        while positions and len(children) < FANOUT * FANOUT:
+            first_child = FANOUT * positions.pop() + 1
+            for position in range(first_child, min(first_child + FANOUT, self._node_count)):
+                node = (root + position) % self._node_count
                 if self._members.is_alive(node):
-                    found.append(node)
+                    children.append(node)
                 else:
-                    places.append(place)
-        return found
+                    positions.append(position)
+        return children
 
     def push(self, packed: PackedDelta) -> None:
-        """Send a delta of this reader's own down its tree."""
+        """Queue a delta that this node has read for its children in its own tree."""
         root = self._members.me
         total, children = piece_count(packed, self.piece_bytes), self.children(root)
         for number in range(total):
             for child in children:
-                self._queue_number(child, packed, number, total, root)
+                self._queue_piece_number(child, packed, number, total, root)
 
-    def pass_on(self, piece: Piece, body: bytes) -> None:
-        """Pass a piece on to this node's children."""
-        if 0 <= piece.root < self._nodes:
+    def forward(self, piece: Piece, body: bytes) -> None:
+        """Queue a received piece for this node's children in the tree of its root."""
+        if 0 <= piece.root < self._node_count:
             for child in self.children(piece.root):
                 self._queue_piece(child, piece, body)
 
-    # ---- answers -------------------------------------------------------------------
+    # ---- answers to requests -------------------------------------------------------
 
-    def answer(
+    def answer_request(
         self,
         now: int,
         to: int,
@@ -108,37 +110,47 @@
         replica: ListReplica,
         assembler: PieceAssembler,
     ) -> None:
-        """Queue the pieces that a node requests, as far as this one has them and is not busy."""
+        """Queue the pieces that a node requests, unless too many are queued already.
+
+        They are taken from the delta that the node names. If this node has no piece of it, it
+        sends another delta, from the requesting node's version to its own later one.
+        """
         checksum, numbers = request.delta_checksum, request.piece_numbers
-        if len(self._queue) > BUSY_QUEUED:
+        if len(self._queue) > BUSY_QUEUE_PIECES:
             self.counters["asked while busy"] += 1
             return
         packed = replica.cached(checksum) if checksum != NO_DELTA else None
         if packed is None:
-            sent = self._answer_in_part(to, request, assembler)
-            unread = not replica.version.epoch
-            has_all = request.version >= replica.version
-            if sent or unread or has_all or not self._packings.take(now):
+            sent = self._queue_received_pieces(to, request, assembler)
+            is_unread = not replica.version.epoch
+            is_current = request.version >= replica.version
+            if sent or is_unread or is_current or not self._packing_tokens.take(now):
                 return
             packed, numbers = replica.delta_since(request.version), ()
         total = piece_count(packed, self.piece_bytes)
         start = self._random.randrange(total)
-        wanted = [number for number in numbers if 0 <= number < total][:MAX_REQUESTED]
+        wanted = [number for number in numbers if 0 <= number < total][:MAX_REQUESTED_PIECES]
         for number in wanted or [(start + i) % total for i in range(total)]:
-            self._queue_number(to, packed, number, total, NO_TREE)
+            self._queue_piece_number(to, packed, number, total, NO_TREE)
 
-    def _answer_in_part(self, to: int, request: PieceRequest, assembler: PieceAssembler) -> bool:
-        """Queue the pieces that this node has of an incomplete delta; whether there were any.
+    def _queue_received_pieces(
+        self, to: int, request: PieceRequest, assembler: PieceAssembler
+    ) -> bool:
+        """Queue the requested pieces of a delta that this node itself has only in part.
 
-        Under packet loss only the reader has a complete delta at first.
+        Under packet loss only the reader has the complete delta at first. Returns whether this
+        node has any of the pieces.
         """
-        parts = [assembler.part(request.delta_checksum, n) for n in request.piece_numbers]
-        found = [part for part in parts if part is not None]
-        for piece, body in found[:MAX_REQUESTED]:
+        pieces = [
+            assembler.received_piece(request.delta_checksum, number)
+            for number in request.piece_numbers
+        ]
+        received = [piece for piece in pieces if piece is not None]
+        for piece, body in received[:MAX_REQUESTED_PIECES]:
             self._queue_piece(to, piece._replace(root=NO_TREE), body)
-        return bool(found)
+        return bool(received)
 
-    def _queue_number(
+    def _queue_piece_number(
         self, to: int, packed: PackedDelta, number: int, total: int, root: int
     ) -> None:
         body = packed.data[number * self.piece_bytes : (number + 1) * self.piece_bytes]
@@ -146,6 +158,6 @@
         self._queue_piece(to, piece, body)
 
     def _queue_piece(self, to: int, piece: Piece, body: bytes) -> None:
-        if len(self._queue) < MAX_QUEUED:
+        if len(self._queue) < MAX_QUEUED_PIECES:
             message = self._members.message(Kind.PIECE, digest=tuple(piece), body=body)
             self._queue.append(Outgoing(to, message))
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -1,10 +1,10 @@
-"""Which nodes are list readers, decided at each node from the readers' records.
+"""Decides at each node, from the readers' records, which nodes are list readers.
 
-Every node computes the same order: by rendezvous hashing over the alive nodes, those whose calls
-failed recently last. The first `count` are readers. Where no reader's record has been renewed, the
-others step in, in groups of `count`: a wrong view of the members costs an extra call, and never
-leaves the fleet without a reader. After failures the calls of all nodes together are paced. Times
-are in nanoseconds.
+Every node computes the same order of the alive nodes, by rendezvous hashing; nodes whose calls to
+the list service failed recently come last. The first `count` nodes are readers. If no reader has
+renewed its record, the next nodes take over, in groups of `count`. So a wrong view of the members
+costs an additional call, but never leaves the fleet without a reader. After failures, the calls of
+all nodes together are limited by a pause. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 from loadbalancer.core.gossip.messages import ReaderRecord, ReaderState, record_checksum
 from loadbalancer.core.gossip.records import MERGE_RULES, StoredRecord, join
 
-FAILED_NS = 5 * SECOND  # how long a node whose call failed ranks behind the others
-PAUSE_NS = 250 * MS  # of the fleet after a failure; doubled with each node whose call failed
-MAX_PAUSE_NS = 4 * SECOND
+FAILED_NS = 5 * SECOND  # how long a node ranks behind the others after a failed call
+FAILURE_PAUSE_NS = 250 * MS  # after a failure no node begins to poll; doubled per further failure
+MAX_FAILURE_PAUSE_NS = 4 * SECOND
 MAX_PAUSE_DOUBLINGS = 8
-FIRST_STEP_NS = 2 * SECOND  # silence of the readers after which the next group steps in, at first
-STALE_NS = 12 * SECOND  # the same once the list has been read: six watches of a reader
-ABSENT_NS = 60 * SECOND  # how long a node that should read, and was silent, is passed over
-DISTRUST_NS = 60 * SECOND  # how long a node that named a version which nobody has is ignored
+INITIAL_TAKEOVER_NS = 2 * SECOND  # silence of the readers after which the next group takes over
+TAKEOVER_NS = 12 * SECOND  # the same once the list has been read: six watches of a reader
+ABSENT_NS = 60 * SECOND  # how long a node that should be a reader, but is silent, is skipped
+DISTRUST_NS = 60 * SECOND  # how long a reader that announced a version no node has is ignored
 
 
 def reader_rank(node: int) -> int:
-    """Rendezvous hash of the one list: the nodes with the lowest ranks read it."""
+    """A node's rendezvous hash for the list: the nodes with the lowest hashes are its readers."""
     return crc32(b"list %d" % node)
 
 
 class ListReaders:
-    """The records of all readers, this node's own included, and the order in which nodes read."""
+    """The records of all readers, including this node's, and the order of nodes as readers."""
 
     def __init__(self, me: int, nodes: int, count: int, now: int) -> None:
         self.me = me
         self.count = count
-        self._order = sorted(range(nodes), key=reader_rank)
-        self._preceding = self._order[: self._order.index(me)]
-        # By node; written when the list service answered.
+        self._nodes_by_rank = sorted(range(nodes), key=reader_rank)
+        self._preceding_nodes = self._nodes_by_rank[: self._nodes_by_rank.index(me)]
+        # By node, with the time at which the reader wrote its record.
         self.records: dict[int, StoredRecord[ReaderRecord]] = {}
         self._started_at = now
-        self._number = 0
+        self._record_number = 0
         self._distrusted_until: dict[int, int] = {}
-        self._absent_until: dict[int, int] = {}  # nodes that should read and were silent
+        self._absent_until: dict[int, int] = {}  # nodes that should be readers but are silent
 
     # ---- records ---------------------------------------------------------------
 
     def announce(
         self, now: int, incarnation: int, state: ReaderState, version: ListVersion
     ) -> None:
-        """Write this node's own record."""
-        self._number += 1
-        record = ReaderRecord(self.me, incarnation, self._number, state, *version, 0)
+        """Write this node's own record: the state of its polls and its version of the list."""
+        self._record_number += 1
+        record = ReaderRecord(self.me, incarnation, self._record_number, state, *version, 0)
         self.records[self.me] = StoredRecord(record, now)
 
     def merge(self, now: int, record: ReaderRecord) -> bool:
-        """Merge another reader's record; whether it changed what is stored."""
+        """Merge another reader's record; returns whether it changed the stored one."""
         if record.node == self.me or record.age >= MERGE_RULES[ReaderRecord].ttl_ns:
             return False
         self.records[record.node], changed = join(self.records.get(record.node), now, record)
@@ -67,12 +67,12 @@
         return changed
 
     def get(self, now: int, node: int) -> ReaderRecord | None:
-        """A reader's record with its age as of now."""
+        """A reader's record with its present age, if it is known."""
         stored = self.records.get(node)
         return None if stored is None else stored.with_age(now)
 
     def all_records(self, now: int) -> list[ReaderRecord]:
-        """All records with their ages as of now."""
+        """All records with their present ages."""
         return [stored.with_age(now) for stored in self.records.values()]
 
     def digest(self) -> int:
@@ -83,18 +83,19 @@
         return total
 
     def expire(self, now: int) -> None:
-        """Remove expired records, and the marks of distrusted and absent nodes."""
+        """Remove expired records, and end expired distrust and absence of nodes."""
         ttl_ns = MERGE_RULES[ReaderRecord].ttl_ns
         self.records = {n: r for n, r in self.records.items() if now - r.written_at < ttl_ns}
         self._distrusted_until = {n: t for n, t in self._distrusted_until.items() if now < t}
         self._absent_until = {n: t for n, t in self._absent_until.items() if now < t}
 
-    # ---- who reads ----------------------------------------------------------------
+    # ---- which nodes are readers --------------------------------------------------
 
     def is_chosen(self, now: int, is_alive: Callable[[int], bool], is_polling: bool) -> bool:
-        """Whether this node is to be a reader now; `is_polling`: it is one already.
+        """Whether this node should be a reader now; with `is_polling` it is one already.
 
-        It steps in where the nodes that precede it have been silent, and passes them over.
+        It takes over if the nodes that precede it have been silent for too long, and skips them
+        from then on.
         """
         failed = {
             node: failed_at
@@ -103,73 +104,76 @@
         }
         if failed and not is_polling:
             doublings = min(len(failed) - 1, MAX_PAUSE_DOUBLINGS)
-            if now - max(failed.values()) < min(PAUSE_NS << doublings, MAX_PAUSE_NS):
+            if now - max(failed.values()) < min(
+                FAILURE_PAUSE_NS << doublings, MAX_FAILURE_PAUSE_NS
+            ):
                 return False
         if self.me in failed:
             return self._is_last_resort(failed, is_alive)
         preceding = self.preceding(
             lambda n: n not in failed and n not in self._absent_until and is_alive(n)
         )
-        group = len(preceding) // self.count
-        if group and self._silence(now) > group * self._step():
-            # They are alive and do not read: they run an earlier release, or are cut off from this
-            # node. Unless they are passed over, nodes that step in would end each other's turn.
+        group_number = len(preceding) // self.count
+        if group_number and self._silence_ns(now) > group_number * self._takeover_ns():
+            # They are alive but do not read: they run an earlier release, or can't reach this
+            # node. They are skipped, as otherwise the records of nodes that have taken over would
+            # end the silence, and with it each other's turn.
             self._absent_until |= dict.fromkeys(preceding, now + ABSENT_NS)
             return True
-        return group == 0
+        return group_number == 0
 
-    def preceding(self, counts: Callable[[int], bool]) -> list[int]:
-        """The nodes in the order before this one that count."""
-        return [node for node in self._preceding if counts(node)]
+    def preceding(self, condition: Callable[[int], bool]) -> list[int]:
+        """The nodes that rank before this one and meet the condition."""
+        return [node for node in self._preceding_nodes if condition(node)]
 
     def _is_last_resort(self, failed: dict[int, int], is_alive: Callable[[int], bool]) -> bool:
-        """Where all calls failed: whether this node is among the `count` that failed first."""
-        if any(node not in failed and is_alive(node) for node in self._order):
+        """If all nodes' calls failed: whether this node is among the `count` that failed first."""
+        if any(node not in failed and is_alive(node) for node in self._nodes_by_rank):
             return False
         own = failed[self.me]
         earlier = sum(failed_at < own and is_alive(node) for node, failed_at in failed.items())
         return earlier < self.count
 
-    def _silence(self, now: int) -> int:
-        """How long ago the last record of another reader was written, ns."""
-        signs = [
+    def _silence_ns(self, now: int) -> int:
+        """How long ago another reader last wrote a record that does not report a failure, ns."""
+        written_times = [
             written_at
             for node, (record, written_at) in self.records.items()
             if node != self.me and record.state != ReaderState.FAILED
         ]
-        return now - max(signs, default=self._started_at)
+        return now - max(written_times, default=self._started_at)
 
-    def _step(self) -> int:
-        """The silence, ns, after which a further group of nodes reads."""
+    def _takeover_ns(self) -> int:
+        """The silence of the readers, ns, after which a further group of nodes takes over."""
         read = any(record.state == ReaderState.READ for record, _ in self.records.values())
-        return STALE_NS if read else FIRST_STEP_NS
+        return TAKEOVER_NS if read else INITIAL_TAKEOVER_NS
 
     def active_preceding(self, now: int) -> int:
-        """How many readers with a recent record precede this node: their pushes come first."""
+        """How many readers with a recent record rank before this node: their pushes come first."""
         own = reader_rank(self.me)
         return sum(
             reader_rank(node) < own
             and record.state == ReaderState.READ
-            and now - written_at < STALE_NS
+            and now - written_at < TAKEOVER_NS
             for node, (record, written_at) in self.records.items()
         )
 
     # ---- versions ----------------------------------------------------------------
 
     def latest_version(self) -> ListVersion:
-        """The latest version that a trusted reader has."""
-        return max((version for version, _ in self._versions()), default=NO_VERSION)
+        """The latest version announced by a reader that is not distrusted."""
+        return max((version for version, _ in self._announced_versions()), default=NO_VERSION)
 
-    def nodes_with(self, version: ListVersion) -> list[int]:
-        """The trusted readers that have that version."""
-        return [node for found, node in self._versions() if found == version]
+    def readers_with(self, version: ListVersion) -> list[int]:
+        """The readers that announced this version, without distrusted ones."""
+        return [node for found, node in self._announced_versions() if found == version]
 
     def distrust(self, now: int, version: ListVersion) -> None:
-        """No node sends this version: ignore the readers that name it for DISTRUST_NS."""
-        for node in self.nodes_with(version):
+        """Ignore the readers of this version for DISTRUST_NS, as no node sends it."""
+        for node in self.readers_with(version):
             self._distrusted_until[node] = now + DISTRUST_NS
 
-    def _versions(self) -> list[tuple[ListVersion, int]]:
+    def _announced_versions(self) -> list[tuple[ListVersion, int]]:
         return [
             (version_of(record), node)
             for node, (record, _) in self.records.items()
--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -1,4 +1,4 @@
-"""Whether this node polls the list service for the fleet; maintains its own reader record.
+"""Decides whether this node polls the list service, and maintains its reader record.
 
 Times are in nanoseconds.
 """
@@ -11,67 +11,74 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import ReaderState
 
-ANNOUNCE_INTERVAL_NS = SECOND // 2  # at least, between records of answers of the list service
-SIGN_INTERVAL_NS = SECOND  # between records while the list service has not answered yet
-FIRST_ANSWER_NS = 10 * SECOND  # how long a first call may go on after others have become readers
+ANNOUNCE_INTERVAL_NS = SECOND // 2  # minimum time between records that announce answers
+POLLING_RENEWAL_NS = SECOND  # between records while the list service has not answered yet
+FIRST_CALL_NS = 10 * SECOND  # how long a first call may continue once other nodes are readers
 
 
 class PollingRole:
-    """This node as a reader of the list."""
+    """This node's role as a list reader, which polls the list service for the fleet."""
 
     def __init__(self, members: Membership, readers: ListReaders, now: int) -> None:
         self._members = members
         self._readers = readers
-        self.is_polling = False  # this node polls the list service
-        self.record_changed = False  # its own record is to be disseminated
-        self._polls_since = now
-        self._read_unannounced = False
+        self.is_polling = False  # whether this node polls the list service
+        self.record_changed = False  # whether its record is still to be disseminated
+        self._polling_since = now
+        self._has_unannounced_answer = False
 
     def on_answer(self, now: int, version: ListVersion) -> None:
-        """The list service has answered this node, which now has `version`."""
-        self._read_unannounced = True  # until `update` announces it
+        """The list service has answered, and this node now has `version`."""
+        self._has_unannounced_answer = True  # until `update` announces it
         own = self._readers.records.get(self._members.me)
         if own is None or own.record.state != ReaderState.READ:
             self._announce(now, ReaderState.READ, version)
 
     def on_failure(self, now: int, older: bool, version: ListVersion) -> None:
-        """A call has failed, or answered with an `older` version, which alone is no failure."""
+        """A call has failed, or returned an `older` version, which does not count as a failure."""
         if self.is_polling:
             state = ReaderState.POLLING if older else ReaderState.FAILED
             self._announce(now, state, version)
 
     def _announce(self, now: int, state: ReaderState, version: ListVersion) -> None:
-        self._read_unannounced = False
+        self._has_unannounced_answer = False
         self._readers.announce(now, self._members.incarnation, state, version)
         self.record_changed = True
 
     def update(self, now: int, version: ListVersion, defer: bool, must_poll: bool) -> None:
-        """Decide whether this node polls from now on, and announce it.
+        """Decide whether this node polls from now on, and announce its state.
 
         Args:
             now: ns.
             version: the version that this node has.
-            defer: other nodes may still send the list, so this node does not begin to poll.
-            must_poll: this node needs an answer to its own poll.
+            defer: do not begin to poll, as other nodes may still send the list.
+            must_poll: poll in any case, as this node needs the answer itself.
         """
         members, readers = self._members, self._readers
         own = readers.records.get(members.me)
         record_age = now if own is None else now - own.written_at
-        polling = own is not None and own.record.state == ReaderState.POLLING
-        chosen = readers.is_chosen(now, members.is_alive, self.is_polling)
-        # A call that has begun goes on: most of its cost to the service is spent already.
-        begun = self.is_polling and polling and now - self._polls_since < FIRST_ANSWER_NS
-        deferred = defer and not self.is_polling
-        should_poll = (chosen and not deferred) or begun or members.hears_nobody(now) or must_poll
+        announced_polling = own is not None and own.record.state == ReaderState.POLLING
+        is_chosen = readers.is_chosen(now, members.is_alive, self.is_polling)
+        # A call in progress continues, as the service has already spent most of its cost.
+        call_in_progress = (
+            self.is_polling and announced_polling and now - self._polling_since < FIRST_CALL_NS
+        )
+        is_deferred = defer and not self.is_polling
+        should_poll = (
+            (is_chosen and not is_deferred)
+            or call_in_progress
+            or members.hears_nobody(now)
+            or must_poll
+        )
         if should_poll and not self.is_polling:
-            self._polls_since = now
+            self._polling_since = now
             self._announce(now, ReaderState.POLLING, version)
-        elif should_poll and polling and record_age >= SIGN_INTERVAL_NS:
+        elif should_poll and announced_polling and record_age >= POLLING_RENEWAL_NS:
             self._announce(now, ReaderState.POLLING, version)
-        elif self._read_unannounced and record_age >= ANNOUNCE_INTERVAL_NS:
+        elif self._has_unannounced_answer and record_age >= ANNOUNCE_INTERVAL_NS:
             self._announce(now, ReaderState.READ, version)
         self.is_polling = should_poll
 
     def update_disconnected(self, now: int) -> None:
-        """Without a connection to the gossip: poll once no messages have come for a while."""
+        """While not connected to the gossip: poll once no messages have come for a while."""
         self.is_polling = self._members.hears_nobody(now)
--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -1,9 +1,9 @@
-"""Versions of a list, and the rows that have changed since a recent version; no I/O.
+"""A list with numbered revisions, and the rows changed since a recent revision; no I/O.
 
-Serves one list to many watchers: each requests what has changed since the version that it has.
-Versions only increase. Either `replace` counts them, from a first number that the host gives (its
-wall clock, so that they increase across restarts too), or they come with the rows (`advance`). A
-request with an unknown version is answered with the complete list.
+Serves one list to many watchers: each requests the rows that have changed since the revision that
+it has. Revisions only increase. Either `replace` counts them, starting from a number that the host
+provides (its wall clock, so that they also increase across restarts), or they are passed in with
+the rows (`advance`). A request with an unknown revision is answered with the complete list.
 """
 
 from __future__ import annotations
@@ -12,33 +12,37 @@
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-MAX_CHANGES = 4096  # changed rows that are remembered
-MAX_OLDER_ANSWERS = 6  # consecutive ones from which an older list is accepted: 1 to 3 s
+MAX_CHANGES = 4096  # changed rows that are remembered, for requests since a recent revision
+MAX_OLDER_ANSWERS = 6  # consecutive older answers after which such a list is accepted: 1 to 3 s
 
 Row = TypeVar("Row")
 
 
 class Revisions(Generic[Row]):
-    """Rows by id, as of version `rev`."""
+    """The rows of a list by id, as of revision `rev`."""
 
     __slots__ = ("_changes", "_first_known", "rev", "rows")
 
     def __init__(self, first: int) -> None:
         self.rev = first
         self.rows: dict[str, Row] = {}
-        self._first_known = first  # the changes since this version and later ones are known
+        self._first_known = (
+            first  # the changes since this revision and all later ones are remembered
+        )
         self._changes: deque[tuple[int, str]] = deque()
 
     def replace(self, rows: Mapping[str, Row]) -> bool:
-        """Apply a complete list; where it differs the version is raised by 1, and True returned."""
-        changed = [u for u in sorted({*rows, *self.rows}) if rows.get(u) != self.rows.get(u)]
+        """Apply a complete list; if it differs, increase `rev` by 1 and return True."""
+        changed = [
+            uid for uid in sorted({*rows, *self.rows}) if rows.get(uid) != self.rows.get(uid)
+        ]
         if not changed:
             return False
         self.advance(self.rev + 1, {uid: rows.get(uid) for uid in changed})
         return True
 
     def advance(self, rev: int, changed: Mapping[str, Row | None]) -> None:
-        """Change to a later version, with the rows that differ in it, None for a removed one."""
+        """Move to a later revision with the rows that changed in it, None for a removed one."""
         self.rev = rev
         for uid, row in changed.items():
             if row is None:
@@ -50,7 +54,10 @@
             self._first_known = self._changes.popleft()[0]
 
     def since(self, rev: int) -> tuple[dict[str, Row | None], bool]:
-        """(rows that changed after `rev`, None for a removed one; False), or (all rows, True)."""
+        """Return the rows changed after `rev` (None for a removed one) and False.
+
+        If the changes after `rev` are not known, returns all rows and True.
+        """
         if not self._first_known <= rev <= self.rev:
             return dict(self.rows), True
         changed: dict[str, Row | None] = {}
@@ -62,10 +69,10 @@
 
 
 class OlderAnswerFilter:
-    """Whether to accept answers with a version older than the present one.
+    """Decides whether to use an answer with a revision older than the present one.
 
-    A replica that lags must not restore removed servers. A service that repeats an older version
-    has restarted its numbers: then its list is accepted.
+    A lagging replica of the list service must not restore removed servers. But a service that
+    repeatedly answers with an older revision has restarted its numbers, so its list is accepted.
     """
 
     __slots__ = ("consecutive_older",)
@@ -74,7 +81,7 @@
         self.consecutive_older = 0  # consecutive older answers
 
     def accepts(self, rev: int, complete: bool, present_rev: int) -> bool:
-        """Whether an answer of version `rev` is to be used, where this node has `present_rev`."""
+        """Whether to use an answer of revision `rev` on a node that has `present_rev`."""
         self.consecutive_older = self.consecutive_older + 1 if rev < present_rev else 0
         accepted = not self.consecutive_older or (
             complete and self.consecutive_older >= MAX_OLDER_ANSWERS
@@ -84,5 +91,5 @@
         return accepted
 
     def accept_next(self) -> None:
-        """Accept the next complete list: the present one may be of another list service."""
+        """Accept the next complete list: the present one may come from another list service."""
         self.consecutive_older = MAX_OLDER_ANSWERS
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -1,8 +1,8 @@
-"""One node's part in the shared list, which a few readers poll and all nodes pass on.
+"""One node's part in the shared endpoint list, which a few readers poll and all nodes forward.
 
-Readers poll the list service and push deltas (`delta_sender.py`); lost pieces are requested again
-(`list_repair.py`); which nodes read is decided by `list_readers.py` and `polling_role.py`.
-Sans-I/O like all of the gossip; times are in nanoseconds.
+Readers poll the list service and push deltas to the other nodes (`delta_sender.py`). Nodes request
+lost pieces again (`list_repair.py`). `list_readers.py` and `polling_role.py` decide which nodes are
+readers. No I/O and no clock, like the rest of the gossip; times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     PieceRequest,
     PieceStatus,
 )
-from loadbalancer.core.endpoints.list_readers import FIRST_STEP_NS, ListReaders
+from loadbalancer.core.endpoints.list_readers import INITIAL_TAKEOVER_NS, ListReaders
 from loadbalancer.core.endpoints.list_repair import GIVE_UP_NS, ListRepair
 from loadbalancer.core.endpoints.list_replica import ListReplica
 from loadbalancer.core.endpoints.list_versions import FULL_LIST, ListDelta, PackedDelta, unpack
@@ -27,12 +27,13 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import Kind, Message, Outgoing, ReaderState
 
-PUSH_DELAY_NS = 300 * MS  # of each further reader's push, which the first one's may cancel
-MAX_WAITING_DELTAS = 8  # complete deltas that do not fit yet
-MAX_REMOVED_PART = 2  # a delta that removes more than one row in so many ...
-REMOVAL_WITNESSES = 2  # ... needs so many readers that name its version, or this node's own poll
-REMOVAL_STEP_NS = FIRST_STEP_NS  # between two nodes' polls to confirm a removal
-REPORTED_STATES = {  # the words of `/peers`
+# A reader delays its push by this for each reader that ranks before it: their push may cancel it.
+PUSH_DELAY_NS = 300 * MS
+MAX_WAITING_DELTAS = 8  # complete deltas that don't fit the replica yet
+UNCONFIRMED_REMOVAL_DIVISOR = 2  # a delta that removes more than 1/2 of the rows ...
+REMOVAL_CONFIRMATIONS = 2  # ... needs so many readers that announce it, or this node's own poll
+REMOVAL_POLL_INTERVAL_NS = INITIAL_TAKEOVER_NS  # between two nodes' polls that confirm a removal
+REPORTED_STATES = {  # the names of the states in `/peers`
     ReaderState.POLLING: "asking",
     ReaderState.READ: "read",
     ReaderState.FAILED: "failed",
@@ -40,22 +41,22 @@
 
 
 class ListUpdate(NamedTuple):
-    """What the host is to apply: rows by id, None for a removed one."""
+    """An update that the host has to apply: rows by id, None for a removed one."""
 
     rev: int
     rows: Mapping[str, str | None]
-    complete: bool  # whether rows that are not named have been removed
+    complete: bool  # whether all rows that are not in `rows` are removed
 
 
 class PendingPush(NamedTuple):
-    """A delta of this reader's own, and when it is pushed."""
+    """A delta that this node has read, and when to push it."""
 
     due: int
     packed: PackedDelta
 
 
 class SharedList:
-    """This node's replica of the list, with the updates for its host in `updates`."""
+    """This node's replica of the shared list; `updates` has the updates for its host."""
 
     def __init__(
         self, members: Membership, nodes: int, count: int, datagram: int, seed: int, now: int
@@ -69,16 +70,17 @@
         self.assembler = PieceAssembler(self.sender.piece_bytes)
         self.counters = self.sender.counters
         self.updates: list[ListUpdate] = []
-        self.caught_up = False  # this node has compared its records with others
+        self.caught_up = False  # whether this node has compared its records with other nodes'
         self._members = members
-        self._nodes = nodes
+        self._node_count = nodes
         self._repair = ListRepair(
             members, self.readers, self.sender, self.assembler, random, self.counters, now
         )
         self._waiting: list[PackedDelta] = []
         self._push: PendingPush | None = None
-        self._need_full_list = False  # a delta applied to this node's rows had a wrong checksum
-        self._removal_since: int | None = None  # a delta waits for a second reader
+        self._need_full_list = False  # the last delta gave a wrong checksum with this node's rows
+        # Since when a delta has waited for a second reader's confirmation.
+        self._removal_since: int | None = None
 
     @property
     def is_polling(self) -> bool:
@@ -87,45 +89,48 @@
 
     @property
     def has_queued_pieces(self) -> bool:
-        """Whether pieces wait for the rate alone."""
+        """Whether pieces wait for the rate limit alone."""
         return self.sender.has_queued_pieces
 
     # ---- the list service's answers ------------------------------------------------
 
     def on_answer(self, now: int, rev: int, rows: Mapping[str, str | None], complete: bool) -> None:
         """The list service has answered this node."""
-        delta = self.replica.read(rev, rows, complete)
+        delta = self.replica.apply_answer(rev, rows, complete)
         self._removal_since, self._need_full_list = None, False
         if delta is not None:
-            self.assembler.discard_until(self.replica.version)
+            self.assembler.discard_through(self.replica.version)
             due = now + PUSH_DELAY_NS * self.readers.active_preceding(now)
             self._push = PendingPush(due, self.replica.packed(delta))
             self._apply_waiting(now)
         self.polling_role.on_answer(now, self.replica.version)
 
     def on_failure(self, now: int, older: bool) -> None:
-        """A call of this node has failed, or answered with an `older` version."""
+        """A call of this node has failed, or returned an `older` version."""
         self.polling_role.on_failure(now, older, self.replica.version)
 
     def on_gossip_disconnected(self, now: int) -> None:
-        """Not connected to the gossip: this node polls itself after a while without messages."""
+        """Not connected to the gossip: poll once no messages have come for a while."""
         self.polling_role.update_disconnected(now)
 
     # ---- messages ------------------------------------------------------------------
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
-        """Take a PIECE or answer a WANT; other kinds are ignored."""
+        """Process a PIECE or WANT message; returns the pieces to send now.
+
+        Messages of other kinds are ignored.
+        """
         if message.kind == Kind.PIECE and len(message.digest) == len(Piece._fields):
             self._on_piece(now, Piece(*message.digest), message.body)
         elif message.kind == Kind.WANT and (request := PieceRequest.from_numbers(message.digest)):
-            self.sender.answer(now, message.origin, request, self.replica, self.assembler)
+            self.sender.answer_request(now, message.origin, request, self.replica, self.assembler)
         else:
             return []
         return self.sender.flush(now)
 
     def _on_piece(self, now: int, piece: Piece, body: bytes) -> None:
         if self._push is not None and piece.target >= self._push.packed.target:
-            self._push = None  # another reader pushes this version, or a later one
+            self._push = None  # another reader already pushes this version or a later one
         if piece.target <= self.replica.version:
             self.counters["pieces of what is known"] += 1
             return
@@ -134,7 +139,7 @@
             self.counters["pieces twice or unsound"] += 1
             return
         self._repair.on_piece(now)
-        self.sender.pass_on(piece, body)
+        self.sender.forward(piece, body)
         if added.delta is not None:
             self.replica.cache(added.delta)
             self._waiting = [*self._waiting[1 - MAX_WAITING_DELTAS :], added.delta]
@@ -143,18 +148,18 @@
     # ---- deltas ----------------------------------------------------------------------
 
     def _apply_waiting(self, now: int) -> None:
-        """Apply the deltas that fit, latest first; one may make others fit, or obsolete."""
+        """Apply the deltas that fit, latest first; each may make others fit or obsolete."""
         progress = True
         while progress:
             fitting = [packed for packed in self._waiting if self.replica.fits(packed)]
             latest_first = sorted(fitting, key=lambda packed: packed.target, reverse=True)
-            progress = any(self._settle(now, packed) for packed in latest_first)
+            progress = any(self._apply_or_discard(now, packed) for packed in latest_first)
         version = self.replica.version
         self._waiting = [packed for packed in self._waiting if packed.target > version]
-        self.assembler.discard_until(version)
+        self.assembler.discard_through(version)
 
-    def _settle(self, now: int, packed: PackedDelta) -> bool:
-        """Apply or discard a delta that fits; False for one that has to wait."""
+    def _apply_or_discard(self, now: int, packed: PackedDelta) -> bool:
+        """Apply or discard a delta that fits; returns False if it has to be confirmed first."""
         delta = unpack(packed)
         if delta is not None and self._is_unconfirmed_removal(now, delta):
             return False
@@ -166,8 +171,8 @@
         return True
 
     def _apply(self, delta: ListDelta) -> None:
-        # With a list from the configuration (epoch 0) the host's rows may differ from the
-        # replica's: after an upgrade the host has its predecessor's. So it gets all rows.
+        # While the replica has the list from the configuration (epoch 0), the host's rows may
+        # differ from it: after an upgrade they are its predecessor's. So the host gets all rows.
         complete = delta.base == FULL_LIST or not self.replica.version.epoch
         changed = self.replica.apply(delta)
         if changed is None:
@@ -180,15 +185,17 @@
         self.updates.append(ListUpdate(delta.target.rev, dict(rows), complete))
 
     def _is_unconfirmed_removal(self, now: int, delta: ListDelta) -> bool:
-        """Whether a delta removes so much that it needs a second reader.
+        """Whether a delta removes so many rows that a second reader has to confirm it.
 
-        Guards against one faulty reader that removes most servers at all nodes, while the list
+        Guards against a faulty reader that would remove most servers on all nodes, while the list
         service still has them.
         """
-        if self.replica.removed_by(delta) * MAX_REMOVED_PART <= len(self.replica.rows):
+        if self.replica.removed_count(delta) * UNCONFIRMED_REMOVAL_DIVISOR <= len(
+            self.replica.rows
+        ):
             return False
-        witnesses = len(self.readers.nodes_with(delta.target))
-        if witnesses >= min(REMOVAL_WITNESSES, self._nodes - 1):
+        confirmations = len(self.readers.readers_with(delta.target))
+        if confirmations >= min(REMOVAL_CONFIRMATIONS, self._node_count - 1):
             return False
         if self._removal_since is None:
             self._removal_since = now
@@ -198,9 +205,9 @@
     # ---- time -----------------------------------------------------------------------
 
     def tick(self, now: int) -> list[Outgoing]:
-        """The messages to send now; decides whether this node polls."""
+        """Decide whether this node polls, and return the messages to send now."""
         self.readers.expire(now)
-        self._apply_waiting(now)  # a second reader may have confirmed a removal
+        self._apply_waiting(now)  # a second reader may have confirmed a removal by now
         requests = self._request_missing(now)
         defer = not self.caught_up or self._repair.may_arrive(now)
         self.polling_role.update(now, self.replica.version, defer, self._must_confirm_removal(now))
@@ -216,14 +223,14 @@
         return self._repair.requests(now, self.replica.version, self._need_full_list)
 
     def _must_confirm_removal(self, now: int) -> bool:
-        """Whether it is this node's turn to poll, as no second reader has confirmed a removal."""
+        """Whether it is this node's turn to poll in order to confirm a removal itself."""
         if self._removal_since is None:
             return False
         preceding = len(self.readers.preceding(self._members.is_alive))
-        return now - self._removal_since > GIVE_UP_NS + preceding * REMOVAL_STEP_NS
+        return now - self._removal_since > GIVE_UP_NS + preceding * REMOVAL_POLL_INTERVAL_NS
 
     def report(self, now: int) -> dict[str, object]:
-        """For operators: the version, and each reader's record with its age in ms."""
+        """The status for operators: the version, and each reader's record with its age in ms."""
         rows = [
             [r.node, REPORTED_STATES[ReaderState(r.state)], r.epoch, r.rev, r.age // MS]
             for r in sorted(self.readers.all_records(now))
--- a/tests/core/endpoints/test_list_pieces.py
+++ b/tests/core/endpoints/test_list_pieces.py
@@ -1,4 +1,4 @@
-"""Pieces of deltas: assembly, validity, and their size on the wire."""
+"""Tests for pieces of deltas: their assembly, their validity and their size on the wire."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from loadbalancer.core.endpoints.delta_sender import PIECE_HEAD_BYTES
+from loadbalancer.core.endpoints.delta_sender import PIECE_HEADER_BYTES
 from loadbalancer.core.endpoints.list_pieces import (
     AddedPiece,
     Piece,
@@ -32,8 +32,8 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6))
-def test_pieces_in_any_order_duplicated_or_mixed_make_one_delta_or_none(seed: int) -> None:
-    draw = Random(seed)
+def test_pieces_reordered_duplicated_or_mixed_give_the_delta_or_nothing(seed: int) -> None:
+    random = Random(seed)
     versions = history(seed, 4)
     packings = [
         pack(ListDelta(FULL_LIST, ListVersion(1, i + 1, 0), rows))
@@ -41,32 +41,32 @@
     ]
     pieces = [
         (
-            Piece(*p.target, p.base, -(-len(p.data) // 40), n, p.checksum, -1),
-            p.data[n * 40 : n * 40 + 40],
+            Piece(*p.target, p.base, -(-len(p.data) // 40), number, p.checksum, -1),
+            p.data[number * 40 : number * 40 + 40],
         )
         for p in packings
-        for n in range(-(-len(p.data) // 40))
+        for number in range(-(-len(p.data) // 40))
     ]
-    damaged = [(p._replace(rev=p.rev + 1), body) for p, body in draw.sample(pieces, 3)]
-    damaged += [(p, body[:-1] + b"?") for p, body in draw.sample(pieces, 2)]
-    received = pieces + draw.sample(pieces, len(pieces) // 2) + damaged
-    draw.shuffle(received)
+    damaged = [(p._replace(rev=p.rev + 1), body) for p, body in random.sample(pieces, 3)]
+    damaged += [(p, body[:-1] + b"?") for p, body in random.sample(pieces, 2)]
+    received = pieces + random.sample(pieces, len(pieces) // 2) + damaged
+    random.shuffle(received)
     assembler, complete = PieceAssembler(40), 0
     for now, (piece, body) in enumerate(received):
         packed = assembler.add(now, piece, body).delta
         if packed is not None:
             delta = unpack(packed)
-            # A damaged piece that came before the right one makes the checksum wrong: no delta.
+            # A damaged piece that arrives before the right one makes the checksum wrong.
             assert delta is None or delta.rows == versions[packed.target.rev - 1]
             complete += delta is not None
         assert len(assembler.partial) <= 8
     assert complete >= 1
 
 
-def test_pieces_fit_their_datagram_whatever_their_numbers() -> None:
+def test_pieces_and_requests_with_the_largest_numbers_fit_a_datagram() -> None:
     largest = (1 << 63) - 1
     piece = Piece(largest, largest, largest, largest, 4096, 4095, (1 << 32) - 1, 999)
-    body = bytes(256 - PIECE_HEAD_BYTES)
+    body = bytes(256 - PIECE_HEADER_BYTES)
     message = Message(Kind.PIECE, 999, (1 << 48) - 1, digest=tuple(piece), body=body)
     data = encode(message, 7)
     assert len(data) <= 256
@@ -77,7 +77,7 @@
     assert len(encode(Message(Kind.WANT, 999, (1 << 48) - 1, digest=missing), 7)) <= 256
 
 
-def test_a_request_for_pieces_is_the_numbers_of_its_message() -> None:
+def test_a_piece_request_converts_to_and_from_message_numbers() -> None:
     version = ListVersion(2, 41, 7)
     for request in (PieceRequest(version), PieceRequest(version, 5, (3, 1, 2))):
         assert PieceRequest.from_numbers(request.numbers()) == request
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -1,4 +1,4 @@
-"""The list that a few nodes read for all: one node's part, and whole fleets in simulation."""
+"""Tests of the shared endpoint list: one node's part, and simulations of whole fleets."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import pytest
 
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.delta_sender import PIECE_HEAD_BYTES
+from loadbalancer.core.endpoints.delta_sender import PIECE_HEADER_BYTES
 from loadbalancer.core.endpoints.list_pieces import Piece, PieceRequest
 from loadbalancer.core.endpoints.list_readers import (
-    FIRST_STEP_NS,
+    INITIAL_TAKEOVER_NS,
     reader_rank,
 )
 from loadbalancer.core.endpoints.list_replica import ListReplica
@@ -37,12 +37,12 @@
 from simulation.list_world.service import LINES_PER_S, ServiceCount
 from simulation.list_world.world import ListWorld
 
-COLD_NODES = 9  # each for itself would read a list, and each that is killed another one
+COLD_NODES = 9  # without list readers each would read the list, and once more after a restart
 
 
 def send_delta(shared: SharedList, delta: ListDelta, origin: int, root: int) -> list[Outgoing]:
-    """Send a delta in pieces from that node; what is passed on."""
-    packed, piece_bytes = pack(delta), 256 - PIECE_HEAD_BYTES
+    """Deliver a delta in pieces sent by `origin`; returns the messages sent in response."""
+    packed, piece_bytes = pack(delta), 256 - PIECE_HEADER_BYTES
     total, out = -(-len(packed.data) // piece_bytes), []
     for n in range(total):
         piece = Piece(*delta.target, delta.base, total, n, packed.checksum, root)
@@ -52,8 +52,8 @@
     return out
 
 
-def test_a_delta_without_its_checksum_or_its_base_changes_nothing() -> None:
-    """Forged, early, old and spanning deltas arrive: the replica stays a list that was read."""
+def test_a_delta_with_a_wrong_checksum_or_base_changes_nothing() -> None:
+    """Forged, early and old deltas arrive, and one over two changes that cancel each other out."""
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     rows = {f"s{i}": encode_row(i) for i in range(8)}
     shared.replica.load_configured_list(41, rows)
@@ -63,11 +63,11 @@
     assert shared.counters["steps that disagree"] == 1
     writer = ListReplica()
     writer.load_configured_list(41, rows)
-    first = writer.read(42, {"s1": encode_row(1, 5)}, False)
-    second = writer.read(43, {"s2": None}, False)
+    first = writer.apply_answer(42, {"s1": encode_row(1, 5)}, False)
+    second = writer.apply_answer(43, {"s2": None}, False)
     assert first is not None
     assert second is not None
-    # The later one first: it waits for the other, and is passed on all the same.
+    # The later delta arrives first: it waits for the other one.
     passed = send_delta(shared, second, 1, 1)
     assert {o.to for o in passed} == set()
     assert shared.replica.version == before
@@ -76,18 +76,18 @@
     assert shared.replica.version == second.target
     assert [n.rev for n in shared.updates] == [42, 43]
     assert shared.replica.rows == writer.rows
-    # Neither an old version nor the same one comes back, from wherever it is sent.
+    # Neither an older version nor the same one is applied, whichever node sends it.
     send_delta(shared, ListDelta(FULL_LIST, before, dict(rows)), 2, 2)
     assert shared.replica.version == second.target
     assert len(shared.updates) == 2
-    # A row that changed and changed back is not in a delta over both changes: the checksum is
-    # wrong, and all rows are asked for once a reader is known to have them.
-    flapped, last = ListReplica(), writer.read(44, {"s3": None}, False)
+    # A row that changed and changed back is not in a delta over both changes. So its checksum is
+    # wrong here, and all rows are requested once a reader is known to have them.
+    flapped, last = ListReplica(), writer.apply_answer(44, {"s3": None}, False)
     assert last is not None
     send_delta(shared, last, 1, 1)
     flapped.load_configured_list(41, rows)
-    flapped.read(43, {"s1": encode_row(1, 5), "s2": None}, False)
-    spanning = flapped.read(45, {"s4": None}, False)
+    flapped.apply_answer(43, {"s1": encode_row(1, 5), "s2": None}, False)
+    spanning = flapped.apply_answer(45, {"s4": None}, False)
     assert spanning is not None
     assert spanning.base == 43
     send_delta(shared, spanning, 1, 1)
@@ -103,13 +103,13 @@
     assert "s3" in shared.replica.rows
 
 
-def test_pieces_of_a_known_version_are_neither_stored_nor_passed_on() -> None:
-    """A copy of a piece comes late, after the version that it leads to: it must not go round."""
+def test_pieces_of_a_known_version_are_neither_stored_nor_forwarded() -> None:
+    """A duplicate piece arrives after its version has been applied, and must not circulate."""
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     for node in range(1, 5):
         shared._members.on_message(0, node, 9)
     writer = ListReplica()
-    delta = writer.read(41, {f"s{i}": encode_row(i) for i in range(8)}, True)
+    delta = writer.apply_answer(41, {f"s{i}": encode_row(i) for i in range(8)}, True)
     assert delta is not None
     assert send_delta(shared, delta, 1, 0)
     assert shared.replica.version == delta.target
@@ -119,7 +119,7 @@
     assert not shared.updates
 
 
-def test_a_piece_that_comes_twice_is_passed_on_once() -> None:
+def test_a_duplicate_piece_is_forwarded_once() -> None:
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
     for node in range(1, 5):
         shared._members.on_message(0, node, 9)
@@ -131,21 +131,21 @@
     assert shared.counters["pieces twice or unsound"] == 1
 
 
-def test_a_reader_does_not_push_what_another_one_pushes() -> None:
-    """Both have read one version; the other's first piece comes before this one's turn."""
+def test_a_reader_does_not_push_a_version_that_another_one_pushes() -> None:
+    """Both have read one version; the other's first piece arrives before this one's push is due."""
     order = sorted(range(5), key=reader_rank)
     me, other = order[1], order[0]
-    for has_heard in (False, True):
+    for has_received in (False, True):
         shared = SharedList(Membership(me, 5, 1, 1), 5, 2, 256, 1, 0)
         for node in set(order) - {me}:
             shared._members.on_message(0, node, 9)
         shared.readers.merge(0, ReaderRecord(other, 9, 1, ReaderState.READ, 1, 40, 7, 0))
         shared.on_answer(MS, 41, {"s1": encode_row(1)}, True)
-        if has_heard:
+        if has_received:
             piece = Piece(*shared.replica.version, FULL_LIST, 2, 0, 9, other)
             shared.receive(2 * MS, Message(Kind.PIECE, other, 9, digest=tuple(piece), body=b"x"))
         pieces = [o for o in shared.tick(SECOND) if o.message.kind == Kind.PIECE]
-        assert bool(pieces) != has_heard
+        assert bool(pieces) != has_received
 
 
 def test_messages_with_too_few_numbers_are_ignored() -> None:
@@ -155,7 +155,7 @@
 
 
 def test_a_node_answers_only_requests_of_nodes_that_lack_its_version() -> None:
-    """A request comes late, when this node has nothing, or no later version than the other."""
+    """It has no list that was read, or none later than that of the requesting node."""
     shared = SharedList(Membership(0, 5, 1, 1), 5, 2, 256, 1, 0)
 
     def answers(version: ListVersion) -> int:
@@ -163,29 +163,29 @@
         return len(shared.receive(MS, request))
 
     shared.replica.load_configured_list(40, {"s1": encode_row(1)})
-    assert not answers(NO_VERSION)  # from a configuration: it may be old
-    shared.replica.read(41, {"s2": encode_row(2)}, False)
+    assert not answers(NO_VERSION)  # a list from the configuration, which may be old
+    shared.replica.apply_answer(41, {"s2": encode_row(2)}, False)
     assert answers(NO_VERSION)
     assert not answers(shared.replica.version)
     assert not answers(shared.replica.version._replace(rev=42))
 
 
-def test_each_node_is_reached_once_down_the_tree_of_a_reader() -> None:
+def test_each_node_is_reached_once_in_a_readers_tree() -> None:
     for nodes in (2, 5, 6, 40, 200):
         reached = {7 % nodes: 0}
-        ahead = [7 % nodes]
-        while ahead:
-            node = ahead.pop()
+        to_visit = [7 % nodes]
+        while to_visit:
+            node = to_visit.pop()
             part = SharedList(Membership(node, nodes, 1, 1), nodes, 2, 256, 1, 0)
             for child in part.sender.children(7 % nodes):
                 assert child not in reached
                 reached[child] = reached[node] + 1
-                ahead.append(child)
+                to_visit.append(child)
         assert len(reached) == nodes
         assert max(reached.values()) <= 4
 
 
-def test_the_children_of_a_dead_node_are_served_by_its_parent() -> None:
+def test_a_dead_nodes_children_are_served_by_its_parent() -> None:
     dead = {0, 3, 4, 17}
     parts = []
     for node in range(40):
@@ -193,24 +193,24 @@
         for other in dead - {node}:
             members.merge(0, 1, MemberRecord(other, 1, MemberStatus.DEAD))
         parts.append(SharedList(members, 40, 2, 256, 1, 0))
-    reached, ahead = {7}, [7]
-    while ahead:
-        children = parts[ahead.pop()].sender.children(7)
+    reached, to_visit = {7}, [7]
+    while to_visit:
+        children = parts[to_visit.pop()].sender.children(7)
         assert not reached & set(children)
         reached |= set(children)
-        ahead += children
+        to_visit += children
     assert reached == set(range(40)) - dead
 
 
-def test_a_reader_waits_for_the_answer_of_a_call_that_has_begun() -> None:
+def test_a_reader_waits_for_the_answer_to_its_first_call() -> None:
     order = sorted(range(5), key=reader_rank)
     shared = SharedList(Membership(order[2], 5, 1, 1), 5, 2, 256, 1, 0)
     shared.caught_up = True
     shared._members.on_message(0, order[0], 9)
-    now = FIRST_STEP_NS + MS
+    now = INITIAL_TAKEOVER_NS + MS
     shared._members.on_message(now, order[0], 9)
     shared.tick(now)
-    assert shared.is_polling  # no reader gave a sign
+    assert shared.is_polling  # no reader has written a record
     for node in order[:2]:
         shared.readers.merge(now + MS, ReaderRecord(node, 9, 1, ReaderState.POLLING, 0, 0, 0, 0))
     shared.tick(now + 2 * MS)
@@ -220,8 +220,8 @@
     assert not shared.is_polling
 
 
-def test_one_reader_alone_can_not_remove_half_of_the_list() -> None:
-    """A reader pushes a list without most servers; a second one has to have the same."""
+def test_a_single_reader_can_not_remove_most_of_the_list() -> None:
+    """A reader pushes a list without most servers, which a second reader has to confirm."""
     nodes = 5
     members = Membership(0, nodes, 1, 1)
     order = [n for n in sorted(range(nodes), key=reader_rank) if n != 0]
@@ -230,23 +230,23 @@
     shared.replica.load_configured_list(41, rows)
     writer = ListReplica()
     writer.load_configured_list(41, rows)
-    delta = writer.read(42, {u: None for u in list(rows)[:6]}, False)
+    delta = writer.apply_answer(42, {u: None for u in list(rows)[:6]}, False)
     assert delta is not None
     send_delta(shared, delta, order[0], order[0])
     assert shared.replica.version.rev == 41
     assert not shared.updates
-    for witnesses, writer_node in enumerate(order[:2], 1):
+    for confirmations, writer_node in enumerate(order[:2], 1):
         shared.readers.merge(
             2 * MS, ReaderRecord(writer_node, 9, 1, ReaderState.READ, *delta.target, 0)
         )
         shared.tick(3 * MS)
-        assert bool(shared.updates) == (witnesses == 2)
+        assert bool(shared.updates) == (confirmations == 2)
     assert shared.replica.version.rev == 42
     assert len(shared.replica.rows) == 2
 
 
 def assert_within_service_rate(world: ListWorld) -> None:
-    """The list service never answered with more lines a second than it can."""
+    """Assert that the list service never exceeded its limit of lines per second."""
     assert max(world.service.lines_by_second.values(), default=0) <= LINES_PER_S
 
 
@@ -265,7 +265,7 @@
     assert_within_service_rate(world)
 
 
-def test_without_readers_each_node_reads_a_list_in_turn() -> None:
+def test_without_list_readers_each_node_reads_the_list_itself() -> None:
     alone = ListWorld(20, 100, 3, 0)
     alone.start_all()
     assert not alone.run(9 * SECOND, alone.is_current)
@@ -275,29 +275,29 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_readers_that_die_while_they_push_are_followed_by_others(seed: int) -> None:
+def test_readers_that_die_while_they_push_are_replaced(seed: int) -> None:
     world = ListWorld(30, 400, seed, 2)
     world.start_all()
     killed = []
 
-    def partly() -> bool:
+    def has_partial_delta() -> bool:
         shared_lists = [f.shared_list for f in world.nodes.values() if f.shared_list]
         return any(s.assembler.partial for s in shared_lists) and any(
             s.is_polling for s in shared_lists
         )
 
     for _ in range(3):
-        assert world.run(world.now + 20 * SECOND, partly)
+        assert world.run(world.now + 20 * SECOND, has_partial_delta)
         for node in [
             n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
         ]:
             world.kill(node)
             killed.append(node)
-        for node, fleet in world.nodes.items():  # what they had pushed is lost as well
+        for node, gossip_node in world.nodes.items():  # what the readers have pushed is lost too
             world.list_nodes[node].list_client.rows = {}
-            assert fleet.shared_list is not None
-            fleet.shared_list.assembler.partial.clear()
-            fleet.shared_list.replica = ListReplica()
+            assert gossip_node.shared_list is not None
+            gossip_node.shared_list.assembler.partial.clear()
+            gossip_node.shared_list.replica = ListReplica()
     assert world.run(world.now + 25 * SECOND, world.is_current)
     assert len(killed) >= 4
     assert world.service.counts[ServiceCount.REJECTED] == 0
@@ -307,12 +307,12 @@
     assert world.run(world.now + 10 * SECOND, world.is_current)
     assert (
         world.service.counts[ServiceCount.COMPLETE_LISTS] <= read_before + 2
-    )  # the others got it from their peers
+    )  # the other nodes got the list from their peers
     assert_within_service_rate(world)
 
 
-def lists_read_while_readers_die(seed: int) -> tuple[int, int]:
-    """Complete lists read in a cold start whose readers are killed, and how many were killed."""
+def count_lists_read_while_readers_die(seed: int) -> tuple[int, int]:
+    """Run a cold start and kill its readers; returns (complete lists read, killed readers)."""
     world = ListWorld(COLD_NODES, 60, seed, 2)
     world.service.rejection_probability = 0.6
     world.links.loss = 0.1
@@ -332,29 +332,29 @@
     return world.service.counts[ServiceCount.COMPLETE_LISTS], len(killed)
 
 
-def test_readers_that_die_while_polls_are_rejected_are_followed_by_as_many(
+def test_readers_that_die_while_polls_are_rejected_are_replaced_one_for_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The service rejects most polls, a tenth of messages is lost, and the readers are killed.
+    """The service rejects most polls, a tenth of the messages is lost, and the readers are killed.
 
-    Each rejection and each suspected death lets one further node poll, and a poll that has begun is
-    not given up: a single start may read nearly as many lists as there are nodes. Over many starts
-    no more are read than the two readers, and one for each that was killed, would read.
+    Each rejection and each suspected death makes one further node poll, and a poll that has begun
+    is not given up. So a single start may read nearly as many lists as there are nodes. Over many
+    starts, no more lists are read than two for the readers, and one for each killed reader.
     """
     monkeypatch.setattr(service, "LINES_PER_S", 60)
-    starts = [lists_read_while_readers_die(seed) for seed in range(40)]
+    starts = [count_lists_read_while_readers_die(seed) for seed in range(40)]
     assert all(read < COLD_NODES for read, _killed in starts)
     assert sum(read for read, _killed in starts) <= sum(2 + killed for _read, killed in starts)
 
 
-def test_a_service_that_rejects_calls_is_down_lags_and_restarts_its_numbers() -> None:
+def test_the_list_survives_a_service_that_rejects_is_down_lags_or_restarts_its_numbers() -> None:
     world = ListWorld(30, 60, 5, 2)
     service = world.service
     service.rejection_probability = 2 / 3
     world.start_all()
     assert world.run(30 * SECOND, world.is_current)
     assert service.counts[ServiceCount.COMPLETE_LISTS] <= 4
-    # Down for 10 s: the list stays, and the fleet makes a few calls in all.
+    # The service is down for 10 s: the list stays, and the whole fleet makes only a few calls.
     service.rejection_probability, service.down = 0.0, True
     for node in world.list_nodes.values():
         service.disconnect(node.list_client)
@@ -365,22 +365,22 @@
     service.down = False
     service.change({"s3": None, "s90": encode_row(90)})
     assert world.run(world.now + 10 * SECOND, world.is_current)
-    # A lagging replica answers with an older list: nobody takes it at once.
+    # A lagging replica answers with an older list, which no node accepts at once.
     rev = service.revisions.rev
     service.stale_list = KnownList(rev - 5, dict(list(service.rows.items())[:30]))
     for node in world.list_nodes.values():
         service.disconnect(node.list_client)
     clients = [node.list_client for node in world.list_nodes.values()]
 
-    def an_older_answer_has_come() -> bool:
+    def has_received_older_answer() -> bool:
         return any(client.older_answers.consecutive_older for client in clients)
 
     assert world.run(
-        world.now + 5 * SECOND, an_older_answer_has_come
+        world.now + 5 * SECOND, has_received_older_answer
     )  # a silent watch is given up after 3.5 s
     assert all(client.rev == rev for client in clients)
     service.stale_list = None
-    # It restarts its numbers: after some answers all take the new list, and keep it.
+    # The service restarts its numbers: after some answers all nodes accept and keep the new list.
     service.change({"s4": None}, rev=7)
     assert world.run(world.now + 60 * SECOND, world.is_current)
     epochs = {f.shared_list.replica.version[:2] for f in world.nodes.values() if f.shared_list}
@@ -395,10 +395,12 @@
     world = ListWorld(30, 60, 6, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.is_current)
-    reads = {n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling}
+    readers_before = {
+        n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
+    }
     world.run(world.now + 4 * SECOND)
-    far = {n for n in range(30) if n not in reads and n % 2}
-    world.links.partition(far, set(range(30)) - far)
+    minority = {n for n in range(30) if n not in readers_before and n % 2}
+    world.links.partition(minority, set(range(30)) - minority)
     world.service.change({f"s{i}": encode_row(i, 2) for i in range(20)})
     assert world.run(world.now + 30 * SECOND, world.is_current)
     world.links.unblock()
@@ -407,15 +409,15 @@
     world.run(world.now + 10 * SECOND)
     assert {
         n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
-    } == reads
-    # Every message is lost: each node reads for itself, as without gossip.
+    } == readers_before
+    # Every message is lost: each node reads the list itself, as without gossip.
     world.links.loss = 1.0
     world.service.change({"s78": encode_row(78)})
     assert world.run(world.now + 20 * SECOND, world.is_current)
     assert_within_service_rate(world)
 
 
-def test_servers_replaced_at_a_high_rate_are_known_to_all_at_once() -> None:
+def test_frequent_replacements_of_servers_reach_all_nodes_quickly() -> None:
     world = ListWorld(60, 100, 8, 2)
     world.start_all()
     assert world.run(3 * SECOND, world.is_current)
@@ -433,8 +435,8 @@
     assert world.service.counts[ServiceCount.LINES] - before <= 2 * 2 * 60 + 20
 
 
-def test_a_list_of_the_configuration_precedes_every_list_that_was_read() -> None:
-    """Nothing, an older version, a later one, the same number, each with rows of that day."""
+def test_a_list_from_the_configuration_precedes_every_list_that_was_read() -> None:
+    """Nodes start without a list, or with older, later or equal revisions, some with other rows."""
     world = ListWorld(24, 40, 11, 2)
     other = {f"s{i}": encode_row(i, 7) for i in range(20, 60)}
     old = {f"s{i}": encode_row(i) for i in range(30)}
@@ -451,43 +453,45 @@
     assert world.run(6 * SECOND, world.is_current)
     assert (
         world.service.counts[ServiceCount.COMPLETE_LISTS] == 2
-    )  # from the start, whatever the readers had
+    )  # the readers request all rows, whatever list they start with
     assert_within_service_rate(world)
     world.service.change({"s3": None})
     assert world.run(world.now + 2 * SECOND, world.is_current)
 
 
-def test_during_a_roll_out_of_readers_all_nodes_have_the_list() -> None:
-    """Every other node is of the version before, reads for itself and passes nothing on."""
+def test_all_nodes_have_the_list_while_list_readers_are_rolled_out() -> None:
+    """Every other node runs an earlier release, reads the list itself and forwards nothing."""
     world = ListWorld(24, 40, 10, 2)
     world.settings = [replace(t, readers=0) if t.me % 2 else t for t in world.settings]
     world.start_all()
     assert world.run(20 * SECOND, world.is_current)
     world.service.change({"s3": None, "s90": encode_row(90)})
     assert world.run(world.now + 12 * SECOND, world.is_current)
-    reading = [n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling]
-    assert 1 <= len(reading) <= 2
-    # The old nodes read for themselves; of the others the readers, and those that stepped in for
-    # old nodes among the first, which never announce that they read.
+    current_readers = [
+        n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
+    ]
+    assert 1 <= len(current_readers) <= 2
+    # Nodes of the earlier release read the list themselves and never announce this. Of the others,
+    # the readers read it, and the nodes that took over where the earlier release ranks first.
     assert world.service.counts[ServiceCount.COMPLETE_LISTS] <= 12 + 6
 
 
-def test_a_reader_that_names_versions_which_nobody_has_is_distrusted() -> None:
+def test_a_reader_that_announces_versions_no_node_has_is_distrusted() -> None:
     world = ListWorld(12, 30, 9, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.is_current)
-    false_reader = next(
+    faulty_reader = next(
         n for n, f in world.nodes.items() if f.shared_list and not f.shared_list.is_polling
     )
-    fleet = world.nodes[false_reader]
-    assert fleet.shared_list is not None
+    gossip_node = world.nodes[faulty_reader]
+    assert gossip_node.shared_list is not None
     record = ReaderRecord(
-        false_reader, fleet.members.incarnation, 99, ReaderState.READ, 5, 10**6, 1, 0
+        faulty_reader, gossip_node.members.incarnation, 99, ReaderState.READ, 5, 10**6, 1, 0
     )
     for node in range(12):
-        if node != false_reader:
+        if node != faulty_reader:
             message = Message(
-                Kind.GOSSIP, false_reader, fleet.members.incarnation, records=(record,)
+                Kind.GOSSIP, faulty_reader, gossip_node.members.incarnation, records=(record,)
             )
             world.send(node, world.nodes[node].receive(world.clock(node), message))
     world.run(world.now + 8 * SECOND)
@@ -501,5 +505,5 @@
     assert world.run(world.now + 3 * SECOND, world.is_current)
     assert (
         world.service.counts[ServiceCount.COMPLETE_LISTS] == calls
-    )  # and nobody read the complete list
+    )  # and no node read the complete list again
     assert sum(s.counters["versions that nobody has"] for s in shared_lists) >= 10
