--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -145,7 +145,7 @@
             assembler.received_piece(request.delta_checksum, number)
             for number in request.piece_numbers
         ]
-        received = [piece for piece in pieces if piece is not None]
+        received = [found for found in pieces if found is not None]
         for piece, body in received[:MAX_REQUESTED_PIECES]:
             self._queue_piece(to, piece._replace(root=NO_TREE), body)
         return bool(received)
--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -34,7 +34,7 @@
     def replace(self, rows: Mapping[str, Row]) -> bool:
         """Apply a complete list; if it differs, increase `rev` by 1 and return True."""
         changed = [
-            uid for uid in sorted({*rows, *self.rows}) if rows.get(uid) != self.rows.get(uid)
+            key for key in sorted({*rows, *self.rows}) if rows.get(key) != self.rows.get(key)
         ]
         if not changed:
             return False
--- a/tests/core/endpoints/test_list_readers.py
+++ b/tests/core/endpoints/test_list_readers.py
@@ -91,13 +91,22 @@
     ) == [2, 4]
     # After a failure no node begins to poll for a while; the more have failed, the longer.
     assert ranks_that_read((0, ReaderState.FAILED, 0)) == []
-    assert ranks_that_read(*((rank, ReaderState.FAILED, 1) for rank in range(4))) == []
+    assert (
+        ranks_that_read(*((failed_rank, ReaderState.FAILED, 1) for failed_rank in range(4))) == []
+    )
     # If all nodes have failed, those that failed first read.
     assert (
-        ranks_that_read(*((rank, ReaderState.FAILED, 4 if rank > 2 else 3) for rank in range(6)))
+        ranks_that_read(
+            *(
+                (failed_rank, ReaderState.FAILED, 4 if failed_rank > 2 else 3)
+                for failed_rank in range(6)
+            )
+        )
         == []
     )
-    last = readers_after(nodes_by_rank[5], *((rank, ReaderState.FAILED, 4) for rank in range(5)))
+    last = readers_after(
+        nodes_by_rank[5], *((failed_rank, ReaderState.FAILED, 4) for failed_rank in range(5))
+    )
     last.announce(now - 5 * SECOND + 1, 1, ReaderState.FAILED, ListVersion(0, 41, 7))
     assert last.is_chosen(now, lambda _: True, True)  # a node that polls already continues
     # If the readers are silent, group after group takes over, sooner if no node has read yet.
