--- a/loadbalancer/core/endpoints/line_limiter.py
+++ b/loadbalancer/core/endpoints/line_limiter.py
@@ -1,7 +1,7 @@
-"""A limit on the lines that all readers of a list service request together; no I/O, no clock.
+"""Limits the lines per second that all readers of a list service request; no I/O, no clock.
 
-Times are in nanoseconds. The limit holds over any period of one second, not only over seconds of
-the clock.
+A line is one server in an answer of the list service. The limit holds for every period of one
+second, not only for seconds of the clock. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class Reservation(NamedTuple):
-    """Lines that were requested, or returned, at a time (ns)."""
+    """Lines that were requested or returned, which count from a time (ns) on."""
 
-    at: int
+    counted_from: int
     lines: int
 
 
@@ -26,42 +26,45 @@
 
     def __init__(self, lines_per_second: int) -> None:
         if lines_per_second < 1:
-            raise ValueError("a reader needs at least one line a second")
+            raise ValueError("the limit must be at least one line a second")
         self.lines_per_second = lines_per_second
-        self._reserved: deque[Reservation] = deque()  # the oldest first
+        self._reserved: deque[Reservation] = deque()  # oldest first
         self._reserved_lines = 0
 
     def delay(self, now: int, lines: int) -> int:
-        """How long until so many lines may be requested, ns; at most until the limit is unused."""
+        """How long until so many lines may be requested, ns.
+
+        More lines than the limit may be requested once no other lines count.
+        """
         self._expire(now)
-        free = self.lines_per_second - self._reserved_lines
+        free_lines = self.lines_per_second - self._reserved_lines
         needed = min(lines, self.lines_per_second)
-        if needed <= free:
+        if needed <= free_lines:
             return 0
         for reservation in self._reserved:
-            free += reservation.lines
-            if needed <= free:
+            free_lines += reservation.lines
+            if needed <= free_lines:
                 return max(self._expires_at(reservation) - now, 1)
         return SECOND
 
     def reserve(self, now: int, lines: int) -> Reservation:
-        """Reserve lines; the reservation is for `settle`."""
+        """Reserve lines for a request; pass the reservation to `settle` once it has ended."""
         reservation = Reservation(now, lines)
         self._reserved.append(reservation)
         self._reserved_lines += lines
         return reservation
 
     def settle(self, now: int, reservation: Reservation, lines: int) -> None:
-        """Replace a reservation by the lines that were returned, which count from now on."""
+        """Replace a reservation with the lines that were returned, which count from `now` on."""
         if reservation in self._reserved:
             self._reserved.remove(reservation)
             self._reserved_lines -= reservation.lines
         self.reserve(now, lines)
 
     def _expires_at(self, reservation: Reservation) -> int:
-        """When it no longer counts: after as many seconds as its lines are allowed in."""
+        """When a reservation stops counting: after the seconds that its lines take at the limit."""
         seconds = max(-(-reservation.lines // self.lines_per_second), 1)
-        return reservation.at + SECOND * seconds
+        return reservation.counted_from + SECOND * seconds
 
     def _expire(self, now: int) -> None:
         while self._reserved and self._expires_at(self._reserved[0]) <= now:
--- a/loadbalancer/core/endpoints/shard_leaves.py
+++ b/loadbalancer/core/endpoints/shard_leaves.py
@@ -1,8 +1,9 @@
-"""Ends of keys as the leaves of a trie: which leaf a key belongs to, and how a leaf is split.
+"""Suffixes of keys as the leaves of a trie: which leaf a key belongs to, how a leaf is split.
 
-A leaf is written as the characters that its keys end in, in lower case. Only characters of
-ALPHABET are told apart: a leaf that begins with BOUNDARY is of the keys that begin after it, or
-have another character before it, and OTHER is of the keys whose last character is another one.
+A leaf is written as the suffix that its keys share, in lower case. Only characters of ALPHABET are
+distinguished. BOUNDARY as a leaf's first character stands for the start of the key, or for any
+character that is not in ALPHABET: the leaf "-ab" holds the keys "ab" and "x.ab". OTHER is the leaf
+of all keys whose last character is not in ALPHABET.
 """
 
 from __future__ import annotations
@@ -12,27 +13,31 @@
 ALPHABET = "0123456789abcdefghijklmnopqrstuvwxyz"
 BOUNDARY = "-"
 OTHER = ""
-MAX_LENGTH = 12  # characters of a leaf at most: keys with longer common ends are read together
+MAX_LEAF_LENGTH = 12  # of a leaf: keys that share a longer suffix are always requested together
 
 
 def leaf_of(key: str, length: int) -> str:
-    """The leaf that a key belongs to among those of up to `length` characters."""
+    """The leaf that a key belongs to, among leaves of up to `length` characters."""
     lower = key.lower()
-    plain = 0
-    while plain < length and plain < len(lower) and lower[-1 - plain] in ALPHABET:
-        plain += 1
-    if not plain:
+    suffix_length = 0
+    while (
+        suffix_length < length
+        and suffix_length < len(lower)
+        and lower[-1 - suffix_length] in ALPHABET
+    ):
+        suffix_length += 1
+    if not suffix_length:
         return OTHER
-    return lower[-plain:] if plain == length else BOUNDARY + lower[-plain:]
+    return lower[-suffix_length:] if suffix_length == length else BOUNDARY + lower[-suffix_length:]
 
 
 def is_plain(leaf: str) -> bool:
-    """Whether a leaf is given by characters of ALPHABET alone."""
+    """Whether a leaf consists of characters of ALPHABET alone."""
     return leaf[:1] not in (BOUNDARY, OTHER)
 
 
 def group_by_leaf(leaves: Iterable[str], keys: Iterable[str]) -> dict[str, list[str]]:
-    """The keys by leaf, without those of no leaf."""
+    """Group keys by these leaves; keys that belong to none of them are left out."""
     wanted = frozenset(leaves)
     lengths = sorted({max(len(leaf), 1) for leaf in wanted})
     groups: dict[str, list[str]] = {}
@@ -46,7 +51,7 @@
 
 
 def split_leaf(leaf: str) -> list[str]:
-    """The leaves of one character more that a leaf is split into; none where it can't be split."""
-    if not is_plain(leaf) or len(leaf) >= MAX_LENGTH:
+    """The leaves, one character longer, that a leaf is split into; none if it can't be split."""
+    if not is_plain(leaf) or len(leaf) >= MAX_LEAF_LENGTH:
         return []
     return [first + leaf for first in (*ALPHABET, BOUNDARY)]
--- a/tests/core/endpoints/fake_list_service.py
+++ b/tests/core/endpoints/fake_list_service.py
@@ -1,4 +1,4 @@
-"""A list service that counts the lines it returns, and a reader's queries run against it."""
+"""A fake list service that counts the lines it returns, and runs of a reader's queries."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from random import Random
 
 from loadbalancer.core.balancing.model import MS, SECOND
-from loadbalancer.core.endpoints.shard_leaves import MAX_LENGTH, leaf_of
+from loadbalancer.core.endpoints.shard_leaves import MAX_LEAF_LENGTH, leaf_of
 from loadbalancer.core.endpoints.shard_scheduler import (
     Delay,
     QueryKind,
@@ -18,11 +18,11 @@
 
 
 class FakeListService:
-    """Answers queries by its servers' ids.
+    """Answers queries with the ids of its servers.
 
     Attributes:
-        ids: of all servers; replaced as a whole where they change.
-        unhealthy: ids of those that are not passing.
+        ids: of all servers; a change assigns a new list, so that the index is built again.
+        unhealthy: ids of the servers that are not passing.
         returned: (time in ns, lines) of each answer.
     """
 
@@ -34,30 +34,30 @@
         self._ids_by_leaf: dict[str, list[str]] = {}
 
     def answer(self, now: int, query: ShardQuery) -> list[str]:
-        """The ids of a query's servers."""
+        """The ids of the servers that a query requests."""
         if self._indexed is not self.ids:
             self._index()
-        found = [uid for leaf in query.leaves for uid in self._ids_by_leaf.get(leaf, ())]
+        answered_ids = [uid for leaf in query.leaves for uid in self._ids_by_leaf.get(leaf, ())]
         if query.kind is QueryKind.UNHEALTHY:
-            found = [uid for uid in found if uid in self.unhealthy]
-        self.returned.append((now, len(found)))
-        return found
+            answered_ids = [uid for uid in answered_ids if uid in self.unhealthy]
+        self.returned.append((now, len(answered_ids)))
+        return answered_ids
 
     def max_lines(self) -> int:
-        """The most lines returned in any period of one second."""
-        worst = total = first = 0
+        """The largest number of lines returned within any period of one second."""
+        max_total = total = first_index = 0
         for at, lines in self.returned:
             total += lines
-            while self.returned[first][0] <= at - SECOND:
-                total -= self.returned[first][1]
-                first += 1
-            worst = max(worst, total)
-        return worst
+            while self.returned[first_index][0] <= at - SECOND:
+                total -= self.returned[first_index][1]
+                first_index += 1
+            max_total = max(max_total, total)
+        return max_total
 
     def _index(self) -> None:
         self._indexed, self._ids_by_leaf = self.ids, {}
         for uid in self.ids:
-            for leaf in {leaf_of(uid, length) for length in range(1, MAX_LENGTH + 1)}:
+            for leaf in {leaf_of(uid, length) for length in range(1, MAX_LEAF_LENGTH + 1)}:
                 self._ids_by_leaf.setdefault(leaf, []).append(uid)
 
 
@@ -74,14 +74,14 @@
     before_query: Callable[[int], object] = _ignore,
     on_answer: Callable[[int, ShardQuery, list[str]], object] = _ignore,
 ) -> int:
-    """Send a reader's queries until the condition holds; returns the time.
+    """Send a reader's queries until the condition holds; returns the time then.
 
     Args:
         service: answers the queries.
-        scheduler: of the reader.
-        until: gets the time; checked before each query.
-        now: when it begins, ns.
-        latency_ns: of a query and its answer.
+        scheduler: chooses the queries.
+        until: the condition, checked with the time before each query.
+        now: the time at the start, ns.
+        latency_ns: the time from a query to its answer.
         before_query: called with the time before each query, at least once a second.
         on_answer: called with the time, the query and the ids.
     """
@@ -91,10 +91,10 @@
         if isinstance(query, Delay):
             now += min(query.ns, SECOND)
             continue
-        found = service.answer(now + latency_ns // 2, query)
+        answered_ids = service.answer(now + latency_ns // 2, query)
         now += latency_ns
-        scheduler.on_answer(now, query, found)
-        on_answer(now, query, found)
+        scheduler.on_answer(now, query, answered_ids)
+        on_answer(now, query, answered_ids)
     return now
 
 
@@ -105,14 +105,14 @@
     now: int = 0,
     latency_ns: int = LATENCY_NS,
 ) -> int:
-    """Send a reader's queries until it has completed so many rounds in all; returns the time."""
+    """Send a reader's queries until it has completed so many rounds in total; returns the time."""
     return run_queries(
         service, scheduler, lambda _now: scheduler.completed_rounds >= rounds, now, latency_ns
     )
 
 
 def each_second(action: Callable[[int], object]) -> Callable[[int], None]:
-    """For `before_query`: calls `action` once in every second that begins."""
+    """Return a `before_query` that calls `action` once for each second that begins."""
     last_second = -1
 
     def before_query(now: int) -> None:
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -1,4 +1,4 @@
-"""Calls for the list after failures: when each may begin, how long it waits, what all come to."""
+"""Tests for polls of the list after failures: pauses, timeouts, and the load of a whole fleet."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def overloaded(nodes: int, failure: PollFailure = PollFailure.REJECTED) -> PollBackoff:
-    """The backoff of a node with a list that suspects an overload of the service."""
+    """The backoff of a node that has a list and suspects an overload of the service."""
     backoff = new_backoff(nodes)
     for _ in range(OVERLOAD_FAILURES):
         backoff.on_failure(failure, timing.ANSWER_TIMEOUT_NS, ROWS)
@@ -59,7 +59,7 @@
     assert classify_failure(MS, limit, True, True) == PollFailure.UNUSABLE
 
 
-def test_without_a_list_a_call_waits_for_the_service_s_own_answer() -> None:
+def test_without_a_list_a_call_waits_for_the_services_own_answer() -> None:
     backoff = new_backoff()
     assert backoff.answer_timeout(0) == FIRST_LIST_TIMEOUT_NS
     assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("failure", PollFailure)
-def test_with_a_list_the_first_failures_change_nothing(failure: PollFailure) -> None:
+def test_with_a_list_the_first_failures_cause_no_backoff(failure: PollFailure) -> None:
     backoff = new_backoff(7800)
     for number in range(QUICK_FAILURES):
         assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
@@ -83,13 +83,13 @@
             assert pause == 0
 
 
-def test_after_unusable_answers_polls_go_on_at_the_usual_pace() -> None:
+def test_unusable_answers_cause_no_backoff() -> None:
     backoff = new_backoff(7800)
     assert {backoff.on_failure(PollFailure.UNUSABLE, MS, ROWS) for _ in range(50)} == {0}
     assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
 
 
-def test_the_suspicion_of_an_overload_ends_only_with_an_answer_in_time() -> None:
+def test_a_suspected_overload_ends_only_with_an_answer_in_time() -> None:
     backoff = overloaded(40)
     assert backoff.answer_timeout(ROWS) == FIRST_LIST_TIMEOUT_NS
     backoff.on_answer(timing.EXPECTED_ANSWER_NS + 1)
@@ -99,8 +99,8 @@
     assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
 
 
-def test_where_all_complete_lists_fit_into_the_time_no_overload_is_suspected() -> None:
-    """With a few nodes a silent service is down, not overloaded, and polls stay quick."""
+def test_no_overload_is_suspected_where_all_lists_could_be_answered_in_time() -> None:
+    """With few nodes, a silent service is down and not overloaded, so polls stay frequent."""
     rows = MIN_LINES_PER_S * timing.EXPECTED_ANSWER_NS // SECOND // 5
     backoff = new_backoff(5)
     for _ in range(30):
@@ -110,19 +110,19 @@
 
 
 @pytest.mark.parametrize("nodes", FLEETS)
-@pytest.mark.parametrize("took", [0, timing.CONNECT_TIMEOUT_NS])
-def test_a_change_is_in_hand_six_seconds_after_an_outage(nodes: int, took: int) -> None:
-    """The call that failed had begun just before the service came back."""
+@pytest.mark.parametrize("elapsed", [0, timing.CONNECT_TIMEOUT_NS])
+def test_a_change_arrives_within_six_seconds_after_an_outage(nodes: int, elapsed: int) -> None:
+    """The failed call began just before the service came back."""
     backoff = new_backoff(nodes)
-    pauses = [backoff.on_failure(PollFailure.UNREACHABLE, took, ROWS) for _ in range(300)]
+    pauses = [backoff.on_failure(PollFailure.UNREACHABLE, elapsed, ROWS) for _ in range(300)]
     longest = max(timing.MAX_PAUSE_NS, *pauses)
-    assert took + longest + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
-    if nodes >= 200:  # and no longer the shortest
+    assert elapsed + longest + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
+    if nodes >= 200:  # the bound has grown, and still fits
         assert longest > 4 * timing.MAX_PAUSE_NS
 
 
 @pytest.mark.parametrize("nodes", [40, 200])
-def test_after_a_refusal_under_load_a_change_is_in_hand_six_seconds_later(nodes: int) -> None:
+def test_a_change_arrives_within_six_seconds_after_a_rejection_under_load(nodes: int) -> None:
     backoff = overloaded(nodes)
     pauses = [backoff.on_failure(PollFailure.REJECTED, 3 * SECOND, ROWS) for _ in range(300)]
     assert (
@@ -132,18 +132,20 @@
 
 @pytest.mark.parametrize("nodes", FLEETS)
 @pytest.mark.parametrize("rows", [0, ROWS])
-def test_all_nodes_together_poll_less_than_the_service_can_answer(nodes: int, rows: int) -> None:
-    """The mean of their calls, and its peak where all begin at once: e times half of it."""
+def test_all_nodes_together_make_fewer_calls_than_the_service_can_answer(
+    nodes: int, rows: int
+) -> None:
+    """Checks the mean rate of calls, and its peak if all begin at once: e times half the mean."""
     backoff = overloaded(nodes)
     pauses = [backoff.on_failure(PollFailure.REJECTED, 3 * SECOND, rows) for _ in range(4000)]
-    host = (timing.MIN_PAUSE_NS + timing.MAX_PAUSE_NS) / 2
-    mean = max(sum(pauses) / len(pauses), host)
+    usual_pause = (timing.MIN_PAUSE_NS + timing.MAX_PAUSE_NS) / 2
+    mean = max(sum(pauses) / len(pauses), usual_pause)
     assert nodes * SECOND / mean <= 1.05 * FLEET_CALLS_PER_S
     assert math.e * nodes * SECOND / fleet_pause_bound(nodes) < MIN_LINES_PER_S
     assert max(pauses) <= max(FIRST_LIST_PAUSE_NS, fleet_pause_bound(nodes))
 
 
-def test_agents_and_shared_lists_are_polled_at_the_usual_pace() -> None:
+def test_agents_and_shared_lists_are_polled_without_backoff() -> None:
     agent, reader = new_backoff(7800, poll=False), new_backoff(7800)
     reader.use_list_readers()
     for backoff in (agent, reader):
@@ -152,7 +154,7 @@
     assert new_backoff(7800).probe_interval() > 60 * SECOND
 
 
-# ---- the sum of all calls, calls given up counted as work ------------------------
+# ---- the load of all calls, including those given up ------------------------------
 
 
 @pytest.mark.parametrize(
@@ -166,7 +168,7 @@
     ],
 )
 @pytest.mark.parametrize(("nodes", "servers"), [(40, 100), (200, 270)])
-def test_a_cold_fleet_has_its_lists_as_soon_as_the_service_can_give_them(
+def test_a_cold_fleet_gets_its_lists_as_fast_as_the_service_can_answer(
     plan: ListServicePlan, nodes: int, servers: int
 ) -> None:
     world = CallerWorld(CallersPlan(nodes, servers), plan)
@@ -178,14 +180,15 @@
 
 
 @pytest.mark.parametrize("rows", [0, 270])
-def test_a_fleet_of_thousands_stays_under_what_the_service_can_answer(rows: int) -> None:
-    """From the second round on; the first call of each is the protocol's own."""
+def test_thousands_of_nodes_make_fewer_calls_than_the_service_can_answer(rows: int) -> None:
+    """Holds from the second round on: each node's first call is not limited by the backoff."""
     plan = ListServicePlan()
     world = CallerWorld(CallersPlan(7800, 270, known_rows=rows), plan)
     world.run(150 * SECOND)
     settled = FIRST_CALLS_WITHIN // SECOND + 2 * 5 + 3
     assert max(world.calls_by_second[s] for s in range(settled, 150)) < MIN_LINES_PER_S
-    # With a list, calls of the quick first rounds are given up: what the queue took in, once each.
+    # With a list, the calls of the rounds without backoff are given up, of each round as many as
+    # the service had queued.
     max_wasted = (
         QUICK_FAILURES * plan.lines_per_s * (plan.max_queue_time / SECOND + 2) if rows else 0
     )
@@ -193,15 +196,17 @@
 
 
 @pytest.mark.parametrize(("nodes", "lines"), [(40, 100), (200, 270)])
-def test_a_fleet_with_an_old_list_gets_the_new_one_without_a_storm(nodes: int, lines: int) -> None:
+def test_a_fleet_with_an_old_list_gets_the_new_one_without_a_retry_storm(
+    nodes: int, lines: int
+) -> None:
     world = CallerWorld(CallersPlan(nodes, lines, known_rows=lines), ListServicePlan())
-    wasted = QUICK_FAILURES * 200 * 7  # lines: what the queue takes in during the quick rounds
+    wasted = QUICK_FAILURES * 200 * 7  # lines: of calls queued in the rounds without backoff
     assert world.run((nodes * lines + wasted) * SECOND // 200)
     assert world.counts[CallCount.WASTED_LINES] <= wasted
 
 
-def test_a_fleet_whose_changes_can_be_answered_in_time_has_them_in_time() -> None:
-    """Six seconds after the service is back, at 200 nodes and a line each."""
+def test_a_fleet_gets_changes_in_time_where_the_service_can_answer_in_time() -> None:
+    """All of 200 nodes have their change of one line six seconds after the service is back."""
     for plan in (
         ListServicePlan(rejects_until=20 * SECOND),
         ListServicePlan(unreachable_until=20 * SECOND),
@@ -210,8 +215,8 @@
         assert world.run(20 * SECOND + timing.MAX_NOTIFICATION_NS)
 
 
-def test_two_hundred_cold_nodes_of_the_world_all_have_the_list_in_time() -> None:
-    """Whole nodes' own Balancers say when to poll; each for itself, 270 rows of 200 a second."""
+def test_two_hundred_cold_nodes_with_balancers_get_the_list_in_time() -> None:
+    """Each node polls for itself when its Balancer says so: 270 rows each, 200 lines a second."""
     world = ListWorld(200, 270, 1, 0)
     world.service.max_queue_time = 5 * SECOND
     world.start_all()
--- a/tests/core/endpoints/test_shard_scheduler.py
+++ b/tests/core/endpoints/test_shard_scheduler.py
@@ -1,4 +1,4 @@
-"""No second returns more lines than the limit, and every server is found."""
+"""Tests that no second returns more lines than the limit, and that every server is found."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     run_rounds,
 )
 
-LINES = 190  # a second, of the only reader of a list
-FEW_LINES = 9  # a second, of one reader of 21
+LINES = 190  # per second, if a list has a single reader
+FEW_LINES = 9  # per second, for one of 21 readers
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("ids", [numbered_ids, hexadecimal_ids])
 @pytest.mark.parametrize("count", [0, 1, 270, 2000, 5000])
-def test_no_second_returns_more_than_the_limit(
+def test_no_second_returns_more_lines_than_the_limit(
     scheduler: ShardScheduler, ids: Callable[[int], list[str]], count: int
 ) -> None:
     service = FakeListService(ids(count))
@@ -44,7 +44,7 @@
     assert scheduler.overruns <= 2
 
 
-def test_a_low_limit_is_kept_as_well() -> None:
+def test_a_low_limit_is_not_exceeded() -> None:
     service = FakeListService(numbered_ids(270))
     scheduler = ShardScheduler(LineLimiter(FEW_LINES))
     now = run_rounds(service, scheduler, 2)
@@ -53,8 +53,8 @@
     assert now < 400 * SECOND
 
 
-def test_a_long_list_under_a_low_limit_is_split_further() -> None:
-    """Two characters have more servers than a second allows: the trie grows there."""
+def test_leaves_of_a_long_list_are_split_further_under_a_low_limit() -> None:
+    """Some leaves of two characters have more servers than a second allows lines."""
     count = 2000
     service = FakeListService(numbered_ids(count))
     scheduler = ShardScheduler(LineLimiter(FEW_LINES))
@@ -62,12 +62,12 @@
     queries = len(service.returned)
     run_rounds(service, scheduler, 2, now, latency_ns=MS)
     assert scheduler.server_count() == count
-    # At most one answer has all servers of a first leaf, and the next query waits longer for it.
+    # At most one answer has all servers of a leaf of two characters; the next query waits longer.
     assert service.max_lines() <= FEW_LINES + count // 100
     assert scheduler.overruns <= 2
     first_round_s = now // SECOND
     assert first_round_s < 3 * count // FEW_LINES, (first_round_s, queries)
-    # From then on the queries are the fewest that fit, none of them with an overrun.
+    # From then on, the queries are as few as fit the limit, and none is an overrun.
     service.returned.clear()
     before = scheduler.overruns
     run_rounds(service, scheduler, 3, 10 * now, latency_ns=MS)
@@ -87,8 +87,8 @@
     assert len(scheduler.trie) < leaves // 3
 
 
-def test_keys_with_one_common_end_are_read_together(scheduler: ShardScheduler) -> None:
-    """They can't be told apart by their ends: under a low limit each answer is an overrun."""
+def test_keys_with_a_long_common_suffix_are_requested_together(scheduler: ShardScheduler) -> None:
+    """Suffixes can't divide such keys, so each answer is an overrun under a low limit."""
     service = FakeListService([f"host{number}:8080" for number in range(30)])
     run_rounds(service, scheduler, 2)
     assert scheduler.server_count() == 30
@@ -99,7 +99,7 @@
     assert limited.overruns >= 2
 
 
-def test_growth_between_rounds_stays_within_the_limit(scheduler: ShardScheduler) -> None:
+def test_a_list_that_grows_between_rounds_stays_within_the_limit(scheduler: ShardScheduler) -> None:
     service = FakeListService(hexadecimal_ids(300))
     now = run_rounds(service, scheduler, 2)
     service.ids = hexadecimal_ids(560)
@@ -108,10 +108,12 @@
     assert service.max_lines() <= LINES
 
 
-# ---- changes of checks -----------------------------------------------------
+# ---- changes of health checks ----------------------------------------------
 
 
-def test_a_change_is_found_soon_while_few_servers_are_unhealthy(scheduler: ShardScheduler) -> None:
+def test_a_health_change_is_found_soon_while_few_servers_are_unhealthy(
+    scheduler: ShardScheduler,
+) -> None:
     service = FakeListService(numbered_ids(5000))
     began = run_rounds(service, scheduler, 1)
     service.unhealthy = {"topup-7", "topup-4999"}
@@ -125,10 +127,10 @@
     now = run_queries(
         service, scheduler, lambda _now: found == service.unhealthy, began, on_answer=collect
     )
-    assert now - began < 3 * SECOND  # all servers would take 26
+    assert now - began < 3 * SECOND  # requesting all servers would take 26 s
 
 
-def test_changes_stay_within_the_limit_while_all_servers_are_unhealthy(
+def test_health_changes_stay_within_the_limit_while_all_servers_are_unhealthy(
     scheduler: ShardScheduler,
 ) -> None:
     service = FakeListService(numbered_ids(5000))
@@ -141,13 +143,13 @@
     assert service.max_lines() <= LINES
 
 
-def test_changes_without_end_do_not_keep_a_round_from_completing(
+def test_continuous_health_changes_do_not_keep_a_round_from_completing(
     scheduler: ShardScheduler,
 ) -> None:
-    """All servers are unhealthy, and some check changes every second.
+    """All servers are unhealthy, and some health check changes every second.
 
-    Queries for the unhealthy servers of all shards take longer than that. If each change began
-    them anew, servers that were added or removed would never be found.
+    Requesting the unhealthy servers of all shards takes longer than that. If each change started
+    these queries again, added or removed servers would never be found.
     """
     service = FakeListService(numbered_ids(1000))
     began = run_rounds(service, scheduler, 1)
@@ -162,7 +164,7 @@
 
 
 def test_a_failed_query_counts_its_lines_and_is_sent_again() -> None:
-    """No response came: the service may have counted all lines that were reserved."""
+    """No answer came, so the service may have counted all lines that were reserved."""
     scheduler = ShardScheduler(LineLimiter(5))
     query = scheduler.next_query(0)
     assert isinstance(query, ShardQuery)
