--- a/loadbalancer/control/machine/machine.py
+++ b/loadbalancer/control/machine/machine.py
@@ -23,7 +23,7 @@
 from loadbalancer.control.machine.file import Machine, ScaleFile
 from loadbalancer.control.machine.fleet_digest import fleet_digest
 from loadbalancer.control.machine.log_loader import LogLoader
-from loadbalancer.control.machine.messages import PresenceRequest, Reports, codec
+from loadbalancer.control.machine.messages import NodeReports, PresenceRequest, message_codec
 from loadbalancer.control.machine.node_requests import NodeRequests, SubscriberConnection
 from loadbalancer.control.machine.nodes import RELEASE_RULES, NodeRegistry
 from loadbalancer.control.machine.operator_calls import (
@@ -58,7 +58,7 @@
 logger = logging.getLogger(__name__)
 
 
-class BoundListener(NamedTuple):
+class _OpenBoundListener(NamedTuple):
     """A listener that serves one service to a node that knows of no others."""
 
     address: Address
@@ -87,7 +87,7 @@
         rate = file.limits.snapshot_rate
         limits = PublisherLimits(snapshot_rate=rate, snapshot_burst=rate)
         self.publisher = Publisher(spec, specs, self.logs, limits)
-        self.publisher.on_nodes({node.name: node.region for node in file.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in file.nodes})
         homes = {service.name: service.region for service in file.services}
         self.releases = ReleaseAuthority(now, spec, specs, homes, RELEASE_RULES)
         self.nodes = NodeRegistry(file, now, self.releases)
@@ -99,7 +99,7 @@
             file.limits.subscribers,
         )
         self.submissions = ChangeSubmissions(self.replica, spec.region, self.nodes.regions)
-        self.bound = self._bound_listeners()
+        self.bound_listeners = self._bound_listeners()
         self.streams = self._peer_streams()
         services = [name for name, home in self.nodes.regions.items() if home == spec.region]
         self._loader = LogLoader(
@@ -109,15 +109,15 @@
         self._servers: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _bound_listeners(self) -> list[BoundListener]:
+    def _bound_listeners(self) -> list[_OpenBoundListener]:
         return [
-            BoundListener(
+            _OpenBoundListener(
                 one.listen,
                 BoundList(
                     self.logs[self.nodes.regions[one.service]], one.service, MAX_BOUND_WATCHERS
                 ),
             )
-            for one in self.file.bound
+            for one in self.file.bound_listeners
             if one.machine == self.machine.spec.name
         ]
 
@@ -126,7 +126,7 @@
         return PeerStreams(
             Hello(spec.name, fleet_digest(self.file)),
             {one.spec.name: one.peers for one in self.file.machines if one.spec != spec},
-            codec(),
+            message_codec(),
             self.file.limits.backlog,
             self._on_message,
             self._on_connected,
@@ -159,7 +159,7 @@
             ACCEPT_BACKLOG,
         )
         yield _Listener(lambda: OperatorConnection(operators), self.machine.admin, ACCEPT_BACKLOG)
-        for one in self.bound:
+        for one in self.bound_listeners:
             yield _Listener(partial(Watcher, one.list), one.address, BOUND_ACCEPT_BACKLOG)
 
     def close(self) -> None:
@@ -186,7 +186,7 @@
         if live != self._live_machines:
             self._live_machines = live
             logger.info("control machines alive: %s", ", ".join(sorted(live)))
-            self.node_requests.wake_keys(self.publisher.on_living(live))
+            self.node_requests.wake_keys(self.publisher.on_live_machines(live))
         leads = self.replica.role is Role.LEADER
         grant = self.nodes.advance_releases(now, self.replica.current_term if leads else None)
         if grant is not None:
@@ -198,7 +198,7 @@
 
     def live_machines(self, now: int) -> frozenset[str]:
         """The names of the machines that were heard lately, this one included."""
-        return frozenset(self.nodes.presence.machines(now) | {self.machine.spec.name})
+        return frozenset(self.nodes.presence.live_machines(now) | {self.machine.spec.name})
 
     # ---- the other machines ----------------------------------------------
 
@@ -214,7 +214,7 @@
                 self.streams.send(sender, PresenceRequest())
         elif isinstance(message, PresenceRequest):
             self._on_connected(sender)
-        elif isinstance(message, Reports):
+        elif isinstance(message, NodeReports):
             self.nodes.on_reports(message.reports)
         elif isinstance(message, ReleaseGrant):
             self.releases.on_grant(now, sender, message)
@@ -232,15 +232,15 @@
         follows it is lost: operators get a 504 for changes that are committed, nodes are not told
         of them, and the replica's messages are not sent. A fault costs only the step that raises.
         """
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             run_logged(self._wake_restored, region)
             self._update_bound(region, "")
-        for region, change in self.replica.committed():
+        for region, change in self.replica.drain_committed():
             run_logged(self.submissions.on_committed, region, change)
             if change.service:
                 run_logged(self._wake_changed, region, change)
                 self._update_bound(region, change.service)
-        for recipient, message in self.replica.outgoing():
+        for recipient, message in self.replica.drain_outgoing():
             run_logged(self.streams.send, recipient, message)
 
     def _wake_restored(self, region: str) -> None:
@@ -251,7 +251,7 @@
 
     def _update_bound(self, region: str, service: str) -> None:
         """Notify bound listeners of a change of a region's service, "" for all of its services."""
-        for _, bound in self.bound:
+        for _, bound in self.bound_listeners:
             if bound.region == region and service in ("", bound.service):
                 run_logged(bound.on_change)
 
@@ -269,7 +269,7 @@
             text = f"region: [unknown-region] no region {region[:MAX_QUOTED]!r}"
             return OperatorResponse(HTTPStatus.BAD_REQUEST, text.encode())
         try:
-            changes = log.after(position_of(version), LOG_ANSWER_BYTES)
+            changes = log.changes_after(position_of(version), LOG_ANSWER_BYTES)
         except InvalidInputError as err:
             return OperatorResponse(HTTPStatus.BAD_REQUEST, str(err).encode())
         if changes is None:
--- a/loadbalancer/control/machine/nodes.py
+++ b/loadbalancer/control/machine/nodes.py
@@ -10,8 +10,8 @@
 from itertools import islice
 
 from loadbalancer.control.machine.file import ScaleFile
-from loadbalancer.control.machine.list_form import NodeAssignment
-from loadbalancer.control.machine.messages import NodeReport, Reports
+from loadbalancer.control.machine.list_format import NodeAssignment
+from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.core.assignment.assigner import Assigner
 from loadbalancer.core.assignment.handover import Handover
 from loadbalancer.core.assignment.liveness import Liveness, LivenessRules
@@ -52,7 +52,7 @@
         self.presence = Presence(node.name for node in file.nodes)
         names = [node.name for node in file.nodes]
         self.liveness = Liveness(now, names, LivenessRules(timeout_ns=NODE_TIMEOUT_NS))
-        self.assignment = self.assigner.with_alive(self.liveness.alive)
+        self.assignment = self.assigner.assign(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.changed = False
         self.nodes_changed_by_last_assignment = 0  # whose services differ by it
@@ -75,12 +75,12 @@
 
     def services_in_region(self, node: str, region: str) -> frozenset[str]:
         """The services of this region that the node is to hold."""
-        wanted = self.handover.wanted(node)
+        wanted = self.handover.required(node)
         return frozenset([name for name in wanted if self.regions[name] == region])
 
     def assignment_for(self, now: int, node: str) -> NodeAssignment:
         """What the node is to hold and may release."""
-        wanted = {name: self.regions[name] for name in self.handover.wanted(node)}
+        wanted = {name: self.regions[name] for name in self.handover.required(node)}
         releasable = self.releases.releasable(now, node) if self.releases else frozenset[str]()
         return NodeAssignment(wanted, releasable, self.handover.generation)
 
@@ -203,7 +203,7 @@
     def on_time(self, now: int) -> bool:
         """Once a second: which nodes live. True where the assignment has changed."""
         self._expire_polls(now)
-        self.presence.on_time(now)
+        self.presence.expire_machines(now)
         if now - self._last_tick > MAX_TICK_GAP_NS or self._is_cut_off(now):
             self._restart_first_polls(now)
         self._last_tick = now
@@ -232,7 +232,7 @@
 
     def _pass_heartbeats(self, now: int) -> None:
         """Nodes that poll anywhere are alive; so are those with time left for their first poll."""
-        present = self.presence.present()
+        present = self.presence.present_nodes()
         self._not_seen -= present
         starting = self._not_seen if now - self._started < FIRST_POLL_WAIT_NS else ()
         for node in (*present, *starting):
@@ -252,7 +252,7 @@
 
         The nodes may poll the machines that this one does not hear.
         """
-        return 2 * (len(self.presence.machines(now)) + 1) < self._machine_count
+        return 2 * (len(self.presence.live_machines(now)) + 1) < self._machine_count
 
     def _restart_first_polls(self, now: int) -> None:
         """Give the living nodes the time of a first poll again.
@@ -271,7 +271,7 @@
 
     def _assign(self) -> None:
         before = self.assignment.services_by_node
-        self.assignment = self.assigner.with_alive(self.liveness.alive)
+        self.assignment = self.assigner.assign(self.liveness.alive)
         self.handover.on_assignment(self.assignment)
         self.nodes_changed_by_last_assignment = sum(
             1
@@ -289,4 +289,4 @@
 def _send_reports(send: Send, reports: Mapping[str, tuple[str, ...]]) -> None:
     rows = iter([NodeReport(node, serving) for node, serving in reports.items()])
     while batch := tuple(islice(rows, REPORTS_PER_MESSAGE)):
-        send(Reports(batch))
+        send(NodeReports(batch))
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -17,8 +17,8 @@
 
 from benchmarks.scale.fleet import call
 from loadbalancer.config.address import Address
-from loadbalancer.control.machine import list_form
-from loadbalancer.control.machine.file import ScaleFile, read_scale
+from loadbalancer.control.machine import list_format
+from loadbalancer.control.machine.file import ScaleFile, read_scale_file
 from loadbalancer.control.machine.machine import ControlMachine
 from loadbalancer.core.assignment.model import Row
 from loadbalancer.core.balancing.model import MS
@@ -79,7 +79,7 @@
 
 def row(uid: str, state: str = "active") -> Row:
     """A backend as the log has it."""
-    return list_form.row_of({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
+    return list_format.row_from_target({"uid": uid, "state": state, "endpoint": "127.0.0.1:9"})
 
 
 def rows(*uids: str, state: str = "active") -> list[dict[str, Any]]:
@@ -212,7 +212,7 @@
     begin again at other ports.
     """
     for _ in range(START_ATTEMPTS):
-        machines = Machines(read_scale(str(write_file(folder, top))))
+        machines = Machines(read_scale_file(str(write_file(folder, top))))
         try:
             for name in NAMES:
                 machines.start(name)
--- a/tests/core/assignment/test_handover_orders.py
+++ b/tests/core/assignment/test_handover_orders.py
@@ -38,11 +38,11 @@
         self.dead: set[str] = set()
         self.reports: list[tuple[str, frozenset[str], int]] = []
         self.assigner = ASSIGNER
-        self.assignment = ASSIGNER.with_alive(NAMES)
+        self.assignment = ASSIGNER.assign(NAMES)
         self.handover.on_assignment(self.assignment)
 
     def assign(self) -> None:
-        self.assignment = self.assigner.with_alive(set(NAMES) - self.dead)
+        self.assignment = self.assigner.assign(set(NAMES) - self.dead)
         self.handover.on_assignment(self.assignment)
 
     def living(self) -> list[str]:
@@ -52,7 +52,7 @@
         """Give the node what it is to hold; a busy one drains before it releases."""
         node = self.nodes[name]
         node.generation = self.handover.generation
-        node.wanted = self.handover.wanted(name)
+        node.wanted = self.handover.required(name)
         releasable = self.handover.releasable(name)
         assert not node.wanted & releasable
         node.draining = set()
@@ -203,4 +203,4 @@
     world.settle()
     for name in set(NAMES) - world.dead:
         assert world.nodes[name].loaded == set(world.assignment.services_by_node[name])
-    assert world.handover.moving() == 0
+    assert world.handover.pending_moves() == 0
