--- a/loadbalancer/core/endpoints/departure_limits.py
+++ b/loadbalancer/core/endpoints/departure_limits.py
@@ -38,7 +38,7 @@
     Its capacity depends on the size of the present pool, which is passed to each call.
     """
 
-    __slots__ = ("_leaked_until", "_drained_count", "_limits")
+    __slots__ = ("_drained_count", "_leaked_until", "_limits")
 
     def __init__(self, limits: MergeLimits) -> None:
         self._limits = limits
--- a/loadbalancer/core/endpoints/list_versions.py
+++ b/loadbalancer/core/endpoints/list_versions.py
@@ -63,9 +63,8 @@
     """One row's part of a version's checksum, which is the XOR of all rows' parts."""
     text = f"{uid}\n{row}".encode()
     digest = blake2b(text, digest_size=CHECKSUM_BYTES).digest()
-    return (
-        int.from_bytes(digest, "big") >> 1
-    )  # 63 bits, as MAX_INTEGER limits the integers of gossip messages
+    # 63 bits: MAX_INTEGER limits the integers of gossip messages.
+    return int.from_bytes(digest, "big") >> 1
 
 
 def pack(delta: ListDelta) -> PackedDelta:
--- a/loadbalancer/core/endpoints/server_table.py
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -26,9 +26,8 @@
         self.servers: dict[str, MergedServer] = {}
         self.to_reassess: set[str] = set()
         self.changes = 0
-        self._uids_by_address: dict[
-            Address, str
-        ] = {}  # the id of the server listed at each address
+        # The id of the server that is listed at each address.
+        self._uids_by_address: dict[Address, str] = {}
         # The pool's size is counted again only when `changes` differs from `_counted_at`.
         self._counted_at = 0
         self._pool_size = 0
--- a/tests/core/endpoints/test_list_versions.py
+++ b/tests/core/endpoints/test_list_versions.py
@@ -23,6 +23,5 @@
     huge = zlib.compress(b'{"a":"' + b"x" * 10_000 + b'"}')  # a higher ratio than rows reach
     assert unpack(PackedDelta(FULL_LIST, valid.target, zlib.crc32(huge), huge)) is None
     compressible = ListDelta(FULL_LIST, valid.target, {f"s{i}": "x" * 200 for i in range(50)})
-    assert (
-        unpack(pack(compressible)) == compressible
-    )  # rows that compress beyond the maximum ratio are sent uncompressed
+    # Rows that compress beyond the maximum ratio are sent uncompressed.
+    assert unpack(pack(compressible)) == compressible
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -65,9 +65,8 @@
     assert backoff.answer_timeout(ROWS) == timing.ANSWER_TIMEOUT_NS
     backoff.on_failure(PollFailure.TIMED_OUT, FIRST_LIST_TIMEOUT_NS, 0)
     assert backoff.answer_timeout(0) == 2 * FIRST_LIST_TIMEOUT_NS
-    assert (
-        new_backoff(poll=False).answer_timeout(0) < timing.ANSWER_TIMEOUT_NS
-    )  # an agent answers at no cost
+    # An agent answers at no cost.
+    assert new_backoff(poll=False).answer_timeout(0) < timing.ANSWER_TIMEOUT_NS
 
 
 @pytest.mark.parametrize("failure", PollFailure)
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -150,9 +150,8 @@
             assert line == LIST
             assert first.ends() == b""
             broken.reset()
-            scripted.answers(
-                LIST, rev=50, complete=False
-            )  # not the complete list that was requested
+            # Not the complete list that was requested.
+            scripted.answers(LIST, rev=50, complete=False)
             scripted.answers(LIST, rows[1], rev=3, complete=True)
             assert "from=3" in scripted.call()[1]
             served_by(running_node, backend)
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -68,8 +68,8 @@
     assert first is not None
     assert second is not None
     # The later delta arrives first: it waits for the other one.
-    passed = send_delta(shared, second, 1, 1)
-    assert {o.to for o in passed} == set()
+    forwarded = send_delta(shared, second, 1, 1)
+    assert {o.to for o in forwarded} == set()
     assert shared.replica.version == before
     assert not shared.updates
     send_delta(shared, first, 1, 1)
@@ -133,11 +133,11 @@
 
 def test_a_reader_does_not_push_a_version_that_another_one_pushes() -> None:
     """Both have read one version; the other's first piece arrives before this one's push is due."""
-    order = sorted(range(5), key=reader_rank)
-    me, other = order[1], order[0]
+    nodes_by_rank = sorted(range(5), key=reader_rank)
+    me, other = nodes_by_rank[1], nodes_by_rank[0]
     for has_received in (False, True):
         shared = SharedList(Membership(me, 5, 1, 1), 5, 2, 256, 1, 0)
-        for node in set(order) - {me}:
+        for node in set(nodes_by_rank) - {me}:
             shared._members.on_message(0, node, 9)
         shared.readers.merge(0, ReaderRecord(other, 9, 1, ReaderState.READ, 1, 40, 7, 0))
         shared.on_answer(MS, 41, {"s1": encode_row(1)}, True)
@@ -176,8 +176,8 @@
         to_visit = [7 % nodes]
         while to_visit:
             node = to_visit.pop()
-            part = SharedList(Membership(node, nodes, 1, 1), nodes, 2, 256, 1, 0)
-            for child in part.sender.children(7 % nodes):
+            shared = SharedList(Membership(node, nodes, 1, 1), nodes, 2, 256, 1, 0)
+            for child in shared.sender.children(7 % nodes):
                 assert child not in reached
                 reached[child] = reached[node] + 1
                 to_visit.append(child)
@@ -187,15 +187,15 @@
 
 def test_a_dead_nodes_children_are_served_by_its_parent() -> None:
     dead = {0, 3, 4, 17}
-    parts = []
+    shared_lists = []
     for node in range(40):
         members = Membership(node, 40, 1, 1)
         for other in dead - {node}:
             members.merge(0, 1, MemberRecord(other, 1, MemberStatus.DEAD))
-        parts.append(SharedList(members, 40, 2, 256, 1, 0))
+        shared_lists.append(SharedList(members, 40, 2, 256, 1, 0))
     reached, to_visit = {7}, [7]
     while to_visit:
-        children = parts[to_visit.pop()].sender.children(7)
+        children = shared_lists[to_visit.pop()].sender.children(7)
         assert not reached & set(children)
         reached |= set(children)
         to_visit += children
@@ -203,15 +203,15 @@
 
 
 def test_a_reader_waits_for_the_answer_to_its_first_call() -> None:
-    order = sorted(range(5), key=reader_rank)
-    shared = SharedList(Membership(order[2], 5, 1, 1), 5, 2, 256, 1, 0)
+    nodes_by_rank = sorted(range(5), key=reader_rank)
+    shared = SharedList(Membership(nodes_by_rank[2], 5, 1, 1), 5, 2, 256, 1, 0)
     shared.caught_up = True
-    shared._members.on_message(0, order[0], 9)
+    shared._members.on_message(0, nodes_by_rank[0], 9)
     now = INITIAL_TAKEOVER_NS + MS
-    shared._members.on_message(now, order[0], 9)
+    shared._members.on_message(now, nodes_by_rank[0], 9)
     shared.tick(now)
     assert shared.is_polling  # no reader has written a record
-    for node in order[:2]:
+    for node in nodes_by_rank[:2]:
         shared.readers.merge(now + MS, ReaderRecord(node, 9, 1, ReaderState.POLLING, 0, 0, 0, 0))
     shared.tick(now + 2 * MS)
     assert shared.is_polling
@@ -224,7 +224,7 @@
     """A reader pushes a list without most servers, which a second reader has to confirm."""
     nodes = 5
     members = Membership(0, nodes, 1, 1)
-    order = [n for n in sorted(range(nodes), key=reader_rank) if n != 0]
+    nodes_by_rank = [n for n in sorted(range(nodes), key=reader_rank) if n != 0]
     shared = SharedList(members, nodes, 2, 256, 1, 0)
     rows = {f"s{i}": encode_row(i) for i in range(8)}
     shared.replica.load_configured_list(41, rows)
@@ -232,10 +232,10 @@
     writer.load_configured_list(41, rows)
     delta = writer.apply_answer(42, {u: None for u in list(rows)[:6]}, False)
     assert delta is not None
-    send_delta(shared, delta, order[0], order[0])
+    send_delta(shared, delta, nodes_by_rank[0], nodes_by_rank[0])
     assert shared.replica.version.rev == 41
     assert not shared.updates
-    for confirmations, writer_node in enumerate(order[:2], 1):
+    for confirmations, writer_node in enumerate(nodes_by_rank[:2], 1):
         shared.readers.merge(
             2 * MS, ReaderRecord(writer_node, 9, 1, ReaderState.READ, *delta.target, 0)
         )
@@ -266,12 +266,12 @@
 
 
 def test_without_list_readers_each_node_reads_the_list_itself() -> None:
-    alone = ListWorld(20, 100, 3, 0)
-    alone.start_all()
-    assert not alone.run(9 * SECOND, alone.is_current)
-    assert alone.run(15 * SECOND, alone.is_current)
-    assert alone.service.counts[ServiceCount.COMPLETE_LISTS] == 20
-    assert_within_service_rate(alone)
+    world = ListWorld(20, 100, 3, 0)
+    world.start_all()
+    assert not world.run(9 * SECOND, world.is_current)
+    assert world.run(15 * SECOND, world.is_current)
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] == 20
+    assert_within_service_rate(world)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -280,14 +280,14 @@
     world.start_all()
     killed = []
 
-    def has_partial_delta() -> bool:
+    def is_push_in_progress() -> bool:
         shared_lists = [f.shared_list for f in world.nodes.values() if f.shared_list]
         return any(s.assembler.partial for s in shared_lists) and any(
             s.is_polling for s in shared_lists
         )
 
     for _ in range(3):
-        assert world.run(world.now + 20 * SECOND, has_partial_delta)
+        assert world.run(world.now + 20 * SECOND, is_push_in_progress)
         for node in [
             n for n, f in world.nodes.items() if f.shared_list and f.shared_list.is_polling
         ]:
@@ -305,9 +305,8 @@
         world.start(node)
     read_before = world.service.counts[ServiceCount.COMPLETE_LISTS]
     assert world.run(world.now + 10 * SECOND, world.is_current)
-    assert (
-        world.service.counts[ServiceCount.COMPLETE_LISTS] <= read_before + 2
-    )  # the other nodes got the list from their peers
+    # The other nodes got the list from their peers.
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] <= read_before + 2
     assert_within_service_rate(world)
 
 
@@ -375,9 +374,8 @@
     def has_received_older_answer() -> bool:
         return any(client.older_answers.consecutive_older for client in clients)
 
-    assert world.run(
-        world.now + 5 * SECOND, has_received_older_answer
-    )  # a silent watch is given up after 3.5 s
+    # A silent watch is given up after 3.5 s.
+    assert world.run(world.now + 5 * SECOND, has_received_older_answer)
     assert all(client.rev == rev for client in clients)
     service.stale_list = None
     # The service restarts its numbers: after some answers all nodes accept and keep the new list.
@@ -451,9 +449,8 @@
     world.known_at_start = lambda node: known[node % 6]
     world.start_all()
     assert world.run(6 * SECOND, world.is_current)
-    assert (
-        world.service.counts[ServiceCount.COMPLETE_LISTS] == 2
-    )  # the readers request all rows, whatever list they start with
+    # The readers request all rows, whatever list they start with.
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] == 2
     assert_within_service_rate(world)
     world.service.change({"s3": None})
     assert world.run(world.now + 2 * SECOND, world.is_current)
@@ -503,7 +500,6 @@
     calls = world.service.counts[ServiceCount.COMPLETE_LISTS]
     world.service.change({"s3": None})
     assert world.run(world.now + 3 * SECOND, world.is_current)
-    assert (
-        world.service.counts[ServiceCount.COMPLETE_LISTS] == calls
-    )  # and no node read the complete list again
+    # No node read the complete list again.
+    assert world.service.counts[ServiceCount.COMPLETE_LISTS] == calls
     assert sum(s.counters["versions that nobody has"] for s in shared_lists) >= 10
--- a/tests/core/test_process_pair.py
+++ b/tests/core/test_process_pair.py
@@ -82,7 +82,7 @@
     assert PredecessorShare().begin([EndpointUsage(1, 3, 2, True)]) == {1: 2}
 
 
-def test_a_balancer_sends_within_its_share_and_later_within_the_node_s_caps() -> None:
+def test_a_balancer_sends_within_its_share_and_later_within_the_nodes_caps() -> None:
     balancer, host = build(count=4)
     share = SuccessorShare()
     share.update(
