--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -20,13 +20,13 @@
 from loadbalancer.core.endpoints.list_replica import ListReplica
 from loadbalancer.core.endpoints.list_versions import PackedDelta
 from loadbalancer.core.gossip.membership import Membership
-from loadbalancer.core.gossip.messages import Kind, Outgoing
+from loadbalancer.core.gossip.messages import MessageKind, Outgoing
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEADER_BYTES = 88  # upper bound for a PIECE message without its body (checked by a test)
 FANOUT = 4  # children of a node in the tree
 NO_TREE = -1  # as the root of a piece that is not to be forwarded
-PIECES_PER_S = 250  # that a node sends; a receiver accepts up to NODE_DATAGRAMS of one node
+PIECES_PER_S = 250  # that a node sends; a receiver accepts up to MAX_DATAGRAMS_PER_NODE of one node
 BURST_PIECES = 64
 MAX_QUEUED_PIECES = 8192  # further ones are dropped; nodes that lack them request them
 BUSY_QUEUE_PIECES = 200  # with more pieces queued, other nodes' requests are ignored
@@ -159,5 +159,5 @@
 
     def _queue_piece(self, to: int, piece: Piece, body: bytes) -> None:
         if len(self._queue) < MAX_QUEUED_PIECES:
-            message = self._members.message(Kind.PIECE, digest=tuple(piece), body=body)
+            message = self._members.message(MessageKind.PIECE, digest=tuple(piece), body=body)
             self._queue.append(Outgoing(to, message))
--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -67,7 +67,7 @@
         should_poll = (
             (is_chosen and not is_deferred)
             or call_in_progress
-            or members.hears_nobody(now)
+            or members.receives_no_messages(now)
             or must_poll
         )
         if should_poll and not self.is_polling:
@@ -81,4 +81,4 @@
 
     def update_disconnected(self, now: int) -> None:
         """While not connected to the gossip: poll once no messages have come for a while."""
-        self.is_polling = self._members.hears_nobody(now)
+        self.is_polling = self._members.receives_no_messages(now)
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -40,14 +40,16 @@
         self._balancer = balancer
         self._zone, self._zones = settings.node % settings.zones, settings.zones
         place = settings.node // settings.zones
-        self.slots = SlotAllocation(place, balancer.peers, gossip.settings.slots, self._is_alive_at)
-        self.slots.granted_classes = gossip.leases.granted_classes()
+        self.slots = SlotAllocation(
+            place, balancer.peers, gossip.settings.slots_per_server, self._is_alive_at
+        )
+        self.slots.granted_groups = gossip.leases.granted_groups()
         self.alive = 0  # alive members, as of the last allocation
         self._liveness_changes = -1
         self._saturated = False
         self._peaks = [0, 0]  # most requests in flight, in this window and in the last one
         self._window_ends_at = 0
-        balancer.set_slot_ranks(self.slots)
+        balancer.set_slot_allocator(self.slots)
 
     def _is_alive_at(self, place: int) -> bool:
         """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
@@ -76,7 +78,7 @@
                 gossip.observe(now, endpoint.id, results, endpoint.last_seen)
 
     def _update_need(self, now: int) -> None:
-        """At the end of each window: how many classes can be leased out, or are needed."""
+        """At the end of each window: how many groups can be leased out, or are needed."""
         balancer = self._balancer
         self._peaks[0] = max(self._peaks[0], balancer.in_flight)
         self._saturated = self._saturated or balancer.saturated
@@ -87,7 +89,7 @@
         self._peaks = [balancer.in_flight, self._peaks[0]]
         ready = [e for e in balancer.endpoints.values() if e.local and e.state == State.READY]
         depths = [
-            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding))
+            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding_offset))
             for endpoint in ready
             if endpoint.cold_until <= balancer.now
         ]
@@ -100,7 +102,7 @@
         exchange.keeps_leases = uses_all and needed > owned
         exchange.grantable = 0
         if not (self._saturated or exchange.keeps_leases):
-            exchange.grantable = self.slots.grantable_classes(depths, len(ready), needed, owned)
+            exchange.grantable = self.slots.grantable_groups(depths, len(ready), needed, owned)
         self._saturated = False
 
     # ---- to the Balancer -----------------------------------------------------------
@@ -119,7 +121,7 @@
         """Bring the slot allocation up to date; returns whether its inputs have changed."""
         gossip, slots = self._gossip, self.slots
         members, leases = gossip.members, gossip.leases
-        isolated = members.hears_nobody(now)
+        isolated = members.receives_no_messages(now)
         same_members = members.liveness_changes == self._liveness_changes
         if same_members and not leases.changed and isolated == slots.isolated:
             return False
@@ -128,10 +130,10 @@
         self.alive = members.alive_count()
         slots.isolated = isolated
         slots.refresh()
-        slots.granted_classes = leases.granted_classes()
+        slots.granted_groups = leases.granted_groups()
         slots.leases = [
-            LeasedSlots(grantor // self._zones, classes)
-            for grantor, classes in gossip.lease_exchange.usable(now)
+            LeasedSlots(grantor // self._zones, groups)
+            for grantor, groups in gossip.lease_exchange.usable(now)
         ]
         return True
 
@@ -140,7 +142,7 @@
         endpoint = self._balancer.endpoints.get(change.server)
         if endpoint is None or endpoint.consecutive_failures:
             return False
-        failing = change.verdict in (ReportedState.SILENT, ReportedState.DOUBTED)
+        failing = change.verdict in (ReportedState.SILENT, ReportedState.SUSPECTED)
         return failing and endpoint.last_seen > change.observed_at
 
     def _draining(self) -> list[Listing]:
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -1,7 +1,7 @@
 """One node of the fleet's gossip: combines the modules of this package.
 
 Sans-I/O: messages in, messages out, time passed in as nanoseconds. `tick` is to be called at
-`next_turn_at`. An update that is received is passed on at once, within
+`next_tick_at`. An update that is received is passed on at once, within
 the message rate; without updates only SWIM, anti-entropy and leases send any.
 """
 
@@ -22,10 +22,10 @@
     MAX_INCARNATION,
     MAX_SERIAL,
     DrainRecord,
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Observation,
     Outgoing,
     ReaderRecord,
@@ -76,9 +76,9 @@
         return self.anti_entropy.caught_up
 
     @property
-    def next_turn_at(self) -> int:
+    def next_tick_at(self) -> int:
         """When `tick` is due."""
-        return self._updates.next_turn_at
+        return self._updates.next_tick_at
 
     # ---- events of this node ----------------------------------------------------
 
@@ -104,7 +104,7 @@
         """The messages that announce a planned stop, so that others need not detect it."""
         members = self.members
         record = MemberRecord(members.me, members.incarnation, MemberStatus.LEFT)
-        message = members.message(Kind.GOSSIP, records=(record,))
+        message = members.message(MessageKind.GOSSIP, records=(record,))
         return [Outgoing(to, message) for to in members.sample(LEAVE_MESSAGES)]
 
     # ---- messages -------------------------------------------------------------------
@@ -133,7 +133,9 @@
         if members.peers[message.origin].status != MemberStatus.ALIVE and self._updates.take(now):
             # It is dead here under the incarnation that it still uses: let it refute that.
             records = (members.record(message.origin),)
-            out.append(Outgoing(message.origin, members.message(Kind.GOSSIP, records=records)))
+            out.append(
+                Outgoing(message.origin, members.message(MessageKind.GOSSIP, records=records))
+            )
         return out
 
     def _accept(self, now: int, message: Message) -> bool:
@@ -206,7 +208,7 @@
         out = self._charge_and_piggyback(now, out)
         if self.caught_up:
             out += self._updates.gossip(now)
-        self._updates.next_turn_at = now + (GOSSIP_DELAY_NS if self._hurries(now) else TICK_NS)
+        self._updates.next_tick_at = now + (GOSSIP_DELAY_NS if self._hurries(now) else TICK_NS)
         return out + pieces
 
     def _hurries(self, now: int) -> bool:
@@ -228,7 +230,7 @@
             self._updates.gossip_pending = True
         return out
 
-    def resume_after_pause(self, now: int) -> bool:
+    def recover_if_paused(self, now: int) -> bool:
         """Detect a pause of this process, and recover from it; to be called before each event.
 
         Returns whether it was paused since its last turn. Guards against a node that was stopped
@@ -281,9 +283,11 @@
     settings: GossipSettings, members: Membership, seed: int, now: int
 ) -> SharedList | None:
     """The shared list; None where each node polls the list service for itself."""
-    if not settings.readers:
+    if not settings.reader_count:
         return None
     # Imported here: nodes that do not use it need not load the module.
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-    return SharedList(members, settings.nodes, settings.readers, settings.datagram, seed, now)
+    return SharedList(
+        members, settings.nodes, settings.reader_count, settings.max_datagram_bytes, seed, now
+    )
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -7,10 +7,10 @@
 from loadbalancer.core.balancing.model import MS, SECOND, ReportedState, State
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
-    Kind,
     MemberRecord,
     MemberStatus,
     Message,
+    MessageKind,
     Observation,
     Outgoing,
 )
@@ -40,7 +40,7 @@
 
 
 def dead_views(world: GossipWorld) -> set[int]:
-    return {record.node for f in world.nodes.values() for record in f.members.not_alive()}
+    return {record.node for f in world.nodes.values() for record in f.members.non_alive_records()}
 
 
 def converged(world: GossipWorld) -> bool:
@@ -131,7 +131,7 @@
     world.run(world.now + 3 * SECOND)
     assert not dead_views(world)
     assert drained(world, 7) == 8  # all but node 0, which has it on its own list
-    assert all(not [r for r in f.records.of_server(5)] for f in world.nodes.values())
+    assert all(not [r for r in f.records.records_of_server(5)] for f in world.nodes.values())
 
 
 def test_clocks_that_jump_restore_no_old_records_and_no_member_is_declared_dead() -> None:
@@ -150,7 +150,7 @@
     assert drained(world, 7) == 8
     assert sum(f.counters["stalls"] for f in world.nodes.values()) == 3
     world.run(world.now + 16 * SECOND)  # the observation has expired by every clock
-    assert all(not f.records.of_server(5) for f in world.nodes.values())
+    assert all(not f.records.records_of_server(5) for f in world.nodes.values())
 
 
 def test_a_node_that_restarts_with_an_earlier_clock_is_accepted_again() -> None:
@@ -206,7 +206,7 @@
 
     def counted(node: int, outgoing: list[Outgoing]) -> None:
         for target, message in outgoing:
-            if message.kind == Kind.DIGEST and message.subject == target:
+            if message.kind == MessageKind.DIGEST and message.subject == target:
                 requests[target] = requests.get(target, 0) + 1
         send(node, outgoing)
 
@@ -258,7 +258,7 @@
             DrainRecord(7, 0, 4, State.DRAINING, 0), MemberRecord(3, 1, MemberStatus.DEAD),
             Observation(9, 0, 8, 1, i, 3, 0, 0, 0, 0),
         )  # fmt: skip
-        message = Message(Kind.GOSSIP, 8, incarnation, records=records)
+        message = Message(MessageKind.GOSSIP, 8, incarnation, records=records)
         for to in range(8):
             world.call_at(began + i * MS, world.deliver, 8, to, message)
     world.run(began + 3 * SECOND)
