--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -52,7 +52,7 @@
     load_cost: float
     cold: int  # remaining time of its slow start
     ejected: int  # remaining time of its ejection
-    backoff: int  # duration of its next ejection
+    next_ejection_ns: int
     consecutive_failures: int
 
 
@@ -144,13 +144,13 @@
 
 
 def _parse_endpoint(row: Any) -> LearnedEndpoint:
-    ratio, cost, cold, ejected, backoff, failures = row
+    ratio, cost, cold, ejected, next_ejection, failures = row
     return LearnedEndpoint(
         min(_non_negative(ratio), MAX_RATIO),
         min(_non_negative(cost), MAX_RATIO),
         int(_duration(cold, 0.0)),
         int(_duration(ejected, 0.0)),
-        min(max(int(backoff), FIRST_EJECTION_NS), MAX_EJECTION_NS),
+        min(max(int(next_ejection), FIRST_EJECTION_NS), MAX_EJECTION_NS),
         max(int(failures), 0),
     )
 
@@ -169,7 +169,7 @@
 ) -> None:
     endpoint.latency_ratio, endpoint.load_cost = learned.latency_ratio, learned.load_cost
     endpoint.last_seen = now
-    endpoint.next_ejection_ns = learned.backoff
+    endpoint.next_ejection_ns = learned.next_ejection_ns
     endpoint.consecutive_failures = learned.consecutive_failures
     if learned.cold:
         endpoint.cold_until = max(endpoint.cold_until, now + learned.cold)
