--- a/loadbalancer/core/endpoints/delta_sender.py
+++ b/loadbalancer/core/endpoints/delta_sender.py
@@ -24,14 +24,14 @@
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 PIECE_HEADER_BYTES = 88  # upper bound for a PIECE message without its body (checked by a test)
-FANOUT = 4  # children of a node in the tree
-NO_TREE = -1  # as the root of a piece that is not to be forwarded
-PIECES_PER_S = 250  # that a node sends; a receiver accepts up to MAX_DATAGRAMS_PER_NODE of one node
-BURST_PIECES = 64
-MAX_QUEUED_PIECES = 8192  # further ones are dropped; nodes that lack them request them
+FANOUT = 4  # number of children of a node in the tree
+NO_TREE = -1  # root of a piece that is not to be forwarded
+PIECES_PER_S = 250  # send rate of a node, below the MAX_DATAGRAMS_PER_NODE that others accept
+BURST_PIECES = 64  # pieces sent at once after a pause
+MAX_QUEUED_PIECES = 8192  # further pieces are dropped; nodes that lack them request them
 BUSY_QUEUE_PIECES = 200  # with more pieces queued, other nodes' requests are ignored
-PACKINGS_PER_S = 10  # deltas packed for requests: each one takes milliseconds
-MAX_REQUESTED_PIECES = 16  # in one request
+PACKINGS_PER_S = 10  # rate of packing deltas for requests; packing one takes milliseconds
+MAX_REQUESTED_PIECES = 16  # maximum number of pieces in one request
 
 
 class DeltaSender:
@@ -66,8 +66,6 @@
         self.counters["pieces sent"] += len(out)
         return out
 
-    # ---- down the tree -------------------------------------------------------------
-
     def children(self, root: int) -> list[int]:
         """The nodes to which this one forwards pieces in the tree with this root.
 
@@ -100,8 +98,6 @@
             for child in self.children(piece.root):
                 self._queue_piece(child, piece, body)
 
-    # ---- answers to requests -------------------------------------------------------
-
     def answer_request(
         self,
         now: int,
--- a/loadbalancer/core/endpoints/departure_limits.py
+++ b/loadbalancer/core/endpoints/departure_limits.py
@@ -60,7 +60,7 @@
         self._drained_count += 1.0
 
     def allows_unconfirmed(self, unconfirmed_count: int, pool_size: int) -> bool:
-        """Whether, beside so many servers, one more may be drained on health checks alone."""
+        """Whether beside `unconfirmed_count` servers one more may be drained on checks alone."""
         return unconfirmed_count + 1 <= max(self._limits.max_unconfirmed_fraction * pool_size, 1.0)
 
     def _capacity(self, pool_size: int) -> float:
--- a/loadbalancer/core/endpoints/line_limiter.py
+++ b/loadbalancer/core/endpoints/line_limiter.py
@@ -32,7 +32,7 @@
         self._reserved_lines = 0
 
     def delay(self, now: int, lines: int) -> int:
-        """How long until so many lines may be requested, ns.
+        """How long until `lines` lines may be requested, ns.
 
         More lines than the limit may be requested once no other lines count.
         """
--- a/loadbalancer/core/endpoints/list_pieces.py
+++ b/loadbalancer/core/endpoints/list_pieces.py
@@ -15,9 +15,9 @@
 )
 from loadbalancer.core.gossip.messages import MAX_INTEGER
 
-MAX_PARTIAL_DELTAS = 8  # beyond it, the one that has gone longest without a new piece is dropped
+MAX_PARTIAL_DELTAS = 8  # beyond it, the delta longest without a new piece is dropped
 NO_DELTA = 0  # delta checksum of a request by a node that has no piece of a delta
-REQUEST_HEADER_LENGTH = 4  # numbers of a WANT message before the piece numbers
+REQUEST_HEADER_LENGTH = 4  # how many numbers of a WANT message precede the piece numbers
 
 
 class Piece(NamedTuple):
--- a/loadbalancer/core/endpoints/list_readers.py
+++ b/loadbalancer/core/endpoints/list_readers.py
@@ -18,11 +18,14 @@
 from loadbalancer.core.gossip.records import MERGE_RULES, StoredRecord, join
 
 FAILED_NS = 5 * SECOND  # how long a node ranks behind the others after a failed call
-FAILURE_PAUSE_NS = 250 * MS  # after a failure no node begins to poll; doubled per further failure
+FAILURE_PAUSE_NS = 250 * MS  # no node begins to poll for this long after a failure
 MAX_FAILURE_PAUSE_NS = 4 * SECOND
-MAX_PAUSE_DOUBLINGS = 8
-INITIAL_TAKEOVER_NS = 2 * SECOND  # silence of the readers after which the next group takes over
-TAKEOVER_NS = 12 * SECOND  # the same once the list has been read: six watches of a reader
+MAX_PAUSE_DOUBLINGS = 8  # the pause is doubled for each further node with a recent failure
+# The next group of nodes takes over once the readers have written no records for
+# INITIAL_TAKEOVER_NS while no node has read the list, and for TAKEOVER_NS (six watches of a reader)
+# from then on.
+INITIAL_TAKEOVER_NS = 2 * SECOND
+TAKEOVER_NS = 12 * SECOND
 ABSENT_NS = 60 * SECOND  # how long a node that should be a reader, but is silent, is skipped
 DISTRUST_NS = 60 * SECOND  # how long a reader that announced a version no node has is ignored
 
@@ -47,8 +50,6 @@
         self._distrusted_until: dict[int, int] = {}
         self._absent_until: dict[int, int] = {}  # nodes that should be readers but are silent
 
-    # ---- records ---------------------------------------------------------------
-
     def announce(
         self, now: int, incarnation: int, state: ReaderState, version: ListVersion
     ) -> None:
@@ -89,8 +90,6 @@
         self._distrusted_until = {n: t for n, t in self._distrusted_until.items() if now < t}
         self._absent_until = {n: t for n, t in self._absent_until.items() if now < t}
 
-    # ---- which nodes are readers --------------------------------------------------
-
     def is_chosen(self, now: int, is_alive: Callable[[int], bool], is_polling: bool) -> bool:
         """Whether this node should be a reader now; with `is_polling` it is one already.
 
@@ -158,8 +157,6 @@
             for node, (record, written_at) in self.records.items()
         )
 
-    # ---- versions ----------------------------------------------------------------
-
     def latest_version(self) -> ListVersion:
         """The latest version announced by a reader that is not distrusted."""
         return max((version for version, _ in self._announced_versions()), default=NO_VERSION)
--- a/loadbalancer/core/endpoints/list_repair.py
+++ b/loadbalancer/core/endpoints/list_repair.py
@@ -13,10 +13,14 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import MessageKind, Outgoing
 
-REQUEST_AFTER_NS = 200 * MS  # without a new piece, until missing pieces are requested
-GIVE_UP_NS = 5 * SECOND  # without a new piece, until it is assumed that no node has the version
+# Missing pieces are requested once no new piece has arrived for REQUEST_AFTER_NS. After GIVE_UP_NS
+# without a new piece, it is assumed that no node has the version.
+REQUEST_AFTER_NS = 200 * MS
+GIVE_UP_NS = 5 * SECOND
 ARRIVAL_NS = 2 * SECOND  # how long a node waits for a known later version before it may poll itself
-RANDOM_CANDIDATES = 3  # a request goes to one of so many random nodes and one reader
+RANDOM_CANDIDATES = (
+    3  # random nodes from which, together with a reader, a request's receiver is drawn
+)
 
 
 class ListRepair:
--- a/loadbalancer/core/endpoints/list_replica.py
+++ b/loadbalancer/core/endpoints/list_replica.py
@@ -102,8 +102,6 @@
                 base, rows = version.rev, changed
         return self.packed(ListDelta(base, self.version, rows))
 
-    # ---- packed deltas -------------------------------------------------------
-
     def packed(self, delta: ListDelta) -> PackedDelta:
         """Return a packed delta from the cache, or pack it and cache it."""
         packed = self._cache.get((delta.base, delta.target)) or pack(delta)
@@ -123,8 +121,6 @@
         if len(self._cache) > MAX_CACHED_DELTAS:
             self._cache.popitem(last=False)
 
-    # ---- rows ----------------------------------------------------------------
-
     def _changed_rows(
         self, rows: Mapping[str, str | None], complete: bool
     ) -> dict[str, str | None]:
--- a/loadbalancer/core/endpoints/list_versions.py
+++ b/loadbalancer/core/endpoints/list_versions.py
@@ -19,10 +19,9 @@
 from loadbalancer.core.gossip.messages import ReaderRecord
 
 FULL_LIST = -1  # base of a delta that holds all rows
-MAX_DELTA_BYTES = 1 << 20  # of a packed delta: about 40,000 rows
-MAX_COMPRESSION_RATIO = (
-    16  # unpacked to packed bytes; limits the memory that received bytes can take
-)
+MAX_DELTA_BYTES = 1 << 20  # maximum size of a packed delta: about 40,000 rows
+# The maximum ratio of unpacked to packed bytes limits the memory that received bytes can take.
+MAX_COMPRESSION_RATIO = 16
 CHECKSUM_BYTES = 8
 
 
--- a/loadbalancer/core/endpoints/merged_list.py
+++ b/loadbalancer/core/endpoints/merged_list.py
@@ -125,8 +125,6 @@
         )
         return now + SECOND if waits or self._intake.awaits_confirmation() else 0
 
-    # ---- one server's state ------------------------------------------------
-
     def _assess(self, now: int, server: MergedServer) -> None:
         """Bring a server's state up to date, except for a drain that the limits must allow."""
         report = server.deciding_report(self._sources)
@@ -159,8 +157,6 @@
         is_waiting = server.waiting_since is not None
         return server.state != State.READY or is_waiting or server.flaps.has_penalty()
 
-    # ---- ready -------------------------------------------------------------
-
     def _list_as_ready(self, now: int, server: MergedServer, report: ServerReport) -> None:
         """List a server as ready, and as cold if it may be another process than before."""
         table = self._table
@@ -197,8 +193,6 @@
         self._table.changes += 1
         return reported
 
-    # ---- draining ----------------------------------------------------------
-
     def _drain_waiting(self, now: int, servers: list[MergedServer]) -> None:
         """Drain the waiting servers if the limits allow it, those that answer attempts last."""
         answers = {
--- a/loadbalancer/core/endpoints/poll_backoff.py
+++ b/loadbalancer/core/endpoints/poll_backoff.py
@@ -42,18 +42,19 @@
     poll_timings,
 )
 
-OVERLOAD_FAILURES = 2  # consecutive failures from which an overload is suspected
-QUICK_FAILURES = 2  # consecutive failures that a node with a list retries without backoff
-MIN_LINES_PER_S = 200  # of the slowest list service that the bounds are designed for
-FLEET_CALLS_PER_S = 125  # of all callers together, after failures
-QUEUED_AFTER_NS = SECOND  # a call rejected after so long had waited in the service's queue
-FIRST_LIST_TIMEOUT_NS = 30 * SECOND  # doubled with each consecutive call that timed out
+OVERLOAD_FAILURES = 2  # an overload is suspected from this number of consecutive failures
+QUICK_FAILURES = 2  # a node with a list retries its first consecutive failures without backoff
+MIN_LINES_PER_S = 200  # rate of the slowest list service that the bounds are designed for
+FLEET_CALLS_PER_S = 125  # rate of the calls of all callers together after failures
+QUEUED_AFTER_NS = SECOND  # a call rejected no sooner had waited in the service's queue
+# The timeout of a call for the first list is doubled with each consecutive call that timed out.
+FIRST_LIST_TIMEOUT_NS = 30 * SECOND
 MAX_TIMEOUT_DOUBLINGS = 4
 MAX_PAUSE_DOUBLINGS = 16
-FIRST_LIST_PAUSE_NS = 2 * SECOND  # upper limit of the bound without a list, in a small fleet
+FIRST_LIST_PAUSE_NS = 2 * SECOND  # maximum pause of a node without a list in a small fleet
 PAUSE_MARGIN_NS = 500 * MS  # safety margin of a pause that has to fit into MAX_NOTIFICATION_NS
 MIN_PROBE_INTERVAL_NS = SECOND
-ASSUMED_READERS = 2  # callers, where list readers poll for all nodes
+ASSUMED_READERS = 2  # assumed number of callers if list readers poll for all nodes
 
 
 class PollFailure(Enum):
@@ -80,7 +81,7 @@
 
 
 def fleet_pause_bound(callers: int) -> int:
-    """The pause bound, ns, at which so many callers together make FLEET_CALLS_PER_S calls."""
+    """The pause bound, ns, at which `callers` nodes together make FLEET_CALLS_PER_S calls."""
     return 2 * callers * SECOND // FLEET_CALLS_PER_S
 
 
@@ -137,7 +138,7 @@
         return max(MIN_PROBE_INTERVAL_NS, fleet_pause_bound(self._active_callers()) // 2)
 
     def on_answer(self, elapsed: int) -> None:
-        """A usable answer has come after `elapsed` ns: a list, or that nothing has changed."""
+        """Process a usable answer after `elapsed` ns: a list, or that nothing has changed."""
         self.failures = self._consecutive_timeouts = 0
         if elapsed <= EXPECTED_ANSWER_NS:
             self._overload_failures = 0
--- a/loadbalancer/core/endpoints/polling_role.py
+++ b/loadbalancer/core/endpoints/polling_role.py
@@ -11,8 +11,8 @@
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import ReaderState
 
-ANNOUNCE_INTERVAL_NS = SECOND // 2  # minimum time between records that announce answers
-POLLING_RENEWAL_NS = SECOND  # between records while the list service has not answered yet
+ANNOUNCE_INTERVAL_NS = SECOND // 2  # minimum time between two records that announce answers
+POLLING_RENEWAL_NS = SECOND  # time between two records while the list service has not answered
 FIRST_CALL_NS = 10 * SECOND  # how long a first call may continue once other nodes are readers
 
 
@@ -80,5 +80,5 @@
         self.is_polling = should_poll
 
     def update_disconnected(self, now: int) -> None:
-        """While not connected to the gossip: poll once no messages have come for a while."""
+        """Without a connection to the gossip: poll once it has received nothing for a while."""
         self.is_polling = self._members.receives_no_messages(now)
--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -12,8 +12,9 @@
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-MAX_CHANGES = 4096  # changed rows that are remembered, for requests since a recent revision
-MAX_OLDER_ANSWERS = 6  # consecutive older answers after which such a list is accepted: 1 to 3 s
+MAX_CHANGES = 4096  # number of changed rows remembered for requests since a recent revision
+# Number of consecutive older answers after which an older list is accepted: takes 1 to 3 s.
+MAX_OLDER_ANSWERS = 6
 
 Row = TypeVar("Row")
 
--- a/loadbalancer/core/endpoints/server_table.py
+++ b/loadbalancer/core/endpoints/server_table.py
@@ -39,8 +39,6 @@
             server = self.servers[uid] = MergedServer(uid)
         return server
 
-    # ---- addresses -------------------------------------------------------
-
     def listed_at(self, address: Address) -> MergedServer | None:
         """The server that is listed at an address, if any."""
         uid = self._uids_by_address.get(address)
@@ -62,8 +60,6 @@
         if self._uids_by_address.get(server.address) == server.uid:
             del self._uids_by_address[server.address]
 
-    # ---- states ----------------------------------------------------------
-
     def set_state(
         self, now: int, server: MergedServer, state: State, weight: float, reason: str
     ) -> None:
--- a/loadbalancer/core/endpoints/shard_leaves.py
+++ b/loadbalancer/core/endpoints/shard_leaves.py
@@ -13,7 +13,7 @@
 ALPHABET = "0123456789abcdefghijklmnopqrstuvwxyz"
 BOUNDARY = "-"
 OTHER = ""
-MAX_LEAF_LENGTH = 12  # characters of a leaf; keys that share a longer suffix stay in one leaf
+MAX_LEAF_LENGTH = 12  # in characters; keys that share a longer suffix stay in one leaf
 
 
 def leaf_of(key: str, length: int) -> str:
--- a/loadbalancer/core/endpoints/shard_scheduler.py
+++ b/loadbalancer/core/endpoints/shard_scheduler.py
@@ -40,8 +40,8 @@
     ShardTrie,
 )
 
-PROBE_BELOW_LINES = 50  # limit, in lines a second, below which probes are sent
-UNKNOWN_JOIN_DIVISOR = 3  # leaves of unknown size are joined up to 1/3 of a shard's servers
+PROBE_BELOW_LINES = 50  # probes are sent if fewer lines per second are allowed
+UNKNOWN_JOIN_DIVISOR = 3  # leaves of unknown size are joined up to 1/3 of a shard
 
 
 class QueryKind(Enum):
@@ -126,7 +126,7 @@
         return query
 
     def on_answer(self, now: int, query: ShardQuery, keys: Sequence[str]) -> None:
-        """An answer has come, with these keys; an answer to an ALL query sets the leaves' sizes."""
+        """Process an answer with these `keys`; an answer to an ALL query sets the leaves' sizes."""
         self.overruns += len(keys) > min(query.max_lines, self._limiter.lines_per_second)
         self._settle(now, len(keys))
         if query.kind is QueryKind.PROBE:
@@ -137,7 +137,7 @@
             self._after_all_answer()
 
     def on_failure(self, now: int, query: ShardQuery) -> None:
-        """No usable answer has come: count its lines as returned, and queue the query again."""
+        """Process a failed query: count its lines as returned, and queue it again."""
         self._settle(now, query.max_lines)
         if query.kind is not QueryKind.PROBE:
             self._queue_of(query.kind).appendleft(query.leaves)
@@ -163,8 +163,6 @@
             self._limiter.settle(now, self._reservation, lines)
             self._reservation = None
 
-    # ---- the next query --------------------------------------------------
-
     def _queue_of(self, kind: QueryKind) -> deque[tuple[str, ...]]:
         return self._all_queue if kind is QueryKind.ALL else self._unhealthy_queue
 
--- a/loadbalancer/core/endpoints/shard_trie.py
+++ b/loadbalancer/core/endpoints/shard_trie.py
@@ -18,13 +18,13 @@
     split_leaf,
 )
 
-INITIAL_SIZE = 2  # servers that a leaf is assumed to have before any size is known
-INITIAL_LENGTH = 2  # characters of the first leaves
+INITIAL_SIZE = 2  # assumed servers of a leaf while no size is known
+INITIAL_LENGTH = 2  # length of the leaves at the start, in characters
 MAX_GROWTH = 2  # factor by which a shard may grow between two rounds
-MIN_SPLIT_PARTS = 10  # parts that one further character is assumed to split a leaf into, at least
+MIN_SPLIT_PARTS = 10  # least number of parts that a split of a leaf is assumed to give
 SPLIT_DIVISOR = 2  # a leaf with more than 1/SPLIT_DIVISOR of a shard's servers is split
 JOIN_DIVISOR = 4  # parts with up to 1/JOIN_DIVISOR of a shard's servers are joined
-MAX_LEAVES = 2000  # of one query, as its filter has to fit into a request line
+MAX_LEAVES = 2000  # maximum leaves of one query, whose filter has to fit into a request line
 
 
 class ShardTrie:
@@ -44,8 +44,6 @@
         # The largest size seen of leaves, by (last character, length).
         self._max_seen_sizes: dict[tuple[str, int], int] = {}
 
-    # ---- sizes -----------------------------------------------------------
-
     def __len__(self) -> int:
         return len(self._sizes)
 
@@ -94,8 +92,6 @@
         longer = self._max_seen_sizes.get((leaf[-1:], len(leaf) + 1), 0)
         return assumed > self.max_shard_size and MAX_GROWTH * longer <= assumed
 
-    # ---- answers ---------------------------------------------------------
-
     def record_max_sizes(self, leaves: Sequence[str], keys: Sequence[str]) -> None:
         """Record the largest size by last character, for the leaves' lengths and one more."""
         lengths = {len(leaf) for leaf in leaves if is_plain(leaf)}
@@ -135,8 +131,6 @@
             for part in parts:
                 self._set_size(part, groups.get(part, []))
 
-    # ---- shards ----------------------------------------------------------
-
     def join_small(self) -> None:
         """Replace small parts with the leaf that they are parts of, to keep the trie small."""
         parents = {leaf[1:] for leaf in self._sizes if len(leaf) > INITIAL_LENGTH}
--- a/loadbalancer/core/endpoints/shared_list.py
+++ b/loadbalancer/core/endpoints/shared_list.py
@@ -29,10 +29,13 @@
 
 # A reader delays its push by this for each reader that ranks before it: their push may cancel it.
 PUSH_DELAY_NS = 300 * MS
-MAX_WAITING_DELTAS = 8  # complete deltas that don't fit the replica yet
-UNCONFIRMED_REMOVAL_DIVISOR = 2  # a delta that removes more than 1/2 of the rows ...
-REMOVAL_CONFIRMATIONS = 2  # ... needs so many readers that announce it, or this node's own poll
-REMOVAL_POLL_INTERVAL_NS = INITIAL_TAKEOVER_NS  # between two nodes' polls that confirm a removal
+MAX_WAITING_DELTAS = 8  # complete deltas not applied yet; beyond it, the oldest is dropped
+# A delta that removes more than 1/UNCONFIRMED_REMOVAL_DIVISOR of the rows is applied only once
+# REMOVAL_CONFIRMATIONS readers have announced its version, or this node has polled the list itself.
+UNCONFIRMED_REMOVAL_DIVISOR = 2
+REMOVAL_CONFIRMATIONS = 2
+# The time between the polls of two nodes that both wait for the confirmation of a removal.
+REMOVAL_POLL_INTERVAL_NS = INITIAL_TAKEOVER_NS
 REPORTED_STATES = {  # the names of the states in `/peers`
     ReaderState.POLLING: "asking",
     ReaderState.READ: "read",
@@ -92,8 +95,6 @@
         """Whether pieces wait for the rate limit alone."""
         return self.sender.has_queued_pieces
 
-    # ---- the list service's answers ------------------------------------------------
-
     def on_answer(self, now: int, rev: int, rows: Mapping[str, str | None], complete: bool) -> None:
         """The list service has answered this node."""
         delta = self.replica.apply_answer(rev, rows, complete)
@@ -110,11 +111,9 @@
         self.polling_role.on_failure(now, older, self.replica.version)
 
     def on_gossip_disconnected(self, now: int) -> None:
-        """Not connected to the gossip: poll once no messages have come for a while."""
+        """Not connected to the gossip: poll once no messages have been received for a while."""
         self.polling_role.update_disconnected(now)
 
-    # ---- messages ------------------------------------------------------------------
-
     def receive(self, now: int, message: Message) -> list[Outgoing]:
         """Process a PIECE or WANT message; returns the pieces to send now.
 
@@ -147,8 +146,6 @@
             self._waiting = [*self._waiting[1 - MAX_WAITING_DELTAS :], added.delta]
             self._apply_waiting(now)
 
-    # ---- deltas ----------------------------------------------------------------------
-
     def _apply_waiting(self, now: int) -> None:
         """Apply the deltas that fit, latest first; each may make others fit or obsolete."""
         progress = True
@@ -187,7 +184,7 @@
         self.updates.append(ListUpdate(delta.target.rev, dict(rows), complete))
 
     def _is_unconfirmed_removal(self, now: int, delta: ListDelta) -> bool:
-        """Whether a delta removes so many rows that a second reader has to confirm it.
+        """Whether a delta removes most rows and no second reader has confirmed it.
 
         Guards against a faulty reader that would remove most servers on all nodes, while the list
         service still has them.
@@ -204,8 +201,6 @@
             self.counters["steps that one reader alone names"] += 1
         return True
 
-    # ---- time -----------------------------------------------------------------------
-
     def tick(self, now: int) -> list[Outgoing]:
         """Decide whether this node polls, and return the messages to send now."""
         self.readers.expire(now)
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -111,7 +111,9 @@
             endpoints,
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as err:
-        raise LearnedStateError(f"malformed learned state: {err}") from None
+        raise LearnedStateError(
+            f"learned state of another process is malformed, none is restored: {err}"
+        ) from None
 
 
 def restore(balancer: Balancer, now: int, learned: LearnedState) -> None:
--- a/loadbalancer/core/process_pair.py
+++ b/loadbalancer/core/process_pair.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.balancer import Balancer
 
-RETAINED_FRACTION = 0.5  # of a warm endpoint's cap, when the handover begins
+RETAINED_FRACTION = 0.5  # part of a warm endpoint's cap that the predecessor retains at first
 # Multiplicative hashing (Knuth) spreads ids, which may be hashes or consecutive numbers.
 HASH_FACTOR = 0x9E3779B97F4A7C15
 HASH_RANGE = 1 << 64
--- a/tests/core/endpoints/fake_list_service.py
+++ b/tests/core/endpoints/fake_list_service.py
@@ -105,7 +105,7 @@
     now: int = 0,
     latency_ns: int = LATENCY_NS,
 ) -> int:
-    """Send a reader's queries until it has completed so many rounds in total; returns the time."""
+    """Send a reader's queries until it has completed `rounds` rounds in total; returns the time."""
     return run_queries(
         service, scheduler, lambda _now: scheduler.completed_rounds >= rounds, now, latency_ns
     )
--- a/tests/core/endpoints/test_merged_identity.py
+++ b/tests/core/endpoints/test_merged_identity.py
@@ -35,9 +35,6 @@
     return merged
 
 
-# ---- addresses -------------------------------------------------------------
-
-
 def test_a_new_id_at_the_same_address_replaces_the_old_one_and_starts_cold() -> None:
     merged = pool_list(10)
     reports = [*pool(9), report(10, uid="s-new")]
@@ -49,7 +46,7 @@
     assert server(merged, "s-new").boot == 5 * SECOND
 
 
-def test_the_same_id_at_a_new_address_is_another_process() -> None:
+def test_the_same_id_at_a_new_address_starts_cold_and_frees_the_old_address() -> None:
     merged = pool_list(10)
     moved = report(10, port=9999)
     merged.update(5 * SECOND, "consul", [*pool(9), moved], complete=True)
@@ -81,7 +78,7 @@
     assert ready(merged) == {"s-3", "s-4"}
 
 
-def test_two_ids_of_one_source_at_one_address_are_one_process() -> None:
+def test_of_two_ids_of_one_source_at_one_address_only_the_first_is_listed() -> None:
     merged = pool_list(3)
     reports = [*pool(3), report(9, port=9001)]
     merged.update(SECOND, "consul", reports, complete=True)
@@ -103,9 +100,6 @@
     assert (back.state, back.boot) == (State.READY, 9 * SECOND)
 
 
-# ---- several sources -------------------------------------------------------
-
-
 def test_reports_of_two_sources_with_one_address_are_of_one_server(
     merged_from_two_sources: MergedList,
 ) -> None:
--- a/tests/core/endpoints/test_merged_list.py
+++ b/tests/core/endpoints/test_merged_list.py
@@ -65,7 +65,7 @@
     assert merged.next_reassessment_at(3 * SECOND) == 0
 
 
-# ---- empty and missing answers ---------------------------------------------
+# Empty and missing answers.
 
 
 def test_an_empty_list_is_ignored_until_repeated_for_a_minute() -> None:
@@ -95,7 +95,7 @@
     assert len(ready(merged)) == 10
 
 
-# ---- limits on departures --------------------------------------------------
+# Limits on departures.
 
 
 def test_deregistering_half_the_list_is_rate_limited() -> None:
@@ -133,7 +133,7 @@
     assert "confirmed by failed attempts" in server(merged, "s-1").reason
 
 
-def test_servers_that_answer_depart_last() -> None:
+def test_servers_that_answer_attempts_are_drained_last() -> None:
     evidence = {"s-1": AttemptEvidence.ALIVE}
     merged = pool_list(10, lambda uid: evidence.get(uid, AttemptEvidence.UNKNOWN))
     merged.update(SECOND, "consul", pool(10, 1, 2, 3, health=Health.MAINTENANCE), complete=True)
@@ -206,7 +206,7 @@
     assert ready(merged) == {one.uid for one in remaining}
 
 
-# ---- flapping --------------------------------------------------------------
+# Flapping health checks.
 
 
 def test_flapping_health_checks_change_the_list_a_bounded_number_of_times() -> None:
--- a/tests/core/endpoints/test_poll_backoff.py
+++ b/tests/core/endpoints/test_poll_backoff.py
@@ -153,7 +153,7 @@
     assert new_backoff(7800).probe_interval() > 60 * SECOND
 
 
-# ---- the load of all calls, including those given up ------------------------------
+# The load of all calls of a fleet, including those that are given up.
 
 
 @pytest.mark.parametrize(
--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -36,7 +36,7 @@
 LIST = "GET /registry/instances HTTP/1.1"
 
 
-def test_a_change_arrives_at_most_six_seconds_after_discovery_has_it() -> None:
+def test_timings_allow_a_change_to_arrive_within_six_seconds() -> None:
     timings = poll_timings(Settings((PURE,), poll=True))
     assert (
         timings.hold + timings.hold_margin + timing.EXPECTED_ANSWER_NS <= timing.MAX_NOTIFICATION_NS
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("grace", [500 * MS, SECOND, 2 * SECOND, 60 * SECOND])
-def test_an_agents_change_arrives_within_the_grace_period(grace: int) -> None:
+def test_timings_of_an_agent_allow_a_change_to_arrive_within_the_grace_period(grace: int) -> None:
     timings = poll_timings(Settings((PURE,), poll=False, drain_grace=grace))
     for given_up_after in (
         timings.hold + timings.hold_margin,
@@ -236,7 +236,7 @@
 
 @pytest.mark.parametrize("known", ["full", "old", "empty"])
 @pytest.mark.parametrize("service", ["up", "silent", "down"])
-def test_ready_at_once_with_any_list_and_never_without_one(
+def test_a_node_is_ready_at_once_with_any_list_and_never_without_one(
     tmp_path: Path, known: str, service: str
 ) -> None:
     with listen() as discovery, listen() as backend:
--- a/tests/core/endpoints/test_shard_scheduler.py
+++ b/tests/core/endpoints/test_shard_scheduler.py
@@ -23,8 +23,8 @@
     run_rounds,
 )
 
-LINES = 190  # per second, if a list has a single reader
-FEW_LINES = 9  # per second, for one of 21 readers
+LINES = 190  # limit per second of a list's only reader
+FEW_LINES = 9  # limit per second of each of 21 readers
 
 
 @pytest.fixture
@@ -108,9 +108,6 @@
     assert service.max_lines() <= LINES
 
 
-# ---- changes of health checks ----------------------------------------------
-
-
 def test_a_health_change_is_found_soon_while_few_servers_are_unhealthy(
     scheduler: ShardScheduler,
 ) -> None:
--- a/tests/core/endpoints/test_shared_list.py
+++ b/tests/core/endpoints/test_shared_list.py
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize(
     ("nodes", "servers", "loss", "limit"), [(60, 100, 0.0, 2), (120, 270, 0.3, 5)]
 )
-def test_a_cold_fleet_reads_two_lists_in_all(
+def test_a_cold_fleet_with_two_readers_reads_two_lists_in_total(
     nodes: int, servers: int, loss: float, limit: int
 ) -> None:
     world = ListWorld(nodes, servers, 3, 2)
@@ -391,7 +391,7 @@
     assert all(client.rev == 8 for client in clients)
 
 
-def test_both_sides_of_a_partition_read_and_converge_to_one_list() -> None:
+def test_both_sides_of_a_partition_read_the_list_and_later_converge() -> None:
     world = ListWorld(30, 60, 6, 2)
     world.start_all()
     assert world.run(5 * SECOND, world.is_current)
--- a/tests/core/test_learned_state.py
+++ b/tests/core/test_learned_state.py
@@ -75,7 +75,9 @@
     ],
 )
 def test_malformed_data_is_refused_completely(key: str, value: object) -> None:
-    with pytest.raises(ValueError, match="malformed learned state"):
+    with pytest.raises(
+        ValueError, match="learned state of another process is malformed, none is restored"
+    ):
         learned_state.parse(exported_data() | {key: value})
 
 
