--- a/loadbalancer/core/endpoints/list_repair.py
+++ b/loadbalancer/core/endpoints/list_repair.py
@@ -18,9 +18,8 @@
 REQUEST_AFTER_NS = 200 * MS
 GIVE_UP_NS = 5 * SECOND
 ARRIVAL_NS = 2 * SECOND  # how long a node waits for a known later version before it may poll itself
-RANDOM_CANDIDATES = (
-    3  # random nodes from which, together with a reader, a request's receiver is drawn
-)
+# A request goes to a node drawn from this number of random nodes and one reader.
+RANDOM_CANDIDATES = 3
 
 
 class ListRepair:
--- a/loadbalancer/core/endpoints/revisions.py
+++ b/loadbalancer/core/endpoints/revisions.py
@@ -27,9 +27,8 @@
     def __init__(self, first: int) -> None:
         self.rev = first
         self.rows: dict[str, Row] = {}
-        self._first_known = (
-            first  # the changes since this revision and all later ones are remembered
-        )
+        # The changes since this revision and all later ones are remembered.
+        self._first_known = first
         self._changes: deque[tuple[int, str]] = deque()
 
     def replace(self, rows: Mapping[str, Row]) -> bool:
