--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -1,8 +1,8 @@
 """Anti-entropy: nodes compare digests of their records and exchange those that differ.
 
 Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987), section 1.3. It
-repairs what dissemination has missed. A node that starts, or was paused, catches up by it, and
-passes no records on until it has. Times are in nanoseconds.
+delivers records that dissemination did not. A node that has started or was paused catches up
+through anti-entropy, and sends no records to others until it has. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 from loadbalancer.core.gossip.membership import Membership
 from loadbalancer.core.gossip.messages import Message, MessageKind, Outgoing, Record
-from loadbalancer.core.gossip.records import DIGEST_PARTS, RecordStore
+from loadbalancer.core.gossip.records import DIGEST_BUCKETS, RecordStore
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.core.gossip.update_sender import UpdateSender
 
 if TYPE_CHECKING:
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-DIGEST_INTERVAL_NS = SECOND  # mean interval of digests, each to one random member
-MAX_DIFFERING_PARTS = 3  # above it records are sent even while unsent updates may be the reason
-CATCH_UP_PEERS = 2  # requests of a node that catches up, at once
-CATCH_UP_RETRY_NS = 300 * MS  # after which the next two peers are requested
-CATCH_UP_TIMEOUT_NS = 2 * SECOND  # after which a node goes on without having caught up
-CATCH_UP_MESSAGES = 200  # a second with records for nodes that catch up, beside the message rate
-FIRST, REPLY = 0, 1  # serials of a DIGEST; a reply is not replied to
+DIGEST_INTERVAL_NS = SECOND  # mean interval of digests, each sent to one random member
+# If more buckets differ, records are sent even while unsent updates could explain the difference.
+MAX_DIFFERING_BUCKETS = 3
+CATCH_UP_PEERS = 2  # peers that a node requests a catch-up from at the same time
+CATCH_UP_RETRY_NS = 300 * MS  # after this time the next peers get a request
+CATCH_UP_TIMEOUT_NS = 2 * SECOND  # after this time a node continues without having caught up
+CATCH_UP_MESSAGES = 200  # messages with differing records per second; sent beyond the message rate
+FIRST_DIGEST, REPLY_DIGEST = 0, 1  # serials of a DIGEST; a REPLY_DIGEST gets no reply
 
 
 class AntiEntropy:
-    """One node's exchange of digests and records with other nodes."""
+    """Exchanges digests and records with other nodes."""
 
     def __init__(
         self,
@@ -54,11 +55,11 @@
         self._next_digest_at = now + DIGEST_INTERVAL_NS
         self.caught_up = False
         self._catch_up_began = now
-        self._catch_up_peers: list[int] = []  # in the order of the requests
+        self._catch_up_peers: list[int] = []  # peers that got a request, in that order
         self._catch_up_requested_at = 0
 
     def digest(self) -> tuple[int, ...]:
-        """The digest of all records: of servers in DIGEST_PARTS parts, then of nodes."""
+        """The digest of all records: one number per bucket of servers, then one for all nodes."""
         nodes = self._members.digest()
         if self._shared_list is not None:
             nodes ^= self._shared_list.readers.digest()
@@ -67,33 +68,36 @@
     # ---- messages --------------------------------------------------------------
 
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
-        """Answer a DIGEST with the records that differ; on a DONE end the catch-up."""
+        """Reply to a DIGEST with the records that differ; end the catch-up on a DONE."""
         if message.kind == MessageKind.DONE:
             if message.origin in self._catch_up_peers:
                 self._end_catch_up(now, "caught up")
             return []
-        if message.kind != MessageKind.DIGEST or len(message.digest) != DIGEST_PARTS + 1:
+        if message.kind != MessageKind.DIGEST or len(message.digest) != DIGEST_BUCKETS + 1:
             return []
         digest = self.digest()
-        differing = {i for i in range(DIGEST_PARTS + 1) if digest[i] != message.digest[i]}
+        differing = {i for i in range(DIGEST_BUCKETS + 1) if digest[i] != message.digest[i]}
         catching_up = message.subject == self._members.me
         out: list[Outgoing] = []
-        # A small difference may be due to an update that this node has not sent yet.
-        settled = len(differing) > MAX_DIFFERING_PARTS or not self._updates.has_unsent()
-        if catching_up or settled:
+        # A small difference may come from an update that this node has not sent yet.
+        is_unexplained = len(differing) > MAX_DIFFERING_BUCKETS or not self._updates.has_unsent()
+        if catching_up or is_unexplained:
             out = self._send_records(now, message.origin, differing, catching_up)
-        if differing and message.serial == FIRST:
-            # A reply, so that both sides end with the same records.
-            reply = self._members.message(MessageKind.DIGEST, serial=REPLY, digest=digest)
+        if differing and message.serial == FIRST_DIGEST:
+            # The digest of this node, so that the other sends its records as well.
+            reply = self._members.message(MessageKind.DIGEST, serial=REPLY_DIGEST, digest=digest)
             out.append(Outgoing(message.origin, reply))
         return out
 
     def _send_records(
-        self, now: int, to: int, parts: set[int], catching_up: bool
+        self, now: int, to: int, buckets: set[int], catching_up: bool
     ) -> list[Outgoing]:
-        """The records of these parts, within the rate; then a DONE to a node that catches up."""
+        """Messages with the records in some buckets, as far as the rate allows.
+
+        A node that is `catching_up` gets a DONE after the last of them.
+        """
         members = self._members
-        records = [record for part in parts for record in self._in_part(now, part)]
+        records = [record for bucket in buckets for record in self._records_in_bucket(now, bucket)]
         messages = []
         sent = 0
         while sent < len(records) and self._rate.take(now):
@@ -104,9 +108,9 @@
             messages.append(members.message(MessageKind.DONE))
         return [Outgoing(to, message) for message in messages]
 
-    def _in_part(self, now: int, part: int) -> list[Record]:
-        if part < DIGEST_PARTS:
-            return list(self._records.in_part(now, part))
+    def _records_in_bucket(self, now: int, bucket: int) -> list[Record]:
+        if bucket < DIGEST_BUCKETS:
+            return list(self._records.records_in_bucket(now, bucket))
         records: list[Record] = list(self._members.non_alive_records())
         if self._shared_list is not None:
             records += self._shared_list.readers.all_records(now)
@@ -115,20 +119,21 @@
     # ---- time ----------------------------------------------------------------
 
     def tick(self, now: int) -> list[Outgoing]:
-        """The digests to send now."""
+        """The digests and catch-up requests to send now."""
         members = self._members
         out = [] if self.caught_up else self._catch_up(now)
         if now >= self._next_digest_at:
             jitter = self._random.randrange(DIGEST_INTERVAL_NS)
             self._next_digest_at = now + DIGEST_INTERVAL_NS // 2 + jitter
-            message = members.message(MessageKind.DIGEST, serial=FIRST, digest=self.digest())
+            message = members.message(MessageKind.DIGEST, serial=FIRST_DIGEST, digest=self.digest())
             out += [Outgoing(peer, message) for peer in members.sample(1)]
         return out
 
     def _catch_up(self, now: int) -> list[Outgoing]:
         """Request all records from CATCH_UP_PEERS peers at a time.
 
-        Peers are ranked by a hash with this node's number: it spreads the load of many returning.
+        Peers are ordered by a hash that includes the number of this node, so that many nodes that
+        return at once send their requests to different peers.
         """
         if now - self._catch_up_began > CATCH_UP_TIMEOUT_NS:
             self._end_catch_up(now, "nobody to catch up from")
@@ -145,7 +150,9 @@
         self._catch_up_peers += peers
         digest = self.digest()
         return [
-            Outgoing(peer, members.message(MessageKind.DIGEST, FIRST, subject=peer, digest=digest))
+            Outgoing(
+                peer, members.message(MessageKind.DIGEST, FIRST_DIGEST, subject=peer, digest=digest)
+            )
             for peer in peers
         ]
 
@@ -156,7 +163,7 @@
             self._counters["catch_up_ms"] = (now - self._catch_up_began) // MS
 
     def restart_catch_up(self, now: int) -> None:
-        """Pass no records on until they have been compared with other nodes' again."""
+        """Send no records until they have been compared with those of other nodes again."""
         self._updates.clear()
         self.caught_up = False
         self._catch_up_began = now
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -1,8 +1,9 @@
-"""Connects one node's Balancer and its gossip, in both directions.
+"""Connects the Balancer of a node with its gossip, in both directions.
 
-Results of the Balancer's own attempts become observations; verdicts on other nodes' observations
-and drains in other nodes' lists become events of the Balancer. This is the only way from gossip
-into the request path, the same in the real node and in the simulation. Times in nanoseconds.
+Results of the Balancer's own attempts are published as observations. Verdicts from observations of
+other nodes, drains in their lists and changes of slots are passed to the Balancer. Gossip affects
+requests in no other way. Both the proxy and the simulation use this module. Times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 from loadbalancer.core.balancing.balancer import Balancer
 from loadbalancer.core.balancing.model import SECOND, Listing, ReportedState, State, Update
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.own_observations import results_of
+from loadbalancer.core.gossip.own_observations import publishable_results
 from loadbalancer.core.gossip.slot_allocation import LeasedSlots, SlotAllocation
 from loadbalancer.core.gossip.verdicts import VerdictChange
 
-PEAK_WINDOW_NS = SECOND // 2  # a peak of requests in flight is remembered for 1 to 2 windows
-HEADROOM = 1.25  # a grantor reserves this multiple of the peak ...
-RESERVED_SLOTS = 1  # ... and so many slots more
-MIN_REPORTED_REJECTIONS = 2  # consecutive rejections from which an endpoint is reported
-MIN_REPORTED_LATENCY_RATIO = 1.5
+PEAK_WINDOW_NS = SECOND // 2  # a peak of requests in flight counts for one to two windows
+HEADROOM = 1.25  # a grantor reserves slots for this multiple of its peak of requests in flight
+RESERVED_SLOTS = 1  # slots that a grantor reserves in addition
+MIN_PUBLISHED_REJECTIONS = 2  # consecutive rejections from which an observation is published
+MIN_PUBLISHED_LATENCY_RATIO = 1.5
 
 
 class BalancerUpdate(NamedTuple):
-    """What has changed for the Balancer."""
+    """Changes to pass to the Balancer."""
 
     verdicts: list[VerdictChange]
     draining: list[Listing]
-    reallocate: bool  # the alive members or the leases have changed
+    reallocate: bool  # whether alive members or leases have changed, so that caps must be computed
 
 
 class BalancerBridge:
@@ -39,37 +40,40 @@
         self._gossip = gossip
         self._balancer = balancer
         self._zone, self._zones = settings.node % settings.zones, settings.zones
-        place = settings.node // settings.zones
+        zone_index = settings.node // settings.zones
         self.slots = SlotAllocation(
-            place, balancer.peers, gossip.settings.slots_per_server, self._is_alive_at
+            zone_index, balancer.peers, gossip.settings.slots_per_server, self._is_alive_at_index
         )
         self.slots.granted_groups = gossip.leases.granted_groups()
-        self.alive = 0  # alive members, as of the last allocation
+        self.alive = 0  # number of alive members at the last allocation of slots
         self._liveness_changes = -1
         self._saturated = False
-        self._peaks = [0, 0]  # most requests in flight, in this window and in the last one
+        self._peaks = [
+            0,
+            0,
+        ]  # maximum of requests in flight, in this window and in the previous one
         self._window_ends_at = 0
         balancer.set_slot_ranks(self.slots)
 
-    def _is_alive_at(self, place: int) -> bool:
-        """Whether the node at a place of the zone is alive; unknown nodes never count as dead."""
-        node = place * self._zones + self._zone
+    def _is_alive_at_index(self, zone_index: int) -> bool:
+        """Whether the node at an index within the zone is alive; unknown nodes count as alive."""
+        node = zone_index * self._zones + self._zone
         return node >= self._gossip.settings.nodes or self._gossip.members.is_alive(node)
 
     # ---- from the Balancer -------------------------------------------------------
 
     def report(self, now: int) -> None:
-        """Publish the results of this node's own attempts, and its need of slots."""
+        """Publish results of this node's own attempts, and update its need for slots."""
         self._update_need(now)
         gossip = self._gossip
         for endpoint in self._balancer.endpoints.values():
             if (
                 endpoint.consecutive_failures
-                or endpoint.consecutive_rejections >= MIN_REPORTED_REJECTIONS
-                or endpoint.latency_ratio > MIN_REPORTED_LATENCY_RATIO
+                or endpoint.consecutive_rejections >= MIN_PUBLISHED_REJECTIONS
+                or endpoint.latency_ratio > MIN_PUBLISHED_LATENCY_RATIO
                 or endpoint.id in gossip.observations
             ):
-                results = results_of(
+                results = publishable_results(
                     endpoint.consecutive_failures,
                     endpoint.connect_failed,
                     endpoint.consecutive_rejections,
@@ -78,7 +82,7 @@
                 gossip.observe(now, endpoint.id, results, endpoint.last_seen)
 
     def _update_need(self, now: int) -> None:
-        """At the end of each window: how many groups can be leased out, or are needed."""
+        """Update, at the end of each window, what can be leased out and what is needed."""
         balancer = self._balancer
         self._peaks[0] = max(self._peaks[0], balancer.in_flight)
         self._saturated = self._saturated or balancer.saturated
@@ -94,7 +98,8 @@
             if endpoint.cold_until <= balancer.now
         ]
         owned = sum(
-            self.slots.own(first, depth, len(ready), leased_out=False) for first, depth in depths
+            self.slots.own_slots(first, depth, len(ready), leased_out=False)
+            for first, depth in depths
         )
         uses_all = balancer.concurrency_limit >= self.slots.max_slots(len(ready))
         exchange = self._gossip.lease_exchange
@@ -108,7 +113,7 @@
     # ---- to the Balancer -----------------------------------------------------------
 
     def collect(self, now: int) -> BalancerUpdate | None:
-        """What has changed for the Balancer since the last call; None for nothing."""
+        """The changes for the Balancer since the last call; None if there are none."""
         changes = self._gossip.verdict_changes(now)
         verdicts = [change for change in changes if not self._is_superseded(change)]
         draining = self._draining()
@@ -118,7 +123,7 @@
         return BalancerUpdate(verdicts, draining, reallocate)
 
     def _update_slots(self, now: int) -> bool:
-        """Bring the slot allocation up to date; returns whether its inputs have changed."""
+        """Update the inputs of the slot allocation; returns whether they have changed."""
         gossip, slots = self._gossip, self.slots
         members, leases = gossip.members, gossip.leases
         isolated = members.receives_no_messages(now)
@@ -138,7 +143,7 @@
         return True
 
     def _is_superseded(self, change: VerdictChange) -> bool:
-        """Whether this node has had an answer of its own since the observation."""
+        """Whether this node itself has had a response from the server since the observation."""
         endpoint = self._balancer.endpoints.get(change.server)
         if endpoint is None or endpoint.consecutive_failures:
             return False
@@ -146,10 +151,10 @@
         return failing and endpoint.last_seen > change.observed_at
 
     def _draining(self) -> list[Listing]:
-        """Rows of servers that are ready for the Balancer, and draining in another node's list."""
+        """Listings of servers to drain: ready so far, and drained in the list of another node."""
         local_list = self._gossip.local_list
         rows = []
-        pending, local_list.pending = local_list.pending, set()
+        pending, local_list.pending_drains = local_list.pending_drains, set()
         for server in pending:
             endpoint = self._balancer.endpoints.get(server)
             if endpoint is None or endpoint.state != State.READY:
@@ -163,14 +168,16 @@
                         endpoint.rating,
                     )
                 )  # fmt: skip
-            elif local_list.is_pending(server, boot):
-                local_list.pending.add(server)  # MAX_DRAINED_PART is reached: retried later
+            elif local_list.has_pending_drain(server, boot):
+                # Gossip may drain no more servers at the moment: retry at the next call.
+                local_list.pending_drains.add(server)
         return rows
 
     def close(self, now: int) -> BalancerUpdate | None:
-        """End the leases of this node: this process receives no messages any more.
+        """End the leases that this node holds, as this process receives no further messages.
 
-        What it has granted stays granted: the next process of the node does not know of it.
+        Leases that it has granted remain valid: the next process of this node does not know them,
+        and waits until they have expired.
         """
         leases = self._gossip.leases
         if not leases.active:
@@ -180,7 +187,7 @@
         return self.collect(now)
 
     def apply(self, now: int, update: BalancerUpdate) -> None:
-        """Apply an update to the Balancer, within an event of the host."""
+        """Pass an update to the Balancer. To be called within an event of the host."""
         balancer = self._balancer
         for change in update.verdicts:
             balancer.on_peer_report(
--- a/loadbalancer/core/gossip/dissemination.py
+++ b/loadbalancer/core/gossip/dissemination.py
@@ -1,8 +1,8 @@
-"""The updates still to be disseminated, least transmitted first.
+"""The queue of updates to disseminate, least transmitted first.
 
 Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987), section 1.4:
 an update is sent a limited number of times, and receiving it from another node counts as well.
-An update is identified by a key; the record of the key is looked up when it is sent.
+The queue has only the keys of updates: the record of a key is looked up when it is sent.
 """
 
 from __future__ import annotations
@@ -11,71 +11,72 @@
 from math import ceil, log2
 from typing import Generic, TypeVar
 
-MAX_UPDATES = 2048  # above it the most transmitted are dropped: anti-entropy repairs the loss
-EXTRA_TRANSMISSIONS = 4  # in addition to log2 of the fleet's size
+# Above it the most transmitted updates are dropped; anti-entropy delivers them later.
+MAX_QUEUED_UPDATES = 2048
+EXTRA_TRANSMISSIONS = 4  # in addition to the base-2 logarithm of the number of nodes
 K = TypeVar("K", bound=Hashable)
 
 
 class DisseminationQueue(Generic[K]):
-    """Keys grouped by how often they were transmitted.
+    """Keys of updates, grouped by how often they were transmitted.
 
-    One dict for each number of transmissions: selecting the least transmitted is a walk over few
-    entries, and counting a transmission is two dict operations.
+    There is one dict for each number of transmissions. Selecting the least transmitted keys visits
+    few entries, and counting a transmission takes two dict operations.
     """
 
-    __slots__ = ("_by_count", "_count_of", "limit")
+    __slots__ = ("_by_transmissions", "_transmissions", "max_transmissions")
 
     def __init__(self, nodes: int) -> None:
-        self.limit = ceil(log2(nodes + 1)) + EXTRA_TRANSMISSIONS
-        self._by_count: list[dict[K, None]] = [{} for _ in range(self.limit)]
-        self._count_of: dict[K, int] = {}
+        self.max_transmissions = ceil(log2(nodes + 1)) + EXTRA_TRANSMISSIONS
+        self._by_transmissions: list[dict[K, None]] = [{} for _ in range(self.max_transmissions)]
+        self._transmissions: dict[K, int] = {}
 
     def __len__(self) -> int:
-        return len(self._count_of)
+        return len(self._transmissions)
 
     def __contains__(self, key: K) -> bool:
-        return key in self._count_of
+        return key in self._transmissions
 
     def has_unsent(self) -> bool:
-        """Whether any update has not been transmitted at all."""
-        return bool(self._by_count[0])
+        """Whether some update has not been transmitted at all."""
+        return bool(self._by_transmissions[0])
 
     def add(self, key: K) -> None:
-        """Begin to disseminate an update; an earlier one under the same key is replaced."""
+        """Queue an update; it replaces an earlier one with the same key."""
         self.discard(key)
-        if len(self._count_of) >= MAX_UPDATES:
-            for keys in reversed(self._by_count):
+        if len(self._transmissions) >= MAX_QUEUED_UPDATES:
+            for keys in reversed(self._by_transmissions):
                 if keys:
-                    del self._count_of[keys.popitem()[0]]
+                    del self._transmissions[keys.popitem()[0]]
                     break
-        self._count_of[key] = 0
-        self._by_count[0][key] = None
+        self._transmissions[key] = 0
+        self._by_transmissions[0][key] = None
 
-    def transmitted(self, key: K) -> None:
-        """Count one transmission, sent or received; at the limit the update is removed."""
-        count = self._count_of.get(key)
+    def count_transmission(self, key: K) -> None:
+        """Count one transmission, sent or received; remove the update after the last one."""
+        count = self._transmissions.get(key)
         if count is None:
             return
-        del self._by_count[count][key]
-        if count + 1 >= self.limit:
-            del self._count_of[key]
+        del self._by_transmissions[count][key]
+        if count + 1 >= self.max_transmissions:
+            del self._transmissions[key]
         else:
-            self._count_of[key] = count + 1
-            self._by_count[count + 1][key] = None
+            self._transmissions[key] = count + 1
+            self._by_transmissions[count + 1][key] = None
 
     def discard(self, key: K) -> None:
-        """Stop disseminating an update, where it is queued."""
-        count = self._count_of.pop(key, None)
+        """Remove an update from the queue if it is there."""
+        count = self._transmissions.pop(key, None)
         if count is not None:
-            del self._by_count[count][key]
+            del self._by_transmissions[count][key]
 
     def select(self, accept: Callable[[K], bool]) -> None:
-        """Offer each key once, least transmitted first, until `accept` returns False.
+        """Pass each key to `accept`, least transmitted first, until it returns False.
 
         Each accepted key counts as transmitted.
         """
         accepted = []
-        for keys in self._by_count:
+        for keys in self._by_transmissions:
             for key in keys:
                 if not accept(key):
                     break
@@ -84,4 +85,4 @@
                 continue
             break
         for key in accepted:
-            self.transmitted(key)
+            self.count_transmission(key)
--- a/loadbalancer/core/gossip/failure_detector.py
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -1,9 +1,10 @@
-"""SWIM's failure detector: in each protocol period a node probes another member.
+"""The SWIM failure detector: in each protocol period a node probes another member.
 
-Das, Gupta, Motivala, "SWIM" (2002), sections 3 and 4.3: the members are probed in rounds over a
-shuffled ring, directly by a ping and, without an ack, through others by ping-req; a member that
-does not answer is suspected. Dadgar, Phillips, Currey, "Lifeguard" (2017), section IV-A: a node
-whose own probes fail probes more slowly. Times are in nanoseconds.
+Das, Gupta, Motivala, "SWIM" (2002), sections 3 and 4.3: members are probed in the order of a
+shuffled list, which is shuffled again after each round. A probe is a ping; if no ack arrives, other
+members are asked by ping-req to ping the target as well. A member that sends no ack is suspected.
+Dadgar, Phillips, Currey, "Lifeguard" (2017), section IV-A: a node whose own probes fail probes more
+slowly. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 from loadbalancer.core.gossip.membership import PROTOCOL_PERIOD_NS, Membership
 from loadbalancer.core.gossip.messages import MemberStatus, Message, MessageKind, Outgoing
 
-ACK_TIMEOUT_NS = 200 * MS  # of a period without an ack, after which ping-reqs are sent
-PING_INTERVAL_NS = 100 * MS  # between the pings of one probe
-INDIRECT_PROBES = 3  # members that are sent a ping-req at once
-MAX_INDIRECT_ROUNDS = 2  # of ping-req in one protocol period
-# Protocol periods without an ack before a suspicion. With 30% loss one period in 20 fails: a
-# suspicion after each would fill the messages with suspicions and their refutations.
+ACK_TIMEOUT_NS = 200 * MS  # time without an ack after which ping-reqs are sent
+PING_INTERVAL_NS = 100 * MS  # between two pings of one probe
+INDIRECT_PROBES = 3  # members that get a ping-req at the same time
+MAX_INDIRECT_ROUNDS = 2  # rounds of ping-reqs in one protocol period
+# Protocol periods without an ack before a member is suspected. At 30% packet loss one period in 20
+# fails: suspecting the member each time would fill messages with suspicions and refutations.
 MAX_PROBE_PERIODS = 2
-MAX_PARALLEL_PROBES = 8  # started in one period
-DEAD_PROBE_INTERVAL = 5  # every so many periods a dead member is probed: it may be back
-RELAY_TTL_NS = 4 * SECOND  # how long an ack to a ping for another member is relayed
+MAX_PARALLEL_PROBES = 8  # probes started in one period
+DEAD_PROBE_INTERVAL = 5  # in every fifth period a dead member is probed, as it may have returned
+RELAY_TTL_NS = 4 * SECOND  # how long after a ping-req its ack is still relayed
 
 
 class Probe:
@@ -34,45 +35,46 @@
     def __init__(self, node: int, serial: int, now: int) -> None:
         self.node = node
         self.serial = serial
-        self.started_at = now  # in the present period
+        self.started_at = now  # start of the present period of this probe
         self.pinged_at = now
         self.indirect_rounds = 0
         self.periods = 1
 
 
 class Relay(NamedTuple):
-    """A ping that was sent for another member."""
+    """A ping that was sent on behalf of another member."""
 
     requester: int
-    serial: int  # the requester's
+    serial: int  # of the ping-req
     target: int
     sent_at: int
 
 
 class EndedProbes(NamedTuple):
-    """What came of a period's probes that had no ack."""
+    """The outcome of the probes without an ack at the end of a period."""
 
-    pings: list[Outgoing]  # to repeat those that have a period left
-    failed: bool  # the probe of an alive member has failed
+    pings: list[Outgoing]  # of probes that continue for another period
+    failed: bool  # whether the probe of an alive member has failed
 
 
 class FailureDetector:
-    """Probes the members of a table and suspects those that do not answer."""
+    """Probes the members of a membership table and suspects those that send no ack."""
 
     def __init__(self, members: Membership) -> None:
         self._members = members
         self._random = members.random
         self._ring: list[int] = []
         self._periods = 0
-        # Not from 0: an ack to a ping of this node's previous process must not match.
+        # Starts at random, so that an ack to a ping of an earlier process of this node won't match.
         self._serial = self._random.getrandbits(30)
         self._probes: dict[int, Probe] = {}  # by serial
-        self._relays: dict[int, Relay] = {}  # by this node's own serial
-        self._parallel = 1  # probes started a period: doubled while they fail (many dead nodes)
+        self._relays: dict[int, Relay] = {}  # by the serial of this node's ping
+        # Probes to start in a period; doubled while probes fail, to detect many dead nodes sooner.
+        self._parallel_probes = 1
         self._next_period_at = 0
 
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
-        """Answer a ping, relay a ping-req, or take an ack."""
+        """Reply to a ping, ping on behalf of a ping-req, or process an ack."""
         members = self._members
         if message.kind == MessageKind.PING:
             ack = members.message(MessageKind.ACK, serial=message.serial, subject=members.me)
@@ -100,19 +102,19 @@
         return []
 
     def on_resumed(self, now: int) -> None:
-        """Forget all probes: this process was paused, so acks may have come and been discarded."""
+        """Discard all probes: acks that arrived during a pause of this process were discarded."""
         self._probes.clear()
         self._relays.clear()
         self._next_period_at = now + PROTOCOL_PERIOD_NS
 
     def tick(self, now: int) -> list[Outgoing]:
-        """What the protocol sends now; to be called several times a protocol period."""
-        self._members.end_suspicions(now)
+        """The messages to send now. To be called several times in each protocol period."""
+        self._members.expire_suspicions(now)
         slowdown = 1 + self._members.local_health
         out = [
             outgoing
             for probe in self._probes.values()
-            for outgoing in self._ping_again(now, probe, slowdown)
+            for outgoing in self._retry_probe(now, probe, slowdown)
         ]
         if now >= self._next_period_at:
             self._next_period_at = now + PROTOCOL_PERIOD_NS * slowdown
@@ -120,15 +122,15 @@
         return out
 
     def _begin_period(self, now: int) -> list[Outgoing]:
-        """End the last period's probes and start new ones."""
+        """End the probes of the last period and start new ones."""
         self._relays = {
             serial: relay
             for serial, relay in self._relays.items()
             if now - relay.sent_at < RELAY_TTL_NS
         }
         out, failed = self._end_probes(now)
-        self._parallel = min(2 * self._parallel, MAX_PARALLEL_PROBES) if failed else 1
-        for _ in range(self._parallel):
+        self._parallel_probes = min(2 * self._parallel_probes, MAX_PARALLEL_PROBES) if failed else 1
+        for _ in range(self._parallel_probes):
             target = self._next_target()
             if target is not None and all(p.node != target for p in self._probes.values()):
                 serial = self._next_serial()
@@ -137,7 +139,7 @@
         return out
 
     def _end_probes(self, now: int) -> EndedProbes:
-        """Repeat the unanswered probes, or suspect their members."""
+        """Continue the probes without an ack for another period, or suspect their targets."""
         out = []
         failed = False
         for probe in list(self._probes.values()):
@@ -154,14 +156,14 @@
         return EndedProbes(out, failed)
 
     def _ping(self, probe: Probe) -> Outgoing:
-        """A ping; to a member that is not ALIVE with its record, so that it refutes (Lifeguard)."""
+        """A ping, with the status of a member that is not ALIVE, to be refuted (Lifeguard)."""
         record = self._members.record(probe.node)
         records = (record,) if record.status != MemberStatus.ALIVE else ()
         message = self._members.message(MessageKind.PING, serial=probe.serial, records=records)
         return Outgoing(probe.node, message)
 
-    def _ping_again(self, now: int, probe: Probe, slowdown: int) -> list[Outgoing]:
-        """While there is no ack: ping once more, then send ping-req to others."""
+    def _retry_probe(self, now: int, probe: Probe, slowdown: int) -> list[Outgoing]:
+        """Ping again while there is no ack, and after ACK_TIMEOUT_NS send ping-reqs instead."""
         if now - probe.pinged_at < PING_INTERVAL_NS * slowdown:
             return []
         probe.pinged_at = now
@@ -173,11 +175,11 @@
         message = self._members.message(
             MessageKind.PING_REQUEST, serial=probe.serial, subject=probe.node
         )
-        helpers = self._members.sample(INDIRECT_PROBES, exclude=probe.node)
-        return [Outgoing(helper, message) for helper in helpers]
+        relaying_members = self._members.sample(INDIRECT_PROBES, exclude=probe.node)
+        return [Outgoing(member, message) for member in relaying_members]
 
     def _next_target(self) -> int | None:
-        """Each alive member once a round, in random order; sometimes a dead one."""
+        """The next member to probe: each alive one once in a round, and sometimes a dead one."""
         members = self._members
         self._periods += 1
         if self._periods % DEAD_PROBE_INTERVAL == 0:
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -1,8 +1,8 @@
-"""One node of the fleet's gossip: combines the modules of this package.
+"""The gossip protocol of one node, which combines the modules of this package.
 
-Sans-I/O: messages in, messages out, time passed in as nanoseconds. `tick` is to be called at
-`next_tick_at`. An update that is received is passed on at once, within
-the message rate; without updates only SWIM, anti-entropy and leases send any.
+It does no I/O: the caller passes in messages and the time (ns), gets messages to send, and calls
+`tick` at `next_tick_at`. A received update is forwarded immediately within the message rate. While
+there are no updates, only failure detection, anti-entropy and leases cause messages.
 """
 
 from __future__ import annotations
@@ -32,22 +32,27 @@
     Record,
     is_valid,
 )
-from loadbalancer.core.gossip.own_observations import OwnObservations, Results
+from loadbalancer.core.gossip.own_observations import AttemptResults, OwnObservations
 from loadbalancer.core.gossip.records import RecordKey, RecordStore, key_of
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import SlotLeases
-from loadbalancer.core.gossip.update_sender import GOSSIP_DELAY_NS, MEMBER, READER, UpdateSender
+from loadbalancer.core.gossip.update_sender import (
+    GOSSIP_DELAY_NS,
+    MEMBER_UPDATE,
+    READER_UPDATE,
+    UpdateSender,
+)
 from loadbalancer.core.gossip.verdicts import VerdictChange, Verdicts
 
 if TYPE_CHECKING:
     from loadbalancer.core.endpoints.shared_list import SharedList
 
 TICK_NS = 100 * MS
-LEAVE_MESSAGES = 6  # random members to which this node announces that it leaves
+LEAVE_MESSAGES = 6  # random members that are notified when this node leaves
 
 
 class GossipNode:
-    """One node of the fleet: what it knows of the others, and what it sends them."""
+    """The state of one node in the gossip protocol, and the messages that it sends."""
 
     def __init__(self, settings: GossipSettings, seed: int, incarnation: int, now: int) -> None:
         self.settings = settings
@@ -55,7 +60,7 @@
         self.members = Membership(settings.me, settings.nodes, incarnation, seed, now)
         self.records = RecordStore(settings.zones)
         self.leases = SlotLeases(seed ^ 0x10A25)
-        self.shared_list = _shared_list(settings, self.members, seed ^ 0x115E, now)
+        self.shared_list = _new_shared_list(settings, self.members, seed ^ 0x115E, now)
         self.lease_exchange = LeaseExchange(settings, self.members, self.leases)
         self._detector = FailureDetector(self.members)
         self._updates = UpdateSender(settings, self.members, self.records, self.shared_list, now)
@@ -68,40 +73,40 @@
             self.members, self.records, self._updates, self.local_list
         )
         self._verdicts = Verdicts(self.records, self.members, settings.nodes, settings.zones, now)
-        self._last_turn_at = now
+        self._last_tick_at = now
 
     @property
     def caught_up(self) -> bool:
-        """Whether this node has compared its records with others since its start or a pause."""
+        """Whether this node has got the records of others since its start or its last pause."""
         return self.anti_entropy.caught_up
 
     @property
     def next_tick_at(self) -> int:
-        """When `tick` is due."""
+        """When to call `tick` next."""
         return self._updates.next_tick_at
 
     # ---- events of this node ----------------------------------------------------
 
-    def observe(self, now: int, server: int, results: Results, attempted_at: int) -> None:
-        """Publish the results of this node's own attempts at a server, the last at that time."""
+    def observe(self, now: int, server: int, results: AttemptResults, attempted_at: int) -> None:
+        """Publish results of this node's own attempts at a server (see `OwnObservations`)."""
         self.observations.observe(now, server, results, attempted_at)
 
     def on_local_list(
         self, now: int, rev: int, rows: Iterable[tuple[int, int, State]], complete: bool
     ) -> None:
-        """This node's own list has a new version (see `LocalList.update`)."""
+        """Apply a new version of the endpoint list of this node (see `LocalList.update`)."""
         self.local_list.update(now, rev, rows, complete)
 
     def on_list_read(
         self, now: int, rev: int, rows: Mapping[str, str | None], complete: bool
     ) -> None:
-        """The list service has answered this node, which is a list reader."""
+        """Process a response of the list service to this node, which is a list reader."""
         assert self.shared_list is not None
         self.shared_list.on_answer(now, rev, rows, complete)
-        self._updates.send_soon(now)
+        self._updates.schedule_gossip(now)
 
     def leave(self) -> list[Outgoing]:
-        """The messages that announce a planned stop, so that others need not detect it."""
+        """Messages that announce a planned stop, so that the others need not detect it."""
         members = self.members
         record = MemberRecord(members.me, members.incarnation, MemberStatus.LEFT)
         message = members.message(MessageKind.GOSSIP, records=(record,))
@@ -110,12 +115,12 @@
     # ---- messages -------------------------------------------------------------------
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
-        """Process a message; returns the messages to send. Its origin must be another member."""
+        """Process a message of another member; returns the messages to send."""
         members = self.members
-        if members.is_isolated(now):
-            # A node that was cut off considers all others dead. It must catch up before it passes
-            # that on: otherwise hundreds of members would have to refute it.
-            members.presume_alive(now)
+        if members.has_lost_contact(now):
+            # A node that was cut off considers all others dead. It catches up before it sends any
+            # records: otherwise hundreds of members would have to refute theirs.
+            members.restore_to_alive(now)
             self.anti_entropy.restart_catch_up(now)
         if not self._accept(now, message):
             return []
@@ -124,14 +129,14 @@
         out += self.anti_entropy.on_message(now, message)
         out += self.lease_exchange.on_message(now, message)
         if changed or members.updates:
-            self._updates.send_soon(now)
+            self._updates.schedule_gossip(now)
         out = self._charge_and_piggyback(now, out)
         if self.shared_list is not None:
             out += self.shared_list.receive(now, message)
             if self.shared_list.busy:
-                self._updates.send_soon(now)
+                self._updates.schedule_gossip(now)
         if members.peers[message.origin].status != MemberStatus.ALIVE and self._updates.take(now):
-            # It is dead here under the incarnation that it still uses: let it refute that.
+            # This node does not consider it alive in its present incarnation: let it refute that.
             records = (members.record(message.origin),)
             out.append(
                 Outgoing(message.origin, members.message(MessageKind.GOSSIP, records=records))
@@ -139,7 +144,7 @@
         return out
 
     def _accept(self, now: int, message: Message) -> bool:
-        """Whether a message is valid, and not of a past incarnation of its origin."""
+        """Whether a message is valid, and not from an earlier incarnation of its origin."""
         valid = 0 <= message.incarnation < MAX_INCARNATION and 0 <= message.serial < MAX_SERIAL
         if not valid:
             self.counters["unsound"] += 1
@@ -150,7 +155,7 @@
         return True
 
     def _merge_records(self, now: int, message: Message) -> bool:
-        """Merge a message's valid records; returns whether any leads to an update."""
+        """Merge the valid records of a message; returns whether any has caused an update."""
         changed = False
         for record in message.records:
             if not is_valid(record, self.settings.nodes):
@@ -165,28 +170,28 @@
         if isinstance(record, ReaderRecord):
             readers = None if self.shared_list is None else self.shared_list.readers
             changed = readers is not None and readers.merge(now, record)
-            self._updates.received(RecordKey(READER, record.node), changed)
+            self._updates.received(RecordKey(READER_UPDATE, record.node), changed)
             return changed
         if isinstance(record, Observation) and record.origin == self.members.me:
-            return False  # of an earlier process of this node, or of another one with its number
+            return False  # from an earlier process of this node, or one with the same node number
         changed = self.records.merge(now, record)
         self._updates.received(key_of(record), changed)
         if changed and isinstance(record, DrainRecord):
-            self.local_list.pending.add(record.server)
+            self.local_list.pending_drains.add(record.server)
         return changed
 
     def _merge_member(self, now: int, sender: int, record: MemberRecord) -> bool:
         changed = self.members.merge(now, sender, record)
-        key = RecordKey(MEMBER, record.node)
+        key = RecordKey(MEMBER_UPDATE, record.node)
         if self.members.is_stale(record):
-            self._updates.add(key)  # the sender lacks what this node knows
+            self._updates.add(key)  # the sender has an older record than this node
             return True
         if not changed:
             self._updates.received(key, changed=False)
         return changed
 
     def _charge_and_piggyback(self, now: int, out: list[Outgoing]) -> list[Outgoing]:
-        """Charge protocol messages to the message rate, and piggyback updates on them."""
+        """Charge messages to the message rate, and piggyback updates on them."""
         self._updates.charge(now, len(out))
         if not self.caught_up:
             return out
@@ -196,10 +201,10 @@
 
     def tick(self, now: int) -> list[Outgoing]:
         """The messages to send now."""
-        self._last_turn_at = now
+        self._last_tick_at = now
         out = self._detector.tick(now)
         self.records.expire(now)
-        self.leases.activate(now)
+        self.leases.start_grace_period(now)
         self.leases.expire(now)
         if self.lease_exchange.needs_leases and self._updates.may_send(now):
             out += self.lease_exchange.requests(now)
@@ -208,17 +213,19 @@
         out = self._charge_and_piggyback(now, out)
         if self.caught_up:
             out += self._updates.gossip(now)
-        self._updates.next_tick_at = now + (GOSSIP_DELAY_NS if self._hurries(now) else TICK_NS)
+        self._updates.next_tick_at = now + (
+            GOSSIP_DELAY_NS if self._has_urgent_messages(now) else TICK_NS
+        )
         return out + pieces
 
-    def _hurries(self, now: int) -> bool:
-        """Whether anything queued may be sent before the next regular turn."""
+    def _has_urgent_messages(self, now: int) -> bool:
+        """Whether to send queued messages before the next regular tick."""
         if self.shared_list is not None and self.shared_list.busy:
             return True
         return self._updates.gossip_pending and self._updates.may_send(now)
 
     def _tick_shared_list(self, now: int) -> list[Outgoing]:
-        """The messages of the shared list, which have a rate of their own."""
+        """The messages of the shared list, which has a rate limit of its own."""
         shared_list = self.shared_list
         if shared_list is None:
             return []
@@ -226,33 +233,33 @@
         out = shared_list.tick(now)
         if shared_list.role.record_changed:
             shared_list.role.record_changed = False
-            self._updates.add(RecordKey(READER, self.members.me))
+            self._updates.add(RecordKey(READER_UPDATE, self.members.me))
             self._updates.gossip_pending = True
         return out
 
     def recover_if_paused(self, now: int) -> bool:
-        """Detect a pause of this process, and recover from it; to be called before each event.
+        """Recover if this process was paused; to be called before each event.
 
-        Returns whether it was paused since its last turn. Guards against a node that was stopped
-        for a minute, suspects all others and passes on outdated records of servers: it catches
-        up first. Its records have aged by its clock, which went on; messages that waited in its
-        socket have not, so its host discards them.
+        Returns whether it was paused since its last tick. A node that was stopped for a minute
+        would otherwise suspect all other members and send outdated records about servers, so it
+        catches up first. Its records have aged during the pause, because its clock went on.
+        Messages that waited in its socket have not, so the caller must discard them.
         """
-        if now - self._last_turn_at <= PAUSED_AFTER_NS:
+        if now - self._last_tick_at <= PAUSED_AFTER_NS:
             return False
         self.counters["stalls"] += 1
         self._recover(now)
         return True
 
     def rejoin(self, now: int, incarnation: int) -> None:
-        """Take part again, as another process of this node did meanwhile and has ended.
+        """Take part again after another process of this node has taken part and ended.
 
-        Failure: the other members know that process's incarnation, and take every message of an
-        earlier one for a late datagram; and it may have leased out slots that this process does
-        not know of. So this goes on in an incarnation of its own, and restrained, as at a start.
+        The other members know the incarnation of that process, and would treat messages of an
+        earlier one as delayed datagrams. It may also have leased out slots that this process does
+        not know of. So this process continues in a new incarnation, with a new grace period.
         """
         self.members.incarnation = max(self.members.incarnation, incarnation)
-        self.leases.restrain()
+        self.leases.reset_grace_period()
         self._recover(now)
 
     def _recover(self, now: int) -> None:
@@ -261,31 +268,31 @@
         self.records.expire(now)
         self.leases.expire(now)
         self.observations.clear()
-        self._last_turn_at = now
+        self._last_tick_at = now
         self.anti_entropy.restart_catch_up(now)
 
     # ---- results -----------------------------------------------------------------------
 
     def effective_state(self, server: int, boot: int, state: State) -> State:
-        """A server's state by the latest list version that any node has reported."""
+        """The state of a server according to the latest list version that any node has read."""
         return self.local_list.effective_state(server, boot, state)
 
     def verdict_changes(self, now: int) -> list[VerdictChange]:
-        """Changed verdicts on servers, from other nodes' observations, for the Balancer."""
+        """Changed verdicts on servers, to report to the Balancer."""
         return self._verdicts.changes(now, self.local_list.boots)
 
     def report(self, now: int) -> list[list[object]]:
-        """Every record of a server, for operators (see `Verdicts.report`)."""
+        """All records about servers, for operators (see `Verdicts.report`)."""
         return self._verdicts.report(now)
 
 
-def _shared_list(
+def _new_shared_list(
     settings: GossipSettings, members: Membership, seed: int, now: int
 ) -> SharedList | None:
-    """The shared list; None where each node polls the list service for itself."""
+    """Create the shared list; None if every node polls the list service itself."""
     if not settings.reader_count:
         return None
-    # Imported here: nodes that do not use it need not load the module.
+    # Imported here so that nodes without a shared list do not load the module.
     from loadbalancer.core.endpoints.shared_list import SharedList
 
     return SharedList(
--- a/loadbalancer/core/gossip/lease_exchange.py
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -1,4 +1,4 @@
-"""The messages by which nodes of one zone lease concurrency slots from each other."""
+"""Lease requests and grants between the nodes of one zone (see `slot_leases`)."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class LeaseExchange:
-    """Requests and grants leases, for the needs that `BalancerBridge` sets."""
+    """Requests and grants leases. `BalancerBridge` sets what is needed and what can be granted."""
 
     def __init__(self, settings: GossipSettings, members: Membership, leases: SlotLeases) -> None:
         self._settings = settings
         self._members = members
         self._leases = leases
-        self.grantable = 0  # groups that this node can lease out
-        self.keeps_leases = False  # it needs the slots that it has leased
-        self.wants_more = False  # it needs further slots
+        self.grantable = 0  # number of server groups that this node can lease out
+        self.keeps_leases = False  # whether this node still needs the slots that it leases
+        self.wants_more = False  # whether it needs further slots
 
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
-        """Answer a request, or record a grant."""
+        """Respond to a lease request, or process a grant."""
         if not self._settings.same_zone(message.origin):
             return []
         if message.kind == MessageKind.LEASE_REQUEST:
@@ -30,15 +30,15 @@
         return []
 
     def _grant(self, now: int, request: Message) -> Message:
-        # No grant to a dead member, past whose slots the others already go, nor to a number that
-        # two processes use, as each would use the slots granted to the other.
+        # Neither to a dead member, whose slots the other nodes already replace by further ones, nor
+        # to a node number that two processes use: both would use the same leased slots.
         members, holder = self._members, request.origin
         eligible = members.is_alive(holder) and holder in members.trusted(now)
         groups = self._leases.grant(now, holder, self.grantable if eligible else 0)
         return members.message(MessageKind.LEASE_GRANT, serial=request.serial, subject=groups)
 
     def requests(self, now: int) -> list[Outgoing]:
-        """The requests to send now; the caller checks the message rate."""
+        """The lease requests to send now. The caller checks the message rate."""
         members = self._members
         grantors = [
             node
@@ -52,13 +52,14 @@
 
     @property
     def needs_leases(self) -> bool:
-        """Whether this node needs slots of other nodes."""
+        """Whether this node needs slots of other nodes, leased already or not."""
         return self.keeps_leases or self.wants_more
 
     def usable(self, now: int) -> list[UsableLease]:
-        """The leases that may be used.
+        """The leases that may be used now.
 
-        Those of a dead grantor end at once, since the other nodes go past its slots.
+        A lease from a dead grantor may not: the other nodes already use further slots in place of
+        those of the grantor.
         """
         leases = self._leases.usable(now)
         return [lease for lease in leases if self._members.is_alive(lease.grantor)]
--- a/loadbalancer/core/gossip/local_list.py
+++ b/loadbalancer/core/gossip/local_list.py
@@ -1,7 +1,7 @@
-"""This node's own list of servers, and the drains that other nodes' lists add to it.
+"""The endpoint list of this node, combined with drains that other nodes have read from theirs.
 
-A node drains only a part of its servers by gossip alone: gossip reports no new servers that
-replace them, and false records must not drain all of them.
+Gossip alone may drain only some of the servers: it reports no new servers that would replace them,
+and false records must not be able to drain all of them.
 """
 
 from __future__ import annotations
@@ -13,30 +13,31 @@
 from loadbalancer.core.gossip.records import RecordStore
 from loadbalancer.core.gossip.update_sender import UpdateSender
 
-MAX_DRAINED_PART = 3  # at most one server in so many is drained by gossip alone
+MIN_SERVERS_PER_DRAIN = 3  # gossip alone drains at most one server in three
 
 
 class LocalList:
-    """The servers of this node's own list, and those that gossip alone has drained."""
+    """The servers in the list of this node, and those that only gossip has drained."""
 
     def __init__(self, records: RecordStore, updates: UpdateSender) -> None:
         self._records = records
         self._updates = updates
-        self.rev = 0  # the list's version
-        self.boots: dict[int, int] = {}  # the start of each server, Unix ms
-        self.drained_by_gossip: set[int] = set()  # servers drained by gossip alone
-        self.pending: set[int] = set()  # servers with drain records that were not applied yet
+        self.rev = 0  # version of the list
+        self.boots: dict[int, int] = {}  # start time of each server, Unix ms
+        self.drained_by_gossip: set[int] = set()  # servers that the list itself has as ready
+        self.pending_drains: set[int] = set()  # servers with drain records to apply
 
     def update(
         self, now: int, rev: int, rows: Iterable[tuple[int, int, State]], complete: bool
     ) -> None:
-        """This node's own list has a new version.
+        """Apply a new version of the list, and publish the drains in it.
 
         Args:
-            now: ns.
+            now: present time in ns.
             rev: the version.
-            rows: server, start (Unix ms) and state of each server that is named.
-            complete: whether servers that are not named have been removed.
+            rows: server, start time (Unix ms) and state.
+            complete: whether `rows` has the whole list, so that a server without a row has been
+                removed; otherwise it has only the changes.
         """
         if rev < self.rev:
             self._records.remove_drains_after(rev)
@@ -48,18 +49,18 @@
         if complete:
             for server in [server for server in self.boots if server not in named]:
                 self._publish(now, server, self.boots.pop(server), State.GONE)
-        # Servers drained by gossip stay so until this node's own list has that version.
+        # A server drained by gossip remains so until this list has the version with the drain.
         self.drained_by_gossip = {
             server
             for server in self.drained_by_gossip
-            if server in self.boots and self.is_pending(server, self.boots[server])
+            if server in self.boots and self.has_pending_drain(server, self.boots[server])
         }
 
     def _update_server(self, now: int, server: int, boot: int, state: State) -> None:
         if state != State.READY:
             self.drained_by_gossip.discard(server)
         if state == State.GONE:
-            # The row of a removed server may lack its start: use the one that was listed.
+            # The row of a removed server may lack its start time: use the one listed before.
             if server in self.boots:
                 self._publish(now, server, self.boots.pop(server), state)
             return
@@ -71,25 +72,26 @@
         self._updates.publish(now, DrainRecord(server, boot, self.rev, state, 0))
 
     def effective_state(self, server: int, boot: int, state: State) -> State:
-        """A server's state by the latest list version that any node has reported.
+        """The state of a server according to the latest list version that any node has read.
 
-        `state` is the one by this node's own list; READY may become DRAINING, for at most one
-        server in MAX_DRAINED_PART: the others wait for this node's own list.
+        `state` is the one in the list of this node. READY may become DRAINING, for at most one
+        server in MIN_SERVERS_PER_DRAIN; the others remain as in the list of this node.
         """
         allowed = (
             server in self.drained_by_gossip
             or len(self.drained_by_gossip) < self.max_drained_by_gossip()
         )
-        if state == State.READY and allowed and self.is_pending(server, boot):
+        if state == State.READY and allowed and self.has_pending_drain(server, boot):
             self.drained_by_gossip.add(server)
-            # Also for GONE: open requests may end, and this node's own list removes it later.
+            # Also if the server is GONE in the later version: requests in flight may end, and the
+            # list of this node will remove it.
             return State.DRAINING
         return state
 
-    def is_pending(self, server: int, boot: int) -> bool:
-        """Whether a later version of the list drains or removes this start of the server."""
+    def has_pending_drain(self, server: int, boot: int) -> bool:
+        """Whether a later version of the list drains or removes this start of a server."""
         return self._records.drain_state(server, boot, self.rev) is not None
 
     def max_drained_by_gossip(self) -> int:
-        """How many servers may be drained by gossip alone."""
-        return max(len(self.boots) // MAX_DRAINED_PART, 1)
+        """How many servers gossip alone may drain."""
+        return max(len(self.boots) // MIN_SERVERS_PER_DRAIN, 1)
--- a/loadbalancer/core/gossip/messages.py
+++ b/loadbalancer/core/gossip/messages.py
@@ -1,7 +1,8 @@
-"""Gossip messages between nodes, as plain data.
+"""Messages of the gossip protocol and the records that they carry, as plain data.
 
-There are four kinds of record. Any node may pass a record on, and only its writer may change
-it. Times are durations in nanoseconds, so no node depends on another node's clock.
+There are four types of record. Any node may forward a record, but only its writer may change it.
+Messages carry ages (durations in nanoseconds) and no timestamps, so that no node depends on the
+clock of another.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 
 from loadbalancer.core.balancing.model import State
 
-MAX_INCARNATION = 1 << 48  # milliseconds since 1970 stay below it for thousands of years
-MAX_SERIAL = 1 << 32  # an answer repeats it in five bytes of MessagePack
-MAX_FAILURES = 15  # consecutive failures or rejections in an observation
-RATIO_UNIT = 16  # latency ratios, relative to the fleet's, are sent in sixteenths
+MAX_INCARNATION = 1 << 48  # Unix time in milliseconds stays below this for thousands of years
+MAX_SERIAL = 1 << 32  # a reply repeats the serial, and has five bytes of MessagePack for it
+MAX_FAILURES = 15  # largest valid count of consecutive failures or rejections in an observation
+RATIO_UNIT = 16  # latency ratios are sent in sixteenths
 MAX_RATIO_16THS = 10 * RATIO_UNIT
 MAX_INTEGER = 1 << 63  # the largest number that MessagePack can carry
 
 
 class MemberStatus(IntEnum):
-    """SWIM's states of a member; within one incarnation the later in this order wins."""
+    """Status of a member in SWIM; within one incarnation the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,17 +31,18 @@
 
 
 class ReaderState(IntEnum):
-    """The state of a reader's polls of the list service."""
+    """Result of the latest poll of the list service by a list reader."""
 
-    POLLING = 0  # no answer yet
-    READ = 1  # answered
-    FAILED = 2
+    POLLING = 0  # the reader has no response yet
+    READ = 1  # the list service responded
+    FAILED = 2  # the poll failed
 
 
 class MemberRecord(NamedTuple):
-    """A member's status in one of its incarnations.
+    """The status of a member in one of its incarnations.
 
-    Only the member itself raises its incarnation; others may only raise the status within it.
+    Only the member itself increases its incarnation. Other members may only increase the status
+    within an incarnation.
     """
 
     node: int
@@ -49,65 +51,77 @@
 
 
 class DrainRecord(NamedTuple):
-    """A version of the list by which a server gets no new requests."""
+    """A server that must get no new requests, according to some version of the endpoint list."""
 
     server: int
-    boot: int  # the server's start as the list gives it, Unix milliseconds, 0 for long ago
-    rev: int  # the list service's version
-    state: int  # DRAINING or GONE: READY is never passed on
+    boot: int  # start time of the server in the list, Unix milliseconds; 0 if long ago
+    rev: int  # version of the list
+    state: int  # DRAINING or GONE; READY is never sent
     age: int  # ns
 
 
 class Observation(NamedTuple):
-    """The results of one node's own attempts at a server; all zeros retract the last one."""
+    """Results of one node's own attempts at a server.
+
+    An observation with zeros in all results retracts the previous one of that node.
+    """
 
     server: int
     boot: int
-    origin: int  # the node whose attempts they were
-    incarnation: int  # of the origin
+    origin: int  # the observer: the node that made the attempts
+    incarnation: int  # of the observer
     sequence_number: int  # of this observation within the incarnation
-    failures: int  # consecutive failures without an answer between
-    cold: int  # 1 where its process seems to have ended, so that it returns cold; else 0
-    rejections: int  # consecutive attempts rejected as over capacity
-    ratio_16ths: int  # latency relative to the fleet's
+    failures: int  # consecutive failed attempts
+    cold: int  # 1 if its process probably ended, so that it will return cold; otherwise 0
+    rejections: int  # consecutive attempts that the server rejected as over capacity
+    ratio_16ths: int  # latency of the server relative to all servers, in sixteenths
     age: int  # ns
 
 
 class ReaderRecord(NamedTuple):
-    """One node as a reader of the list for the fleet, and the version it has read."""
+    """A list reader, and the version of the list that it has read."""
 
     node: int
     incarnation: int
     sequence_number: int  # of this record within the incarnation
     state: int  # a ReaderState
-    epoch: int  # raised by a reader when the list service restarts its version numbers
-    rev: int  # the list service's version
-    checksum: int  # of the rows, independent of their order
-    age: int  # ns since the list service answered
+    epoch: int  # increased by a reader when the list service restarts its version numbers
+    rev: int  # version of the list
+    checksum: int  # of the rows in any order
+    age: int  # ns since the list service responded
 
 
 Record = MemberRecord | DrainRecord | Observation | ReaderRecord
 
 
 class MessageKind(IntEnum):
-    """The kind of a message. The first three are SWIM's ping, ack and ping-req."""
+    """The kind of a message. The first three are the ping, ack and ping-req of SWIM."""
 
     PING = 0
     ACK = 1
     PING_REQUEST = 2
     GOSSIP = 3
-    DIGEST = 4  # the sender's digest: answered with the records that differ
-    DONE = 5  # all records that differ have been sent
-    LEASE_REQUEST = 6  # asks for slots under a lease
-    LEASE_GRANT = 7  # the server groups granted, one bit each, as `subject`
-    PIECE = 8  # a piece of a delta between two versions of the list (`list_pieces.py`)
-    WANT = 9  # the version the sender has, and the pieces it lacks
+    DIGEST = 4  # the digest of the sender; the receiver replies with the records that differ
+    DONE = 5  # end of the records that differ, for a node that catches up
+    LEASE_REQUEST = 6  # requests slots under a lease
+    LEASE_GRANT = 7  # `subject` is the bit mask of the granted server groups
+    PIECE = 8  # a piece of a delta between two versions of the endpoint list
+    WANT = 9  # the list version of the sender, and the pieces that it requests
 
 
 class Message(NamedTuple):
-    """One datagram. `subject` is the member that a PING_REQUEST or an ACK is about.
-
-    A PIECE or WANT has its numbers in `digest`, in the order of `endpoints/list_pieces.py`.
+    """A message, which is sent as one datagram.
+
+    Attributes:
+        kind: which also decides the meaning of the other fields.
+        origin: the node that sent it.
+        incarnation: of the origin.
+        serial: matches a reply to its request.
+        subject: the member that a PING_REQUEST or an ACK is about, the peer that a node requests a
+            catch-up from with a DIGEST, or the groups of a LEASE_GRANT.
+        digest: of a DIGEST. For a PIECE or WANT the fields that `endpoints/list_pieces.py` defines.
+        records: to be merged by the receiver.
+        body: the bytes of a PIECE.
     """
 
     kind: MessageKind
@@ -121,29 +135,29 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and the node that it goes to."""
+    """A message to send, and the node to send it to."""
 
     to: int
     message: Message
 
 
 def record_checksum(record: Record) -> int:
-    """A record's identity in a digest, equal at every node: everything except its age."""
+    """The checksum of a record in a digest: without its age, so it is equal at all nodes."""
     fields = record if isinstance(record, MemberRecord) else record[:-1]
     return crc32(b" ".join(b"%d" % field for field in fields))
 
 
 def is_valid(record: Record, nodes: int) -> bool:
-    """Whether every field is within its range, in a fleet of `nodes`."""
+    """Whether every field of a record is in range, in a fleet of `nodes` nodes."""
     if isinstance(record, MemberRecord):
-        return _is_member(record.node, record.incarnation, nodes) and (
+        return _is_valid_member(record.node, record.incarnation, nodes) and (
             0 <= record.status <= MemberStatus.LEFT
         )
     if record.age < 0:
         return False
     if isinstance(record, ReaderRecord):
         return (
-            _is_member(record.node, record.incarnation, nodes)
+            _is_valid_member(record.node, record.incarnation, nodes)
             and ReaderState.POLLING <= record.state <= ReaderState.FAILED
             and all(0 <= field < MAX_INTEGER for field in (record.sequence_number, *record[4:7]))
         )
@@ -154,13 +168,13 @@
     return _is_valid_observation(record, nodes)
 
 
-def _is_member(node: int, incarnation: int, nodes: int) -> bool:
+def _is_valid_member(node: int, incarnation: int, nodes: int) -> bool:
     return 0 <= node < nodes and 0 <= incarnation < MAX_INCARNATION
 
 
 def _is_valid_observation(record: Observation, nodes: int) -> bool:
     return (
-        _is_member(record.origin, record.incarnation, nodes)
+        _is_valid_member(record.origin, record.incarnation, nodes)
         and record.sequence_number >= 0
         and 0 <= record.failures <= MAX_FAILURES
         and record.cold in (0, 1)
--- a/loadbalancer/core/gossip/own_observations.py
+++ b/loadbalancer/core/gossip/own_observations.py
@@ -1,4 +1,4 @@
-"""The observations that this node publishes: the results of its own attempts at servers."""
+"""Publishes observations: the results of this node's own attempts at servers."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS, RecordStore
 from loadbalancer.core.gossip.update_sender import UpdateSender
 
-REPEAT_INTERVAL_NS = 5 * SECOND  # of unchanged results, well below OBSERVATION_TTL_NS
-MAX_PUBLISHED = 3  # consecutive failures or rejections: more make no difference
-FIRST_RATIO_STEP_16THS = 24.0  # smaller ratios are not published
-MAX_RATIO_STEP_16THS = 110  # from which no larger step follows
+REPEAT_INTERVAL_NS = 5 * SECOND  # for unchanged results; well below OBSERVATION_TTL_NS
+MAX_PUBLISHED_COUNT = 3  # consecutive failures or rejections; higher counts make no difference
+FIRST_RATIO_STEP_16THS = 24.0  # the lowest published latency ratio
+MAX_RATIO_STEP_16THS = 110  # a step from this value on is the highest one
 
 
-class Results(NamedTuple):
-    """The published results of the attempts at one server, as in an `Observation`."""
+class AttemptResults(NamedTuple):
+    """Results of the attempts at one server; the fields are those of an `Observation`."""
 
     failures: int
     cold: int
@@ -27,15 +27,18 @@
 
 
 class Published(NamedTuple):
-    """The results last published on a server, with the times (ns) of that and of the attempt."""
+    """The latest published results for a server, and when they were published (ns).
 
-    results: Results
+    `attempted_at` is the time of the last attempt that they include.
+    """
+
+    results: AttemptResults
     published_at: int
     attempted_at: int
 
 
 class OwnObservations:
-    """Publishes an observation when its results change, and repeats it while they are valid."""
+    """Publishes an observation when results change, and repeats it after further attempts."""
 
     def __init__(
         self,
@@ -55,13 +58,14 @@
         return server in self._published
 
     def clear(self) -> None:
-        """Forget what was published: this process was paused, and its results are old."""
+        """Forget all published results, because they are out of date after a pause."""
         self._published.clear()
 
-    def observe(self, now: int, server: int, results: Results, attempted_at: int) -> None:
-        """Publish the results of this node's attempts at a server, the last at `attempted_at`.
+    def observe(self, now: int, server: int, results: AttemptResults, attempted_at: int) -> None:
+        """Publish the results of this node's attempts at a server, if they are to be published.
 
-        Unchanged results are repeated only after further attempts: others expire.
+        `attempted_at` is the time of the last attempt. Unchanged results are repeated only after
+        further attempts; without any, the observation expires.
         """
         last = self._published.get(server)
         if last is None:
@@ -73,7 +77,7 @@
             return
         age = max(now - attempted_at, 0)
         if any(results):
-            accepted = self._records.accepts_witness(server, self._members.me)
+            accepted = self._records.accepts_observer(server, self._members.me)
             if age >= OBSERVATION_TTL_NS or not accepted:
                 return
             self._published[server] = Published(results, now, attempted_at)
@@ -84,11 +88,11 @@
 
     @staticmethod
     def _is_due(now: int, last: Published, attempted_at: int) -> bool:
-        """Whether unchanged results are to be repeated."""
+        """Whether to publish unchanged results again."""
         repeat = now - last.published_at >= REPEAT_INTERVAL_NS
         return repeat and attempted_at != last.attempted_at
 
-    def _publish(self, now: int, server: int, results: Results, age: int) -> None:
+    def _publish(self, now: int, server: int, results: AttemptResults, age: int) -> None:
         self._number += 1
         members = self._members
         boot = self._local_list.boots.get(server, 0)
@@ -98,18 +102,20 @@
         self._updates.publish(now, record)
 
 
-def results_of(failures: int, cold: bool, rejections: int, latency_ratio: float) -> Results:
-    """The results to publish, in coarse steps, so that small changes cause no updates."""
-    return Results(
-        min(failures, MAX_PUBLISHED),
+def publishable_results(
+    failures: int, cold: bool, rejections: int, latency_ratio: float
+) -> AttemptResults:
+    """Results in coarse steps, so that small changes cause no updates."""
+    return AttemptResults(
+        min(failures, MAX_PUBLISHED_COUNT),
         int(cold and failures > 0),
-        min(rejections, MAX_PUBLISHED),
+        min(rejections, MAX_PUBLISHED_COUNT),
         _coarse_ratio_16ths(latency_ratio),
     )
 
 
 def _coarse_ratio_16ths(latency_ratio: float) -> int:
-    """A latency ratio in sixteenths, rounded down to powers of 1.5; 0 below the first step."""
+    """A latency ratio in sixteenths, rounded down to a power of 1.5; 0 below the first."""
     sixteenths = latency_ratio * RATIO_UNIT
     step = FIRST_RATIO_STEP_16THS
     if sixteenths < step:
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -1,11 +1,13 @@
-"""A node's replicas of the records of servers.
+"""Replicated records about servers: drains and observations.
 
 Merging is a join of semilattices (commutative, associative, idempotent; Shapiro et al.,
-"Conflict-free Replicated Data Types", 2011, section 2), so messages may be duplicated, late and
-in any order. MERGE_RULES says which record wins where replicas differ. Storage grows with servers,
-not with servers times nodes: of a server's witnesses only the MAX_WITNESSES that rank first by
-rendezvous hashing (Thaler and Ravishankar, 1998) are stored. That is still a join: the first
-of a union are among the first of its parts.
+"Conflict-free Replicated Data Types", 2011, section 2), so messages may be duplicated, delayed and
+reordered. MERGE_RULES lists which record takes precedence where replicas differ.
+
+The store grows with the number of servers and not with servers times nodes: for each server and
+zone it keeps only the observations of the MAX_OBSERVERS nodes that rank first by rendezvous hashing
+(Thaler and Ravishankar, 1998). Merging remains a join, because the first MAX_OBSERVERS of a union
+are among the first MAX_OBSERVERS of its subsets.
 """
 
 from __future__ import annotations
@@ -22,17 +24,17 @@
     record_checksum,
 )
 
-DIGEST_PARTS = 8
-MAX_WITNESSES = 3  # of one server in one zone, so that its records fit in few messages
+DIGEST_BUCKETS = 8
+MAX_OBSERVERS = 3  # per server and zone, so that the records of a server fit into few messages
 DRAIN_TTL_NS = 600 * SECOND
 OBSERVATION_TTL_NS = 15 * SECOND
 READER_TTL_NS = 60 * SECOND
-MIN_REMAINING_NS = SECOND // 2  # a record with less of its lifetime remaining is not passed on
-LIST_SERVICE = -1  # as the writer of a server's drain record
+MIN_REMAINING_NS = SECOND // 2  # a record that expires sooner than this is not sent any more
+LIST_SERVICE = -1  # `RecordKey.writer` of a drain record
 
 
 class MergeRule(NamedTuple):
-    """How replicas of one kind of record are ordered, and for how long a record is valid."""
+    """How replicas of one type of record are ordered, and how long a record is valid."""
 
     writer: str
     precedence: str
@@ -45,19 +47,19 @@
         "the list service",
         "the higher version; at one version GONE over DRAINING",
         DRAIN_TTL_NS,
-        "a drain is never undone by a node that has not received it yet",
+        "a node that has not received a drain yet cannot undo it",
     ),
     Observation: MergeRule(
         "the node whose attempts they were",
         "the later incarnation of it, then its higher number",
         OBSERVATION_TTL_NS,
-        "only its writer retracts an observation; those of others are stored beside it",
+        "only its writer can retract an observation; each observer has a record of its own",
     ),
     ReaderRecord: MergeRule(
         "the node that reads the list",
         "the later incarnation of it, then its higher number",
         READER_TTL_NS,
-        "only the reader knows the results of its calls; list versions are ordered by themselves",
+        "only the reader knows the results of its polls; list versions have an order of their own",
     ),
 }
 ServerRecord = DrainRecord | Observation
@@ -65,31 +67,31 @@
 
 
 class StoredRecord(NamedTuple, Generic[R]):
-    """A record, and when it was written by this node's own clock (ns)."""
+    """A record, and when it was written on the clock of this node (ns)."""
 
     record: R
     written_at: int
 
     def with_age(self, now: int) -> R:
-        """The record with its age as of now, as it is passed on."""
+        """The record with its present age, as it is sent to other nodes."""
         return cast(R, self.record._replace(age=max(now - self.written_at, 0)))
 
 
-class RankedWitness(NamedTuple):
-    """A witness of a server; the one with the lowest rank counts first."""
+class RankedObserver(NamedTuple):
+    """An observer of a server. The observations with the lowest ranks are stored."""
 
     rank: int
     node: int
 
 
 class RecordKey(NamedTuple):
-    """Identifies an update: a server, and the witness or LIST_SERVICE as its writer."""
+    """Identifies an update: the server, and its writer (an observer, or LIST_SERVICE)."""
 
     server: int
     writer: int
 
 
-ServerRecords = dict[int, StoredRecord[ServerRecord]]  # of one server, by writer
+ServerRecords = dict[int, StoredRecord[ServerRecord]]  # the records of one server, by writer
 
 
 def key_of(record: ServerRecord) -> RecordKey:
@@ -98,13 +100,13 @@
     return RecordKey(record.server, writer)
 
 
-def witness_rank(server: int, node: int) -> int:
-    """Rendezvous hash: the nodes with the lowest ranks are the witnesses of a server."""
+def observer_rank(server: int, node: int) -> int:
+    """Rendezvous hash: the observations of the nodes with the lowest ranks are stored."""
     return crc32(b"%d %d" % (server, node))
 
 
 def precedence(record: DrainRecord | Observation | ReaderRecord) -> tuple[int, ...]:
-    """The sort key of replicas under one record key; the contents break ties."""
+    """The sort key of replicas with the same record key; the contents break ties."""
     if isinstance(record, DrainRecord):
         return (record.rev, record.boot, State.DRAINING - record.state)
     if isinstance(record, ReaderRecord):
@@ -112,37 +114,37 @@
     return (record.incarnation, record.sequence_number, *record[1:2], *record[5:9])
 
 
-class Joined(NamedTuple, Generic[R]):
-    """A received record joined with the stored one."""
+class JoinResult(NamedTuple, Generic[R]):
+    """The result of joining a received record with the stored one."""
 
     stored: StoredRecord[R]
-    is_new: bool  # the received one has won
+    received_wins: bool  # the received record replaces the stored one
 
 
-def join(old: StoredRecord[R] | None, now: int, record: R) -> Joined[R]:
+def join(old: StoredRecord[R] | None, now: int, record: R) -> JoinResult[R]:
     """Join a received record with the stored one."""
     received = StoredRecord(cast(R, record._replace(age=0)), now - record.age)
     if old is None or precedence(record) > precedence(old.record):
-        return Joined(received, is_new=True)
+        return JoinResult(received, received_wins=True)
     if precedence(record) == precedence(old.record) and received.written_at < old.written_at:
-        # Keep the earlier time of writing, so that a record that circulates still expires.
-        return Joined(old._replace(written_at=received.written_at), is_new=False)
-    return Joined(old, is_new=False)
+        # Keep the earlier time, so that a record that nodes send to each other still expires.
+        return JoinResult(old._replace(written_at=received.written_at), received_wins=False)
+    return JoinResult(old, received_wins=False)
 
 
 class RecordStore:
-    """Records by server and writer, with the digest that anti-entropy compares."""
+    """Records by server and writer, and the digest that anti-entropy compares."""
 
     def __init__(self, zones: int) -> None:
         self._zones = max(zones, 1)
         self._records: dict[int, ServerRecords] = {}
-        self.digest = [0] * DIGEST_PARTS
-        self.changed: set[int] = set()  # servers whose records have changed since last assessed
+        self.digest = [0] * DIGEST_BUCKETS
+        self.changed: set[int] = set()  # servers to assess, as their records have changed
 
     # ---- merging --------------------------------------------------------
 
     def merge(self, now: int, record: ServerRecord) -> bool:
-        """Merge a record; returns whether it changed what is stored."""
+        """Merge a record; returns whether it has replaced the stored one."""
         if record.age >= MERGE_RULES[type(record)].ttl_ns:
             return False
         records = self._records.setdefault(record.server, {})
@@ -154,51 +156,54 @@
         if not wins:
             return False
         if old is not None:
-            self._toggle(old.record)
-        self._toggle(record)
+            self._toggle_in_digest(old.record)
+        self._toggle_in_digest(record)
         self.changed.add(record.server)
         return True
 
     def _admit(self, server: int, writer: int) -> bool:
-        """Whether a new witness ranks among the first; if so the last of them is removed."""
-        last = self._last_witness(server, writer)
+        """Whether a new observer ranks among the first MAX_OBSERVERS of its zone.
+
+        If so, the one with the highest rank is removed to make space.
+        """
+        last = self._last_observer(server, writer)
         if last is None:
             return True
-        if last < (witness_rank(server, writer), writer):
+        if last < (observer_rank(server, writer), writer):
             return False
         self._remove(server, last.node)
         return True
 
-    def _last_witness(self, server: int, node: int) -> RankedWitness | None:
-        """The lowest ranked witness of a node's zone; None while there are few enough."""
+    def _last_observer(self, server: int, node: int) -> RankedObserver | None:
+        """The observer to replace in the zone of a node; None below MAX_OBSERVERS."""
         zone = node % self._zones
         ranks = [
-            RankedWitness(witness_rank(server, writer), writer)
+            RankedObserver(observer_rank(server, writer), writer)
             for writer in self._records.get(server, {})
             if writer >= 0 and writer % self._zones == zone
         ]
-        return max(ranks) if len(ranks) >= MAX_WITNESSES else None
+        return max(ranks) if len(ranks) >= MAX_OBSERVERS else None
 
-    def _toggle(self, record: ServerRecord) -> None:
-        """Add a record to the digest, or remove it: the digest is an exclusive or."""
-        self.digest[record.server % DIGEST_PARTS] ^= record_checksum(record)
+    def _toggle_in_digest(self, record: ServerRecord) -> None:
+        """Add a record to the digest, or remove it: both are an exclusive or of its checksum."""
+        self.digest[record.server % DIGEST_BUCKETS] ^= record_checksum(record)
 
     def _remove(self, server: int, writer: int) -> None:
         records = self._records[server]
-        self._toggle(records.pop(writer).record)
+        self._toggle_in_digest(records.pop(writer).record)
         self.changed.add(server)
         if not records:
             del self._records[server]
 
     def expire(self, now: int) -> None:
-        """Remove the records whose lifetime has ended."""
+        """Remove the expired records."""
         for server, records in list(self._records.items()):
             for writer, stored in list(records.items()):
                 if now - stored.written_at >= MERGE_RULES[type(stored.record)].ttl_ns:
                     self._remove(server, writer)
 
     def remove_drains_after(self, rev: int) -> None:
-        """Remove the drain records above a version: the list service has restarted its numbers."""
+        """Remove drain records above a version: the list service restarted its version numbers."""
         for server in list(self._records):
             record = self._drain(server)
             if record is not None and record.rev > rev:
@@ -207,7 +212,7 @@
     # ---- reading ---------------------------------------------------------
 
     def get(self, now: int, key: RecordKey) -> ServerRecord | None:
-        """A record with its age as of now; None where too little of its lifetime remains."""
+        """A record with its present age; None if it is unknown, expired or about to expire."""
         stored = self._records.get(key.server, {}).get(key.writer)
         if stored is None:
             return None
@@ -215,38 +220,41 @@
         remaining = MERGE_RULES[type(record)].ttl_ns - record.age
         return None if remaining < MIN_REMAINING_NS else record
 
-    def in_part(self, now: int, part: int) -> Iterator[ServerRecord]:
-        """The records of one part of the digest that may be passed on."""
+    def records_in_bucket(self, now: int, bucket: int) -> Iterator[ServerRecord]:
+        """The records in one bucket of the digest, except those about to expire."""
         for server, records in self._records.items():
-            if server % DIGEST_PARTS == part:
+            if server % DIGEST_BUCKETS == bucket:
                 for writer in records:
                     record = self.get(now, RecordKey(server, writer))
                     if record is not None:
                         yield record
 
     def servers(self) -> list[int]:
-        """The servers that have records."""
+        """The servers that this node has records about."""
         return list(self._records)
 
     def records_of_server(self, server: int) -> list[StoredRecord[ServerRecord]]:
-        """All records of one server."""
+        """All records about one server."""
         return list(self._records.get(server, {}).values())
 
     def observations(self, server: int) -> Iterator[StoredRecord[Observation]]:
-        """The observations of one server."""
+        """The observations about one server."""
         for stored in self._records.get(server, {}).values():
             if isinstance(stored.record, Observation):
                 yield cast("StoredRecord[Observation]", stored)
 
-    def accepts_witness(self, server: int, node: int) -> bool:
-        """Whether this node's observation of a server would be stored."""
+    def accepts_observer(self, server: int, node: int) -> bool:
+        """Whether an observation by this node would be stored, given the ranks of the others."""
         if node in self._records.get(server, {}):
             return True
-        last = self._last_witness(server, node)
-        return last is None or (witness_rank(server, node), node) < last
+        last = self._last_observer(server, node)
+        return last is None or (observer_rank(server, node), node) < last
 
     def drain_state(self, server: int, boot: int, rev: int) -> State | None:
-        """DRAINING or GONE, where a version above `rev` says so of this start of a server."""
+        """DRAINING or GONE if a list version above `rev` has that state for the server.
+
+        None otherwise, and for a record of another start of the server (`boot`).
+        """
         record = self._drain(server)
         if record is None or record.rev <= rev or record.boot != boot:
             return None
--- a/loadbalancer/core/gossip/settings.py
+++ b/loadbalancer/core/gossip/settings.py
@@ -1,4 +1,4 @@
-"""The gossip settings that all nodes of a fleet have in common."""
+"""Settings of the gossip protocol."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """The fleet's settings, and which of its nodes this is.
+    """The settings that all nodes of a fleet share, and the number of this node.
 
     Attributes:
-        nodes: number of nodes in the fleet.
+        nodes: number of nodes in the fleet; they are numbered from 0.
         me: this node's number.
-        zones: number of zones; a node's zone is its number modulo this.
-        messages_per_second: messages that a node sends a second, on average at most.
-        max_datagram_bytes: bytes of one message at most.
-        slots_per_server: concurrent requests of one server, from all nodes together.
-        reader_count: list readers, which poll for all nodes; 0 where each node polls for itself.
+        zones: number of zones; a node's zone is its number modulo this number.
+        messages_per_second: upper limit of the average rate at which one node sends messages.
+        max_datagram_bytes: upper limit of the size of one message.
+        slots_per_server: concurrent requests to one server, from all nodes together.
+        reader_count: number of list readers, the nodes that poll the list service for the whole
+            fleet; 0 if every node polls it.
     """
 
     nodes: int
@@ -28,5 +29,5 @@
     reader_count: int = 0
 
     def same_zone(self, node: int) -> bool:
-        """Whether a node is of this node's zone."""
+        """Whether a node is in the same zone as this one."""
         return node % self.zones == self.me % self.zones
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -1,18 +1,24 @@
-"""Which of a server's concurrency slots this node may use, by liveness of nodes and by leases.
-
-The slots of a server are in one order, and each is owned by one node (`endpoint_caps`). Without
-gossip the nodes use the slots below a depth, the concurrency limit. With gossip the depth grows
-past slots of dead nodes, until the alive nodes have as many slots as the limit says, and never
-beyond `max_slots`. Nodes with the same list never own the same slot, so whatever messages arrive,
-are lost or are false, all nodes together stay within `max_slots` at every server. (Lists that
-differ shift the order, with gossip or without, until they agree.) A concurrency limit above
-`max_slots` is cut where the alive nodes alone would exceed it: what a node needs beyond its own
-slots it leases from others (`slot_leases.py`), which do not use them meanwhile. Only slots of the
-upper half are leased, so that every node retains the lower half.
-
-A node that receives no messages (`Membership.receives_no_messages`, after ISOLATED_AFTER_NS,
-which is longer than any lease) can lease nothing, and uses at least the slots that it would use
-without gossip.
+"""Computes which concurrency slots of a server this node may use.
+
+The result depends on which nodes are alive, and on leases. The slots of a server are numbered, and
+each is owned by one node of the server's zone: the nodes own them in rotation, starting with the
+node that `endpoint_caps` ranks first.
+
+Without gossip, each node uses the slots that it owns among the first `depth` slots, where `depth`
+comes from the concurrency limit. With gossip, `depth` grows by the slots of dead nodes, so that
+the alive nodes together own as many slots as the limit allows, but never beyond `max_slots`. Nodes
+with the same endpoint list never own the same slot. Therefore all nodes together use at most
+`max_slots` at each server, whatever messages are delivered, lost or forged. (With different lists
+the nodes rank differently until the lists agree; this is so without gossip, too.)
+
+A concurrency limit above `max_slots` is reduced where the alive nodes alone would exceed
+`max_slots`. A node that needs more than its own slots leases slots from other nodes
+(`slot_leases.py`), which do not use them for the time of the lease. Only slots in the upper half
+are leased, so that every node retains its slots in the lower half.
+
+A node that receives no messages for ISOLATED_AFTER_NS (`Membership.receives_no_messages`), which is
+longer than any lease, can lease nothing, and uses at least the slots that it would use without
+gossip.
 """
 
 from __future__ import annotations
@@ -22,61 +28,79 @@
 
 from loadbalancer.core.gossip.slot_leases import SERVER_GROUPS
 
-MIN_SLOTS_PER_NODE = 3  # that a node needs: `max_slots` is raised to give every node so many
+MIN_SLOTS_PER_NODE = 3  # `max_slots` is increased until every node has so many slots in total
 
 
 class LeasedSlots(NamedTuple):
-    """The groups whose slots are leased from the node at one place of the zone, a bit each."""
+    """A bit mask of server groups, whose slots are leased from the node at `zone_index`."""
 
-    place: int
+    zone_index: int
     groups: int
 
 
 class SlotAllocation:
-    """Slots of servers in this node's own zone; those of other zones are divided without gossip."""
+    """The slots of the servers in the zone of this node.
+
+    The slots of servers in other zones are divided without gossip. A node is identified by its
+    index within the zone.
+    """
 
     __slots__ = (
         "_all_alive",
         "_depths",
         "_is_alive",
         "_nodes",
-        "_place",
-        "_slots",
+        "_slots_per_server",
+        "_zone_index",
         "granted_groups",
         "isolated",
         "leases",
     )
 
-    def __init__(self, place: int, nodes: int, slots: int, is_alive: Callable[[int], bool]) -> None:
-        """The node at `place` of the `nodes` of its zone; `is_alive` answers for a place.
-
-        `slots` is the number of slots of one server.
+    def __init__(
+        self,
+        zone_index: int,
+        nodes: int,
+        slots_per_server: int,
+        is_alive: Callable[[int], bool],
+    ) -> None:
+        """Compute the slots of one node.
+
+        Args:
+            zone_index: index of this node within its zone.
+            nodes: number of nodes in the zone.
+            slots_per_server: number of slots of one server.
+            is_alive: whether the node at an index counts as alive.
         """
-        self._place = place
+        self._zone_index = zone_index
         self._nodes = max(nodes, 1)
-        self._slots = slots
+        self._slots_per_server = slots_per_server
         self._is_alive = is_alive
         self._all_alive = True
-        # Results of `_depth_past_dead` by (first slot, depth, max_slots), until liveness changes:
-        # the walk over the slots of hundreds of servers would block the loop for milliseconds.
+        # Results of `_depth_past_dead` by (first slot, depth, max_slots), until liveness changes.
+        # Computing them for hundreds of servers each time would block the event loop for
+        # milliseconds.
         self._depths: dict[tuple[int, int, int], int] = {}
-        self.isolated = False  # no messages are received: use at least the slots without gossip
-        self.granted_groups = 0  # whose upper slots are leased to others, a bit each
+        self.isolated = False  # if set, use at least the slots that the node has without gossip
+        self.granted_groups = 0  # bit mask of server groups whose upper slots others lease
         self.leases: list[LeasedSlots] = []
 
     def refresh(self) -> None:
-        """Update which nodes are alive; to be called before caps are computed anew."""
-        self._all_alive = all(self._is_alive(place) for place in range(self._nodes))
+        """Update which nodes are alive. To be called before the caps are computed again."""
+        self._all_alive = all(self._is_alive(zone_index) for zone_index in range(self._nodes))
         self._depths.clear()
 
     def max_slots(self, servers: int) -> int:
-        """Slots of one server in all; with few servers, MIN_SLOTS_PER_NODE for each node."""
-        return max(self._slots, -(-MIN_SLOTS_PER_NODE * self._nodes // max(servers, 1)))
+        """The number of slots of one server, increased if there are few servers.
+
+        Then all nodes together get MIN_SLOTS_PER_NODE slots for each node.
+        """
+        return max(self._slots_per_server, -(-MIN_SLOTS_PER_NODE * self._nodes // max(servers, 1)))
 
     def depth(self, first_slot: int, depth: int, servers: int) -> int:
-        """How many slots of a server the alive nodes use, where the limit asks for `depth`.
+        """Up to which slot of a server the alive nodes use their slots.
 
-        `first_slot` is this node's first slot there.
+        `depth` is the one without gossip. `first_slot` is the first slot that this node owns there.
         """
         max_slots = self.max_slots(servers)
         if self._all_alive or depth <= 0:
@@ -88,31 +112,34 @@
         return cached
 
     def _depth_past_dead(self, first_slot: int, depth: int, max_slots: int) -> int:
-        first = self._place - first_slot
+        first = self._zone_index - first_slot
         wanted = min(depth, max_slots)
         slot = alive = 0
-        # Go on until `wanted` slots of alive nodes are found, within `max_slots`. For a limit
-        # above `max_slots` go on to `depth`, until `max_slots` slots of alive nodes are found.
+        # Count until `wanted` slots of alive nodes are found, within `max_slots`. If `depth` is
+        # above `max_slots`, count up to `depth`, until `max_slots` slots of alive nodes are found.
         while (slot < max_slots and alive < wanted) or (slot < depth and alive < max_slots):
             alive += self._is_alive((first + slot) % self._nodes)
             slot += 1
         return slot
 
     def cap(self, server: int, first_slot: int, depth: int, servers: int) -> int:
-        """How many requests this node may have at a server, by its own slots and by leases."""
+        """How many concurrent requests this node may send to a server, with its leases."""
         max_slots = self.max_slots(servers)
         group_bit = 1 << server % SERVER_GROUPS
-        cap = self.own(first_slot, depth, servers, bool(self.granted_groups & group_bit))
-        # Below `max_slots` (a slow server, or congestion) leased slots are not used.
+        cap = self.own_slots(first_slot, depth, servers, bool(self.granted_groups & group_bit))
+        # At a lower depth, for a slow server or under congestion, leased slots are not used.
         if depth >= max_slots:
-            for place, groups in self.leases:
+            for zone_index, groups in self.leases:
                 if groups & group_bit:
-                    first = (place - self._place + first_slot) % self._nodes
+                    first = (zone_index - self._zone_index + first_slot) % self._nodes
                     cap += self._count(first, max_slots) - self._count(first, max_slots // 2)
         return cap
 
-    def own(self, first_slot: int, depth: int, servers: int, leased_out: bool) -> int:
-        """How many of a server's slots are this node's own, less the upper half if leased out."""
+    def own_slots(self, first_slot: int, depth: int, servers: int, leased_out: bool) -> int:
+        """How many slots of a server this node may use without leases from others.
+
+        If they are `leased_out`, its slots in the upper half do not count.
+        """
         slots = self.depth(first_slot, depth, servers)
         if self.isolated:
             return self._count(first_slot, max(slots, depth))
@@ -121,18 +148,20 @@
         )
 
     def _count(self, first: int, depth: int) -> int:
-        """How many slots below `depth` belong to the node whose first slot is `first`."""
+        """How many of the first `depth` slots the node owns whose first slot is `first`."""
         return -(-(depth - first) // self._nodes) if depth > first else 0
 
     def grantable_groups(
         self, depths: list[tuple[int, int]], servers: int, needed: float, owned: int
     ) -> int:
-        """How many groups this node can lease out and still have `needed` of its `owned` slots.
+        """How many server groups this node can lease out and retain `needed` of its `owned` slots.
 
-        `depths`: (first slot, depth) of each server.
+        `depths` has the first slot of this node and the depth for each server.
         """
         if owned < needed:
             return 0
-        lower = sum(self.own(first, depth, servers, leased_out=True) for first, depth in depths)
+        lower = sum(
+            self.own_slots(first, depth, servers, leased_out=True) for first, depth in depths
+        )
         per_group = (owned - lower) / SERVER_GROUPS
         return min(int((owned - needed) / per_group), SERVER_GROUPS) if per_group else SERVER_GROUPS
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -1,13 +1,15 @@
-"""Leases on concurrency slots: which node may use another's slots, and until when.
-
-Of each node's slots, those in the upper half of a server's slots may be leased to another node
-(`slot_allocation.py`), in server groups. As in a lease of Gray and Cheriton (1989, section
-2), the holder counts the TTL from when it sent the request, and the grantor from when it
-granted, plus SAFETY_MARGIN_NS. The grant is made after the request was sent, so even if
-messages are late, duplicated or lost, the holder has stopped before the grantor uses its slots
-again. A node's new process does not know what its earlier one has granted: at first it is
-restrained, and uses none of the slots that may be leased until every such lease has ended. Times
-are in nanoseconds.
+"""Leases on concurrency slots: which node may use the slots of another node, and until when.
+
+A node may lease out those of its slots that are in the upper half of a server's slots
+(`slot_allocation.py`). Servers are divided into groups, and a lease covers a group. As in the
+leases of Gray and Cheriton (1989, section 2), the holder counts the TTL from when it sent the
+request, and the grantor from when it granted it, plus SAFETY_MARGIN_NS. The grant happens after the
+request was sent, so the holder stops before the grantor uses its slots again, even if messages are
+delayed, duplicated or lost.
+
+A new process of a node does not know which leases the previous process has granted. It therefore
+starts with a grace period, in which it uses no slots that may be leased, until all those leases
+have expired. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -18,13 +20,13 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 
 LEASE_TTL_NS = 2 * SECOND
-SAFETY_MARGIN_NS = 500 * MS  # for the holder's late turn, its open requests, and clock drift
-SERVER_GROUPS = 8  # servers are divided by number into groups: the unit in which slots are leased
+SAFETY_MARGIN_NS = 500 * MS  # for a late tick of the holder, its requests in flight, clock drift
+SERVER_GROUPS = 8  # groups of servers, by server number; slots are leased by group
 ALL_SERVER_GROUPS = (1 << SERVER_GROUPS) - 1
-MAX_GRANTORS = 12  # of one holder at once: each costs a message a second of the message rate
+MAX_GRANTORS = 12  # of one holder; each costs one message per second of the message rate
 REQUEST_INTERVAL_NS = 250 * MS
-MAX_NEW_REQUESTS = 4  # to further grantors at once
-DECLINED_NS = 2 * SECOND  # until the next request to a node that had nothing to lease
+MAX_NEW_REQUESTS = 4  # requests to further grantors in one REQUEST_INTERVAL_NS
+DECLINED_RETRY_NS = 2 * SECOND  # time until the next request to a node that granted nothing
 
 
 class Grant(NamedTuple):
@@ -35,7 +37,7 @@
 
 
 class Lease(NamedTuple):
-    """The groups that this node has leased from another, a bit each."""
+    """A lease that this node has from another; `groups` is a bit mask of server groups."""
 
     groups: int
     requested_at: int
@@ -43,35 +45,38 @@
 
 
 class UsableLease(NamedTuple):
-    """The groups of one grantor that may be used now, a bit each."""
+    """A lease that may be used now; `groups` is a bit mask of server groups."""
 
     grantor: int
     groups: int
 
 
 class NewRequest(NamedTuple):
-    """A request to send."""
+    """A lease request to send."""
 
     grantor: int
-    serial: int  # that the grant repeats
+    serial: int  # which the grant will repeat
 
 
 class OpenRequest(NamedTuple):
-    """A request that has not been answered yet."""
+    """A lease request without a response."""
 
     grantor: int
     sent_at: int
 
 
 class SlotLeases:
-    """One node's leases, as grantor and as holder: at most SERVER_GROUPS and MAX_GRANTORS."""
+    """The leases of one node.
+
+    As a grantor it has at most SERVER_GROUPS of them, and as a holder at most MAX_GRANTORS.
+    """
 
     def __init__(self, seed: int) -> None:
         self.grants: dict[int, Grant] = {}  # by server group
         self.active: dict[int, Lease] = {}  # by grantor
-        self.changed = True
-        self._unrestrained_at = -1  # when `_restrained` ends; -1: not known yet
-        self._restrained = True
+        self.changed = True  # whether leases have changed since the slots were last allocated
+        self._grace_ends_at = -1  # -1 before `start_grace_period`
+        self._in_grace_period = True
         self._random = Random(seed)
         self._serial = self._random.getrandbits(30)
         self._requests: dict[int, OpenRequest] = {}  # by serial
@@ -81,16 +86,18 @@
     # ---- grantor -----------------------------------------------------------
 
     def granted_groups(self) -> int:
-        """The groups whose upper slots this node must not use, a bit each."""
-        return ALL_SERVER_GROUPS if self._restrained else sum(1 << group for group in self.grants)
+        """The bit mask of server groups in which this node must not use its upper slots."""
+        return (
+            ALL_SERVER_GROUPS if self._in_grace_period else sum(1 << group for group in self.grants)
+        )
 
     def grant(self, now: int, holder: int, grantable: int) -> int:
-        """Grant or renew leases; returns the groups granted to this holder, a bit each.
+        """Grant or renew leases; returns the bit mask of server groups granted to the holder.
 
-        `grantable` bounds the groups granted to all holders together.
+        `grantable` is the maximum number of groups granted to all holders together.
         """
         self.expire(now)
-        if self._restrained:
+        if self._in_grace_period:
             return 0
         renewed = [group for group, grant in self.grants.items() if grant.holder == holder]
         free = [group for group in range(SERVER_GROUPS) if group not in self.grants]
@@ -106,17 +113,17 @@
     # ---- holder ------------------------------------------------------------
 
     def usable(self, now: int) -> list[UsableLease]:
-        """The leases that are valid at this moment."""
+        """The leases that are valid now."""
         return [
             UsableLease(n, lease.groups)
             for n, lease in self.active.items()
             if now < lease.expires_at
         ]
 
-    def requests(self, now: int, grantors: list[int], more: bool) -> list[NewRequest]:
-        """The requests to send now.
+    def requests(self, now: int, grantors: list[int], wants_more: bool) -> list[NewRequest]:
+        """The lease requests to send now.
 
-        Leases whose term is half over are renewed; with `more`, further grantors get requests too.
+        Leases are renewed at half of their TTL. With `wants_more`, further grantors get requests.
         """
         if now < self._next_request_at:
             return []
@@ -126,10 +133,12 @@
             for n, lease in self.active.items()
             if now - lease.requested_at >= LEASE_TTL_NS // 2 and n in grantors
         ]
-        if more and len(self.active) < MAX_GRANTORS:
-            fresh = [n for n in grantors if n not in self.active and n not in self._declined_until]
-            count = min(MAX_NEW_REQUESTS, MAX_GRANTORS - len(self.active), len(fresh))
-            recipients += self._random.sample(fresh, count)
+        if wants_more and len(self.active) < MAX_GRANTORS:
+            new_grantors = [
+                n for n in grantors if n not in self.active and n not in self._declined_until
+            ]
+            count = min(MAX_NEW_REQUESTS, MAX_GRANTORS - len(self.active), len(new_grantors))
+            recipients += self._random.sample(new_grantors, count)
         requests = []
         for grantor in recipients:
             self._serial += 1
@@ -138,7 +147,7 @@
         return requests
 
     def on_grant(self, now: int, grantor: int, serial: int, groups: int) -> None:
-        """Record a grant; ignored without an open request, or for one sent too long ago."""
+        """Process a grant. It has no effect without an open request, or if it has expired."""
         request = self._requests.get(serial)
         if request is None or request.grantor != grantor:
             return
@@ -149,14 +158,14 @@
             return
         expires_at = request.sent_at + LEASE_TTL_NS
         if groups == 0 or now >= expires_at:
-            self._declined_until[grantor] = now + DECLINED_NS
+            self._declined_until[grantor] = now + DECLINED_RETRY_NS
             self.changed = self.active.pop(grantor, None) is not None or self.changed
             return
         self.changed = self.changed or old is None or old.groups != groups
         self.active[grantor] = Lease(groups, request.sent_at, expires_at)
 
     def report(self, now: int) -> dict[str, list[list[int]]]:
-        """For operators, both ways: node, number of groups, milliseconds remaining."""
+        """All leases, for operators. Rows of node, number of groups and remaining milliseconds."""
         granted: dict[int, list[int]] = {}
         for holder, expires_at in self.grants.values():
             row = granted.setdefault(holder, [holder, 0, 0])
@@ -169,22 +178,28 @@
 
     # ---- time ----------------------------------------------------------------
 
-    def activate(self, now: int) -> None:
-        """This process takes part in the gossip from now on, and no earlier one of this node."""
-        if self._unrestrained_at < 0:
-            self._unrestrained_at = now + LEASE_TTL_NS + SAFETY_MARGIN_NS
+    def start_grace_period(self, now: int) -> None:
+        """Start the grace period now, unless it has been started.
+
+        From now on this process sends and receives gossip, and no earlier one of this node does.
+        """
+        if self._grace_ends_at < 0:
+            self._grace_ends_at = now + LEASE_TTL_NS + SAFETY_MARGIN_NS
+
+    def reset_grace_period(self) -> None:
+        """Return to the state before `start_grace_period`.
 
-    def restrain(self) -> None:
-        """Another process of this node has taken part: as at a start until `activate` and on."""
+        Another process of this node has taken part in gossip, and may have granted leases.
+        """
         self.active.clear()
         self._requests.clear()
-        self._restrained, self._unrestrained_at = True, -1
+        self._in_grace_period, self._grace_ends_at = True, -1
         self.changed = True
 
     def expire(self, now: int) -> None:
-        """Remove expired leases and requests; to be called several times in SAFETY_MARGIN_NS."""
-        if self._restrained and 0 <= self._unrestrained_at <= now:
-            self._restrained, self.changed = False, True
+        """Remove expired leases and requests. To be called several times in SAFETY_MARGIN_NS."""
+        if self._in_grace_period and 0 <= self._grace_ends_at <= now:
+            self._in_grace_period, self.changed = False, True
         for group in [group for group, grant in self.grants.items() if grant.expires_at <= now]:
             del self.grants[group]
             self.changed = True
--- a/loadbalancer/core/gossip/token_bucket.py
+++ b/loadbalancer/core/gossip/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: bounds a rate and its bursts."""
+"""A token bucket, which limits a rate and its bursts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Contains up to `capacity` tokens and gains `rate` tokens a second."""
+    """Contains up to `capacity` tokens and gains `rate` tokens per second."""
 
     __slots__ = ("_capacity", "_rate", "_refilled_at", "tokens")
 
@@ -17,14 +17,14 @@
         self.tokens = capacity
 
     def refill(self, now: int) -> float:
-        """Add what has accrued by `now` (ns) and return the tokens available."""
+        """Add the tokens accrued until `now` (ns); returns the number available."""
         accrued = (now - self._refilled_at) * self._rate / SECOND
         self.tokens = min(self._capacity, self.tokens + accrued)
         self._refilled_at = now
         return self.tokens
 
     def take(self, now: int, count: float = 1.0) -> bool:
-        """Take `count` tokens; False, taking none, where there are fewer."""
+        """Take `count` tokens; returns False and takes none if there are fewer."""
         if self.refill(now) < count:
             return False
         self.tokens -= count
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -1,8 +1,8 @@
-"""Dissemination: which updates are sent in which messages, within the message rate.
+"""Sends updates to other members within the message rate of this node.
 
 Updates are piggybacked on the messages of the failure detector and of anti-entropy (SWIM,
-section 4.1). New ones are sent at once as well, in gossip messages to a few random members, so
-that an update reaches the fleet in a few hops of some milliseconds each. Times are in nanoseconds.
+section 4.1). New updates are also sent immediately, in gossip messages to a few random members, so
+that they reach all nodes in a few hops of some milliseconds each. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -21,30 +21,30 @@
     ReaderRecord,
     Record,
 )
-from loadbalancer.core.gossip.records import DIGEST_PARTS, RecordKey, RecordStore, key_of
+from loadbalancer.core.gossip.records import DIGEST_BUCKETS, RecordKey, RecordStore, key_of
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-GOSSIP_DELAY_NS = 5 * MS  # from an update to its messages, to batch updates that come together
-GOSSIP_FANOUT = 3  # members that a new update is sent to at once
-# Sizes on the wire, in bytes at most (checked by a test).
-MESSAGE_HEAD_BYTES = 32
+GOSSIP_DELAY_NS = 5 * MS  # delay of a new update, to send updates that arrive together in one batch
+GOSSIP_FANOUT = 3  # members that a new update is sent to immediately
+# Upper limits of sizes on the wire, in bytes; a test compares them with encoded messages.
+MESSAGE_HEADER_BYTES = 32
 RECORD_BYTES: dict[type[Record], int] = {
     MemberRecord: 16,
     DrainRecord: 40,
     Observation: 52,
     ReaderRecord: 64,
 }
-DIGEST_BYTES = 5 * (DIGEST_PARTS + 1) + 3
-# Values of `RecordKey.server` for updates on a node, whose number is `writer`.
-MEMBER, READER = -1, -2
+DIGEST_BYTES = 5 * (DIGEST_BUCKETS + 1) + 3
+# Values of `RecordKey.server` for updates about a node, whose number is then `RecordKey.writer`.
+MEMBER_UPDATE, READER_UPDATE = -1, -2
 
 
 class UpdateSender:
-    """The queue of updates, the message rate, and when the next turn is due."""
+    """The queue of updates, the message rate, and the time of the next tick."""
 
     def __init__(
         self,
@@ -61,28 +61,28 @@
         self._queue: DisseminationQueue[RecordKey] = DisseminationQueue(settings.nodes)
         burst = max(settings.messages_per_second / 2, GOSSIP_FANOUT + 1)
         self._rate = TokenBucket(settings.messages_per_second, burst, now)
-        self._body_bytes = settings.max_datagram_bytes - MESSAGE_HEAD_BYTES
-        self.gossip_pending = False  # updates that were not sent yet wait for the next turn
+        self._body_bytes = settings.max_datagram_bytes - MESSAGE_HEADER_BYTES
+        self.gossip_pending = False  # whether unsent updates wait for the next tick
         self.next_tick_at = now
 
     # ---- updates -----------------------------------------------------------
 
     def publish(self, now: int, record: DrainRecord | Observation) -> None:
-        """Store a record of this node's own, and disseminate it."""
+        """Store a record that this node has written, and disseminate it."""
         if self._records.merge(now, record):
             self._queue.add(key_of(record))
-            self.send_soon(now)
+            self.schedule_gossip(now)
 
     def add(self, key: RecordKey) -> None:
-        """Disseminate an update."""
+        """Queue an update for dissemination."""
         self._queue.add(key)
 
     def received(self, key: RecordKey, changed: bool) -> None:
-        """A record was received: pass a change on, count a duplicate as a transmission."""
+        """Forward a received record if it `changed` this node; otherwise count a transmission."""
         if changed:
             self._queue.add(key)
         else:
-            self._queue.transmitted(key)
+            self._queue.count_transmission(key)
 
     def clear(self) -> None:
         """Remove all queued updates."""
@@ -90,22 +90,22 @@
         self._queue = DisseminationQueue(self._settings.nodes)
 
     def has_unsent(self) -> bool:
-        """Whether any update has not been sent at all."""
+        """Whether some update has not been sent at all."""
         return self._queue.has_unsent()
 
     def _lookup(self, now: int, key: RecordKey) -> Record | None:
-        """The present record of an update; None where it no longer exists."""
-        if key.server == MEMBER:
+        """The present record of an update; None if it no longer exists."""
+        if key.server == MEMBER_UPDATE:
             return self._members.record(key.writer)
-        if key.server == READER:
+        if key.server == READER_UPDATE:
             readers = None if self._shared_list is None else self._shared_list.readers
             return None if readers is None else readers.get(now, key.writer)
         return self._records.get(now, key)
 
     # ---- rate and time --------------------------------------------------------
 
-    def send_soon(self, now: int) -> None:
-        """Bring the next turn forward, to send updates."""
+    def schedule_gossip(self, now: int) -> None:
+        """Schedule the next tick earlier, to send updates."""
         self.gossip_pending = True
         self.next_tick_at = min(self.next_tick_at, now + GOSSIP_DELAY_NS)
 
@@ -114,14 +114,15 @@
         return self._rate.refill(now) >= 1
 
     def take(self, now: int) -> bool:
-        """Take one message from the message rate, where it allows one."""
+        """Charge one message to the message rate; returns False if it does not allow one."""
         return self._rate.take(now)
 
     def charge(self, now: int, count: int) -> None:
-        """Charge messages that are sent in any case: gossip messages wait for them.
+        """Charge messages to the rate that are sent regardless of it.
 
-        The debt is at most half a second's messages. Without a debt the total would exceed the
-        rate under packet loss; a larger one would delay updates and save no further messages.
+        This may leave a debt, which delays gossip messages, of at most the messages of half a
+        second. With no debt at all the total would exceed the rate under packet loss; a larger one
+        would delay updates and save no further messages.
         """
         self._rate.refill(now)
         self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages_per_second / 2)
@@ -129,13 +130,13 @@
     # ---- messages ---------------------------------------------------------------
 
     def gossip(self, now: int) -> list[Outgoing]:
-        """Gossip messages with the present updates, to a few random members."""
+        """Gossip messages with queued updates, to a few random members."""
         if not (self.gossip_pending or self._queue):
             return []
         while self._members.updates:
-            self._queue.add(RecordKey(MEMBER, self._members.updates.pop(0).node))
+            self._queue.add(RecordKey(MEMBER_UPDATE, self._members.updates.pop(0).node))
         out = []
-        # Updates that were sent once are sent again one member a tick, and piggybacked.
+        # Updates that were sent before go to only one member per tick, and are piggybacked.
         fanout = GOSSIP_FANOUT if self._queue.has_unsent() else 1
         for to in self._members.sample(max(min(fanout, int(self._rate.refill(now))), 0)):
             outgoing = self.piggyback(now, Outgoing(to, self._members.message(MessageKind.GOSSIP)))
@@ -147,19 +148,19 @@
         return out
 
     def piggyback(self, now: int, outgoing: Outgoing) -> Outgoing:
-        """A message with as many updates as fit, unless it has records of its own."""
+        """Add as many updates to a message as fit, unless it has records already."""
         message = outgoing.message
         if message.kind == MessageKind.DONE or message.records:
             return outgoing
         remaining = self._body_bytes - (DIGEST_BYTES if message.digest else 0)
         records: list[Record] = []
-        obsolete: list[RecordKey] = []
+        removed: list[RecordKey] = []
 
         def accept(key: RecordKey) -> bool:
             nonlocal remaining
             record = self._lookup(now, key)
             if record is None:
-                obsolete.append(key)
+                removed.append(key)
                 return True
             size = RECORD_BYTES[type(record)]
             if size > remaining:
@@ -169,12 +170,12 @@
             return True
 
         self._queue.select(accept)
-        for key in obsolete:
+        for key in removed:
             self._queue.discard(key)
         return Outgoing(outgoing.to, message._replace(records=tuple(records)))
 
     def pack(self, records: list[Record], start: int) -> list[Record]:
-        """The records from `start` on that fit into one message."""
+        """The records from index `start` on that fit into one message."""
         remaining, end = self._body_bytes, start
         while end < len(records) and RECORD_BYTES[type(records[end])] <= remaining:
             remaining -= RECORD_BYTES[type(records[end])]
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -1,4 +1,7 @@
-"""One node's verdict on each server, from the observations of other nodes."""
+"""Assesses the health of servers from the observations of other nodes.
+
+The result for a server, its verdict, is reported to the Balancer of this node.
+"""
 
 from __future__ import annotations
 
@@ -11,30 +14,32 @@
 from loadbalancer.core.gossip.messages import RATIO_UNIT, DrainRecord, Observation
 from loadbalancer.core.gossip.records import RecordStore
 
-MIN_FAILURES = 3  # of all witnesses together, for a server to count as failing
-MIN_FAILURE_WITNESSES = 2  # or fewer in a small fleet; a single witness may itself be cut off
-ISOLATED_WITNESS_SERVERS = 3  # a witness of failures of more than one server in so many ...
-MIN_ISOLATED_WITNESS_SERVERS = 3  # ... and of more than so many servers is not trusted
-MIN_SLOW_RATIO_16THS = 24  # half as slow again as the fleet
-MIN_REJECTIONS = 3  # consecutive rejections, of all witnesses together, for a server to be full
-REPEAT_INTERVAL_NS = 500 * MS  # after which unchanged verdicts are reported again
+MIN_FAILURES = 3  # sum over all observers from which a server counts as failing
+MIN_FAILURE_OBSERVERS = 2  # fewer in a small fleet; a single observer may itself be cut off
+# An observer that sees more than a third of all servers fail (and more than the minimum below) is
+# probably cut off itself, and is not trusted.
+ISOLATED_OBSERVER_DIVISOR = 3
+MIN_ISOLATED_OBSERVER_SERVERS = 3
+MIN_SLOW_RATIO_16THS = 24  # 1.5 times the latency of the fleet
+MIN_REJECTIONS = 3  # sum over all observers from which a server counts as full
+REPEAT_INTERVAL_NS = 500 * MS  # unchanged verdicts are reported again at this interval
 
 
 class Verdict(NamedTuple):
-    """The verdict of other nodes' observations on a server.
+    """The state of a server according to the observations of other nodes.
 
-    `observed_at` is when the latest of them was made, by this node's clock: later answers to this
-    node itself take precedence.
+    `observed_at` is the time of the latest of these observations on the clock of this node.
+    Responses that this node itself got after it take precedence.
     """
 
     kind: ReportedState
-    ratio_16ths: int  # latency relative to the fleet's
+    ratio_16ths: int  # latency of the server relative to all servers, in sixteenths
     observed_at: int
     cold: bool
 
 
 class VerdictChange(NamedTuple):
-    """A verdict to report to the Balancer; `verdict` None retracts the last one."""
+    """A verdict to report to the Balancer; a `verdict` of None retracts the previous one."""
 
     server: int
     verdict: ReportedState | None
@@ -44,7 +49,7 @@
 
 
 class Verdicts:
-    """Assesses the records of servers, and remembers what was reported to the Balancer."""
+    """Computes verdicts from records, and keeps track of those reported to the Balancer."""
 
     def __init__(
         self, records: RecordStore, members: Membership, nodes: int, zones: int, now: int
@@ -52,14 +57,16 @@
         self._records = records
         self._members = members
         self._zones = max(zones, 1)
-        self._min_witnesses = min(MIN_FAILURE_WITNESSES, max(nodes // self._zones - 1, 1))
+        self._min_observers = min(MIN_FAILURE_OBSERVERS, max(nodes // self._zones - 1, 1))
         self._reported: dict[int, ReportedState] = {}  # by server
         self._repeated_at = now
 
     def changes(self, now: int, boots: Mapping[int, int]) -> list[VerdictChange]:
-        """The verdicts on servers whose records have changed; on all each REPEAT_INTERVAL_NS.
+        """The verdicts to report now.
 
-        `boots`: the start of each server on this node's own list.
+        These are the verdicts on servers whose records have changed, and every REPEAT_INTERVAL_NS
+        the verdicts on all servers. `boots` has the start time of each server in the list of this
+        node.
         """
         servers = self._records.changed
         if now - self._repeated_at >= REPEAT_INTERVAL_NS:
@@ -68,7 +75,7 @@
         if not servers:
             return []
         self._records.changed = set()
-        trusted = self._members.trusted(now) - self.isolated_witnesses(len(boots))
+        trusted = self._members.trusted(now) - self.isolated_observers(len(boots))
         changes = []
         for server in servers:
             boot = boots.get(server)
@@ -86,25 +93,25 @@
                 changes.append(VerdictChange(server, None, 1.0, now, cold=False))
         return changes
 
-    def isolated_witnesses(self, servers: int) -> set[int]:
-        """Witnesses that see so many servers fail that the fault may be their own."""
+    def isolated_observers(self, servers: int) -> set[int]:
+        """Observers that see so many servers fail that the fault is probably their own."""
         failing: Counter[int] = Counter()
         for server in self._records.servers():
             for record, _ in self._records.observations(server):
                 failing[record.origin] += record.failures > 0
-        limit = max(MIN_ISOLATED_WITNESS_SERVERS, servers // ISOLATED_WITNESS_SERVERS)
-        return {witness for witness, count in failing.items() if count > limit}
+        limit = max(MIN_ISOLATED_OBSERVER_SERVERS, servers // ISOLATED_OBSERVER_DIVISOR)
+        return {observer for observer, count in failing.items() if count > limit}
 
     def assess(self, server: int, boot: int, trusted: set[int]) -> Verdict | None:
-        """The verdict on this start of a server by the trusted members; None for no verdict.
+        """The verdict on this start of a server; None if the observations do not suffice for one.
 
-        Evidence from one zone counts in that zone alone: a server that can't be reached from
-        there need not have failed.
+        Only observations of `trusted` members in this node's zone count: a server that is
+        unreachable from another zone may be reachable from this one.
         """
         observations = [
             (record, written_at)
             for record, written_at in self._records.observations(server)
-            if record.boot == boot and self._counts(record.origin, trusted)
+            if record.boot == boot and self._is_trusted_observer(record.origin, trusted)
         ]
         if not observations:
             return None
@@ -112,7 +119,7 @@
         records = [record for record, _ in observations]
         failing = [record for record in records if record.failures]
         if sum(record.failures for record in failing) >= MIN_FAILURES:
-            confirmed = len(failing) >= self._min_witnesses
+            confirmed = len(failing) >= self._min_observers
             kind = ReportedState.SILENT if confirmed else ReportedState.DOUBTED
             return Verdict(kind, 0, observed_at, any(record.cold for record in failing))
         if sum(record.rejections for record in records) >= MIN_REJECTIONS:
@@ -122,13 +129,13 @@
             return Verdict(ReportedState.SLOW, ratios[len(ratios) // 2], observed_at, cold=False)
         return None
 
-    def _counts(self, witness: int, trusted: set[int]) -> bool:
-        """Whether a witness is another trusted member of this node's zone."""
+    def _is_trusted_observer(self, observer: int, trusted: set[int]) -> bool:
+        """Whether an observer is another node of this zone, and trusted."""
         me = self._members.me
-        return witness != me and witness in trusted and witness % self._zones == me % self._zones
+        return observer != me and observer in trusted and observer % self._zones == me % self._zones
 
     def report(self, now: int) -> list[list[object]]:
-        """Every record, for operators: server, from whom, age in ms, contents, verdict."""
+        """All records, for operators. Rows of server, writer, age in ms, contents and verdict."""
         rows: list[list[object]] = []
         for server in sorted(self._records.servers()):
             reported = self._reported.get(server)
@@ -141,7 +148,7 @@
 
 
 def _description(record: DrainRecord | Observation) -> tuple[int | str, str]:
-    """A record's writer and contents, in the operators' terms."""
+    """The writer and contents of a record, as they are shown to operators."""
     if isinstance(record, DrainRecord):
         return "list", f"{State(record.state).name.lower()} by list {record.rev}"
     ratio = record.ratio_16ths / RATIO_UNIT
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -14,7 +14,7 @@
     Observation,
     Outgoing,
 )
-from loadbalancer.core.gossip.own_observations import results_of
+from loadbalancer.core.gossip.own_observations import publishable_results
 from simulation.gossip_world import GossipWorld
 
 
@@ -118,7 +118,7 @@
 
 def test_a_node_paused_for_a_minute_restores_no_old_records() -> None:
     world = settled(9)
-    world.nodes[4].observe(world.clock(4), 5, results_of(3, True, 0, 1.0), world.clock(4))
+    world.nodes[4].observe(world.clock(4), 5, publishable_results(3, True, 0, 1.0), world.clock(4))
     world.pause(4)
     world.run(world.now + 20 * SECOND)
     assert dead_views(world) == {4}
@@ -139,7 +139,7 @@
     world = settled(9)
     drain(world, 0, 2, 7)
     world.run(world.now + SECOND)
-    world.nodes[3].observe(world.clock(3), 5, results_of(3, True, 0, 1.0), world.clock(3))
+    world.nodes[3].observe(world.clock(3), 5, publishable_results(3, True, 0, 1.0), world.clock(3))
     world.run(world.now + SECOND)
     for node in (2, 3, 6):
         world.clock_offsets[node] += 60 * SECOND
@@ -220,9 +220,9 @@
 
 def test_a_server_that_two_witnesses_see_fail_gets_a_verdict_and_a_retraction() -> None:
     world = settled(21)
-    for witness in (2, 3):
-        world.nodes[witness].observe(
-            world.clock(witness), 6, results_of(2, False, 0, 1.0), world.clock(witness)
+    for observer in (2, 3):
+        world.nodes[observer].observe(
+            world.clock(observer), 6, publishable_results(2, False, 0, 1.0), world.clock(observer)
         )
     verdicts: dict[int, ReportedState | None] = {}
 
@@ -233,9 +233,9 @@
         return len(verdicts) >= 19 and set(verdicts.values()) == {ReportedState.SILENT}
 
     assert world.run(world.now + SECOND, collect)
-    for witness in (2, 3):
-        world.nodes[witness].observe(
-            world.clock(witness), 6, results_of(0, False, 0, 1.0), world.clock(witness)
+    for observer in (2, 3):
+        world.nodes[observer].observe(
+            world.clock(observer), 6, publishable_results(0, False, 0, 1.0), world.clock(observer)
         )
 
     def retracted() -> bool:
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.membership import NAME_CONFLICT_NS
+from loadbalancer.core.gossip.membership import DUPLICATE_NODE_DISTRUST_NS
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
     MemberRecord,
@@ -14,7 +14,7 @@
     Record,
     is_valid,
 )
-from loadbalancer.core.gossip.own_observations import results_of
+from loadbalancer.core.gossip.own_observations import publishable_results
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS
 from tests.core.gossip.builders import DRAINING, observation
@@ -50,7 +50,7 @@
         node.receive(i, Message(MessageKind.GOSSIP, 1, 10, records=()))
     assert 1 not in node.members.trusted(10)
     node.lease_exchange.grantable = 8
-    node.leases.activate(0)
+    node.leases.start_grace_period(0)
     node.leases.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
     assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 1, 20, 5))[0].message.subject == 0
     assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
@@ -59,7 +59,7 @@
     )  # an answer can't repeat its serial
     assert node.receive(11, too_long) == []
     assert not node.verdict_changes(10)
-    assert 1 in node.members.trusted(10 + NAME_CONFLICT_NS)
+    assert 1 in node.members.trusted(10 + DUPLICATE_NODE_DISTRUST_NS)
     assert node.counters["old"] == 4
 
 
@@ -74,7 +74,7 @@
     node.anti_entropy._catch_up_peers = [1]
     node.receive(1, Message(MessageKind.DONE, 1, 1))
     assert node.caught_up
-    node.observe(2, 9, results_of(3, True, 0, 1.0), 2)
+    node.observe(2, 9, publishable_results(3, True, 0, 1.0), 2)
     node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
     assert node.recover_if_paused(60 * SECOND)
     assert not node.recover_if_paused(60 * SECOND)
@@ -89,7 +89,7 @@
 
 def test_only_its_own_peers_end_a_catch_up_and_none_of_an_earlier_one() -> None:
     """A node catches up, is stopped, and catches up again. A DONE that was under way, or of a node
-    that it has not asked, would let it pass on records as they were before.
+    that it has not requested, would let it pass on records as they were before.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
     first = {o.to for o in node.tick(0) if o.message.kind == MessageKind.DIGEST}
@@ -100,8 +100,8 @@
     for peer in first:
         node.receive(60 * SECOND, Message(MessageKind.DONE, peer, 1))
     assert not node.caught_up
-    asked = {o.to for o in node.tick(60 * SECOND) if o.message.kind == MessageKind.DIGEST}
-    node.receive(60 * SECOND, Message(MessageKind.DONE, asked.pop(), 1))
+    requested = {o.to for o in node.tick(60 * SECOND) if o.message.kind == MessageKind.DIGEST}
+    node.receive(60 * SECOND, Message(MessageKind.DONE, requested.pop(), 1))
     assert node.caught_up
 
 
@@ -120,7 +120,7 @@
 def test_leases_of_a_grantor_that_died_are_not_used() -> None:
     """Other nodes go past a dead node's slots at once: its leases must end with it, not in time."""
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
-    for grantor, serial in node.leases.requests(0, [1, 2], more=True):
+    for grantor, serial in node.leases.requests(0, [1, 2], wants_more=True):
         node.leases.on_grant(0, grantor, serial, 7)
     assert {grantor for grantor, _ in node.lease_exchange.usable(1)} == {1, 2}
     node.members.merge(1, 2, MemberRecord(1, 0, MemberStatus.DEAD))
--- a/tests/core/gossip/test_slot_allocation.py
+++ b/tests/core/gossip/test_slot_allocation.py
@@ -23,15 +23,15 @@
     deepened = False
     for rank, limit in product(range(nodes), range(1, 12)):
         total = 0
-        for place in range(nodes):
-            deal = (place - rank) % nodes
+        for zone_index in range(nodes):
+            first_slot = (zone_index - rank) % nodes
             caps = []
             for view in product((False, True), repeat=nodes):
-                slots = SlotAllocation(place, nodes, server_slots, view.__getitem__)
+                slots = SlotAllocation(zone_index, nodes, server_slots, view.__getitem__)
                 slots.refresh()
-                depth = slots.depth(deal, limit, 100)
+                depth = slots.depth(first_slot, limit, 100)
                 deepened = deepened or depth > limit
-                caps.append(max(-(-(depth - deal) // nodes), 0))
+                caps.append(max(-(-(depth - first_slot) // nodes), 0))
             total += max(caps)
         assert total <= max(server_slots, limit)  # beyond it no more than without gossip
     assert deepened
@@ -40,12 +40,12 @@
 def test_alive_nodes_use_the_slots_of_dead_ones() -> None:
     for rank in range(10):
         owned = 0
-        for place in (2, 5, 7):
-            slots = SlotAllocation(place, 10, 15, lambda p: p in (2, 5, 7))
+        for zone_index in (2, 5, 7):
+            slots = SlotAllocation(zone_index, 10, 15, lambda p: p in (2, 5, 7))
             slots.refresh()
-            deal = (place - rank) % 10
-            depth = slots.depth(deal, 4, 24)
-            owned += max(-(-(depth - deal) // 10), 0)
+            first_slot = (zone_index - rank) % 10
+            depth = slots.depth(first_slot, 4, 24)
+            owned += max(-(-(depth - first_slot) // 10), 0)
         assert owned == 4  # as many as the limit asks for
     few = SlotAllocation(2, 10, 15, lambda p: p in (2, 5, 7))
     few.refresh()
--- a/tests/core/gossip/test_slot_leases.py
+++ b/tests/core/gossip/test_slot_leases.py
@@ -17,15 +17,15 @@
 class LeasingNode:
     """A node with leases and slots; its caps are as of its last turn, up to the margin ago."""
 
-    def __init__(self, place: int, skew: int, seed: int) -> None:
-        self.place, self.skew, self.starts, self.seed = place, skew, 0, seed
+    def __init__(self, zone_index: int, skew: int, seed: int) -> None:
+        self.zone_index, self.skew, self.starts, self.seed = zone_index, skew, 0, seed
         self.start(0)
 
     def start(self, now: int) -> None:
         self.starts += 1
         self.leases = SlotLeases(self.seed + 7 * self.starts)
-        self.leases.activate(now + self.skew)
-        self.slots = SlotAllocation(self.place, 4, 5, lambda _p: True)
+        self.leases.start_grace_period(now + self.skew)
+        self.slots = SlotAllocation(self.zone_index, 4, 5, lambda _p: True)
         self.turn(now)
 
     def turn(self, now: int) -> None:
@@ -33,10 +33,10 @@
         self.leases.expire(now + self.skew)
         self.slots.granted_groups = self.leases.granted_groups()
         usable = self.leases.usable(now + self.skew)
-        self.slots.leases = [LeasedSlots(place, groups) for place, groups in usable]
+        self.slots.leases = [LeasedSlots(zone_index, groups) for zone_index, groups in usable]
 
     def cap(self, server: int) -> int:
-        return self.slots.cap(server, (self.place - server) % 4, 20, 9)
+        return self.slots.cap(server, (self.zone_index - server) % 4, 20, 9)
 
 
 def test_no_slot_is_used_by_two_nodes_whatever_happens_to_messages() -> None:
@@ -55,15 +55,15 @@
     a server would get more than it has.
     """
     leases = SlotLeases(1)
-    leases.activate(0)
+    leases.start_grace_period(0)
     began = LEASE_TTL_NS + SAFETY_MARGIN_NS
     leases.expire(began)
     assert leases.granted_groups() == 0
-    ((_, serial),) = leases.requests(began, [3], more=True)
-    leases.restrain()
+    ((_, serial),) = leases.requests(began, [3], wants_more=True)
+    leases.reset_grace_period()
     leases.on_grant(began, 3, serial, 1)  # in answer to what was requested before
     assert leases.usable(began) == []
-    leases.activate(2 * began)
+    leases.start_grace_period(2 * began)
     leases.expire(3 * began - 1)
     assert leases.granted_groups() == ALL_SERVER_GROUPS
     assert leases.grant(3 * began - 1, 2, grantable=8) == 0
@@ -74,7 +74,9 @@
 def max_used_by_one_node(seed: int) -> int:
     """Run four nodes with random faults; the most slots that one of them had at a server."""
     draw = Random(seed)
-    nodes = [LeasingNode(place, draw.randrange(10 * SECOND), place) for place in range(4)]
+    nodes = [
+        LeasingNode(zone_index, draw.randrange(10 * SECOND), zone_index) for zone_index in range(4)
+    ]
     requests: list[tuple[int, int, int]] = []
     grants: list[tuple[int, int, int, int]] = []
     now = max_cap = 0
@@ -83,9 +85,9 @@
         node = draw.choice(nodes)
         event = draw.random()
         if event < 0.35:
-            others = [n.place for n in nodes if n is not node]
+            others = [n.zone_index for n in nodes if n is not node]
             for grantor, serial in node.leases.requests(now + node.skew, others, True):
-                requests.append((node.place, grantor, serial))
+                requests.append((node.zone_index, grantor, serial))
         elif event < 0.65 and requests:
             holder, grantor, serial = draw.choice(requests[-draw.choice((2, 30)) :])
             groups = nodes[grantor].leases.grant(
@@ -111,12 +113,12 @@
 
 def test_a_grantor_keeps_what_it_needs_and_a_holder_counts_from_its_request() -> None:
     slots = SlotAllocation(0, 4, 8, lambda _p: True)
-    deals = [(server % 4, 8) for server in range(16)]  # two slots at each, one may be leased
-    needs = (0, 16, 20, 31.9, 32.5)
-    grantable = [slots.grantable_groups(deals, 16, need, 32) for need in needs]
+    depths = [(server % 4, 8) for server in range(16)]  # two slots at each, one may be leased
+    needed = (0, 16, 20, 31.9, 32.5)
+    grantable = [slots.grantable_groups(depths, 16, need, 32) for need in needed]
     assert grantable == [8, 8, 6, 0, 0]
     grantor, holder = SlotLeases(1), SlotLeases(2)
-    grantor.activate(0)
+    grantor.start_grace_period(0)
     assert grantor.grant(LEASE_TTL_NS, 1, 8) == 0  # an earlier start may have granted its slots
     assert grantor.granted_groups() == 255
     grantor.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
--- a/tests/gossip_transport/test_codec.py
+++ b/tests/gossip_transport/test_codec.py
@@ -13,7 +13,7 @@
     Observation,
     Record,
 )
-from loadbalancer.core.gossip.update_sender import DIGEST_BYTES, MESSAGE_HEAD_BYTES, RECORD_BYTES
+from loadbalancer.core.gossip.update_sender import DIGEST_BYTES, MESSAGE_HEADER_BYTES, RECORD_BYTES
 from loadbalancer.gossip_transport.codec import BadMessageError, decode, encode
 from tests.core.gossip.builders import observation
 
@@ -26,7 +26,7 @@
         Observation(big, 1 << 47, 999, (1 << 48) - 1, 1 << 30, 15, 1, 15, 160, 15 * SECOND),
     ]
     bare = len(encode(Message(MessageKind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
-    assert bare <= MESSAGE_HEAD_BYTES
+    assert bare <= MESSAGE_HEADER_BYTES
     for record in longest:
         message = Message(MessageKind.GOSSIP, 999, (1 << 48) - 1, 1 << 30, 999, (), (record,))
         data = encode(message, 65535)
@@ -35,7 +35,7 @@
     digest = encode(
         Message(MessageKind.DIGEST, 999, (1 << 48) - 1, 1, 999, (0xFFFFFFFF,) * 9), 65535
     )
-    assert len(digest) <= MESSAGE_HEAD_BYTES + DIGEST_BYTES
+    assert len(digest) <= MESSAGE_HEADER_BYTES + DIGEST_BYTES
 
 
 def test_each_kind_of_malformed_datagram_has_its_own_cause() -> None:
