--- a/loadbalancer/gossip_transport/__init__.py
+++ b/loadbalancer/gossip_transport/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip between nodes as datagrams: codec, socket and rates (see `loadbalancer.core.gossip`)."""
+"""Sends and receives gossip as UDP datagrams (the protocol is in `loadbalancer.core.gossip`)."""
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -1,14 +1,15 @@
-"""A gossip message as one datagram: a checksum, the version, the fleet, and MessagePack.
-
-    0  4 bytes  CRC-32 of all that follows
-    4  1 byte   version
-    5  2 bytes  the fleet, of its name's CRC
-    7  ...      MessagePack: [kind, origin, incarnation, serial, subject, [digest], [record...]],
-                in a piece of the list its bytes behind them
-
-A record is an array that begins with its kind (RECORD_NUMBERS); ages are in milliseconds. A
-reader skips what it does not know: a kind of message or of record, and further fields behind
-those it knows.
+"""Encodes a gossip message as one datagram, and decodes it.
+
+    offset  size     contents
+    0       4 bytes  CRC-32 of all that follows
+    4       1 byte   version
+    5       2 bytes  number of the fleet (`fleet_number`)
+    7       ...      MessagePack: [kind, origin, incarnation, serial, subject, [digest],
+                     [record...]], followed by the body if the message is a PIECE
+
+A record is an array that starts with its type (RECORD_TYPE_CODES); ages are in milliseconds. For
+compatibility with later versions, a decoder ignores messages of an unknown kind, records of an
+unknown type, and additional fields at the end.
 """
 
 from __future__ import annotations
@@ -33,66 +34,66 @@
 
 VERSION = 1
 CHECKSUM = struct.Struct(">I")
-HEAD = struct.Struct(">BH")  # version, fleet
-BODY_AT = CHECKSUM.size + HEAD.size
-RECORD_NUMBERS: dict[type[Record], int] = {
+HEADER = struct.Struct(">BH")  # version, fleet
+BODY_OFFSET = CHECKSUM.size + HEADER.size
+RECORD_TYPE_CODES: dict[type[Record], int] = {
     MemberRecord: 0,
     DrainRecord: 1,
     Observation: 2,
     ReaderRecord: 3,
 }
-RECORD_TYPES = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
-MESSAGE_FIELDS = 7  # of every message; a piece has its bytes as one more
+RECORD_TYPES_BY_CODE = {number: record_type for record_type, number in RECORD_TYPE_CODES.items()}
+MESSAGE_FIELDS = 7  # number of fields in every message; a PIECE has its body in addition
 KNOWN_KINDS = {int(kind) for kind in MessageKind}
 
 
 class BadMessageError(ProtocolError, ValueError):
-    """A datagram that is no message of this fleet; the text is the counter it adds to."""
+    """A datagram that is not a valid message of this fleet; the text is the counter to increase."""
 
 
 def fleet_number(name: str) -> int:
-    """The number of a fleet on the wire."""
+    """The number that identifies a fleet on the wire, from a checksum of its name."""
     return crc32(name.encode()) & 0xFFFF
 
 
 def encode(message: Message, fleet: int) -> bytes:
-    """The datagram of a message, for the fleet of this number."""
+    """Encode a message for the fleet with this number."""
     records = [_encode_record(record) for record in message.records]
     fields = [int(message.kind), *message[1:5], list(message.digest), records]
     if message.body:
         fields.append(message.body)
     packed: bytes = msgpack.packb(fields)
-    body = HEAD.pack(VERSION, fleet) + packed
+    body = HEADER.pack(VERSION, fleet) + packed
     return CHECKSUM.pack(crc32(body)) + body
 
 
 def _encode_record(record: Record) -> list[int]:
-    row = [RECORD_NUMBERS[type(record)], *map(int, record)]
+    row = [RECORD_TYPE_CODES[type(record)], *map(int, record)]
     if not isinstance(record, MemberRecord):
         row[-1] //= MS
     return row
 
 
 def decode(data: bytes, fleet: int) -> Message | None:
-    """The message of a datagram; None where its kind is not known here.
+    """Decode a datagram; returns None if its kind is unknown.
 
     Raises:
-        BadMessageError: on anything else, with the counter's name.
+        BadMessageError: if the datagram is invalid; the text is the name of a counter.
     """
-    _check_head(data, fleet)
+    _check_header(data, fleet)
     try:
-        return _decode_body(msgpack.unpackb(data[BODY_AT:]))
+        return _decode_body(msgpack.unpackb(data[BODY_OFFSET:]))
     except (ValueError, TypeError, msgpack.UnpackException) as err:
         raise BadMessageError("unsound") from err
 
 
-def _check_head(data: bytes, fleet: int) -> None:
-    if len(data) < BODY_AT:
+def _check_header(data: bytes, fleet: int) -> None:
+    if len(data) < BODY_OFFSET:
         raise BadMessageError("short")
     (checksum,) = CHECKSUM.unpack_from(data)
     if crc32(data[CHECKSUM.size :]) != checksum:
         raise BadMessageError("broken")
-    version, sender_fleet = HEAD.unpack_from(data, CHECKSUM.size)
+    version, sender_fleet = HEADER.unpack_from(data, CHECKSUM.size)
     if version != VERSION:
         raise BadMessageError("another version")
     if sender_fleet != fleet:
@@ -116,11 +117,11 @@
 
 
 def _decode_record(row: Any) -> Record | None:
-    """One record; None where its kind is not known here."""
+    """Decode one record; returns None if its type is unknown."""
     if not isinstance(row, list) or not row:
         raise BadMessageError("unsound")
     _check_integers(row)
-    record_type = RECORD_TYPES.get(row[0])
+    record_type = RECORD_TYPES_BY_CODE.get(row[0])
     if record_type is None:
         return None
     count = len(record_type._fields)
--- a/loadbalancer/gossip_transport/datagram_filter.py
+++ b/loadbalancer/gossip_transport/datagram_filter.py
@@ -1,7 +1,7 @@
-"""Which datagrams are decoded and passed on: by their source address, and within rates.
+"""Decides which datagrams are decoded, by source address and rate.
 
-Bounds what a flood of datagrams costs: a node that sends too many, or a stranger, takes no more
-time than a look-up and a token.
+This limits the cost of a flood: a datagram from an unknown address, or above the rate limits, costs
+a dict look-up and a token bucket operation at most.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.gossip_transport.codec import BadMessageError, decode
 
-MAX_DATAGRAMS_PER_NODE = 300  # a second of one node: CATCH_UP_MESSAGES and pieces of the list fit
-MAX_DATAGRAMS = 1500  # a second decoded in all
+MAX_DATAGRAMS_PER_NODE = 300  # per second; above CATCH_UP_MESSAGES, and above PIECES_PER_S
+MAX_DATAGRAMS = 1500  # per second, from all nodes together
 
 
 class Sender(NamedTuple):
-    """A node's number, and how many of its datagrams are decoded."""
+    """A node number, and the rate limit for its datagrams."""
 
     node: int
     rate: TokenBucket
 
 
 class DatagramFilter:
-    """Accepts the messages of the fleet's nodes; the others add to a counter each."""
+    """Accepts messages from the nodes of the fleet, and counts other datagrams by cause."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         counters: Counter[str],
         now: int,
     ) -> None:
-        """Accept from the `addresses`, by node number, of the nodes other than `me`."""
+        """Accept datagrams from `addresses` (by node number), except that of node `me`."""
         self._fleet = fleet
         self._counters = counters
         self._total = TokenBucket(MAX_DATAGRAMS, MAX_DATAGRAMS, now)
@@ -47,7 +47,7 @@
                 self._senders[address] = Sender(node, rate)
 
     def accept(self, now: int, data: bytes, source: tuple[str, int]) -> Message | None:
-        """The message of a datagram; None, counted by the cause, for one to ignore."""
+        """Decode a datagram; returns None and counts the cause if it is to be ignored."""
         sender = self._senders.get(source)
         if sender is None:
             self._counters["unlisted"] += 1
@@ -64,7 +64,7 @@
             self._counters["unknown kind"] += 1
             return None
         if message.origin != sender.node:
-            # It uses another node's number, or has a list of nodes in another order.
+            # The sender uses the number of another node, or its list of nodes has another order.
             self._counters["misnamed"] += 1
             return None
         self._counters["heard"] += 1
--- a/loadbalancer/gossip_transport/fleet_file.py
+++ b/loadbalancer/gossip_transport/fleet_file.py
@@ -1,6 +1,6 @@
-"""Reads deploy/fleet.toml. The file's words are mapped to this program's terms here alone.
+"""Reads deploy/fleet.toml.
 
-| key      | field of `FleetFile` | old key, still read |
+| key      | field of `FleetFile` | deprecated key      |
 |----------|----------------------|---------------------|
 | tier     | name                 |                     |
 | datagram | datagram             |                     |
@@ -23,27 +23,27 @@
 from loadbalancer.errors import SourceError
 from loadbalancer.gossip_transport.settings import FleetFile
 
-NUMBERS = {  # key and field: minimum, maximum
+NUMBER_RANGES = {  # key, which is also the field's name: minimum, maximum
     "datagram": (128, 1400),
     "messages": (5, 1000),
     "slots": (1, 10_000),
     "readers": (0, 16),
 }
-OLD_KEYS = {"words": "messages", "seats": "slots"}
-KEYS = ("version", "tier", *NUMBERS)
+OLD_KEYS = {"words": "messages", "seats": "slots"}  # deprecated keys, which are still read
+KEYS = ("version", "tier", *NUMBER_RANGES)
 
 logger = logging.getLogger(__name__)
 
 
 class FleetError(SourceError):
-    """A fleet file that can't be used; one fault a line."""
+    """A fleet file that can't be used. The message has one fault per line."""
 
 
 def read_fleet(path: str) -> FleetFile:
-    """Read and decode the file; old keys are named in one warning in the log.
+    """Read and decode the file. One warning in the log names all deprecated keys.
 
     Raises:
-        FleetError: with every fault and its line.
+        FleetError: if the file has faults; the message has all of them with their lines.
     """
 
     def decode_and_warn(
@@ -58,7 +58,7 @@
 
 
 def warnings(raw: dict[str, Any], lines: Mapping[Key, int]) -> list[Fault]:
-    """The old keys in a file: each is read, and named with its new one."""
+    """One warning for each deprecated key in a file, with the key that replaces it."""
     return [
         Fault(lines.get((old,), 1), "old-key", f"{old} is an old key", f"write {new}")
         for old, new in OLD_KEYS.items()
@@ -69,28 +69,31 @@
 def decode(
     raw: dict[str, Any], lines: Mapping[Key, int], folder: Path = Path()
 ) -> tuple[FleetFile | None, list[Fault]]:
-    """The decoded file, or None and its faults in the file's order."""
+    """The decoded file and no faults, or None and its faults in the order of the file."""
     top = section.top_of(raw, lines, folder, (*KEYS, *OLD_KEYS))
     defaults = FleetFile()
     name = top.text("tier", defaults.name)
-    numbers = {field: _number(top, field, getattr(defaults, field)) for field in NUMBERS}
+    numbers = {field: _number(top, field, getattr(defaults, field)) for field in NUMBER_RANGES}
     if top.faults:
         return None, sorted(top.faults)
     return FleetFile(name, **numbers), []
 
 
 def _number(top: Section, field: str, default: int) -> int:
-    """A number of the file, under its key or its old one; a fault is at the key in use."""
+    """The number under a key or its deprecated key; a fault refers to the key in the file."""
     old = next((key for key, new in OLD_KEYS.items() if new == field and key in top.raw), None)
     if old is not None and field in top.raw:
         top.fault(old, "twice", f"{old} is the old key of {field}", f"write {field} alone")
         return default
     key = old or field
-    minimum, maximum = NUMBERS[field]
+    minimum, maximum = NUMBER_RANGES[field]
     value = top.raw.get(key, default)
     if type(value) is int and minimum <= value <= maximum:
         return value
     top.fault(
-        key, "bad-value", f"{key} is no whole number", f"write one from {minimum} to {maximum}"
+        key,
+        "bad-value",
+        f"{key} is not an integer in range",
+        f"write one from {minimum} to {maximum}",
     )
     return default
--- a/loadbalancer/gossip_transport/settings.py
+++ b/loadbalancer/gossip_transport/settings.py
@@ -1,4 +1,4 @@
-"""The contents of deploy/fleet.toml, and the platform's values where there is no such file."""
+"""The contents of deploy/fleet.toml. The defaults apply if there is no such file."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetFile:
-    """The fleet's terms.
+    """The settings that all nodes of a fleet share.
 
     Attributes:
-        name: of the fleet; nodes ignore the messages of another fleet.
-        datagram: bytes of a message at most.
-        messages: of one node, a second.
-        slots: concurrent requests of one server, from all nodes together.
-        readers: nodes that read the list for all, 0 where each reads for itself.
+        name: of the fleet; nodes ignore messages of other fleets.
+        datagram: maximum size of a message in bytes.
+        messages: messages per second that one node may send on average.
+        slots: concurrent requests to one server, from all nodes together.
+        readers: number of nodes that poll the list service for all; 0 if every node polls it.
     """
 
     name: str = "nodes"
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -1,4 +1,4 @@
-"""The list that a few nodes read for all: between discovery and this node's gossip."""
+"""Connects discovery with the shared list, which a few nodes read for all through gossip."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 logger = logging.getLogger(__name__)
 
-REMOVED = "left"  # discovery's state of a server that is no longer listed
+REMOVED = "left"  # state of a server that is no longer listed, in responses of discovery
 
 
 class Host(Protocol):
-    """What the sharing asks of the node's host."""
+    """What `ListSharing` uses of its host."""
 
     @property
     def discovery(self) -> Discovery | ConsulMembers:
-        """Where the list of servers comes from."""
+        """The source of the endpoint list."""
 
 
 def rows_from_answer(answer: dict[str, Any]) -> dict[str, str | None]:
-    """The rows of an answer of discovery as text by id, None for a removed server."""
+    """The rows of a discovery response as JSON text by uid; None for a removed server."""
     return {
         str(target["uid"]): None
         if target["state"] == REMOVED
@@ -39,7 +39,7 @@
 
 
 def answer_from_update(update: ListUpdate) -> dict[str, Any]:
-    """An update of the shared list as an answer of discovery."""
+    """An update of the shared list in the form of a discovery response."""
     targets = [
         {"uid": uid, "state": REMOVED} if row is None else json.loads(row)
         for uid, row in update.rows.items()
@@ -48,7 +48,7 @@
 
 
 class ListSharing:
-    """Has discovery poll only while this node is a reader, and takes what other readers read.
+    """Lets discovery poll only while this node is a list reader, and applies other nodes' reads.
 
     Implements `proxy.ports.ListReaders`.
     """
@@ -60,18 +60,20 @@
         self._shared_list = node.shared_list
         self._discovery = host.discovery
         self._discovery.readers = self
-        self._polls = False  # whether this node was a reader at the last update
-        self._refused = False  # whether the last update could not be used
+        self._polls = False  # whether this node was a list reader at the last `update`
+        self._refused = False  # whether discovery refused the last update of the list
         rows = {uid: row for uid, row in rows_from_answer(known).items() if row is not None}
         if rows:
             self._shared_list.replica.begin(known["rev"], rows)
 
     def update(self, now: int, connected: bool) -> None:
-        """After each turn and message: start or stop polling, and apply what others have read.
+        """Start or stop polling, and apply what other nodes have read.
+
+        To be called after each tick and each message.
 
         Args:
-            now: ns.
-            connected: whether this node takes part in the gossip; otherwise it polls itself.
+            now: present time in ns.
+            connected: whether this node takes part in gossip; otherwise it polls itself.
         """
         shared_list = self._shared_list
         if not connected:
@@ -85,37 +87,37 @@
 
     def _switch_polling(self) -> None:
         if self._polls:
-            logger.info("polls the list service")
+            logger.info("starting to poll the list service")
             self._discovery.watch()
         else:
-            logger.info("stops polling the list service: other nodes poll it")
+            logger.info("stopping to poll the list service: other nodes poll it")
             self._discovery.close()
 
     def _apply(self, update: ListUpdate) -> None:
         if self._refused:
-            # The rows of the refused update are missing: all rows are needed from here on.
+            # Discovery lacks the rows of the refused update, so it needs the whole list.
             update = ListUpdate(update.rev, dict(self._shared_list.replica.rows), complete=True)
         try:
             self._discovery.apply_shared(answer_from_update(update))
             self._refused = False
         except (ListError, ValueError, RecursionError) as err:
             self._refused = True
-            logger.info("the list of another node not used: %s", err)
+            logger.info("endpoint list from another node refused: %s", err)
 
-    # ---- for discovery ------------------------------------------------------------
+    # ---- called by discovery ------------------------------------------------------------
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
         return self._shared_list.polls
 
     def unread(self) -> bool:
-        """Whether the list in hand is from the configuration, and no node has read it."""
+        """Whether the present list is from the configuration, and no node has read a list yet."""
         return not self._shared_list.replica.version.epoch
 
     def read(self, raw: dict[str, Any]) -> None:
-        """The list service has answered this node."""
+        """Process a response of the list service to this node."""
         self._node.on_list_read(time.monotonic_ns(), raw["rev"], rows_from_answer(raw), raw["all"])
 
     def failed(self, older: bool) -> None:
-        """A call of this node failed, or (`older`) answered with an older version."""
+        """Process a failed call of this node, or (`older`) a response with an older version."""
         self._shared_list.on_failure(time.monotonic_ns(), older)
--- a/loadbalancer/gossip_transport/status.py
+++ b/loadbalancer/gossip_transport/status.py
@@ -1,4 +1,4 @@
-"""What `loadbalancer peers` shows of a node: its gossip as JSON, in the words of its keys."""
+"""The gossip status of a node as JSON, which `loadbalancer peers` shows."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 def status(node: GossipNode, counters: Counter[str], now: int) -> str:
-    """The status of a node at `now` (ns), with the transport's counters beside its own.
+    """The status of a node at `now` (ns); `counters` are those of the transport.
 
-    `nodes` has a row for each other member: number, status, incarnation, ms since its last
-    message or null, and whether two processes use its number.
+    The key `nodes` has a row for each other member: node number, status, incarnation, milliseconds
+    since its last message (null if there was none), and whether two processes seem to use its
+    number.
     """
     members = node.members
     rows = []
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -1,7 +1,7 @@
-"""One node's socket to the others: datagrams in and out, and when its gossip takes a turn.
+"""The UDP socket of a node's gossip: sends and receives datagrams, and calls `GossipNode.tick`.
 
-Opened only where the settings allow gossip. What arrives is bounded before it is decoded
-(`datagram_filter.py`), and no request waits for any of it.
+It is open only if the settings allow gossip. Datagrams are rate limited before they are decoded
+(`datagram_filter.py`), and no request waits for them.
 """
 
 from __future__ import annotations
@@ -35,32 +35,32 @@
 
 logger = logging.getLogger(__name__)
 
-DATAGRAMS_PER_EVENT = 32  # read in one event of the loop, so that requests come in between
+DATAGRAMS_PER_EVENT = 32  # datagrams read before other events, such as requests, are processed
 MAX_DATAGRAM_BYTES = 2048
-RECEIVE_BUFFER_BYTES = 64 << 10  # small, so that a paused node finds few old messages
-FAULT_RETRY_NS = 100 * MS  # from a turn that raised to the next one
-BIND_RETRY_S = 0.1  # while another process of this node has the port
+RECEIVE_BUFFER_BYTES = 64 << 10  # small, so that few old messages wait for a paused node
+FAULT_RETRY_NS = 100 * MS  # delay of the next tick after one that raised an exception
+BIND_RETRY_S = 0.1  # delay of the next attempt while another process of this node has the port
 
 
 class Host(Protocol):
-    """What the transport asks of the node's host."""
+    """What the transport uses of its host, the process that embeds the Balancer."""
 
     loop: asyncio.AbstractEventLoop
     balancer: Balancer
 
     @property
     def discovery(self) -> Discovery | ConsulMembers:
-        """Where the list of servers comes from."""
+        """The source of the endpoint list."""
 
     def notify_balancer(self, event: Callable[..., None], *args: Any) -> None:
-        """Run an event of the Balancer, with the time and these arguments."""
+        """Call `event` with the time and these arguments, as an event of the Balancer."""
 
 
 class GossipTransport:
-    """A GossipNode on a UDP socket and an event loop, connected to the host's Balancer."""
+    """Runs a GossipNode on a UDP socket and an event loop, connected to the host's Balancer."""
 
     def __init__(self, host: Host, config: Config) -> None:
-        """Raises FleetError where the configuration names a fleet file that can't be used."""
+        """Raises FleetError if the configuration names a fleet file that can't be used."""
         assert config.peer_listen is not None
         file = _fleet_file(config)
         now = time.monotonic_ns()
@@ -75,16 +75,16 @@
         self.node = GossipNode(_gossip_settings(config, file), config.seed, _incarnation(), now)
         self.bridge = BalancerBridge(self.node, host.balancer)
         self._list_sharing = self._share_list(config)
-        self._caught_up = False  # as last logged
-        self._alive = 0  # as last logged
+        self._caught_up = False  # value that was logged last
+        self._alive = 0  # number of alive nodes that was logged last
         self._sock: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_due = 0
+        self._tick_due = 0
 
     def _share_list(self, config: Config) -> ListSharing | None:
         if self.node.shared_list is None:
             return None
-        # Imported here: a node that reads the list for itself does not pay for the module.
+        # Imported here so that a node without a shared list does not load the module.
         from loadbalancer.gossip_transport.shared_list import ListSharing
 
         return ListSharing(self._host, self.node, config.known)
@@ -92,7 +92,7 @@
     # ---- socket -----------------------------------------------------------
 
     def open(self) -> None:
-        """Take part from now on, or as soon as no other process of this node does any more."""
+        """Open the socket, or retry until no other process of this node has the port."""
         family = socket.AF_INET6 if ":" in self._listen.host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         sock.setblocking(False)
@@ -101,35 +101,41 @@
             sock.bind(self._listen)
         except OSError as err:
             sock.close()
-            self._retry_open(err)
+            self._open_later(err)
             return
         self._sock = sock
-        self._host.loop.add_reader(sock, self._read)
+        self._host.loop.add_reader(sock, self._on_readable)
         logger.info("gossip between %d nodes at %s", len(self._addresses), self._listen)
-        self._turn()
+        self._run_tick()
 
     def reopen(self) -> None:
-        """Take part again after `close`: the process that took part for this node has ended.
+        """Take part again after `close`, because the process that replaced this one has ended.
 
-        Failure: the successor of an upgrade crashes and this process serves on, without a
-        socket. The others take the node for dead, and it learns nothing from them.
+        This happens if the successor of an upgrade crashes and this process continues to serve.
+        Without a socket, the other nodes would consider this node dead, and it would receive
+        nothing from them.
         """
         if self._sock is None and self._timer is None:
             self.node.rejoin(time.monotonic_ns(), _incarnation())
             self.open()
 
-    def _retry_open(self, err: OSError) -> None:
+    def _open_later(self, err: OSError) -> None:
         if not self.counters["port taken"]:
-            logger.info("gossip between nodes: %s: %s; waiting", self._listen, err.strerror)
+            logger.info(
+                "gossip between nodes: can't bind %s: %s; retrying", self._listen, err.strerror
+            )
         self.counters["port taken"] += 1
-        # Where the port is never free this node must come to serve as one without gossip.
-        # Failure: a fault there, before the timer is set, and the port is never tried again: this
-        # node takes no part in gossip until a restart. It is logged, and the timer set.
+        # If the port never becomes free, this node must serve as one without gossip. An exception
+        # here is logged: otherwise the timer would not be set, the port never be tried again, and
+        # this node would take no part in gossip until a restart.
         run_logged(self._update_host, time.monotonic_ns())
         self._timer = self._host.loop.call_later(BIND_RETRY_S, self.open)
 
     def close(self, leaving: bool) -> None:
-        """Send no more; `leaving` announces that no other process of this node takes part."""
+        """Close the socket.
+
+        If `leaving`, first notify other nodes that no process of this node takes part any more.
+        """
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -145,7 +151,7 @@
             self._host.notify_balancer(self.bridge.apply, update)
 
     def _discard_after_pause(self, now: int) -> None:
-        """After a pause of this process, discard what waited in the socket: its age is unknown."""
+        """After a pause of this process, discard datagrams in the socket: their age is unknown."""
         if self._sock is None or not self.node.recover_if_paused(now):
             return
         with contextlib.suppress(OSError):
@@ -153,7 +159,7 @@
                 self._sock.recv(1)
                 self.counters["waited too long"] += 1
 
-    def _read(self) -> None:
+    def _on_readable(self) -> None:
         now = time.monotonic_ns()
         self._discard_after_pause(now)
         for _ in range(DATAGRAMS_PER_EVENT):
@@ -164,7 +170,7 @@
             except BlockingIOError:
                 break
             except OSError:
-                continue  # an earlier message was refused: its node does not listen, no more
+                continue  # an ICMP error for a datagram sent before: that node does not listen
             message = self._filter.accept(now, data, source[:2])
             if message is not None:
                 self._send(self.node.receive(now, message))
@@ -177,26 +183,26 @@
             data = encode(message, self._fleet)
             self.counters["sent"] += 1
             self.counters["bytes sent"] += len(data)
-            # Lost like any other message: a full buffer, or no route.
+            # With a full buffer or without a route the message is lost, as it may be on the way.
             with contextlib.suppress(OSError):
                 self._sock.sendto(data, self._addresses[to])
 
-    # ---- turns ---------------------------------------------------------------
+    # ---- ticks ---------------------------------------------------------------
 
-    def _turn(self) -> None:
-        """Take a turn, and arm the next one.
+    def _run_tick(self) -> None:
+        """Run a tick, and make sure that the next one is scheduled.
 
-        Failure: a turn raises before it has armed the next one, and none comes any more: this
-        node neither probes nor tells the others anything, and they take it for dead. After a
-        fault the next turn comes a while later, as the time of the regular one may be over.
+        If a tick raises before it has scheduled the next one, that must not be the last: this node
+        would send neither probes nor updates, and the others would consider it dead. The next tick
+        then follows after FAULT_RETRY_NS, because its regular time may have passed already.
         """
         self._timer = None
-        if run_logged(self._take_turn) or self._sock is None or self._timer is not None:
+        if run_logged(self._tick) or self._sock is None or self._timer is not None:
             return
-        self._timer_due = time.monotonic_ns() + FAULT_RETRY_NS
-        self._timer = self._host.loop.call_later(FAULT_RETRY_NS / SECOND, self._turn)
+        self._tick_due = time.monotonic_ns() + FAULT_RETRY_NS
+        self._timer = self._host.loop.call_later(FAULT_RETRY_NS / SECOND, self._run_tick)
 
-    def _take_turn(self) -> None:
+    def _tick(self) -> None:
         now = time.monotonic_ns()
         self._discard_after_pause(now)
         self.bridge.report(now)
@@ -204,7 +210,7 @@
         self._update_host(now)
 
     def _update_host(self, now: int) -> None:
-        """Pass what has changed on to the Balancer and the list, and arm the next turn."""
+        """Pass changes to the Balancer and to the shared list, and schedule the next tick."""
         node = self.node
         update = self.bridge.collect(now)
         if update is not None:
@@ -218,45 +224,45 @@
             self._caught_up = node.caught_up
             if node.caught_up:
                 logger.info("caught up in %d ms", node.counters["catch_up_ms"])
-        self._arm(now)
+        self._schedule_tick(now)
 
-    def _arm(self, now: int) -> None:
-        """Arm the timer of the next turn, also where that has been brought forward."""
+    def _schedule_tick(self, now: int) -> None:
+        """Set the timer of the next tick, also if that has become due earlier than before."""
         due = self.node.next_tick_at
-        if self._sock is None or (self._timer is not None and due >= self._timer_due):
+        if self._sock is None or (self._timer is not None and due >= self._tick_due):
             return
         if self._timer is not None:
             self._timer.cancel()
-        self._timer_due = due
-        self._timer = self._host.loop.call_later(max(due - now, 0) / SECOND, self._turn)
+        self._tick_due = due
+        self._timer = self._host.loop.call_later(max(due - now, 0) / SECOND, self._run_tick)
 
     # ---- the list -----------------------------------------------------------------
 
     def on_list(self, update: Update, rows: list[Listing]) -> list[Listing]:
-        """This node's own list has changed; returns the rows with the drains of other nodes."""
+        """Process a change of the endpoint list; returns its rows with drains from other nodes."""
         now = time.monotonic_ns()
         if update == Update.FAILED:
             return rows
-        roster = self._host.discovery.endpoint_list
-        servers = [(row.backend, roster.boot_ms(row.backend), row.state) for row in rows]
+        endpoint_list = self._host.discovery.endpoint_list
+        servers = [(row.backend, endpoint_list.boot_ms(row.backend), row.state) for row in rows]
         complete = update in (Update.FULL, Update.CACHED)
-        self.node.on_local_list(now, roster.rev, servers, complete)
-        self._arm(now)
+        self.node.on_local_list(now, endpoint_list.rev, servers, complete)
+        self._schedule_tick(now)
         return [
             row._replace(state=self.node.effective_state(row.backend, boot, row.state))
             for row, (_, boot, _state) in zip(rows, servers, strict=True)
         ]
 
     def status(self) -> str:
-        """What `loadbalancer peers` shows, as JSON."""
+        """The gossip status as JSON, which `loadbalancer peers` shows."""
         return status(self.node, self.counters, time.monotonic_ns())
 
 
 def _incarnation() -> int:
-    """An incarnation above those of this node's earlier processes.
+    """An incarnation above those of the earlier processes of this node.
 
-    The wall clock is read here alone. Where it has jumped back, the others' records raise the
-    incarnation.
+    Nothing else in gossip reads the wall clock. If it has jumped back, records of other members
+    lead this node to increase its incarnation.
     """
     return time.time_ns() // MS
 
@@ -264,7 +270,7 @@
 def _fleet_file(config: Config) -> FleetFile:
     if not config.fleet:
         return FleetFile()
-    # Imported here: reading TOML takes more memory than all gossip does.
+    # Imported here because the TOML parser takes more memory than all of gossip.
     from loadbalancer.gossip_transport.fleet_file import read_fleet
 
     return read_fleet(config.fleet)
@@ -272,10 +278,10 @@
 
 def _gossip_settings(config: Config, file: FleetFile) -> GossipSettings:
     settings = config.settings
-    # A list that is pushed costs nothing to ask for, and Consul has readers of its own.
+    # A list that is pushed needs no polling, and the Consul source has readers of its own.
     readers = file.readers if settings.poll and not config.consul else 0
     if readers != file.readers:
-        logger.info("readers: ignored, as lists are pushed or come from Consul")
+        logger.info("fleet file: `readers` is ignored, as the list is pushed or comes from Consul")
     return GossipSettings(
         len(config.peers), settings.node, settings.zones, file.messages, file.datagram, file.slots,
         readers,
--- a/tests/gossip_transport/test_turns.py
+++ b/tests/gossip_transport/test_ticks.py
@@ -26,7 +26,7 @@
     made.bridge.collect.return_value = None
     made._alive, made._caught_up = made.bridge.alive, made.node.caught_up
     made._list_sharing = made._timer = None
-    made._timer_due = 0
+    made._tick_due = 0
     return made
 
 
@@ -41,7 +41,7 @@
     for name in step.split("."):
         faulty = getattr(faulty, name)
     faulty.side_effect = ZeroDivisionError
-    transport._turn()
+    transport._run_tick()
     delay_s, turn = transport._host.loop.call_later.call_args.args
     assert delay_s == FAULT_RETRY_NS / NS_PER_SECOND
     faulty.side_effect = None
@@ -56,7 +56,7 @@
         raise ZeroDivisionError
 
     transport.bridge.report.side_effect = close_and_fail
-    transport._turn()
+    transport._run_tick()
     transport._host.loop.call_later.assert_not_called()
 
 
@@ -68,5 +68,5 @@
     transport._sock, transport._listen = None, ("127.0.0.1", 9)
     transport.counters = Counter()
     transport.bridge.collect.side_effect = ZeroDivisionError
-    transport._retry_open(OSError(errno.EADDRINUSE, "Address already in use"))
+    transport._open_later(OSError(errno.EADDRINUSE, "Address already in use"))
     transport._host.loop.call_later.assert_called_once_with(BIND_RETRY_S, transport.open)
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -144,9 +144,9 @@
         servers[1].call("POST", "/standin/faults", {"reset": 1.0})
         bad = f"{backend_id('s-2'):016x}"
 
-        def verdict_after_request_at(witness: int) -> str:
+        def verdict_after_request_at(observer: int) -> str:
             """Send one request to a node, which may try the server; node 4's verdict by then."""
-            assert request_status(t.nodes[witness], f"m{witness}-{time.monotonic_ns()}") == 200
+            assert request_status(t.nodes[observer], f"m{observer}-{time.monotonic_ns()}") == 200
             return t.verdicts(4).get(bad, "-")
 
         wait_until(lambda: verdict_after_request_at(0) != "-" or verdict_after_request_at(1) != "-")
