--- a/tests/core/gossip/test_balancer_bridge.py
+++ b/tests/core/gossip/test_balancer_bridge.py
@@ -1,4 +1,4 @@
-"""Between a Balancer and its gossip: leases, drains and verdicts."""
+"""The connection between a Balancer and gossip: leases, drains and verdicts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.core.gossip.builders import CLASS, DRAINING, IdleHost
 
 
-def test_leases_end_on_close_and_an_isolated_node_uses_slots_as_without_gossip() -> None:
+def test_leases_end_on_close_and_an_isolated_node_has_the_slots_without_gossip() -> None:
     balancer = Balancer(Settings((CLASS,), nodes=4), 1, IdleHost())  # type: ignore[arg-type]
     balancer.start(0)
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
@@ -33,19 +33,19 @@
         return sum(b.cap for b in balancer.endpoints.values())
 
     own = caps(bridge.collect(1))
-    ((lender, serial),) = node.leases.requests(1, [2], True)
-    node.leases.on_grant(1, lender, serial, 255)
-    assert caps(bridge.collect(2)) == own + 16 * 2  # two of its slots are in the upper half
+    ((grantor, serial),) = node.leases.requests(1, [2], True)
+    node.leases.on_grant(1, grantor, serial, 255)
+    assert caps(bridge.collect(2)) == own + 16 * 2  # two slots of the grantor are in the upper half
     assert caps(bridge.close(3)) == own
     assert bridge.close(3) is None
     without = caps(bridge.collect(4 * SECOND))
-    assert without == 16 * 5 > own  # a limit of 20 among four, as without gossip
+    assert without == 16 * 5 > own  # a limit of 20 divided among four nodes
 
 
 def test_gossip_drains_no_more_than_a_third_of_the_servers() -> None:
-    """A peer publishes drains of all servers, which our own list has as ready.
+    """A peer publishes drains of all servers, which are ready in the list of this node.
 
-    Taken at its word it would leave this node without a server; a third of them may be drained.
+    If all were applied, this node would have no server left. A third of them may be drained.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     balancer = Balancer(Settings((CLASS,), nodes=4), 1, IdleHost())  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
     assert len(update.draining) == 3
     bridge.apply(20, update)
     assert sum(b.state == State.READY for b in balancer.endpoints.values()) == 6
-    # Our own list, still older than the drains, ends none and drains no other in its place.
+    # The list of this node is still older than the drains, so it changes none of them.
     complete = [(b, 7, State.READY) for b in reversed(range(9))]
     node.on_local_list(25, 2, complete, True)
     drained = {
@@ -70,7 +70,7 @@
         if node.effective_state(server, boot, state) != state
     }
     assert drained == {row.backend for row in update.draining}
-    # It drains one of the three itself: another may be drained by gossip.
+    # When the list itself drains one of the three, gossip may drain another one.
     first = update.draining[0].backend
     node.on_local_list(30, 3, [(first, 7, DRAINING)], False)
     later = bridge.collect(30)
@@ -79,7 +79,7 @@
     assert len(node.local_list.drained_by_gossip) == 3
 
 
-def test_verdicts_only_reduce_caps_and_never_override_own_results() -> None:
+def test_verdicts_only_reduce_caps_and_do_not_override_own_results() -> None:
     balancer = Balancer(Settings((CLASS,), max_attempts=1), 1, IdleHost())  # type: ignore[arg-type]
     balancer.start(0)
     balancer.on_members(0, Update.FULL, [Listing(b, State.READY) for b in range(4)])
@@ -97,7 +97,7 @@
     balancer.on_peer_report(4, 1, None, 1.0, False)
     assert not balancer.endpoints[1].ejected_until
     assert balancer.endpoints[1].probing
-    # No verdict ends an ejection for this node's own results.
+    # A retracted verdict does not end an ejection that is due to this node's own results.
     balancer.endpoints[2].consecutive_failures = 4
     eject(balancer.state, 5, balancer.endpoints[2], True, False)
     balancer.on_peer_report(50, 2, None, 1.0, False)
--- a/tests/core/gossip/test_failure_detector.py
+++ b/tests/core/gossip/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Acks that come late, twice, from another member, or for an earlier probe."""
+"""Acks that are late, duplicated, from another member, or for an earlier probe."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     [
         (0, True, True, MemberStatus.ALIVE),
         (0, False, True, MemberStatus.ALIVE),  # relayed
-        (0, False, False, MemberStatus.SUSPECT),  # of another member
-        (-1, True, True, MemberStatus.SUSPECT),  # late: to an earlier probe, or process
-        (1, True, True, MemberStatus.SUSPECT),  # never asked for
+        (0, False, False, MemberStatus.SUSPECT),  # about another member
+        (-1, True, True, MemberStatus.SUSPECT),  # for an earlier probe or process
+        (1, True, True, MemberStatus.SUSPECT),  # for no probe
     ],
 )
-def test_a_probe_ends_only_with_an_ack_to_itself(
+def test_only_an_ack_for_the_same_probe_ends_it(
     serial_offset: int, from_target: bool, about_target: bool, status: MemberStatus
 ) -> None:
-    """A member has died; an ack that it sent before, or that of another member, comes now.
+    """A member has died, and an ack that it sent before, or one of another member, arrives.
 
-    Taken for the ack of this probe, it would hide the death for a round.
+    If that ended the probe, the death would be detected one round of probes later.
     """
     members = Membership(0, 4, 1, 1)
     detector = FailureDetector(members)
@@ -38,16 +38,16 @@
         ping.message.serial + serial_offset,
         target if about_target else other,
     )
-    for _ in range(2):  # and twice
+    for _ in range(2):  # the second is a duplicate
         assert detector.on_message(1, ack) == []
     for period in (1, 2):
         detector.tick(period * PROTOCOL_PERIOD_NS)
     assert members.peers[target].status is status
 
 
-def test_an_ack_is_relayed_once_and_from_its_target_alone() -> None:
-    """A helper pings a member for another one. Acks of other members, a second ack, or one that
-    comes long after must not reach the member that asked.
+def test_only_the_first_ack_of_the_target_is_relayed() -> None:
+    """A node pings a member on behalf of another one. It must not relay acks of other members, a
+    second ack, or one that arrives after RELAY_TTL_NS.
     """
     members = Membership(0, 4, 1, 1)
     detector = FailureDetector(members)
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -1,4 +1,4 @@
-"""Real Balancers that gossip, with servers that fail: invariants hold, and fewer requests fail."""
+"""Simulation of Balancers with gossip and failing servers: invariants, and effect on requests."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def two_hot_nodes(seed: int) -> ServicePlan:
-    """Two nodes get twelve times what others do; the servers could do 4,000 requests a second."""
+    """Two nodes get 12 times the load of the others; the servers can do 4,000 requests a second."""
     return ServicePlan(
         nodes=20, servers=20, seed=seed, gossip=True, rate=3200, hot_nodes=(0, 1), hot_weight=12
     )
 
 
-def test_a_drain_that_one_node_reads_spares_the_requests_of_all_others() -> None:
+def test_a_drain_that_one_node_reads_is_applied_by_all_nodes() -> None:
     without, with_gossip = run_with_drains(False), run_with_drains(True)
     assert not without.breaches
     assert not with_gossip.breaches
@@ -41,8 +41,8 @@
     assert with_gossip.counts[sent] * 5 < without.counts[sent]
 
 
-def test_a_node_with_more_clients_leases_the_slots_that_others_leave_idle() -> None:
-    """Of 20 nodes two get twelve times what the others do, at 0.8 of what all servers can."""
+def test_a_node_with_more_clients_leases_idle_slots_of_other_nodes() -> None:
+    """Two of 20 nodes get 12 times the load of the others, at 0.8 of the servers' capacity."""
     world = ServiceWorld(two_hot_nodes(seed=1))
     world.start_all()
     world.clients.run(20 * SECOND)
@@ -53,7 +53,7 @@
     assert not world.breaches
     assert len(world.nodes[0].leases.active) > 2
     assert max(server.max_in_flight for server in world.pool) <= world.settings[0].slots_per_server
-    # Every message lost: leases end, and what pressure alone would give is there within 4 s.
+    # All messages are lost: within 4 s leases end, and nodes use the slots without gossip.
     slots = [bridge.slots for bridge in world.bridges.values()]
     assert not any(s.isolated for s in slots)
     cause(world, Fault.GOSSIP_LOSS)
@@ -64,10 +64,10 @@
     assert not any(s.isolated for s in slots)
 
 
-def test_a_pause_of_a_minute_ends_leases_at_both_sides() -> None:
-    """The grantor and the holder of a lease are stopped, and go on a minute later.
+def test_a_pause_of_a_minute_ends_a_lease_at_both_nodes() -> None:
+    """The grantor and the holder of a lease are stopped, and continue a minute later.
 
-    Were a lease still valid at either, two nodes would use one slot.
+    If the lease were still valid at one of them, two nodes would use the same slot.
     """
     world = ServiceWorld(two_hot_nodes(seed=2))
     InvariantChecker(world)
@@ -83,7 +83,7 @@
         world.resume(node)
         assert not world.nodes[node].leases.active
         assert not world.nodes[node].leases.grants
-    world.run(world.now + 1)  # their first turns
+    world.run(world.now + 1)  # their first ticks
     assert not world.bridges[holder].slots.leases
     assert not world.bridges[grantor].slots.granted_groups
     world.clients.run(85 * SECOND)
@@ -93,13 +93,13 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_invariant_is_broken_under_faults_drawn_by_seed(seed: int) -> None:
+def test_invariants_hold_under_random_faults(seed: int) -> None:
     assert run_seed(seed) == []
 
 
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
 def test_the_invariant_checker_finds(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each fault in a rule breaks an invariant within a few seeds."""
+    """A fault that is put into the code breaks an invariant with one of a few seeds."""
     owner, method = MUTANTS[mutant].owner, MUTANTS[mutant].method
     assert callable(getattr(owner, method))
     monkeypatch.setattr(owner, method, MUTANTS[mutant].faulty)
@@ -107,8 +107,8 @@
 
 
 @pytest.mark.parametrize("load", [0.5, 1.5])
-def test_a_black_start_does_what_cold_servers_can_from_the_first_second(load: float) -> None:
-    """All nodes and all servers start at once: no rate is known, and no server is overloaded."""
+def test_a_cold_start_of_all_nodes_uses_the_capacity_of_cold_servers(load: float) -> None:
+    """All nodes and servers start together: no load is known, and no server may be overloaded."""
     plan = ServicePlan(
         nodes=20, servers=20, seed=3, gossip=True, rate=load * 20 * 200, list_readers=2
     )
@@ -118,6 +118,6 @@
     world.run(10 * SECOND)
     assert not world.counts[Count.OVERWHELMED]
     assert not world.breaches
-    # They go from a tenth of their capacity to all of it, 0.55 in the mean.
-    could = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
-    assert world.counts[Count.SERVED] > 0.93 * could * world.counts[Count.REQUESTS]
+    # In ten seconds servers warm up from a tenth of their capacity to all of it, 0.55 on average.
+    capacity = sum(min(load, 0.1 + 0.09 * (second + 0.5)) for second in range(10)) / (10 * load)
+    assert world.counts[Count.SERVED] > 0.93 * capacity * world.counts[Count.REQUESTS]
--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -1,4 +1,4 @@
-"""One node of the fleet: what it accepts, whom it trusts, and how it resumes."""
+"""One gossip node: what it accepts, which members it trusts, and recovery from a pause."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_an_invalid_record_is_skipped_and_the_others_of_its_message_are_merged() -> None:
-    """A peer sends numbers that can't be; taken in, they would overflow ages and rankings."""
+    """A peer sends records with values out of range, which would break ages and the ranking."""
     good = observation(9, 1, failures=1)
     bad: list[Record] = [
         good._replace(failures=99), good._replace(origin=8), good._replace(age=-1),
@@ -36,10 +36,10 @@
     assert node.records.servers() == [9]
 
 
-def test_two_processes_under_one_name_are_detected_and_not_trusted() -> None:
-    """Two processes run with one node number, and both send, each in its incarnation.
+def test_two_processes_with_one_node_number_are_detected_and_not_trusted() -> None:
+    """Two processes run with the same node number, and each sends in its own incarnation.
 
-    Both observe servers and both ask for leases: what is leased to one would be used by both.
+    Both publish observations and request leases, and both would use the slots leased to one.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
@@ -56,17 +56,17 @@
     assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
     too_long = Message(
         MessageKind.LEASE_REQUEST, 2, 20, 1 << 40
-    )  # an answer can't repeat its serial
+    )  # a reply can't repeat this serial
     assert node.receive(11, too_long) == []
     assert not node.verdict_changes(10)
     assert 1 in node.members.trusted(10 + DUPLICATE_NODE_DISTRUST_NS)
     assert node.counters["old"] == 4
 
 
-def test_a_paused_node_compares_its_records_before_it_passes_any_on() -> None:
-    """A process is stopped for a minute and goes on.
+def test_a_node_that_was_paused_catches_up_before_it_sends_records() -> None:
+    """A process is stopped for a minute and continues.
 
-    It would pass on records of servers as they were, and suspect every member of silence.
+    Without recovery it would send outdated records about servers, and suspect all other members.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
@@ -82,14 +82,16 @@
     assert not node.caught_up
     assert node.counters["stalls"] == 1
     assert MessageKind.DIGEST in {o.message.kind for o in out}
-    assert not node.members.receives_no_messages(60 * SECOND)  # it was this node that was silent
-    assert not any(o.message.records for o in out)  # none of its old records
-    assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
+    assert not node.members.receives_no_messages(
+        60 * SECOND
+    )  # the time of the pause does not count
+    assert not any(o.message.records for o in out)  # none of its outdated records
+    assert node.members.is_alive(3)  # the suspicion did not expire during the pause
 
 
-def test_only_its_own_peers_end_a_catch_up_and_none_of_an_earlier_one() -> None:
-    """A node catches up, is stopped, and catches up again. A DONE that was under way, or of a node
-    that it has not requested, would let it pass on records as they were before.
+def test_only_a_done_from_a_requested_peer_ends_a_catch_up() -> None:
+    """A node catches up, is paused, and catches up again. If a DONE of the first catch-up, or one
+    from another node, ended the second, the node would send outdated records.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
     first = {o.to for o in node.tick(0) if o.message.kind == MessageKind.DIGEST}
@@ -105,9 +107,9 @@
     assert node.caught_up
 
 
-def test_a_nodes_own_observation_that_comes_back_is_not_taken() -> None:
-    """An observation of a node's earlier process comes back from a peer: only its writer can
-    retract it, and this process did not write it.
+def test_a_nodes_own_observation_from_a_peer_is_ignored() -> None:
+    """A peer sends an observation that an earlier process of this node has written. Only its writer
+    can retract it, and that process has ended.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 9, 0)
     record = observation(9, 0, failures=3)
@@ -117,8 +119,8 @@
     assert node.records.servers() == [9]
 
 
-def test_leases_of_a_grantor_that_died_are_not_used() -> None:
-    """Other nodes go past a dead node's slots at once: its leases must end with it, not in time."""
+def test_leases_of_a_dead_grantor_are_not_used() -> None:
+    """Other nodes replace the slots of a dead node, so its leases must end before they expire."""
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     for grantor, serial in node.leases.requests(0, [1, 2], wants_more=True):
         node.leases.on_grant(0, grantor, serial, 7)
--- a/tests/core/gossip/test_messages.py
+++ b/tests/core/gossip/test_messages.py
@@ -1,4 +1,4 @@
-"""Validity of records."""
+"""Validation of records."""
 
 from __future__ import annotations
 
--- a/tests/core/gossip/test_slot_allocation.py
+++ b/tests/core/gossip/test_slot_allocation.py
@@ -1,4 +1,4 @@
-"""Which slots of a server are a node's, with members dead or alive."""
+"""Which slots of a server a node uses, with dead and alive members."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 @pytest.mark.parametrize(("nodes", "server_slots"), [(2, 3), (4, 5), (5, 15), (6, 4)])
-def test_nodes_with_any_views_of_each_other_stay_within_a_servers_slots(
+def test_nodes_with_different_views_of_liveness_stay_within_a_servers_slots(
     nodes: int, server_slots: int
 ) -> None:
-    """Each node may take any of the others for dead, whatever the others believe.
+    """Each node may consider any others dead, whatever the other nodes consider.
 
-    Were the slots past the dead not bounded, nodes with different views would together send a
-    server more requests than it has slots.
+    Without a limit on the slots that replace those of dead nodes, nodes with different views would
+    together send more requests to a server than it has slots.
     """
-    deepened = False
+    exceeds_limit = False
     for rank, limit in product(range(nodes), range(1, 12)):
         total = 0
         for zone_index in range(nodes):
@@ -30,14 +30,14 @@
                 slots = SlotAllocation(zone_index, nodes, server_slots, view.__getitem__)
                 slots.refresh()
                 depth = slots.depth(first_slot, limit, 100)
-                deepened = deepened or depth > limit
+                exceeds_limit = exceeds_limit or depth > limit
                 caps.append(max(-(-(depth - first_slot) // nodes), 0))
             total += max(caps)
-        assert total <= max(server_slots, limit)  # beyond it no more than without gossip
-    assert deepened
+        assert total <= max(server_slots, limit)  # a higher limit applies without gossip as well
+    assert exceeds_limit  # slots of dead nodes were replaced
 
 
-def test_alive_nodes_use_the_slots_of_dead_ones() -> None:
+def test_further_slots_replace_those_of_dead_nodes() -> None:
     for rank in range(10):
         owned = 0
         for zone_index in (2, 5, 7):
@@ -46,19 +46,21 @@
             first_slot = (zone_index - rank) % 10
             depth = slots.depth(first_slot, 4, 24)
             owned += max(-(-(depth - first_slot) // 10), 0)
-        assert owned == 4  # as many as the limit asks for
+        assert owned == 4  # as many as the limit allows
     few = SlotAllocation(2, 10, 15, lambda p: p in (2, 5, 7))
     few.refresh()
-    assert few.depth(0, 40, 24) == 40  # twelve alive slots: as deep as without gossip
-    assert few.depth(0, 64, 24) == 46  # the fifteenth alive slot is the last
+    assert (
+        few.depth(0, 40, 24) == 40
+    )  # twelve slots of alive nodes: the same depth as without gossip
+    assert few.depth(0, 64, 24) == 46  # up to the fifteenth slot of an alive node
     all_alive = SlotAllocation(0, 10, 15, lambda _p: True)
     all_alive.refresh()
     assert all_alive.depth(0, 4, 24) == 4
-    assert all_alive.depth(0, 60, 24) == 15  # a limit beyond the server's slots
-    assert all_alive.depth(0, 60, 1) == 30  # one server for ten: each needs its minimum
+    assert all_alive.depth(0, 60, 24) == 15  # a limit above the server's slots
+    assert all_alive.depth(0, 60, 1) == 30  # one server: MIN_SLOTS_PER_NODE for each of ten nodes
     assert all_alive.cap(7, 0, 60, 24) == 2
-    # Whatever was granted has expired by the time a node counts as isolated.
+    # All leases have expired by the time a node counts as isolated.
     assert ISOLATED_AFTER_NS > LEASE_TTL_NS + SAFETY_MARGIN_NS
-    all_alive.isolated = True  # no messages: at least the slots without gossip
+    all_alive.isolated = True  # at least the slots without gossip
     assert all_alive.cap(7, 0, 60, 24) == 6
     assert all_alive.cap(7, 0, 4, 24) == 1
--- a/tests/core/gossip/test_slot_leases.py
+++ b/tests/core/gossip/test_slot_leases.py
@@ -1,4 +1,4 @@
-"""Leases on slots: no slot is used by two nodes, and a lease ends at both sides."""
+"""Leases on slots: two nodes never use the same slot, and a lease ends at both of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class LeasingNode:
-    """A node with leases and slots; its caps are as of its last turn, up to the margin ago."""
+    """A node with leases and slots.
+
+    Its caps are those of its last tick, which is up to SAFETY_MARGIN_NS ago.
+    """
 
     def __init__(self, zone_index: int, skew: int, seed: int) -> None:
         self.zone_index, self.skew, self.starts, self.seed = zone_index, skew, 0, seed
@@ -26,10 +29,10 @@
         self.leases = SlotLeases(self.seed + 7 * self.starts)
         self.leases.start_grace_period(now + self.skew)
         self.slots = SlotAllocation(self.zone_index, 4, 5, lambda _p: True)
-        self.turn(now)
+        self.tick(now)
 
-    def turn(self, now: int) -> None:
-        self.turned = now
+    def tick(self, now: int) -> None:
+        self.last_tick_at = now
         self.leases.expire(now + self.skew)
         self.slots.granted_groups = self.leases.granted_groups()
         usable = self.leases.usable(now + self.skew)
@@ -39,20 +42,21 @@
         return self.slots.cap(server, (self.zone_index - server) % 4, 20, 9)
 
 
-def test_no_slot_is_used_by_two_nodes_whatever_happens_to_messages() -> None:
-    """Messages are lost, late, duplicated, or of an earlier start; nodes restart and turn late.
+def test_two_nodes_never_use_the_same_slot_under_message_faults() -> None:
+    """Messages are lost, delayed, duplicated or outdated; nodes restart, and their ticks are late.
 
-    Were a slot used by its owner and its holder at once, a server would get more requests than it
-    has slots. The leases are in use: one node gets more than the two slots that are its own.
+    If the owner and the holder of a slot used it at the same time, a server would get more requests
+    than it has slots. To show that leases are in use, some node must get more than its own slots,
+    which are two at most.
     """
     assert max(max_used_by_one_node(seed) for seed in range(60)) > 3
 
 
-def test_a_process_that_takes_part_again_is_restrained_as_at_its_start() -> None:
-    """Another process of its node took part meanwhile, leased slots out, and died.
+def test_a_process_that_takes_part_again_has_a_new_grace_period() -> None:
+    """Another process of the node took part meanwhile, leased slots out, and ended.
 
-    This one knows nothing of those leases: were it to use their slots or lease them out again,
-    a server would get more than it has.
+    This process does not know those leases. If it used or leased out the same slots, a server would
+    get more requests than it has slots.
     """
     leases = SlotLeases(1)
     leases.start_grace_period(0)
@@ -61,7 +65,7 @@
     assert leases.granted_groups() == 0
     ((_, serial),) = leases.requests(began, [3], wants_more=True)
     leases.reset_grace_period()
-    leases.on_grant(began, 3, serial, 1)  # in answer to what was requested before
+    leases.on_grant(began, 3, serial, 1)  # response to a request from before
     assert leases.usable(began) == []
     leases.start_grace_period(2 * began)
     leases.expire(3 * began - 1)
@@ -72,7 +76,7 @@
 
 
 def max_used_by_one_node(seed: int) -> int:
-    """Run four nodes with random faults; the most slots that one of them had at a server."""
+    """Run four nodes with random faults; returns the most slots one of them had at a server."""
     draw = Random(seed)
     nodes = [
         LeasingNode(zone_index, draw.randrange(10 * SECOND), zone_index) for zone_index in range(4)
@@ -93,17 +97,17 @@
             groups = nodes[grantor].leases.grant(
                 now + nodes[grantor].skew, holder, draw.randrange(9)
             )
-            nodes[grantor].turn(now)
+            nodes[grantor].tick(now)
             grants.append((holder, grantor, serial, groups))
         elif event < 0.97 and grants:
             holder, grantor, serial, groups = draw.choice(grants[-draw.choice((2, 30)) :])
             nodes[holder].leases.on_grant(now + nodes[holder].skew, grantor, serial, groups)
-            nodes[holder].turn(now)
+            nodes[holder].tick(now)
         elif event > 0.995:
             node.start(now)
         for n in nodes:
-            if now - n.turned > SAFETY_MARGIN_NS - 250 * MS:
-                n.turn(now)
+            if now - n.last_tick_at > SAFETY_MARGIN_NS - 250 * MS:
+                n.tick(now)
         for server in range(9):
             caps = [n.cap(server) for n in nodes]
             assert sum(caps) <= 5
@@ -111,7 +115,7 @@
     return max_cap
 
 
-def test_a_grantor_keeps_what_it_needs_and_a_holder_counts_from_its_request() -> None:
+def test_a_grantor_retains_what_it_needs_and_the_ttl_starts_at_the_request() -> None:
     slots = SlotAllocation(0, 4, 8, lambda _p: True)
     depths = [(server % 4, 8) for server in range(16)]  # two slots at each, one may be leased
     needed = (0, 16, 20, 31.9, 32.5)
@@ -119,14 +123,14 @@
     assert grantable == [8, 8, 6, 0, 0]
     grantor, holder = SlotLeases(1), SlotLeases(2)
     grantor.start_grace_period(0)
-    assert grantor.grant(LEASE_TTL_NS, 1, 8) == 0  # an earlier start may have granted its slots
+    assert grantor.grant(LEASE_TTL_NS, 1, 8) == 0  # an earlier process may have granted its slots
     assert grantor.granted_groups() == 255
     grantor.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
     ((_, serial),) = holder.requests(0, [5], True)
     assert grantor.grant(3 * SECOND, 1, 3).bit_count() == grantor.granted_groups().bit_count() == 3
-    assert grantor.grant(3 * SECOND, 2, 4).bit_count() == 1  # the others are granted already
+    assert grantor.grant(3 * SECOND, 2, 4).bit_count() == 1  # the other groups are granted already
     holder.on_grant(LEASE_TTL_NS - 1, 5, serial + 1, 7)
-    holder.on_grant(LEASE_TTL_NS - 1, 4, serial, 7)  # neither answers a request
+    holder.on_grant(LEASE_TTL_NS - 1, 4, serial, 7)  # neither responds to an open request
     assert holder.active == {}
     holder.on_grant(LEASE_TTL_NS - 1, 5, serial, 7)
     assert holder.usable(LEASE_TTL_NS - 1) == [(5, 7)]
@@ -134,11 +138,13 @@
     (first,) = holder.requests(LEASE_TTL_NS, [5], True)
     (second,) = holder.requests(LEASE_TTL_NS + SECOND, [5], True)
     holder.on_grant(2 * LEASE_TTL_NS, 5, second[1], 7)
-    holder.on_grant(2 * LEASE_TTL_NS, 5, first[1], 255)  # overtaken by the one after it
+    holder.on_grant(
+        2 * LEASE_TTL_NS, 5, first[1], 255
+    )  # arrives after the response to the later request
     assert holder.usable(3 * LEASE_TTL_NS - SECOND - 1) == [(5, 7)]
     ((_, late),) = SlotLeases(3).requests(0, [5], True)
     stale = SlotLeases(3)
     stale.requests(0, [5], True)
-    stale.on_grant(LEASE_TTL_NS, 5, late, 7)  # longer under way than the lease's term
+    stale.on_grant(LEASE_TTL_NS, 5, late, 7)  # arrives after the TTL of the lease
     assert stale.active == {}
     assert stale.requests(LEASE_TTL_NS + SECOND, [5], True) == []
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -1,4 +1,4 @@
-"""What other nodes' observations of a server come to."""
+"""Verdicts on servers from the observations of other nodes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 @pytest.mark.parametrize(
     ("observations", "zones", "verdict"),
     [
-        ([observation(9, 1, failures=3)], 1, ReportedState.DOUBTED),  # it may be isolated
+        # the only observer may be isolated
+        ([observation(9, 1, failures=3)], 1, ReportedState.DOUBTED),
         ([observation(9, 1, failures=1), observation(9, 2, failures=2)], 1, ReportedState.SILENT),
         ([observation(9, 1, failures=1), observation(9, 2, failures=1)], 1, None),
-        # of the other zone
+        # observers in the other zone
         ([observation(9, 1, failures=3), observation(9, 3, failures=3)], 2, None),
         ([observation(9, 2, failures=3), observation(9, 4, failures=3)], 2, ReportedState.SILENT),
         ([observation(9, 1, rejections=2), observation(9, 2, rejections=2)], 1, ReportedState.FULL),
@@ -25,12 +26,13 @@
         # retracted
         ([observation(9, 1, failures=3), observation(9, 1, 2), observation(9, 2, failures=1)], 1,
          None),
-        ([observation(9, 1, failures=3)._replace(boot=6)], 1, None),  # of an earlier start
-        # against half of all servers: it is isolated
+        # about an earlier start of the server
+        ([observation(9, 1, failures=3)._replace(boot=6)], 1, None),
+        # it sees half of all servers fail, so it counts as isolated itself
         ([observation(s, 1, failures=3) for s in range(9, 14)], 1, None),
     ],
 )  # fmt: skip
-def test_verdict_of_observations(
+def test_the_verdict_from_observations(
     observations: list[Observation], zones: int, verdict: ReportedState | None
 ) -> None:
     node = GossipNode(GossipSettings(8, 0, zones), 1, 1, 0)
@@ -42,9 +44,9 @@
 
 
 def test_false_observations_fail_no_more_than_one_server_in_three() -> None:
-    """Two peers report every server as failing: with both believed none would be used.
+    """Two peers report every server as failing. If that were trusted, no server would be used.
 
-    Witnesses against so many servers count as isolated themselves.
+    Observers that see so many servers fail count as isolated themselves.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(30)], True)
--- a/tests/gossip_transport/test_codec.py
+++ b/tests/gossip_transport/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages as datagrams: their sizes, and what is refused."""
+"""Encoding of messages: sizes, and datagrams that are refused."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.core.gossip.builders import observation
 
 
-def test_the_longest_records_fit_the_sizes_that_packing_assumes() -> None:
-    big = (1 << 64) - 1
-    longest: list[Record] = [
+def test_the_largest_records_fit_the_sizes_in_update_sender() -> None:
+    max_server = (1 << 64) - 1
+    largest: list[Record] = [
         MemberRecord(999, (1 << 48) - 1, 3),
-        DrainRecord(big, 1 << 47, 1 << 40, 2, 600 * SECOND),
-        Observation(big, 1 << 47, 999, (1 << 48) - 1, 1 << 30, 15, 1, 15, 160, 15 * SECOND),
+        DrainRecord(max_server, 1 << 47, 1 << 40, 2, 600 * SECOND),
+        Observation(max_server, 1 << 47, 999, (1 << 48) - 1, 1 << 30, 15, 1, 15, 160, 15 * SECOND),
     ]
-    bare = len(encode(Message(MessageKind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
-    assert bare <= MESSAGE_HEADER_BYTES
-    for record in longest:
+    header_size = len(encode(Message(MessageKind.DONE, 999, (1 << 48) - 1, 1 << 30, 999), 65535))
+    assert header_size <= MESSAGE_HEADER_BYTES
+    for record in largest:
         message = Message(MessageKind.GOSSIP, 999, (1 << 48) - 1, 1 << 30, 999, (), (record,))
         data = encode(message, 65535)
-        assert len(data) - bare <= RECORD_BYTES[type(record)]
+        assert len(data) - header_size <= RECORD_BYTES[type(record)]
         assert decode(data, 65535) == message
     digest = encode(
         Message(MessageKind.DIGEST, 999, (1 << 48) - 1, 1, 999, (0xFFFFFFFF,) * 9), 65535
@@ -38,7 +38,7 @@
     assert len(digest) <= MESSAGE_HEADER_BYTES + DIGEST_BYTES
 
 
-def test_each_kind_of_malformed_datagram_has_its_own_cause() -> None:
+def test_each_kind_of_malformed_datagram_has_its_own_counter() -> None:
     message = Message(
         MessageKind.GOSSIP, 1, 2, records=(observation(9, 1, failures=1, age=5 * MS),)
     )
--- a/tests/gossip_transport/test_fleet_file.py
+++ b/tests/gossip_transport/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""The fleet file: its faults, each with its line, and its words mapped to terms."""
+"""The fleet file: faults with their lines, keys and deprecated keys."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert run_command(["check", str(ROOT / "deploy" / "fleet.toml")], shown) == 0
 
 
-def test_the_words_of_the_file_are_mapped_to_the_fields(tmp_path: Path) -> None:
+def test_the_keys_of_the_file_are_mapped_to_fields(tmp_path: Path) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(
         'version = 1\ntier = "east"\ndatagram = 512\nwords = 30\nseats = 9\nreaders = 2\n'
@@ -34,11 +34,11 @@
     assert read_fleet(str(path)) == expected
 
 
-def test_old_keys_are_read_with_one_warning(
+def test_deprecated_keys_are_read_with_one_warning(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """A fleet is upgraded node by node, and its file with the last of them: a new version that
-    refused the old keys could not start.
+    """A fleet is upgraded node by node, and its file with the last node. If a new version refused
+    the deprecated keys, it could not start before.
     """
     path = tmp_path / "fleet.toml"
     path.write_text("version = 1\nwords = 30\nseats = 9\n")
--- a/tests/gossip_transport/test_ticks.py
+++ b/tests/gossip_transport/test_ticks.py
@@ -1,4 +1,4 @@
-"""The turns of a node's gossip, over a node and a loop that only note what is asked of them."""
+"""The ticks of a gossip transport, with mocks for the gossip node and the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def transport() -> Any:
-    """One that takes part, between two of its turns."""
+    """A transport with an open socket, between two ticks."""
     made: Any = object.__new__(GossipTransport)
     made._host = mock.Mock()
     made.node, made.bridge, made._sock = mock.Mock(), mock.Mock(), mock.Mock()
@@ -31,26 +31,27 @@
 
 
 @pytest.mark.parametrize("step", ["bridge.report", "node.tick", "bridge.collect"])
-def test_a_turn_that_raises_is_followed_by_the_next_one(transport: Any, step: str) -> None:
-    """One step of a turn raises: there was no further turn until a restart.
+def test_a_tick_that_raises_is_followed_by_another_one(transport: Any, step: str) -> None:
+    """If a step of a tick raises, the next tick must still be scheduled.
 
-    The others took the node for dead, and went past its slots while it served on. The next
-    turn does not come at once: a fault that lasts would take all of the process's time.
+    Otherwise the other nodes consider this node dead and replace its slots while it continues to
+    serve. The next tick must not follow immediately: with a lasting fault, ticks would use all the
+    processor time.
     """
     faulty = transport
     for name in step.split("."):
         faulty = getattr(faulty, name)
     faulty.side_effect = ZeroDivisionError
     transport._run_tick()
-    delay_s, turn = transport._host.loop.call_later.call_args.args
+    delay_s, next_tick = transport._host.loop.call_later.call_args.args
     assert delay_s == FAULT_RETRY_NS / NS_PER_SECOND
     faulty.side_effect = None
-    turn()
+    next_tick()
     assert transport.node.tick.called
     assert transport._host.loop.call_later.call_count == 2
 
 
-def test_a_turn_that_raises_after_the_socket_has_been_closed_is_the_last(transport: Any) -> None:
+def test_no_tick_follows_one_that_raises_after_the_socket_was_closed(transport: Any) -> None:
     def close_and_fail(_now: int) -> None:
         transport._sock = None
         raise ZeroDivisionError
@@ -60,10 +61,10 @@
     transport._host.loop.call_later.assert_not_called()
 
 
-def test_a_fault_while_the_port_is_taken_does_not_end_the_attempts(transport: Any) -> None:
-    """Another process has the port, and passing on that this node has no gossip raises.
+def test_an_exception_while_the_port_is_in_use_does_not_end_the_attempts(transport: Any) -> None:
+    """Another process has the port, and passing the state without gossip to the Balancer raises.
 
-    The port was not tried again: this node took no part in gossip until a restart.
+    The port must be tried again: otherwise this node takes no part in gossip until a restart.
     """
     transport._sock, transport._listen = None, ("127.0.0.1", 9)
     transport.counters = Counter()
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -1,4 +1,4 @@
-"""Real nodes over links that are cut, slowed and damaged, and peers that send false records."""
+"""Tests of real nodes with faulty links, and of one node with peers that send false records."""
 
 from __future__ import annotations
 
@@ -59,16 +59,16 @@
 
 
 def drain_first(servers: list[Process], discovery: Process) -> None:
-    """Let the list service list these servers, the first of them as leaving."""
+    """Set the rows of the list service to these servers, with the first of them leaving."""
     rows = [target(f"s-{i}", s.address) for i, s in enumerate(servers, 1)]
     rows[0]["state"] = "leaving"
     discovery.call("POST", "/standin/targets", rows)
 
 
 def test_a_drain_that_one_node_reads_reaches_all_after_a_partition(servers: list[Process]) -> None:
-    """Node 0 alone reads that a server drains, while it and node 1 are cut off from the others.
+    """Only node 0 reads that a server drains, while nodes 0 and 1 are cut off from the others.
 
-    The others must not send to that server once the partition has ended.
+    After the partition the others must not send requests to that server.
     """
     targets = [arg for i, s in enumerate(servers, 1) for arg in ("--target", f"s-{i}={s.address}")]
     with (
@@ -80,101 +80,113 @@
                 overrides=lambda n: {"discovery": discovery.address} if n == 0 else {},
                 settings={"registry_mode": "ask"},
             ),
-        ) as t,
+        ) as cluster,
     ):
         drained = f"{backend_id('s-1'):016x}"
-        t.cut([0, 1], [2, 3, 4])
-        t.agree({0, 1}, [0, 1])
-        t.agree({2, 3, 4}, [2, 3, 4])
+        cluster.cut([0, 1], [2, 3, 4])
+        cluster.agree({0, 1}, [0, 1])
+        cluster.agree({2, 3, 4}, [2, 3, 4])
         drain_first(servers, discovery)
 
         def knows(n: int) -> bool:
-            return any(s == drained and who == "list" for s, who, *_ in t.status(n)["servers"])
+            return any(
+                s == drained and who == "list" for s, who, *_ in cluster.status(n)["servers"]
+            )
 
         wait_until(lambda: knows(1))
         assert not any(knows(n) for n in (2, 3, 4))
-        t.restore_links()
-        t.set_links(loss=0.1)
+        cluster.restore_links()
+        cluster.set_links(loss=0.1)
         for n in (2, 3, 4):
             wait_until(lambda n=n: knows(n))  # type: ignore[misc]
-        t.agree(set(range(NODES)))
+        cluster.agree(set(range(NODES)))
         before = received(servers[0])
         statuses = {
-            request_status(t.nodes[n], f"r{n}-{i}") for n in range(1, NODES) for i in range(12)
+            request_status(cluster.nodes[n], f"r{n}-{i}")
+            for n in range(1, NODES)
+            for i in range(12)
         }
         assert statuses == {200}
-        assert received(servers[0]) == before  # nothing more goes where the list says leaving
+        assert received(servers[0]) == before  # no further request to the leaving server
 
 
-def test_kills_pauses_and_returns_are_detected_and_no_request_fails(servers: list[Process]) -> None:
-    """One node is killed and one paused; then all but one are killed, and started again."""
-    with running_cluster(NODES, [s.address for s in servers]) as t:
-        t.agree(set(range(NODES)))
-        t.kill(3)
-        t.signal(signal.SIGSTOP, 4)
-        t.agree({0, 1, 2}, [0, 1, 2])
-        assert {request_status(t.nodes[0], f"a{i}") for i in range(20)} == {200}
+def test_crashes_pauses_and_restarts_are_detected_and_no_request_fails(
+    servers: list[Process],
+) -> None:
+    """One node is killed and another paused; then all but one are killed and restarted."""
+    with running_cluster(NODES, [s.address for s in servers]) as cluster:
+        cluster.agree(set(range(NODES)))
+        cluster.kill(3)
+        cluster.signal(signal.SIGSTOP, 4)
+        cluster.agree({0, 1, 2}, [0, 1, 2])
+        assert {request_status(cluster.nodes[0], f"a{i}") for i in range(20)} == {200}
         shown = StringIO()
         assert (
-            run_command(["peers", t.nodes[0].admin_address], shown) == 1
-        )  # the answer is that some are missing
+            run_command(["peers", cluster.nodes[0].admin_address], shown) == 1
+        )  # the exit status for dead nodes
         assert "3 of 5 nodes live" in shown.getvalue()
         assert "node 3 dead, incarnation" in shown.getvalue()
-        t.signal(signal.SIGCONT, 4)
-        t.start(3)
-        t.agree(set(range(NODES)))
-        counts = t.status(4)["counts"]
+        cluster.signal(signal.SIGCONT, 4)
+        cluster.start(3)
+        cluster.agree(set(range(NODES)))
+        counts = cluster.status(4)["counts"]
         assert counts["stalls"] >= 1
         assert counts["waited too long"] > 0
-        t.kill(0, 1, 2, 3)
-        t.agree({4}, [4])  # the last one
-        assert {request_status(t.nodes[4], f"b{i}") for i in range(20)} == {200}
-        t.start(0, 1, 2, 3)
-        t.agree(set(range(NODES)))
-        t.signal(signal.SIGTERM, 2)
-        wait_until(lambda: [2, "left"] in [row[:2] for row in t.status(0)["nodes"]])
+        cluster.kill(0, 1, 2, 3)
+        cluster.agree({4}, [4])  # the only running node
+        assert {request_status(cluster.nodes[4], f"b{i}") for i in range(20)} == {200}
+        cluster.start(0, 1, 2, 3)
+        cluster.agree(set(range(NODES)))
+        cluster.signal(signal.SIGTERM, 2)
+        wait_until(lambda: [2, "left"] in [row[:2] for row in cluster.status(0)["nodes"]])
 
 
-def test_a_server_that_failed_at_two_nodes_is_hardly_tried_by_the_others(
+def test_a_server_that_failed_at_two_nodes_gets_few_attempts_from_the_others(
     servers: list[Process],
 ) -> None:
-    """A server resets each connection. Without gossip each node takes four attempts to find out."""
-    with running_cluster(NODES, [s.address for s in servers]) as t:
-        t.agree(set(range(NODES)))
+    """A server resets every connection. Without gossip each node ejects it after four attempts."""
+    with running_cluster(NODES, [s.address for s in servers]) as cluster:
+        cluster.agree(set(range(NODES)))
         servers[1].call("POST", "/standin/faults", {"reset": 1.0})
         bad = f"{backend_id('s-2'):016x}"
 
         def verdict_after_request_at(observer: int) -> str:
-            """Send one request to a node, which may try the server; node 4's verdict by then."""
-            assert request_status(t.nodes[observer], f"m{observer}-{time.monotonic_ns()}") == 200
-            return t.verdicts(4).get(bad, "-")
+            """Send a request to a node, which may try the server; returns the verdict at node 4."""
+            assert (
+                request_status(cluster.nodes[observer], f"m{observer}-{time.monotonic_ns()}") == 200
+            )
+            return cluster.verdicts(4).get(bad, "-")
 
         wait_until(lambda: verdict_after_request_at(0) != "-" or verdict_after_request_at(1) != "-")
         for n in (2, 3, 4):
-            wait_until(lambda n=n: t.verdicts(n).get(bad) != "-")  # type: ignore[misc]
+            wait_until(lambda n=n: cluster.verdicts(n).get(bad) != "-")  # type: ignore[misc]
         shown = StringIO()
-        assert run_command(["peers", t.nodes[4].admin_address], shown) == 0
+        assert run_command(["peers", cluster.nodes[4].admin_address], shown) == 0
         assert f"server {bad}: " in shown.getvalue()
         assert " s ago: failures " in shown.getvalue()
         before = received(servers[1])
         for n in (2, 3, 4):
-            assert {request_status(t.nodes[n], f"s{n}-{i}") for i in range(20)} == {200}
-        assert received(servers[1]) - before <= 6  # each alone takes 4 to find out
+            assert {request_status(cluster.nodes[n], f"s{n}-{i}") for i in range(20)} == {200}
+        assert received(servers[1]) - before <= 6  # without gossip 4 for each of the three nodes
         servers[1].call("POST", "/standin/faults", {})
         wait_until(lambda: verdict_after_request_at(0) == verdict_after_request_at(1) == "-")
 
 
-def test_messages_lost_late_duplicated_and_damaged_fail_no_request(servers: list[Process]) -> None:
-    with running_cluster(NODES, [s.address for s in servers]) as t:
-        t.set_links(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
-        assert {request_status(t.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
-        wait_until(lambda: all(t.status(n)["counts"].get("broken", 0) > 3 for n in t.nodes))
-        t.set_links()
-        t.agree(set(range(NODES)))
+def test_lost_late_duplicated_and_corrupted_messages_fail_no_request(
+    servers: list[Process],
+) -> None:
+    with running_cluster(NODES, [s.address for s in servers]) as cluster:
+        cluster.set_links(loss=0.3, delay_ms=200, jitter_ms=400, double=0.2, broken=0.2)
+        assert {request_status(cluster.nodes[i % NODES], f"x{i}") for i in range(60)} == {200}
+        wait_until(
+            lambda: all(cluster.status(n)["counts"].get("broken", 0) > 3 for n in cluster.nodes)
+        )
+        cluster.set_links()
+        cluster.agree(set(range(NODES)))
 
 
-def test_nodes_with_different_lists_of_nodes_run_side_by_side(servers: list[Process]) -> None:
-    """Node 4's list lacks node 0, node 3's ends before node 4; the others' are complete."""
+def test_nodes_with_different_lists_of_nodes_work_together(servers: list[Process]) -> None:
+    """The list of node 4 lacks node 0, and that of node 3 lacks node 4. The others are complete."""
     clusters: list[Cluster] = []
 
     def overrides(n: int) -> dict[str, Any]:
@@ -186,13 +198,13 @@
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(_folder())
         options = ClusterOptions(overrides=overrides)
-        t = stack.enter_context(Cluster(NODES, [s.address for s in servers], folder, options))
-        clusters.append(t)
-        t.start()
-        t.agree(set(range(NODES)), [0, 1, 2])
-        t.agree({0, 1, 2, 3}, [3])
-        wait_until(lambda: t.status(3)["counts"].get("unlisted", 0) > 0)
-        assert {request_status(t.nodes[n], f"d{n}") for n in t.nodes} == {200}
+        cluster = stack.enter_context(Cluster(NODES, [s.address for s in servers], folder, options))
+        clusters.append(cluster)
+        cluster.start()
+        cluster.agree(set(range(NODES)), [0, 1, 2])
+        cluster.agree({0, 1, 2, 3}, [3])
+        wait_until(lambda: cluster.status(3)["counts"].get("unlisted", 0) > 0)
+        assert {request_status(cluster.nodes[n], f"d{n}") for n in cluster.nodes} == {200}
 
 
 @contextlib.contextmanager
@@ -208,7 +220,7 @@
 
 @contextlib.contextmanager
 def scripted_peers(tmp_path: Path, count: int = 3, **overrides: Any) -> Iterator[Any]:
-    """A node 0 of `count`, the sockets of its peers, and its server."""
+    """Run node 0 of `count` nodes; yields it, the sockets of its peers, its address, a server."""
     peers = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in peers:
         sock.bind(("127.0.0.1", 0))
@@ -236,21 +248,21 @@
 
 
 def counters_of(n: Any) -> dict[str, int]:
-    """What the node counts of the datagrams that it got."""
+    """The counters in the gossip status of a node."""
     counts: dict[str, int] = json.loads(n.call("GET /peers")[2])["counts"]
     return counts
 
 
 def discarded(n: Any) -> int:
-    """How many datagrams the node has discarded because they waited while it was stopped."""
+    """How many datagrams the node has discarded after a pause."""
     return counters_of(n).get("waited too long", 0)
 
 
 def deliver(n: Any, send: Callable[[], object], has_arrived: Callable[[], bool]) -> None:
-    """Send, and again whenever the node has discarded what waited in its socket.
+    """Send, and send again whenever the node has discarded datagrams, until they have arrived.
 
-    A node that finds that it was stopped for a second discards that, as its age is unknown; a
-    busy machine stops it too.
+    A node that was paused for a second discards the datagrams in its socket, because their age is
+    unknown. Such pauses also happen on a busy machine.
     """
     while not has_arrived():
         before = discarded(n)
@@ -259,7 +271,7 @@
 
 
 def is_settled(n: Any, has_arrived: Callable[[], bool], before: int) -> bool:
-    """Whether what was sent has arrived, or more than `before` datagrams were discarded."""
+    """Whether the datagrams have arrived, or more than `before` have been discarded."""
     return has_arrived() or discarded(n) > before
 
 
@@ -276,11 +288,11 @@
     return line
 
 
-def test_floods_of_each_kind_of_bad_datagram_fail_no_request(tmp_path: Path) -> None:
-    """A peer sends malformed, foreign and old messages, then far too many of them.
+def test_floods_of_invalid_datagrams_fail_no_request(tmp_path: Path) -> None:
+    """A peer sends malformed, foreign and outdated messages, and then valid ones above the rate.
 
-    They are counted by cause; requests are answered meanwhile, and what waited during a pause of
-    the node is not processed after it.
+    They are counted by cause, and the node continues to serve requests. Messages that waited in the
+    socket during a pause of the node are not processed after it.
     """
     number = fleet_number("nodes")
     message = Message(MessageKind.GOSSIP, 1, 50)
@@ -313,7 +325,7 @@
             peers[1].sendto(good, to)
         assert served(n, server) == "HTTP/1.1 200 OK"
         wait_until(lambda: counts().get("too many", 0) > 0)
-        # Stopped, it reads none of them: the socket's buffer is full, and the rest is lost.
+        # A stopped node reads none of them: the buffer of its socket fills, and the rest is lost.
         before = sum(counts().values())
         n.process.send_signal(signal.SIGSTOP)
         for _ in range(10_000):
@@ -331,14 +343,13 @@
         stranger.close()
 
 
-def test_what_a_later_version_adds_to_messages_is_skipped(tmp_path: Path) -> None:
+def test_additions_of_later_versions_to_messages_are_ignored(tmp_path: Path) -> None:
     import struct
     from zlib import crc32
 
     rows = [[9, 1, 2], [1, backend_id("s-1"), 0, 7, int(State.DRAINING), 0, 77]]
     body = struct.pack(">BH", 1, fleet_number("nodes"))
-    # A kind of message that comes with a later version, as leases came with this one, then
-    # a known one.
+    # A message of an unknown kind, and one of a known kind with an unknown record and field.
     later = body + msgpack.packb([99, 1, 50, 0, -1, [], [], "more"])
     body += msgpack.packb([3, 1, 50, 0, -1, [], rows, "more"])
     with scripted_peers(tmp_path) as (n, peers, to, _server):
@@ -355,13 +366,13 @@
         assert counters_of(n)["unknown kind"] == 1
         client = n.connect()
         client.send(request())
-        assert client.message()[0].startswith("HTTP/1.1 503")  # nowhere to send it
+        assert client.message()[0].startswith("HTTP/1.1 503")  # its only server is drained
 
 
-def test_a_node_refutes_its_own_death_and_ignores_drains_of_other_starts(
+def test_a_node_refutes_its_own_death_and_ignores_drains_of_other_server_starts(
     tmp_path: Path,
 ) -> None:
-    """A peer publishes that this node is dead, and that its only server is gone."""
+    """A peer sends records that this node is dead, and that its only server is removed."""
     number = fleet_number("nodes")
     with scripted_peers(tmp_path) as (n, peers, to, server):
         first = json.loads(n.call("GET /peers")[2])["incarnation"]
@@ -375,15 +386,20 @@
             return bool(json.loads(n.call("GET /peers")[2])["incarnation"] == first + 6)
 
         deliver(n, lambda: peers[1].sendto(datagram, to), refuted)
-        assert served(n, server) == "HTTP/1.1 200 OK"  # gone was another start of that server
+        assert (
+            served(n, server) == "HTTP/1.1 200 OK"
+        )  # the record is about another start of the server
 
 
-def test_an_idle_node_leases_its_upper_slots_to_one_node_and_reports_it(tmp_path: Path) -> None:
+def test_an_idle_node_leases_its_slots_to_one_node_and_reports_it(tmp_path: Path) -> None:
     number = fleet_number("nodes")
     with scripted_peers(tmp_path, 5) as (n, peers, to, server):
 
         def leased_to(node: int, serial: int) -> int:
-            """The classes that this node, which is alive, gets; -1 where nobody answers."""
+            """The bit mask of server groups granted to a peer; -1 if no grant arrives.
+
+            Meanwhile the peer acknowledges pings, so that it counts as alive.
+            """
             peers[node].settimeout(0.1)
             peers[node].sendto(
                 encode(Message(MessageKind.LEASE_REQUEST, node, 50, serial), number), to
@@ -404,11 +420,11 @@
             run_command(["peers", f"127.0.0.1:{n.admin}"], shown)
             return "slots lent: at 8 in 8 servers to node 2" in shown.getvalue()
 
-        # Nothing at first: an earlier start of this node may have leased out its slots.
+        # No grants at first: an earlier process of this node may have leased out its slots.
         wait_until(lambda: leased_to(2, 77) == 255 and leased_to(4, 78) == 0 and reported())
-        assert leased_to(1, 79) == -1  # of another zone: it has no slots at these servers
+        assert leased_to(1, 79) == -1  # a node of another zone has no slots at these servers
         assert served(n, server) == "HTTP/1.1 200 OK"
-        # Two processes under one name: neither may use what is leased to the other.
+        # Two processes with one node number: neither may use slots leased to the other.
         for serial in range(4):
             peers[2].sendto(encode(Message(MessageKind.LEASE_REQUEST, 2, 60, 90), number), to)
             peers[2].sendto(
@@ -432,13 +448,13 @@
         assert [r for r in json.loads(n.call("GET /peers")[2])["nodes"] if r[0] == 2 and r[4]]
 
 
-def test_without_the_setting_there_is_no_socket_and_no_import(tmp_path: Path) -> None:
+def test_without_the_setting_no_socket_is_opened_and_no_codec_is_loaded(tmp_path: Path) -> None:
     off = {"balancers": 3, "limits": LIMITS}
     with scripted_peers(tmp_path, settings=off) as (n, _peers, to, server):
         maps = Path(f"/proc/{n.process.pid}/maps").read_text()
         assert "msgpack" not in maps
         probe = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        probe.bind(to)  # no process has bound it
+        probe.bind(to)  # fails if the node has bound it
         probe.close()
         assert n.call("GET /peers")[0] == "HTTP/1.1 404 Not Found"
         assert run_command(["peers", f"127.0.0.1:{n.admin}"]) == 2
@@ -447,28 +463,28 @@
 
 
 def test_the_two_processes_of_an_upgrade_are_one_member(servers: list[Process]) -> None:
-    """Were both to take part, the others would trust neither of the two incarnations."""
+    """If both took part in gossip, the other nodes would trust neither of them."""
     with listen() as free:
         port = free.getsockname()[1]
     at = {"listen": f"127.0.0.1:{port}"}
     options = ClusterOptions(overrides=lambda n: {} if n else at)
-    with running_cluster(3, [s.address for s in servers], options) as t:
-        t.agree({0, 1, 2})
-        first = t.status(0)["incarnation"]
-        with running_process(("-m", "loadbalancer"), t.config(0)) as successor:
+    with running_cluster(3, [s.address for s in servers], options) as cluster:
+        cluster.agree({0, 1, 2})
+        first = cluster.status(0)["incarnation"]
+        with running_process(("-m", "loadbalancer"), cluster.config(0)) as successor:
             successor.collect_log()
             wait_until(lambda: "gossip between 3 nodes" in successor.log_text)
             other = Process(successor.child, successor.admin_address)
             wait_until(lambda: other.call("GET", "/peers")["caught_up"])
-            incarnations = [r[2] for r in t.status(1)["nodes"] if r[0] == 0]
+            incarnations = [r[2] for r in cluster.status(1)["nodes"] if r[0] == 0]
             assert incarnations[0] >= first
-            assert not [r for r in t.status(1)["nodes"] if r[4]]  # no member is untrusted
+            assert not [r for r in cluster.status(1)["nodes"] if r[4]]  # no member is untrusted
 
 
-def test_leases_end_at_pauses_and_upgrades_and_no_server_gets_more_than_its_slots(
+def test_leases_end_on_pauses_and_upgrades_and_no_server_exceeds_its_slots(
     servers: list[Process], tmp_path: Path
 ) -> None:
-    """Three nodes before servers of three slots; node 0 has all clients, and leases slots."""
+    """Three nodes use servers with three slots each. Node 0 has all clients, and leases slots."""
     fleet = tmp_path / "fleet.toml"
     fleet.write_text("version = 1\nseats = 3\n")
     with listen() as free:
@@ -480,44 +496,44 @@
             3,
             [s.address for s in servers],
             ClusterOptions(fleet=str(fleet), overrides=lambda n: {} if n else at),
-        ) as t,
+        ) as cluster,
         contextlib.ExitStack() as stack,
     ):
-        t.agree({0, 1, 2})
-        clients = SteadyClients(t.nodes[0].address)
+        cluster.agree({0, 1, 2})
+        clients = SteadyClients(cluster.nodes[0].address)
         stack.callback(clients.stop)
 
         def grantors() -> list[int]:
-            return [row[0] for row in t.status(0)["borrowed"]]
+            return [row[0] for row in cluster.status(0)["borrowed"]]
 
         wait_until(lambda: bool(grantors()))
         grantor = grantors()[0]
-        t.signal(signal.SIGSTOP, grantor)
-        wait_until(lambda: grantor not in grantors())  # though no message ended it
-        t.signal(signal.SIGCONT, grantor)
+        cluster.signal(signal.SIGSTOP, grantor)
+        wait_until(lambda: grantor not in grantors())  # the lease expires, as no message can end it
+        cluster.signal(signal.SIGCONT, grantor)
         wait_until(lambda: bool(grantors()))
         grantor = grantors()[0]
-        wait_until(lambda: any(row[0] == 0 for row in t.status(grantor)["lent"]))
-        t.signal(signal.SIGSTOP, 0)
-        wait_until(lambda: not t.status(grantor)["lent"])
-        t.signal(signal.SIGCONT, 0)
+        wait_until(lambda: any(row[0] == 0 for row in cluster.status(grantor)["lent"]))
+        cluster.signal(signal.SIGSTOP, 0)
+        wait_until(lambda: not cluster.status(grantor)["lent"])
+        cluster.signal(signal.SIGCONT, 0)
         wait_until(lambda: bool(grantors()))
-        # An upgrade in the middle of it: the new process gets leases once the old one has stopped.
-        with running_process(("-m", "loadbalancer"), t.config(0)) as successor:
+        # An upgrade under load: the new process gets leases after the old one has stopped.
+        with running_process(("-m", "loadbalancer"), cluster.config(0)) as successor:
             successor.collect_log()
-            t.signal(signal.SIGTERM, 0)
-            t.nodes[0].child.wait(20)
-            t.nodes[0].admin_address = successor.admin_address
+            cluster.signal(signal.SIGTERM, 0)
+            cluster.nodes[0].child.wait(20)
+            cluster.nodes[0].admin_address = successor.admin_address
             wait_until(lambda: bool(grantors()))
             clients.stop()
-        # Requests that a paused node had are late when it goes on, and are answered as failed.
+        # Requests in flight at a paused node are late when it continues, and get an error response.
         assert clients.statuses <= {200, 502, 503, 504}
         assert 200 in clients.statuses
     assert max(s.call("GET", "/standin/state")["most_held"] for s in servers) <= 3
 
 
 class SteadyClients:
-    """A dozen clients that send requests to one address without a pause, until `stop`."""
+    """Twelve clients that send requests to one address continuously, until `stop`."""
 
     def __init__(self, address: str) -> None:
         self.statuses: set[int] = set()
