--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -131,8 +131,8 @@
     assert non_alive_members(world) == {4}
     drain(world, 0, 2, 7)
     world.run(world.now + 40 * SECOND)
-    for node in world.nodes.values():
-        node.records.changed.clear()
+    for gossip_node in world.nodes.values():
+        gossip_node.records.changed.clear()
     world.resume(4)
     assert world.run(world.now + 5 * SECOND, lambda: world.nodes[4].caught_up)
     world.run(world.now + 3 * SECOND)
@@ -152,14 +152,15 @@
         world.clock_offsets[node] += 60 * SECOND
         world.schedule_turn(node, world.now)
     assert world.run(
-        world.now + 5 * SECOND, lambda: all(node.caught_up for node in world.nodes.values())
+        world.now + 5 * SECOND,
+        lambda: all(gossip_node.caught_up for gossip_node in world.nodes.values()),
     )
     world.run(world.now + 3 * SECOND)
     assert not non_alive_members(world)
     assert drained_at(world, 7) == 8
-    assert sum(node.counters["stalls"] for node in world.nodes.values()) == 3
+    assert sum(gossip_node.counters["stalls"] for gossip_node in world.nodes.values()) == 3
     world.run(world.now + 16 * SECOND)  # the observation has expired by every clock
-    assert all(not node.records.records_of_server(5) for node in world.nodes.values())
+    assert all(not gossip_node.records.records_of_server(5) for gossip_node in world.nodes.values())
 
 
 def test_a_node_that_restarts_with_an_earlier_clock_is_accepted_again() -> None:
@@ -227,7 +228,9 @@
     for number in range(70):
         world.start(number)
     began = world.now
-    assert world.run(began + SECOND, lambda: all(node.caught_up for node in world.nodes.values()))
+    assert world.run(
+        began + SECOND, lambda: all(gossip_node.caught_up for gossip_node in world.nodes.values())
+    )
     assert max(requests.values()) <= 12
 
 
