--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -79,7 +79,7 @@
 def publisher_of(log: ChangeLog, nodes: int) -> Publisher:
     """Return a machine's publisher of a log, for `nodes` nodes of the region."""
     publisher = Publisher(MACHINES[0], MACHINES, {"east": log}, PublisherLimits())
-    publisher.on_nodes({f"n{i}": "east" for i in range(nodes)})
+    publisher.on_registered_nodes({f"n{i}": "east" for i in range(nodes)})
     return publisher
 
 
@@ -177,7 +177,7 @@
         world.run(MS)
     accepted = world.now
     rows = source.desired.get(service)
-    holders = world.assigner.with_alive(world.topology.node_index).holders[service]
+    holders = world.assigner.assign(world.topology.node_index).holders[service]
     nodes = [world.nodes.running[world.topology.node_index[name]] for name in holders]
     while any(node.holder.rows(service) != rows for node in nodes):
         world.run(MS)
--- a/loadbalancer/control/machine/submitted_changes.py
+++ b/loadbalancer/control/machine/submitted_changes.py
@@ -10,12 +10,12 @@
 from http import HTTPStatus
 from typing import Any
 
-from loadbalancer.control.machine.list_form import ListFormError, row_of
+from loadbalancer.control.machine.list_format import ListFormatError, row_from_target
 from loadbalancer.control.machine.operator_calls import Reply
 from loadbalancer.control.machine.version import version_of
 from loadbalancer.core.assignment.model import Change, Position, Row
 from loadbalancer.core.errors import ProtocolError
-from loadbalancer.core.replicated_log.replication import Outcome, Proposal, Replica
+from loadbalancer.core.replicated_log.replication import Proposal, ProposalOutcome, Replica
 
 COMMIT_TIMEOUT_S = 5.0
 MAX_CHANGES = 256  # in one call
@@ -111,7 +111,7 @@
         Those before it may be committed all the same. The call may be repeated: rows replace one
         another, so that a change committed twice has the effect of one.
         """
-        if proposal.outcome is Outcome.BUSY:
+        if proposal.outcome is ProposalOutcome.BUSY:
             text = b"[busy] too many changes wait for a majority"
             self._finish(submission, HTTPStatus.SERVICE_UNAVAILABLE, text)
         else:
@@ -154,8 +154,8 @@
     rows, removed = raw.get("rows", []), raw.get("removed", [])
     _check_rows(place, rows, removed)
     try:
-        decoded = tuple([row_of(row) for row in rows])
-    except ListFormError as err:
+        decoded = tuple([row_from_target(row) for row in rows])
+    except ListFormatError as err:
         raise BadChangeError(f"{place}: [bad-value] {err}") from None
     return SubmittedChange(service, decoded, tuple(removed), raw.get("deleted") is True)
 
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -133,7 +133,7 @@
         out = self._charge_and_piggyback(now, out)
         if self.shared_list is not None:
             out += self.shared_list.receive(now, message)
-            if self.shared_list.busy:
+            if self.shared_list.has_queued_pieces:
                 self._updates.schedule_gossip(now)
         if members.peers[message.origin].status != MemberStatus.ALIVE and self._updates.take(now):
             # This node does not consider it alive in its present incarnation: let it refute that.
@@ -220,7 +220,7 @@
 
     def _has_urgent_messages(self, now: int) -> bool:
         """Whether to send queued messages before the next regular tick."""
-        if self.shared_list is not None and self.shared_list.busy:
+        if self.shared_list is not None and self.shared_list.has_queued_pieces:
             return True
         return self._updates.gossip_pending and self._updates.may_send(now)
 
@@ -231,8 +231,8 @@
             return []
         shared_list.caught_up = self.caught_up
         out = shared_list.tick(now)
-        if shared_list.role.record_changed:
-            shared_list.role.record_changed = False
+        if shared_list.polling_role.record_changed:
+            shared_list.polling_role.record_changed = False
             self._updates.add(RecordKey(READER_UPDATE, self.members.me))
             self._updates.gossip_pending = True
         return out
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -64,7 +64,7 @@
         self._refused = False  # whether discovery refused the last update of the list
         rows = {uid: row for uid, row in rows_from_answer(known).items() if row is not None}
         if rows:
-            self._shared_list.replica.begin(known["rev"], rows)
+            self._shared_list.replica.load_configured_list(known["rev"], rows)
 
     def update(self, now: int, connected: bool) -> None:
         """Start or stop polling, and apply what other nodes have read.
@@ -77,9 +77,9 @@
         """
         shared_list = self._shared_list
         if not connected:
-            shared_list.on_unconnected(now)
-        if shared_list.polls != self._polls:
-            self._polls = shared_list.polls
+            shared_list.on_gossip_disconnected(now)
+        if shared_list.is_polling != self._polls:
+            self._polls = shared_list.is_polling
             self._switch_polling()
         updates, shared_list.updates = shared_list.updates, []
         for update in updates:
@@ -108,7 +108,7 @@
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
-        return self._shared_list.polls
+        return self._shared_list.is_polling
 
     def unread(self) -> bool:
         """Whether the present list is from the configuration, and no node has read a list yet."""
--- a/simulation/control_world/machine.py
+++ b/simulation/control_world/machine.py
@@ -72,7 +72,7 @@
             self.spec, topology.machines, self.logs, seed, now, size.timing
         )
         self.publisher = Publisher(self.spec, topology.machines, self.logs, size.publisher_limits)
-        self.publisher.on_nodes({node.name: node.region for node in topology.nodes})
+        self.publisher.on_registered_nodes({node.name: node.region for node in topology.nodes})
         self._liveness = Liveness(
             now,
             [node.name for node in topology.nodes],
@@ -82,7 +82,7 @@
             ),
         )
         self._handover = Handover(topology.nodes)
-        self._handover.on_assignment(environment.assigner.with_alive(self._liveness.alive))
+        self._handover.on_assignment(environment.assigner.assign(self._liveness.alive))
         self._releases = ReleaseAuthority(
             now,
             self.spec,
@@ -145,14 +145,14 @@
     def settle(self) -> None:
         """Send the replica's messages, and publish what it has restored and committed."""
         environment = self._environment
-        for recipient, message in self.replica.outgoing():
+        for recipient, message in self.replica.drain_outgoing():
             environment.network.replicate(self.index, recipient, message)
-        for region in self.replica.restored():
+        for region in self.replica.drain_restored():
             log = self.logs[region]
             environment.log_checker.on_restored(self.spec.name, log)
             environment.recorder.decision(self.index, self.incarnation, region, log.position)
             self._wake(region, self.publisher.on_restored(region))
-        for region, change in self.replica.committed():
+        for region, change in self.replica.drain_committed():
             environment.log_checker.on_committed(self.spec.name, region, change)
             environment.recorder.decision(
                 self.index, self.incarnation, region, change.position, change.service
@@ -172,7 +172,7 @@
             self._handover.on_dead(node)
         if turned.died or turned.returned:
             assigner = self._environment.assigner
-            self._handover.on_assignment(assigner.with_alive(self._liveness.alive))
+            self._handover.on_assignment(assigner.assign(self._liveness.alive))
 
     def _ping(self) -> None:
         """Ping all other machines, with a grant if this one leads its region."""
@@ -197,7 +197,7 @@
         )
         if living != self._living:
             self._living = living
-            for node, region in self.publisher.on_living(living):
+            for node, region in self.publisher.on_live_machines(living):
                 self._wake(region, (node,))
 
     def _wake(self, region: str, nodes: Iterable[str]) -> None:
@@ -211,7 +211,7 @@
     def _assignment(self, node: int) -> NodeAssignment:
         name = self._environment.topology.nodes[node].name
         releasable = self._releases.releasable(self._environment.now, name)
-        return NodeAssignment(self._handover.wanted(name), releasable)
+        return NodeAssignment(self._handover.required(name), releasable)
 
     def _answer(self, opened: OpenPoll) -> None:
         """Answer a poll if there is an update or a new assignment, or if its deadline has come."""
--- a/tests/control/machine/test_poll_connections.py
+++ b/tests/control/machine/test_poll_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loadbalancer.control.machine.messages import NodeReport, Reports
+from loadbalancer.control.machine.messages import NodeReport, NodeReports
 from loadbalancer.core.assignment.model import Position
 from loadbalancer.core.balancing.model import SECOND
 from tests.control.machine.socketless import Connection, Rig, in_loop
@@ -56,9 +56,9 @@
 
     def play(rig: Rig) -> None:
         connection = rig.waiting()
-        assert rig.machine.publisher._subscribers.waiting("n1", "east")
+        assert rig.machine.publisher._subscribers.is_waiting("n1", "east")
         connection.host.cancel(connection)
-        assert not rig.machine.publisher._subscribers.waiting("n1", "east")
+        assert not rig.machine.publisher._subscribers.is_waiting("n1", "east")
         rig.change("cart")
         assert not connection.answers
 
@@ -115,6 +115,6 @@
         connection.poll(rig.log.position)
         sent: list[object] = []
         nodes.send_full_state(sent.append)
-        assert Reports((NodeReport("n1", ("cart",)),)) in sent
+        assert NodeReports((NodeReport("n1", ("cart",)),)) in sent
 
     in_loop(tmp_path, play)
--- a/tests/core/subscription/test_holder.py
+++ b/tests/core/subscription/test_holder.py
@@ -104,12 +104,12 @@
 
 def test_a_service_begins_with_its_first_complete_change() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
-    assert not holder.on_request_begins("t")
-    assert holder.subscription("r") == {"s", "t"}
-    assert holder.current("r") == {"s"}
-    assert holder.missing("r") == {"t"}
+    assert not holder.on_request_start("t")
+    assert holder.subscribed_services("r") == {"s", "t"}
+    assert holder.current_services("r") == {"s"}
+    assert holder.stale_services("r") == {"t"}
     part = Change(P(2, 11), "t", (row("c"),))
     also = Change(P(2, 11), "s", (row("c"),))
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), also, part)) == UpdateResult(
@@ -121,7 +121,7 @@
         UpdateStatus.APPLIED, ("t",)
     )
     assert holder.rows("t") == rows("a")
-    assert holder.current("r") == {"s", "t"}
+    assert holder.current_services("r") == {"s", "t"}
     assert holder.on_update(3, delta(P(2, 10), P(2, 11), also, part)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a", "c")
 
@@ -134,13 +134,13 @@
     together = delta(P(2, 10), P(2, 11), complete)
     holder = holding("s")  # the change comes first
     assert holder.on_update(1, before).status is UpdateStatus.NOT_WANTED
-    assert holder.on_wanted(2, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(2, {"s": "r", "t": "r"}, ()) == ()
     assert holder.rows("t") is None
     late = Change(P(2, 11), "t", complete.rows, complete=True)
     assert holder.on_update(3, delta(P(2, 11), P(2, 11), late)).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", draining=True), "b": row("b")}
     holder = holding("s")  # the move comes first
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     assert holder.on_update(2, before).status is UpdateStatus.GAP
     assert holder.on_update(3, together).status is UpdateStatus.APPLIED
     assert holder.rows("t") == {"a": row("a", draining=True), "b": row("b")}
@@ -151,11 +151,11 @@
     the service must not count as current at the answer's position.
     """
     holder = holding("s")
-    early = holder.subscribe("r")
+    early = holder.make_subscription("r")
     assert early == Subscription("r", P(2, 10), frozenset("s"), frozenset("s"))
-    assert holder.on_wanted(1, {"s": "r", "t": "r"}, ()) == ()
+    assert holder.on_assignment(1, {"s": "r", "t": "r"}, ()) == ()
     complete = Change(P(2, 10), "t", (row("a"),), complete=True)
-    second = holder.subscribe("r")
+    second = holder.make_subscription("r")
     assert second == Subscription("r", P(2, 10), frozenset("st"), frozenset("s"))
     assert (
         holder.on_update(2, delta(P(2, 10), P(2, 10), complete), second).status
@@ -164,7 +164,7 @@
     # In between t's backend was drained; this answer leaves it out, as t was not polled.
     assert holder.on_update(3, delta(P(2, 10), P(2, 11)), early).status is UpdateStatus.APPLIED
     assert holder.rows("t") == rows("a")
-    assert holder.current("r") == {"s"}
+    assert holder.current_services("r") == {"s"}
 
 
 def test_a_snapshot_from_before_an_assignment_leaves_what_it_does_not_name() -> None:
@@ -174,7 +174,7 @@
         is UpdateStatus.APPLIED
     )
     assert holder.rows("t") == rows("a", "b")  # served on with what is held
-    assert holder.current("r") == {"s"}
+    assert holder.current_services("r") == {"s"}
     stale = Change(P(2, 21), "t", (row("d"),))
     assert holder.on_update(2, delta(P(2, 20), P(2, 21), stale)).status is UpdateStatus.GAP
 
@@ -186,7 +186,7 @@
         UpdateStatus.APPLIED, ("s",)
     )
     assert holder.rows("s") is None
-    assert not holder.on_request_begins("s")
+    assert not holder.on_request_start("s")
     assert holder.retained_bytes == SERVICE_BYTES
     anew = Change(P(2, 12), "s", (row("z"),))
     assert holder.on_update(2, delta(P(2, 11), P(2, 12), anew)).status is UpdateStatus.APPLIED
@@ -198,89 +198,89 @@
     fails these requests.
     """
     holder = holding("s")
-    assert holder.on_request_begins("s")
-    assert holder.on_request_begins("s")
-    assert holder.on_wanted(1, {}, ()) == ()  # moved away, nobody serves yet
-    assert holder.on_request_begins("s")
-    holder.on_request_ends("s")
+    assert holder.on_request_start("s")
+    assert holder.on_request_start("s")
+    assert holder.on_assignment(1, {}, ()) == ()  # moved away, nobody serves yet
+    assert holder.on_request_start("s")
+    holder.on_request_end("s")
     assert holder.rows("s") == rows("a", "b")
     drain = Change(P(2, 11), "s", (row("a", draining=True),))
     assert holder.on_update(2, delta(P(2, 10), P(2, 11), drain)).changed == ("s",)
-    assert holder.on_wanted(3, {}, ("s",)) == ()
-    holder.on_request_ends("s")
+    assert holder.on_assignment(3, {}, ("s",)) == ()
+    holder.on_request_end("s")
     assert holder.rows("s") is not None
-    assert holder.released() == ()
-    holder.on_request_ends("s")
+    assert holder.drain_released() == ()
+    holder.on_request_end("s")
     assert holder.rows("s") is None
-    assert holder.released() == ("s",)
-    assert holder.released() == ()
-    assert not holder.on_request_begins("s")
+    assert holder.drain_released() == ("s",)
+    assert holder.drain_released() == ()
+    assert not holder.on_request_start("s")
     assert holder.retained_bytes == 0
-    assert holder.subscription("r") == frozenset()
+    assert holder.subscribed_services("r") == frozenset()
 
 
 def test_an_idle_service_is_retained_until_it_may_be_released() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {}, ()) == ()
+    assert holder.on_assignment(1, {}, ()) == ()
     for now in (1, SECOND, 3600 * SECOND):
         assert holder.on_update(now, delta(P(2, 10), P(2, 10))).status is UpdateStatus.APPLIED
         assert holder.rows("s") == rows("a", "b")
-    assert holder.on_wanted(2, {}, ("s",)) == ()
-    assert holder.released() == ("s",)
+    assert holder.on_assignment(2, {}, ("s",)) == ()
+    assert holder.drain_released() == ("s",)
 
 
 def test_a_revoked_release_does_not_count() -> None:
     """A new holder dies, and control takes the permission to release back."""
     holder = holding("s")
-    assert holder.on_request_begins("s")
-    assert holder.on_wanted(1, {}, ("s",)) == ()
-    assert holder.on_wanted(2, {}, ()) == ()
-    holder.on_request_ends("s")
+    assert holder.on_request_start("s")
+    assert holder.on_assignment(1, {}, ("s",)) == ()
+    assert holder.on_assignment(2, {}, ()) == ()
+    holder.on_request_end("s")
     assert holder.rows("s") == rows("a", "b")
 
 
 def test_a_service_that_is_never_idle_is_closed_after_the_drain_timeout() -> None:
     """Requests of a service that moved away never pause, so it would never be released."""
-    holder = holding("s", limits=HolderLimits(drain_timeout=10))
-    assert holder.on_request_begins("s")
-    assert holder.on_wanted(100, {}, ("s",)) == ()
-    assert holder.on_wanted(109, {}, ("s",)) == ()
-    assert holder.on_request_begins("s")
+    holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
+    assert holder.on_request_start("s")
+    assert holder.on_assignment(100, {}, ("s",)) == ()
+    assert holder.on_assignment(109, {}, ("s",)) == ()
+    assert holder.on_request_start("s")
     assert holder.serving() == {"s"}
-    assert holder.on_wanted(110, {}, ("s",)) == ()
-    assert not holder.on_request_begins("s")
+    assert holder.on_assignment(110, {}, ("s",)) == ()
+    assert not holder.on_request_start("s")
     assert holder.serving() == frozenset()
-    holder.on_request_ends("s")
+    holder.on_request_end("s")
     assert holder.rows("s") is not None
-    holder.on_request_ends("s")
-    assert holder.released() == ("s",)
+    holder.on_request_end("s")
+    assert holder.drain_released() == ("s",)
 
 
 def test_a_service_that_comes_back_serves_on_and_has_to_come_completely() -> None:
-    holder = holding("s", limits=HolderLimits(drain_timeout=10))
-    assert holder.on_request_begins("s")
-    assert holder.on_wanted(100, {}, ("s",)) == ()
-    assert holder.on_wanted(200, {}, ("s",)) == ()  # closed
-    assert holder.on_wanted(201, {"s": "r"}, ()) == ()
-    assert holder.on_request_begins("s")
-    assert holder.current("r") == frozenset()  # it may not have been followed meanwhile
-    holder.on_request_ends("s")
-    holder.on_request_ends("s")
-    assert holder.released() == ()
+    holder = holding("s", limits=HolderLimits(drain_timeout_ns=10))
+    assert holder.on_request_start("s")
+    assert holder.on_assignment(100, {}, ("s",)) == ()
+    assert holder.on_assignment(200, {}, ("s",)) == ()  # closed
+    assert holder.on_assignment(201, {"s": "r"}, ()) == ()
+    assert holder.on_request_start("s")
+    assert holder.current_services("r") == frozenset()  # it may not have been followed meanwhile
+    holder.on_request_end("s")
+    holder.on_request_end("s")
+    assert holder.drain_released() == ()
 
 
 def test_a_service_dropped_and_back_at_once_is_not_named_as_released() -> None:
     holder = holding("s")
-    assert holder.on_wanted(1, {}, ("s",)) == ()
-    assert holder.on_wanted(2, {"s": "r"}, ()) == ()
-    assert holder.released() == ()
+    assert holder.on_assignment(1, {}, ("s",)) == ()
+    assert holder.on_assignment(2, {"s": "r"}, ()) == ()
+    assert holder.drain_released() == ()
     assert holder.rows("s") is None
 
 
 def test_a_cold_service_that_moves_on_before_it_came_is_dropped() -> None:
     holder = make("s")
-    assert holder.on_wanted(1, {}, ()) == ()
-    assert holder.subscription("r") == frozenset()
+    assert holder.on_assignment(1, {}, ()) == ()
+    assert holder.subscribed_services("r") == frozenset()
     assert holder.retained_bytes == 0
 
 
@@ -294,11 +294,11 @@
     )
     assert holder.age(10, "r") == 0
     day = 86_400 * SECOND
-    assert holder.on_request_begins("s")
+    assert holder.on_request_start("s")
     assert holder.age(10 + day, "r") == day
-    assert not holder.on_nothing_newer(10 + day, "r", P(1, 2))
+    assert not holder.on_up_to_date(10 + day, "r", P(1, 2))
     assert holder.age(10 + day, "r") == day
-    assert holder.on_nothing_newer(10 + day, "r", P(1, 1))
+    assert holder.on_up_to_date(10 + day, "r", P(1, 1))
     assert holder.age(11 + day, "r") == 1
     assert holder.age(11 + day, "q") is None
 
@@ -308,7 +308,7 @@
     with pytest.raises(InvalidInputError, match="unknown region 'x', must be one of q, r"):
         holder.on_update(1, Snapshot("x", P(1, 1)))
     with pytest.raises(InvalidInputError, match="unknown region 'x'"):
-        holder.on_wanted(1, {"t": "r", "u": "x"}, ("s",))
+        holder.on_assignment(1, {"t": "r", "u": "x"}, ("s",))
     with pytest.raises(InvalidInputError, match="service 's' is of region 'r', not 'q'"):
-        holder.on_wanted(1, {"s": "q"}, ())
-    assert holder.subscription("r") == {"s"}
+        holder.on_assignment(1, {"s": "q"}, ())
+    assert holder.subscribed_services("r") == {"s"}
