--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -48,10 +48,8 @@
         self.alive = 0  # number of alive members at the last allocation of slots
         self._liveness_changes = -1
         self._saturated = False
-        self._peaks = [
-            0,
-            0,
-        ]  # maximum of requests in flight, in this window and in the previous one
+        # Maximum of requests in flight, in this window and in the previous one.
+        self._peaks = [0, 0]
         self._window_ends_at = 0
         balancer.set_slot_ranks(self.slots)
 
@@ -159,7 +157,7 @@
             endpoint = self._balancer.endpoints.get(server)
             if endpoint is None or endpoint.state != State.READY:
                 continue
-            boot = local_list.boots.get(server, 0)
+            boot = local_list.boot_times.get(server, 0)
             state = local_list.effective_state(server, boot, State.READY)
             if state != State.READY:
                 rows.append(
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-TICK_NS = 100 * MS
+TICK_NS = 100 * MS  # regular interval between ticks
 LEAVE_MESSAGES = 6  # random members that are notified when this node leaves
 
 
@@ -59,6 +59,7 @@
         self.counters: Counter[str] = Counter()
         self.members = Membership(settings.me, settings.nodes, incarnation, seed, now)
         self.records = RecordStore(settings.zones)
+        # Each random number generator gets a seed of its own.
         self.leases = SlotLeases(seed ^ 0x10A25)
         self.shared_list = _new_shared_list(settings, self.members, seed ^ 0x115E, now)
         self.lease_exchange = LeaseExchange(settings, self.members, self.leases)
@@ -170,12 +171,12 @@
         if isinstance(record, ReaderRecord):
             readers = None if self.shared_list is None else self.shared_list.readers
             changed = readers is not None and readers.merge(now, record)
-            self._updates.received(RecordKey(READER_UPDATE, record.node), changed)
+            self._updates.on_received(RecordKey(READER_UPDATE, record.node), changed)
             return changed
         if isinstance(record, Observation) and record.origin == self.members.me:
             return False  # from an earlier process of this node, or one with the same node number
         changed = self.records.merge(now, record)
-        self._updates.received(key_of(record), changed)
+        self._updates.on_received(key_of(record), changed)
         if changed and isinstance(record, DrainRecord):
             self.local_list.pending_drains.add(record.server)
         return changed
@@ -187,7 +188,7 @@
             self._updates.add(key)  # the sender has an older record than this node
             return True
         if not changed:
-            self._updates.received(key, changed=False)
+            self._updates.on_received(key, changed=False)
         return changed
 
     def _charge_and_piggyback(self, now: int, out: list[Outgoing]) -> list[Outgoing]:
@@ -279,7 +280,7 @@
 
     def verdict_changes(self, now: int) -> list[VerdictChange]:
         """Changed verdicts on servers, to report to the Balancer."""
-        return self._verdicts.changes(now, self.local_list.boots)
+        return self._verdicts.changes(now, self.local_list.boot_times)
 
     def report(self, now: int) -> list[list[object]]:
         """All records about servers, for operators (see `Verdicts.report`)."""
--- a/loadbalancer/core/gossip/local_list.py
+++ b/loadbalancer/core/gossip/local_list.py
@@ -23,7 +23,7 @@
         self._records = records
         self._updates = updates
         self.rev = 0  # version of the list
-        self.boots: dict[int, int] = {}  # start time of each server, Unix ms
+        self.boot_times: dict[int, int] = {}  # start time of each server, Unix ms
         self.drained_by_gossip: set[int] = set()  # servers that the list itself has as ready
         self.pending_drains: set[int] = set()  # servers with drain records to apply
 
@@ -47,13 +47,13 @@
             named.add(server)
             self._update_server(now, server, boot, state)
         if complete:
-            for server in [server for server in self.boots if server not in named]:
-                self._publish(now, server, self.boots.pop(server), State.GONE)
+            for server in [server for server in self.boot_times if server not in named]:
+                self._publish(now, server, self.boot_times.pop(server), State.GONE)
         # A server drained by gossip remains so until this list has the version with the drain.
         self.drained_by_gossip = {
             server
             for server in self.drained_by_gossip
-            if server in self.boots and self.has_pending_drain(server, self.boots[server])
+            if server in self.boot_times and self.has_pending_drain(server, self.boot_times[server])
         }
 
     def _update_server(self, now: int, server: int, boot: int, state: State) -> None:
@@ -61,10 +61,10 @@
             self.drained_by_gossip.discard(server)
         if state == State.GONE:
             # The row of a removed server may lack its start time: use the one listed before.
-            if server in self.boots:
-                self._publish(now, server, self.boots.pop(server), state)
+            if server in self.boot_times:
+                self._publish(now, server, self.boot_times.pop(server), state)
             return
-        self.boots[server] = boot
+        self.boot_times[server] = boot
         if state == State.DRAINING:
             self._publish(now, server, boot, state)
 
@@ -94,4 +94,4 @@
 
     def max_drained_by_gossip(self) -> int:
         """How many servers gossip alone may drain."""
-        return max(len(self.boots) // MIN_SERVERS_PER_DRAIN, 1)
+        return max(len(self.boot_times) // MIN_SERVERS_PER_DRAIN, 1)
--- a/loadbalancer/core/gossip/membership.py
+++ b/loadbalancer/core/gossip/membership.py
@@ -21,7 +21,7 @@
     record_checksum,
 )
 
-PROTOCOL_PERIOD_NS = 500 * MS
+PROTOCOL_PERIOD_NS = 500 * MS  # interval between probes, as long as they succeed
 MAX_LOCAL_HEALTH = 8  # limit of Lifeguard's local health multiplier, which slows down probing
 SUSPICION_ALPHA = 2  # the minimum suspicion timeout is this * log10(members) protocol periods
 SUSPICION_BETA = 4  # the maximum suspicion timeout, as a multiple of the minimum
--- a/loadbalancer/core/gossip/own_observations.py
+++ b/loadbalancer/core/gossip/own_observations.py
@@ -52,7 +52,7 @@
         self._updates = updates
         self._local_list = local_list
         self._published: dict[int, Published] = {}  # by server
-        self._number = 0
+        self._sequence_number = 0
 
     def __contains__(self, server: int) -> bool:
         return server in self._published
@@ -93,11 +93,11 @@
         return repeat and attempted_at != last.attempted_at
 
     def _publish(self, now: int, server: int, results: AttemptResults, age: int) -> None:
-        self._number += 1
+        self._sequence_number += 1
         members = self._members
-        boot = self._local_list.boots.get(server, 0)
+        boot = self._local_list.boot_times.get(server, 0)
         record = Observation(
-            server, boot, members.me, members.incarnation, self._number, *results, age=age
+            server, boot, members.me, members.incarnation, self._sequence_number, *results, age=age
         )
         self._updates.publish(now, record)
 
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -45,19 +45,19 @@
 MERGE_RULES = {
     DrainRecord: MergeRule(
         "the list service",
-        "the higher version; at one version GONE over DRAINING",
+        "the higher list version; at equal versions GONE over DRAINING",
         DRAIN_TTL_NS,
         "a node that has not received a drain yet cannot undo it",
     ),
     Observation: MergeRule(
-        "the node whose attempts they were",
-        "the later incarnation of it, then its higher number",
+        "the node that made the attempts",
+        "the later incarnation of the writer, then the higher sequence number",
         OBSERVATION_TTL_NS,
         "only its writer can retract an observation; each observer has a record of its own",
     ),
     ReaderRecord: MergeRule(
         "the node that reads the list",
-        "the later incarnation of it, then its higher number",
+        "the later incarnation of the writer, then the higher sequence number",
         READER_TTL_NS,
         "only the reader knows the results of its polls; list versions have an order of their own",
     ),
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -24,7 +24,7 @@
 SERVER_GROUPS = 8  # groups of servers, by server number; slots are leased by group
 ALL_SERVER_GROUPS = (1 << SERVER_GROUPS) - 1
 MAX_GRANTORS = 12  # of one holder; each costs one message per second of the message rate
-REQUEST_INTERVAL_NS = 250 * MS
+REQUEST_INTERVAL_NS = 250 * MS  # minimum interval between lease requests
 MAX_NEW_REQUESTS = 4  # requests to further grantors in one REQUEST_INTERVAL_NS
 DECLINED_RETRY_NS = 2 * SECOND  # time until the next request to a node that granted nothing
 
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -77,7 +77,7 @@
         """Queue an update for dissemination."""
         self._queue.add(key)
 
-    def received(self, key: RecordKey, changed: bool) -> None:
+    def on_received(self, key: RecordKey, changed: bool) -> None:
         """Forward a received record if it `changed` this node; otherwise count a transmission."""
         if changed:
             self._queue.add(key)
@@ -118,11 +118,11 @@
         return self._rate.take(now)
 
     def charge(self, now: int, count: int) -> None:
-        """Charge messages to the rate that are sent regardless of it.
+        """Charge messages to the message rate that are sent regardless of it.
 
-        This may leave a debt, which delays gossip messages, of at most the messages of half a
-        second. With no debt at all the total would exceed the rate under packet loss; a larger one
-        would delay updates and save no further messages.
+        This may leave a debt of up to half a second's messages, which delays gossip messages.
+        Without a debt the total would exceed the rate under packet loss. A larger debt would delay
+        updates and save no further messages.
         """
         self._rate.refill(now)
         self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages_per_second / 2)
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -61,12 +61,12 @@
         self._reported: dict[int, ReportedState] = {}  # by server
         self._repeated_at = now
 
-    def changes(self, now: int, boots: Mapping[int, int]) -> list[VerdictChange]:
+    def changes(self, now: int, boot_times: Mapping[int, int]) -> list[VerdictChange]:
         """The verdicts to report now.
 
         These are the verdicts on servers whose records have changed, and every REPEAT_INTERVAL_NS
-        the verdicts on all servers. `boots` has the start time of each server in the list of this
-        node.
+        the verdicts on all servers. `boot_times` has the start time of each server in the list of
+        this node.
         """
         servers = self._records.changed
         if now - self._repeated_at >= REPEAT_INTERVAL_NS:
@@ -75,10 +75,10 @@
         if not servers:
             return []
         self._records.changed = set()
-        trusted = self._members.trusted(now) - self.isolated_observers(len(boots))
+        trusted = self._members.trusted(now) - self.isolated_observers(len(boot_times))
         changes = []
         for server in servers:
-            boot = boots.get(server)
+            boot = boot_times.get(server)
             if boot is None:
                 self._reported.pop(server, None)
                 continue
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -87,10 +87,10 @@
 
     def _switch_polling(self) -> None:
         if self._polls:
-            logger.info("starting to poll the list service")
+            logger.info("started polling the list service")
             self._discovery.watch()
         else:
-            logger.info("stopping to poll the list service: other nodes poll it")
+            logger.info("stopped polling the list service: other nodes poll it")
             self._discovery.close()
 
     def _apply(self, update: ListUpdate) -> None:
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -74,14 +74,14 @@
         )
         self.node = GossipNode(_gossip_settings(config, file), config.seed, _incarnation(), now)
         self.bridge = BalancerBridge(self.node, host.balancer)
-        self._list_sharing = self._share_list(config)
+        self._list_sharing = self._create_list_sharing(config)
         self._caught_up = False  # value that was logged last
         self._alive = 0  # number of alive nodes that was logged last
         self._sock: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tick_due = 0
 
-    def _share_list(self, config: Config) -> ListSharing | None:
+    def _create_list_sharing(self, config: Config) -> ListSharing | None:
         if self.node.shared_list is None:
             return None
         # Imported here so that a node without a shared list does not load the module.
@@ -125,9 +125,9 @@
                 "gossip between nodes: can't bind %s: %s; retrying", self._listen, err.strerror
             )
         self.counters["port taken"] += 1
-        # If the port never becomes free, this node must serve as one without gossip. An exception
-        # here is logged: otherwise the timer would not be set, the port never be tried again, and
-        # this node would take no part in gossip until a restart.
+        # If the port never becomes free, this node must serve as one without gossip, so the host is
+        # updated here as well. An exception from that is only logged: if the timer were not set,
+        # the port would not be tried again, and this node would need a restart to use gossip.
         run_logged(self._update_host, time.monotonic_ns())
         self._timer = self._host.loop.call_later(BIND_RETRY_S, self.open)
 
@@ -183,7 +183,7 @@
             data = encode(message, self._fleet)
             self.counters["sent"] += 1
             self.counters["bytes sent"] += len(data)
-            # With a full buffer or without a route the message is lost, as it may be on the way.
+            # On an error (full buffer, no route) the message is lost, as may happen on the network.
             with contextlib.suppress(OSError):
                 self._sock.sendto(data, self._addresses[to])
 
