--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -51,7 +51,7 @@
         # Maximum of requests in flight, in this window and in the previous one.
         self._peaks = [0, 0]
         self._window_ends_at = 0
-        balancer.set_slot_ranks(self.slots)
+        balancer.set_slot_allocator(self.slots)
 
     def _is_alive_at_index(self, zone_index: int) -> bool:
         """Whether the node at an index within the zone is alive; unknown nodes count as alive."""
@@ -91,7 +91,7 @@
         self._peaks = [balancer.in_flight, self._peaks[0]]
         ready = [e for e in balancer.endpoints.values() if e.local and e.state == State.READY]
         depths = [
-            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding))
+            (endpoint.node_rank, int(balancer.concurrency_limit + endpoint.rounding_offset))
             for endpoint in ready
             if endpoint.cold_until <= balancer.now
         ]
@@ -145,7 +145,7 @@
         endpoint = self._balancer.endpoints.get(change.server)
         if endpoint is None or endpoint.consecutive_failures:
             return False
-        failing = change.verdict in (ReportedState.SILENT, ReportedState.DOUBTED)
+        failing = change.verdict in (ReportedState.SILENT, ReportedState.SUSPECTED)
         return failing and endpoint.last_seen > change.observed_at
 
     def _draining(self) -> list[Listing]:
--- a/loadbalancer/core/learned_state.py
+++ b/loadbalancer/core/learned_state.py
@@ -15,7 +15,7 @@
 from loadbalancer.core.balancing.concurrency_limit import MAX_LIMIT, MIN_LIMIT
 from loadbalancer.core.balancing.model import SECOND
 from loadbalancer.core.balancing.outlier_detection import MAX_EJECTION_NS
-from loadbalancer.core.balancing.records import FIRST_EJECTION, REMAINING_STEPS
+from loadbalancer.core.balancing.records import FIRST_EJECTION_NS, REMAINING_STEPS
 from loadbalancer.core.errors import ProtocolError
 
 if TYPE_CHECKING:
@@ -90,7 +90,7 @@
                 e.load_cost,
                 max(e.cold_until - now, 0),
                 max(e.ejected_until - now, 0),
-                e.backoff,
+                e.next_ejection_ns,
                 e.consecutive_failures,
             ]
             for e in state.endpoints.values()
@@ -150,7 +150,7 @@
         min(_figure(cost), MAX_RATIO),
         int(_span(cold, 0.0)),
         int(_span(ejected, 0.0)),
-        min(max(int(backoff), FIRST_EJECTION), MAX_EJECTION_NS),
+        min(max(int(backoff), FIRST_EJECTION_NS), MAX_EJECTION_NS),
         max(int(failures), 0),
     )
 
@@ -160,8 +160,8 @@
     c.base_latency = learned.base_latency
     c.share = learned.share
     histogram = c.remaining_histogram = list(learned.remaining_histogram)
-    c.remaining_seen = sum(histogram)
-    c.usual_remaining = max(range(len(histogram)), key=histogram.__getitem__)
+    c.remaining_samples = sum(histogram)
+    c.usual_remaining_step = max(range(len(histogram)), key=histogram.__getitem__)
 
 
 def _restore_endpoint(
@@ -169,7 +169,7 @@
 ) -> None:
     endpoint.latency_ratio, endpoint.load_cost = learned.latency_ratio, learned.load_cost
     endpoint.last_seen = now
-    endpoint.backoff = learned.backoff
+    endpoint.next_ejection_ns = learned.backoff
     endpoint.consecutive_failures = learned.consecutive_failures
     if learned.cold:
         endpoint.cold_until = max(endpoint.cold_until, now + learned.cold)
--- a/tests/control/machine/test_faults.py
+++ b/tests/control/machine/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults in the steps of a control machine: what each one costs, and that the rest goes on."""
+"""Tests that an exception in one step of a control machine does not affect the other steps."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from loadbalancer.config.address import Address
 from loadbalancer.control.machine import log_loader, stream
 from loadbalancer.control.machine.bound_list import BoundList
-from loadbalancer.control.machine.machine import _every
+from loadbalancer.control.machine.machine import _run_periodically
 from loadbalancer.control.machine.messages import message_codec
 from loadbalancer.control.machine.stream import Hello, PeerStreams
 from loadbalancer.core.assignment.model import Change, Position
@@ -22,50 +22,51 @@
 from loadbalancer.core.replicated_log.change_log import ChangeLog
 from loadbalancer.core.replicated_log.replication import CommittedChange
 from loadbalancer.sources.watchers import Watcher
-from tests.control.machine.socketless import Connection, Rig, in_loop
+from tests.control.machine.socketless import Connection, SocketlessMachine, run_scenario
 
 FAULT = ZeroDivisionError("a fault")
 LIMIT_S = 5.0
 
 
 def failing_first(then: Any = None) -> Any:
-    """Calls of which the first one raises."""
+    """Return a mock whose first call raises an exception."""
     return mock.Mock(side_effect=itertools.chain([FAULT], itertools.repeat(then)))
 
 
-def test_a_tick_that_raises_is_followed_by_the_next_one() -> None:
-    """One tick of the replica raises. There was no further one until a restart: the machine still
-    accepted polls, but took part in no election, and the log had no line.
+def test_periodic_work_continues_after_an_exception() -> None:
+    """If an exception in one tick ended the ticks, the machine would still accept polls but take
+    part in no election, and nothing would be logged.
     """
 
-    async def play() -> None:
+    async def scenario() -> None:
         work = failing_first()
-        task = asyncio.create_task(_every(0.001, work))
+        task = asyncio.create_task(_run_periodically(0.001, work))
         async with asyncio.timeout(LIMIT_S):
             while work.call_count < 3:
                 await asyncio.sleep(0.001)
                 assert not task.done()
         task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_hello", [True, False])
-def test_messages_reach_another_machine_after_a_fault_as_the_stream_began(
+def test_messages_arrive_after_an_exception_while_the_stream_is_opened(
     is_hello: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What follows a new stream's connection raises. The machine at its other end was not dialled
-    again until a restart; after a fault past the Hello the stream stays, and messages go on.
+    """Sending the Hello, or the callback after it, raises an exception. If that ended the dialling
+    task, the other machine could not be reached until a restart. After an exception in the
+    callback the stream stays open.
     """
     monkeypatch.setattr(stream, "REDIAL_S", 0.01)
     received: list[Any] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         server = PeerStreams(
             Hello("east-b", "f"), {"east-a": Address("127.0.0.1", 9)}, message_codec(), 1 << 20,
             lambda _, message: received.append(message), lambda _: None,
         )  # fmt: skip
-        server._others = {}  # it dials none
+        server._others = {}  # opens no streams itself
         port = await server.open(Address("127.0.0.1", 0))
         server._others = {"east-a": Address("127.0.0.1", 9)}
         on_connected = mock.Mock() if is_hello else failing_first()
@@ -95,15 +96,15 @@
         client.close()
         server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("step", ["read", "load", "on_loaded"])
-def test_a_region_is_loaded_after_a_fault_in_its_load(
+def test_a_region_can_be_loaded_after_an_exception_in_an_earlier_load(
     step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A load ends by a fault that is none of its source. It counted as under way until a restart,
-    and its region was never loaded.
+    """If an unexpected exception left the load recorded as running, the region would not be loaded
+    until a restart.
     """
     monkeypatch.setattr(log_loader, "RETRY_S", 0.01)
     replica: Any = mock.Mock()
@@ -112,7 +113,7 @@
         replica.load = failing_first()
     loaded = failing_first() if step == "on_loaded" else mock.Mock()
 
-    async def play() -> None:
+    async def scenario() -> None:
         loader = log_loader.LogLoader(replica, "east", ["pay"], None, loaded)
         if step == "read":
             rows = mock.AsyncMock(side_effect=[FAULT, {"pay": ()}])
@@ -124,20 +125,20 @@
             await asyncio.wait_for(task, LIMIT_S)
             assert loader._task is None
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert loaded.called
 
 
-def test_a_fault_at_one_committed_change_costs_no_other(
+def test_an_exception_at_one_committed_change_does_not_affect_the_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two regions are restored, two changes are committed and two messages wait. The first of each
-    raises: the rest was drained and lost. Operators got 504 for committed changes, nodes were not
-    told, and messages of the log were not sent.
+    """Two regions are restored, two changes are committed and two messages are to be sent, and the
+    first of each raises an exception. If the second ones were lost, operators would get 504 for
+    committed changes, nodes would not be notified, and messages of the log would not be sent.
     """
 
-    def play(rig: Rig) -> None:
-        machine = rig.machine
+    def scenario(control: SocketlessMachine) -> None:
+        machine = control.machine
         changes = [Change(Position(1, revision), "cart") for revision in (8, 9)]
         replica: Any = mock.Mock()
         replica.drain_restored.return_value = ["east", "east"]
@@ -158,17 +159,17 @@
         machine._process_output()
         assert {name: step.call_count for name, step in steps.items()} == dict.fromkeys(steps, 2)
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def two_nodes_wait(rig: Rig) -> list[Connection]:
-    """The connections of two nodes that know their assignments, and wait."""
+def connect_two_nodes(control: SocketlessMachine) -> list[Connection]:
+    """Return connections of two nodes that know their assignments, each with a pending poll."""
     found = []
     for node in ("n1", "n2"):
-        connection = rig.connect()
+        connection = control.connect()
         for _ in range(2):
             connection.answers.clear()
-            connection.poll(rig.log.position, node=node)
+            connection.poll(control.log.position, node=node)
             if not connection.answers:
                 break
         assert not connection.answers
@@ -176,16 +177,17 @@
     return found
 
 
-def test_a_fault_in_one_nodes_answer_costs_no_other_and_leaves_no_poll_open(
+def test_an_exception_in_one_nodes_answer_does_not_affect_others_nor_leave_its_poll_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A change wakes two nodes, and the answer to the first raises. The second one was not told of
-    the change; the first one had no answer, and counted as present for an hour, dead or not.
+    """A change wakes two nodes, and the answer to the first one raises an exception. The second
+    node must still be notified. The first one must not stay present for an hour without an answer,
+    even if it is dead.
     """
 
-    def play(rig: Rig) -> None:
-        first, second = two_nodes_wait(rig)
-        requests = rig.machine.node_requests
+    def scenario(control: SocketlessMachine) -> None:
+        first, second = connect_two_nodes(control)
+        requests = control.machine.node_requests
         answer = requests._answer
         calls = iter([FAULT])
 
@@ -196,72 +198,73 @@
 
         monkeypatch.setattr(requests, "_answer", answer_later)
         requests.wake("east", ["n1", "n2"])
-        assert [first.ended, second.ended] == [True, False]
-        rig.machine.nodes.on_time(time.monotonic_ns() + 5_000_000_000)
-        assert rig.machine.nodes.presence.local_count() == 1, "the first one has to poll again"
+        assert [first.aborted, second.aborted] == [True, False]
+        control.machine.nodes.on_tick(time.monotonic_ns() + 5_000_000_000)
+        assert control.machine.nodes.presence.local_count() == 1, "the first one has to poll again"
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_push_that_raises_at_one_node_reaches_the_others_and_is_repeated(
+def test_a_push_with_an_exception_at_one_node_reaches_the_others_and_is_repeated(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Assignments change, and reading that of the first waiting node raises. The others learnt of
-    theirs only after a further change.
+    """Assignments change, and reading that of the first node raises an exception. If that ended
+    the push, the other nodes would learn of their assignments only after a further change.
     """
 
-    def play(rig: Rig) -> None:
-        two_nodes_wait(rig)
-        nodes = rig.machine.nodes
+    def scenario(control: SocketlessMachine) -> None:
+        connect_two_nodes(control)
+        nodes = control.machine.nodes
         nodes.changed = True
         changed = failing_first(None)
         monkeypatch.setattr(nodes, "changed_assignment", changed)
-        rig.machine._tick_nodes()
+        control.machine._tick_nodes()
         assert [call.args[1] for call in changed.call_args_list] == ["n1", "n2"]
         assert nodes.changed, "the next tick pushes again"
-        rig.machine._tick_nodes()
+        control.machine._tick_nodes()
         assert changed.call_count == 4
         assert not nodes.changed
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_fault_at_one_bound_connection_costs_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A service changes, and the first of two waiting connections raises as it is answered.
-
-    Its own poll was taken by then: it ends, or its caller would wait for an answer in vain.
+def test_an_exception_at_one_bound_connection_does_not_affect_the_others(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A service changes, and answering the first of two pending polls raises an exception. Its
+    connection must be closed, because its poll is no longer pending and would never be answered.
     """
     aborted: list[Watcher] = []
     monkeypatch.setattr(Watcher, "abort", lambda watcher: aborted.append(watcher))
 
-    async def play() -> None:
+    async def scenario() -> None:
         log = ChangeLog("east", 100, 1 << 20)
         log.append(Change(Position(1, 1), "cart"))
         bound = BoundList(log, "cart", 10)
         watchers = [Watcher(bound) for _ in range(2)]
         for watcher in watchers:
-            bound._waiting.add(watcher, 1, 60.0)
+            bound._pending.add(watcher, 1, 60.0)
         answer = failing_first()
-        monkeypatch.setattr(bound, "_answer_waiting", answer)
+        monkeypatch.setattr(bound, "_answer_pending", answer)
         bound.on_change()
         assert [call.args[0] for call in answer.call_args_list] == watchers
         assert aborted == watchers[:1]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_fault_in_the_answer_to_a_new_poll_leaves_no_poll_open(
+def test_an_exception_in_the_answer_to_a_new_poll_leaves_no_poll_open(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The answer to a poll that has just come raises. Its connection ended, and its node counted
-    as present for an hour, dead or not.
+    """Answering a poll that has just arrived raises an exception. If the poll stayed open, its
+    node would count as present for an hour even if it is dead.
     """
 
-    def play(rig: Rig) -> None:
-        monkeypatch.setattr(rig.machine.publisher, "subscribe", failing_first())
-        connection = rig.connect()
-        connection.poll(rig.log.position)
-        assert connection.ended
-        assert not rig.is_present(5)
+    def scenario(control: SocketlessMachine) -> None:
+        monkeypatch.setattr(control.machine.publisher, "subscribe", failing_first())
+        connection = control.connect()
+        connection.poll(control.log.position)
+        assert connection.aborted
+        assert not control.is_present(5)
 
-    in_loop(tmp_path, play)
+    run_scenario(tmp_path, scenario)
