--- a/loadbalancer/core/gossip/anti_entropy.py
+++ b/loadbalancer/core/gossip/anti_entropy.py
@@ -26,9 +26,10 @@
 # If more buckets differ, records are sent even while unsent updates could explain the difference.
 MAX_DIFFERING_BUCKETS = 3
 CATCH_UP_PEERS = 2  # peers that a node requests a catch-up from at the same time
-CATCH_UP_RETRY_NS = 300 * MS  # after this time the next peers get a request
-CATCH_UP_TIMEOUT_NS = 2 * SECOND  # after this time a node continues without having caught up
-CATCH_UP_MESSAGES = 200  # messages with differing records per second; sent beyond the message rate
+CATCH_UP_RETRY_NS = 300 * MS  # delay before further peers get a catch-up request
+CATCH_UP_TIMEOUT_NS = 2 * SECOND  # a node that has not caught up by then continues without it
+# Messages per second with differing records. They are sent even above the message rate.
+CATCH_UP_MESSAGES = 200
 FIRST_DIGEST, REPLY_DIGEST = 0, 1  # serials of a DIGEST; a REPLY_DIGEST gets no reply
 
 
@@ -55,7 +56,7 @@
         self._next_digest_at = now + DIGEST_INTERVAL_NS
         self.caught_up = False
         self._catch_up_began = now
-        self._catch_up_peers: list[int] = []  # peers that got a request, in that order
+        self._catch_up_peers: list[int] = []  # peers that got a catch-up request, oldest first
         self._catch_up_requested_at = 0
 
     def digest(self) -> tuple[int, ...]:
@@ -65,8 +66,6 @@
             nodes ^= self._shared_list.readers.digest()
         return (*self._records.digest, nodes)
 
-    # ---- messages --------------------------------------------------------------
-
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
         """Reply to a DIGEST with the records that differ; end the catch-up on a DONE."""
         if message.kind == MessageKind.DONE:
@@ -92,9 +91,9 @@
     def _send_records(
         self, now: int, to: int, buckets: set[int], catching_up: bool
     ) -> list[Outgoing]:
-        """Messages with the records in some buckets, as far as the rate allows.
+        """Messages with the records in some buckets, limited to CATCH_UP_MESSAGES per second.
 
-        A node that is `catching_up` gets a DONE after the last of them.
+        A node that is `catching_up` gets a DONE after the last record.
         """
         members = self._members
         records = [record for bucket in buckets for record in self._records_in_bucket(now, bucket)]
@@ -116,8 +115,6 @@
             records += self._shared_list.readers.all_records(now)
         return records
 
-    # ---- time ----------------------------------------------------------------
-
     def tick(self, now: int) -> list[Outgoing]:
         """The digests and catch-up requests to send now."""
         members = self._members
@@ -136,6 +133,7 @@
         return at once send their requests to different peers.
         """
         if now - self._catch_up_began > CATCH_UP_TIMEOUT_NS:
+            # The counter for a catch-up that no peer has completed before CATCH_UP_TIMEOUT_NS.
             self._end_catch_up(now, "nobody to catch up from")
             return []
         if self._catch_up_peers and now - self._catch_up_requested_at < CATCH_UP_RETRY_NS:
--- a/loadbalancer/core/gossip/balancer_bridge.py
+++ b/loadbalancer/core/gossip/balancer_bridge.py
@@ -19,7 +19,7 @@
 
 PEAK_WINDOW_NS = SECOND // 2  # a peak of requests in flight counts for one to two windows
 HEADROOM = 1.25  # a grantor reserves slots for this multiple of its peak of requests in flight
-RESERVED_SLOTS = 1  # slots that a grantor reserves in addition
+RESERVED_SLOTS = 1  # slots that a grantor reserves beside HEADROOM times its peak
 MIN_PUBLISHED_REJECTIONS = 2  # consecutive rejections from which an observation is published
 MIN_PUBLISHED_LATENCY_RATIO = 1.5
 
@@ -58,7 +58,7 @@
         node = zone_index * self._zones + self._zone
         return node >= self._gossip.settings.nodes or self._gossip.members.is_alive(node)
 
-    # ---- from the Balancer -------------------------------------------------------
+    # From the Balancer to gossip.
 
     def report(self, now: int) -> None:
         """Publish results of this node's own attempts, and update its need for slots."""
@@ -108,7 +108,7 @@
             exchange.grantable = self.slots.grantable_groups(depths, len(ready), needed, owned)
         self._saturated = False
 
-    # ---- to the Balancer -----------------------------------------------------------
+    # From gossip to the Balancer.
 
     def collect(self, now: int) -> BalancerUpdate | None:
         """The changes for the Balancer since the last call; None if there are none."""
--- a/loadbalancer/core/gossip/dissemination.py
+++ b/loadbalancer/core/gossip/dissemination.py
@@ -11,9 +11,9 @@
 from math import ceil, log2
 from typing import Generic, TypeVar
 
-# Above it the most transmitted updates are dropped; anti-entropy delivers them later.
+# A longer queue drops its most transmitted updates; anti-entropy delivers them later.
 MAX_QUEUED_UPDATES = 2048
-EXTRA_TRANSMISSIONS = 4  # in addition to the base-2 logarithm of the number of nodes
+EXTRA_TRANSMISSIONS = 4  # an update is sent this + log2(number of nodes) times
 K = TypeVar("K", bound=Hashable)
 
 
--- a/loadbalancer/core/gossip/failure_detector.py
+++ b/loadbalancer/core/gossip/failure_detector.py
@@ -16,15 +16,15 @@
 from loadbalancer.core.gossip.messages import MemberStatus, Message, MessageKind, Outgoing
 
 ACK_TIMEOUT_NS = 200 * MS  # time without an ack after which ping-reqs are sent
-PING_INTERVAL_NS = 100 * MS  # between two pings of one probe
-INDIRECT_PROBES = 3  # members that get a ping-req at the same time
+PING_INTERVAL_NS = 100 * MS  # interval between the pings of one probe
+INDIRECT_PROBES = 3  # members that get a ping-req in one round
 MAX_INDIRECT_ROUNDS = 2  # rounds of ping-reqs in one protocol period
 # Protocol periods without an ack before a member is suspected. At 30% packet loss one period in 20
 # fails: suspecting the member each time would fill messages with suspicions and refutations.
 MAX_PROBE_PERIODS = 2
 MAX_PARALLEL_PROBES = 8  # probes started in one period
 DEAD_PROBE_INTERVAL = 5  # in every fifth period a dead member is probed, as it may have returned
-RELAY_TTL_NS = 4 * SECOND  # how long after a ping-req its ack is still relayed
+RELAY_TTL_NS = 4 * SECOND  # an ack that arrives longer after the ping-req is not relayed
 
 
 class Probe:
--- a/loadbalancer/core/gossip/gossip_node.py
+++ b/loadbalancer/core/gossip/gossip_node.py
@@ -59,7 +59,7 @@
         self.counters: Counter[str] = Counter()
         self.members = Membership(settings.me, settings.nodes, incarnation, seed, now)
         self.records = RecordStore(settings.zones)
-        # Each random number generator gets a seed of its own.
+        # The random number generators of these objects get different seeds.
         self.leases = SlotLeases(seed ^ 0x10A25)
         self.shared_list = _new_shared_list(settings, self.members, seed ^ 0x115E, now)
         self.lease_exchange = LeaseExchange(settings, self.members, self.leases)
@@ -78,7 +78,7 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether this node has got the records of others since its start or its last pause."""
+        """Whether this node has caught up since its start or its last pause."""
         return self.anti_entropy.caught_up
 
     @property
@@ -86,7 +86,7 @@
         """When to call `tick` next."""
         return self._updates.next_tick_at
 
-    # ---- events of this node ----------------------------------------------------
+    # Events of this node.
 
     def observe(self, now: int, server: int, results: AttemptResults, attempted_at: int) -> None:
         """Publish results of this node's own attempts at a server (see `OwnObservations`)."""
@@ -107,13 +107,13 @@
         self._updates.schedule_gossip(now)
 
     def leave(self) -> list[Outgoing]:
-        """Messages that announce a planned stop, so that the others need not detect it."""
+        """Messages that announce a planned stop, so that other members need not detect it."""
         members = self.members
         record = MemberRecord(members.me, members.incarnation, MemberStatus.LEFT)
         message = members.message(MessageKind.GOSSIP, records=(record,))
         return [Outgoing(to, message) for to in members.sample(LEAVE_MESSAGES)]
 
-    # ---- messages -------------------------------------------------------------------
+    # Messages from other members.
 
     def receive(self, now: int, message: Message) -> list[Outgoing]:
         """Process a message of another member; returns the messages to send."""
@@ -198,8 +198,6 @@
             return out
         return [self._updates.piggyback(now, outgoing) for outgoing in out]
 
-    # ---- time ------------------------------------------------------------------------
-
     def tick(self, now: int) -> list[Outgoing]:
         """The messages to send now."""
         self._last_tick_at = now
@@ -226,7 +224,7 @@
         return self._updates.gossip_pending and self._updates.may_send(now)
 
     def _tick_shared_list(self, now: int) -> list[Outgoing]:
-        """The messages of the shared list, which has a rate limit of its own."""
+        """The messages of the shared list, which the message rate does not limit."""
         shared_list = self.shared_list
         if shared_list is None:
             return []
@@ -272,7 +270,7 @@
         self._last_tick_at = now
         self.anti_entropy.restart_catch_up(now)
 
-    # ---- results -----------------------------------------------------------------------
+    # Results for the Balancer and for operators.
 
     def effective_state(self, server: int, boot: int, state: State) -> State:
         """The state of a server according to the latest list version that any node has read."""
--- a/loadbalancer/core/gossip/lease_exchange.py
+++ b/loadbalancer/core/gossip/lease_exchange.py
@@ -17,7 +17,7 @@
         self._leases = leases
         self.grantable = 0  # number of server groups that this node can lease out
         self.keeps_leases = False  # whether this node still needs the slots that it leases
-        self.wants_more = False  # whether it needs further slots
+        self.wants_more = False  # whether this node needs further slots
 
     def on_message(self, now: int, message: Message) -> list[Outgoing]:
         """Respond to a lease request, or process a grant."""
--- a/loadbalancer/core/gossip/membership.py
+++ b/loadbalancer/core/gossip/membership.py
@@ -73,8 +73,6 @@
         self._running_since = now  # time of the start or of the end of the last pause
         self._suspects: set[int] = set()
 
-    # ---- queries ------------------------------------------------------------
-
     def is_alive(self, node: int) -> bool:
         """Whether a member counts as alive; a suspected member still does."""
         return node == self.me or self.peers[node].status <= MemberStatus.SUSPECT
@@ -130,7 +128,7 @@
         """A message of this node in its present incarnation."""
         return Message(kind, self.me, self.incarnation, serial, subject, digest, records, body)
 
-    # ---- messages and records -------------------------------------------------
+    # Messages and records from other members.
 
     def on_message(self, now: int, origin: int, incarnation: int) -> bool:
         """Record a message from a member; returns False if its incarnation is out of date."""
@@ -203,7 +201,7 @@
             self._suspects.discard(node)
         self.updates.append(self.record(node))
 
-    # ---- isolation and health ---------------------------------------------------
+    # Isolation and local health of this node.
 
     def has_lost_contact(self, now: int) -> bool:
         """Whether this node used to get messages, and has got none for ISOLATED_AFTER_NS."""
@@ -231,7 +229,7 @@
         """Probe faster again, as a probe was acknowledged."""
         self.local_health = max(self.local_health - 1, 0)
 
-    # ---- suspicion -----------------------------------------------------------
+    # Suspicion of other members.
 
     def suspect(self, now: int, node: int) -> None:
         """Suspect a member because a probe by this node failed."""
--- a/loadbalancer/core/gossip/records.py
+++ b/loadbalancer/core/gossip/records.py
@@ -25,7 +25,7 @@
 )
 
 DIGEST_BUCKETS = 8
-MAX_OBSERVERS = 3  # per server and zone, so that the records of a server fit into few messages
+MAX_OBSERVERS = 3  # observers per server and zone; their records must fit into few messages
 DRAIN_TTL_NS = 600 * SECOND
 OBSERVATION_TTL_NS = 15 * SECOND
 READER_TTL_NS = 60 * SECOND
@@ -53,13 +53,13 @@
         "the node that made the attempts",
         "the later incarnation of the writer, then the higher sequence number",
         OBSERVATION_TTL_NS,
-        "only its writer can retract an observation; each observer has a record of its own",
+        "only its writer can retract an observation; each observer has a separate record",
     ),
     ReaderRecord: MergeRule(
         "the node that reads the list",
         "the later incarnation of the writer, then the higher sequence number",
         READER_TTL_NS,
-        "only the reader knows the results of its polls; list versions have an order of their own",
+        "only the reader knows the results of its polls; list versions are compared separately",
     ),
 }
 ServerRecord = DrainRecord | Observation
@@ -141,7 +141,7 @@
         self.digest = [0] * DIGEST_BUCKETS
         self.changed: set[int] = set()  # servers to assess, as their records have changed
 
-    # ---- merging --------------------------------------------------------
+    # Merging and removal.
 
     def merge(self, now: int, record: ServerRecord) -> bool:
         """Merge a record; returns whether it has replaced the stored one."""
@@ -209,7 +209,7 @@
             if record is not None and record.rev > rev:
                 self._remove(server, LIST_SERVICE)
 
-    # ---- reading ---------------------------------------------------------
+    # Reading.
 
     def get(self, now: int, key: RecordKey) -> ServerRecord | None:
         """A record with its present age; None if it is unknown, expired or about to expire."""
@@ -244,7 +244,7 @@
                 yield cast("StoredRecord[Observation]", stored)
 
     def accepts_observer(self, server: int, node: int) -> bool:
-        """Whether an observation by this node would be stored, given the ranks of the others."""
+        """Whether an observation by `node` would be stored, given the ranks of the stored ones."""
         if node in self._records.get(server, {}):
             return True
         last = self._last_observer(server, node)
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -28,7 +28,7 @@
 
 from loadbalancer.core.gossip.slot_leases import SERVER_GROUPS
 
-MIN_SLOTS_PER_NODE = 3  # `max_slots` is increased until every node has so many slots in total
+MIN_SLOTS_PER_NODE = 3  # slots of one node at all servers together that `max_slots` provides for
 
 
 class LeasedSlots(NamedTuple):
@@ -82,7 +82,7 @@
         # milliseconds.
         self._depths: dict[tuple[int, int, int], int] = {}
         self.isolated = False  # if set, use at least the slots that the node has without gossip
-        self.granted_groups = 0  # bit mask of server groups whose upper slots others lease
+        self.granted_groups = 0  # bit mask of server groups whose upper slots are leased out
         self.leases: list[LeasedSlots] = []
 
     def refresh(self) -> None:
@@ -98,7 +98,7 @@
         return max(self._slots_per_server, -(-MIN_SLOTS_PER_NODE * self._nodes // max(servers, 1)))
 
     def depth(self, first_slot: int, depth: int, servers: int) -> int:
-        """Up to which slot of a server the alive nodes use their slots.
+        """The number of slots of a server of which the alive nodes use those that they own.
 
         `depth` is the one without gossip. `first_slot` is the first slot that this node owns there.
         """
@@ -136,9 +136,9 @@
         return cap
 
     def own_slots(self, first_slot: int, depth: int, servers: int, leased_out: bool) -> int:
-        """How many slots of a server this node may use without leases from others.
+        """How many of a server's slots that this node owns it may use.
 
-        If they are `leased_out`, its slots in the upper half do not count.
+        If `leased_out` is set, the slots in the upper half do not count.
         """
         slots = self.depth(first_slot, depth, servers)
         if self.isolated:
--- a/loadbalancer/core/gossip/slot_leases.py
+++ b/loadbalancer/core/gossip/slot_leases.py
@@ -20,10 +20,11 @@
 from loadbalancer.core.balancing.model import MS, SECOND
 
 LEASE_TTL_NS = 2 * SECOND
-SAFETY_MARGIN_NS = 500 * MS  # for a late tick of the holder, its requests in flight, clock drift
+# Covers a late tick of the holder, its requests in flight, and clock drift.
+SAFETY_MARGIN_NS = 500 * MS
 SERVER_GROUPS = 8  # groups of servers, by server number; slots are leased by group
 ALL_SERVER_GROUPS = (1 << SERVER_GROUPS) - 1
-MAX_GRANTORS = 12  # of one holder; each costs one message per second of the message rate
+MAX_GRANTORS = 12  # grantors of one holder; each costs one message per second of the rate
 REQUEST_INTERVAL_NS = 250 * MS  # minimum interval between lease requests
 MAX_NEW_REQUESTS = 4  # requests to further grantors in one REQUEST_INTERVAL_NS
 DECLINED_RETRY_NS = 2 * SECOND  # time until the next request to a node that granted nothing
@@ -75,7 +76,7 @@
         self.grants: dict[int, Grant] = {}  # by server group
         self.active: dict[int, Lease] = {}  # by grantor
         self.changed = True  # whether leases have changed since the slots were last allocated
-        self._grace_ends_at = -1  # -1 before `start_grace_period`
+        self._grace_ends_at = -1  # time; -1 before `start_grace_period`
         self._in_grace_period = True
         self._random = Random(seed)
         self._serial = self._random.getrandbits(30)
@@ -83,7 +84,7 @@
         self._declined_until: dict[int, int] = {}  # by grantor
         self._next_request_at = 0
 
-    # ---- grantor -----------------------------------------------------------
+    # As a grantor.
 
     def granted_groups(self) -> int:
         """The bit mask of server groups in which this node must not use its upper slots."""
@@ -110,7 +111,7 @@
             groups |= 1 << group
         return groups
 
-    # ---- holder ------------------------------------------------------------
+    # As a holder.
 
     def usable(self, now: int) -> list[UsableLease]:
         """The leases that are valid now."""
@@ -176,8 +177,6 @@
         ]
         return {"lent": list(granted.values()), "borrowed": leased}
 
-    # ---- time ----------------------------------------------------------------
-
     def start_grace_period(self, now: int) -> None:
         """Start the grace period now, unless it has been started.
 
--- a/loadbalancer/core/gossip/update_sender.py
+++ b/loadbalancer/core/gossip/update_sender.py
@@ -28,7 +28,8 @@
 if TYPE_CHECKING:
     from loadbalancer.core.endpoints.shared_list import SharedList
 
-GOSSIP_DELAY_NS = 5 * MS  # delay of a new update, to send updates that arrive together in one batch
+# Delay of a new update, so that updates that arrive together are sent in one batch.
+GOSSIP_DELAY_NS = 5 * MS
 GOSSIP_FANOUT = 3  # members that a new update is sent to immediately
 # Upper limits of sizes on the wire, in bytes; a test compares them with encoded messages.
 MESSAGE_HEADER_BYTES = 32
@@ -65,8 +66,6 @@
         self.gossip_pending = False  # whether unsent updates wait for the next tick
         self.next_tick_at = now
 
-    # ---- updates -----------------------------------------------------------
-
     def publish(self, now: int, record: DrainRecord | Observation) -> None:
         """Store a record that this node has written, and disseminate it."""
         if self._records.merge(now, record):
@@ -102,8 +101,6 @@
             return None if readers is None else readers.get(now, key.writer)
         return self._records.get(now, key)
 
-    # ---- rate and time --------------------------------------------------------
-
     def schedule_gossip(self, now: int) -> None:
         """Schedule the next tick earlier, to send updates."""
         self.gossip_pending = True
@@ -127,8 +124,6 @@
         self._rate.refill(now)
         self._rate.tokens = max(self._rate.tokens - count, -self._settings.messages_per_second / 2)
 
-    # ---- messages ---------------------------------------------------------------
-
     def gossip(self, now: int) -> list[Outgoing]:
         """Gossip messages with queued updates, to a few random members."""
         if not (self.gossip_pending or self._queue):
--- a/loadbalancer/core/gossip/verdicts.py
+++ b/loadbalancer/core/gossip/verdicts.py
@@ -14,14 +14,15 @@
 from loadbalancer.core.gossip.messages import RATIO_UNIT, DrainRecord, Observation
 from loadbalancer.core.gossip.records import RecordStore
 
-MIN_FAILURES = 3  # sum over all observers from which a server counts as failing
-MIN_FAILURE_OBSERVERS = 2  # fewer in a small fleet; a single observer may itself be cut off
+MIN_FAILURES = 3  # consecutive failures, summed over all observers, of a failing server
+# Observers of failures that confirm each other, as a single one may be cut off; 1 in a small fleet.
+MIN_FAILURE_OBSERVERS = 2
 # An observer that sees more than a third of all servers fail (and more than the minimum below) is
 # probably cut off itself, and is not trusted.
 ISOLATED_OBSERVER_DIVISOR = 3
 MIN_ISOLATED_OBSERVER_SERVERS = 3
 MIN_SLOW_RATIO_16THS = 24  # 1.5 times the latency of the fleet
-MIN_REJECTIONS = 3  # sum over all observers from which a server counts as full
+MIN_REJECTIONS = 3  # consecutive rejections, summed over all observers, of a full server
 REPEAT_INTERVAL_NS = 500 * MS  # unchanged verdicts are reported again at this interval
 
 
@@ -94,7 +95,7 @@
         return changes
 
     def isolated_observers(self, servers: int) -> set[int]:
-        """Observers that see so many servers fail that the fault is probably their own."""
+        """Observers that are probably cut off: they see more than a third of the servers fail."""
         failing: Counter[int] = Counter()
         for server in self._records.servers():
             for record, _ in self._records.observations(server):
--- a/loadbalancer/gossip_transport/codec.py
+++ b/loadbalancer/gossip_transport/codec.py
@@ -43,7 +43,7 @@
     ReaderRecord: 3,
 }
 RECORD_TYPES_BY_CODE = {number: record_type for record_type, number in RECORD_TYPE_CODES.items()}
-MESSAGE_FIELDS = 7  # number of fields in every message; a PIECE has its body in addition
+MESSAGE_FIELDS = 7  # number of fields in every message; a PIECE has one more, its body
 KNOWN_KINDS = {int(kind) for kind in MessageKind}
 
 
--- a/loadbalancer/gossip_transport/datagram_filter.py
+++ b/loadbalancer/gossip_transport/datagram_filter.py
@@ -14,8 +14,10 @@
 from loadbalancer.core.gossip.token_bucket import TokenBucket
 from loadbalancer.gossip_transport.codec import BadMessageError, decode
 
-MAX_DATAGRAMS_PER_NODE = 300  # per second; above CATCH_UP_MESSAGES, and above PIECES_PER_S
-MAX_DATAGRAMS = 1500  # per second, from all nodes together
+# Datagrams per second that are decoded from one node. CATCH_UP_MESSAGES and the pieces of the list
+# (PIECES_PER_S of `delta_sender`) must fit.
+MAX_DATAGRAMS_PER_NODE = 300
+MAX_DATAGRAMS = 1500  # datagrams per second that are decoded from all nodes together
 
 
 class Sender(NamedTuple):
--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -104,7 +104,7 @@
             self._refused = True
             logger.info("endpoint list from another node refused: %s", err)
 
-    # ---- called by discovery ------------------------------------------------------------
+    # Called by discovery.
 
     def may_poll(self) -> bool:
         """Whether this node polls the list service itself."""
--- a/loadbalancer/gossip_transport/transport.py
+++ b/loadbalancer/gossip_transport/transport.py
@@ -75,7 +75,7 @@
         self.node = GossipNode(_gossip_settings(config, file), config.seed, _incarnation(), now)
         self.bridge = BalancerBridge(self.node, host.balancer)
         self._list_sharing = self._create_list_sharing(config)
-        self._caught_up = False  # value that was logged last
+        self._caught_up = False  # value of `node.caught_up` that was logged last
         self._alive = 0  # number of alive nodes that was logged last
         self._sock: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -89,8 +89,6 @@
 
         return ListSharing(self._host, self.node, config.known)
 
-    # ---- socket -----------------------------------------------------------
-
     def open(self) -> None:
         """Open the socket, or retry until no other process of this node has the port."""
         family = socket.AF_INET6 if ":" in self._listen.host else socket.AF_INET
@@ -187,13 +185,11 @@
             with contextlib.suppress(OSError):
                 self._sock.sendto(data, self._addresses[to])
 
-    # ---- ticks ---------------------------------------------------------------
-
     def _run_tick(self) -> None:
         """Run a tick, and make sure that the next one is scheduled.
 
         If a tick raises before it has scheduled the next one, that must not be the last: this node
-        would send neither probes nor updates, and the others would consider it dead. The next tick
+        would send neither probes nor updates, and other nodes would consider it dead. The next tick
         then follows after FAULT_RETRY_NS, because its regular time may have passed already.
         """
         self._timer = None
@@ -236,8 +232,6 @@
         self._tick_due = due
         self._timer = self._host.loop.call_later(max(due - now, 0) / SECOND, self._run_tick)
 
-    # ---- the list -----------------------------------------------------------------
-
     def on_list(self, update: Update, rows: list[Listing]) -> list[Listing]:
         """Process a change of the endpoint list; returns its rows with drains from other nodes."""
         now = time.monotonic_ns()
@@ -278,7 +272,7 @@
 
 def _gossip_settings(config: Config, file: FleetFile) -> GossipSettings:
     settings = config.settings
-    # A list that is pushed needs no polling, and the Consul source has readers of its own.
+    # A list that is pushed needs no polling, and `sources.consul` has separate readers.
     readers = file.readers if settings.poll and not config.consul else 0
     if readers != file.readers:
         logger.info("fleet file: `readers` is ignored, as the list is pushed or comes from Consul")
--- a/tests/core/gossip/test_fleet_service.py
+++ b/tests/core/gossip/test_fleet_service.py
@@ -98,7 +98,9 @@
 
 
 @pytest.mark.parametrize("mutant", sorted(MUTANTS))
-def test_the_invariant_checker_finds(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_invariant_checker_finds_the_fault(
+    mutant: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A fault that is put into the code breaks an invariant with one of a few seeds."""
     owner, method = MUTANTS[mutant].owner, MUTANTS[mutant].method
     assert callable(getattr(owner, method))
--- a/tests/core/gossip/test_fleet_world.py
+++ b/tests/core/gossip/test_fleet_world.py
@@ -71,7 +71,7 @@
     assert world.run(world.now + 10 * SECOND, lambda: not non_alive_members(world))
 
 
-def test_a_dead_member_and_its_return_are_detected() -> None:
+def test_all_nodes_detect_the_crash_and_the_restart_of_a_member() -> None:
     world = started_world(21)
     world.kill(3)
     assert world.run(
@@ -176,7 +176,7 @@
     assert world.run(world.now + 2 * SECOND, lambda: drained_at(world, 7) >= 8)
 
 
-def test_twenty_crashes_during_catch_up() -> None:
+def test_nodes_that_crash_during_catch_up_catch_up_after_the_last_restart() -> None:
     world = started_world(9)
     for server in range(20):
         drain(world, 0, 2 + server, server)
@@ -193,7 +193,7 @@
     assert world.run(world.now + 5 * SECOND, lambda: not non_alive_members(world))
 
 
-def test_all_nodes_of_a_fleet_crash_one_after_another_and_restart() -> None:
+def test_survivors_detect_crashes_and_a_fleet_without_survivors_starts_again() -> None:
     world = started_world(9)
     for number in range(7):
         world.kill(number)
--- a/tests/core/gossip/test_slot_allocation.py
+++ b/tests/core/gossip/test_slot_allocation.py
@@ -15,7 +15,7 @@
 def test_nodes_with_different_views_of_liveness_stay_within_a_servers_slots(
     nodes: int, server_slots: int
 ) -> None:
-    """Each node may consider any others dead, whatever the other nodes consider.
+    """Each node has any view of which other nodes are dead; the views may all differ.
 
     Without a limit on the slots that replace those of dead nodes, nodes with different views would
     together send more requests to a server than it has slots.
--- a/tests/core/gossip/test_verdicts.py
+++ b/tests/core/gossip/test_verdicts.py
@@ -32,7 +32,7 @@
         ([observation(s, 1, failures=3) for s in range(9, 14)], 1, None),
     ],
 )  # fmt: skip
-def test_the_verdict_from_observations(
+def test_only_sufficient_observations_lead_to_a_verdict(
     observations: list[Observation], zones: int, verdict: ReportedState | None
 ) -> None:
     node = GossipNode(GossipSettings(8, 0, zones), 1, 1, 0)
@@ -46,7 +46,7 @@
 def test_false_observations_fail_no_more_than_one_server_in_three() -> None:
     """Two peers report every server as failing. If that were trusted, no server would be used.
 
-    Observers that see so many servers fail count as isolated themselves.
+    An observer that sees more than a third of the servers fail counts as isolated.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(s, 7, State.READY) for s in range(30)], True)
--- a/tests/gossip_transport/test_transport.py
+++ b/tests/gossip_transport/test_transport.py
@@ -215,7 +215,7 @@
         yield Path(folder)
 
 
-# ---- one node and scripted peers ------------------------------------
+# Tests of one node with scripted peers.
 
 
 @contextlib.contextmanager
