--- a/loadbalancer/core/gossip/own_observations.py
+++ b/loadbalancer/core/gossip/own_observations.py
@@ -11,10 +11,9 @@
 from loadbalancer.core.gossip.records import OBSERVATION_TTL_NS, RecordStore
 from loadbalancer.core.gossip.update_sender import UpdateSender
 
-REPEAT_INTERVAL_NS = (
-    5 * SECOND
-)  # how often unchanged results are repeated; below OBSERVATION_TTL_NS
-MAX_PUBLISHED_COUNT = 3  # higher counts of failures or rejections are published as this one
+# Interval at which unchanged results are repeated. It is well below OBSERVATION_TTL_NS.
+REPEAT_INTERVAL_NS = 5 * SECOND
+MAX_PUBLISHED_COUNT = 3  # higher counts of failures or rejections make no difference to a verdict
 FIRST_RATIO_STEP_16THS = 24.0  # the lowest published latency ratio
 MAX_RATIO_STEP_16THS = 110  # the first step above this value is the last one
 
--- a/loadbalancer/core/gossip/slot_allocation.py
+++ b/loadbalancer/core/gossip/slot_allocation.py
@@ -136,7 +136,7 @@
         return cap
 
     def own_slots(self, first_slot: int, depth: int, servers: int, leased_out: bool) -> int:
-        """How many of a server's slots that this node owns it may use.
+        """How many of the slots that this node owns at a server it may use.
 
         If `leased_out` is set, the slots in the upper half do not count.
         """
