--- a/tests/core/gossip/test_gossip_node.py
+++ b/tests/core/gossip/test_gossip_node.py
@@ -1,10 +1,10 @@
-"""One node of the fleet: what it accepts, whom it trusts, and how it resumes."""
+"""One gossip node: what it accepts, which members it trusts, and recovery from a pause."""
 
 from __future__ import annotations
 
 from loadbalancer.core.balancing.model import SECOND, State
 from loadbalancer.core.gossip.gossip_node import GossipNode
-from loadbalancer.core.gossip.membership import NAME_CONFLICT_NS
+from loadbalancer.core.gossip.membership import DUPLICATE_NODE_DISTRUST_NS
 from loadbalancer.core.gossip.messages import (
     DrainRecord,
     MemberRecord,
@@ -14,14 +14,14 @@
     Record,
     is_valid,
 )
-from loadbalancer.core.gossip.own_observations import results_of
+from loadbalancer.core.gossip.own_observations import publishable_results
 from loadbalancer.core.gossip.settings import GossipSettings
 from loadbalancer.core.gossip.slot_leases import LEASE_TTL_NS, SAFETY_MARGIN_NS
 from tests.core.gossip.builders import DRAINING, observation
 
 
 def test_an_invalid_record_is_skipped_and_the_others_of_its_message_are_merged() -> None:
-    """A peer sends numbers that can't be; taken in, they would overflow ages and rankings."""
+    """A peer sends records with values out of range, which would break ages and the ranking."""
     good = observation(9, 1, failures=1)
     bad: list[Record] = [
         good._replace(failures=99), good._replace(origin=8), good._replace(age=-1),
@@ -36,10 +36,10 @@
     assert node.records.servers() == [9]
 
 
-def test_two_processes_under_one_name_are_detected_and_not_trusted() -> None:
-    """Two processes run with one node number, and both send, each in its incarnation.
+def test_two_processes_with_one_node_number_are_detected_and_not_trusted() -> None:
+    """Two processes run with the same node number, and each sends in its own incarnation.
 
-    Both observe servers and both ask for leases: what is leased to one would be used by both.
+    Both publish observations and request leases, and both would use the slots leased to one.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
@@ -50,23 +50,23 @@
         node.receive(i, Message(MessageKind.GOSSIP, 1, 10, records=()))
     assert 1 not in node.members.trusted(10)
     node.lease_exchange.grantable = 8
-    node.leases.activate(0)
+    node.leases.start_grace_period(0)
     node.leases.expire(LEASE_TTL_NS + SAFETY_MARGIN_NS)
     assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 1, 20, 5))[0].message.subject == 0
     assert node.receive(11, Message(MessageKind.LEASE_REQUEST, 2, 20, 5))[0].message.subject == 255
     too_long = Message(
         MessageKind.LEASE_REQUEST, 2, 20, 1 << 40
-    )  # an answer can't repeat its serial
+    )  # a reply can't repeat this serial
     assert node.receive(11, too_long) == []
     assert not node.verdict_changes(10)
-    assert 1 in node.members.trusted(10 + NAME_CONFLICT_NS)
+    assert 1 in node.members.trusted(10 + DUPLICATE_NODE_DISTRUST_NS)
     assert node.counters["old"] == 4
 
 
-def test_a_paused_node_compares_its_records_before_it_passes_any_on() -> None:
-    """A process is stopped for a minute and goes on.
+def test_a_node_that_was_paused_catches_up_before_it_sends_records() -> None:
+    """A process is stopped for a minute and continues.
 
-    It would pass on records of servers as they were, and suspect every member of silence.
+    Without recovery it would send outdated records about servers, and suspect all other members.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
     node.on_local_list(0, 1, [(9, 7, State.READY)], True)
@@ -74,7 +74,7 @@
     node.anti_entropy._catch_up_peers = [1]
     node.receive(1, Message(MessageKind.DONE, 1, 1))
     assert node.caught_up
-    node.observe(2, 9, results_of(3, True, 0, 1.0), 2)
+    node.observe(2, 9, publishable_results(3, True, 0, 1.0), 2)
     node.members.merge(3, 2, MemberRecord(3, 0, MemberStatus.SUSPECT))
     assert node.recover_if_paused(60 * SECOND)
     assert not node.recover_if_paused(60 * SECOND)
@@ -82,14 +82,16 @@
     assert not node.caught_up
     assert node.counters["stalls"] == 1
     assert MessageKind.DIGEST in {o.message.kind for o in out}
-    assert not node.members.receives_no_messages(60 * SECOND)  # it was this node that was silent
-    assert not any(o.message.records for o in out)  # none of its old records
-    assert node.members.is_alive(3)  # the suspicion did not expire meanwhile
+    assert not node.members.receives_no_messages(
+        60 * SECOND
+    )  # the time of the pause does not count
+    assert not any(o.message.records for o in out)  # none of its outdated records
+    assert node.members.is_alive(3)  # the suspicion did not expire during the pause
 
 
-def test_only_its_own_peers_end_a_catch_up_and_none_of_an_earlier_one() -> None:
-    """A node catches up, is stopped, and catches up again. A DONE that was under way, or of a node
-    that it has not asked, would let it pass on records as they were before.
+def test_only_a_done_from_a_requested_peer_ends_a_catch_up() -> None:
+    """A node catches up, is paused, and catches up again. If a DONE of the first catch-up, or one
+    from another node, ended the second, the node would send outdated records.
     """
     node = GossipNode(GossipSettings(8, 0), 1, 1, 0)
     first = {o.to for o in node.tick(0) if o.message.kind == MessageKind.DIGEST}
@@ -100,14 +102,14 @@
     for peer in first:
         node.receive(60 * SECOND, Message(MessageKind.DONE, peer, 1))
     assert not node.caught_up
-    asked = {o.to for o in node.tick(60 * SECOND) if o.message.kind == MessageKind.DIGEST}
-    node.receive(60 * SECOND, Message(MessageKind.DONE, asked.pop(), 1))
+    requested = {o.to for o in node.tick(60 * SECOND) if o.message.kind == MessageKind.DIGEST}
+    node.receive(60 * SECOND, Message(MessageKind.DONE, requested.pop(), 1))
     assert node.caught_up
 
 
-def test_a_nodes_own_observation_that_comes_back_is_not_taken() -> None:
-    """An observation of a node's earlier process comes back from a peer: only its writer can
-    retract it, and this process did not write it.
+def test_a_nodes_own_observation_from_a_peer_is_ignored() -> None:
+    """A peer sends an observation that an earlier process of this node has written. Only its writer
+    can retract it, and that process has ended.
     """
     node = GossipNode(GossipSettings(4, 0), 1, 9, 0)
     record = observation(9, 0, failures=3)
@@ -117,10 +119,10 @@
     assert node.records.servers() == [9]
 
 
-def test_leases_of_a_grantor_that_died_are_not_used() -> None:
-    """Other nodes go past a dead node's slots at once: its leases must end with it, not in time."""
+def test_leases_of_a_dead_grantor_are_not_used() -> None:
+    """Other nodes replace the slots of a dead node, so its leases must end before they expire."""
     node = GossipNode(GossipSettings(4, 0), 1, 1, 0)
-    for grantor, serial in node.leases.requests(0, [1, 2], more=True):
+    for grantor, serial in node.leases.requests(0, [1, 2], wants_more=True):
         node.leases.on_grant(0, grantor, serial, 7)
     assert {grantor for grantor, _ in node.lease_exchange.usable(1)} == {1, 2}
     node.members.merge(1, 2, MemberRecord(1, 0, MemberStatus.DEAD))
