--- a/loadbalancer/proxy/upstream/pool.py
+++ b/loadbalancer/proxy/upstream/pool.py
@@ -13,9 +13,8 @@
     from loadbalancer.proxy.exchange import Attempt
     from loadbalancer.proxy.ports import BackendHost
 
-IDLE_MARGIN_NS = (
-    2_000_000_000  # idle connections are closed this long before the backend would close them
-)
+# Idle connections are closed this long before the backend would close them.
+IDLE_MARGIN_NS = 2_000_000_000
 
 
 class ConnectionPool:
--- a/loadbalancer/proxy/upstream/response_reader.py
+++ b/loadbalancer/proxy/upstream/response_reader.py
@@ -113,7 +113,7 @@
     # Callbacks of httptools.HttpResponseParser, which requires these names.
 
     def on_message_begin(self) -> None:
-        """Another response begins."""
+        """Handle the start of a response; one after a complete response prevents keep-alive."""
         if self.state is COMPLETE:
             self.keep_alive = False
 
