--- a/loadbalancer/proxy/upstream/response_reader.py
+++ b/loadbalancer/proxy/upstream/response_reader.py
@@ -118,11 +118,11 @@
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of the head, or of the trailers, which are ignored."""
+        """Handle a header field; trailer fields are ignored."""
         if self.state is not HEAD:
             return
         name = name.lower()
-        value = value.strip(b" \t")  # no part of the value (RFC 9110, section 5.5)
+        value = value.strip(b" \t")  # surrounding white space is not part of it (RFC 9110, 5.5)
         if name == b"content-length":
             self.length = int(value) if value.isdigit() else -1
         elif name == b"content-type":
