--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -107,26 +107,26 @@
     def send(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
         if self.settles_as is not None:
-            self._host.conclude(attempt, self.settles_as)
+            self._host.record_outcome(attempt, self.settles_as)
             return
         attempt.connected = True
         attempt.connection = cast(Any, Connection(self.written))
 
-    def connecting(self, _backends: list[int]) -> list[Attempt]:
+    def connecting_attempts(self, _backends: list[int]) -> list[Attempt]:
         return self.attempts
 
 
 def admit(host: Node, client: Client, attempts: int = 0) -> Request:
     """An unsafe request of this client, with so many attempts."""
     incoming = SimpleNamespace(
-        head=b"", label=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None, chunked=False,
-        cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0, retried=False,
-        policy=None,
+        head=b"", client_request_id=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None,
+        chunked=False, cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0,
+        retried=False, policy=None,
     )  # fmt: skip
     request = host.request(cast(Any, client), cast(Any, incoming), 0)
     assert request is not None
     for _ in range(attempts):
-        host.enter()
+        host.begin_event()
         host.send(request.id, BACKEND, 0)
-        host.leave()
+        host.end_event()
     return request
