--- a/loadbalancer/proxy/attempts.py
+++ b/loadbalancer/proxy/attempts.py
@@ -175,7 +175,7 @@
         also end the request.
         """
         request = attempt.request
-        self.open_request_ids.discard(request.label)
+        self.open_request_ids.discard(request.client_request_id)
         duration = time.monotonic_ns() - attempt.sent
         event = self.balancer.on_response_started
         self.notify_balancer(event, request.id, attempt.number, duration)
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -44,7 +44,7 @@
         request = Request(number, client, incoming, now, remaining, max_attempts)
         self.requests[number] = request
         self.open_count += 1
-        self.open_request_ids.add(request.label)
+        self.open_request_ids.add(request.client_request_id)
         self._timers.add(request.deadline + BACKSTOP_NS, request)
         try:
             self.balancer.on_request(
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -73,8 +73,11 @@
             ready = registry.lifecycle.answer_readiness_check(time.monotonic_ns())
             self._write_response(READY_HEAD if ready else EMPTY_HEADS[503])
             return
-        label = incoming.label
-        if label in host.open_request_ids or label in host.other_process_request_ids:
+        client_request_id = incoming.client_request_id
+        if (
+            client_request_id in host.open_request_ids
+            or client_request_id in host.other_process_request_ids
+        ):
             # Failure: with two open requests under one id, a backend that drops repeats by
             # the id answers one of them with the other's response.
             self._release_content(incoming)
--- a/loadbalancer/proxy/downstream/head_checker.py
+++ b/loadbalancer/proxy/downstream/head_checker.py
@@ -87,8 +87,8 @@
     def _read_parameters(self, incoming: IncomingRequest, cls: ClassState) -> None:
         """Set the request's id, tenant, timeout, key and hints from its fields."""
         fields = incoming.fields
-        label = incoming.label = fields.get(b"x-request-id", b"")
-        if not 0 < len(label) <= MAX_LABEL_BYTES:
+        client_request_id = incoming.client_request_id = fields.get(b"x-request-id", b"")
+        if not 0 < len(client_request_id) <= MAX_LABEL_BYTES:
             raise BadRequestError(400)
         if self._tenants:
             tenant = self._tenants.get(fields.get(b"x-tenant-id", b""))
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -21,9 +21,9 @@
     """
 
     __slots__ = (
-        "body", "chunked", "cls", "fields", "flow", "has_idempotency_key", "head", "hint",
-        "http10", "keep_alive", "key", "label", "length", "lines", "method", "path", "policy",
-        "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
+        "body", "chunked", "client_request_id", "cls", "fields", "flow", "has_idempotency_key",
+        "head", "hint", "http10", "keep_alive", "key", "length", "lines", "method", "path",
+        "policy", "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self.head = b""
         self.path = b""  # without its query
         self.policy: Policy | None = None  # its route's, where there is a routes file
-        self.label = b""  # the id that its client gave it
+        self.client_request_id = b""  # the id that its client gave it
         self.keep_alive = True
         self.readiness_check = False
         self.cls: ClassState = NO_CLASS
--- a/loadbalancer/proxy/exchange.py
+++ b/loadbalancer/proxy/exchange.py
@@ -49,7 +49,7 @@
     """A request as its adapter has read it; the host does not modify it."""
 
     head: bytes
-    label: bytes
+    client_request_id: bytes
     method: bytes
     body: list[bytes]
     size: int
@@ -68,9 +68,9 @@
     """One open request of a client, with all attempts made for it. Times in nanoseconds."""
 
     __slots__ = (
-        "arrived", "attempts", "body", "chunked", "client", "deadline", "ended", "flow",
-        "half_closed", "head", "id", "label", "max_attempts", "open_attempts", "size", "started",
-        "timeout", "unsafe",
+        "arrived", "attempts", "body", "chunked", "client", "client_request_id", "deadline",
+        "ended", "flow", "half_closed", "head", "id", "max_attempts", "open_attempts", "size",
+        "started", "timeout", "unsafe",
     )  # fmt: skip
 
     def __init__(
@@ -85,7 +85,7 @@
         self.id = rid
         self.client: Client | None = client  # None once the request has ended
         self.head = incoming.head
-        self.label = incoming.label
+        self.client_request_id = incoming.client_request_id
         # No safe method (RFC 9110, section 9.2.1): a second run may have a second effect.
         self.unsafe = incoming.method != b"GET"
         self.body = incoming.body
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -65,7 +65,7 @@
         # Counted before its body is discarded: where that raises, the request would count as open
         # for good, hold a stop to its last moment, and have its id rejected as open already.
         self.open_count -= 1
-        self.open_request_ids.discard(request.label)
+        self.open_request_ids.discard(request.client_request_id)
         if request.flow is not None:
             request.flow.discard()
         self.forget(request)
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -98,23 +98,25 @@
         self.events: list[tuple[str, bytes]] = []
 
     def request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
-        made = SimpleNamespace(label=incoming.label, flow=incoming.flow, ended=self.rejects)
+        made = SimpleNamespace(
+            client_request_id=incoming.client_request_id, flow=incoming.flow, ended=self.rejects
+        )
         self.begun.append(made)
         if self.rejects:
             client.respond_empty(503, 0)
         return made
 
     def client_disconnected(self, made: Any) -> None:
-        self.events.append(("gone", made.label))
+        self.events.append(("gone", made.client_request_id))
 
     def client_half_closed(self, made: Any) -> None:
-        self.events.append(("half-closed", made.label))
+        self.events.append(("half-closed", made.client_request_id))
 
     def upload_stalled(self, made: Any) -> None:
-        self.events.append(("upload stalled", made.label))
+        self.events.append(("upload stalled", made.client_request_id))
 
     def body_received(self, made: Any) -> None:
-        self.events.append(("body received", made.label))
+        self.events.append(("body received", made.client_request_id))
 
     def freed(self) -> None:
         """Nobody waits for a place."""
@@ -123,7 +125,7 @@
         return 32
 
     def labels_begun(self) -> list[bytes]:
-        return [made.label for made in self.begun]
+        return [made.client_request_id for made in self.begun]
 
 
 def sweep(registry: ConnectionRegistry, times: int) -> None:
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -119,9 +119,9 @@
 def admit(host: Node, client: Client, attempts: int = 0) -> Request:
     """An unsafe request of this client, with so many attempts."""
     incoming = SimpleNamespace(
-        head=b"", label=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None, chunked=False,
-        cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0, retried=False,
-        policy=None,
+        head=b"", client_request_id=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None,
+        chunked=False, cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0,
+        retried=False, policy=None,
     )  # fmt: skip
     request = host.request(cast(Any, client), cast(Any, incoming), 0)
     assert request is not None
