--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -118,7 +118,7 @@
     def body_received(self, made: Any) -> None:
         self.events.append(("body received", made.client_request_id))
 
-    def freed(self) -> None:
+    def on_descriptor_freed(self) -> None:
         """Nobody waits for a place."""
 
     def max_clients(self) -> int:
