--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -33,13 +33,13 @@
     NOT_LISTENING = "not listening"  # not yet, or no more
     ACCEPTING = "accepting"
     PAUSED = "paused"  # until there is capacity for a client again
-    HELD_BACK = "held back"  # another process accepts from the same socket
+    SUSPENDED = "held back"  # another process accepts from the same socket
 
 
 NOT_LISTENING = ListenerState.NOT_LISTENING
 ACCEPTING = ListenerState.ACCEPTING
 PAUSED = ListenerState.PAUSED
-HELD_BACK = ListenerState.HELD_BACK
+SUSPENDED = ListenerState.SUSPENDED
 
 
 class Listener:
@@ -81,15 +81,15 @@
         self.host.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
-    def hold_back(self) -> None:
+    def suspend_accepting(self) -> None:
         """Accept no more; whoever shares the socket gets the connections that wait."""
         self._pause()
         if self._state is PAUSED:
-            self._state = HELD_BACK
+            self._state = SUSPENDED
 
-    def accept_again(self) -> None:
-        """Undo `hold_back`: the successor has not taken over."""
-        if self._state is HELD_BACK:
+    def resume_accepting(self) -> None:
+        """Undo `suspend_accepting`: the successor has not taken over."""
+        if self._state is SUSPENDED:
             self._state = PAUSED
         self.on_descriptor_freed()
 
@@ -108,7 +108,7 @@
         sock = self._sock
         if sock is None:
             return
-        if self._state is not HELD_BACK:
+        if self._state is not SUSPENDED:
             self.registry.close_idle()
             for _ in range(BACKLOG // MAX_ACCEPTS):
                 self._accept()
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -196,7 +196,7 @@
 
     def _begin_drain(self, state: Draining) -> None:
         process, node = self._process, self._process.node
-        process.listener.hold_back()
+        process.listener.suspend_accepting()
         process.lifecycle.successor_serves(time.monotonic_ns())
         self.close()
         node.discovery.suspend()
@@ -249,7 +249,7 @@
         if process.lifecycle.stopping:
             return
         logger.info("upgrade: the link to the successor has closed; serving again")
-        run_logged(process.listener.accept_again)
+        run_logged(process.listener.resume_accepting)
         run_logged(process.node.discovery.resume)
         if process.node.peers is not None:
             run_logged(process.node.peers.reopen)
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -94,7 +94,7 @@
     asyncio.run(share())
 
 
-RESUMED = ["listener.accept_again", "node.discovery.resume", "node.peers.reopen"]
+RESUMED = ["listener.resume_accepting", "node.discovery.resume", "node.peers.reopen"]
 
 
 @pytest.mark.parametrize("faulty", ["lifecycle.successor_gone", "node.end_sharing", *RESUMED])
@@ -195,7 +195,7 @@
     made._upgrade_listener = mock.Mock()
     link = Link(made._on_message, made._on_closed)
     made._state = HandingOver(link)
-    process.listener.hold_back.side_effect = ZeroDivisionError
+    process.listener.suspend_accepting.side_effect = ZeroDivisionError
     link.data_received(encode(Serving()))
     assert "the drain can't begin" in caplog.text
     assert "the link to the successor has closed; serving again" in caplog.text
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -70,7 +70,7 @@
 ) -> None:
     predecessor._on_message(Serving())
     assert predecessor.relieved
-    process.listener.hold_back.assert_called_once_with()
+    process.listener.suspend_accepting.assert_called_once_with()
     assert [type(message) for message in link.sent] == [RetainedCapacity] * 2
 
 
@@ -105,7 +105,12 @@
 
 @pytest.mark.parametrize(
     "faulty",
-    ["listener.hold_back", "node.discovery.suspend", "node.peers.close", "node.use_limit_share"],
+    [
+        "listener.suspend_accepting",
+        "node.discovery.suspend",
+        "node.peers.close",
+        "node.use_limit_share",
+    ],
 )
 def test_a_drain_that_fails_to_begin_is_undone(process: Any, faulty: str) -> None:
     """The successor serves, and a step of this process's retreat raises.
@@ -127,7 +132,7 @@
     assert not made.relieved
     process.lifecycle.successor_gone.assert_called_once_with()
     process.node.end_sharing.assert_called_once_with()
-    process.listener.accept_again.assert_called_once_with()
+    process.listener.resume_accepting.assert_called_once_with()
     process.node.discovery.resume.assert_called_once_with()
     process.node.peers.reopen.assert_called_once_with()
     process.loop.call_later.assert_not_called()
@@ -154,7 +159,7 @@
     predecessor._on_message(Serving())
     predecessor._on_closed()
     process.lifecycle.successor_gone.assert_called_once_with()
-    process.listener.accept_again.assert_not_called()
+    process.listener.resume_accepting.assert_not_called()
 
 
 def test_a_successor_that_starts_is_passed_nothing(predecessor: Predecessor, link: Any) -> None:
