--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -124,7 +124,9 @@
         """
         registry = self.registry
         if self.lifecycle.relieved:
-            registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
+            registry.close_idle_gradually(
+                time.monotonic_ns()
+            )  # spread out: nobody waits for the places
         else:
             registry.close_idle()
         if registry.idle or registry.fresh:
@@ -181,9 +183,9 @@
         if self._state is PAUSED:
             self._free_places()
 
-    def send_away(self, now: int) -> None:
+    def close_idle_gradually(self, now: int) -> None:
         """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
-        self.registry.send_away(now)
+        self.registry.close_idle_gradually(now)
 
     # ---- freeing places for those that wait ---------------------------------
 
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -193,7 +193,7 @@
 
     # ---- sending clients away ------------------------------------------------
 
-    def send_away(self, now: int) -> None:
+    def close_idle_gradually(self, now: int) -> None:
         """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns.
 
         One on which a request lies unread is no longer idle. One that has only just been
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -201,7 +201,7 @@
     def _drain(self) -> None:
         """While clients are sent away, close idle connections at each tick."""
         if self.lifecycle.standby and not self.lifecycle.stopping:
-            run_logged(self.listener.send_away, time.monotonic_ns())
+            run_logged(self.listener.close_idle_gradually, time.monotonic_ns())
             self._drain_timer = self.loop.call_later(DRAIN_TICK_NS / SECOND, self._drain)
 
 
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -218,7 +218,7 @@
 
     def _advance(self, state: Draining) -> None:
         """Close idle clients, release what is no longer needed, and say so; then once a tick."""
-        run_logged(self._process.listener.send_away, time.monotonic_ns())
+        run_logged(self._process.listener.close_idle_gradually, time.monotonic_ns())
         run_logged(self._report, state)
         state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
 
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -102,10 +102,10 @@
 def test_a_drain_goes_on_after_a_tick_that_raised(loop: Loop, logged: list[str]) -> None:
     """A tick of an operator's drain raises: clients that were idle stayed, for good."""
     process = bare_process(loop)
-    process.listener.send_away.side_effect = [StepError, None]
+    process.listener.close_idle_gradually.side_effect = [StepError, None]
     process.set_standby(True)
     loop.turn()
-    assert process.listener.send_away.call_count == 2
+    assert process.listener.close_idle_gradually.call_count == 2
     assert any("StepError" in line for line in logged)
 
 
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -91,7 +91,7 @@
     The next tick was never set: the clients stayed, and the successor was never given the
     caps and descriptors that this process held.
     """
-    process.listener.send_away.side_effect = ZeroDivisionError
+    process.listener.close_idle_gradually.side_effect = ZeroDivisionError
     predecessor._on_message(Serving())
     assert [type(message) for message in link.sent] == [RetainedCapacity] * 2
     process.node.upstream.trim.side_effect = ZeroDivisionError
