--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -117,7 +117,7 @@
         self._sock = None
         sock.close()
 
-    def close_idle_and_is_finished(self) -> bool:
+    def close_idle_and_check_drained(self) -> bool:
         """Close idle connections; returns whether the listener is finished.
 
         It is once nothing is open, and nothing lies unread, that a stop must wait for.
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -119,7 +119,7 @@
     def _update_finished(self) -> None:
         # Open requests are looked at too: a connection whose state raises is not waited for, and
         # the stop would cut the answer that it still owes.
-        is_idle = self._listener.close_idle_and_is_finished()
+        is_idle = self._listener.close_idle_and_check_drained()
         self._is_finished = is_idle and not self._node.open_count
 
     def _end(self) -> None:
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -167,7 +167,7 @@
         self.node.open_count = 0
         self.node.balancer.classes = [SimpleNamespace(spec=SimpleNamespace(deadline=2 * 10**9))]
         self.listener = mock.Mock()
-        self.listener.close_idle_and_is_finished.return_value = False
+        self.listener.close_idle_and_check_drained.return_value = False
         self.before_close = mock.Mock()
         future = mock.Mock()
         future.done.return_value = False
@@ -195,7 +195,7 @@
     "faulty",
     [
         "node.peers.close", "before_close", "listener.stop_accepting",
-        "listener.close_idle_and_is_finished", "node.fail_all", "node.discovery.close",
+        "listener.close_idle_and_check_drained", "node.fail_all", "node.discovery.close",
     ],
 )  # fmt: skip
 def test_a_stop_ends_whatever_one_of_its_steps_raises(
@@ -244,11 +244,11 @@
     Each was logged, and with twenty lines a second the log dropped those of other faults.
     """
     stop = Stop(loop)
-    stop.listener.close_idle_and_is_finished.side_effect = StepError
+    stop.listener.close_idle_and_check_drained.side_effect = StepError
     stop.shutdown.begin()
     for _ in range(9):
         loop.turn()
-    assert stop.listener.close_idle_and_is_finished.call_count > 1
+    assert stop.listener.close_idle_and_check_drained.call_count > 1
     assert len([line for line in logged if "raised" in line]) == 1
 
 
@@ -259,7 +259,7 @@
     """
     stop = Stop(loop)
     stop.node.open_count = 1
-    stop.listener.close_idle_and_is_finished.return_value = True
+    stop.listener.close_idle_and_check_drained.return_value = True
     stop.shutdown.begin()
     for _ in range(6):
         loop.turn()
