--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -23,7 +23,9 @@
         super().__init__(config, loop)
         self._last_id = 0
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
+    def admit_request(
+        self, client: Client, incoming: ReceivedRequest, waited_ns: int
+    ) -> Request | None:
         """Admit a client's request; None where it has to come again.
 
         That is where as many are open as the configuration allows, and where new settings
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -84,7 +84,7 @@
             self._reject(409)
             return
         waited_ns = time.monotonic_ns() - incoming.received
-        request = host.request(self, incoming, waited_ns)
+        request = host.admit_request(self, incoming, waited_ns)
         if request is None:
             self._release_content(incoming)
             self.respond_empty(503, 0)
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -82,7 +82,9 @@
     balancer: Balancer
     routing: Routing | None
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
+    def admit_request(
+        self, client: Client, incoming: ReceivedRequest, waited_ns: int
+    ) -> Request | None:
         """Admit a request; None where its client has to come again."""
 
     def client_disconnected(self, request: Request) -> None:
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -97,7 +97,7 @@
         self.begun: list[Any] = []
         self.events: list[tuple[str, bytes]] = []
 
-    def request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
+    def admit_request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
         made = SimpleNamespace(
             client_request_id=incoming.client_request_id, flow=incoming.flow, ended=self.rejects
         )
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -123,7 +123,7 @@
         chunked=False, cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0,
         retried=False, policy=None,
     )  # fmt: skip
-    request = host.request(cast(Any, client), cast(Any, incoming), 0)
+    request = host.admit_request(cast(Any, client), cast(Any, incoming), 0)
     assert request is not None
     for _ in range(attempts):
         host.enter()
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -316,7 +316,7 @@
     if not class_is_gone:
         host.open_count = host.config.max_open
     incoming = SimpleNamespace(cls=SimpleNamespace(number=-1 if class_is_gone else 0))
-    assert host.request(cast(Any, client), cast(Any, incoming), 0) is None
+    assert host.admit_request(cast(Any, client), cast(Any, incoming), 0) is None
     assert not balancer.events
 
 
