--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -14,8 +14,8 @@
 from loadbalancer.proxy.downstream.response_writer import ResponseWriter
 from loadbalancer.proxy.downstream.responses import EMPTY_HEADS, READY_HEAD
 from loadbalancer.proxy.downstream.socket_state import (
-    has_unread,
-    sending_has_ended,
+    has_unread_input,
+    peer_has_half_closed,
     unacknowledged_bytes,
 )
 from loadbalancer.proxy.downstream.states import (
@@ -34,7 +34,7 @@
 # take its own absence for its clients'.
 FIRST_BYTE_TIMEOUT_SWEEPS = 9  # for the first byte on a connection
 REQUEST_TIMEOUT_SWEEPS = 10  # for a complete request, from its first byte on ...
-BYTES_PER_SWEEP = 8 << 10  # ... and one sweep more for each so many bytes of its content
+BYTES_PER_EXTRA_SWEEP = 8 << 10  # ... and one sweep more for each so many bytes of its content
 UPLOAD_TIMEOUT_SWEEPS = 20  # for a backend to accept more of an upload
 WRITE_TIMEOUT_SWEEPS = 40  # for a client to accept more of a response
 LINGER_TIMEOUT_SWEEPS = 4  # for a client to close after our end
@@ -47,14 +47,14 @@
     responses. `states` shows its life.
     """
 
-    __slots__ = ("_last_progress", "_unsent")
+    __slots__ = ("_last_write_progress", "_write_backlog")
 
     def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
         super().__init__(registry, sock)
         # While bytes of a response wait: how many in this process and in the kernel, and
         # the sweep at which that last changed.
-        self._unsent = (0, 0)
-        self._last_progress = 0
+        self._write_backlog = (0, 0)
+        self._last_write_progress = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The event loop has taken the connection over."""
@@ -62,14 +62,14 @@
         self._parser = httptools.HttpRequestParser(self)
         self._state = AWAITING_REQUEST
         self._registry.connections.add(self)
-        self._registry.fresh[self] = None
+        self._registry.silent[self] = None
 
-    def _begin(self, incoming: IncomingRequest) -> None:
+    def _start_request(self, incoming: IncomingRequest) -> None:
         self._keep_alive = incoming.keep_alive
         self._http10 = incoming.http10
         registry = self._registry
         host = registry.host
-        if incoming.readiness_check:
+        if incoming.is_readiness_check:
             ready = registry.lifecycle.answer_readiness_check(time.monotonic_ns())
             self._write_response(READY_HEAD if ready else EMPTY_HEADS[503])
             return
@@ -83,7 +83,7 @@
             self._release_content(incoming)
             self._reject(409)
             return
-        waited_ns = time.monotonic_ns() - incoming.received
+        waited_ns = time.monotonic_ns() - incoming.received_at
         request = host.admit_request(self, incoming, waited_ns)
         if request is None:
             self._release_content(incoming)
@@ -93,9 +93,9 @@
             self._request = request
             self._state = AWAITING_RESPONSE
 
-    # ---- the end, begun here -------------------------------------------------
+    # ---- closing, started by this process -------------------------------------------------
 
-    def _end(self) -> None:
+    def _close_gracefully(self) -> None:
         """End our sending, discard what comes, and close once the client has, or after a while.
 
         Failure: closing at once resets the connection where bytes lie unread, also such as
@@ -105,12 +105,12 @@
         transport = self._transport
         assert transport is not None
         registry = self._registry
-        was_silent = self in registry.fresh
-        self._leave_idle()
+        was_silent = self in registry.silent
+        self._leave_waiting_lists()
         incoming = self._incoming
         if incoming is not None and incoming.flow is not None:
             self._discarding = (incoming.length or MAX_MESSAGE_BYTES) - incoming.size
-        self._drop_unbegun()
+        self._drop_pending()
         self._parser = None
         if self._half_closed:
             self._state = CLOSING
@@ -118,14 +118,14 @@
             return
         self._state = LINGERING
         registry.lingering[self] = Lingering(registry.host.loop.time(), was_silent)
-        self._active_sweep = registry.sweeps
+        self._last_active_sweep = registry.sweeps
         transport.write_eof()
         transport.resume_reading()
 
     def close(self) -> None:
         """End the connection, on which nothing is under way."""
         if self._state is AWAITING_REQUEST:
-            self._end()
+            self._close_gracefully()
 
     def abort_lingering(self) -> None:
         """Close without waiting for the client, once its last response has left."""
@@ -149,7 +149,7 @@
         """
         self._half_closed = True
         if self._read_state is not UPLOAD:  # content that is cut off never completes
-            self._drop_unbegun()
+            self._drop_pending()
             if self._request is not None:
                 self._registry.host.client_half_closed(self._request)
             if self._state is AWAITING_RESPONSE or self._state is STREAMING:
@@ -167,12 +167,12 @@
         self._parser = None  # it refers back to this object: a ring that only the collector ends
         registry.connections.discard(self)
         registry.lingering.pop(self, None)
-        self._leave_idle()
+        self._leave_waiting_lists()
         request, self._request = self._request, None
         if request is not None:
             registry.host.client_disconnected(request)
         self._drop_flow()
-        self._drop_unbegun()
+        self._drop_pending()
         registry.host.clients -= 1
         registry.host.on_descriptor_freed()
 
@@ -183,13 +183,17 @@
 
         Failure: a request that has arrived and has not been read would be lost.
         """
-        return self._state is AWAITING_REQUEST and self._is_quiet() and not has_unread(self._sock)
+        return (
+            self._state is AWAITING_REQUEST
+            and self._has_nothing_pending()
+            and not has_unread_input(self._sock)
+        )
 
     def finished(self) -> bool:
         """Whether a stop of the process need not wait for it."""
-        return self._state is not LINGERING and self._is_quiet()
+        return self._state is not LINGERING and self._has_nothing_pending()
 
-    def _is_quiet(self) -> bool:
+    def _has_nothing_pending(self) -> bool:
         """Whether no request is open or read in part, and every response has left."""
         transport = self._transport
         return transport is None or (
@@ -201,16 +205,16 @@
 
     def has_half_closed(self) -> bool:
         """Whether the client has ended its sending, read from the socket itself."""
-        return self._half_closed or self._transport is None or sending_has_ended(self._sock)
+        return self._half_closed or self._transport is None or peer_has_half_closed(self._sock)
 
     def check_half_close(self) -> None:
         """Report the client's end of sending, which the loop doesn't while reading is paused."""
-        if self._request is not None and not self._half_closed and sending_has_ended(self._sock):
+        if self._request is not None and not self._half_closed and peer_has_half_closed(self._sock):
             self._registry.host.client_half_closed(self._request)
 
     def idle_sweeps(self) -> int:
         """Sweeps since it was accepted or last active."""
-        return self._registry.sweeps - self._active_sweep
+        return self._registry.sweeps - self._last_active_sweep
 
     # ---- timeouts ------------------------------------------------------------------
 
@@ -224,12 +228,12 @@
             if not unsent and self.idle_sweeps() > LINGER_TIMEOUT_SWEEPS:
                 self._abort(transport)
                 return
-        elif self._end_if_reading_timed_out():
+        elif self._close_if_request_timed_out():
             return
         if unsent:
             self._check_write_progress(transport, unsent, sweep)
         else:
-            self._last_progress = sweep
+            self._last_write_progress = sweep
 
     def _check_write_progress(self, transport: asyncio.Transport, unsent: int, sweep: int) -> None:
         """Abort where the client accepts nothing.
@@ -237,13 +241,13 @@
         Failure: a client that reads nothing holds a descriptor and a buffer without end.
         """
         progress = (unsent, unacknowledged_bytes(self._sock))
-        if progress != self._unsent:
-            self._unsent = progress
-            self._last_progress = sweep
-        elif sweep - self._last_progress > WRITE_TIMEOUT_SWEEPS:
+        if progress != self._write_backlog:
+            self._write_backlog = progress
+            self._last_write_progress = sweep
+        elif sweep - self._last_write_progress > WRITE_TIMEOUT_SWEEPS:
             self._abort(transport)
 
-    def _end_if_reading_timed_out(self) -> bool:
+    def _close_if_request_timed_out(self) -> bool:
         """End a connection whose request does not complete, or never begins; True if ended.
 
         Failure: heads and content without an end, and clients that connect and send
@@ -252,22 +256,22 @@
         """
         incoming = self._incoming
         if incoming is None:
-            return self._end_if_first_byte_timed_out()
+            return self._close_if_first_byte_timed_out()
         flow = incoming.flow
         if flow is not None and flow.paused:
             # Reading is paused, as the backend accepts no more: that is not the client's time.
             if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
                 self._registry.host.upload_stalled(self._request)
             return False
-        if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_SWEEP:
+        if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_EXTRA_SWEEP:
             return False
         if self._request is not None and flow is None:
             return False  # reading it may be paused until the open request is answered
         self._reject(408)
         return True
 
-    def _end_if_first_byte_timed_out(self) -> bool:
-        late = self in self._registry.fresh and self.idle_sweeps() > FIRST_BYTE_TIMEOUT_SWEEPS
+    def _close_if_first_byte_timed_out(self) -> bool:
+        late = self in self._registry.silent and self.idle_sweeps() > FIRST_BYTE_TIMEOUT_SWEEPS
         if not late or not self.can_close():
             return False
         self.close()
--- a/loadbalancer/proxy/downstream/head_checker.py
+++ b/loadbalancer/proxy/downstream/head_checker.py
@@ -17,14 +17,14 @@
     from loadbalancer.proxy.ports import ClientHost
 
 READINESS_PATH = b"/health/ready"
-MAX_LABEL_BYTES = 128  # of a request's id
+MAX_REQUEST_ID_BYTES = 128  # of a request's id
 MAX_DIGITS = 12  # of a number in a field
 NS_PER_COST_UNIT = 1000  # X-Cost is in microseconds
 
 SCHEME_AND_AUTHORITY = re.compile(rb"^[Hh][Tt][Tt][Pp]://[^/?#]*")
 
 # Fields that this process goes by; each may occur once.
-READ_FIELDS = frozenset(
+INTERPRETED_FIELDS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"host", b"transfer-encoding", b"x-cost",
         b"x-priority-class", b"x-request-id", b"x-retried", b"x-tenant-id", b"x-timeout-ms",
@@ -55,7 +55,7 @@
             raise BadRequestError(400)
         incoming.length = int(fields.get(b"content-length", b"0"))
         if incoming.path == READINESS_PATH:
-            _check_readiness_check(incoming)
+            _validate_readiness_check(incoming)
             return
         if b"host" not in fields:
             raise BadRequestError(400)
@@ -88,7 +88,7 @@
         """Set the request's id, tenant, timeout, key and hints from its fields."""
         fields = incoming.fields
         client_request_id = incoming.client_request_id = fields.get(b"x-request-id", b"")
-        if not 0 < len(client_request_id) <= MAX_LABEL_BYTES:
+        if not 0 < len(client_request_id) <= MAX_REQUEST_ID_BYTES:
             raise BadRequestError(400)
         if self._tenants:
             tenant = self._tenants.get(fields.get(b"x-tenant-id", b""))
@@ -114,7 +114,7 @@
     return target if target.startswith(b"/") else b"/" + target
 
 
-def _check_readiness_check(incoming: IncomingRequest) -> None:
-    incoming.readiness_check = True
+def _validate_readiness_check(incoming: IncomingRequest) -> None:
+    incoming.is_readiness_check = True
     if incoming.method != b"GET" or incoming.length or incoming.chunked:
         raise BadRequestError(400)
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -24,7 +24,7 @@
 MAX_ACCEPTS = 64  # in one turn of the loop
 # How long, in seconds, a connection may linger after our end while others wait for its place ...
 SATURATED_LINGER_S = 0.05
-MAX_ENDED_PART = 2  # ... and at most one in so many places is freed at a time
+MAX_LINGERING_DIVISOR = 2  # ... and at most one in so many places is freed at a time
 
 
 class ListenerState(Enum):
@@ -53,7 +53,7 @@
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
         self._saturation_check: asyncio.TimerHandle | None = None  # while places are freed
-        self._max_ended = 1  # connections ended at a time
+        self._max_lingering = 1  # connections ended at a time
         host.on_descriptor_freed = self.on_descriptor_freed
 
     @property
@@ -129,7 +129,7 @@
             )  # spread out: nobody waits for the places
         else:
             registry.close_idle()
-        if registry.idle or registry.fresh:
+        if registry.idle or registry.silent:
             return False
         return not self._establishing and registry.finished()
 
@@ -137,7 +137,7 @@
 
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
-            if self._sock is None or not self._make_capacity():
+            if self._sock is None or not self._ensure_capacity():
                 return
             try:
                 sock, _address = self._sock.accept()
@@ -181,7 +181,7 @@
         self.registry.sweep()
         self.on_descriptor_freed()
         if self._state is PAUSED:
-            self._free_places()
+            self._free_capacity()
 
     def close_idle_gradually(self, now: int) -> None:
         """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
@@ -189,15 +189,15 @@
 
     # ---- freeing places for those that wait ---------------------------------
 
-    def _make_capacity(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         """Whether one more client fits; else pause, and free a place for the next one."""
         if self.host.may_accept_client():
             return True
         self._pause()
-        self._free_places()
+        self._free_capacity()
         return False
 
-    def _free_places(self) -> None:
+    def _free_capacity(self) -> None:
         """End an idle connection for a client that waits, and more while that does not do.
 
         Most clients close as their connection is ended. Those that don't are aborted after
@@ -209,7 +209,7 @@
             if now - linger.since_s < SATURATED_LINGER_S:
                 break
             conn.abort_lingering()
-        while len(registry.lingering) < self._max_ended:
+        while len(registry.lingering) < self._max_lingering:
             if not registry.close_oldest(len(self._establishing)):
                 break
         if not registry.lingering:
@@ -222,8 +222,8 @@
     def _check_saturation(self) -> None:
         self._saturation_check = None
         if self._state is PAUSED:
-            max_ended = max(self.host.max_clients() // MAX_ENDED_PART, 1)
-            self._max_ended = min(2 * self._max_ended, max_ended)
-            self._free_places()
+            max_lingering = max(self.host.max_clients() // MAX_LINGERING_DIVISOR, 1)
+            self._max_lingering = min(2 * self._max_lingering, max_lingering)
+            self._free_capacity()
         else:
-            self._max_ended = 1
+            self._max_lingering = 1
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -18,10 +18,10 @@
 
 MIN_IDLE_SWEEPS = 9  # without a request, after which a connection may be closed for capacity
 PAUSED_CHECK_S = 0.05  # seconds between checks whether paused clients have ended their sending
-FRESH_SWEEPS = 1  # for a new connection's first bytes, while clients are sent away
-FLOOD_PART = 4  # one silent connection in so many is a flood of them
-SURPLUS_PART = 0.5  # of the capacity for clients, above which the oldest idle ones are closed
-MAX_IDLE_PART = 0.2  # of all descriptors, above which a response ends its connection
+SILENT_GRACE_SWEEPS = 1  # for a new connection's first bytes, while clients are sent away
+FLOOD_DIVISOR = 4  # one silent connection in so many is a flood of them
+SURPLUS_FRACTION = 0.5  # of the capacity for clients, above which the oldest idle ones are closed
+MAX_IDLE_FRACTION = 0.2  # of all descriptors, above which a response ends its connection
 
 
 class Connection(asyncio.Protocol, ABC):
@@ -75,17 +75,17 @@
     def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
         self.lifecycle = lifecycle
-        self.heads = HeadChecker(host)
+        self.head_checker = HeadChecker(host)
         self.connections: set[Connection] = set()
         # Without an open request, longest first: those that have had one, and those on which
         # no byte has come yet.
         self.idle: dict[Connection, None] = {}
-        self.fresh: dict[Connection, None] = {}
+        self.silent: dict[Connection, None] = {}
         self.lingering: dict[Connection, Lingering] = {}  # longest first
         self.paused: dict[Connection, None] = {}  # not read from
-        self._unknown: set[Connection] = set()  # those whose `finished` has raised
+        self._unreadable: set[Connection] = set()  # those whose `finished` has raised
         self.sweeps = 0
-        self.max_idle = int(MAX_IDLE_PART * host.config.sockets)
+        self.max_idle = int(MAX_IDLE_FRACTION * host.config.sockets)
         self._paused_check: asyncio.TimerHandle | None = None
 
     def sweep(self) -> None:
@@ -102,14 +102,14 @@
         its full time, though all clients have their answers. Nothing can be learned of that
         connection, so it is logged once and not waited for.
         """
-        return all(conn in self._unknown or self._is_finished(conn) for conn in self.connections)
+        return all(conn in self._unreadable or self._is_finished(conn) for conn in self.connections)
 
     def _is_finished(self, conn: Connection) -> bool:
         try:
             return conn.finished()
         except Exception:
             logger.exception("stopping: a connection is not waited for, as its state raised")
-            self._unknown.add(conn)
+            self._unreadable.add(conn)
             return True
 
     def reset_incomplete(self) -> None:
@@ -153,7 +153,7 @@
         """
         return len(self.idle) > self.max_idle
 
-    def close_oldest(self, accepting: int) -> bool:
+    def close_oldest(self, establishing: int) -> bool:
         """Close the connection that has been idle longest; False where none may be closed.
 
         Those on which nothing ever came go first, once they had a moment to: hundreds of
@@ -163,11 +163,11 @@
         the connections yet.
         """
         # Those just ended count too: with each batch of them gone, a flood would seem over.
-        ended = sum(linger.was_silent for linger in self.lingering.values())
-        silent = len(self.fresh) + accepting + ended
-        flooded = silent * FLOOD_PART > self.host.clients
-        return self._close_first(self.fresh, 1) or self._close_first(
-            self.idle, MIN_IDLE_SWEEPS if flooded else 0
+        lingering_silent = sum(linger.was_silent for linger in self.lingering.values())
+        silent_clients = len(self.silent) + establishing + lingering_silent
+        is_flood = silent_clients * FLOOD_DIVISOR > self.host.clients
+        return self._close_first(self.silent, 1) or self._close_first(
+            self.idle, MIN_IDLE_SWEEPS if is_flood else 0
         )
 
     def _close_first(self, conns: dict[Connection, None], min_sweeps: int) -> bool:
@@ -187,7 +187,7 @@
         new client would wait for one of them to be closed. Harm: a client that sends a
         request just then has to send it again on a new connection.
         """
-        surplus = self.host.clients - int(SURPLUS_PART * self.host.max_clients())
+        surplus = self.host.clients - int(SURPLUS_FRACTION * self.host.max_clients())
         while surplus > 0 and self._close_first(self.idle, MIN_IDLE_SWEEPS):
             surplus -= 1
 
@@ -200,14 +200,14 @@
         accepted is left for a moment: its first request, such as a front's readiness check,
         is about to come.
         """
-        fresh = [conn for conn in self.fresh if conn.idle_sweeps() > FRESH_SWEEPS]
-        idle = [*self.idle, *fresh]
+        silent = [conn for conn in self.silent if conn.idle_sweeps() > SILENT_GRACE_SWEEPS]
+        idle = [*self.idle, *silent]
         for conn in idle[: self.lifecycle.idle_to_close(now, len(idle))]:
             if conn.can_close():
                 conn.close()
 
     def close_idle(self) -> None:
         """Close every connection on which nothing is under way."""
-        for conn in [*self.idle, *self.fresh]:
+        for conn in [*self.idle, *self.silent]:
             if conn.can_close():
                 conn.close()
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -22,8 +22,8 @@
 
     __slots__ = (
         "body", "chunked", "client_request_id", "cls", "fields", "flow", "has_idempotency_key",
-        "head", "hint", "http10", "keep_alive", "key", "length", "lines", "method", "path",
-        "policy", "readiness_check", "received", "retried", "size", "tenant", "timeout", "url",
+        "head", "hint", "http10", "is_readiness_check", "keep_alive", "key", "length", "lines",
+        "method", "path", "policy", "received_at", "retried", "size", "tenant", "timeout", "url",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.policy: Policy | None = None  # its route's, where there is a routes file
         self.client_request_id = b""  # the id that its client gave it
         self.keep_alive = True
-        self.readiness_check = False
+        self.is_readiness_check = False
         self.cls: ClassState = NO_CLASS
         self.tenant = 0
         self.key = 0
@@ -50,4 +50,4 @@
         self.hint = 0  # its client's estimate of the work
         self.retried = False  # its client marks it as a further try
         self.timeout = 0
-        self.received = 0  # when its last byte came, on the monotonic clock
+        self.received_at = 0  # when its last byte came, on the monotonic clock
--- a/loadbalancer/proxy/downstream/request_parser.py
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -10,7 +10,7 @@
 import httptools
 
 from loadbalancer.errors import BadRequestError
-from loadbalancer.proxy.downstream.head_checker import READ_FIELDS
+from loadbalancer.proxy.downstream.head_checker import INTERPRETED_FIELDS
 from loadbalancer.proxy.downstream.registry import Connection, ConnectionRegistry
 from loadbalancer.proxy.downstream.request import IncomingRequest
 from loadbalancer.proxy.downstream.responses import CONTINUE
@@ -53,7 +53,7 @@
     """
 
     __slots__ = (
-        "_active_sweep", "_discarding", "_head_size", "_incoming", "_parser", "_read_state",
+        "_discarding", "_head_size", "_incoming", "_last_active_sweep", "_parser", "_read_state",
         "_registry", "_sock", "_transport",
     )  # fmt: skip
 
@@ -68,10 +68,10 @@
         self._discarding = 0  # bytes still to come of an upload that nobody wants any more
         # The sweep at which the connection was accepted, the last request began or was
         # answered, or lingering began.
-        self._active_sweep = registry.sweeps
+        self._last_active_sweep = registry.sweeps
 
     @abstractmethod
-    def _begin_queued(self) -> None:
+    def _start_queued(self) -> None:
         """Begin what has been read, if no request is open."""
 
     @abstractmethod
@@ -79,7 +79,7 @@
         """Pause reading where an incomplete request's content has to wait."""
 
     @abstractmethod
-    def _is_next(self) -> bool:
+    def _response_is_next(self) -> bool:
         """Whether the response to the request that is being read is the next one due."""
 
     @abstractmethod
@@ -98,12 +98,12 @@
         try:
             parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
-            self._reject_unfit(error.__context__)
+            self._reject_parse_error(error.__context__)
             return
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reject(400)
             return
-        self._begin_queued()
+        self._start_queued()
         incoming = self._incoming
         if incoming is None:
             return
@@ -123,9 +123,9 @@
         """
         if self._discarding > 0:
             self._discarding -= len(data)
-            self._active_sweep = self._registry.sweeps
+            self._last_active_sweep = self._registry.sweeps
 
-    def _reject_unfit(self, cause: BaseException | None) -> None:
+    def _reject_parse_error(self, cause: BaseException | None) -> None:
         """Reject what one of the parser's callbacks has raised `cause` for."""
         if isinstance(cause, BadRequestError):
             self._reject(cause.status, cause.text)
@@ -147,7 +147,7 @@
             return
         lower = name.lower()
         value = value.strip(b" \t")  # no part of the value (RFC 9110, section 5.5)
-        if lower in READ_FIELDS:
+        if lower in INTERPRETED_FIELDS:
             if lower in incoming.fields:
                 raise BadRequestError(400)  # which of the two is meant can't be known
             incoming.fields[lower] = value
@@ -171,7 +171,7 @@
         if version not in HTTP_VERSIONS:
             raise BadRequestError(400)
         incoming.http10 = version == "1.0"
-        self._registry.heads.check(incoming)
+        self._registry.head_checker.check(incoming)
         if incoming.length > MAX_MESSAGE_BYTES:
             raise BadRequestError(413)
         if incoming.length or incoming.chunked:
@@ -186,7 +186,7 @@
         # Where an earlier request's response is still to come, this line would be taken for a
         # part of that one.
         expects = incoming.fields.get(b"expect", b"").lower() == b"100-continue"
-        if expects and self._is_next():
+        if expects and self._response_is_next():
             assert self._transport is not None
             self._transport.write(CONTINUE)
 
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -54,7 +54,7 @@
         self._request: Request | None = None  # the open one
 
     @abstractmethod
-    def _begin(self, incoming: IncomingRequest) -> None:
+    def _start_request(self, incoming: IncomingRequest) -> None:
         """Take up a request that is complete, or whose content is forwarded as it comes."""
 
     # ---- callbacks of the parser ----------------------------------------
@@ -66,8 +66,8 @@
         self._incoming = IncomingRequest()
         self._read_state = HEAD
         # From its first byte on: a client that connects ahead of its need is not slow.
-        self._active_sweep = self._registry.sweeps
-        self._leave_idle()
+        self._last_active_sweep = self._registry.sweeps
+        self._leave_waiting_lists()
 
     def on_message_complete(self) -> None:
         """A request has been read to its end."""
@@ -80,7 +80,7 @@
         # What waited in the kernel while the event loop was busy is the client's time.
         info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
-        incoming.received = time.monotonic_ns() - unread_ms * MS
+        incoming.received_at = time.monotonic_ns() - unread_ms * MS
         if incoming.flow is not None:
             request = self._request
             if request is not None and request.flow is incoming.flow:
@@ -89,14 +89,14 @@
             return
         incoming.chunked = False  # it is complete, so its length is known
         incoming.length = incoming.size
-        self._write_head(incoming)
+        self._build_forwarded_head(incoming)
         self._queued.append(incoming)
 
     # ---- the next request ------------------------------------------------
 
-    def _begin_queued(self) -> None:
+    def _start_queued(self) -> None:
         while self._state is AWAITING_REQUEST and self._queued:
-            self._begin(self._queued.popleft())
+            self._start_request(self._queued.popleft())
         incoming = self._incoming
         if (
             incoming is not None
@@ -104,17 +104,17 @@
             and self._read_state is CONTENT
             and incoming.size > STREAMING_THRESHOLD_BYTES
         ):
-            self._begin_upload(incoming)
+            self._start_upload(incoming)
 
-    def _begin_after_response(self) -> None:
+    def _start_next(self) -> None:
         """Begin what waited behind the request that has been answered, and read on."""
         if self._state is not AWAITING_REQUEST:
             return
-        self._begin_queued()
+        self._start_queued()
         if self._state is AWAITING_REQUEST:
             self.resume_flow()
 
-    def _begin_upload(self, incoming: IncomingRequest) -> None:
+    def _start_upload(self, incoming: IncomingRequest) -> None:
         """Forward content that is too long to be buffered, from what has come of it on."""
         budget = self._registry.host.budget
         budget.body_finished(self)
@@ -125,13 +125,13 @@
         self.resume_flow()
         for chunk in chunks:
             flow.push(chunk)
-        incoming.received = time.monotonic_ns()
-        self._write_head(incoming)
-        self._begin(incoming)
+        incoming.received_at = time.monotonic_ns()
+        self._build_forwarded_head(incoming)
+        self._start_request(incoming)
 
-    def _write_head(self, incoming: IncomingRequest) -> None:
+    def _build_forwarded_head(self, incoming: IncomingRequest) -> None:
         """Set the head that each attempt's request starts with, up to its timeout's value."""
-        if not incoming.readiness_check:
+        if not incoming.is_readiness_check:
             if incoming.chunked:
                 incoming.lines.append(b"Transfer-Encoding: chunked\r\n")
             elif incoming.method == b"POST" or incoming.length:
@@ -143,7 +143,7 @@
             )
         incoming.lines = []
 
-    def _is_next(self) -> bool:
+    def _response_is_next(self) -> bool:
         return self._request is None and not self._queued
 
     # ---- waiting: the connection is the source of an upload's flow ---------
@@ -165,7 +165,7 @@
 
     def resume_flow(self) -> None:
         """Read on; the time that reading was paused was not the client's."""
-        self._active_sweep = self._registry.sweeps
+        self._last_active_sweep = self._registry.sweeps
         self._registry.paused.pop(self, None)
         if self._transport is not None:
             self._transport.resume_reading()
@@ -174,15 +174,15 @@
         """The buffer budget has capacity again: read on."""
         self.resume_flow()
 
-    def _leave_idle(self) -> None:
+    def _leave_waiting_lists(self) -> None:
         """Take the connection from the registry's lists of those that wait for a client."""
-        self._registry.fresh.pop(self, None)
+        self._registry.silent.pop(self, None)
         self._registry.idle.pop(self, None)
         self._registry.paused.pop(self, None)
 
     # ---- dropping ----------------------------------------------------------
 
-    def _drop_unbegun(self) -> None:
+    def _drop_pending(self) -> None:
         """Give back what requests that have not begun hold, and what is left of an upload."""
         self._registry.host.budget.body_finished(self)
         if self._incoming is not None:
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -49,7 +49,7 @@
         self._keep_alive = True  # of a streamed one: what its response's head has said
 
     @abstractmethod
-    def _end(self) -> None:
+    def _close_gracefully(self) -> None:
         """End the connection behind what has been written."""
 
     @abstractmethod
@@ -79,24 +79,24 @@
             return
         self._request = None
         self._state = AWAITING_REQUEST
-        closes = self._closes()
+        closes = self._closes_after_response()
         end = CLOSE_END if closes else KEEP_ALIVE_END
         transport.write(b"".join((head, end, *chunks)) if chunks else head + end)
         self._after_response(closes)
 
     def _after_response(self, closes: bool) -> None:
         if closes:
-            self._end()
+            self._close_gracefully()
             return
         registry = self._registry
-        self._active_sweep = registry.sweeps
+        self._last_active_sweep = registry.sweeps
         if self._queued or self._incoming is not None:
             # Not from here: whoever responded is still at work with this request.
-            registry.host.loop.call_soon(self._begin_after_response)
+            registry.host.loop.call_soon(self._start_next)
         else:
             registry.idle[self] = None
 
-    def _closes(self) -> bool:
+    def _closes_after_response(self) -> bool:
         """Whether the connection ends with the response that is about to be written."""
         if not self._keep_alive or self._read_state is UPLOAD:
             return True  # what follows on the connection is the rest of an upload
@@ -128,7 +128,7 @@
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
         # Decided with the head, and kept to at the end whatever holds by then.
-        self._keep_alive = not self._closes()
+        self._keep_alive = not self._closes_after_response()
         transport.set_write_buffer_limits(high=0)
         transport.write(head + (KEEP_ALIVE_END if self._keep_alive else CLOSE_END))
         self._state = STREAMING
@@ -210,4 +210,4 @@
             return
         head = TEXT_HEAD % (status, REASONS[status], len(text)) if text else EMPTY_HEADS[status]
         transport.write(head + CLOSE_END + text)
-        self._end()
+        self._close_gracefully()
--- a/loadbalancer/proxy/downstream/socket_state.py
+++ b/loadbalancer/proxy/downstream/socket_state.py
@@ -9,17 +9,17 @@
 import termios
 
 _QUEUED_BYTES = struct.Struct("i")  # as TIOCOUTQ fills it in
-_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for zero seconds
 
 
-def sending_has_ended(sock: socket.socket) -> bool:
+def peer_has_half_closed(sock: socket.socket) -> bool:
     """Whether the peer has ended its sending, also behind bytes that nobody has read yet."""
     try:
         if sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b"":
             return True
         poll = select.poll()
-        poll.register(sock, _ENDED)
+        poll.register(sock, _END_EVENTS)
         return bool(poll.poll(0))
     except BlockingIOError:
         return False
@@ -27,7 +27,7 @@
         return True
 
 
-def has_unread(sock: socket.socket) -> bool:
+def has_unread_input(sock: socket.socket) -> bool:
     """Whether bytes, or the peer's end of sending, have come that nobody has read yet."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -63,14 +63,14 @@
 
 
 @pytest.fixture
-def unmade(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
+def unreported(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
     """A connection that the loop has not reported yet."""
     with socket.socket() as sock:
         yield ClientConnection(registry, sock)
 
 
 @pytest.fixture
-def conn(unmade: ClientConnection, transport: Transport) -> ClientConnection:
+def conn(unreported: ClientConnection, transport: Transport) -> ClientConnection:
     """A connection on which nothing has come yet."""
-    unmade.connection_made(cast(Any, transport))
-    return unmade
+    unreported.connection_made(cast(Any, transport))
+    return unreported
--- a/tests/proxy/downstream/exchanges.py
+++ b/tests/proxy/downstream/exchanges.py
@@ -9,7 +9,7 @@
 READINESS_CHECK = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def reaches_backend(client: Peer, backend: socket.socket, message: bytes) -> Peer:
+def send_to_backend(client: Peer, backend: socket.socket, message: bytes) -> Peer:
     """Send a request; returns the new connection on which the backend has received it."""
     client.send(message)
     peer = accept(backend)
@@ -17,7 +17,7 @@
     return peer
 
 
-def is_served(client: Peer, peer: Peer, rid: str) -> None:
+def assert_served(client: Peer, peer: Peer, rid: str) -> None:
     """A request goes to this connection of the backend, and its response comes back."""
     client.send(request(rid=rid))
     assert peer.message()[1]["x-request-id"] == rid
@@ -25,7 +25,7 @@
     assert client.message()[2] == b"served"
 
 
-def first_to_reach(backend: socket.socket, proxy: Running) -> None:
+def assert_next_at_backend(backend: socket.socket, proxy: Running) -> None:
     """A new client's request is the first one that the backend receives."""
     client = proxy.connect()
     client.send(request(rid="first"))
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -94,14 +94,14 @@
         self.other_process_request_ids: set[bytes] = set()
         self.clients = 1
         self.rejects = False
-        self.begun: list[Any] = []
+        self.admitted: list[Any] = []
         self.events: list[tuple[str, bytes]] = []
 
     def admit_request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
         made = SimpleNamespace(
             client_request_id=incoming.client_request_id, flow=incoming.flow, ended=self.rejects
         )
-        self.begun.append(made)
+        self.admitted.append(made)
         if self.rejects:
             client.respond_empty(503, 0)
         return made
@@ -124,8 +124,8 @@
     def max_clients(self) -> int:
         return 32
 
-    def labels_begun(self) -> list[bytes]:
-        return [made.client_request_id for made in self.begun]
+    def admitted_ids(self) -> list[bytes]:
+        return [made.client_request_id for made in self.admitted]
 
 
 def sweep(registry: ConnectionRegistry, times: int) -> None:
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -14,10 +14,10 @@
 from loadbalancer.proxy.downstream.listener import SATURATED_LINGER_S, Listener
 from loadbalancer.proxy.lifecycle import Lifecycle
 from tests.harness import LIMIT, Running, answer, request
-from tests.proxy.downstream.exchanges import READINESS_CHECK, is_served, reaches_backend
+from tests.proxy.downstream.exchanges import READINESS_CHECK, assert_served, send_to_backend
 
 SILENT_CLIENTS = 120  # twice as many as there are descriptors
-CROWD = 500  # many times as many
+MANY_CLIENTS = 500  # many times as many
 
 
 def test_silent_clients_do_not_displace_one_that_sends_requests(
@@ -25,12 +25,12 @@
 ) -> None:
     """Hundreds connect and send nothing; a client that has sent a request stays connected."""
     client = small_proxy.connect()
-    peer = reaches_backend(client, backend, request(rid="a0"))
+    peer = send_to_backend(client, backend, request(rid="a0"))
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
     silent = [small_proxy.connect() for _ in range(SILENT_CLIENTS)]
     assert [c.ends() for c in silent[:80]] == [b""] * 80
-    is_served(client, peer, "a1")
+    assert_served(client, peer, "a1")
 
 
 @pytest.mark.usefixtures("backend")
@@ -64,7 +64,7 @@
     twice the limit, which is a hang's.
     """
     end = time.monotonic() + LIMIT
-    clients = [small_proxy.connect() for _ in range(CROWD)]
+    clients = [small_proxy.connect() for _ in range(MANY_CLIENTS)]
     for client in clients:
         client.send(READINESS_CHECK)
     for client in clients:
@@ -81,22 +81,22 @@
     one that is idle and sends another request keeps its own.
     """
     first = small_proxy.connect()
-    peer = reaches_backend(first, backend, request(rid="r0"))
+    peer = send_to_backend(first, backend, request(rid="r0"))
     peer.send(answer(b"served"))
     assert "connection" not in first.message()[1]
     idle = [first]
     for i in range(1, 13):
         client = small_proxy.connect()
         idle.append(client)
-        is_served(client, peer, f"r{i}")
+        assert_served(client, peer, f"r{i}")
     beyond = small_proxy.connect()
     beyond.send(request(rid="beyond"))
     peer.message()
     peer.send(answer(b"served"))
     assert beyond.message()[1]["connection"] == "close"
     assert beyond.ends() == b""
-    is_served(first, peer, "again")
-    is_served(first, peer, "and again")
+    assert_served(first, peer, "again")
+    assert_served(first, peer, "and again")
 
 
 class Transport:
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -93,9 +93,9 @@
 
 
 def test_the_states_of_a_connection_that_its_client_closes(
-    unmade: ClientConnection, transport: Transport, host: Host
+    unreported: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    conn = unmade
+    conn = unreported
     states = [conn._state]
     conn.connection_made(cast(Any, transport))
     states.append(conn._state)
@@ -136,9 +136,9 @@
     """Three requests come at once: each begins only once the one before it is answered."""
     conn.data_received(b"".join(request(rid=rid) for rid in "abc"))
     for count in (1, 2, 3):
-        assert host.labels_begun() == [b"a", b"b", b"c"][:count]
+        assert host.admitted_ids() == [b"a", b"b", b"c"][:count]
         serve(conn)
-        assert len(host.begun) == count  # whoever responds is still at work with this one
+        assert len(host.admitted) == count  # whoever responds is still at work with this one
         host.loop.turn()
     assert transport.written == 3 * SERVED
 
@@ -155,7 +155,7 @@
     assert transport.written.startswith(b"HTTP/1.1 400")
     assert host.events == [("gone", b"open")]
     host.loop.turn()
-    assert host.labels_begun() == [b"open"]
+    assert host.admitted_ids() == [b"open"]
 
 
 def test_requests_that_are_rejected_within_the_call_are_answered_in_turn(
@@ -182,7 +182,7 @@
     sweep(registry, 1)
     assert transport.aborted
     host.loop.turn()
-    assert host.labels_begun() == [b"a"]
+    assert host.admitted_ids() == [b"a"]
 
 
 @pytest.mark.parametrize("open_request", [True, False])
@@ -211,7 +211,7 @@
     the connection's end.
     """
     conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
-    assert host.labels_begun() == [b"upload"]
+    assert host.admitted_ids() == [b"upload"]
     assert not conn.eof_received()
     conn.connection_lost(None)
     assert host.events == [("gone", b"upload")]
@@ -267,7 +267,7 @@
     conn.data_received(request("/credit/1", b"body", rid="same"))
     assert transport.written.startswith(b"HTTP/1.1 409")
     assert not host.budget.buffered
-    assert not host.begun
+    assert not host.admitted
 
 
 def test_the_host_learns_when_an_upload_has_been_read_to_its_end(
@@ -276,8 +276,8 @@
     """The request's time runs from here on: before, it is its client that takes time."""
     message = request("/credit/1", b"x" * 2 * LONG, rid="upload")
     conn.data_received(message[:-1])
-    assert host.labels_begun() == [b"upload"]
+    assert host.admitted_ids() == [b"upload"]
     assert not host.events
     conn.data_received(message[-1:])
     assert host.events == [("body received", b"upload")]
-    assert host.begun[0].flow.complete
+    assert host.admitted[0].flow.complete
--- a/tests/proxy/downstream/test_ends.py
+++ b/tests/proxy/downstream/test_ends.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.harness import LIMIT, Running, answer, request, until
-from tests.proxy.downstream.exchanges import READINESS_CHECK, reaches_backend
+from tests.proxy.downstream.exchanges import READINESS_CHECK, send_to_backend
 
 
 def is_closed_to_clients(proxy: Running) -> bool:
@@ -60,7 +60,7 @@
     and the reset could destroy the response.
     """
     client = proxy.connect()
-    peer = reaches_backend(client, backend, request(rid="last"))
+    peer = send_to_backend(client, backend, request(rid="last"))
     proxy.process.send_signal(signal.SIGTERM)
     until(lambda: is_closed_to_clients(proxy))  # from here on it ends once nothing is open
     peer.send(answer(b"served"))
@@ -84,7 +84,7 @@
     """
     client = proxy.connect()
     old = request(rid="old").replace(b"HTTP/1.1", b"HTTP/1.0")
-    peer = reaches_backend(client, backend, old)
+    peer = send_to_backend(client, backend, old)
     peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
     while not client.buffer:  # it is streamed once its sender turns out to be slow
         peer.send(b"part")
@@ -109,7 +109,7 @@
     proxy = start(limits={"memory_mb": 1024})  # buffers more than the kernel does
     client = proxy.connect()
     old = request(rid="old").replace(b"HTTP/1.1", b"HTTP/1.0")
-    peer = reaches_backend(client, backend, old)
+    peer = send_to_backend(client, backend, old)
     peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(300):
         peer.send(b"c350\r\n%s\r\n" % bytes(50_000))
--- a/tests/proxy/downstream/test_half_close.py
+++ b/tests/proxy/downstream/test_half_close.py
@@ -22,7 +22,7 @@
     target,
     until,
 )
-from tests.proxy.downstream.exchanges import end_sending, reaches_backend
+from tests.proxy.downstream.exchanges import end_sending, send_to_backend
 from tests.proxy.full_backlog import FullBacklog, patient_settings
 
 MEMORY_MB = 128  # of a node in tests
@@ -136,7 +136,7 @@
     gets an answer.
     """
     client = patient_proxy.connect()
-    peer = reaches_backend(client, backend, request(rid="first", timeout=LONG_MS))
+    peer = send_to_backend(client, backend, request(rid="first", timeout=LONG_MS))
     leave(client)
     peer.send(answer(b"", "500 Oops"))
     if is_answered:
@@ -155,7 +155,7 @@
     """
     client = proxy.connect()
     pipelined = request("/credit/1", b"once", rid="a") + request(rid="behind")
-    peer = reaches_backend(client, backend, pipelined)
+    peer = send_to_backend(client, backend, pipelined)
     end_sending(client)
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
--- a/tests/proxy/downstream/test_requests.py
+++ b/tests/proxy/downstream/test_requests.py
@@ -7,10 +7,10 @@
 import pytest
 
 from tests.harness import Running, answer, request
-from tests.proxy.downstream.exchanges import first_to_reach, is_served, reaches_backend
+from tests.proxy.downstream.exchanges import assert_next_at_backend, assert_served, send_to_backend
 
 HIDDEN = request(rid="hidden")
-UNFIT = {
+INVALID = {
     "noise": b"\x8a\xff\x00\r\n\r\n",
     "both lengths": request("/credit", b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
     "length first": (
@@ -39,7 +39,7 @@
 }
 
 
-@pytest.mark.parametrize("name", UNFIT)
+@pytest.mark.parametrize("name", INVALID)
 def test_an_unfit_request_gets_an_error_and_reaches_no_backend(
     backend: socket.socket, proxy: Running, name: str
 ) -> None:
@@ -48,11 +48,11 @@
     The client gets one error and the end of its connection, and nothing of it is forwarded.
     """
     client = proxy.connect()
-    client.send(UNFIT[name])
+    client.send(INVALID[name])
     received = client.ends()
     assert received.startswith(b"HTTP/1.1 4")
     assert received.count(b"HTTP/1.1") == 1
-    first_to_reach(backend, proxy)
+    assert_next_at_backend(backend, proxy)
 
 
 @pytest.mark.parametrize(
@@ -77,7 +77,7 @@
     received = client.ends()
     assert received.startswith(response)
     assert bool(received) == bool(response)
-    first_to_reach(backend, proxy)
+    assert_next_at_backend(backend, proxy)
 
 
 def test_the_id_of_an_open_request_is_not_accepted_twice(
@@ -89,12 +89,12 @@
     second is rejected; once the first is answered the id is free.
     """
     first, second = proxy.connect(), proxy.connect()
-    peer = reaches_backend(first, backend, request(rid="same"))
+    peer = send_to_backend(first, backend, request(rid="same"))
     second.send(request("/balance/other", rid="same"))
     assert second.ends().startswith(b"HTTP/1.1 409")
     peer.send(answer(b"served"))
     assert first.message()[2] == b"served"
-    is_served(first, peer, "same")
+    assert_served(first, peer, "same")
 
 
 def test_noise_behind_an_open_request_ends_the_connection(
@@ -106,8 +106,8 @@
     backend's connection serves the next client.
     """
     client = proxy.connect()
-    peer = reaches_backend(client, backend, request(rid="a1"))
+    peer = send_to_backend(client, backend, request(rid="a1"))
     client.send(b"\x8a\xff\x00\r\n\r\n")
     assert client.ends().startswith(b"HTTP/1.1 400")
     peer.send(answer(b"late"))
-    is_served(proxy.connect(), peer, "a3")
+    assert_served(proxy.connect(), peer, "a3")
