--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -189,7 +189,7 @@
             and not has_unread_input(self._sock)
         )
 
-    def finished(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether a stop of the process need not wait for it."""
         return self._state is not LINGERING and self._has_nothing_pending()
 
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -131,7 +131,7 @@
             registry.close_idle()
         if registry.idle or registry.silent:
             return False
-        return not self._establishing and registry.finished()
+        return not self._establishing and registry.all_drained()
 
     # ---- accepting --------------------------------------------------------
 
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -46,7 +46,7 @@
         """Close without waiting for the client, once its last response has left."""
 
     @abstractmethod
-    def finished(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether a stop of the process need not wait for it."""
 
     @abstractmethod
@@ -95,18 +95,21 @@
             run_logged(conn.sweep, self.sweeps)  # a fault at one ends no other's time-outs
         self._close_surplus()
 
-    def finished(self) -> bool:
+    def all_drained(self) -> bool:
         """Whether none holds anything that a stop must wait for.
 
         Failure: one connection raises here, and again with each look. The stop would go on for
         its full time, though all clients have their answers. Nothing can be learned of that
         connection, so it is logged once and not waited for.
         """
-        return all(conn in self._unreadable or self._is_finished(conn) for conn in self.connections)
+        return all(
+            conn in self._unreadable or self._is_drained_or_failing(conn)
+            for conn in self.connections
+        )
 
-    def _is_finished(self, conn: Connection) -> bool:
+    def _is_drained_or_failing(self, conn: Connection) -> bool:
         try:
-            return conn.finished()
+            return conn.is_drained()
         except Exception:
             logger.exception("stopping: a connection is not waited for, as its state raised")
             self._unreadable.add(conn)
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -122,7 +122,7 @@
     conn.close()
     assert conn._state is LINGERING
     assert transport.ended
-    assert not conn.finished()
+    assert not conn.is_drained()
     sweep(registry, LINGER_TIMEOUT_SWEEPS)
     assert not transport.aborted
     sweep(registry, 1)
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -279,12 +279,12 @@
     """
     faulty, other = two_connections()
     registry.connections.update((faulty, other))
-    faulty.finished.side_effect = StepError
-    other.finished.return_value = False
-    assert not registry.finished()
-    other.finished.return_value = True
-    assert registry.finished()
-    assert registry.finished()
+    faulty.is_drained.side_effect = StepError
+    other.is_drained.return_value = False
+    assert not registry.all_drained()
+    other.is_drained.return_value = True
+    assert registry.all_drained()
+    assert registry.all_drained()
     assert len(logged) == 1
 
 
