--- a/loadbalancer/proxy/downstream/__init__.py
+++ b/loadbalancer/proxy/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 to clients: the listener, connections, requests and answers."""
+"""The client side of the proxy: listener, HTTP/1.1 connections, requests and responses."""
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: from its acceptance to its end, and which clients are given up."""
+"""A client's connection: its lifecycle from accept to close, and its timeouts."""
 
 from __future__ import annotations
 
@@ -29,35 +29,38 @@
 )
 from loadbalancer.proxy.flow_control import MAX_MESSAGE_BYTES
 
-SWEEP_S = 0.25  # from one sweep over all connections to the next, in seconds
-# Timeouts are in sweeps and not in seconds: a process that was stopped for a while must not
-# take its own absence for its clients'.
-FIRST_BYTE_TIMEOUT_SWEEPS = 9  # for the first byte on a connection
-REQUEST_TIMEOUT_SWEEPS = 10  # for a complete request, from its first byte on ...
-BYTES_PER_EXTRA_SWEEP = 8 << 10  # ... and one sweep more for each so many bytes of its content
-UPLOAD_TIMEOUT_SWEEPS = 20  # for a backend to accept more of an upload
-WRITE_TIMEOUT_SWEEPS = 40  # for a client to accept more of a response
-LINGER_TIMEOUT_SWEEPS = 4  # for a client to close after our end
+SWEEP_S = 0.25  # seconds between two sweeps, each of which checks all connections for timeouts
+# Timeouts are counted in sweeps, not in seconds: if this process was suspended for a while, the
+# time that it missed must not count as inactivity of its clients.
+FIRST_BYTE_TIMEOUT_SWEEPS = 9  # until the first byte of a new connection
+REQUEST_TIMEOUT_SWEEPS = 10  # from a request's first byte until it is complete
+BYTES_PER_EXTRA_SWEEP = (
+    8 << 10
+)  # each such amount of content extends the request timeout by a sweep
+UPLOAD_TIMEOUT_SWEEPS = 20  # without a backend accepting more of an upload
+WRITE_TIMEOUT_SWEEPS = 40  # without the client accepting more of a response
+LINGER_TIMEOUT_SWEEPS = 4  # for the client to close after this process has shut down its side
 
 
 class ClientConnection(ResponseWriter):
-    """One client's connection.
+    """A client's connection.
 
-    This part opens and ends it; its bases read requests, take them in turn and write
-    responses. `states` shows its life.
+    This class opens, closes and times out the connection. Its base classes parse requests
+    (`RequestParser`), process them one at a time (`RequestQueue`) and write responses
+    (`ResponseWriter`). The module `states` documents the state transitions.
     """
 
     __slots__ = ("_last_write_progress", "_write_backlog")
 
     def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
         super().__init__(registry, sock)
-        # While bytes of a response wait: how many in this process and in the kernel, and
-        # the sweep at which that last changed.
+        # The bytes of a response still buffered in this process and unacknowledged in the kernel,
+        # and the sweep at which these two numbers last changed.
         self._write_backlog = (0, 0)
         self._last_write_progress = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The event loop has taken the connection over."""
+        """Called by the event loop once it has set up the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._parser = httptools.HttpRequestParser(self)
         self._state = AWAITING_REQUEST
@@ -78,8 +81,8 @@
             client_request_id in host.open_request_ids
             or client_request_id in host.other_process_request_ids
         ):
-            # Failure: with two open requests under one id, a backend that drops repeats by
-            # the id answers one of them with the other's response.
+            # Failure: with two open requests of the same id, a backend that deduplicates by id
+            # would answer one of them with the other's response.
             self._release_content(incoming)
             self._reject(409)
             return
@@ -89,18 +92,18 @@
             self._release_content(incoming)
             self.respond_empty(503, 0)
         elif not request.ended:
-            # Otherwise it has been answered within the call.
+            # A request that has already ended was answered within admit_request.
             self._request = request
             self._state = AWAITING_RESPONSE
 
-    # ---- closing, started by this process -------------------------------------------------
+    # ---- closing, started by this process ---------------------------------------
 
     def _close_gracefully(self) -> None:
-        """End our sending, discard what comes, and close once the client has, or after a while.
+        """Shut down sending, discard input, and close once the client has closed or timed out.
 
-        Failure: closing at once resets the connection where bytes lie unread, also such as
-        have only just come. The reset can reach the client before the response does, which
-        then is lost.
+        Failure: closing a socket with unread input, even input that arrived a moment ago, makes
+        the kernel reset the connection. The client may see the reset before it has read the
+        response, and the response is lost.
         """
         transport = self._transport
         assert transport is not None
@@ -123,12 +126,12 @@
         transport.resume_reading()
 
     def close(self) -> None:
-        """End the connection, on which nothing is under way."""
+        """Close the connection gracefully, unless a request is open."""
         if self._state is AWAITING_REQUEST:
             self._close_gracefully()
 
     def abort_lingering(self) -> None:
-        """Close without waiting for the client, once its last response has left."""
+        """Abort without waiting for the client to close, if its last response has been flushed."""
         transport = self._transport
         if transport is not None and not transport.get_write_buffer_size():
             self._abort(transport)
@@ -138,17 +141,17 @@
         self._state = CLOSING
         transport.abort()
 
-    # ---- the end, as the event loop reports it ---------------------------------
+    # ---- closing, as the event loop reports it ----------------------------------
 
     def eof_received(self) -> bool:
-        """The client has ended its sending; True where it still gets a response.
+        """The client has shut down its sending; returns True to keep the connection for a response.
 
-        It may have closed, or wait for its response: the two look the same. What has been
-        sent to a backend for it is waited for, and nothing begins any more: what waits
-        behind the open request is dropped.
+        The client may have closed, or may still read its response: the two can't be told apart.
+        The response to the open request is still delivered, but no further request is started:
+        those queued behind the open one are dropped.
         """
         self._half_closed = True
-        if self._read_state is not UPLOAD:  # content that is cut off never completes
+        if self._read_state is not UPLOAD:  # an upload that is cut off can never complete
             self._drop_pending()
             if self._request is not None:
                 self._registry.host.client_half_closed(self._request)
@@ -159,12 +162,12 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, on this side or the client's."""
-        del exc  # whatever the reason, the same follows
+        """The connection is closed, by either side."""
+        del exc  # the cleanup is the same for every cause
         registry = self._registry
         self._state = CLOSED
         self._transport = None
-        self._parser = None  # it refers back to this object: a ring that only the collector ends
+        self._parser = None  # breaks a reference cycle that only the garbage collector would free
         registry.connections.discard(self)
         registry.lingering.pop(self, None)
         self._leave_waiting_lists()
@@ -176,12 +179,12 @@
         registry.host.clients -= 1
         registry.host.on_descriptor_freed()
 
-    # ---- what the registry and the host ask --------------------------------------
+    # ---- queries of the registry and the host ------------------------------------
 
     def can_close(self) -> bool:
-        """Whether it can be closed without harm: nothing is under way in either direction.
+        """Whether closing loses nothing: no open request, unread input or unsent output.
 
-        Failure: a request that has arrived and has not been read would be lost.
+        Failure: a request that has arrived but has not been read yet would be lost.
         """
         return (
             self._state is AWAITING_REQUEST
@@ -190,11 +193,11 @@
         )
 
     def is_drained(self) -> bool:
-        """Whether a stop of the process need not wait for it."""
+        """Whether the process may exit without waiting for this connection."""
         return self._state is not LINGERING and self._has_nothing_pending()
 
     def _has_nothing_pending(self) -> bool:
-        """Whether no request is open or read in part, and every response has left."""
+        """Whether no request is open, queued or partly read, and all responses are flushed."""
         transport = self._transport
         return transport is None or (
             self._request is None
@@ -204,22 +207,22 @@
         )
 
     def has_half_closed(self) -> bool:
-        """Whether the client has ended its sending, read from the socket itself."""
+        """Whether the client has shut down its sending, as the socket itself reports it."""
         return self._half_closed or self._transport is None or peer_has_half_closed(self._sock)
 
     def check_half_close(self) -> None:
-        """Report the client's end of sending, which the loop doesn't while reading is paused."""
+        """Report a half-close, which the event loop does not report while reading is paused."""
         if self._request is not None and not self._half_closed and peer_has_half_closed(self._sock):
             self._registry.host.client_half_closed(self._request)
 
     def idle_sweeps(self) -> int:
-        """Sweeps since it was accepted or last active."""
+        """The number of sweeps since the connection was accepted or last active."""
         return self._registry.sweeps - self._last_active_sweep
 
     # ---- timeouts ------------------------------------------------------------------
 
     def sweep(self, sweep: int) -> None:
-        """Give up a client that has stopped sending or accepting bytes."""
+        """End the connection if the client has timed out, either sending or receiving."""
         transport = self._transport
         if transport is None:
             return
@@ -236,9 +239,9 @@
             self._last_write_progress = sweep
 
     def _check_write_progress(self, transport: asyncio.Transport, unsent: int, sweep: int) -> None:
-        """Abort where the client accepts nothing.
+        """Abort if the client has accepted nothing within the write timeout.
 
-        Failure: a client that reads nothing holds a descriptor and a buffer without end.
+        Failure: a client that never reads would hold a descriptor and a buffer indefinitely.
         """
         progress = (unsent, unacknowledged_bytes(self._sock))
         if progress != self._write_backlog:
@@ -248,10 +251,10 @@
             self._abort(transport)
 
     def _close_if_request_timed_out(self) -> bool:
-        """End a connection whose request does not complete, or never begins; True if ended.
+        """Close if the request does not complete, or never begins, in time; True if closed.
 
-        Failure: heads and content without an end, and clients that connect and send
-        nothing, hold descriptors until there are none. Harm: a client behind a line under
+        Failure: requests that never complete, and clients that connect and send nothing, would
+        hold descriptors until none is left. Drawback: a client whose link is slower than
         32 kB/s can't send larger requests.
         """
         incoming = self._incoming
@@ -259,14 +262,14 @@
             return self._close_if_first_byte_timed_out()
         flow = incoming.flow
         if flow is not None and flow.paused:
-            # Reading is paused, as the backend accepts no more: that is not the client's time.
+            # Reading is paused because the backend accepts no more: the client is not to blame.
             if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
                 self._registry.host.upload_stalled(self._request)
             return False
         if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_EXTRA_SWEEP:
             return False
         if self._request is not None and flow is None:
-            return False  # reading it may be paused until the open request is answered
+            return False  # reading may be paused until the open request has been answered
         self._reject(408)
         return True
 
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepting clients while there is capacity, and making some for more."""
+"""The listening socket: accepts clients within capacity, and closes idle ones for new ones."""
 
 from __future__ import annotations
 
@@ -20,20 +20,21 @@
 
 logger = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-MAX_ACCEPTS = 64  # in one turn of the loop
-# How long, in seconds, a connection may linger after our end while others wait for its place ...
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS = 64  # per iteration of the event loop
+# While clients wait to be accepted: the seconds for which a connection may linger, and the part of
+# the capacity for clients, 1 in so many, that may linger at a time.
 SATURATED_LINGER_S = 0.05
-MAX_LINGERING_DIVISOR = 2  # ... and at most one in so many places is freed at a time
+MAX_LINGERING_DIVISOR = 2
 
 
 class ListenerState(Enum):
     """Whether connections are accepted."""
 
-    NOT_LISTENING = "not listening"  # not yet, or no more
+    NOT_LISTENING = "not listening"  # not started, or stopped
     ACCEPTING = "accepting"
-    PAUSED = "paused"  # until there is capacity for a client again
-    SUSPENDED = "held back"  # another process accepts from the same socket
+    PAUSED = "paused"  # no capacity; accepts again once there is some
+    SUSPENDED = "held back"  # the successor process accepts from the same socket
 
 
 NOT_LISTENING = ListenerState.NOT_LISTENING
@@ -43,7 +44,7 @@
 
 
 class Listener:
-    """The listening socket, and the admission of clients' connections."""
+    """Accepts clients' connections from the listening socket, as far as capacity allows."""
 
     def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
@@ -52,8 +53,8 @@
         self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
-        self._saturation_check: asyncio.TimerHandle | None = None  # while places are freed
-        self._max_lingering = 1  # connections ended at a time
+        self._saturation_check: asyncio.TimerHandle | None = None  # pending while saturated
+        self._max_lingering = 1  # connections that may linger at a time while saturated
         host.on_descriptor_freed = self.on_descriptor_freed
 
     @property
@@ -61,17 +62,18 @@
         """The listening socket, None once it is closed."""
         return self._sock
 
-    # ---- begin and end of listening -------------------------------------
+    # ---- starting and stopping ---------------------------------------------
 
     def listen(self, address: Address, shared: bool = False) -> int:
-        """Accept connections at this address; returns the port.
+        """Bind to the address and accept connections; returns the port.
 
-        `shared`: where one process succeeds another and can't be handed its socket.
+        `shared`: lets two processes bind the address, for an upgrade in which the successor
+        can't be handed the socket.
         """
         return self._listen_on(listening_socket(address, BACKLOG, shared))
 
     def adopt(self, sock: socket.socket) -> int:
-        """Accept connections from a socket that another process made; returns the port."""
+        """Accept connections from a socket that another process created; returns the port."""
         sock.setblocking(False)
         return self._listen_on(sock)
 
@@ -82,13 +84,13 @@
         return int(sock.getsockname()[1])
 
     def suspend_accepting(self) -> None:
-        """Accept no more; whoever shares the socket gets the connections that wait."""
+        """Stop accepting and leave pending connections to the process that shares the socket."""
         self._pause()
         if self._state is PAUSED:
             self._state = SUSPENDED
 
     def resume_accepting(self) -> None:
-        """Undo `suspend_accepting`: the successor has not taken over."""
+        """Undo `suspend_accepting`, as the successor has not taken over."""
         if self._state is SUSPENDED:
             self._state = PAUSED
         self.on_descriptor_freed()
@@ -100,10 +102,10 @@
             self.host.loop.remove_reader(self._sock)
 
     def stop_accepting(self) -> None:
-        """Accept what the kernel holds for this process, then close the listening socket.
+        """Accept the connections in the kernel's backlog, then close the listening socket.
 
-        Failure: the kernel has completed these connections, and their clients may have sent
-        requests on them. Closing the socket would reset them.
+        Failure: their handshakes are complete and their clients may have sent requests already.
+        Closing the socket first would reset them.
         """
         sock = self._sock
         if sock is None:
@@ -118,15 +120,14 @@
         sock.close()
 
     def close_idle_and_check_drained(self) -> bool:
-        """Close idle connections; returns whether the listener is finished.
+        """Close idle connections; returns whether a stop has nothing left to wait for.
 
-        It is once nothing is open, and nothing lies unread, that a stop must wait for.
+        That is the case once no request is open, unread or being answered.
         """
         registry = self.registry
         if self.lifecycle.relieved:
-            registry.close_idle_gradually(
-                time.monotonic_ns()
-            )  # spread out: nobody waits for the places
+            # The successor serves new clients, so closing may be spread over time.
+            registry.close_idle_gradually(time.monotonic_ns())
         else:
             registry.close_idle()
         if registry.idle or registry.silent:
@@ -146,10 +147,10 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                # Failure: the system is short of descriptors or memory, though this process
-                # is within its budget. The socket stays readable, so the loop would call
-                # again at once and without end; the next sweep or freed place tries again.
-                logger.info("accept: %s", error)
+                # Failure: the system is short of descriptors or memory, although this process is
+                # within its budget. The socket stays readable, so the event loop would call this
+                # in a busy loop. The next sweep or freed descriptor resumes accepting.
+                logger.info("accepting a connection failed, paused: %s", error)
                 self._pause()
                 return
             sock.setblocking(False)
@@ -170,27 +171,27 @@
                 self.on_descriptor_freed()
 
     def on_descriptor_freed(self) -> None:
-        """A descriptor has been freed: accept again if there is capacity."""
+        """Resume accepting, if a descriptor that has been closed leaves capacity for a client."""
         sock = self._sock
         if self._state is PAUSED and sock is not None and self.host.may_accept_client():
             self._state = ACCEPTING
             self.host.loop.add_reader(sock, self._accept)
 
     def sweep(self) -> None:
-        """One more sweep over all connections, then capacity for those that wait."""
+        """Check all connections for timeouts, then free capacity if clients wait to be accepted."""
         self.registry.sweep()
         self.on_descriptor_freed()
         if self._state is PAUSED:
             self._free_capacity()
 
     def close_idle_gradually(self, now: int) -> None:
-        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
+        """Close the idle connections that `Lifecycle` schedules for this tick; `now` in ns."""
         self.registry.close_idle_gradually(now)
 
-    # ---- freeing places for those that wait ---------------------------------
+    # ---- freeing capacity for waiting clients --------------------------------
 
     def _ensure_capacity(self) -> bool:
-        """Whether one more client fits; else pause, and free a place for the next one."""
+        """Whether a further client may be accepted; if not, pause and free capacity for one."""
         if self.host.may_accept_client():
             return True
         self._pause()
@@ -198,10 +199,11 @@
         return False
 
     def _free_capacity(self) -> None:
-        """End an idle connection for a client that waits, and more while that does not do.
+        """Close idle connections, as clients wait to be accepted.
 
-        Most clients close as their connection is ended. Those that don't are aborted after
-        SATURATED_LINGER_S, and the more of them there are, the more are ended at a time.
+        Most clients close soon after their connection is shut down here. Those that don't are
+        aborted after SATURATED_LINGER_S. `_check_saturation` doubles the number of connections
+        closed at a time for as long as clients wait.
         """
         now = self.host.loop.time()
         registry = self.registry
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -1,4 +1,4 @@
-"""All connections of clients, and which of them are closed where there are too many."""
+"""Keeps track of all clients' connections, and closes idle ones when capacity runs short."""
 
 from __future__ import annotations
 
@@ -16,91 +16,93 @@
 
 logger = logging.getLogger(__name__)
 
-MIN_IDLE_SWEEPS = 9  # without a request, after which a connection may be closed for capacity
-PAUSED_CHECK_S = 0.05  # seconds between checks whether paused clients have ended their sending
-SILENT_GRACE_SWEEPS = 1  # for a new connection's first bytes, while clients are sent away
-FLOOD_DIVISOR = 4  # one silent connection in so many is a flood of them
+MIN_IDLE_SWEEPS = 9  # a connection idle for this long may be closed to free capacity
+PAUSED_CHECK_S = 0.05  # seconds between checks for half-closes on connections not being read
+SILENT_GRACE_SWEEPS = 1  # time for the first bytes on a new connection during a gradual close
+FLOOD_DIVISOR = 4  # more than 1 connection in so many without any input is a connection flood
 SURPLUS_FRACTION = 0.5  # of the capacity for clients, above which the oldest idle ones are closed
-MAX_IDLE_FRACTION = 0.2  # of all descriptors, above which a response ends its connection
+MAX_IDLE_FRACTION = 0.2  # of all descriptors; with more idle, a response closes its connection
 
 
 class Connection(asyncio.Protocol, ABC):
-    """What the registry uses of one connection."""
+    """The interface of a client's connection that the registry uses."""
 
     __slots__ = ()
 
     @abstractmethod
     def idle_sweeps(self) -> int:
-        """Sweeps since it was accepted or last active."""
+        """The number of sweeps since the connection was accepted or last active."""
 
     @abstractmethod
     def can_close(self) -> bool:
-        """Whether it can be closed without harm: nothing is under way in either direction."""
+        """Whether closing loses nothing: no open request, unread input or unsent output."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the connection, on which nothing is under way."""
+        """Close the connection gracefully, unless a request is open."""
 
     @abstractmethod
     def abort_lingering(self) -> None:
-        """Close without waiting for the client, once its last response has left."""
+        """Abort without waiting for the client to close, if its last response has been flushed."""
 
     @abstractmethod
     def is_drained(self) -> bool:
-        """Whether a stop of the process need not wait for it."""
+        """Whether the process may exit without waiting for this connection."""
 
     @abstractmethod
     def reset_if_incomplete(self) -> None:
-        """Have the connection's end be a reset where it would complete a response that is cut."""
+        """Make the close a reset if it would make a truncated response look complete."""
 
     @abstractmethod
     def check_half_close(self) -> None:
-        """Report the client's end of sending, which the loop doesn't while reading is paused."""
+        """Report a half-close, which the event loop does not report while reading is paused."""
 
     @abstractmethod
     def sweep(self, sweep: int) -> None:
-        """Give up a client that has stopped sending or accepting bytes."""
+        """End the connection if the client has timed out, either sending or receiving."""
 
 
 class Lingering(NamedTuple):
-    """A connection whose end has begun on this side."""
+    """Facts on a connection that this process has shut down, until the client closes it too."""
 
-    since_s: float  # on the loop's clock
-    was_silent: bool  # no byte had ever come on it
+    since_s: float  # the time of the shutdown, on the event loop's clock
+    was_silent: bool  # no byte had been received by then
 
 
 class ConnectionRegistry:
-    """The connections of all clients, and what each of them needs of its surroundings."""
+    """All clients' connections, and the objects that they share."""
 
     def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
         self.lifecycle = lifecycle
         self.head_checker = HeadChecker(host)
         self.connections: set[Connection] = set()
-        # Without an open request, longest first: those that have had one, and those on which
-        # no byte has come yet.
+        # Connections without an open request, the longest idle first. `idle` have had a request;
+        # on `silent` no byte has been received yet.
         self.idle: dict[Connection, None] = {}
         self.silent: dict[Connection, None] = {}
-        self.lingering: dict[Connection, Lingering] = {}  # longest first
-        self.paused: dict[Connection, None] = {}  # not read from
-        self._unreadable: set[Connection] = set()  # those whose `finished` has raised
+        self.lingering: dict[Connection, Lingering] = {}  # the longest lingering first
+        self.paused: dict[Connection, None] = {}  # those on which reading is paused
+        self._unreadable: set[Connection] = set()  # those whose `is_drained` has raised
         self.sweeps = 0
         self.max_idle = int(MAX_IDLE_FRACTION * host.config.sockets)
         self._paused_check: asyncio.TimerHandle | None = None
 
     def sweep(self) -> None:
-        """One more sweep: clients that have stopped sending or accepting bytes are given up."""
+        """Check all connections for timeouts, then close surplus idle ones."""
         self.sweeps += 1
         for conn in list(self.connections):
-            run_logged(conn.sweep, self.sweeps)  # a fault at one ends no other's time-outs
+            run_logged(
+                conn.sweep, self.sweeps
+            )  # one that raises must not disable the others' timeouts
         self._close_surplus()
 
     def all_drained(self) -> bool:
-        """Whether none holds anything that a stop must wait for.
+        """Whether the process may exit without waiting for any connection.
 
-        Failure: one connection raises here, and again with each look. The stop would go on for
-        its full time, though all clients have their answers. Nothing can be learned of that
-        connection, so it is logged once and not waited for.
+        Failure: a connection whose check raises, each time it is made, would delay the exit up to
+        the full limit although all clients have their responses. As its state can't be found out,
+        it is logged once and no longer waited for.
         """
         return all(
             conn in self._unreadable or self._is_drained_or_failing(conn)
@@ -111,22 +113,22 @@
         try:
             return conn.is_drained()
         except Exception:
-            logger.exception("stopping: a connection is not waited for, as its state raised")
+            logger.exception("stopping: not waiting for a connection whose state check raised")
             self._unreadable.add(conn)
             return True
 
     def reset_incomplete(self) -> None:
-        """The process is about to exit: what it cuts must not look complete."""
+        """Prevent responses that the process's exit truncates from looking complete."""
         for conn in self.connections:
             run_logged(conn.reset_if_incomplete)
 
-    # ---- connections that are not read from ------------------------------
+    # ---- connections on which reading is paused ----------------------------
 
     def watch_paused(self, conn: Connection) -> None:
-        """Watch for the client's end of sending on a connection that is not read from.
+        """Check a connection regularly for a half-close while reading is paused.
 
-        Failure: the loop reports an end only to who reads. A request would wait in a queue,
-        or be sent, for a client that has gone.
+        Failure: the event loop reports a half-close only while it reads. A request could wait in
+        a queue, or be sent to a backend, for a client that has disconnected.
         """
         self.paused[conn] = None
         if self._paused_check is None:
@@ -145,27 +147,30 @@
     # ---- capacity ----------------------------------------------------------
 
     def too_many_idle(self) -> bool:
-        """Whether so many connections are idle that a further one is not kept open.
-
-        Failure: clients that send one request and keep their connection, closed only after
-        MIN_IDLE_SWEEPS, hold all places while those with a request wait unaccepted. It
-        shows as rejections while backends are idle. An end that comes with the response
-        crosses no request, so it may come at once; each end frees one place, so the number
-        of idle ones stays at the limit. Harm: where more clients than that send requests
-        again and again, those beyond it need a new connection for each.
+        """Whether so many connections are idle that no further one is kept alive.
+
+        Failure: clients that send one request and keep the connection would use up the capacity
+        for MIN_IDLE_SWEEPS each, while clients with requests wait to be accepted. That shows as
+        rejections while backends are idle. A close announced in the response can't cross a
+        request in flight, so it needs no waiting time. Each such close frees capacity for one
+        client, so the number of idle connections stays at the limit. Drawback: if more clients
+        than that send requests repeatedly, those beyond the limit need a new connection for
+        each request.
         """
         return len(self.idle) > self.max_idle
 
     def close_oldest(self, establishing: int) -> bool:
-        """Close the connection that has been idle longest; False where none may be closed.
-
-        Those on which nothing ever came go first, once they had a moment to: hundreds of
-        silent ones must not displace clients that send requests. But where few are silent
-        the oldest idle one goes at once, or those that send one request and stay would
-        hold all places for seconds each. `accepting`: how many are accepted and not among
-        the connections yet.
+        """Close the connection that has been idle longest; False if none may be closed.
+
+        Silent connections, on which nothing was ever received, are closed first, after one sweep
+        in which to send something: hundreds of them must not displace clients that send requests.
+        During such a flood, other idle connections are protected for MIN_IDLE_SWEEPS. Otherwise
+        the oldest idle one is closed at once, or clients that send one request and stay would use
+        up the capacity for seconds each. `establishing`: the connections that have been accepted
+        but are not yet registered.
         """
-        # Those just ended count too: with each batch of them gone, a flood would seem over.
+        # Silent connections that linger count too: otherwise a flood would seem over each time a
+        # batch of them has been closed.
         lingering_silent = sum(linger.was_silent for linger in self.lingering.values())
         silent_clients = len(self.silent) + establishing + lingering_silent
         is_flood = silent_clients * FLOOD_DIVISOR > self.host.clients
@@ -174,7 +179,7 @@
         )
 
     def _close_first(self, conns: dict[Connection, None], min_sweeps: int) -> bool:
-        """Close the first that can be closed, of those idle for at least so many sweeps."""
+        """Close the first closable connection that has been idle for at least `min_sweeps`."""
         for conn in conns:
             if conn.idle_sweeps() < min_sweeps:
                 return False
@@ -186,22 +191,22 @@
     def _close_surplus(self) -> None:
         """Close the oldest idle connections before descriptors run out.
 
-        Failure: clients that keep connections and send nothing on them. At the limit, each
-        new client would wait for one of them to be closed. Harm: a client that sends a
-        request just then has to send it again on a new connection.
+        Failure: clients that keep connections without using them. Once the limit is reached, each
+        new client would have to wait until one of them is closed. Drawback: a client that sends a
+        request at the moment of the close has to send it again on a new connection.
         """
         surplus = self.host.clients - int(SURPLUS_FRACTION * self.host.max_clients())
         while surplus > 0 and self._close_first(self.idle, MIN_IDLE_SWEEPS):
             surplus -= 1
 
-    # ---- sending clients away ------------------------------------------------
+    # ---- closing idle connections for a drain --------------------------------
 
     def close_idle_gradually(self, now: int) -> None:
-        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns.
+        """Close the idle connections that `Lifecycle` schedules for this tick; `now` in ns.
 
-        One on which a request lies unread is no longer idle. One that has only just been
-        accepted is left for a moment: its first request, such as a front's readiness check,
-        is about to come.
+        The longest idle are closed first. A connection with an unread request does not count as
+        idle. A connection just accepted is left alone for SILENT_GRACE_SWEEPS: its first request,
+        such as a load balancer's readiness check, is about to arrive.
         """
         silent = [conn for conn in self.silent if conn.idle_sweeps() > SILENT_GRACE_SWEEPS]
         idle = [*self.idle, *silent]
@@ -210,7 +215,7 @@
                 conn.close()
 
     def close_idle(self) -> None:
-        """Close every connection on which nothing is under way."""
+        """Close every connection that `can_close`."""
         for conn in [*self.idle, *self.silent]:
             if conn.can_close():
                 conn.close()
