--- a/loadbalancer/proxy/downstream/head_checker.py
+++ b/loadbalancer/proxy/downstream/head_checker.py
@@ -1,4 +1,4 @@
-"""The check of a request's head: what is unfit is rejected, the rest is set for the Balancer."""
+"""Validates a request's head, and extracts from it what the Balancer needs."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from loadbalancer.proxy.ports import ClientHost
 
 READINESS_PATH = b"/health/ready"
-MAX_REQUEST_ID_BYTES = 128  # of a request's id
-MAX_DIGITS = 12  # of a number in a field
+MAX_REQUEST_ID_BYTES = 128  # of the client's request id
+MAX_DIGITS = 12  # of a number in a header field
 NS_PER_COST_UNIT = 1000  # X-Cost is in microseconds
 
 SCHEME_AND_AUTHORITY = re.compile(rb"^[Hh][Tt][Tt][Pp]://[^/?#]*")
 
-# Fields that this process goes by; each may occur once.
+# Header fields that the proxy interprets; each may occur once.
 INTERPRETED_FIELDS = frozenset(
     (
         b"connection", b"content-length", b"expect", b"host", b"transfer-encoding", b"x-cost",
@@ -33,7 +33,7 @@
 
 
 class HeadChecker:
-    """Checks heads against the protocol, and finds each request's class and tenant."""
+    """Validates heads, and determines each request's class and tenant."""
 
     __slots__ = ("_host", "_tenants")
 
@@ -43,15 +43,19 @@
         self._tenants = {tenant.name.encode(): i for i, tenant in enumerate(tenants)}
 
     def check(self, incoming: IncomingRequest) -> None:
-        """Check a head and set what the Balancer needs of it; BadRequestError if it is unfit."""
+        """Validate a head and set the parameters that the Balancer needs.
+
+        Raises:
+            BadRequestError: the request is invalid; holds the status to reject it with.
+        """
         fields = incoming.fields
         if self._host.routing is None and not incoming.url.startswith(b"/"):
             incoming.url = _origin_form(incoming.url)
         incoming.path = incoming.url.partition(b"?")[0]
         incoming.chunked = b"transfer-encoding" in fields
         if incoming.chunked and b"content-length" in fields:
-            # Failure: request smuggling. Whoever goes by the other field sees the request end
-            # elsewhere, and takes a part of its content for a request (RFC 9112, section 11.2).
+            # Failure: request smuggling. A recipient that goes by the other field sees the request
+            # end elsewhere, and takes a part of its content for a request (RFC 9112, section 11.2).
             raise BadRequestError(400)
         incoming.length = int(fields.get(b"content-length", b"0"))
         if incoming.path == READINESS_PATH:
@@ -67,7 +71,7 @@
         self._read_parameters(incoming, cls)
 
     def _find_class(self, incoming: IncomingRequest) -> ClassState:
-        """The class that a request falls under, by its route where there are routes."""
+        """Return the request's class: its route's, or without routes the path's first segment."""
         routing = self._host.routing
         if routing is None:
             segment = incoming.path.split(b"/", 2)[1]
@@ -85,7 +89,7 @@
         return cls
 
     def _read_parameters(self, incoming: IncomingRequest, cls: ClassState) -> None:
-        """Set the request's id, tenant, timeout, key and hints from its fields."""
+        """Set the request's id, tenant, timeout, key, cost and retry mark from its fields."""
         fields = incoming.fields
         client_request_id = incoming.client_request_id = fields.get(b"x-request-id", b"")
         if not 0 < len(client_request_id) <= MAX_REQUEST_ID_BYTES:
@@ -109,7 +113,7 @@
 
 
 def _origin_form(url: bytes) -> bytes:
-    """A target in absolute form without its scheme and authority (RFC 9112, section 3.2.2)."""
+    """Strip scheme and authority from a target in absolute form (RFC 9112, section 3.2.2)."""
     target = SCHEME_AND_AUTHORITY.sub(b"", url, 1)
     return target if target.startswith(b"/") else b"/" + target
 
--- a/loadbalancer/proxy/downstream/request.py
+++ b/loadbalancer/proxy/downstream/request.py
@@ -1,4 +1,4 @@
-"""A request as it is read from a client."""
+"""A client's request while it is being read."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
     from loadbalancer.core.routes.table import Policy
     from loadbalancer.proxy.flow_control import Flow
 
-NO_CLASS = ClassState(-1, RequestClass("", 1, 1), 0)  # of a request that no backend is to get
+NO_CLASS = ClassState(
+    -1, RequestClass("", 1, 1), 0
+)  # of a request that is not forwarded to a backend
 
 
 class IncomingRequest:
-    """A request as it is read; `head` is what each attempt's request starts with.
+    """A client's request, filled in while it is being read.
 
-    Sizes in bytes, times in nanoseconds.
+    Sizes are in bytes, times in nanoseconds.
     """
 
     __slots__ = (
@@ -29,25 +31,25 @@
     def __init__(self) -> None:
         self.url = b""
         self.method = b""
-        self.lines: list[bytes] = []  # of the head, as they are forwarded
-        self.fields: dict[bytes, bytes] = {}  # those that this process goes by
-        self.body: list[bytes] = []
+        self.lines: list[bytes] = []  # the header field lines to forward
+        self.fields: dict[bytes, bytes] = {}  # the header fields in INTERPRETED_FIELDS
+        self.body: list[bytes] = []  # content read so far, unless `flow` has it
         self.size = 0  # of the content read so far
-        self.length = 0  # of the content, as the head states it
+        self.length = 0  # of the content, as declared by the head
         self.chunked = False
-        self.flow: Flow | None = None  # once its content is forwarded as it comes
+        self.flow: Flow | None = None  # set once the content is forwarded while it is read
         self.http10 = False
-        self.head = b""
-        self.path = b""  # without its query
-        self.policy: Policy | None = None  # its route's, where there is a routes file
-        self.client_request_id = b""  # the id that its client gave it
+        self.head = b""  # the start of each attempt's head, up to the value of its timeout
+        self.path = b""  # without the query
+        self.policy: Policy | None = None  # the route's policy, if a routes file is in use
+        self.client_request_id = b""  # the X-Request-ID
         self.keep_alive = True
         self.is_readiness_check = False
         self.cls: ClassState = NO_CLASS
         self.tenant = 0
-        self.key = 0
+        self.key = 0  # the CRC-32 of the path's last segment, 0 for none
         self.has_idempotency_key = False
-        self.hint = 0  # its client's estimate of the work
-        self.retried = False  # its client marks it as a further try
+        self.hint = 0  # the client's estimate of the cost (X-Cost), 0 for none
+        self.retried = False  # the client has marked it as a retry (X-Retried)
         self.timeout = 0
-        self.received_at = 0  # when its last byte came, on the monotonic clock
+        self.received_at = 0  # arrival of the last byte, on the monotonic clock
--- a/loadbalancer/proxy/downstream/request_parser.py
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing: from a client's bytes to the head and content of one request after another."""
+"""Parses the bytes received from a client into the heads and contents of requests."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_HEAD_BYTES = 16 << 10  # of a request's target and fields
-SMALL_BODY_BYTES = 16 << 10  # a body up to this size never waits for the buffer budget
+MAX_HEAD_BYTES = 16 << 10  # of a request's target and header fields
+SMALL_BODY_BYTES = 16 << 10  # a body of up to this size never waits for the buffer budget
 HTTP_VERSIONS = ("1.0", "1.1")
 
-# Fields of one hop only, or written anew for each attempt.
+# Header fields that are hop-by-hop, or that the proxy sets itself for each attempt.
 NOT_FORWARDED = frozenset(
     (
         b"connection", b"content-length", b"expect", b"keep-alive", b"proxy-connection",
@@ -43,13 +43,13 @@
 
 
 class RequestParser(Connection):
-    """The part of a client's connection that parses its bytes.
+    """The part of a client's connection that parses input.
 
-    What can't be read, or is larger than accepted, is rejected and ends the connection:
-    where the next request begins is unknown then, and content could pass for one.
+    An invalid or oversized request is rejected and the connection closed: it is unknown where the
+    next request starts, and content could be mistaken for one.
 
-    `_parser` is None while nothing is parsed: before the connection is made, and from the
-    moment on that its end has begun.
+    `_parser` is None while input is not parsed: before the connection is set up, and once its
+    closing has started.
     """
 
     __slots__ = (
@@ -62,32 +62,32 @@
         self._sock = sock
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpRequestParser | None = None
-        self._incoming: IncomingRequest | None = None  # the request that is being read
+        self._incoming: IncomingRequest | None = None  # the request being read
         self._read_state: ReadState = NO_REQUEST
-        self._head_size = 0  # bytes read of a head that is not complete
-        self._discarding = 0  # bytes still to come of an upload that nobody wants any more
-        # The sweep at which the connection was accepted, the last request began or was
-        # answered, or lingering began.
+        self._head_size = 0  # bytes read of an incomplete head
+        self._discarding = 0  # bytes still expected of an upload that is no longer forwarded
+        # The sweep of the last activity: the accept, the start of a request, its response, reading
+        # resumed, or the start of lingering.
         self._last_active_sweep = registry.sweeps
 
     @abstractmethod
     def _start_queued(self) -> None:
-        """Begin what has been read, if no request is open."""
+        """Start the next request that has been read, if none is open."""
 
     @abstractmethod
     def _limit_content(self, incoming: IncomingRequest) -> None:
-        """Pause reading where an incomplete request's content has to wait."""
+        """Pause reading if an incomplete request's content has to wait."""
 
     @abstractmethod
     def _response_is_next(self) -> bool:
-        """Whether the response to the request that is being read is the next one due."""
+        """Whether the next response on the connection is that to the request being read."""
 
     @abstractmethod
     def _reject(self, status: int, text: bytes = b"") -> None:
-        """Answer what can't be read as a request, and close."""
+        """Respond with an error to an invalid or timed-out request, and close."""
 
     def data_received(self, data: bytes) -> None:
-        """The next bytes from the client."""
+        """Parse the next bytes from the client."""
         parser = self._parser
         if parser is None:
             self._discard(data)
@@ -110,46 +110,46 @@
         if self._read_state is not HEAD:
             self._limit_content(incoming)
         elif self._head_size > MAX_HEAD_BYTES:
-            # Failure: a head without an end fills the memory. It never completes, so the
-            # check at its end does not come.
+            # Failure: a head that never ends would exhaust memory, as the check of its size in
+            # on_headers_complete is never reached.
             self._reject(431)
 
     def _discard(self, data: bytes) -> None:
-        """Drop what comes while the connection ends.
+        """Drop input that arrives while the connection is closing.
 
-        Failure: a client in the middle of an upload may read its response only after it. If
-        the connection were closed before, the client would see a reset in place of the
-        response. So the rest of its upload counts as activity.
+        Failure: a client may send its whole upload before it reads the response. If the
+        connection were closed earlier, the client would see a reset in place of the response. So
+        the rest of the upload counts as activity.
         """
         if self._discarding > 0:
             self._discarding -= len(data)
             self._last_active_sweep = self._registry.sweeps
 
     def _reject_parse_error(self, cause: BaseException | None) -> None:
-        """Reject what one of the parser's callbacks has raised `cause` for."""
+        """Reject a request for which a callback of the parser has raised `cause`."""
         if isinstance(cause, BadRequestError):
             self._reject(cause.status, cause.text)
         else:
-            logger.info("reading a request raised %r", cause)
+            logger.info("parsing a request raised %r", cause)
             self._reject(400)
 
-    # ---- callbacks of the parser; where a request begins and ends: RequestQueue ----
+    # ---- callbacks of the parser; on_message_begin and _complete: RequestQueue ----
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Called with a part of the request target."""
         assert self._incoming is not None
         self._incoming.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of the head, or of the trailers, which are ignored."""
+        """Called with a header field, or a trailer field, which is ignored."""
         incoming = self._incoming
         if incoming is None or self._read_state is not HEAD:
             return
         lower = name.lower()
-        value = value.strip(b" \t")  # no part of the value (RFC 9110, section 5.5)
+        value = value.strip(b" \t")  # not part of the value (RFC 9110, section 5.5)
         if lower in INTERPRETED_FIELDS:
             if lower in incoming.fields:
-                raise BadRequestError(400)  # which of the two is meant can't be known
+                raise BadRequestError(400)  # repeated: it is ambiguous which one is meant
             incoming.fields[lower] = value
         elif lower == b"idempotency-key":
             incoming.has_idempotency_key = True
@@ -157,7 +157,7 @@
             incoming.lines.append(b"%s: %s\r\n" % (name, value))
 
     def on_headers_complete(self) -> None:
-        """The head has been read to its end."""
+        """Called at the end of the head: validate it."""
         incoming, parser = self._incoming, self._parser
         assert incoming is not None
         assert parser is not None
@@ -179,19 +179,19 @@
 
     def _expect_content(self, incoming: IncomingRequest) -> None:
         if incoming.length > STREAMING_THRESHOLD_BYTES:
-            # One read must not bring more than about a window, however much has arrived.
+            # Limits one read to about a window, however much has arrived.
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, MIN_WINDOW_BYTES)
         elif incoming.length > SMALL_BODY_BYTES or incoming.chunked:
             self._registry.host.budget.incomplete[self] = None
-        # Where an earlier request's response is still to come, this line would be taken for a
-        # part of that one.
+        # While a response to an earlier request is due, the client would take the interim response
+        # for a part of that one.
         expects = incoming.fields.get(b"expect", b"").lower() == b"100-continue"
         if expects and self._response_is_next():
             assert self._transport is not None
             self._transport.write(CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """The next bytes of the content."""
+        """Called with the next bytes of the content."""
         incoming = self._incoming
         assert incoming is not None
         incoming.size += len(body)
@@ -206,4 +206,4 @@
 
     @abstractmethod
     def resume_body(self) -> None:
-        """The buffer budget has capacity again: read on."""
+        """Resume reading, as the buffer budget has capacity again."""
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -1,4 +1,4 @@
-"""Sequencing: the requests of one connection, read ahead and begun one after another."""
+"""Queues the pipelined requests of a connection, and starts them one at a time."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 if TYPE_CHECKING:
     from loadbalancer.proxy.exchange import Request
 
-MAX_QUEUED = 8  # requests on one connection behind the open one
+MAX_QUEUED = 8  # requests queued on one connection behind the open one
 TCP_INFO_BYTES = 56
 LAST_DATA_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv, in milliseconds
 
 
 class RequestQueue(RequestParser):
-    """The part of a client's connection that takes its requests in turn.
+    """The part of a client's connection that processes its requests in order.
 
-    One request is open at a time. Up to MAX_QUEUED that have been read to their ends wait
-    behind it. A further one is rejected and ends the connection: one connection must not
-    fill the process's queues.
+    One request is open at a time. Up to MAX_QUEUED requests that are complete wait behind it. A
+    further one is rejected and the connection closed: one connection must not fill the process's
+    queues.
 
-    A request begins once it has been read to its end, and once all that came with it has
-    been parsed, for that may be unfit and end the connection. One with long content begins
-    before its end, and its content is forwarded as it comes.
+    A request is started once it is complete and all input received together with it has been
+    parsed, as invalid input there closes the connection. A request with long content is started
+    earlier, and its content is forwarded while it is read.
     """
 
     __slots__ = ("_queued", "_request", "_state")
@@ -55,29 +55,30 @@
 
     @abstractmethod
     def _start_request(self, incoming: IncomingRequest) -> None:
-        """Take up a request that is complete, or whose content is forwarded as it comes."""
+        """Start a request that is complete, or whose content is forwarded while it is read."""
 
     # ---- callbacks of the parser ----------------------------------------
 
     def on_message_begin(self) -> None:
-        """A request's first bytes have come."""
+        """Called at the first bytes of a request."""
         if len(self._queued) + (self._request is not None) > MAX_QUEUED:
             raise BadRequestError(400)
         self._incoming = IncomingRequest()
         self._read_state = HEAD
-        # From its first byte on: a client that connects ahead of its need is not slow.
+        # The request timeout starts here: a client may connect long before it needs to.
         self._last_active_sweep = self._registry.sweeps
         self._leave_waiting_lists()
 
     def on_message_complete(self) -> None:
-        """A request has been read to its end."""
+        """Called at the end of a request."""
         incoming = self._incoming
         assert incoming is not None
         self._incoming = None
         self._read_state = NO_REQUEST
         host = self._registry.host
         host.budget.body_finished(self)
-        # What waited in the kernel while the event loop was busy is the client's time.
+        # Time for which the request lay in the kernel while the event loop was busy counts against
+        # the request's timeout.
         info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         (unread_ms,) = LAST_DATA_RECEIVED.unpack(info)
         incoming.received_at = time.monotonic_ns() - unread_ms * MS
@@ -87,12 +88,12 @@
                 host.body_received(request)
             incoming.flow.finish()
             return
-        incoming.chunked = False  # it is complete, so its length is known
+        incoming.chunked = False  # the request is complete, so its length is known
         incoming.length = incoming.size
         self._build_forwarded_head(incoming)
         self._queued.append(incoming)
 
-    # ---- the next request ------------------------------------------------
+    # ---- starting requests -----------------------------------------------
 
     def _start_queued(self) -> None:
         while self._state is AWAITING_REQUEST and self._queued:
@@ -107,7 +108,7 @@
             self._start_upload(incoming)
 
     def _start_next(self) -> None:
-        """Begin what waited behind the request that has been answered, and read on."""
+        """Start the next queued request after a response, or resume reading if there is none."""
         if self._state is not AWAITING_REQUEST:
             return
         self._start_queued()
@@ -115,7 +116,7 @@
             self.resume_flow()
 
     def _start_upload(self, incoming: IncomingRequest) -> None:
-        """Forward content that is too long to be buffered, from what has come of it on."""
+        """Start a request whose content is too long to be buffered, and forward the content."""
         budget = self._registry.host.budget
         budget.body_finished(self)
         budget.release(incoming.size)
@@ -130,7 +131,7 @@
         self._start_request(incoming)
 
     def _build_forwarded_head(self, incoming: IncomingRequest) -> None:
-        """Set the head that each attempt's request starts with, up to its timeout's value."""
+        """Build the start of each attempt's head, up to the value of its timeout."""
         if not incoming.is_readiness_check:
             if incoming.chunked:
                 incoming.lines.append(b"Transfer-Encoding: chunked\r\n")
@@ -146,44 +147,44 @@
     def _response_is_next(self) -> bool:
         return self._request is None and not self._queued
 
-    # ---- waiting: the connection is the source of an upload's flow ---------
+    # ---- flow control: the connection is the source of an upload's flow ----
 
     def _limit_content(self, incoming: IncomingRequest) -> None:
         if self._read_state is UPLOAD or not incoming.size:
             return
         if self._request is not None:
             if incoming.size > STREAMING_THRESHOLD_BYTES:
-                self.pause_flow()  # its turn comes with the open one's response
+                self.pause_flow()  # until the open request has been answered
         elif self._registry.host.budget.pause_if_needed(self):
             self.pause_flow()
 
     def pause_flow(self) -> None:
-        """Read no more until `resume_flow`."""
+        """Pause reading until `resume_flow`."""
         if self._transport is not None:
             self._transport.pause_reading()
             self._registry.watch_paused(self)
 
     def resume_flow(self) -> None:
-        """Read on; the time that reading was paused was not the client's."""
+        """Resume reading; the pause does not count against the client's timeouts."""
         self._last_active_sweep = self._registry.sweeps
         self._registry.paused.pop(self, None)
         if self._transport is not None:
             self._transport.resume_reading()
 
     def resume_body(self) -> None:
-        """The buffer budget has capacity again: read on."""
+        """Resume reading, as the buffer budget has capacity again."""
         self.resume_flow()
 
     def _leave_waiting_lists(self) -> None:
-        """Take the connection from the registry's lists of those that wait for a client."""
+        """Remove the connection from the registry's silent, idle and paused connections."""
         self._registry.silent.pop(self, None)
         self._registry.idle.pop(self, None)
         self._registry.paused.pop(self, None)
 
-    # ---- dropping ----------------------------------------------------------
+    # ---- dropping requests -------------------------------------------------
 
     def _drop_pending(self) -> None:
-        """Give back what requests that have not begun hold, and what is left of an upload."""
+        """Drop queued and incomplete requests, and release their share of the buffer budget."""
         self._registry.host.budget.body_finished(self)
         if self._incoming is not None:
             self._release_content(self._incoming)
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Writing: the response to the open request, complete or streamed, and what ends with it."""
+"""Writes responses to the client, complete or streamed, and decides on keep-alive."""
 
 from __future__ import annotations
 
@@ -33,28 +33,29 @@
 class ResponseWriter(RequestQueue):
     """The part of a client's connection that writes responses.
 
-    A response is written only while its request is the open one, so responses leave in the
-    order of their requests. Each one says whether the connection ends with it.
+    A response is written only while its request is the open one, so responses are sent in the
+    order of their requests. Each response tells the client whether the connection closes after it.
     """
 
     __slots__ = ("_flow", "_framing", "_half_closed", "_http10", "_keep_alive")
 
     def __init__(self, registry: ConnectionRegistry, sock: socket.socket) -> None:
         super().__init__(registry, sock)
-        self._flow: Flow | None = None  # of the response that is streamed
-        self._framing: ResponseFraming = LENGTH  # of the same one
-        self._half_closed = False  # the client has ended its sending, as the loop reports it
-        # Of the open request:
+        self._flow: Flow | None = None  # of the response being streamed
+        self._framing: ResponseFraming = LENGTH  # of the last response streamed
+        self._half_closed = False  # by the event loop's report
+        # Of the open or last request:
         self._http10 = False
-        self._keep_alive = True  # of a streamed one: what its response's head has said
+        # What the client asked for; for a streamed response, what its head has announced.
+        self._keep_alive = True
 
     @abstractmethod
     def _close_gracefully(self) -> None:
-        """End the connection behind what has been written."""
+        """Close the connection after everything written has been sent."""
 
     @abstractmethod
     def _abort(self, transport: asyncio.Transport) -> None:
-        """Close at once; what has been written and has not left is dropped."""
+        """Close at once, dropping output that is still buffered."""
 
     # ---- complete responses ------------------------------------------------
 
@@ -73,7 +74,7 @@
         self._write_response(head)
 
     def _write_response(self, head: bytes, chunks: list[bytes] | None = None) -> None:
-        """Write a complete response, and go on to what follows it."""
+        """Write a complete response, then close or proceed to the next request."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -91,17 +92,17 @@
         registry = self._registry
         self._last_active_sweep = registry.sweeps
         if self._queued or self._incoming is not None:
-            # Not from here: whoever responded is still at work with this request.
+            # Deferred, as the caller that responded is still processing the old request.
             registry.host.loop.call_soon(self._start_next)
         else:
             registry.idle[self] = None
 
     def _closes_after_response(self) -> bool:
-        """Whether the connection ends with the response that is about to be written."""
+        """Whether to close the connection after the response about to be written."""
         if not self._keep_alive or self._read_state is UPLOAD:
-            return True  # what follows on the connection is the rest of an upload
+            return True  # the rest of an upload may follow, and must not be parsed as a request
         if self._queued:
-            return False  # accepted: each of them is owed its response
+            return False  # queued requests have been accepted and must be answered
         registry = self._registry
         return registry.lifecycle.closes or self._half_closed or registry.too_many_idle()
 
@@ -127,7 +128,7 @@
             self._framing = CHUNKED
         if content_type:
             head += b"Content-Type: %s\r\n" % content_type
-        # Decided with the head, and kept to at the end whatever holds by then.
+        # Decided once, so that the end of the response does what its head has announced.
         self._keep_alive = not self._closes_after_response()
         transport.set_write_buffer_limits(high=0)
         transport.write(head + (KEEP_ALIVE_END if self._keep_alive else CLOSE_END))
@@ -136,7 +137,7 @@
         flow.attach(self)
 
     def flow_write(self, data: bytes) -> None:
-        """The next bytes of the content."""
+        """Write the next bytes of the content."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -145,7 +146,7 @@
         transport.write(data)
 
     def flow_end(self) -> None:
-        """All of the content has been given to `flow_write`."""
+        """Complete the response: all content has been passed to `flow_write`."""
         transport = self._transport
         self._flow = None
         if transport is None or transport.is_closing():
@@ -158,20 +159,20 @@
         self._after_response(not self._keep_alive)
 
     def abort_response(self) -> None:
-        """End the connection so that the client sees its response as incomplete."""
+        """Abort the connection, so that the client sees that the response is incomplete."""
         self._request = None
         self._drop_flow()
         if self._transport is not None:
             self._abort(self._transport)
 
     def reset_if_incomplete(self) -> None:
-        """Have the connection's end be a reset where it would complete a response that is cut.
+        """Make the close a reset if it would make a truncated response look complete.
 
-        Failure: a response to an HTTP/1.0 client without a length is cut, by its backend, by a
-        time-out of the client or at the end of a stop. The connection's orderly end would
-        complete it, and the client would take a part of the content for all of it. A reset is
-        an error. Where all of it has left this process the kernel delivers it, and a reset
-        would destroy it.
+        Failure: a response without a length, to an HTTP/1.0 client, is truncated by its backend,
+        by a timeout of the client or by the exit of the process. For such a response an orderly
+        close marks the end of the content, so the client would take a part of it for the whole. A
+        reset is reported to the client as an error. Once all of the response has been passed to
+        the kernel, which delivers it, there is no reset, as it would destroy the response.
         """
         transport = self._transport
         if transport is None or self._framing is not CLOSE:
@@ -180,12 +181,12 @@
             reset_on_close(self._sock)
 
     def pause_writing(self) -> None:
-        """The kernel accepts no more for now."""
+        """Called by the event loop when its write buffer exceeds its limit."""
         if self._flow is not None:
             self._flow.block()
 
     def resume_writing(self) -> None:
-        """The kernel accepts bytes again."""
+        """Called by the event loop when its write buffer has drained."""
         if self._flow is not None:
             self._flow.unblock()
 
@@ -194,7 +195,7 @@
         if flow is not None:
             flow.discard()
 
-    # ---- requests that can't be read -----------------------------------------
+    # ---- rejecting invalid requests ------------------------------------------
 
     def _reject(self, status: int, text: bytes = b"") -> None:
         self._parser = None
@@ -202,7 +203,7 @@
         if request is not None:
             self._registry.host.client_disconnected(request)
         if self._flow is not None:
-            # A part of a response has been sent: an error would be taken for more of it.
+            # In the middle of a response the client would take an error response for its content.
             self.abort_response()
             return
         transport = self._transport
--- a/loadbalancer/proxy/downstream/responses.py
+++ b/loadbalancer/proxy/downstream/responses.py
@@ -1,5 +1,6 @@
-"""The heads of the responses that the proxy makes itself; a line `Connection` or an empty
-line is still to follow each.
+"""The heads of responses that the proxy generates itself.
+
+KEEP_ALIVE_END or CLOSE_END completes each, except CONTINUE.
 """
 
 from __future__ import annotations
--- a/loadbalancer/proxy/downstream/socket_state.py
+++ b/loadbalancer/proxy/downstream/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a client's socket before the event loop reports it."""
+"""Queries the kernel for the state of a client's socket, ahead of the event loop's reports."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import struct
 import termios
 
-_QUEUED_BYTES = struct.Struct("i")  # as TIOCOUTQ fills it in
+_QUEUED_BYTES = struct.Struct("i")  # the result of TIOCOUTQ
 _END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for zero seconds
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled, with a timeout of 0 seconds
 
 
 def peer_has_half_closed(sock: socket.socket) -> bool:
-    """Whether the peer has ended its sending, also behind bytes that nobody has read yet."""
+    """Whether the peer has shut down its sending, even if unread bytes precede the end."""
     try:
         if sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b"":
             return True
@@ -28,7 +28,7 @@
 
 
 def has_unread_input(sock: socket.socket) -> bool:
-    """Whether bytes, or the peer's end of sending, have come that nobody has read yet."""
+    """Whether unread bytes, or an unread end of stream, have arrived from the peer."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except OSError:
@@ -37,11 +37,11 @@
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int:
-    """Bytes that the peer's kernel has not acknowledged."""
+    """Return the number of bytes sent that the peer's kernel has not acknowledged."""
     (count,) = _QUEUED_BYTES.unpack(fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(4)))
     return int(count)
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have the connection's end be a reset."""
+    """Make closing the socket reset the connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
--- a/loadbalancer/proxy/downstream/states.py
+++ b/loadbalancer/proxy/downstream/states.py
@@ -1,20 +1,20 @@
-"""The states of one client's connection, and of the request that is being read on it.
+"""The states of a client's connection, and of the request being read on it.
 
     OPENING -> AWAITING_REQUEST -> AWAITING_RESPONSE -> AWAITING_REQUEST ...
                                           |                  ^
                                           +--> STREAMING ----+
-    the three in the middle -> LINGERING -> CLOSING -> CLOSED
-    any of them -> CLOSING -> CLOSED
+    AWAITING_REQUEST, AWAITING_RESPONSE or STREAMING -> LINGERING -> CLOSING -> CLOSED
+    any state -> CLOSING -> CLOSED
 
-A client may send further requests while one awaits its response (pipelining), so what is
+A client may send further requests while one awaits its response (pipelining), so the request
 being read has a state of its own:
 
     NO_REQUEST -> HEAD -> CONTENT -> NO_REQUEST ...
                              |            ^
                              +--> UPLOAD -+
 
-The names at each enum's end are the same members: each request compares with several,
-and a global is read faster than an enum's attribute.
+The globals after each enum are its members: each request is compared with several, and a global
+is read faster than an enum's attribute.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection is in its life; exactly one of these at a time."""
+    """The state of a client's connection."""
 
-    OPENING = "opening"  # accepted; the event loop has not reported it yet
-    AWAITING_REQUEST = "awaiting request"  # no request is open, though one may be half read
-    AWAITING_RESPONSE = "awaiting response"  # a request is open, its client has got nothing
-    STREAMING = "streaming"  # the client has a part of the open request's response
-    LINGERING = "lingering"  # our sending has ended; what still comes is discarded
-    CLOSING = "closing"  # closed or aborted; its descriptor is still open
-    CLOSED = "closed"  # the event loop has reported its end
+    OPENING = "opening"  # accepted, not yet set up by the event loop
+    AWAITING_REQUEST = "awaiting request"  # no request is open, though one may be partly read
+    AWAITING_RESPONSE = "awaiting response"  # a request is open, none of its response sent
+    STREAMING = "streaming"  # the open request's response is being sent
+    LINGERING = "lingering"  # sending is shut down; further input is discarded
+    CLOSING = "closing"  # closed or aborted, not yet reported by the event loop
+    CLOSED = "closed"  # the event loop has reported the close
 
 
 OPENING = ConnectionState.OPENING
@@ -44,12 +44,12 @@
 
 
 class ReadState(Enum):
-    """How far the request that is being read has come."""
+    """Which part of a request is being read."""
 
-    NO_REQUEST = "no request"  # the last one has been read to its end
+    NO_REQUEST = "no request"  # the last request is complete
     HEAD = "head"
     CONTENT = "content"  # buffered until it is complete
-    UPLOAD = "upload"  # its content is forwarded as it comes
+    UPLOAD = "upload"  # its content is forwarded while it is read
 
 
 NO_REQUEST = ReadState.NO_REQUEST
@@ -59,11 +59,11 @@
 
 
 class ResponseFraming(Enum):
-    """How the client finds the end of a streamed response (RFC 9112, section 6.3)."""
+    """How the client detects the end of a streamed response (RFC 9112, section 6.3)."""
 
-    LENGTH = "length"  # by its Content-Length
-    CHUNKED = "chunked"  # by its last chunk
-    CLOSE = "close"  # by the end of the connection: an HTTP/1.0 client knows no chunks
+    LENGTH = "length"  # by the Content-Length
+    CHUNKED = "chunked"  # by the last chunk
+    CLOSE = "close"  # by the close of the connection, as HTTP/1.0 has no chunks
 
 
 LENGTH = ResponseFraming.LENGTH
