--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -1,4 +1,4 @@
-"""A node before one backend, as a process of its own; a connection by itself."""
+"""Fixtures: a node with one backend, as a separate process, and a connection with fakes."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from loadbalancer.proxy.downstream.registry import ConnectionRegistry
 from loadbalancer.proxy.lifecycle import Lifecycle
 from tests.harness import Running, node, roster, target
-from tests.proxy.downstream.surroundings import Host, Transport
+from tests.proxy.downstream.connection_fakes import Host, Transport
 
-# A node's descriptors, so few that a test can use them up.
+# So few descriptors for a node that a test can use them up.
 FEW_DESCRIPTORS = {"sockets": 64}
 
 
 @pytest.fixture
 def start(tmp_path: Path, backend: socket.socket) -> Iterator[Callable[..., Running]]:
-    """Starts the node with the given options of `harness.node`; the test's end kills it."""
+    """Start a node with options of `harness.node`; it is killed at the end of the test."""
     with ExitStack() as stack:
 
         def start(**options: Any) -> Running:
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def proxy(start: Callable[..., Running]) -> Running:
-    """A node with the usual settings."""
+    """A node with the default settings."""
     return start()
 
 
@@ -44,7 +44,7 @@
     return start(limits=FEW_DESCRIPTORS)
 
 
-# ---- a connection without sockets: see `surroundings` ----
+# ---- a connection with a fake transport, loop and host ----
 
 
 @pytest.fixture
@@ -63,14 +63,14 @@
 
 
 @pytest.fixture
-def unreported(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
-    """A connection that the loop has not reported yet."""
+def unreported_conn(registry: ConnectionRegistry) -> Iterator[ClientConnection]:
+    """A connection that the event loop has not set up yet."""
     with socket.socket() as sock:
         yield ClientConnection(registry, sock)
 
 
 @pytest.fixture
-def conn(unreported: ClientConnection, transport: Transport) -> ClientConnection:
-    """A connection on which nothing has come yet."""
-    unreported.connection_made(cast(Any, transport))
-    return unreported
+def conn(unreported_conn: ClientConnection, transport: Transport) -> ClientConnection:
+    """A connection on which nothing has been received yet."""
+    unreported_conn.connection_made(cast(Any, transport))
+    return unreported_conn
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/connection_fakes.py
@@ -1,4 +1,4 @@
-"""A connection's surroundings that only note what comes: its transport, loop and host."""
+"""Fakes of a connection's transport, event loop and host, which record calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Transport:
-    """Notes what is written; an abort or close is reported when the test says so."""
+    """Records calls; after an abort or close the test itself calls `connection_lost`."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -32,7 +32,7 @@
         self.reading = True
 
     def write(self, data: bytes) -> None:
-        assert not self.ended, "written after the end of sending"
+        assert not self.ended, "written after the shutdown of sending"
         self.written += data
 
     def write_eof(self) -> None:
@@ -51,7 +51,7 @@
         return self.unsent
 
     def set_write_buffer_limits(self, high: int | None = None) -> None:
-        """Nothing is buffered here."""
+        """Does nothing: this fake buffers nothing."""
 
     def pause_reading(self) -> None:
         self.reading = False
@@ -61,7 +61,7 @@
 
 
 class Loop:
-    """Calls that come soon are made by `turn`; timers never come due."""
+    """Runs the callbacks of `call_soon` in `turn`; timers never fire."""
 
     def __init__(self) -> None:
         self._soon: list[Callable[[], None]] = []
@@ -82,7 +82,7 @@
 
 
 class Host:
-    """Accepts each request, or rejects it within the call while `rejects`."""
+    """Admits each request, or rejects it synchronously if `rejects` is set."""
 
     def __init__(self) -> None:
         self.loop = Loop()
@@ -98,34 +98,34 @@
         self.events: list[tuple[str, bytes]] = []
 
     def admit_request(self, client: ClientConnection, incoming: Any, _waited: int) -> Any:
-        made = SimpleNamespace(
+        request = SimpleNamespace(
             client_request_id=incoming.client_request_id, flow=incoming.flow, ended=self.rejects
         )
-        self.admitted.append(made)
+        self.admitted.append(request)
         if self.rejects:
             client.respond_empty(503, 0)
-        return made
+        return request
 
-    def client_disconnected(self, made: Any) -> None:
-        self.events.append(("gone", made.client_request_id))
+    def client_disconnected(self, request: Any) -> None:
+        self.events.append(("gone", request.client_request_id))
 
-    def client_half_closed(self, made: Any) -> None:
-        self.events.append(("half-closed", made.client_request_id))
+    def client_half_closed(self, request: Any) -> None:
+        self.events.append(("half-closed", request.client_request_id))
 
-    def upload_stalled(self, made: Any) -> None:
-        self.events.append(("upload stalled", made.client_request_id))
+    def upload_stalled(self, request: Any) -> None:
+        self.events.append(("upload stalled", request.client_request_id))
 
-    def body_received(self, made: Any) -> None:
-        self.events.append(("body received", made.client_request_id))
+    def body_received(self, request: Any) -> None:
+        self.events.append(("body received", request.client_request_id))
 
     def on_descriptor_freed(self) -> None:
-        """Nobody waits for a place."""
+        """Does nothing: no client waits to be accepted."""
 
     def max_clients(self) -> int:
         return 32
 
     def admitted_ids(self) -> list[bytes]:
-        return [made.client_request_id for made in self.admitted]
+        return [request.client_request_id for request in self.admitted]
 
 
 def sweep(registry: ConnectionRegistry, times: int) -> None:
--- a/tests/proxy/downstream/exchanges.py
+++ b/tests/proxy/downstream/exchanges.py
@@ -1,4 +1,4 @@
-"""Steps that tests of clients' connections have in common."""
+"""Exchanges of messages that several tests of clients' connections use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def send_to_backend(client: Peer, backend: socket.socket, message: bytes) -> Peer:
-    """Send a request; returns the new connection on which the backend has received it."""
+    """Send a request; returns the backend's new connection, on which it has been received."""
     client.send(message)
     peer = accept(backend)
     peer.message()
@@ -18,15 +18,15 @@
 
 
 def assert_served(client: Peer, peer: Peer, rid: str) -> None:
-    """A request goes to this connection of the backend, and its response comes back."""
+    """Assert that a request is sent on this backend connection, and that its response returns."""
     client.send(request(rid=rid))
     assert peer.message()[1]["x-request-id"] == rid
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
 
 
-def assert_next_at_backend(backend: socket.socket, proxy: Running) -> None:
-    """A new client's request is the first one that the backend receives."""
+def assert_backend_gets_next_request(backend: socket.socket, proxy: Running) -> None:
+    """Assert that the first request the backend receives is that of a new client."""
     client = proxy.connect()
     client.send(request(rid="first"))
     peer = accept(backend)
@@ -35,6 +35,6 @@
     assert client.message()[2] == b"served"
 
 
-def end_sending(client: Peer) -> None:
-    """End the client's sending; it still reads."""
+def half_close(client: Peer) -> None:
+    """Shut down the client's sending; it can still read."""
     client.sock.shutdown(socket.SHUT_WR)
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -1,4 +1,4 @@
-"""Clients that hold connections while others want their places."""
+"""Capacity for clients: idle connections are closed when others need their descriptors."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from tests.harness import LIMIT, Running, answer, request
 from tests.proxy.downstream.exchanges import READINESS_CHECK, assert_served, send_to_backend
 
-SILENT_CLIENTS = 120  # twice as many as there are descriptors
-MANY_CLIENTS = 500  # many times as many
+SILENT_CLIENTS = 120  # about twice the number of descriptors
+MANY_CLIENTS = 500  # many times the number of descriptors
 
 
-def test_silent_clients_do_not_displace_one_that_sends_requests(
+def test_silent_clients_do_not_displace_a_client_that_sends_requests(
     backend: socket.socket, small_proxy: Running
 ) -> None:
-    """Hundreds connect and send nothing; a client that has sent a request stays connected."""
+    """Many clients connect and send nothing; one that has sent a request stays connected."""
     client = small_proxy.connect()
     peer = send_to_backend(client, backend, request(rid="a0"))
     peer.send(answer(b"served"))
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.usefixtures("backend")
-def test_clients_that_keep_connections_and_send_nothing_more_are_closed_oldest_first(
+def test_idle_connections_are_closed_oldest_first_before_the_limit_is_reached(
     small_proxy: Running,
 ) -> None:
-    """Idle connections and busy ones come near the limit.
+    """Idle and busy connections together come near the limit.
 
-    At the limit a new client would wait for a place. The oldest idle ones are closed
-    before, and the newest stay.
+    At the limit, a new client would have to wait for capacity. The oldest idle connections are
+    closed before that, and the newest stay open.
     """
     idle = [small_proxy.connect() for _ in range(12)]
     for client in idle:
@@ -55,13 +55,13 @@
 
 
 @pytest.mark.usefixtures("backend")
-def test_clients_that_send_one_request_and_stay_hold_no_place_that_others_need(
+def test_clients_that_stay_idle_after_one_request_do_not_block_others(
     small_proxy: Running,
 ) -> None:
-    """Many times as many clients as fit connect at once, and each sends one request.
+    """Many more clients than there is capacity for connect at once, and each sends one request.
 
-    Places change hands without waiting for a sweep: at one place a sweep they would take
-    twice the limit, which is a hang's.
+    Capacity must pass from one to the next without waiting for a sweep. With one connection
+    closed per sweep, the test would take twice LIMIT, after which a test counts as hung.
     """
     end = time.monotonic() + LIMIT
     clients = [small_proxy.connect() for _ in range(MANY_CLIENTS)]
@@ -72,13 +72,13 @@
         assert time.monotonic() < end
 
 
-def test_a_response_ends_its_connection_where_many_are_idle(
+def test_a_response_closes_its_connection_when_too_many_are_idle(
     backend: socket.socket, small_proxy: Running
 ) -> None:
     """Clients send one request each and stay, until a fifth of the descriptors is idle.
 
-    They must leave places for others. The response to one more client ends its connection;
-    one that is idle and sends another request keeps its own.
+    Capacity must remain for others. The response to one more client closes its connection. A
+    client whose connection is already idle keeps it when it sends another request.
     """
     first = small_proxy.connect()
     peer = send_to_backend(first, backend, request(rid="r0"))
@@ -100,7 +100,7 @@
 
 
 class Transport:
-    """A transport whose bytes leave when the test says so."""
+    """A fake transport; the test sets the number of its unsent bytes."""
 
     def __init__(self) -> None:
         self.unsent = 0
@@ -116,14 +116,14 @@
         return self.aborted
 
     def write_eof(self) -> None:
-        """The end of sending, behind what has not left."""
+        """Does nothing."""
 
     def resume_reading(self) -> None:
-        """Whatever comes is dropped."""
+        """Does nothing."""
 
 
 class Loop:
-    """An event loop whose clock the test sets and whose timers never come due."""
+    """A fake event loop whose clock the test sets and whose timers never fire."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -133,18 +133,18 @@
         return self.now
 
     def call_later(self, *_args: object) -> None:
-        """Nothing comes due in the test."""
+        """Does nothing: timers never fire."""
 
     def add_reader(self, _sock: socket.socket, accept: Callable[[], None]) -> None:
         self.accept = accept
 
     def remove_reader(self, _sock: socket.socket) -> None:
-        """The test calls `accept` itself."""
+        """Does nothing: the test calls `accept` itself."""
 
 
 @pytest.fixture
 def full_host() -> Any:
-    """A host whose one place for a client is taken."""
+    """A host that has capacity for one client, which is in use."""
     return SimpleNamespace(
         loop=Loop(),
         clients=1,
@@ -157,13 +157,13 @@
     )
 
 
-def test_a_response_that_has_not_left_is_not_cut_off_for_one_who_wants_the_place(
+def test_a_lingering_connection_with_unsent_output_is_not_aborted_for_capacity(
     full_host: Any,
 ) -> None:
-    """A connection lingers behind its last response, of which a part still waits to be sent.
+    """A connection lingers while a part of its last response is still unsent.
 
-    Others wait to be accepted, and lingering connections are aborted for them. That would
-    cut the response off: this one is aborted only once all of it has left.
+    Lingering connections are aborted when clients wait to be accepted. Here that would truncate
+    the response, so the connection is aborted only once all of it has been sent.
     """
     listener = Listener(full_host, Lifecycle())
     with socket.create_server(("127.0.0.1", 0)) as listening, socket.socket() as sock:
@@ -172,7 +172,7 @@
         conn.connection_made(cast(Any, transport))
         transport.unsent = 1
         conn.close()
-        full_host.loop.accept()  # somebody waits, and there is no place
+        full_host.loop.accept()  # a client waits, and there is no capacity
         full_host.loop.now = 2 * SATURATED_LINGER_S
         listener.sweep()
         assert not transport.aborted
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, over a host and a transport that only note what comes."""
+"""The states of a client's connection, with a fake host and transport."""
 
 from __future__ import annotations
 
@@ -27,81 +27,82 @@
 )
 from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES, Flow
 from tests.harness import request
-from tests.proxy.downstream.surroundings import Host, Transport, sweep
+from tests.proxy.downstream.connection_fakes import Host, Transport, sweep
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 LONG = STREAMING_THRESHOLD_BYTES + 1
-LINGER_ZERO = struct.pack("ii", 1, 0)  # as SO_LINGER has it
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER enabled, with a timeout of 0 seconds
 
 
-def serve(conn: ClientConnection) -> None:
+def respond(conn: ClientConnection) -> None:
     conn.respond(b"", [b"served"], len(b"served"))
 
 
-def stream(conn: ClientConnection, host: Host, length: int = -1) -> Flow:
-    """Begin a streamed response; returns its flow."""
+def begin_stream(conn: ClientConnection, host: Host, length: int = -1) -> Flow:
+    """Start a streamed response; returns its flow."""
     source = SimpleNamespace(pause_flow=lambda: None, resume_flow=lambda: None)
     flow = Flow(host.budget, cast(Any, source))
     conn.begin_streaming(b"", length, flow)
     return flow
 
 
-def resets_on_close(conn: ClientConnection) -> bool:
-    """Whether the connection's end will be a reset."""
+def is_set_to_reset(conn: ClientConnection) -> bool:
+    """Whether closing the socket will reset the connection."""
     return conn._sock.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8) == LINGER_ZERO
 
 
-@pytest.mark.parametrize("all_has_come", [False, True])
-def test_a_response_that_a_write_time_out_cuts_does_not_look_complete(
+@pytest.mark.parametrize("backend_sent_everything", [False, True])
+def test_a_response_truncated_by_a_write_timeout_does_not_look_complete(
     conn: ClientConnection,
     transport: Transport,
     host: Host,
     registry: ConnectionRegistry,
-    all_has_come: bool,
+    backend_sent_everything: bool,
 ) -> None:
-    """A client of HTTP/1.0 stops reading a response without a length, and is given up.
+    """An HTTP/1.0 client stops reading a response without a length, and times out.
 
-    To such a client the connection's end completes the response, so that it took a part for
-    all of it. Also where its backend has sent everything, and a part waits in this process.
+    For such a response the close marks the end of the content, so with an orderly close the client
+    would take a part of it for the whole. That also holds when the backend has sent everything and
+    a part is still buffered in this process.
     """
     conn.data_received(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-    flow = stream(conn, host)
+    flow = begin_stream(conn, host)
     flow.push(b"part")
     transport.unsent = 1
-    if all_has_come:
+    if backend_sent_everything:
         flow.finish()
     sweep(registry, WRITE_TIMEOUT_SWEEPS + 2)
     assert transport.aborted
-    assert resets_on_close(conn)
+    assert is_set_to_reset(conn)
 
 
 def test_a_complete_response_without_a_length_is_not_reset(
     conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
 ) -> None:
-    """All of it has left the process; its client stays, and is given up after a while.
+    """All of a response has been sent, and its client does not close until the linger timeout.
 
-    A reset could destroy what the client's kernel has not received yet.
+    A reset could destroy content that the client's kernel has not received yet.
     """
     conn.data_received(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-    flow = stream(conn, host)
+    flow = begin_stream(conn, host)
     flow.push(b"all")
     flow.finish()
     registry.reset_incomplete()
     sweep(registry, LINGER_TIMEOUT_SWEEPS + 1)
     assert transport.aborted
-    assert not resets_on_close(conn)
+    assert not is_set_to_reset(conn)
 
 
-def test_the_states_of_a_connection_that_its_client_closes(
-    unreported: ClientConnection, transport: Transport, host: Host
+def test_states_of_a_connection_closed_by_its_client(
+    unreported_conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    conn = unreported
+    conn = unreported_conn
     states = [conn._state]
     conn.connection_made(cast(Any, transport))
     states.append(conn._state)
     conn.data_received(request())
     states.append(conn._state)
-    flow = stream(conn, host)
+    flow = begin_stream(conn, host)
     states.append(conn._state)
     flow.finish()
     states.append(conn._state)
@@ -115,10 +116,10 @@
     assert host.clients == 0
 
 
-def test_the_states_of_a_connection_that_is_ended_here(
+def test_states_of_a_connection_closed_by_the_proxy(
     conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
 ) -> None:
-    """The client doesn't close after our end: it is aborted after LINGER_TIMEOUT_SWEEPS."""
+    """The client doesn't close after the shutdown: it is aborted after LINGER_TIMEOUT_SWEEPS."""
     conn.close()
     assert conn._state is LINGERING
     assert transport.ended
@@ -130,23 +131,25 @@
     assert conn._state is CLOSING
 
 
-def test_pipelined_requests_begin_in_turn(
+def test_pipelined_requests_start_one_after_another(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    """Three requests come at once: each begins only once the one before it is answered."""
+    """Three requests arrive at once; each starts only when the previous one has been answered."""
     conn.data_received(b"".join(request(rid=rid) for rid in "abc"))
     for count in (1, 2, 3):
         assert host.admitted_ids() == [b"a", b"b", b"c"][:count]
-        serve(conn)
-        assert len(host.admitted) == count  # whoever responds is still at work with this one
+        respond(conn)
+        assert (
+            len(host.admitted) == count
+        )  # not from within respond(): its caller is still processing this one
         host.loop.turn()
     assert transport.written == 3 * SERVED
 
 
-def test_more_requests_than_may_wait_end_the_connection(
+def test_exceeding_the_limit_of_queued_requests_closes_the_connection(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    """Guards against one client that fills the queues: what it has sent is dropped."""
+    """One client must not fill the queues: all requests that it has queued are dropped."""
     conn.data_received(request(rid="open"))
     conn.data_received(b"".join(request(rid=f"r{i}") for i in range(MAX_QUEUED)))
     assert conn._state is AWAITING_RESPONSE
@@ -158,7 +161,7 @@
     assert host.admitted_ids() == [b"open"]
 
 
-def test_requests_that_are_rejected_within_the_call_are_answered_in_turn(
+def test_requests_rejected_synchronously_are_answered_in_order(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
     host.rejects = True
@@ -167,18 +170,18 @@
     assert conn._state is AWAITING_REQUEST
 
 
-def test_nothing_begins_on_a_connection_that_has_been_aborted(
+def test_no_queued_request_starts_on_an_aborted_connection(
     conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
 ) -> None:
-    """A client reads nothing and is given up, just as its first request has been answered.
+    """A client that reads nothing times out just after its first request has been answered.
 
-    The request that waits behind it must not be sent for a client that is gone.
+    The request queued behind it must not be sent for a client that has been disconnected.
     """
     conn.data_received(request(rid="a") + request(rid="b"))
     transport.unsent = 1
     sweep(registry, WRITE_TIMEOUT_SWEEPS + 1)
     assert not transport.aborted
-    serve(conn)
+    respond(conn)
     sweep(registry, 1)
     assert transport.aborted
     host.loop.turn()
@@ -186,12 +189,12 @@
 
 
 @pytest.mark.parametrize("open_request", [True, False])
-def test_an_end_of_sending_drops_what_has_not_begun(
+def test_a_half_close_drops_incomplete_requests(
     conn: ClientConnection, host: Host, open_request: bool
 ) -> None:
-    """A client ends its sending within a request: that one never completes.
+    """A client half-closes in the middle of a request, which can never complete.
 
-    With another one open the connection stays, for its response.
+    If another request is open, the connection stays open for its response.
     """
     if open_request:
         conn.data_received(request(rid="open"))
@@ -202,13 +205,13 @@
     assert host.events == ([("half-closed", b"open")] if open_request else [])
 
 
-def test_an_upload_that_is_cut_off_closes_the_connection(
+def test_a_half_close_during_an_upload_closes_the_connection(
     conn: ClientConnection, host: Host
 ) -> None:
-    """A client ends its sending within a long body, of which a part may be at a backend.
+    """A client half-closes in the middle of a long body, a part of which may be at a backend.
 
-    The request never completes: there is nothing to wait for, and the host learns of it with
-    the connection's end.
+    The request can never complete, so there is nothing to wait for. The host is told when the
+    connection is closed.
     """
     conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
     assert host.admitted_ids() == [b"upload"]
@@ -226,7 +229,7 @@
     ],
     ids=["length", "chunked", "close"],
 )
-def test_a_streamed_response_says_how_it_ends(
+def test_framing_of_a_streamed_response(
     conn: ClientConnection,
     transport: Transport,
     host: Host,
@@ -236,22 +239,22 @@
 ) -> None:
     head = request().replace(b"HTTP/1.1", b"HTTP/" + version)
     conn.data_received(head.replace(b"\r\n\r\n", b"\r\nConnection: keep-alive\r\n\r\n"))
-    flow = stream(conn, host, length)
+    flow = begin_stream(conn, host, length)
     flow.push(b"part")
     flow.finish()
     assert transport.written == b"HTTP/1.1 200 OK\r\n" + expected
     assert conn._state is (LINGERING if version == b"1.0" else AWAITING_REQUEST)
 
 
-def test_noise_behind_a_streamed_response_aborts_it(
+def test_invalid_input_during_a_streamed_response_aborts_it(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
-    """What follows the open request can't be read while its response is being streamed.
+    """Input that is not HTTP arrives while the response to the open request is streamed.
 
-    An error written now would be taken for more of that response.
+    The client would take an error response for a part of that response's content.
     """
     conn.data_received(request(rid="open"))
-    flow = stream(conn, host)
+    flow = begin_stream(conn, host)
     flow.push(b"part")
     written = transport.written
     conn.data_received(b"\x8a\xff\x00\r\n\r\n")
@@ -260,7 +263,7 @@
     assert host.events == [("gone", b"open")]
 
 
-def test_a_request_under_an_open_ones_id_is_rejected_and_gives_its_buffer_back(
+def test_a_request_with_the_id_of_an_open_one_is_rejected_and_its_buffer_released(
     conn: ClientConnection, transport: Transport, host: Host
 ) -> None:
     host.open_request_ids.add(b"same")
@@ -270,10 +273,8 @@
     assert not host.admitted
 
 
-def test_the_host_learns_when_an_upload_has_been_read_to_its_end(
-    conn: ClientConnection, host: Host
-) -> None:
-    """The request's time runs from here on: before, it is its client that takes time."""
+def test_the_host_is_told_when_an_upload_is_complete(conn: ClientConnection, host: Host) -> None:
+    """The request's timeout runs from then on; the time before that is up to the client."""
     message = request("/credit/1", b"x" * 2 * LONG, rid="upload")
     conn.data_received(message[:-1])
     assert host.admitted_ids() == [b"upload"]
--- a/tests/proxy/downstream/test_ends.py
+++ b/tests/proxy/downstream/test_ends.py
@@ -1,4 +1,4 @@
-"""How clients' connections end: nothing that has been written is lost, or looks complete."""
+"""Closing clients' connections: no response is lost, and none looks complete if truncated."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.proxy.downstream.exchanges import READINESS_CHECK, send_to_backend
 
 
-def is_closed_to_clients(proxy: Running) -> bool:
-    """Whether the node's listening socket is closed."""
+def refuses_connections(proxy: Running) -> bool:
+    """Whether the node refuses connections, as its listening socket is closed."""
     try:
         proxy.connect().close()
     except ConnectionError:
@@ -24,18 +24,18 @@
 
 
 def read_to_end(sock: socket.socket) -> None:
-    """Read until the peer's orderly end; ConnectionResetError where it resets."""
+    """Read until the peer closes; raises ConnectionResetError if it resets the connection."""
     while sock.recv(65536):
         pass
 
 
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_dropped_without_a_reset(
+def test_a_request_that_crosses_an_idle_close_is_dropped_without_a_reset(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """The node stops and ends an idle connection; its client sends a request just then.
+    """The node stops and closes an idle connection while its client sends a request.
 
-    The client must see an orderly end, after which it may send the request again, and the
-    request must reach no backend.
+    The client must see an orderly close, after which it may safely send the request again, and
+    the request must reach no backend.
     """
     idle = proxy.connect()
     idle.send(READINESS_CHECK)
@@ -51,18 +51,20 @@
         backend.accept()
 
 
-def test_a_stop_waits_for_clients_to_receive_their_last_responses(
+def test_a_stop_waits_until_clients_have_received_their_last_responses(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """A client goes on sending after its last response, while the node stops.
+    """A client continues to send after its last response, while the node stops.
 
-    The process stays until the client has ended too: its exit would reset the connection,
-    and the reset could destroy the response.
+    The process must not exit before the client has closed too: its exit would reset the
+    connection, and the reset could destroy the response.
     """
     client = proxy.connect()
     peer = send_to_backend(client, backend, request(rid="last"))
     proxy.process.send_signal(signal.SIGTERM)
-    until(lambda: is_closed_to_clients(proxy))  # from here on it ends once nothing is open
+    until(
+        lambda: refuses_connections(proxy)
+    )  # from here on the node exits once no connection is open
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
     with pytest.raises(subprocess.TimeoutExpired):
@@ -74,19 +76,19 @@
     assert proxy.process.wait(LIMIT) == 0
 
 
-def test_a_response_without_a_length_that_breaks_off_does_not_look_complete(
+def test_a_response_without_a_length_truncated_by_its_backend_does_not_look_complete(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """A backend breaks off a response to an HTTP/1.0 client, which knows no chunks.
+    """A backend truncates a response to an HTTP/1.0 client, to which chunks can't be sent.
 
-    To such a client the connection's orderly end completes the response: only a reset tells
-    it that a part is missing.
+    For such a response an orderly close marks the end of the content: only a reset tells the
+    client that a part is missing.
     """
     client = proxy.connect()
     old = request(rid="old").replace(b"HTTP/1.1", b"HTTP/1.0")
     peer = send_to_backend(client, backend, old)
     peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-    while not client.buffer:  # it is streamed once its sender turns out to be slow
+    while not client.buffer:  # a response is streamed once its backend proves slow
         peer.send(b"part")
         client.sock.settimeout(0.02)
         with contextlib.suppress(TimeoutError):
@@ -97,14 +99,14 @@
         read_to_end(client.sock)
 
 
-def test_a_response_without_a_length_that_a_stop_cuts_does_not_look_complete(
+def test_a_response_without_a_length_truncated_by_a_stop_does_not_look_complete(
     backend: socket.socket, start: Callable[..., Running]
 ) -> None:
-    """A client of HTTP/1.0 reads slowly, and the node stops before it has everything.
+    """An HTTP/1.0 client reads slowly, and the node stops before it has sent the whole response.
 
-    The backend has sent all of it, so that the request has ended, and what is left waits in
-    the node. At its exit the kernel ended the connection in order: the client took what it
-    had for the whole response.
+    The backend has sent everything, so the request has ended while content is still buffered in
+    the node. With an orderly close by the kernel at the node's exit, the client would take the
+    part that it has received for the whole response.
     """
     proxy = start(limits={"memory_mb": 1024})  # buffers more than the kernel does
     client = proxy.connect()
--- a/tests/proxy/downstream/test_half_close.py
+++ b/tests/proxy/downstream/test_half_close.py
@@ -1,4 +1,4 @@
-"""Clients that end their sending, or go, while their request waits or is at a backend."""
+"""Clients that half-close or disconnect while their request is queued or at a backend."""
 
 from __future__ import annotations
 
@@ -22,27 +22,29 @@
     target,
     until,
 )
-from tests.proxy.downstream.exchanges import end_sending, send_to_backend
+from tests.proxy.downstream.exchanges import half_close, send_to_backend
 from tests.proxy.full_backlog import FullBacklog, patient_settings
 
-MEMORY_MB = 128  # of a node in tests
-SLOTS = 4  # of one backend, by the initial concurrency limit
-SOON_S = 4.0  # far less than the time for which anything that may wait long does
-NOTHING_MORE_S = 0.0  # for a look at whether bytes have come
+MEMORY_MB = 128  # a node's memory limit in tests
+SLOTS = 4  # of one backend: the initial concurrency limit
+SOON_S = 4.0  # limit for an immediate reaction, far below the timeouts of waiting requests
+NOTHING_MORE_S = 0.0  # timeout for a check that nothing more has been received
 
 
 @pytest.fixture
-def patient_proxy(start: Callable[..., Running]) -> Running:
-    """A node whose requests may wait long for a slot."""
+def proxy_with_long_queue_wait(start: Callable[..., Running]) -> Running:
+    """A node in which requests may wait a long time for a slot."""
     return start(settings=patient_settings())
 
 
 @pytest.fixture
-def in_flight(patient_proxy: Running, backend: socket.socket) -> list[tuple[Peer, Peer]]:
-    """As many requests as there are slots: their clients, and their backend connections."""
+def in_flight(
+    proxy_with_long_queue_wait: Running, backend: socket.socket
+) -> list[tuple[Peer, Peer]]:
+    """Send a request for each slot; returns their clients and backend connections."""
     pairs = []
     for i in range(SLOTS):
-        client = patient_proxy.connect()
+        client = proxy_with_long_queue_wait.connect()
         client.send(request(rid=f"in-flight-{i}", timeout=LONG_MS))
         peer = accept(backend)
         assert peer.message()[1]["x-request-id"] == f"in-flight-{i}"
@@ -51,25 +53,29 @@
 
 
 @pytest.mark.parametrize("size", [0, 10, 300_000])
-def test_a_queued_request_is_rejected_at_once_when_its_client_ends_its_sending(
-    backend: socket.socket, patient_proxy: Running, in_flight: list[tuple[Peer, Peer]], size: int
+def test_a_queued_request_is_rejected_at_once_when_its_client_half_closes(
+    backend: socket.socket,
+    proxy_with_long_queue_wait: Running,
+    in_flight: list[tuple[Peer, Peer]],
+    size: int,
 ) -> None:
-    """A client sends a request and ends its sending while every slot is in use.
+    """A client sends a request and half-closes while every slot is in use.
 
-    It may have gone, so its request is rejected at once and leaves the queue: the slot that
-    comes free next is another client's. The same where its body is too long to be buffered.
+    The client may have disconnected, so its request is rejected at once and removed from the
+    queue: the next free slot goes to another client. The same holds for a body that is too long
+    to be buffered.
 
-    The later request may take LONG_MS as well: the node may read it before the answer that
-    frees the slot, and with less time than its class's expected latency it would be
-    rejected instead of queued.
+    The later request has a timeout of LONG_MS too: the node may read it before the response that
+    frees the slot, and with a timeout below its class's expected latency it would be rejected
+    instead of queued.
     """
-    disconnected = patient_proxy.connect()
-    disconnected.sock.settimeout(SOON_S)  # it may wait for a slot for some ten seconds
+    disconnected = proxy_with_long_queue_wait.connect()
+    disconnected.sock.settimeout(SOON_S)  # waiting for a slot may take some ten seconds
     path, body = ("/credit/7f3a", b"x" * size) if size else ("/balance/7f3a", None)
     disconnected.send(request(path, body, rid="gone", timeout=LONG_MS))
-    end_sending(disconnected)
+    half_close(disconnected)
     assert disconnected.message()[0] == "HTTP/1.1 503 Service Unavailable"
-    later = patient_proxy.connect()
+    later = proxy_with_long_queue_wait.connect()
     later.send(request(rid="later", timeout=LONG_MS))
     client, peer = in_flight[0]
     peer.send(answer(b"served"))
@@ -77,7 +83,7 @@
     assert peer.message()[1]["x-request-id"] == "later"
     peer.send(answer(b"served"))
     assert later.message()[2] == b"served"
-    # No byte of the other request, on these connections or on a further one.
+    # No byte of the rejected request was sent, on these connections or on a new one.
     peers = [peer for _, peer in in_flight]
     sockets = [backend, *(peer.sock for peer in peers)]
     assert not select.select(sockets, (), (), NOTHING_MORE_S)[0]
@@ -85,7 +91,7 @@
 
 
 def unread_bytes(client: Peer) -> int:
-    """Bytes of this client that the node's kernel holds and the node has not read."""
+    """Return the number of bytes from this client that the node has not read from its kernel."""
     local, remote = client.sock.getpeername()[1], client.sock.getsockname()[1]
     rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
     queues = [r[4] for r in rows if (int(r[1][-4:], 16), int(r[2][-4:], 16)) == (local, remote)]
@@ -93,18 +99,17 @@
     return int(queues[0].partition(":")[2], 16)
 
 
-def test_a_queued_upload_that_is_not_read_is_rejected_at_once_when_its_client_ends_its_sending(
-    backend: socket.socket, patient_proxy: Running, in_flight: list[tuple[Peer, Peer]]
+def test_a_queued_upload_is_rejected_at_once_on_a_half_close_while_reading_is_paused(
+    backend: socket.socket, proxy_with_long_queue_wait: Running, in_flight: list[tuple[Peer, Peer]]
 ) -> None:
-    """A request with a long body waits for a slot, and more of it has come than is buffered.
+    """A request with a long body waits for a slot, and more of it has arrived than is buffered.
 
-    The node reads no more of it, so the event loop can't report that its client ends its
-    sending: the end stands behind bytes that nobody reads. The request is rejected all the
-    same, and no byte of it is forwarded.
+    The node has paused reading, so the event loop can't report the half-close, which follows
+    unread bytes. The request must be rejected all the same, and no byte of it forwarded.
     """
     window = BufferBudget(MEMORY_MB).soft_limit // (WINDOW_FRACTION + 1)
     read, unread = b"x" * (window + 1000), b"x" * 20_000
-    client = patient_proxy.connect()
+    client = proxy_with_long_queue_wait.connect()
     client.sock.settimeout(SOON_S)
     length = str(len(read) + len(unread))
     head = request("/credit/7f3a", b"", rid="gone", timeout=LONG_MS, Content_Length=length)
@@ -112,51 +117,51 @@
     until(lambda: not unread_bytes(client))
     client.send(unread)
     until(lambda: unread_bytes(client) == len(unread))
-    end_sending(client)
+    half_close(client)
     assert client.message()[0] == "HTTP/1.1 503 Service Unavailable"
     sockets = [backend, *(peer.sock for _, peer in in_flight)]
     assert not select.select(sockets, (), (), NOTHING_MORE_S)[0]
 
 
 @pytest.mark.parametrize(
-    ("leave", "is_answered"),
-    [(end_sending, True), (Peer.close, False), (Peer.reset, False)],
+    ("disconnect", "is_answered"),
+    [(half_close, True), (Peer.close, False), (Peer.reset, False)],
     ids=["half", "close", "reset"],
 )
-def test_no_further_attempt_begins_for_a_client_that_has_gone(
+def test_no_further_attempt_is_made_for_a_client_that_has_disconnected(
     backend: socket.socket,
-    patient_proxy: Running,
-    leave: Callable[[Peer], None],
+    proxy_with_long_queue_wait: Running,
+    disconnect: Callable[[Peer], None],
     is_answered: bool,
 ) -> None:
-    """A client goes while its safe request is at the backend, which then fails it.
+    """A client disconnects while its safe request is at the backend, which then fails it.
 
-    The request could be sent again, but nobody may be waiting for it: the next request that
-    the backend receives is another client's. One that has only ended its sending still
-    gets an answer.
+    The request could be retried, but the client may no longer be waiting: the next request that
+    the backend receives must be another client's. A client that has only half-closed still gets
+    a response.
     """
-    client = patient_proxy.connect()
+    client = proxy_with_long_queue_wait.connect()
     peer = send_to_backend(client, backend, request(rid="first", timeout=LONG_MS))
-    leave(client)
+    disconnect(client)
     peer.send(answer(b"", "500 Oops"))
     if is_answered:
         assert client.message()[0] == "HTTP/1.1 503 Service Unavailable"
-    other = patient_proxy.connect()
+    other = proxy_with_long_queue_wait.connect()
     other.send(request(rid="other", timeout=LONG_MS))
     assert peer.message()[1]["x-request-id"] == "other"
 
 
-def test_a_client_that_has_ended_its_sending_gets_the_response_that_was_under_way(
+def test_a_half_closed_client_gets_the_response_to_its_open_request(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """A client pipelines two requests and ends its sending while the first is at a backend.
+    """A client pipelines two requests and half-closes while the first is at a backend.
 
-    The first response is sent; what waited behind it is dropped.
+    The first gets its response; the queued one is dropped.
     """
     client = proxy.connect()
     pipelined = request("/credit/1", b"once", rid="a") + request(rid="behind")
     peer = send_to_backend(client, backend, pipelined)
-    end_sending(client)
+    half_close(client)
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
     assert client.ends() == b""
@@ -166,23 +171,23 @@
 @pytest.mark.parametrize(
     ("path", "body"), [("/balance/1", None), ("/credit/1", b"x")], ids=["safe", "unsafe"]
 )
-def test_connecting_for_a_client_that_has_gone_is_called_off(
+def test_connecting_is_abandoned_for_a_client_that_has_disconnected(
     tmp_path: Path, path: str, body: bytes | None
 ) -> None:
-    """A client ends its sending while the connection for its request doesn't come up.
+    """A client half-closes while the node's connection to the backend is not established.
 
-    It is rejected at once. Once connections come up again, the first bytes that the backend
-    receives are of a later request.
+    The request is rejected at once. When the backend accepts connections again, the first bytes
+    that it receives are those of a later request.
     """
     with FullBacklog() as backend:
         known = roster(target("s-1", backend.port))
         with node(tmp_path, known, settings=patient_settings()) as proxy:
             client = proxy.connect()
-            client.sock.settimeout(SOON_S)  # connecting may take far longer
+            client.sock.settimeout(SOON_S)  # the connect timeout may be far longer
             client.send(request(path, body, rid="gone", timeout=LONG_MS))
-            end_sending(client)
+            half_close(client)
             assert client.message()[0] == "HTTP/1.1 503 Service Unavailable"
             later = proxy.connect()
-            # The kernel sends a SYN that was dropped again after a second, then two.
+            # The kernel retransmits a dropped SYN after one second, then after two more.
             later.send(request(rid="later", timeout=LONG_MS))
             assert backend.open().message()[1]["x-request-id"] == "later"
--- a/tests/proxy/downstream/test_requests.py
+++ b/tests/proxy/downstream/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests that can't be served, or are never complete: an error or an end, soon."""
+"""Invalid and incomplete requests are rejected or time out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 import pytest
 
 from tests.harness import Running, answer, request
-from tests.proxy.downstream.exchanges import assert_next_at_backend, assert_served, send_to_backend
+from tests.proxy.downstream.exchanges import (
+    assert_backend_gets_next_request,
+    assert_served,
+    send_to_backend,
+)
 
 HIDDEN = request(rid="hidden")
 INVALID = {
@@ -40,19 +44,19 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_unfit_request_gets_an_error_and_reaches_no_backend(
+def test_an_invalid_request_is_rejected_and_not_forwarded(
     backend: socket.socket, proxy: Running, name: str
 ) -> None:
-    """Bytes that can't be read as one request may hide another one in what follows.
+    """An invalid request may hide another one in the bytes that follow it (request smuggling).
 
-    The client gets one error and the end of its connection, and nothing of it is forwarded.
+    The client gets one error, its connection is closed, and nothing is forwarded.
     """
     client = proxy.connect()
     client.send(INVALID[name])
     received = client.ends()
     assert received.startswith(b"HTTP/1.1 4")
     assert received.count(b"HTTP/1.1") == 1
-    assert_next_at_backend(backend, proxy)
+    assert_backend_gets_next_request(backend, proxy)
 
 
 @pytest.mark.parametrize(
@@ -64,29 +68,29 @@
     ],
     ids=["nothing", "half a head", "half the content"],
 )
-def test_a_request_that_never_completes_is_given_up(
+def test_a_request_that_never_completes_times_out(
     backend: socket.socket, proxy: Running, part: bytes, response: bytes
 ) -> None:
-    """A client connects, sends a part of a request or nothing, and stays.
+    """A client connects, sends a part of a request or nothing, and stays connected.
 
-    Its connection must not hold a descriptor for good: it is ended, after an error where a
-    request has begun.
+    Its connection must not hold a descriptor indefinitely: it is closed, with an error response
+    if a request has been started.
     """
     client = proxy.connect()
     client.send(part)
     received = client.ends()
     assert received.startswith(response)
     assert bool(received) == bool(response)
-    assert_next_at_backend(backend, proxy)
+    assert_backend_gets_next_request(backend, proxy)
 
 
 def test_the_id_of_an_open_request_is_not_accepted_twice(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """Two clients send different requests under one id, at the same time.
+    """Two clients send different requests with the same id at the same time.
 
-    A backend that drops repeats by the id could answer one with the other's response. The
-    second is rejected; once the first is answered the id is free.
+    A backend that deduplicates by id could answer one with the other's response. The second is
+    rejected; the id may be used again once the first has been answered.
     """
     first, second = proxy.connect(), proxy.connect()
     peer = send_to_backend(first, backend, request(rid="same"))
@@ -97,13 +101,13 @@
     assert_served(first, peer, "same")
 
 
-def test_noise_behind_an_open_request_ends_the_connection(
+def test_invalid_input_behind_an_open_request_closes_the_connection(
     backend: socket.socket, proxy: Running
 ) -> None:
-    """What follows a request can't be read, while that request is at a backend.
+    """Input that is not HTTP follows a request that is at a backend.
 
-    The client gets an error and the end at once. The late response is nobody's, and the
-    backend's connection serves the next client.
+    The client gets an error and its connection is closed at once. The late response is discarded,
+    and the backend's connection serves the next client.
     """
     client = proxy.connect()
     peer = send_to_backend(client, backend, request(rid="a1"))
--- a/tests/proxy/downstream/test_timeouts.py
+++ b/tests/proxy/downstream/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Clients that are given up: they send no complete request. Without sockets."""
+"""Timeouts of clients that send no complete request, with a fake host and transport."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from loadbalancer.proxy.flow_control import STREAMING_THRESHOLD_BYTES
 from tests.harness import request
-from tests.proxy.downstream.surroundings import Host, Transport, sweep
+from tests.proxy.downstream.connection_fakes import Host, Transport, sweep
 
 LONG = STREAMING_THRESHOLD_BYTES + 1
 
@@ -28,7 +28,7 @@
     [(b"", FIRST_BYTE_TIMEOUT_SWEEPS, b""), (b"GET /ba", REQUEST_TIMEOUT_SWEEPS, b"HTTP/1.1 408")],
     ids=["nothing", "half a head"],
 )
-def test_a_client_that_sends_no_complete_request_is_given_up(
+def test_a_client_that_sends_no_complete_request_times_out(
     conn: ClientConnection,
     transport: Transport,
     registry: ConnectionRegistry,
@@ -45,20 +45,20 @@
     assert bool(transport.written) == bool(response)
 
 
-def test_half_a_request_behind_an_open_one_is_not_given_up(
+def test_a_partial_request_behind_an_open_one_does_not_time_out(
     conn: ClientConnection, transport: Transport, registry: ConnectionRegistry
 ) -> None:
-    """Its reading may be paused until the open one is answered: that is not its client's time."""
+    """Reading may be paused until the open request is answered, which is not the client's fault."""
     conn.data_received(request(rid="open") + b"GET /ba")
     sweep(registry, REQUEST_TIMEOUT_SWEEPS + 1)
     assert conn._state is AWAITING_RESPONSE
     assert not transport.written
 
 
-def test_a_backend_that_accepts_no_more_of_an_upload_is_reported_and_not_its_client(
+def test_a_backend_that_accepts_no_more_of_an_upload_is_reported(
     conn: ClientConnection, transport: Transport, host: Host, registry: ConnectionRegistry
 ) -> None:
-    """Nobody takes the body, so reading is paused: the client can't go on."""
+    """No backend accepts the body, so reading is paused and the client can't send more."""
     host.budget.reserve(host.budget.soft_limit + 1)  # windows shrink to one read
     conn.data_received(request("/credit/1", b"x" * 2 * LONG, rid="upload")[:-LONG])
     assert not transport.reading
