--- a/loadbalancer/core/balancing/records.py
+++ b/loadbalancer/core/balancing/records.py
@@ -17,9 +17,10 @@
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.request_policy_state import RequestPolicyState
 
-REMAINING_STEPS = 64  # of the histogram of remaining times
+REMAINING_STEPS = 64  # number of steps of the histogram of remaining times
 FIRST_EJECTION_NS = SECOND  # duration of an endpoint's first ejection
-INITIAL_LATENCY_PART = 1 / 4  # of the objective: the assumed mean latency of a new class
+# The mean latency of a new class is assumed to be this fraction of its latency objective.
+INITIAL_LATENCY_OBJECTIVE_FRACTION = 1 / 4
 
 
 class RequestState(IntEnum):
@@ -62,7 +63,7 @@
         # Requests in flight, and their limits.
         self.in_flight = 0
         self.transferring = 0  # those in flight that transfer a long message
-        self.cap = 0  # limit of `in_flight` for this process (N_{g,s} in Pacifici et al.)
+        self.cap = 0  # limit of `in_flight` for this process (N_{g,s} in Pacifici et al. 2005)
         self.node_cap = 0  # the same for all processes that serve as this node
         self.sharing_nodes = 1  # nodes that share its slots
         self.node_rank = 0  # this node's rank among them
@@ -99,10 +100,8 @@
 
     def __init__(self, endpoint: Endpoint, sent: int) -> None:
         self.endpoint = endpoint
-        self.zone, self.cell = (
-            endpoint.zone,
-            endpoint.cell,
-        )  # the endpoint's at the time of the send
+        # The endpoint may move to another zone or cell after the send.
+        self.zone, self.cell = endpoint.zone, endpoint.cell
         self.sent = sent
         self.state = AttemptState.OPEN
         self.first_byte = 0  # time to first byte of a long response; 0: unknown
@@ -172,9 +171,8 @@
         # A queue may contain requests that are no longer queued; the counts are exact.
         self.queues: list[deque[Request]] = [deque() for _ in range(max(1, tenants))]
         self.queued_by_tenant = [0] * max(1, tenants)
-        self.passes = [0.0] * max(
-            1, tenants
-        )  # stride scheduling: each tenant's pass (virtual time)
+        # Stride scheduling: each tenant's pass, its virtual time.
+        self.passes = [0.0] * max(1, tenants)
         self.virtual_time = 0.0  # the pass of the tenant served last
         self.queued = 0
         self.deferred_queue: deque[Request] = deque()
@@ -184,9 +182,8 @@
         self.remaining_histogram = [0] * (REMAINING_STEPS + 1)
         self.remaining_samples = 0
         self.usual_remaining_step = 0  # the most frequent step of the histogram
-        self.latency = (
-            spec.latency_objective * INITIAL_LATENCY_PART
-        )  # moving average of its attempts
+        # Moving average of the latency of its attempts.
+        self.latency = spec.latency_objective * INITIAL_LATENCY_OBJECTIVE_FRACTION
         self.latency_samples = 0.0
         self.base_latency = 0.0  # mean latency at uncongested endpoints; 0: unknown
         # For `class_weights`: sums over cycles, decayed once per cycle.
