--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -110,7 +110,7 @@
         finally:
             self.leave()
 
-    def upload_stalled(self, request: Request) -> None:
+    def upload_timed_out(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
         self.enter()
         try:
--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -264,7 +264,7 @@
         if flow is not None and flow.paused:
             # Reading is paused because the backend accepts no more: the client is not to blame.
             if self.idle_sweeps() > UPLOAD_TIMEOUT_SWEEPS and self._request is not None:
-                self._registry.host.upload_stalled(self._request)
+                self._registry.host.upload_timed_out(self._request)
             return False
         if self.idle_sweeps() <= REQUEST_TIMEOUT_SWEEPS + incoming.size // BYTES_PER_EXTRA_SWEEP:
             return False
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -96,7 +96,7 @@
     def body_received(self, request: Request) -> None:
         """A long body has been read to its end."""
 
-    def upload_stalled(self, request: Request) -> None:
+    def upload_timed_out(self, request: Request) -> None:
         """A backend accepts no more of a long body."""
 
     def max_clients(self) -> int:
--- a/tests/proxy/downstream/connection_fakes.py
+++ b/tests/proxy/downstream/connection_fakes.py
@@ -112,7 +112,7 @@
     def client_half_closed(self, request: Any) -> None:
         self.events.append(("half-closed", request.client_request_id))
 
-    def upload_stalled(self, request: Any) -> None:
+    def upload_timed_out(self, request: Any) -> None:
         self.events.append(("upload stalled", request.client_request_id))
 
     def body_received(self, request: Any) -> None:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -36,7 +36,7 @@
 
 
 def by_backend_that_accepts_no_more(host: Node, request: Request, _clock: Clock) -> None:
-    host.upload_stalled(request)
+    host.upload_timed_out(request)
 
 
 def by_removed_backend(host: Node, _request: Request, _clock: Clock) -> None:
@@ -135,7 +135,7 @@
     """A machine that has vanished answers no connect, and attempts may time out before that."""
     request = admit(host, client, attempts=1)
     clock.now += waited_ns
-    host.upload_stalled(request)
+    host.upload_timed_out(request)
     assert balancer.outcomes == [outcome]
 
 
