--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -34,9 +34,7 @@
 # time that it missed must not count as inactivity of its clients.
 FIRST_BYTE_TIMEOUT_SWEEPS = 9  # until the first byte of a new connection
 REQUEST_TIMEOUT_SWEEPS = 10  # from a request's first byte until it is complete
-BYTES_PER_EXTRA_SWEEP = (
-    8 << 10
-)  # each such amount of content extends the request timeout by a sweep
+BYTES_PER_EXTRA_SWEEP = 8 << 10  # so much content extends the request timeout by one sweep
 UPLOAD_TIMEOUT_SWEEPS = 20  # without a backend accepting more of an upload
 WRITE_TIMEOUT_SWEEPS = 40  # without the client accepting more of a response
 LINGER_TIMEOUT_SWEEPS = 4  # for the client to close after this process has shut down its side
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -33,7 +33,7 @@
 
     NOT_LISTENING = "not listening"  # not started, or stopped
     ACCEPTING = "accepting"
-    PAUSED = "paused"  # no capacity; accepts again once there is some
+    PAUSED = "paused"  # no capacity, or accepting failed; a freed descriptor or a sweep resumes
     SUSPENDED = "held back"  # the successor process accepts from the same socket
 
 
@@ -122,7 +122,7 @@
     def close_idle_and_check_drained(self) -> bool:
         """Close idle connections; returns whether a stop has nothing left to wait for.
 
-        That is the case once no request is open, unread or being answered.
+        That is the case once no request is open or unread, and all responses have been delivered.
         """
         registry = self.registry
         if self.lifecycle.relieved:
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -16,7 +16,7 @@
 
 logger = logging.getLogger(__name__)
 
-MIN_IDLE_SWEEPS = 9  # a connection idle for this long may be closed to free capacity
+MIN_IDLE_SWEEPS = 9  # a connection idle for so long may be closed early to save capacity
 PAUSED_CHECK_S = 0.05  # seconds between checks for half-closes on connections not being read
 SILENT_GRACE_SWEEPS = 1  # time for the first bytes on a new connection during a gradual close
 FLOOD_DIVISOR = 4  # more than 1 connection in so many without any input is a connection flood
@@ -63,7 +63,7 @@
 
 
 class Lingering(NamedTuple):
-    """Facts on a connection that this process has shut down, until the client closes it too."""
+    """What is known of a connection that this process has shut down and its client has not."""
 
     since_s: float  # the time of the shutdown, on the event loop's clock
     was_silent: bool  # no byte had been received by then
@@ -92,9 +92,7 @@
         """Check all connections for timeouts, then close surplus idle ones."""
         self.sweeps += 1
         for conn in list(self.connections):
-            run_logged(
-                conn.sweep, self.sweeps
-            )  # one that raises must not disable the others' timeouts
+            run_logged(conn.sweep, self.sweeps)  # a fault here must not disable others' timeouts
         self._close_surplus()
 
     def all_drained(self) -> bool:
--- a/loadbalancer/proxy/downstream/request_parser.py
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -72,7 +72,7 @@
 
     @abstractmethod
     def _start_queued(self) -> None:
-        """Start the next request that has been read, if none is open."""
+        """Start queued requests until one is open."""
 
     @abstractmethod
     def _limit_content(self, incoming: IncomingRequest) -> None:
@@ -84,7 +84,7 @@
 
     @abstractmethod
     def _reject(self, status: int, text: bytes = b"") -> None:
-        """Respond with an error to an invalid or timed-out request, and close."""
+        """Respond with an error status and close the connection."""
 
     def data_received(self, data: bytes) -> None:
         """Parse the next bytes from the client."""
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -29,7 +29,7 @@
     from loadbalancer.proxy.exchange import Request
 
 MAX_QUEUED = 8  # requests queued on one connection behind the open one
-TCP_INFO_BYTES = 56
+TCP_INFO_BYTES = 56  # of struct tcp_info, up to and including tcpi_last_data_recv
 LAST_DATA_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv, in milliseconds
 
 
--- a/tests/proxy/downstream/connection_fakes.py
+++ b/tests/proxy/downstream/connection_fakes.py
@@ -61,7 +61,7 @@
 
 
 class Loop:
-    """Runs the callbacks of `call_soon` in `turn`; timers never fire."""
+    """Runs the callbacks of `call_soon` in `run_callbacks`; timers never fire."""
 
     def __init__(self) -> None:
         self._soon: list[Callable[[], None]] = []
@@ -75,7 +75,7 @@
     def call_later(self, *_: object) -> object:
         return object()
 
-    def turn(self) -> None:
+    def run_callbacks(self) -> None:
         soon, self._soon = self._soon, []
         for call in soon:
             call()
--- a/tests/proxy/downstream/test_connection.py
+++ b/tests/proxy/downstream/test_connection.py
@@ -142,7 +142,7 @@
         assert (
             len(host.admitted) == count
         )  # not from within respond(): its caller is still processing this one
-        host.loop.turn()
+        host.loop.run_callbacks()
     assert transport.written == 3 * SERVED
 
 
@@ -157,7 +157,7 @@
     assert conn._state is LINGERING
     assert transport.written.startswith(b"HTTP/1.1 400")
     assert host.events == [("gone", b"open")]
-    host.loop.turn()
+    host.loop.run_callbacks()
     assert host.admitted_ids() == [b"open"]
 
 
@@ -184,7 +184,7 @@
     respond(conn)
     sweep(registry, 1)
     assert transport.aborted
-    host.loop.turn()
+    host.loop.run_callbacks()
     assert host.admitted_ids() == [b"a"]
 
 
