--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -34,7 +34,7 @@
 # time that it missed must not count as inactivity of its clients.
 FIRST_BYTE_TIMEOUT_SWEEPS = 9  # until the first byte of a new connection
 REQUEST_TIMEOUT_SWEEPS = 10  # from a request's first byte until it is complete
-BYTES_PER_EXTRA_SWEEP = 8 << 10  # so much content extends the request timeout by one sweep
+BYTES_PER_EXTRA_SWEEP = 8 << 10  # per sweep by which a request's content extends its timeout
 UPLOAD_TIMEOUT_SWEEPS = 20  # without a backend accepting more of an upload
 WRITE_TIMEOUT_SWEEPS = 40  # without the client accepting more of a response
 LINGER_TIMEOUT_SWEEPS = 4  # for the client to close after this process has shut down its side
@@ -79,8 +79,8 @@
             client_request_id in host.open_request_ids
             or client_request_id in host.other_process_request_ids
         ):
-            # Failure: with two open requests of the same id, a backend that deduplicates by id
-            # would answer one of them with the other's response.
+            # If two open requests had the same id, a backend that deduplicates by id would answer
+            # one of them with the other's response.
             self._release_content(incoming)
             self._reject(409)
             return
@@ -94,14 +94,12 @@
             self._request = request
             self._state = AWAITING_RESPONSE
 
-    # ---- closing, started by this process ---------------------------------------
-
     def _close_gracefully(self) -> None:
         """Shut down sending, discard input, and close once the client has closed or timed out.
 
-        Failure: closing a socket with unread input, even input that arrived a moment ago, makes
-        the kernel reset the connection. The client may see the reset before it has read the
-        response, and the response is lost.
+        Closing a socket with unread input, even input that arrived a moment ago, makes the kernel
+        reset the connection. The client might see the reset before it has read the response, and
+        the response would be lost.
         """
         transport = self._transport
         assert transport is not None
@@ -139,8 +137,6 @@
         self._state = CLOSING
         transport.abort()
 
-    # ---- closing, as the event loop reports it ----------------------------------
-
     def eof_received(self) -> bool:
         """The client has shut down its sending; returns True to keep the connection for a response.
 
@@ -177,12 +173,11 @@
         registry.host.clients -= 1
         registry.host.on_descriptor_freed()
 
-    # ---- queries of the registry and the host ------------------------------------
-
     def can_close(self) -> bool:
         """Whether closing loses nothing: no open request, unread input or unsent output.
 
-        Failure: a request that has arrived but has not been read yet would be lost.
+        The socket is checked too, or a request that has arrived but has not been read would be
+        lost.
         """
         return (
             self._state is AWAITING_REQUEST
@@ -217,8 +212,6 @@
         """The number of sweeps since the connection was accepted or last active."""
         return self._registry.sweeps - self._last_active_sweep
 
-    # ---- timeouts ------------------------------------------------------------------
-
     def sweep(self, sweep: int) -> None:
         """End the connection if the client has timed out, either sending or receiving."""
         transport = self._transport
@@ -239,7 +232,7 @@
     def _check_write_progress(self, transport: asyncio.Transport, unsent: int, sweep: int) -> None:
         """Abort if the client has accepted nothing within the write timeout.
 
-        Failure: a client that never reads would hold a descriptor and a buffer indefinitely.
+        Without this, a client that never reads would hold a descriptor and a buffer indefinitely.
         """
         progress = (unsent, unacknowledged_bytes(self._sock))
         if progress != self._write_backlog:
@@ -251,9 +244,9 @@
     def _close_if_request_timed_out(self) -> bool:
         """Close if the request does not complete, or never begins, in time; True if closed.
 
-        Failure: requests that never complete, and clients that connect and send nothing, would
-        hold descriptors until none is left. Drawback: a client whose link is slower than
-        32 kB/s can't send larger requests.
+        Without this, requests that never complete, and clients that connect and send nothing,
+        would hold descriptors until none is left. The drawback is that a client whose link is
+        slower than 32 kB/s can't send larger requests.
         """
         incoming = self._incoming
         if incoming is None:
--- a/loadbalancer/proxy/downstream/head_checker.py
+++ b/loadbalancer/proxy/downstream/head_checker.py
@@ -54,8 +54,9 @@
         incoming.path = incoming.url.partition(b"?")[0]
         incoming.chunked = b"transfer-encoding" in fields
         if incoming.chunked and b"content-length" in fields:
-            # Failure: request smuggling. A recipient that goes by the other field sees the request
-            # end elsewhere, and takes a part of its content for a request (RFC 9112, section 11.2).
+            # Prevents request smuggling: a recipient that goes by the other field would see the
+            # request end elsewhere, and take a part of its content for a request (RFC 9112,
+            # section 11.2).
             raise BadRequestError(400)
         incoming.length = int(fields.get(b"content-length", b"0"))
         if incoming.path == READINESS_PATH:
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -22,8 +22,8 @@
 
 BACKLOG = 1024  # connections that the kernel queues until they are accepted
 MAX_ACCEPTS = 64  # per iteration of the event loop
-# While clients wait to be accepted: the seconds for which a connection may linger, and the part of
-# the capacity for clients, 1 in so many, that may linger at a time.
+# While clients wait to be accepted, a connection may linger for SATURATED_LINGER_S seconds, and at
+# most 1/MAX_LINGERING_DIVISOR of the capacity for clients may linger at a time.
 SATURATED_LINGER_S = 0.05
 MAX_LINGERING_DIVISOR = 2
 
@@ -44,7 +44,7 @@
 
 
 class Listener:
-    """Accepts clients' connections from the listening socket, as far as capacity allows."""
+    """Accepts clients' connections from the listening socket, within the host's capacity."""
 
     def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
@@ -62,8 +62,6 @@
         """The listening socket, None once it is closed."""
         return self._sock
 
-    # ---- starting and stopping ---------------------------------------------
-
     def listen(self, address: Address, shared: bool = False) -> int:
         """Bind to the address and accept connections; returns the port.
 
@@ -104,8 +102,8 @@
     def stop_accepting(self) -> None:
         """Accept the connections in the kernel's backlog, then close the listening socket.
 
-        Failure: their handshakes are complete and their clients may have sent requests already.
-        Closing the socket first would reset them.
+        Their handshakes are complete, and their clients may have sent requests already. Closing
+        the socket first would reset them.
         """
         sock = self._sock
         if sock is None:
@@ -134,8 +132,6 @@
             return False
         return not self._establishing and registry.all_drained()
 
-    # ---- accepting --------------------------------------------------------
-
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
             if self._sock is None or not self._ensure_capacity():
@@ -147,9 +143,9 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                # Failure: the system is short of descriptors or memory, although this process is
-                # within its budget. The socket stays readable, so the event loop would call this
-                # in a busy loop. The next sweep or freed descriptor resumes accepting.
+                # The system is short of descriptors or memory, although this process is within
+                # its budget. The socket stays readable, so without a pause the event loop would
+                # call this in a busy loop. The next sweep or freed descriptor resumes accepting.
                 logger.info("accepting a connection failed, paused: %s", error)
                 self._pause()
                 return
@@ -188,8 +184,6 @@
         """Close the idle connections that `Lifecycle` schedules for this tick; `now` in ns."""
         self.registry.close_idle_gradually(now)
 
-    # ---- freeing capacity for waiting clients --------------------------------
-
     def _ensure_capacity(self) -> bool:
         """Whether a further client may be accepted; if not, pause and free capacity for one."""
         if self.host.may_accept_client():
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -16,10 +16,10 @@
 
 logger = logging.getLogger(__name__)
 
-MIN_IDLE_SWEEPS = 9  # a connection idle for so long may be closed early to save capacity
+MIN_IDLE_SWEEPS = 9  # after which an idle connection may be closed to save capacity
 PAUSED_CHECK_S = 0.05  # seconds between checks for half-closes on connections not being read
 SILENT_GRACE_SWEEPS = 1  # time for the first bytes on a new connection during a gradual close
-FLOOD_DIVISOR = 4  # more than 1 connection in so many without any input is a connection flood
+FLOOD_DIVISOR = 4  # a connection flood: more than 1/FLOOD_DIVISOR of the clients send nothing
 SURPLUS_FRACTION = 0.5  # of the capacity for clients, above which the oldest idle ones are closed
 MAX_IDLE_FRACTION = 0.2  # of all descriptors; with more idle, a response closes its connection
 
@@ -98,9 +98,9 @@
     def all_drained(self) -> bool:
         """Whether the process may exit without waiting for any connection.
 
-        Failure: a connection whose check raises, each time it is made, would delay the exit up to
-        the full limit although all clients have their responses. As its state can't be found out,
-        it is logged once and no longer waited for.
+        A connection whose check raises each time would delay the exit up to the full limit,
+        although all clients have their responses. As its state can't be found out, it is logged
+        once and no longer waited for.
         """
         return all(
             conn in self._unreadable or self._is_drained_or_failing(conn)
@@ -120,13 +120,11 @@
         for conn in self.connections:
             run_logged(conn.reset_if_incomplete)
 
-    # ---- connections on which reading is paused ----------------------------
-
     def watch_paused(self, conn: Connection) -> None:
         """Check a connection regularly for a half-close while reading is paused.
 
-        Failure: the event loop reports a half-close only while it reads. A request could wait in
-        a queue, or be sent to a backend, for a client that has disconnected.
+        The event loop reports a half-close only while it reads. Without this check, a request
+        could wait in a queue, or be sent to a backend, for a client that has disconnected.
         """
         self.paused[conn] = None
         if self._paused_check is None:
@@ -142,18 +140,16 @@
         if self.paused:
             self._schedule_paused_check()
 
-    # ---- capacity ----------------------------------------------------------
-
     def too_many_idle(self) -> bool:
-        """Whether so many connections are idle that no further one is kept alive.
-
-        Failure: clients that send one request and keep the connection would use up the capacity
-        for MIN_IDLE_SWEEPS each, while clients with requests wait to be accepted. That shows as
-        rejections while backends are idle. A close announced in the response can't cross a
-        request in flight, so it needs no waiting time. Each such close frees capacity for one
-        client, so the number of idle connections stays at the limit. Drawback: if more clients
-        than that send requests repeatedly, those beyond the limit need a new connection for
-        each request.
+        """Whether too many connections are idle to keep a further one alive.
+
+        Without this limit, clients that send one request and keep the connection would use up
+        the capacity for MIN_IDLE_SWEEPS each, while clients with requests wait to be accepted.
+        That shows as rejections while backends are idle. A close announced in the response can't
+        cross a request in flight, so it needs no waiting time. Each such close frees capacity for
+        one client, so the number of idle connections stays at the limit. The drawback is that if
+        more clients than that send requests repeatedly, those beyond the limit need a new
+        connection for each request.
         """
         return len(self.idle) > self.max_idle
 
@@ -189,16 +185,14 @@
     def _close_surplus(self) -> None:
         """Close the oldest idle connections before descriptors run out.
 
-        Failure: clients that keep connections without using them. Once the limit is reached, each
-        new client would have to wait until one of them is closed. Drawback: a client that sends a
-        request at the moment of the close has to send it again on a new connection.
+        Otherwise, clients that keep connections without using them could reach the limit, and each
+        new client would have to wait until one of them is closed. The drawback is that a client
+        that sends a request at the moment of the close has to send it again on a new connection.
         """
         surplus = self.host.clients - int(SURPLUS_FRACTION * self.host.max_clients())
         while surplus > 0 and self._close_first(self.idle, MIN_IDLE_SWEEPS):
             surplus -= 1
 
-    # ---- closing idle connections for a drain --------------------------------
-
     def close_idle_gradually(self, now: int) -> None:
         """Close the idle connections that `Lifecycle` schedules for this tick; `now` in ns.
 
--- a/loadbalancer/proxy/downstream/request_parser.py
+++ b/loadbalancer/proxy/downstream/request_parser.py
@@ -110,16 +110,16 @@
         if self._read_state is not HEAD:
             self._limit_content(incoming)
         elif self._head_size > MAX_HEAD_BYTES:
-            # Failure: a head that never ends would exhaust memory, as the check of its size in
-            # on_headers_complete is never reached.
+            # A head that never ends does not reach the check of its size in on_headers_complete,
+            # and would exhaust memory.
             self._reject(431)
 
     def _discard(self, data: bytes) -> None:
         """Drop input that arrives while the connection is closing.
 
-        Failure: a client may send its whole upload before it reads the response. If the
-        connection were closed earlier, the client would see a reset in place of the response. So
-        the rest of the upload counts as activity.
+        A client may send its whole upload before it reads the response. If the connection were
+        closed earlier, the client would see a reset in place of the response. So the rest of the
+        upload counts as activity.
         """
         if self._discarding > 0:
             self._discarding -= len(data)
@@ -133,7 +133,7 @@
             logger.info("parsing a request raised %r", cause)
             self._reject(400)
 
-    # ---- callbacks of the parser; on_message_begin and _complete: RequestQueue ----
+    # The parser calls the on_... methods; RequestQueue has those for a message's begin and end.
 
     def on_url(self, url: bytes) -> None:
         """Called with a part of the request target."""
--- a/loadbalancer/proxy/downstream/request_queue.py
+++ b/loadbalancer/proxy/downstream/request_queue.py
@@ -57,8 +57,6 @@
     def _start_request(self, incoming: IncomingRequest) -> None:
         """Start a request that is complete, or whose content is forwarded while it is read."""
 
-    # ---- callbacks of the parser ----------------------------------------
-
     def on_message_begin(self) -> None:
         """Called at the first bytes of a request."""
         if len(self._queued) + (self._request is not None) > MAX_QUEUED:
@@ -93,8 +91,6 @@
         self._build_forwarded_head(incoming)
         self._queued.append(incoming)
 
-    # ---- starting requests -----------------------------------------------
-
     def _start_queued(self) -> None:
         while self._state is AWAITING_REQUEST and self._queued:
             self._start_request(self._queued.popleft())
@@ -147,7 +143,7 @@
     def _response_is_next(self) -> bool:
         return self._request is None and not self._queued
 
-    # ---- flow control: the connection is the source of an upload's flow ----
+    # For uploads, the connection is the source of their flow.
 
     def _limit_content(self, incoming: IncomingRequest) -> None:
         if self._read_state is UPLOAD or not incoming.size:
@@ -181,8 +177,6 @@
         self._registry.idle.pop(self, None)
         self._registry.paused.pop(self, None)
 
-    # ---- dropping requests -------------------------------------------------
-
     def _drop_pending(self) -> None:
         """Drop queued and incomplete requests, and release their share of the buffer budget."""
         self._registry.host.budget.body_finished(self)
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -57,8 +57,6 @@
     def _abort(self, transport: asyncio.Transport) -> None:
         """Close at once, dropping output that is still buffered."""
 
-    # ---- complete responses ------------------------------------------------
-
     def respond(self, content_type: bytes, chunks: list[bytes], size: int) -> None:
         """Send a complete 200 response of `size` bytes."""
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % size
@@ -106,7 +104,7 @@
         registry = self._registry
         return registry.lifecycle.closes or self._half_closed or registry.too_many_idle()
 
-    # ---- streamed responses: the connection is the sink of their flow ----------
+    # For streamed responses, the connection is the sink of their flow.
 
     def begin_streaming(self, content_type: bytes, length: int, flow: Flow) -> None:
         """Send the head of a 200 response whose content follows through `flow`.
@@ -168,11 +166,12 @@
     def reset_if_incomplete(self) -> None:
         """Make the close a reset if it would make a truncated response look complete.
 
-        Failure: a response without a length, to an HTTP/1.0 client, is truncated by its backend,
-        by a timeout of the client or by the exit of the process. For such a response an orderly
-        close marks the end of the content, so the client would take a part of it for the whole. A
-        reset is reported to the client as an error. Once all of the response has been passed to
-        the kernel, which delivers it, there is no reset, as it would destroy the response.
+        A response without a length, to an HTTP/1.0 client, may be truncated by its backend, by a
+        timeout of the client or by the exit of the process. For such a response an orderly close
+        marks the end of the content, so without a reset the client would take a part of it for the
+        whole. A reset is reported to the client as an error. Once all of the response has been
+        passed to the kernel, which delivers it, there is no reset, as it would destroy the
+        response.
         """
         transport = self._transport
         if transport is None or self._framing is not CLOSE:
@@ -195,8 +194,6 @@
         if flow is not None:
             flow.discard()
 
-    # ---- rejecting invalid requests ------------------------------------------
-
     def _reject(self, status: int, text: bytes = b"") -> None:
         self._parser = None
         request, self._request = self._request, None
--- a/tests/proxy/downstream/conftest.py
+++ b/tests/proxy/downstream/conftest.py
@@ -44,7 +44,7 @@
     return start(limits=FEW_DESCRIPTORS)
 
 
-# ---- a connection with a fake transport, loop and host ----
+# Fixtures for a connection with a fake transport, loop and host.
 
 
 @pytest.fixture
