--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -23,7 +23,9 @@
         super().__init__(config, loop)
         self._last_id = 0
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
+    def admit_request(
+        self, client: Client, incoming: ReceivedRequest, waited_ns: int
+    ) -> Request | None:
         """Admit a client's request; None where it has to come again.
 
         That is where as many are open as the configuration allows, and where new settings
@@ -108,7 +110,7 @@
         finally:
             self.end_event()
 
-    def upload_stalled(self, request: Request) -> None:
+    def upload_timed_out(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
         self.begin_event()
         try:
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepting clients while there is capacity, and making some for more."""
+"""The listening socket: accepts clients within capacity, and closes idle ones for new ones."""
 
 from __future__ import annotations
 
@@ -20,30 +20,31 @@
 
 logger = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-MAX_ACCEPTS = 64  # in one turn of the loop
-# How long, in seconds, a connection may linger after our end while others wait for its place ...
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS = 64  # per iteration of the event loop
+# While clients wait to be accepted, a connection may linger for SATURATED_LINGER_S seconds, and at
+# most 1/MAX_LINGERING_DIVISOR of the capacity for clients may linger at a time.
 SATURATED_LINGER_S = 0.05
-MAX_ENDED_PART = 2  # ... and at most one in so many places is freed at a time
+MAX_LINGERING_DIVISOR = 2
 
 
 class ListenerState(Enum):
     """Whether connections are accepted."""
 
-    NOT_LISTENING = "not listening"  # not yet, or no more
+    NOT_LISTENING = "not listening"  # not started, or stopped
     ACCEPTING = "accepting"
-    PAUSED = "paused"  # until there is capacity for a client again
-    HELD_BACK = "held back"  # another process accepts from the same socket
+    PAUSED = "paused"  # no capacity, or accepting failed; a freed descriptor or a sweep resumes
+    SUSPENDED = "held back"  # the successor process accepts from the same socket
 
 
 NOT_LISTENING = ListenerState.NOT_LISTENING
 ACCEPTING = ListenerState.ACCEPTING
 PAUSED = ListenerState.PAUSED
-HELD_BACK = ListenerState.HELD_BACK
+SUSPENDED = ListenerState.SUSPENDED
 
 
 class Listener:
-    """The listening socket, and the admission of clients' connections."""
+    """Accepts clients' connections from the listening socket, within the host's capacity."""
 
     def __init__(self, host: ClientHost, lifecycle: Lifecycle) -> None:
         self.host = host
@@ -52,26 +53,25 @@
         self._state = NOT_LISTENING
         self._sock: socket.socket | None = None
         self._establishing: set[asyncio.Task[None]] = set()
-        self._saturation_check: asyncio.TimerHandle | None = None  # while places are freed
-        self._max_ended = 1  # connections ended at a time
-        host.on_descriptor_closed = self.on_descriptor_closed
+        self._saturation_check: asyncio.TimerHandle | None = None  # pending while saturated
+        self._max_lingering = 1  # connections that may linger at a time while saturated
+        host.on_descriptor_freed = self.on_descriptor_freed
 
     @property
     def sock(self) -> socket.socket | None:
         """The listening socket, None once it is closed."""
         return self._sock
 
-    # ---- begin and end of listening -------------------------------------
-
     def listen(self, address: Address, shared: bool = False) -> int:
-        """Accept connections at this address; returns the port.
+        """Bind to the address and accept connections; returns the port.
 
-        `shared`: where one process succeeds another and can't be handed its socket.
+        `shared`: lets two processes bind the address, for an upgrade in which the successor
+        can't be handed the socket.
         """
         return self._listen_on(listening_socket(address, BACKLOG, shared))
 
     def adopt(self, sock: socket.socket) -> int:
-        """Accept connections from a socket that another process made; returns the port."""
+        """Accept connections from a socket that another process created; returns the port."""
         sock.setblocking(False)
         return self._listen_on(sock)
 
@@ -81,17 +81,17 @@
         self.host.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
-    def hold_back(self) -> None:
-        """Accept no more; whoever shares the socket gets the connections that wait."""
+    def suspend_accepting(self) -> None:
+        """Stop accepting and leave pending connections to the process that shares the socket."""
         self._pause()
         if self._state is PAUSED:
-            self._state = HELD_BACK
+            self._state = SUSPENDED
 
-    def accept_again(self) -> None:
-        """Undo `hold_back`: the successor has not taken over."""
-        if self._state is HELD_BACK:
+    def resume_accepting(self) -> None:
+        """Undo `suspend_accepting`, as the successor has not taken over."""
+        if self._state is SUSPENDED:
             self._state = PAUSED
-        self.on_descriptor_closed()
+        self.on_descriptor_freed()
 
     def _pause(self) -> None:
         if self._state is ACCEPTING:
@@ -100,15 +100,15 @@
             self.host.loop.remove_reader(self._sock)
 
     def stop_accepting(self) -> None:
-        """Accept what the kernel holds for this process, then close the listening socket.
+        """Accept the connections in the kernel's backlog, then close the listening socket.
 
-        Failure: the kernel has completed these connections, and their clients may have sent
-        requests on them. Closing the socket would reset them.
+        Their handshakes are complete, and their clients may have sent requests already. Closing
+        the socket first would reset them.
         """
         sock = self._sock
         if sock is None:
             return
-        if self._state is not HELD_BACK:
+        if self._state is not SUSPENDED:
             self.registry.close_idle()
             for _ in range(BACKLOG // MAX_ACCEPTS):
                 self._accept()
@@ -117,25 +117,24 @@
         self._sock = None
         sock.close()
 
-    def close_idle_and_is_finished(self) -> bool:
-        """Close idle connections; returns whether the listener is finished.
+    def close_idle_and_check_drained(self) -> bool:
+        """Close idle connections; returns whether a stop has nothing left to wait for.
 
-        It is once nothing is open, and nothing lies unread, that a stop must wait for.
+        That is the case once no request is open or unread, and all responses have been delivered.
         """
         registry = self.registry
         if self.lifecycle.relieved:
-            registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
+            # The successor serves new clients, so closing may be spread over time.
+            registry.close_idle_gradually(time.monotonic_ns())
         else:
             registry.close_idle()
-        if registry.idle or registry.fresh:
+        if registry.idle or registry.silent:
             return False
-        return not self._establishing and registry.finished()
-
-    # ---- accepting --------------------------------------------------------
+        return not self._establishing and registry.all_drained()
 
     def _accept(self) -> None:
         for _ in range(MAX_ACCEPTS):
-            if self._sock is None or not self._make_capacity():
+            if self._sock is None or not self._ensure_capacity():
                 return
             try:
                 sock, _address = self._sock.accept()
@@ -144,10 +143,10 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                # Failure: the system is short of descriptors or memory, though this process
-                # is within its budget. The socket stays readable, so the loop would call
-                # again at once and without end; the next sweep or freed place tries again.
-                logger.info("accept: %s", error)
+                # The system is short of descriptors or memory, although this process is within
+                # its budget. The socket stays readable, so without a pause the event loop would
+                # call this in a busy loop. The next sweep or freed descriptor resumes accepting.
+                logger.info("accepting a connection failed, paused: %s", error)
                 self._pause()
                 return
             sock.setblocking(False)
@@ -165,41 +164,40 @@
             sock.detach()
             if conn not in self.registry.connections:
                 self.host.clients -= 1
-                self.on_descriptor_closed()
+                self.on_descriptor_freed()
 
-    def on_descriptor_closed(self) -> None:
-        """A descriptor has been freed: accept again if there is capacity."""
+    def on_descriptor_freed(self) -> None:
+        """Resume accepting, if a descriptor that has been closed leaves capacity for a client."""
         sock = self._sock
         if self._state is PAUSED and sock is not None and self.host.may_accept_client():
             self._state = ACCEPTING
             self.host.loop.add_reader(sock, self._accept)
 
     def sweep(self) -> None:
-        """One more sweep over all connections, then capacity for those that wait."""
+        """Check all connections for timeouts, then free capacity if clients wait to be accepted."""
         self.registry.sweep()
-        self.on_descriptor_closed()
+        self.on_descriptor_freed()
         if self._state is PAUSED:
-            self._free_places()
-
-    def send_away(self, now: int) -> None:
-        """Close as many idle connections as `Lifecycle` has it, longest idle first; `now` in ns."""
-        self.registry.send_away(now)
+            self._free_capacity()
 
-    # ---- freeing places for those that wait ---------------------------------
+    def close_idle_gradually(self, now: int) -> None:
+        """Close the idle connections that `Lifecycle` schedules for this tick; `now` in ns."""
+        self.registry.close_idle_gradually(now)
 
-    def _make_capacity(self) -> bool:
-        """Whether one more client fits; else pause, and free a place for the next one."""
+    def _ensure_capacity(self) -> bool:
+        """Whether a further client may be accepted; if not, pause and free capacity for one."""
         if self.host.may_accept_client():
             return True
         self._pause()
-        self._free_places()
+        self._free_capacity()
         return False
 
-    def _free_places(self) -> None:
-        """End an idle connection for a client that waits, and more while that does not do.
+    def _free_capacity(self) -> None:
+        """Close idle connections, as clients wait to be accepted.
 
-        Most clients close as their connection is ended. Those that don't are aborted after
-        SATURATED_LINGER_S, and the more of them there are, the more are ended at a time.
+        Most clients close soon after their connection is shut down here. Those that don't are
+        aborted after SATURATED_LINGER_S. `_check_saturation` doubles the number of connections
+        closed at a time for as long as clients wait.
         """
         now = self.host.loop.time()
         registry = self.registry
@@ -207,7 +205,7 @@
             if now - linger.since_s < SATURATED_LINGER_S:
                 break
             conn.abort_lingering()
-        while len(registry.lingering) < self._max_ended:
+        while len(registry.lingering) < self._max_lingering:
             if not registry.close_oldest(len(self._establishing)):
                 break
         if not registry.lingering:
@@ -220,8 +218,8 @@
     def _check_saturation(self) -> None:
         self._saturation_check = None
         if self._state is PAUSED:
-            max_ended = max(self.host.max_clients() // MAX_ENDED_PART, 1)
-            self._max_ended = min(2 * self._max_ended, max_ended)
-            self._free_places()
+            max_lingering = max(self.host.max_clients() // MAX_LINGERING_DIVISOR, 1)
+            self._max_lingering = min(2 * self._max_lingering, max_lingering)
+            self._free_capacity()
         else:
-            self._max_ended = 1
+            self._max_lingering = 1
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -62,7 +62,7 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     budget: BufferBudget
-    on_descriptor_closed: Callable[[], None]  # a descriptor has been closed
+    on_descriptor_freed: Callable[[], None]  # a descriptor has been closed
 
     def log(self, text: str) -> None:
         """Write a line of the log."""
@@ -82,7 +82,9 @@
     balancer: Balancer
     routing: Routing | None
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
+    def admit_request(
+        self, client: Client, incoming: ReceivedRequest, waited_ns: int
+    ) -> Request | None:
         """Admit a request; None where its client has to come again."""
 
     def client_disconnected(self, request: Request) -> None:
@@ -94,7 +96,7 @@
     def on_body_received(self, request: Request) -> None:
         """A long body has been read to its end."""
 
-    def upload_stalled(self, request: Request) -> None:
+    def upload_timed_out(self, request: Request) -> None:
         """A backend accepts no more of a long body."""
 
     def max_clients(self) -> int:
--- a/tests/proxy/test_attempts.py
+++ b/tests/proxy/test_attempts.py
@@ -35,8 +35,8 @@
     host._on_timers_due()
 
 
-def by_stalled_upload(host: Node, request: Request, _clock: Clock) -> None:
-    host.upload_stalled(request)
+def by_backend_that_accepts_no_more(host: Node, request: Request, _clock: Clock) -> None:
+    host.upload_timed_out(request)
 
 
 def by_removed_backend(host: Node, _request: Request, _clock: Clock) -> None:
@@ -53,7 +53,7 @@
 ENDS = [
     by_cancel,
     by_timeout,
-    by_stalled_upload,
+    by_backend_that_accepts_no_more,
     by_removed_backend,
     by_disconnect_during_streaming,
 ]
@@ -137,7 +137,7 @@
     """A failed machine answers no connect, and attempts may time out before the connect does."""
     request = admit(host, client, attempts=1)
     clock.now += waited_ns
-    host.upload_stalled(request)
+    host.upload_timed_out(request)
     assert balancer.outcomes == [outcome]
 
 
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -102,10 +102,10 @@
 def test_a_drain_goes_on_after_a_tick_that_raised(loop: Loop, logged: list[str]) -> None:
     """A tick of an operator's drain raises: clients that were idle stayed, for good."""
     process = bare_process(loop)
-    process.listener.send_away.side_effect = [StepError, None]
+    process.listener.close_idle_gradually.side_effect = [StepError, None]
     process.set_standby(True)
     loop.turn()
-    assert process.listener.send_away.call_count == 2
+    assert process.listener.close_idle_gradually.call_count == 2
     assert any("StepError" in line for line in logged)
 
 
@@ -167,7 +167,7 @@
         self.node.open_count = 0
         self.node.balancer.classes = [SimpleNamespace(spec=SimpleNamespace(deadline=2 * 10**9))]
         self.listener = mock.Mock()
-        self.listener.close_idle_and_is_finished.return_value = False
+        self.listener.close_idle_and_check_drained.return_value = False
         self.before_close = mock.Mock()
         future = mock.Mock()
         future.done.return_value = False
@@ -195,7 +195,7 @@
     "faulty",
     [
         "node.peers.close", "before_close", "listener.stop_accepting",
-        "listener.close_idle_and_is_finished", "node.fail_all", "node.discovery.close",
+        "listener.close_idle_and_check_drained", "node.fail_all", "node.discovery.close",
     ],
 )  # fmt: skip
 def test_a_stop_ends_whatever_one_of_its_steps_raises(
@@ -244,11 +244,11 @@
     Each was logged, and with twenty lines a second the log dropped those of other faults.
     """
     stop = Stop(loop)
-    stop.listener.close_idle_and_is_finished.side_effect = StepError
+    stop.listener.close_idle_and_check_drained.side_effect = StepError
     stop.shutdown.begin()
     for _ in range(9):
         loop.turn()
-    assert stop.listener.close_idle_and_is_finished.call_count > 1
+    assert stop.listener.close_idle_and_check_drained.call_count > 1
     assert len([line for line in logged if "raised" in line]) == 1
 
 
@@ -259,7 +259,7 @@
     """
     stop = Stop(loop)
     stop.node.open_count = 1
-    stop.listener.close_idle_and_is_finished.return_value = True
+    stop.listener.close_idle_and_check_drained.return_value = True
     stop.shutdown.begin()
     for _ in range(6):
         loop.turn()
@@ -279,12 +279,12 @@
     """
     faulty, other = two_connections()
     registry.connections.update((faulty, other))
-    faulty.finished.side_effect = StepError
-    other.finished.return_value = False
-    assert not registry.finished()
-    other.finished.return_value = True
-    assert registry.finished()
-    assert registry.finished()
+    faulty.is_drained.side_effect = StepError
+    other.is_drained.return_value = False
+    assert not registry.all_drained()
+    other.is_drained.return_value = True
+    assert registry.all_drained()
+    assert registry.all_drained()
     assert len(logged) == 1
 
 
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -47,7 +47,7 @@
         self.config = SimpleNamespace(settings=settings)
         self.outcomes: list[Outcome] = []
         self.descriptor_closed = asyncio.Event()
-        self.on_descriptor_closed = self.descriptor_closed.set
+        self.on_descriptor_freed = self.descriptor_closed.set
 
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
