--- a/benchmarks/scale/hollow/held_service.py
+++ b/benchmarks/scale/hollow/held_service.py
@@ -35,7 +35,7 @@
         """Apply a complete list or a change of it, as a node does."""
         self._revision += 1
         raw = {"rev": self._revision, "all": complete, "targets": rows}
-        update, listings, endpoints = self._endpoints.read(raw)
+        update, listings, endpoints = self._endpoints.decode(raw)
         self._endpoints.apply(self._revision, update, listings, endpoints)
         now = time.monotonic_ns()
         self._note_drains(now, complete, rows)
--- a/benchmarks/scale/lists.py
+++ b/benchmarks/scale/lists.py
@@ -142,7 +142,7 @@
 
 def _read_list(config: Config, raw: dict[str, Any]) -> EndpointList:
     endpoints = EndpointList(config)
-    endpoints.apply(raw["rev"], *endpoints.read(raw))
+    endpoints.apply(raw["rev"], *endpoints.decode(raw))
     return endpoints
 
 
--- a/loadbalancer/control/xds/member_file.py
+++ b/loadbalancer/control/xds/member_file.py
@@ -112,5 +112,5 @@
             raise ListError(f"not valid JSON: {err}") from None
         if not isinstance(raw, dict):
             raise ListError("not a JSON object")
-        update, rows, endpoints = self.endpoint_list.read(raw | {"rev": 1, "all": True})
+        update, rows, endpoints = self.endpoint_list.decode(raw | {"rev": 1, "all": True})
         return update, rows, self.endpoint_list.apply(1, update, rows, endpoints)
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -88,7 +88,7 @@
             listings, addresses = self._listings()
             self.endpoint_list.apply(0, Update.FULL, listings, addresses)
             return listings
-        update, listings, addresses = self.endpoint_list.read(raw)
+        update, listings, addresses = self.endpoint_list.decode(raw)
         self.endpoint_list.apply(0, update, listings, addresses)
         return listings
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -104,7 +104,7 @@
             ListError: it is malformed.
         """
         try:
-            decoded = self.endpoint_list.read(raw)
+            decoded = self.endpoint_list.decode(raw)
         except ListError as err:
             raise ListError(f"known: {err}") from None
         self.endpoint_list.apply(raw["rev"], *decoded)
@@ -204,7 +204,7 @@
         Raises:
             ListError: it can't be used, or was not taken over.
         """
-        decoded = self.endpoint_list.read(raw)
+        decoded = self.endpoint_list.decode(raw)
         self._older_answers = OlderAnswerFilter()
         stale = self.endpoint_list.apply(raw["rev"], *decoded)
         try:
@@ -390,7 +390,7 @@
         Raises:
             ListError: it is malformed, a delta where the complete list is needed, or older.
         """
-        decoded = self.endpoint_list.read(raw)
+        decoded = self.endpoint_list.decode(raw)
         rev, is_full = raw["rev"], decoded.update == Update.FULL
         if self._needs_full and not is_full:
             raise ListError("it has changes alone where the whole list is needed")
--- a/loadbalancer/sources/endpoint_list.py
+++ b/loadbalancer/sources/endpoint_list.py
@@ -56,18 +56,18 @@
         self.endpoints: dict[int, Address] = {}
         self.rev = 0
 
-    def read(self, raw: Any) -> DecodedList:
+    def decode(self, raw: Any) -> DecodedList:
         """Check and decode an answer; the present list does not change.
 
         Raises:
             ListError: the answer is malformed.
         """
         try:
-            return self._decode(raw)
+            return self._decode_answer(raw)
         except (KeyError, TypeError, ValueError, OverflowError) as err:
             raise ListError(f"{type(err).__name__}: {err}") from None
 
-    def _decode(self, raw: Any) -> DecodedList:
+    def _decode_answer(self, raw: Any) -> DecodedList:
         rev, complete, targets = raw["rev"], raw["all"], raw["targets"]
         if type(rev) is not int or not isinstance(complete, bool) or type(targets) is not list:
             raise ListError("rev, all or targets is of the wrong type")
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -611,7 +611,7 @@
     roster = EndpointList(_node_config())
     try:
         with _clocks():
-            update, rows, endpoints = roster.read(raw)
+            update, rows, endpoints = roster.decode(raw)
     except ListError:
         return {"refused": "a list that can't be used"}
     return {
