--- a/loadbalancer/control/xds/pool.py
+++ b/loadbalancer/control/xds/pool.py
@@ -117,7 +117,9 @@
             for service in source.routes.services
         }
         if isinstance(self.members, Discovery):
-            self.members.move(source.config.discovery, with_polling_enabled(source.config).settings)
+            self.members.reconfigure(
+                source.config.discovery, with_polling_enabled(source.config).settings
+            )
 
     def close(self) -> None:
         """Stop following the list of servers."""
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -181,7 +181,7 @@
             logger.exception("reload: the new settings were not taken over: SIGHUP tries again")
             return
         self.config = config
-        self.node.discovery.move(config.discovery, config.settings)
+        self.node.discovery.reconfigure(config.discovery, config.settings)
         logger.info("reloaded the configuration")
 
     def set_standby(self, on: bool) -> None:
--- a/loadbalancer/sources/consul/source.py
+++ b/loadbalancer/sources/consul/source.py
@@ -100,10 +100,10 @@
             self._started = True
             self._updater.start()
 
-    def move(self, address: Address, settings: Settings) -> None:
+    def reconfigure(self, address: Address, settings: Settings) -> None:
         """Read the platform's list at another address, with other settings."""
         if self._platform is not None:
-            self._platform.move(address, settings)
+            self._platform.reconfigure(address, settings)
 
     def suspend(self) -> None:
         """Do nothing: another process of this node reads for itself, and this one goes on."""
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -131,7 +131,7 @@
             self._expect_full()
         self._send(0)
 
-    def move(self, address: Address, settings: Settings) -> None:
+    def reconfigure(self, address: Address, settings: Settings) -> None:
         """Use other settings, and another address: poll there for the complete list, then watch.
 
         Guards against a watch that goes on at an address about to close, and against a new
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -562,7 +562,7 @@
         discovery.endpoint_list.rev = plain["from"] or 0
         address = parse_address(plain["address"])
         if plain["from"] is None:  # its service has moved
-            found = await _called(lambda: discovery.move(address, SETTINGS))
+            found = await _called(lambda: discovery.reconfigure(address, SETTINGS))
         else:
             discovery._address = address
             found = await _called(discovery.watch)
--- a/tests/sources/test_discovery_list.py
+++ b/tests/sources/test_discovery_list.py
@@ -205,7 +205,7 @@
             self._dropped_by_move.append(call)
         self._restart_service(1 + value % 300)
         self._awaits_first_list = True
-        self._discovery.move(Address("127.0.0.1", 1000 + self._moves), self._config.settings)
+        self._discovery.reconfigure(Address("127.0.0.1", 1000 + self._moves), self._config.settings)
 
     def _answer_late(self) -> None:
         if not self._dropped_by_move:
