--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -201,7 +201,7 @@
 def test_a_malformed_list_is_refused_as_a_whole(tmp_path: Path, raw: dict[str, object]) -> None:
     current = EndpointList(load(config(tmp_path, roster(), 1)))
     with pytest.raises(ListError):
-        current.read(raw)
+        current.decode(raw)
     assert current.endpoints == {}
     assert current.rev == 0
 
@@ -209,7 +209,7 @@
 def test_a_list_with_a_line_twice_nulls_and_odd_keys_is_used(tmp_path: Path) -> None:
     current = EndpointList(load(config(tmp_path, roster(), 1)))
     odd = row(az=None, pod_group=None, boot_ms=None, capacity_hint=None, colour="red")
-    _, rows, endpoints = current.read(roster(odd, odd, rev=8))
+    _, rows, endpoints = current.decode(roster(odd, odd, rev=8))
     assert {r.backend for r in rows} == set(endpoints)
     assert len(endpoints) == 1
     assert rows[0].rating == 1.0
