--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,1 +1,4 @@
-"""The real node round the decisions of loadbalancer.core; see docs/design.md."""
+"""A load-balancing HTTP/1.1 proxy, built around the decisions in loadbalancer.core.
+
+See docs/design.md.
+"""
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""The program: `python -m loadbalancer` is the proxy, and with a name a sub-command."""
+"""Entry point: `python -m loadbalancer` runs the proxy; with arguments it runs a sub-command."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def main() -> int:
-    """Run what the command line names; returns the exit status."""
+    """Run the proxy or the sub-command named on the command line; returns the exit status."""
     if len(sys.argv) > 1:
-        # Imported here: a sub-command has signals and imports of its own.
+        # Imported here, as a sub-command handles signals itself and needs other modules.
         from loadbalancer.cli.commands import main as run_command
 
         return run_command(sys.argv[1:])
     early_signals.record()
-    # Imported only now: it takes long, and a signal that comes meanwhile counts.
+    # Imported after `record`, as this import is slow and signals that arrive meanwhile must count.
     from loadbalancer.proxy.process import run_node
 
     return run_node()
--- a/loadbalancer/early_signals.py
+++ b/loadbalancer/early_signals.py
@@ -1,9 +1,9 @@
-"""Signals that arrive while the program starts: recorded, and acted on once it serves.
+"""Records signals that arrive during startup; the node acts on them once it serves.
 
-Failure: until the event loop handles signals, Python's defaults are in force. A SIGTERM during
-the start then ends the process with another status than a stop's, and a SIGHUP, which is a
-reload, ends it too. The imports alone take a good part of a second: this module is imported
-before them, and imports next to nothing.
+Until the event loop handles signals, Python's default handlers apply. A SIGTERM during startup
+would then end the process with a different exit status than a regular stop, and a SIGHUP, which
+requests a reload, would end it too. The program's imports alone take a large part of a second, so
+this module is imported before them and imports almost nothing itself.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 RELOAD_SIGNAL = signal.SIGHUP
 
-received: set[int] = set()  # the numbers of those that came since `record`
+received: set[int] = set()  # the signal numbers received since `record` was called
 
 
 def record() -> None:
-    """Record the signals that stop or reload, from now on."""
+    """Start to record the signals that request a stop or a reload."""
     for number in (*STOP_SIGNALS, RELOAD_SIGNAL):
         signal.signal(number, _on_signal)
 
--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -1,4 +1,4 @@
-"""Errors that several packages raise and catch; the tree's root is `core.errors`."""
+"""Errors shared by several packages; their base classes are in `loadbalancer.core.errors`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BadRequestError(LoadBalancerError):
-    """The request gets this status, with `text` as its body, and its connection is closed."""
+    """A request to be answered with this status and `text` as the body, and its connection closed."""
 
     def __init__(self, status: int, text: bytes = b"") -> None:
         super().__init__(status, text)
@@ -15,8 +15,8 @@
 
 
 class RoutesError(ConfigurationError):
-    """A routes file that can't be used; the text names its first fault and how many there are."""
+    """A routes file can't be used; the message has its first fault and the number of faults."""
 
 
 class SourceError(ConfigurationError):
-    """A file that names a source of servers can't be used; the text says why, a fault a line."""
+    """A file that configures a source of servers can't be used; the message has one fault per line."""
--- a/loadbalancer/faults.py
+++ b/loadbalancer/faults.py
@@ -1,4 +1,4 @@
-"""Runs one step of periodic work or of a stop: an exception is logged, and the next step runs."""
+"""Isolates the steps of periodic work and of a shutdown: one that raises doesn't stop the others."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 def run_logged(step: Callable[..., object], *args: object) -> bool:
-    """Run one step, and log what it raises; returns whether it has returned.
+    """Run one step and log any exception; returns whether the step succeeded.
 
-    Failure: one connection's sweep raises, and with it the timer's callback ends before it has
-    set the next timer. From then on no client of the process is timed out, until a restart.
-    Whoever calls each step by this function goes on to the next one, and to its timer.
+    Guards against a timer callback that ends before it has set the next timer: when the check of
+    a single connection for timeouts raised, no client of the process was timed out any more until
+    a restart. A caller that runs each step through this function always reaches the next step and
+    its timer.
     """
     try:
         step(*args)
--- a/loadbalancer/logs.py
+++ b/loadbalancer/logs.py
@@ -1,7 +1,7 @@
-"""The program's log: one line an event on standard error.
+"""The program's log: one line per event, on standard error.
 
-Modules log to `logging.getLogger(__name__)`; this sets up the one handler above them all.
-`loadbalancer.core` does not log: what it has to report is an action or a return value.
+Modules log to `logging.getLogger(__name__)`; this module configures the handler that all of these
+loggers share. `loadbalancer.core` does not log: it reports by actions and return values.
 """
 
 from __future__ import annotations
@@ -12,19 +12,20 @@
 import traceback
 from typing import TextIO
 
-ROOT = "loadbalancer"
+ROOT_LOGGER = "loadbalancer"
 NS_PER_SECOND = 1_000_000_000
-TRACEBACK_FRAMES = 4  # the innermost ones
-SERVICE_LINES_PER_SECOND = 20  # of a process that runs for long: a lasting fault repeats
+TRACEBACK_FRAMES = 4  # how many are logged, the innermost ones
+# Limit for long-running processes, where a persistent fault logs the same line again and again.
+SERVICE_LINES_PER_SECOND = 20
 
 
 class LineHandler(logging.Handler):
-    """Writes each record as `prefix: message`, or the message alone where the prefix is empty.
+    """Writes each record as `prefix: message`, or as the message alone if the prefix is empty.
 
-    An exception logged with the record follows the message, as a traceback.
+    The traceback of an exception that is logged with the record follows the message.
 
-    A log that nobody reads any more, or not fast enough, raises OSError on a non-blocking
-    standard error. The line is lost then: a log must stop no request.
+    If standard error is non-blocking and its reader is gone or too slow, writing raises OSError.
+    The line is dropped then, so that logging never blocks or fails a request.
     """
 
     def __init__(self, prefix: str, stream: TextIO | None = None) -> None:
@@ -33,7 +34,7 @@
         self._stream = stream
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, or lose it."""
+        """Write one record, or drop it if standard error can't take it."""
         stream = self._stream or sys.stderr
         try:
             print(f"{self._prefix}{_text_of(record)}", file=stream, flush=True)
@@ -50,7 +51,7 @@
 
 
 class RateLimit(logging.Filter):
-    """Drops lines past a number a second, so that a fault that repeats can't fill the log."""
+    """Limits the lines per second, so that a repeated fault can't flood the log."""
 
     def __init__(self, lines_per_second: int) -> None:
         super().__init__()
@@ -59,7 +60,7 @@
         self._lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether this record is within the present second's lines."""
+        """Return whether this record is within the limit of the current second."""
         del record
         second = time.monotonic_ns() // NS_PER_SECOND
         if second != self._second:
@@ -70,18 +71,18 @@
 
 
 def configure(prefix: str, lines_per_second: int | None = None) -> None:
-    """Send the program's log to standard error, each line behind `prefix`.
+    """Send the program's log to standard error, each line preceded by `prefix`.
 
-    Called once a process; a second call replaces the first.
+    Each process calls this once; a second call replaces the handler of the first.
 
     Args:
-        prefix: who speaks: the node's name, or the sub-command's; "" for nobody.
-        lines_per_second: lines past this number in a second are dropped; None for no limit.
+        prefix: the name of the node or of the sub-command; "" for none.
+        lines_per_second: further lines within the same second are dropped; None for no limit.
     """
     handler = LineHandler(prefix)
     if lines_per_second is not None:
         handler.addFilter(RateLimit(lines_per_second))
-    root = logging.getLogger(ROOT)
+    root = logging.getLogger(ROOT_LOGGER)
     root.handlers = [handler]
     root.setLevel(logging.INFO)
     root.propagate = False
--- a/loadbalancer/sources/__init__.py
+++ b/loadbalancer/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Where endpoint lists come from."""
+"""Sources of endpoint lists: the discovery service and Consul."""
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log's lines as an operator reads them, and what keeps it from harming the process."""
+"""The format of log lines, their rate limit, and logging to a standard error that can't be written."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @pytest.fixture(autouse=True)
 def _root_logger(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The root logger is put back after each test."""
-    root = logging.getLogger(logs.ROOT)
+    """Restores the program's root logger after each test."""
+    root = logging.getLogger(logs.ROOT_LOGGER)
     monkeypatch.setattr(root, "handlers", [])
     monkeypatch.setattr(root, "propagate", True)
 
@@ -24,8 +24,10 @@
     assert capsys.readouterr().err == "n3: listening on 127.0.0.1:8080\n"
 
 
-def test_an_exception_follows_its_message(capsys: pytest.CaptureFixture[str]) -> None:
-    """A line that only says that something failed leaves its reader on call without the cause."""
+def test_the_traceback_of_an_exception_follows_its_message(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
+    """Without the traceback, whoever is on call learns that something failed but not why."""
     logs.configure("n3")
     logger = logging.getLogger("loadbalancer.sources.discovery")
     try:
@@ -37,7 +39,7 @@
     assert lines[-1] == "ValueError: invalid literal for int() with base 10: 'seven'"
 
 
-def test_lines_past_the_limit_of_a_second_are_dropped(
+def test_lines_beyond_the_limit_per_second_are_dropped(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = 5 * logs.NS_PER_SECOND
@@ -51,7 +53,7 @@
     assert capsys.readouterr().err.splitlines() == ["n3: line 0", "n3: line 1", "n3: line 4"]
 
 
-def test_a_log_that_nobody_reads_raises_nothing() -> None:
+def test_a_log_whose_reader_is_stuck_raises_nothing() -> None:
     """A full pipe behind a non-blocking standard error raises BlockingIOError at each write."""
 
     class Full(io.StringIO):
@@ -63,7 +65,7 @@
     handler.emit(record)
 
 
-def test_a_second_call_replaces_the_first(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_second_configuration_replaces_the_first(capsys: pytest.CaptureFixture[str]) -> None:
     logs.configure("n3")
     logs.configure("control")
     logging.getLogger("loadbalancer.control").info("reloaded")
