--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -6,7 +6,7 @@
 
 
 class BadRequestError(LoadBalancerError):
-    """A request to be answered with this status and `text` as the body, and its connection closed."""
+    """A request is to be answered with this status and body, and its connection closed."""
 
     def __init__(self, status: int, text: bytes = b"") -> None:
         super().__init__(status, text)
@@ -19,4 +19,4 @@
 
 
 class SourceError(ConfigurationError):
-    """A file that configures a source of servers can't be used; the message has one fault per line."""
+    """A file that configures a source of servers can't be used; the message lists its faults."""
--- a/loadbalancer/faults.py
+++ b/loadbalancer/faults.py
@@ -1,4 +1,4 @@
-"""Isolates the steps of periodic work and of a shutdown: one that raises doesn't stop the others."""
+"""Runs steps of periodic work and of a shutdown, so that one that raises stops no other."""
 
 from __future__ import annotations
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -1,13 +1,13 @@
 """The client of the discovery service: polls the endpoint list, then watches it for changes.
 
-One call is out at a time, and only its answer is used: whatever takes its place (another address,
-another process that watches, the end) drops it first. `loadbalancer/core/endpoints/poll_timing.py`
-says how long each call may take; `loadbalancer/core/endpoints/poll_backoff.py` says what failures
-in a row change in that.
-
-Source: the platform's protocol, "Discovery": a poll without `from` is answered with the complete
-list; with `from` and `hold_ms` it is a watch (long poll), answered with a delta as soon as there
-is one, and within `hold_ms`.
+At most one call is pending, and only its answer is used: whatever replaces it (a new address,
+another process that takes over the watch, closing) drops it first. The timeouts of calls are in
+`loadbalancer/core/endpoints/poll_timing.py`, and how consecutive failures change them is in
+`loadbalancer/core/endpoints/poll_backoff.py`.
+
+Protocol (the platform's specification, section "Discovery"): a poll without `from` is answered
+with the complete list. A request with `from` and `hold_ms` is a watch (long poll), answered with a
+delta as soon as there is one, and after `hold_ms` at the latest.
 """
 
 from __future__ import annotations
@@ -47,14 +47,15 @@
     Args:
         config: the node's settings.
         on_update: called with each update, its listings, and the backends whose connections it
-            made stale; with `Update.FAILED` and nothing else after a failed call.
-        list_logger: where log lines go, for a caller that marks its own; None for this module's.
+            made stale; after a failed call with `Update.FAILED` and two empty lists.
+        list_logger: receives the log lines, so that a caller can mark them as its own; None for
+            this module's logger.
     """
 
-    stale_after_ns = 30 * SECOND  # without an answer: a watch is answered within seconds
+    stale_after_ns = 30 * SECOND  # without an answer; a working watch is answered within seconds
 
-    __slots__ = ("_address", "_backoff", "_call", "_is_watch", "_limit_ns", "_logger",
-                 "_needs_full", "_older_answers", "_on_update", "_polled_at_ns", "_probe",
+    __slots__ = ("_address", "_backoff", "_call", "_call_started_ns", "_call_timeout_ns",
+                 "_is_watch", "_logger", "_needs_full", "_older_answers", "_on_update", "_probe",
                  "_readers", "_retry_at_ns", "_retry_timer", "_silence_timer", "_suspended",
                  "_timings", "endpoint_list", "forward")  # fmt: skip
 
@@ -66,28 +67,28 @@
         self._logger = list_logger or logger
         self._timings = poll_timings(config.settings)
         self._older_answers = OlderAnswerFilter()
-        # The present list may be another service's, or lack a change: no delta is of use, and the
-        # complete list is polled for until one has been applied.
+        # The current list may come from another service or may lack a change, so that deltas can't
+        # be applied to it: polls request the complete list until one has been applied.
         self._needs_full = False
         self._call: HttpGet | None = None
-        self._is_watch = False  # whether the call that is out is a watch, not a poll
+        self._is_watch = False  # whether the pending call is a watch, not a poll
         self._backoff = PollBackoff(config.settings, Random(config.seed))
-        self._polled_at_ns = 0  # when the call that is out began
-        self._limit_ns = 0  # how long it may take
-        self._retry_at_ns = 0  # monotonic: the next call after a failure
-        self._retry_timer: asyncio.TimerHandle | None = None  # until then
-        # Beside a poll that waits long: the probe that is out, or the timer of the next one.
+        self._call_started_ns = 0  # when the pending call began
+        self._call_timeout_ns = 0  # the pending call's timeout
+        self._retry_at_ns = 0  # monotonic time of the next call after a failure
+        self._retry_timer: asyncio.TimerHandle | None = None  # runs until `_retry_at_ns`
+        # During a poll with a long timeout: the pending probe, or the timer of the next one.
         self._probe: Probe | asyncio.TimerHandle | None = None
-        self._suspended = False  # another process of this node watches for both
-        self._silence_timer: asyncio.TimerHandle | None = None  # until that one must be heard
-        # Called with the body of each answer that was applied.
+        self._suspended = False  # another process of this node watches for both of them
+        self._silence_timer: asyncio.TimerHandle | None = None  # expires if that process is silent
+        # Called with the body of each applied answer, to pass it on to the node's other process.
         self.forward: Callable[[bytes], None] | None = None
         self._readers: ListReaders | None = None
         self.endpoint_list = EndpointList(config)
 
     @property
     def readers(self) -> ListReaders | None:
-        """Set where a few nodes read the list for all."""
+        """Set if only a few nodes, the list readers, poll the list service for all nodes."""
         return self._readers
 
     @readers.setter
@@ -95,13 +96,13 @@
         self._readers = readers
         self._backoff.use_list_readers()
 
-    # ---- what the host calls -----------------------------------------------------
+    # Called by the host:
 
     def load_configured(self, raw: Any) -> list[Listing]:
-        """Apply the list from the configuration; returns its listings.
+        """Apply the endpoint list of the configuration; returns its listings.
 
         Raises:
-            ListError: it is malformed.
+            ListError: the list is malformed.
         """
         try:
             decoded = self.endpoint_list.decode(raw)
@@ -111,13 +112,13 @@
         return decoded.listings
 
     def inherit(self, inherited: Inheritance) -> list[Listing]:
-        """Apply the list as the process before this one had it; returns its listings."""
+        """Apply the list inherited from the preceding process; returns its listings."""
         return self.endpoint_list.inherit(inherited)
 
     def watch(self) -> None:
-        """Poll for changes since the present version, then watch until a call fails.
+        """Poll for changes since the current version, then watch until a call fails.
 
-        After failures in a row the first call begins only when the backoff has passed.
+        After consecutive failures the first call begins only when the backoff has expired.
         """
         if self._call is not None or self._retry_timer is not None:
             return
@@ -128,63 +129,61 @@
             self._schedule_retry(backoff_ns)
             return
         if self.readers is not None and self.readers.unread():
-            self._expect_full()
+            self._require_full_list()
         self._send(0)
 
     def reconfigure(self, address: Address, settings: Settings) -> None:
-        """Use other settings, and another address: poll there for the complete list, then watch.
+        """Apply new settings; if the address changed, poll there for the complete list, then watch.
 
-        Guards against a watch that goes on at an address about to close, and against a new
-        service whose versions begin again from a low number, so that each of its lists would
-        look older than the present one: the first complete list is applied whatever its version.
-        Does harm if that list is older than the present one, until the next change arrives.
+        Moving at once avoids a watch that continues at an address about to close. The first
+        complete list from the new address is applied whatever its version: a new service may count
+        versions from a low number again, so that all of its lists would look older than the current
+        one. The drawback: if that list really is older, it stays in use until the next change.
         """
         self._timings = poll_timings(settings)
         self._backoff.configure(settings)
         if address == self._address:
             return
-        self._logger.info("discovery is at %s now", address)
+        self._logger.info("the discovery address changed to %s", address)
         self._address = address
         self._drop_call()
         self._backoff.reset()
         self._retry_at_ns = 0
-        self._expect_full()
+        self._require_full_list()
         if not self._suspended and self._may_poll():
             self._send(0)
 
     def close(self) -> None:
-        """Watch no longer; `watch` begins again."""
+        """Stop watching; `watch` starts again."""
         self._drop_call()
-        self._await_peer(0)
-
-    # ---- the other process of this node --------------------------------------------
+        self._restart_silence_timer(0)
 
     def suspend(self) -> None:
-        """Send nothing while another process of this node watches for both, and is heard."""
+        """Stop calling while another process of this node watches and forwards its lists."""
         self._suspended = True
         self._drop_call()
-        self._await_peer(self._timings.hold + self._timings.hold_margin)
+        self._restart_silence_timer(self._timings.hold + self._timings.hold_margin)
 
     def resume(self) -> None:
-        """Watch again from the present version: that process has ended, or fell silent."""
-        self._await_peer(0)
+        """Watch again from the current version, as the other process has ended or is silent."""
+        self._restart_silence_timer(0)
         self._suspended = False
         self.watch()
 
     def on_forwarded(self, body: bytes) -> None:
-        """Use an answer that another process of this node received."""
+        """Apply an answer that another process of this node received and forwarded."""
         if self._suspended:
-            self._await_peer(self._timings.hold + self._timings.hold_margin)
+            self._restart_silence_timer(self._timings.hold + self._timings.hold_margin)
         try:
             self._apply_answer(body, own=False)
-        except Exception:  # noqa: BLE001 -- logged there, and a call follows
-            self._on_not_taken()
-            # The other process does not send this answer again. From here on both poll, as where
-            # it has fallen silent: one more watch at the list service, until one of them ends.
+        except Exception:  # noqa: BLE001 -- logged by _on_update_failed, and a call follows
+            self._on_update_failed()
+            # The other process does not send this answer again. From now on both processes poll,
+            # as they do if it falls silent: the list service has one more watch until one ends.
             self.resume()
 
-    def _await_peer(self, limit_ns: int) -> None:
-        """Watch again unless the other process is heard within this time; 0 for no limit."""
+    def _restart_silence_timer(self, limit_ns: int) -> None:
+        """Resume unless the other process sends a list within this time; 0 stops the timer."""
         if self._silence_timer is not None:
             self._silence_timer.cancel()
             self._silence_timer = None
@@ -193,16 +192,14 @@
             self._silence_timer = loop.call_later(limit_ns / SECOND, self._on_peer_silent)
 
     def _on_peer_silent(self) -> None:
-        self._logger.info("the other process forwards no list: polling again")
+        self._logger.info("no list was forwarded by the other process in time: polling again")
         self.resume()
 
-    # ---- nodes that read the list for all ---------------------------------------------
-
     def apply_shared(self, raw: dict[str, Any]) -> None:
-        """Apply the list as another node has read it.
+        """Apply a list that another node has read and shared.
 
         Raises:
-            ListError: it can't be used, or was not taken over.
+            ListError: the list can't be used, or applying it failed.
         """
         decoded = self.endpoint_list.decode(raw)
         self._older_answers = OlderAnswerFilter()
@@ -212,35 +209,36 @@
                 self.forward(json.dumps(raw).encode())
             self._on_update(decoded.update, decoded.listings, stale)
         except Exception as err:
-            self._on_not_taken()
-            raise ListError("it was not taken over") from err
+            self._on_update_failed()
+            raise ListError("applying the list failed") from err
 
-    def _on_not_taken(self) -> None:
-        """Note that an answer was not taken over; to be called with its exception.
+    def _on_update_failed(self) -> None:
+        """Log the exception raised by an update's receiver; called while it is handled.
 
-        Failure: the receiver of an answer raises, and the call that follows an answer never
-        begins: the list stays as it is until a restart. Each of the three places that an answer
-        comes from catches the exception, calls this, and lets a call follow. That one is for the
-        complete list: the present version counts as known, and no delta repeats what was missed.
+        Guards against a receiver's exception that prevents the next call, which would leave the
+        list unchanged until a restart. Each of the three places where answers arrive catches the
+        exception, calls this method and makes sure that a call follows. That call polls for the
+        complete list: the current version counts as known, so no delta repeats the lost change.
         """
-        self._logger.exception("the list was not taken over: the complete list is polled for")
+        self._logger.exception("applying the list failed: polling for the complete list")
         self._needs_full = True
 
     def _may_poll(self) -> bool:
         return self.readers is None or self.readers.may_poll()
 
-    # ---- calls -------------------------------------------------------------------------
+    def _require_full_list(self) -> None:
+        """Require a complete list of any version next.
 
-    def _expect_full(self) -> None:
-        """The present list may be another service's: the next complete one is right."""
+        The current list may come from another service, whose versions can't be compared.
+        """
         self._needs_full = True
         self._older_answers.accept_next()
 
     def _send(self, hold_ns: int) -> None:
-        """Poll for the complete list where it is needed, else for changes.
+        """Start a call: for the complete list if it is needed, otherwise for changes.
 
         Args:
-            hold_ns: how long the service may wait for a change: 0 for a poll, else a watch.
+            hold_ns: how long the service may wait for a change; 0 makes the call a poll.
         """
         assert self._call is None
         timings = self._timings
@@ -252,7 +250,7 @@
             limit_ns = hold_ns + timings.hold_margin
         else:
             limit_ns = self._backoff.answer_timeout(self._endpoint_count())
-        self._polled_at_ns, self._limit_ns = time.monotonic_ns(), limit_ns
+        self._call_started_ns, self._call_timeout_ns = time.monotonic_ns(), limit_ns
         self._call = HttpGet(
             self._address,
             target,
@@ -285,27 +283,27 @@
         self.watch()
 
     def _fail(self, failure: PollFailure) -> None:
-        """Count a failed call; the host calls `watch` again."""
+        """Count and report a failed call; the host calls `watch` again."""
         now = time.monotonic_ns()
-        elapsed_ns = now - self._polled_at_ns
+        elapsed_ns = now - self._call_started_ns
         backoff_ns = self._backoff.on_failure(failure, elapsed_ns, self._endpoint_count())
         self._retry_at_ns = now + backoff_ns
         try:
             self._on_update(Update.FAILED, [], [])
         except Exception:
-            # Failure: whoever is to call `watch` again raises, so that no call ever follows.
-            # This object's own timer calls it then.
-            self._logger.exception("reporting a failed call failed: polling again")
+            # If the receiver that should call `watch` again raises, no call would ever follow:
+            # this object's own timer calls it instead.
+            self._logger.exception("reporting a failed call raised an exception: polling again")
             if self._call is None and self._retry_timer is None:
                 self._schedule_retry(max(backoff_ns, self._timings.max_pause))
 
     def _on_response(self, response: Response | None) -> None:
         call, self._call = self._call, None
         self._drop_probe()
-        elapsed_ns = time.monotonic_ns() - self._polled_at_ns
+        elapsed_ns = time.monotonic_ns() - self._call_started_ns
         if response is None and self._is_watch:
-            # A silent or broken watch may have missed a change: that is polled for at once, and
-            # only where the poll fails too the backoff begins.
+            # A watch that timed out or broke may have missed a change. Poll for it at once; the
+            # backoff begins only if this poll fails too.
             self._logger.info("the watch of the list ended without an answer: polling for changes")
             self._send(0)
             return
@@ -313,30 +311,32 @@
         body = response.body if response is not None and is_ok else None
         try:
             is_applied = self._apply_answer(body)
-        except Exception:  # noqa: BLE001 -- logged there, and a call follows
-            self._on_not_taken()
+        except Exception:  # noqa: BLE001 -- logged by _on_update_failed, and a call follows
+            self._on_update_failed()
             self._fail(PollFailure.UNUSABLE)
             return
         if is_applied:
             if not self._is_watch:
                 self._backoff.on_answer(elapsed_ns)
-            # At once: after 200 ms discovery would count it as a new watch, and a change in
-            # between as delivered late. The update's receiver may have closed or suspended this.
+            # The next watch begins at once: after 200 ms the discovery service would count it as
+            # a new watch, and a change in between as delivered late. The conditions are checked
+            # again because the update's receiver may have closed or suspended this object.
             if self._call is None and not self._suspended and self._may_poll():
                 self._send(self._timings.hold)
         else:
             connected = call is not None and call.connected
-            queued_ns = 0 if self._is_watch else elapsed_ns  # a watch waits for a change
-            self._fail(classify_failure(queued_ns, self._limit_ns, connected, body is not None))
-
-    # ---- probes of a service that is slow ------------------------------------------------
+            # A watch waits for a change, not in the service's queue.
+            queued_ns = 0 if self._is_watch else elapsed_ns
+            self._fail(
+                classify_failure(queued_ns, self._call_timeout_ns, connected, body is not None)
+            )
 
     def _schedule_probe(self, delay_ns: int) -> None:
         loop = asyncio.get_running_loop()
         self._probe = loop.call_later(delay_ns / SECOND, self._send_probe)
 
     def _send_probe(self) -> None:
-        """Open a connection: a service that none reaches will not answer the call that is out."""
+        """Open a test connection: an unreachable service will not answer the pending call."""
         self._probe = Probe(
             self._address, self._timings.connect_timeout / SECOND, self._on_probe_result
         )
@@ -345,7 +345,7 @@
         if reached:
             self._schedule_probe(self._backoff.probe_interval())
             return
-        self._logger.info("discovery is out of reach: the call that waits for it is given up")
+        self._logger.info("discovery can't be reached: dropping the pending call")
         self._drop_call()
         self._fail(PollFailure.UNREACHABLE)
 
@@ -356,14 +356,12 @@
         elif probe is not None:
             probe.cancel()
 
-    # ---- answers --------------------------------------------------------------------------
-
     def _apply_answer(self, body: bytes | None, *, own: bool = True) -> bool:
-        """Apply an answer and report it; False where the present list stays.
+        """Apply an answer and report it; returns False if the current list stays.
 
         Args:
-            body: the answer's body, None for a call that failed.
-            own: whether this process made the call.
+            body: the answer's body; None for a failed call.
+            own: whether this process made the call itself.
         """
         raw: Any = None
         try:
@@ -371,7 +369,7 @@
             decoded = self._check(raw)
         except (ListError, ValueError, RecursionError) as err:
             if body is not None:
-                self._logger.info("discovery answer not used: %s", err)
+                self._logger.info("ignoring the answer of discovery: %s", err)
             if self.readers is not None and own:
                 self.readers.failed(raw is not None and self._older_answers.consecutive_older > 0)
             return False
@@ -385,18 +383,19 @@
         return True
 
     def _check(self, raw: Any) -> DecodedList:
-        """Decode an answer, and compare its version with the present list's.
+        """Decode an answer, and compare its version with that of the current list.
 
         Raises:
-            ListError: it is malformed, a delta where the complete list is needed, or older.
+            ListError: the answer is malformed, older than the current list, or a delta although
+                the complete list is needed.
         """
         decoded = self.endpoint_list.decode(raw)
         rev, is_full = raw["rev"], decoded.update == Update.FULL
         if self._needs_full and not is_full:
-            raise ListError("it has changes alone where the whole list is needed")
+            raise ListError("it is a delta, but the complete list is needed")
         if not self._older_answers.accepts(rev, is_full, self.endpoint_list.rev):
-            self._needs_full = True  # deltas of a service that counts differently never fit
-            raise ListError(f"version {rev} is older than {self.endpoint_list.rev}")
+            self._needs_full = True  # deltas never fit if the service has restarted its versions
+            raise ListError(f"its version {rev} is older than the current {self.endpoint_list.rev}")
         return decoded
 
 
--- a/loadbalancer/sources/endpoint_list.py
+++ b/loadbalancer/sources/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as discovery sends it, decoded, and the one that a node has at present.
+"""Decodes the endpoint lists that discovery sends, and holds a node's current list.
 
-Source: the platform's protocol, "Discovery": `{"rev", "all", "targets"}`, complete where `all` is
-true, else a delta.
+Format (the platform's specification, section "Discovery"): `{"rev", "all", "targets"}`; a complete
+list if `all` is true, otherwise a delta.
 """
 
 from __future__ import annotations
@@ -33,31 +33,31 @@
 
     update: Update
     listings: list[Listing]
-    endpoints: dict[int, Address]  # by backend; none for a backend that was removed
+    endpoints: dict[int, Address]  # by backend; removed backends have no entry
 
 
 def backend_id(uid: str) -> int:
-    """A number for a uid, the same at every node: slots are dealt in its order."""
+    """Return a uid's number, which is the same at every node: slots are assigned in its order."""
     return int.from_bytes(blake2b(uid.encode(), digest_size=ID_BYTES).digest(), "big")
 
 
 class EndpointList:
-    """The present list: its version, the endpoints' addresses, and their start times."""
+    """A node's current list: its version, and the addresses and start times of the endpoints."""
 
     __slots__ = ("_boots", "_kinds", "_zones", "endpoints", "rev")
 
     def __init__(self, config: Config) -> None:
         self._zones = {name: index for index, name in enumerate(config.zones)}
         self._kinds = {name: index for index, name in enumerate(config.kinds)}
-        # Wall-clock ms and monotonic ns of each backend's start. `boot_ms` is wall clock, and each
-        # value is converted once: converted again with every list it would differ by some
-        # nanoseconds and look like a restart of the backend.
+        # Each backend's start time, in wall-clock ms and monotonic ns. The list's `boot_ms` is
+        # wall-clock time, and each value is converted only once: converting it again for every
+        # list would give results that differ by nanoseconds and look like a restart of the backend.
         self._boots: dict[int, tuple[int, int]] = {}
         self.endpoints: dict[int, Address] = {}
         self.rev = 0
 
     def decode(self, raw: Any) -> DecodedList:
-        """Check and decode an answer; the present list does not change.
+        """Validate and decode an answer; the current list does not change.
 
         Raises:
             ListError: the answer is malformed.
@@ -70,16 +70,16 @@
     def _decode_answer(self, raw: Any) -> DecodedList:
         rev, complete, targets = raw["rev"], raw["all"], raw["targets"]
         if type(rev) is not int or not isinstance(complete, bool) or type(targets) is not list:
-            raise ListError("rev, all or targets is of the wrong type")
+            raise ListError("rev, all or targets has the wrong type")
         listings: list[Listing] = []
         endpoints: dict[int, Address] = {}
         seen: dict[str, Any] = {}
         for target in targets:
             uid = target["uid"]
             if not isinstance(uid, str) or not uid:
-                raise ListError(f"{uid!r} is no uid")
+                raise ListError(f"{uid!r} is not a valid uid")
             if seen.setdefault(uid, target) != target:
-                raise ListError(f"{uid} stands twice, with different words")
+                raise ListError(f"{uid} is listed twice with different fields")
             backend = backend_id(uid)
             state = STATES_BY_NAME[target["state"]]
             if state != State.GONE:
@@ -99,7 +99,7 @@
         )
 
     def _boot_ns(self, backend: int, boot_ms: int) -> int:
-        """A start time on the monotonic clock in ns, 0 where discovery gives none."""
+        """Convert a start time to monotonic ns; 0 if discovery gives none."""
         if boot_ms <= 0:
             return 0
         known = self._boots.get(backend)
@@ -111,11 +111,11 @@
         return boot_ns
 
     def boot_ms(self, backend: int) -> int:
-        """What discovery last gave as this backend's start in Unix ms, 0 where it gave none."""
+        """Return the start time that discovery last gave for this backend in Unix ms, or 0."""
         return self._boots.get(backend, (0, 0))[0]
 
     def inherit(self, inherited: Inheritance) -> list[Listing]:
-        """Replace the present list by a predecessor's; returns its listings."""
+        """Replace the current list with that of the predecessor process; returns its listings."""
         members = inherited.members
         self.endpoints = {member.listing.backend: member.address for member in members}
         self._boots = {
@@ -129,11 +129,11 @@
     def apply(
         self, rev: int, update: Update, listings: list[Listing], endpoints: dict[int, Address]
     ) -> list[int]:
-        """Make a decoded list the present one.
+        """Apply a decoded list to the current one.
 
         Returns:
-            The backends whose idle connections are of no more use: removed, draining, or at
-            another address than before.
+            The backends whose idle connections are stale: those that were removed, are draining or
+            have a new address.
         """
         stale = []
         for listing in listings:
--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 GET request to a service that the node itself depends on, such as discovery."""
+"""HTTP/1.1 GET requests and connection probes to services such as discovery."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 logger = logging.getLogger(__name__)
 
 MAX_RESPONSE_BYTES = 16 << 20  # header fields and body
-MAX_DIGITS = 18  # of a number in a header field or query: it fits in 64 bits
+MAX_DIGITS = 18  # of a number in a header field or query; such a number fits in 64 bits
 
 
 def parse_decimal(text: str) -> int | None:
-    """A peer's decimal number of at most MAX_DIGITS digits, None for anything else.
+    """Parse a peer's decimal number of at most MAX_DIGITS digits; None for any other text.
 
-    Guards against digits outside ASCII, which isdigit() and int() accept, and against numbers
-    so long that int() raises.
+    Guards against non-ASCII digits, which isdigit() and int() accept, and against numbers so long
+    that int() raises ValueError.
     """
     is_decimal = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
     return int(text) if is_decimal else None
 
 
 class Response(NamedTuple):
-    """A complete response; names of header fields are in lower case."""
+    """A complete response; the names of its header fields are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -38,16 +38,16 @@
 
 
 class HttpGet(asyncio.Protocol):
-    """One GET request on a connection of its own.
+    """One GET request on its own connection.
 
     Args:
-        address: of the service.
-        target: the request target, with its query.
-        timeout_s: seconds for the whole exchange.
-        on_done: called once, with the response, or with None where none came in full.
-        headers: further header fields, sent as they are.
-        tls: wraps the connection; None for plain TCP.
-        connect_timeout_s: seconds for the connection to come up.
+        address: the service's address.
+        target: the request target, including the query.
+        timeout_s: time limit in seconds for the complete exchange.
+        on_done: called once with the response, or with None if there is no complete one.
+        headers: additional header fields, sent unchanged.
+        tls: the TLS context; None for plain TCP.
+        connect_timeout_s: time limit in seconds for establishing the connection.
     """
 
     __slots__ = (
@@ -75,7 +75,7 @@
         self._size = 0
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self.connected = False  # whether the connection has come up
+        self.connected = False  # whether the connection was established
         self._deadline = loop.time() + timeout_s
         self._timer = loop.call_later(min(timeout_s, connect_timeout_s), self._finish, None)
         self._task = loop.create_task(self._connect(address))
@@ -87,7 +87,7 @@
         except OSError:
             self._finish(None)
 
-    # ---- asyncio ----------------------------------------------------------------
+    # Called by asyncio:
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
@@ -102,25 +102,25 @@
             self._transport.write(self._head.encode())
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the response."""
+        """Parse the next part of the response."""
         if self._parser is None:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError:
-            # Failure: whoever takes the response raises. The parser makes that one of its own
-            # errors, which a malformed response raises too: it would pass for one, unseen.
-            logger.exception("handling a response failed")
+            # `on_done` raised within a callback of the parser, which wraps the exception in one of
+            # its own errors. Without this branch it would look like a malformed response.
+            logger.exception("the handler of a response raised an exception")
             self._finish(None)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._finish(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up on a response that has not come in full."""
+        """Report that there is no complete response."""
         del exc
         self._finish(None)
 
-    # ---- httptools ----------------------------------------------------------------
+    # Called by httptools:
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header field."""
@@ -133,7 +133,7 @@
         self._count(len(body))
 
     def on_message_complete(self) -> None:
-        """Hand over the response."""
+        """Report the complete response."""
         parser = self._parser
         if parser is not None:
             status = parser.get_status_code()
@@ -144,17 +144,15 @@
         if self._size > MAX_RESPONSE_BYTES:
             self._finish(None)
 
-    # ---- the end --------------------------------------------------------------------
-
     def _finish(self, response: Response | None) -> None:
-        """Report the response, once, and close the connection."""
+        """Close the connection and report the result, unless that was done before."""
         on_done = self._on_done
         if on_done is not None:
             self.drop()
             on_done(response)
 
     def drop(self) -> None:
-        """Close the connection and report nothing."""
+        """Close the connection without reporting a result."""
         self._on_done = None
         self._parser = None
         self._timer.cancel()
@@ -165,12 +163,12 @@
 
 
 class Probe(asyncio.Protocol):
-    """One connection that is opened and closed with no request on it.
+    """One connection that is opened and closed again without sending a request.
 
     Args:
-        address: of the service.
-        timeout_s: seconds for the connection to come up.
-        on_done: called once, with whether it came up in time.
+        address: the service's address.
+        timeout_s: time limit in seconds for establishing the connection.
+        on_done: called once, with whether the connection was established in time.
     """
 
     __slots__ = ("_on_done", "_task", "_timer")
@@ -189,7 +187,7 @@
             self._finish(False)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close the connection at once: it has come up."""
+        """Close the connection and report that the service can be reached."""
         cast(asyncio.Transport, transport).abort()
         self._finish(True)
 
@@ -200,7 +198,7 @@
             on_done(reached)
 
     def drop(self) -> None:
-        """Give it up and report nothing."""
+        """Cancel the probe without reporting a result."""
         if self._on_done is not None:
             self._stop()
             self._task.cancel()
--- a/loadbalancer/sources/watchers.py
+++ b/loadbalancer/sources/watchers.py
@@ -1,10 +1,8 @@
-"""The server's side of polls and watches (long polls): connections, bounded in size and time.
+"""The server side of polls and watches (long polls): connections with size and time limits.
 
-A connection carries one request at a time. A `Watcher` polls for an endpoint list in the
-platform's discovery form, and may wait for its next version; its host decides what is answered,
-and when.
-
-Source: the platform's protocol, "Discovery".
+A connection carries one request at a time. A `Watcher` is the connection of a caller that polls
+for an endpoint list by the platform's discovery protocol (its specification, section "Discovery")
+and may wait for the list's next version. Its host decides what is answered, and when.
 """
 
 from __future__ import annotations
@@ -20,11 +18,11 @@
 from loadbalancer.sources.http_get import parse_decimal
 
 READY_PATH = "/health/ready"
-MAX_HOLD_S = 60.0  # that a watch may wait
+MAX_HOLD_S = 60.0  # the longest wait of a watch
 MAX_REQUEST_BYTES = 8 << 10
-IDLE_TIMEOUT_S = 75.0  # for a connection with no request
+IDLE_TIMEOUT_S = 75.0  # since the last complete request, or since the connection was opened
 MS_PER_S = 1000
-# The fields of a removed server's row beside its uid.
+# The fields of a removed server's row, without the uid.
 REMOVED_FIELDS = {"state": "left", "endpoint": "", "az": "", "model": "", "pod_group": 0,
                   "capacity_hint": 1.0, "boot_ms": 0}  # fmt: skip
 
@@ -32,42 +30,42 @@
 
 
 class ConnectionHost(Protocol):
-    """Whoever answers requests: it replies on the connection, at once or later."""
+    """Answers the requests of connections, at once or later."""
 
     max_connections: int
     connections: int
 
     def is_waiting(self, connection: Any) -> bool:
-        """Whether the connection's last request has no response yet."""
+        """Return whether the connection's last request has no response yet."""
 
     def cancel(self, connection: Any) -> None:
-        """The connection's request needs no response any more."""
+        """Forget the connection's request, which no longer needs a response."""
 
 
 class ListHost(ConnectionHost, Protocol):
-    """Whoever serves the endpoint list."""
+    """Serves an endpoint list."""
 
     def ready(self) -> bool:
-        """Whether there is a complete list."""
+        """Return whether there is a complete list."""
 
     def on_list_request(self, watcher: Watcher, since: int, hold_s: float, query: Query) -> None:
-        """A poll or a watch.
+        """Handle a poll or a watch.
 
         Args:
-            watcher: the connection.
-            since: the version that the caller has, 0 for none.
-            hold_s: seconds that it waits for a newer one, 0 for a poll.
-            query: all of the request's query.
+            watcher: the connection that the request came on.
+            since: the version that the caller has; 0 for none.
+            hold_s: how long the caller waits for a newer version, in seconds; 0 for a poll.
+            query: the complete query of the request.
         """
 
 
 def removed_row(uid: str) -> dict[str, Any]:
-    """The row of a delta for a server that was removed."""
+    """Return the row by which a delta removes a server."""
     return {"uid": uid} | REMOVED_FIELDS
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection: one request at a time, bounded in size and time."""
+    """A connection that carries one request at a time, with limits on its size and idle time."""
 
     max_request_bytes = MAX_REQUEST_BYTES
 
@@ -79,10 +77,10 @@
         self._target = b""
         self._idle_timer: asyncio.TimerHandle | None = None
 
-    # ---- asyncio ----------------------------------------------------------------
+    # Called by asyncio:
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for a request; past the host's limit the connection is refused."""
+        """Wait for a request, or reject the connection if the host has too many."""
         self._transport = cast(asyncio.Transport, transport)
         self.host.connections += 1
         if self.host.connections > self.host.max_connections:
@@ -91,7 +89,7 @@
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request that has no response yet."""
+        """Cancel the pending request."""
         del exc
         self.host.connections -= 1
         self.host.cancel(self)
@@ -99,7 +97,7 @@
             self._idle_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of a request."""
+        """Parse the next part of a request."""
         self._size += len(data)
         if self._size > self.max_request_bytes:
             self.reject(HTTPStatus.BAD_REQUEST, b"too large")
@@ -107,7 +105,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError:
-            raise  # a fault in this program: the loop reports it, and ends the connection
+            raise  # a fault in this program: the event loop logs it and closes the connection
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.reject(HTTPStatus.BAD_REQUEST, b"no HTTP/1.1 request")
 
@@ -118,14 +116,14 @@
             loop = asyncio.get_running_loop()
             self._idle_timer = loop.call_later(IDLE_TIMEOUT_S, self._transport.abort)
 
-    # ---- httptools ----------------------------------------------------------------
+    # Called by httptools:
 
     def on_url(self, url: bytes) -> None:
         """Store a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Pass the request on."""
+        """Validate the request target and handle the request."""
         target, self._target, self._size = self._target, b"", 0
         self._restart_idle_timer()
         if self.host.is_waiting(self):
@@ -135,21 +133,19 @@
             parts = urlsplit(target.decode("latin-1"))
             query = parse_qs(parts.query)
         except ValueError:
-            # Failure: a target without a meaning, such as "http://[::1", raises here, and the
-            # caller sees its connection end without a response as if this program had a fault.
-            # Whatever the parts are, they are split here alone: no such target gets further.
+            # A malformed target such as "http://[::1" raises here. Uncaught, the exception would
+            # close the connection without a response, as a fault in this program does. Targets are
+            # split nowhere else, so no malformed one gets any further.
             self.reject(HTTPStatus.BAD_REQUEST, b"the request target can't be split")
             return
         self.on_request(self.parser.get_method(), parts.path, query)
 
     def on_request(self, method: bytes, path: str, query: Query) -> None:
-        """A complete request has come."""
+        """Handle a complete request."""
         raise NotImplementedError
 
-    # ---- responses ------------------------------------------------------------------
-
     def reply(self, status: int, body: bytes) -> None:
-        """Respond to the request; nothing where the connection is closing."""
+        """Send a response, unless the connection is closing."""
         if self._transport is None or self._transport.is_closing():
             return
         content_type = "application/json" if status == HTTPStatus.OK else "text/plain"
@@ -157,8 +153,8 @@
             f"HTTP/1.1 {int(status)} -\r\n"
             f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
         )
-        # Responses to a caller that reads none would pile up in memory: the second one that
-        # finds the first still unsent ends the connection.
+        # Responses to a caller that doesn't read them would pile up in memory, so the connection
+        # is closed if a response is due while an earlier one is still unsent.
         if self._transport.get_write_buffer_size() > 0:
             self._transport.abort()
             return
@@ -167,12 +163,12 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection without a response."""
+        """Close the connection without a response."""
         if self._transport is not None:
             self._transport.abort()
 
     def reject(self, status: int, reason: bytes) -> None:
-        """Respond, and end the connection."""
+        """Send an error response and close the connection."""
         self.host.cancel(self)
         self.reply(status, reason)
         if self._transport is not None:
@@ -180,7 +176,7 @@
 
 
 class Watcher(ServerConnection):
-    """One node's connection."""
+    """The connection of a caller that polls or watches an endpoint list."""
 
     host: ListHost
 
@@ -188,7 +184,7 @@
         super().__init__(host)
 
     def on_request(self, method: bytes, path: str, query: Query) -> None:
-        """Route a request: the list, or whether there is one."""
+        """Serve the endpoint list, or whether there is one (`READY_PATH`)."""
         if method != b"GET":
             self.reject(HTTPStatus.METHOD_NOT_ALLOWED, b"GET only")
         elif path == READY_PATH:
