--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -1,7 +1,7 @@
-"""Real nodes with nothing before a list service that is slow, down, or polled by too many.
+"""Real nodes that start without a list, and a list service that is slow, down or overloaded.
 
-The case of docs/design/cold-start.md at a smaller size: a whole list takes the service less than a
-node waits for an answer at most, all of them take much longer.
+The case of docs/design/cold-start.md at a smaller size: the service needs less time for one
+complete list than a node's longest timeout, but much more for the lists of all nodes.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 NODES = 8
 SERVERS = 100
-LINES = 125  # a second: 0.8 s a list, 6.4 s for all
-NEEDED_S = NODES * SERVERS / LINES
-BESIDE_S = 2.0  # the first calls' spread over the nodes, and a busy machine
+LINES_PER_SECOND = 125  # 0.8 s for one list, 6.4 s for those of all nodes
+NEEDED_S = NODES * SERVERS / LINES_PER_SECOND
+ALLOWANCE_S = 2.0  # for the spread of the nodes' first calls, and for a busy machine
 
 
 @pytest.fixture
@@ -36,11 +36,11 @@
         yield found
 
 
-def test_a_cold_fleet_has_its_lists_as_soon_as_the_service_can_give_them(
+def test_all_nodes_get_their_first_list_as_fast_as_the_service_can_send_them(
     servers: list[Process],
 ) -> None:
-    """Without gossip each node polls for itself: none gives a call up before its answer comes."""
-    command = ("-m", "fakes.discovery", "--lines", str(LINES))
+    """Without gossip each node polls for itself, and none drops a call before its answer."""
+    command = ("-m", "fakes.discovery", "--lines", str(LINES_PER_SECOND))
     with running_process(command) as discovery:
         rows = [target(f"s-{i}", servers[i % 2].address) for i in range(SERVERS)]
         discovery.call("POST", "/standin/targets", rows)
@@ -53,21 +53,22 @@
         with running_cluster(NODES, [], options) as cluster:
             began = time.monotonic()
             while not all(p.is_ready() for p in cluster.nodes.values()):
-                assert time.monotonic() - began < 1.1 * NEEDED_S + BESIDE_S
+                assert time.monotonic() - began < 1.1 * NEEDED_S + ALLOWANCE_S
                 time.sleep(0.05)
             counters = discovery.call("GET", "/standin/state")
-            assert counters["whole"] == NODES  # each list given was one that its node still awaited
+            assert counters["whole"] == NODES  # no list was sent to a node that had given up
 
 
-def test_a_call_of_a_node_with_no_list_outlives_the_quick_terms(tmp_path: Path) -> None:
-    """Its answer comes later than a node with a list would wait, on the same connection."""
+def test_the_call_of_a_node_without_a_list_outlives_the_usual_timeout(tmp_path: Path) -> None:
+    """Its answer arrives on the same connection, later than a node with a list would wait."""
     with listen() as discovery, listen() as backend:
         row = listed("s-1", backend.getsockname()[1])
         with node(tmp_path, roster(rev=0), discovery.getsockname()[1]) as n:
             peer = accept(discovery)
             peer.message()
             began = time.monotonic()
-            probe = accept(discovery)  # comes once the quick term is over, and asks for nothing
+            # The probe is opened when the usual timeout expires, and closed without a request.
+            probe = accept(discovery)
             assert probe.ends() == b""
             assert time.monotonic() - began >= 0.9 * poll_timing.ANSWER_TIMEOUT_NS / SECOND
             probe.close()
@@ -77,8 +78,8 @@
             assert n.stop() == 0
 
 
-def test_a_call_to_a_service_that_can_t_be_reached_any_more_is_given_up(tmp_path: Path) -> None:
-    """Its connection stays open and silent, new ones are refused; then it is back."""
+def test_a_call_to_a_service_that_has_become_unreachable_is_dropped(tmp_path: Path) -> None:
+    """The call's connection stays open but silent, new ones are refused; then the service returns."""
     with listen() as backend:
         discovery = listen()
         port = discovery.getsockname()[1]
@@ -86,17 +87,19 @@
         with node(tmp_path, roster(rev=0), port) as n:
             silent = accept(discovery)
             silent.message()
-            discovery.close()  # from here on refused, and the call that is out hears nothing
-            assert silent.ends() == b""  # given up after a probe, long before its own limit
-            with socket.socket() as back:
-                back.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                back.bind(("127.0.0.1", port))
-                back.listen()
-                back.settimeout(10)
-                peer = accept(back)
+            # New connections are refused from now on, and the pending call gets no answer.
+            discovery.close()
+            # The call is dropped after a failed probe, long before its own timeout.
+            assert silent.ends() == b""
+            with socket.socket() as restarted:
+                restarted.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                restarted.bind(("127.0.0.1", port))
+                restarted.listen()
+                restarted.settimeout(10)
+                peer = accept(restarted)
                 assert "GET /registry/instances" in peer.message()[0]
                 peer.send(answer(_body(roster(row, rev=9))))
-                assert "from=9" in accept(back).message()[0]
+                assert "from=9" in accept(restarted).message()[0]
                 served_by(n, backend)
                 assert n.stop() == 0
 
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Real nodes that start with nothing before one list service, and read it as one."""
+"""Real nodes that start without a list, and share what a few of them read from the list service."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def rows(servers: list[Process], first: int = 0) -> list[dict[str, Any]]:
-    """So many names for few servers, so that there is something to read."""
+    """ROWS rows that name only a few real servers, so that reading the list takes a while."""
     return [target(f"s-{i}", servers[i % 4].address) for i in range(first, first + ROWS)]
 
 
@@ -63,10 +63,10 @@
     } == {200}
 
 
-def test_a_cold_tier_reads_the_list_as_one_whatever_dies(
+def test_nodes_share_their_first_list_while_polls_fail_and_readers_die(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
-    """Two calls in three are turned away, links lose a tenth, the readers are killed."""
+    """Most polls are rejected, links lose a tenth of the datagrams, and the readers are killed."""
     discovery.call("POST", "/standin/faults", {"refuse": 0.6})
     options = ClusterOptions(
         fleet=fleet,
@@ -76,7 +76,7 @@
     )
     with running_cluster(NODES, [], options) as cluster:
         cluster.set_links(loss=0.1)
-        # Readiness is read first: a list that comes between the two calls makes it no lie.
+        # Readiness is read first, so that a list that arrives between the two calls does no harm.
         ready = [n for n, process in cluster.nodes.items() if process.is_ready()]
         assert all(listed(cluster, n)["rows"] for n in ready)
         wait_until(lambda: any(listed(cluster, n)["rows"] for n in cluster.nodes))
@@ -91,32 +91,33 @@
         cluster.start(*reading)
         wait_until(lambda: all_at(cluster, 2))
         counters = discovery.call("GET", "/standin/state")
-        # Each for itself would have read NODES complete lists and more. How many fewer depends on
-        # the order of rejections and deaths: `test_readers_that_die_while_polls_are_rejected...`
-        # bounds that over many starts in virtual time.
+        # Without sharing, the nodes would read NODES complete lists or more. How many fewer they
+        # read depends on the order of rejections and deaths, which
+        # `test_readers_that_die_while_polls_are_rejected...` bounds over many starts in virtual
+        # time.
         assert counters["whole"] < NODES
         assert max(counters["by_second"]) <= 60
-        # What changes is read by two and known to all.
+        # A change is read by the two readers and shared with all nodes.
         discovery.call("POST", "/standin/targets", rows(servers, 20))
         wait_until(lambda: all_at(cluster, 3))
         serve(cluster, "b")
 
         def reported() -> bool:
-            said = StringIO()
-            run_command(["peers", next(iter(cluster.nodes.values())).admin_address], said)
-            assert f"list: {ROWS} rows, version 3 of epoch 1" in said.getvalue()
-            return ": read, version 3 of epoch 1, " in said.getvalue()
+            output = StringIO()
+            run_command(["peers", next(iter(cluster.nodes.values())).admin_address], output)
+            assert f"list: {ROWS} rows, version 3 of epoch 1" in output.getvalue()
+            return ": read, version 3 of epoch 1, " in output.getvalue()
 
         wait_until(reported)
         after = discovery.call("GET", "/standin/state")
-        # Each for itself 40 times NODES; with calls turned away others read it beside the two.
+        # Without sharing it would be 40 * NODES. As polls are rejected, further nodes read it too.
         assert after["lines"] - counters["lines"] < 40 * (NODES - 1)
 
 
-def test_the_list_outlives_its_service_and_a_new_count(
+def test_the_list_survives_an_outage_and_a_restart_of_the_services_versions(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
-    """A reader stopped and woken, a service that is down, then one that counts from anew."""
+    """A reader is stopped and continued; the service fails, then restarts its versions at 1."""
     options = ClusterOptions(
         fleet=fleet,
         discovery=discovery.address,
@@ -132,9 +133,9 @@
         wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in others))
         cluster.signal(signal.SIGCONT, reader)
         wait_until(lambda: all_at(cluster, 3))
-        # Its watch stayed open at the service, and its old answer changes nothing.
+        # Its watch stayed open at the service, and the old answer to it changes nothing.
         discovery.call("POST", "/standin/faults", {"status": 503})
-        discovery.call("POST", "/standin/targets", rows(servers, 5))  # wakes the watches
+        discovery.call("POST", "/standin/targets", rows(servers, 5))  # ends the watches
         serve(cluster, "c")
         discovery.call("POST", "/standin/faults", {"rev": 1})
         discovery.call("POST", "/standin/targets", rows(servers, 8))
@@ -145,10 +146,10 @@
         serve(cluster, "d")
 
 
-def test_a_side_that_is_cut_off_from_the_list_heals_to_the_same_list(
+def test_nodes_cut_off_from_the_list_service_converge_on_its_list_after_a_partition(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
-    """Two nodes are told of a drain, and of a server replaced at its address; three are not."""
+    """Two nodes learn of a drain and of a server replaced at its address; three do not."""
     old = rows(servers)
     options = ClusterOptions(
         fleet=fleet,
@@ -162,7 +163,7 @@
         cluster.cut([0, 1], [2, 3, 4])
         cluster.agree({0, 1}, [0, 1])
         cluster.agree({2, 3, 4}, [2, 3, 4])
-        # All names of server 1 drain; one of server 0 gives its address to another name.
+        # All rows of server 1 drain; in one row of server 0 the address gets a new uid.
         new = [row | ({"state": "leaving"} if i % 4 == 1 else {}) for i, row in enumerate(old)]
         new[0] = target("s-900", servers[0].address)
         discovery.call("POST", "/standin/targets", new)
@@ -185,7 +186,7 @@
 def test_a_new_address_of_the_list_is_polled_by_the_readers_alone(
     servers: list[Process], discovery: Process, fleet: str
 ) -> None:
-    """SIGHUP at all nodes; each has another day's list, of a later number than the service's."""
+    """All nodes reload; each started with an old list of a higher version than the service's."""
     other = [row | {"boot_ms": 77} for row in rows(servers, 40)]
     with running_process(("-m", "fakes.discovery", "--lines", "60")) as second:
         second.call("POST", "/standin/faults", {"rev": 1})
--- a/tests/sources/test_discovery_faults.py
+++ b/tests/sources/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""Discovery after a fault of whoever takes its list."""
+"""Discovery keeps polling after the receiver of its updates raised an exception."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 COMPLETE = roster(target("s-1", 9), rev=8)
 
 
-class FaultyTaker:
-    """Takes discovery's updates, and raises for those of these kinds while there are any."""
+class FaultyReceiver:
+    """Receives discovery's updates, and raises an exception for each of the given kinds."""
 
     def __init__(self, *raises_for: Update) -> None:
         self.raises_for = raises_for
@@ -34,7 +34,7 @@
     def on_update(self, update: Update, _listings: list[Listing], _stale: list[int]) -> None:
         self.updates.append(update)
         if update in self.raises_for:
-            raise KeyError("a fault of whoever takes the list")
+            raise KeyError("a fault of the update's receiver")
 
 
 @pytest.fixture
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def calls(monkeypatch: pytest.MonkeyPatch) -> list[HeldCall]:
-    """Discovery's calls, in place of real ones."""
+    """The calls that discovery makes, which replace real ones."""
     made: list[HeldCall] = []
 
     def open_call(
@@ -66,44 +66,45 @@
     asyncio.run(asyncio.wait_for(scenario, LIMIT))
 
 
-def test_the_complete_list_is_polled_for_after_an_answer_was_not_taken(
+def test_the_complete_list_is_polled_for_after_an_update_failed(
     node_config: Config, calls: list[HeldCall], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whoever takes the list raises once, by a fault of its own.
+    """The receiver of an update raises once.
 
-    The exception ended the handling of the answer, and with it the only place that begins the
-    next call: the node kept its list until a restart. A delta alone would not do after that, as
-    the change that was missed would never be repeated.
+    The exception used to end the handling of the answer, and with it the only place that starts
+    the next call: the node kept its list until a restart. A delta would not be enough afterwards,
+    as it never repeats the change that was lost.
     """
-    taker = FaultyTaker(Update.DELTA)
+    receiver = FaultyReceiver(Update.DELTA)
 
     async def scenario() -> None:
-        polling = Discovery(node_config, taker.on_update)
+        polling = Discovery(node_config, receiver.on_update)
         polling.watch()
         calls[0].end(response_of(DELTA))
-        assert taker.updates == [Update.DELTA, Update.FAILED]
+        assert receiver.updates == [Update.DELTA, Update.FAILED]
         polling.watch()  # as the Balancer does after a failed call
         assert calls[1].path == LIST_PATH
         calls[1].end(response_of(COMPLETE))
-        assert taker.updates[2:] == [Update.FULL]
+        assert receiver.updates[2:] == [Update.FULL]
         assert f"{LIST_PATH}?from=8&" in calls[2].path
         polling.close()
 
     run(scenario())
-    assert "a fault of whoever takes the list" in caplog.text
+    assert "a fault of the update's receiver" in caplog.text
 
 
-def test_discovery_polls_on_where_whoever_takes_the_list_always_raises(
+def test_discovery_keeps_polling_if_the_receiver_always_raises(
     node_config: Config, calls: list[HeldCall]
 ) -> None:
-    """A failed call is reported too, and whoever takes that has to begin the next call.
+    """A failed call is reported to the receiver, which has to start the next call.
 
-    Where that raises as well, nobody else ever called: discovery's own timer does.
+    When the receiver raised on this report as well, no call ever followed. Discovery's own timer
+    starts it now.
     """
-    taker = FaultyTaker(*Update)
+    receiver = FaultyReceiver(*Update)
 
     async def scenario() -> None:
-        polling = Discovery(node_config, taker.on_update)
+        polling = Discovery(node_config, receiver.on_update)
         polling.watch()
         for number, response in enumerate((response_of(DELTA), None, Response(503, {}, b""))):
             calls[number].end(response)
@@ -115,17 +116,17 @@
     run(scenario())
 
 
-def test_a_suspended_process_polls_itself_after_a_forwarded_answer_was_not_taken(
+def test_a_suspended_process_polls_itself_after_a_forwarded_update_failed(
     node_config: Config, calls: list[HeldCall], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The other process of the node sends an answer once, and this one's taker raises.
+    """The other process of the node forwards an answer once, and the receiver here raises.
 
-    The exception ended the link between the processes, and the change was never seen again.
+    The exception used to close the link between the processes, and the change was lost.
     """
-    taker = FaultyTaker(Update.DELTA)
+    receiver = FaultyReceiver(Update.DELTA)
 
     async def scenario() -> None:
-        polling = Discovery(node_config, taker.on_update)
+        polling = Discovery(node_config, receiver.on_update)
         polling.suspend()
         polling.on_forwarded(json.dumps(DELTA).encode())
         assert [call.path for call in calls] == [LIST_PATH]
@@ -133,21 +134,21 @@
 
     with caplog.at_level(logging.ERROR):
         run(scenario())
-    assert "a fault of whoever takes the list" in caplog.text
+    assert "a fault of the update's receiver" in caplog.text
 
 
-def test_a_list_of_another_node_that_was_not_taken_is_reported_as_unusable(
+def test_a_shared_list_whose_update_failed_is_reported_as_unusable(
     node_config: Config,
 ) -> None:
-    """Readers read the list for all nodes, and this one's taker raises.
+    """List readers read the list for all nodes, and the receiver at this node raises.
 
-    The exception ended the gossip turn, and the sharing did not learn that rows are missing: it
-    sends the complete list only after a list that could not be used.
+    The exception used to end the gossip turn, and the sharing of lists did not learn that rows
+    are missing here: it sends the complete list only after ListError.
     """
-    taker = FaultyTaker(Update.DELTA)
+    receiver = FaultyReceiver(Update.DELTA)
 
     async def scenario() -> None:
         with pytest.raises(ListError):
-            Discovery(node_config, taker.on_update).apply_shared(DELTA)
+            Discovery(node_config, receiver.on_update).apply_shared(DELTA)
 
     run(scenario())
--- a/tests/sources/test_discovery_list.py
+++ b/tests/sources/test_discovery_list.py
@@ -1,8 +1,8 @@
 """The endpoint list under random sequences of answers, failures, moves and service restarts.
 
-The test holds discovery's calls and answers them as a list service would that is sometimes late,
-lags behind, fails or restarts its versions. The applied list must always be one that the present
-service has had, and never an earlier one than before.
+The test intercepts discovery's calls and answers them like a list service that is sometimes late,
+lags behind, fails or restarts its versions. The applied list must always be a version that the
+current service has had, and never an earlier one than before.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 WIRE_STATES = ("active", "leaving", "left")
 STATES = {"active": State.READY, "leaving": State.DRAINING}
 SERVERS = 5
-MAX_LAG = 2  # versions that a lagging answer is behind
+MAX_LAG = 2  # how many versions a lagging answer is behind at most
 FIRST_VERSION = 100
 
 
 class Event(Enum):
     """What may happen next."""
 
-    ANSWER = "the service answers the call that is out"
-    LAGGING_ANSWER = "it answers as of an earlier version"
+    ANSWER = "the service answers the pending call"
+    LAGGING_ANSWER = "the service answers with an earlier version"
     CHANGE = "a server of the list changes"
     BREAK = "the call ends without a response"
     ERROR_STATUS = "the call gets an error status"
-    RESTART = "the service restarts its versions, at a lower or a higher number"
-    MOVE = "discovery is at another address, with another service"
-    SUSPEND = "another process of the node watches for both"
-    RESUME = "it does so no longer"
-    LATE_ANSWER = "a call that a move has dropped is answered"
+    RESTART = "the service restarts its versions at a lower or a higher number"
+    CHANGE_ADDRESS = "discovery has a new address, with another service"
+    SUSPEND = "another process of the node starts watching for both"
+    RESUME = "the other process stops watching"
+    LATE_ANSWER = "a call that was dropped by a change of address is answered"
 
 
 FREQUENT = [Event.ANSWER, Event.ANSWER, Event.CHANGE]
@@ -56,11 +56,11 @@
 
 
 class ListService:
-    """The versions of one list.
+    """All versions of one list.
 
     Attributes:
-        rev: the present version.
-        lists: states by server, of each version.
+        rev: the current version.
+        lists: for each version, the states by server.
     """
 
     def __init__(self, first_rev: int) -> None:
@@ -69,7 +69,7 @@
         self._changes: list[tuple[int, str, str]] = []  # (version, server, state)
 
     def change(self, value: int) -> None:
-        """A new version, in which one server has another state."""
+        """Create a new version, in which one server has another state."""
         uid = f"s-{value % SERVERS}"
         state = WIRE_STATES[value // SERVERS % len(WIRE_STATES)]
         rows = {name: old for name, old in self.lists[self.rev].items() if name != uid}
@@ -80,7 +80,7 @@
         self._changes.append((self.rev, uid, state))
 
     def answer(self, path: str, lag: int) -> dict[str, Any]:
-        """The answer to a request, as of `lag` versions ago."""
+        """Answer a request with the version that is `lag` versions old."""
         rev = max(self.rev - lag, min(self.lists))
         since = int(path.partition("from=")[2].partition("&")[0] or -1)
         if since in self.lists and since <= rev:
@@ -92,7 +92,7 @@
 
 
 class HeldCall:
-    """A request whose response the test decides on; none is delivered after `drop`."""
+    """A request that the test answers; no response is delivered after `drop`."""
 
     def __init__(self, path: str, on_done: Callable[[Response | None], None]) -> None:
         self.path = path
@@ -113,19 +113,19 @@
 
 
 class Scenario:
-    """Discovery, the service that it polls, and the list that it has applied."""
+    """Discovery, the list service that it polls, and the list that it has applied."""
 
     def __init__(self, node_config: Config) -> None:
         self._config = node_config
-        self._calls: list[HeldCall] = []  # without a response
-        self._dropped_by_move: list[HeldCall] = []
-        self._updates: list[Update] = []  # of the present event
+        self._calls: list[HeldCall] = []  # those without a response
+        self._dropped_by_address_change: list[HeldCall] = []
+        self._updates: list[Update] = []  # those of the current event
         self._states: dict[int, State] = {}  # the applied list, by backend
         self._service = ListService(FIRST_VERSION)
-        self._moves = 0
-        self._has_full_list = False  # of the present service
+        self._address_changes = 0
+        self._has_full_list = False  # from the current service
         self._newest_rev = 0
-        self._awaits_first_list = False  # since a move
+        self._awaits_first_list = False  # since the last change of address
         self._discovery = Discovery(node_config, self._on_update)
 
     def open_call(
@@ -136,18 +136,18 @@
         on_done: Callable[[Response | None], None],
         connect_timeout_s: float = 0.0,
     ) -> HeldCall:
-        """In place of `HttpGet`."""
+        """Replaces `HttpGet`."""
         del connect_timeout_s
         call = HeldCall(path, on_done)
         self._calls.append(call)
         return call
 
     async def run(self, events: list[tuple[Event, int]]) -> None:
-        """Apply the events in their order, and check the list after each."""
+        """Apply the events in order, and check the list after each."""
         self._discovery.watch()
         for event, value in events:
             self._updates.clear()
-            self._apply(event, value, self._present_call())
+            self._apply(event, value, self._pending_call())
             if self._updates and self._updates[-1] == Update.FAILED:
                 self._watch_again()
         self._discovery.close()
@@ -162,30 +162,28 @@
             if listing.state != State.GONE:
                 self._states[listing.backend] = listing.state
 
-    def _present_call(self) -> HeldCall | None:
-        """The call whose answer may be used: at most one."""
-        present = [call for call in self._calls if not call.dropped]
-        assert len(present) <= 1
-        return present[0] if present else None
+    def _pending_call(self) -> HeldCall | None:
+        """Return the pending call; there is at most one."""
+        pending = [call for call in self._calls if not call.dropped]
+        assert len(pending) <= 1
+        return pending[0] if pending else None
 
     def _watch_again(self) -> None:
-        """The Balancer's timer has expired, and so has the backoff."""
+        """Act as if the Balancer's timer and the backoff had expired."""
         self._discovery.watch()
         timer = self._discovery._retry_timer
         if timer is not None:
             timer.cancel()
             self._discovery._on_backoff_passed()
 
-    # ---- events ----------------------------------------------------------
-
     def _apply(self, event: Event, value: int, call: HeldCall | None) -> None:
         match event:
             case Event.CHANGE:
                 self._service.change(value)
             case Event.RESTART:
                 self._restart_service((1, 5_000)[value % 2] + value)
-            case Event.MOVE:
-                self._move(value, call)
+            case Event.CHANGE_ADDRESS:
+                self._change_address(value, call)
             case Event.SUSPEND:
                 self._discovery.suspend()
             case Event.RESUME:
@@ -199,19 +197,21 @@
         self._service = ListService(first_rev)
         self._has_full_list = False
 
-    def _move(self, value: int, call: HeldCall | None) -> None:
-        self._moves += 1
+    def _change_address(self, value: int, call: HeldCall | None) -> None:
+        self._address_changes += 1
         if call is not None:
-            self._dropped_by_move.append(call)
+            self._dropped_by_address_change.append(call)
         self._restart_service(1 + value % 300)
         self._awaits_first_list = True
-        self._discovery.reconfigure(Address("127.0.0.1", 1000 + self._moves), self._config.settings)
+        self._discovery.reconfigure(
+            Address("127.0.0.1", 1000 + self._address_changes), self._config.settings
+        )
 
     def _answer_late(self) -> None:
-        if not self._dropped_by_move:
+        if not self._dropped_by_address_change:
             return
         before = dict(self._states)
-        call = self._dropped_by_move.pop()
+        call = self._dropped_by_address_change.pop()
         self._end(call, response_of(roster(target("s-9", 9), rev=9_999)))
         assert self._states == before
 
@@ -225,7 +225,7 @@
             raw = self._service.answer(call.path, lag)
             self._end(call, response_of(raw))
             if self._awaits_first_list:
-                # Its version may be lower than those of the service before it.
+                # Its version may be lower than those of the previous service.
                 assert self._updates == [Update.FULL]
                 self._awaits_first_list = False
             if self._updates and self._updates[-1] != Update.FAILED:
@@ -236,14 +236,12 @@
             self._calls.remove(call)
             call.end(response)
 
-    # ---- checks ----------------------------------------------------------
-
     def _check_applied(self, rev: int, is_full: bool) -> None:
-        """The applied list is the service's of this version, and not an earlier one.
+        """Check that the applied list is this version of the service's, and not an older one.
 
-        A service that restarts its versions in the middle of a watch can't be told from one that
-        goes on where its changes fit: until a full list of it has been applied, a delta is not
-        checked.
+        If the service restarts its versions during a watch and its deltas happen to fit, nothing
+        tells it from one that has not restarted. So deltas are not checked until a complete list
+        of the restarted service has been applied.
         """
         if not is_full and not self._has_full_list:
             return
--- a/tests/sources/test_http_get.py
+++ b/tests/sources/test_http_get.py
@@ -1,4 +1,4 @@
-"""One GET request, and what comes of its response."""
+"""What a GET request reports for complete, malformed and truncated responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def get_from(response: bytes, raises: bool = False) -> list[Response | None]:
-    """What a request reports whose server sends these bytes and closes the connection."""
+    """Return what a request reports if the server sends these bytes and closes the connection."""
     reported: list[Response | None] = []
     done = asyncio.Event()
 
@@ -23,7 +23,7 @@
         reported.append(result)
         done.set()
         if raises:
-            raise KeyError("a fault of whoever takes the response")
+            raise KeyError("a fault of the response's handler")
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
@@ -48,13 +48,13 @@
 
 
 @pytest.mark.parametrize("response", [b"", b"no HTTP\r\n\r\n", b"HTTP/1.1 200 OK\r\n"])
-def test_anything_else_is_reported_as_none(response: bytes) -> None:
+def test_an_incomplete_or_malformed_response_is_reported_as_none(response: bytes) -> None:
     assert asyncio.run(get_from(response)) == [None]
 
 
-def test_a_fault_of_whoever_takes_the_response_is_logged(caplog: pytest.LogCaptureFixture) -> None:
-    """It is raised within the parser, which would pass it off as a malformed response."""
+def test_an_exception_of_the_response_handler_is_logged(caplog: pytest.LogCaptureFixture) -> None:
+    """It is raised within the parser's callback and would look like a malformed response."""
     response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
     with caplog.at_level(logging.ERROR, "loadbalancer"):
         assert len(asyncio.run(get_from(response, raises=True))) == 1
-    assert "a fault of whoever takes the response" in caplog.text
+    assert "a fault of the response's handler" in caplog.text
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The format of log lines, their rate limit, and logging to a standard error that can't be written."""
+"""The format and rate limit of log lines, and a standard error that can't be written to."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
     try:
         int("seven")
     except ValueError:
-        logger.exception("the list was not taken over")
+        logger.exception("applying the list failed")
     lines = capsys.readouterr().err.splitlines()
-    assert lines[0] == "n3: the list was not taken over: Traceback (most recent call last):"
+    assert lines[0] == "n3: applying the list failed: Traceback (most recent call last):"
     assert lines[-1] == "ValueError: invalid literal for int() with base 10: 'seven'"
 
 
