--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -67,8 +67,10 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self._on_done: Callable[[Response | None], None] | None = on_done
-        more = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
-        self._head = f"GET {target} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n{more}\r\n"
+        extra_fields = "".join(f"{name}: {value}\r\n" for name, value in (headers or {}).items())
+        self._head = (
+            f"GET {target} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n{extra_fields}\r\n"
+        )
         self._tls = tls
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
--- a/tests/sources/test_cold_fleet.py
+++ b/tests/sources/test_cold_fleet.py
@@ -21,7 +21,7 @@
 from loadbalancer.core.endpoints import poll_timing
 from tests.harness import accept, answer, listen, node, roster, served_by
 from tests.harness import target as listed
-from tests.sources.test_cold_start import EMPTY
+from tests.sources.test_cold_start import EMPTY_KNOWN_LIST
 
 NODES = 8
 SERVERS = 100
@@ -32,8 +32,8 @@
 
 @pytest.fixture
 def servers() -> Iterator[list[Process]]:
-    with running_backends(2, 2.0) as found:
-        yield found
+    with running_backends(2, 2.0) as processes:
+        yield processes
 
 
 def test_all_nodes_get_their_first_list_as_fast_as_the_service_can_send_them(
@@ -48,7 +48,7 @@
             gossip=False,
             discovery=discovery.address,
             settings={"registry_mode": "ask"},
-            overrides=lambda _node: EMPTY,
+            overrides=lambda _node: EMPTY_KNOWN_LIST,
         )
         with running_cluster(NODES, [], options) as cluster:
             began = time.monotonic()
@@ -79,7 +79,7 @@
 
 
 def test_a_call_to_a_service_that_has_become_unreachable_is_dropped(tmp_path: Path) -> None:
-    """The call's connection stays open but silent, new ones are refused; then the service returns."""
+    """The pending connection stays silent and new ones are refused; later the service is back."""
     with listen() as backend:
         discovery = listen()
         port = discovery.getsockname()[1]
--- a/tests/sources/test_cold_start.py
+++ b/tests/sources/test_cold_start.py
@@ -18,20 +18,20 @@
 
 NODES = 9
 ROWS = 60
-EMPTY = {"known": {"rev": 0, "all": True, "targets": []}}
+EMPTY_KNOWN_LIST = {"known": {"rev": 0, "all": True, "targets": []}}
 
 
 @pytest.fixture
 def servers() -> Iterator[list[Process]]:
-    with running_backends(4, 2.0) as found:
-        yield found
+    with running_backends(4, 2.0) as processes:
+        yield processes
 
 
 @pytest.fixture
 def discovery(servers: list[Process]) -> Iterator[Process]:
-    with running_process(("-m", "fakes.discovery", "--lines", "60")) as found:
-        found.call("POST", "/standin/targets", rows(servers))
-        yield found
+    with running_process(("-m", "fakes.discovery", "--lines", "60")) as service:
+        service.call("POST", "/standin/targets", rows(servers))
+        yield service
 
 
 @pytest.fixture
@@ -46,18 +46,18 @@
     return [target(f"s-{i}", servers[i % 4].address) for i in range(first, first + ROWS)]
 
 
-def listed(cluster: Cluster, node: int) -> dict[str, Any]:
-    found: dict[str, Any] = cluster.status(node)["list"]
-    return found
+def list_status(cluster: Cluster, node: int) -> dict[str, Any]:
+    status: dict[str, Any] = cluster.status(node)["list"]
+    return status
 
 
-def all_at(cluster: Cluster, rev: int, count: int = ROWS) -> bool:
+def all_have_version(cluster: Cluster, rev: int, count: int = ROWS) -> bool:
     return all(
-        (s := listed(cluster, n))["rev"] == rev and s["rows"] == count for n in cluster.nodes
+        (s := list_status(cluster, n))["rev"] == rev and s["rows"] == count for n in cluster.nodes
     )
 
 
-def serve(cluster: Cluster, name: str) -> None:
+def assert_requests_succeed(cluster: Cluster, name: str) -> None:
     assert {
         request_status(cluster.nodes[n], f"{name}{n}-{i}") for n in cluster.nodes for i in range(4)
     } == {200}
@@ -72,24 +72,24 @@
         fleet=fleet,
         discovery=discovery.address,
         settings={"registry_mode": "ask"},
-        overrides=lambda _node: EMPTY,
+        overrides=lambda _node: EMPTY_KNOWN_LIST,
     )
     with running_cluster(NODES, [], options) as cluster:
         cluster.set_links(loss=0.1)
         # Readiness is read first, so that a list that arrives between the two calls does no harm.
         ready = [n for n, process in cluster.nodes.items() if process.is_ready()]
-        assert all(listed(cluster, n)["rows"] for n in ready)
-        wait_until(lambda: any(listed(cluster, n)["rows"] for n in cluster.nodes))
+        assert all(list_status(cluster, n)["rows"] for n in ready)
+        wait_until(lambda: any(list_status(cluster, n)["rows"] for n in cluster.nodes))
         reading: list[int] = []
         while not reading:
-            reading = [n for n in cluster.nodes if listed(cluster, n)["reads"]]
+            reading = [n for n in cluster.nodes if list_status(cluster, n)["reads"]]
         cluster.kill(*reading)
         discovery.call("POST", "/standin/faults", {"refuse": 0.3})
-        wait_until(lambda: all_at(cluster, 2))
+        wait_until(lambda: all_have_version(cluster, 2))
         assert all(p.is_ready() for p in cluster.nodes.values())
-        serve(cluster, "a")
+        assert_requests_succeed(cluster, "a")
         cluster.start(*reading)
-        wait_until(lambda: all_at(cluster, 2))
+        wait_until(lambda: all_have_version(cluster, 2))
         counters = discovery.call("GET", "/standin/state")
         # Without sharing, the nodes would read NODES complete lists or more. How many fewer they
         # read depends on the order of rejections and deaths, which
@@ -99,8 +99,8 @@
         assert max(counters["by_second"]) <= 60
         # A change is read by the two readers and shared with all nodes.
         discovery.call("POST", "/standin/targets", rows(servers, 20))
-        wait_until(lambda: all_at(cluster, 3))
-        serve(cluster, "b")
+        wait_until(lambda: all_have_version(cluster, 3))
+        assert_requests_succeed(cluster, "b")
 
         def reported() -> bool:
             output = StringIO()
@@ -122,28 +122,28 @@
         fleet=fleet,
         discovery=discovery.address,
         settings={"registry_mode": "ask"},
-        overrides=lambda _node: EMPTY,
+        overrides=lambda _node: EMPTY_KNOWN_LIST,
     )
     with running_cluster(5, [], options) as cluster:
-        wait_until(lambda: all_at(cluster, 2))
-        reader = next(n for n in cluster.nodes if listed(cluster, n)["reads"])
+        wait_until(lambda: all_have_version(cluster, 2))
+        reader = next(n for n in cluster.nodes if list_status(cluster, n)["reads"])
         cluster.signal(signal.SIGSTOP, reader)
         discovery.call("POST", "/standin/targets", rows(servers, 5))
         others = [n for n in cluster.nodes if n != reader]
-        wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in others))
+        wait_until(lambda: all(list_status(cluster, n)["rev"] == 3 for n in others))
         cluster.signal(signal.SIGCONT, reader)
-        wait_until(lambda: all_at(cluster, 3))
+        wait_until(lambda: all_have_version(cluster, 3))
         # Its watch stayed open at the service, and the old answer to it changes nothing.
         discovery.call("POST", "/standin/faults", {"status": 503})
         discovery.call("POST", "/standin/targets", rows(servers, 5))  # ends the watches
-        serve(cluster, "c")
+        assert_requests_succeed(cluster, "c")
         discovery.call("POST", "/standin/faults", {"rev": 1})
         discovery.call("POST", "/standin/targets", rows(servers, 8))
-        wait_until(lambda: all_at(cluster, 2), 60)
-        epochs = {listed(cluster, n)["epoch"] for n in cluster.nodes}
+        wait_until(lambda: all_have_version(cluster, 2), 60)
+        epochs = {list_status(cluster, n)["epoch"] for n in cluster.nodes}
         assert len(epochs) == 1
         assert min(epochs) >= 2
-        serve(cluster, "d")
+        assert_requests_succeed(cluster, "d")
 
 
 def test_nodes_cut_off_from_the_list_service_converge_on_its_list_after_a_partition(
@@ -167,19 +167,20 @@
         new = [row | ({"state": "leaving"} if i % 4 == 1 else {}) for i, row in enumerate(old)]
         new[0] = target("s-900", servers[0].address)
         discovery.call("POST", "/standin/targets", new)
-        wait_until(lambda: all(listed(cluster, n)["rev"] == 3 for n in (0, 1)))
-        assert all(listed(cluster, n)["rev"] == 2 for n in (2, 3, 4))
-        serve(cluster, "e")
+        wait_until(lambda: all(list_status(cluster, n)["rev"] == 3 for n in (0, 1)))
+        assert all(list_status(cluster, n)["rev"] == 2 for n in (2, 3, 4))
+        assert_requests_succeed(cluster, "e")
         cluster.restore_links()
         cluster.set_links(loss=0.1)
-        wait_until(lambda: all_at(cluster, 3))
+        wait_until(lambda: all_have_version(cluster, 3))
         cluster.agree(set(range(5)))
         before = received(servers[1])
-        serve(cluster, "f")
-        serve(cluster, "g")
+        assert_requests_succeed(cluster, "f")
+        assert_requests_succeed(cluster, "g")
         assert received(servers[1]) == before
         assert (
-            len({(s["epoch"], s["rev"]) for s in (listed(cluster, n) for n in cluster.nodes)}) == 1
+            len({(s["epoch"], s["rev"]) for s in (list_status(cluster, n) for n in cluster.nodes)})
+            == 1
         )
 
 
@@ -198,14 +199,16 @@
             overrides=lambda _node: {"known": {"rev": 500, "all": True, "targets": other}},
         )
         with running_cluster(5, [], options) as cluster:
-            wait_until(lambda: all_at(cluster, 2))
+            wait_until(lambda: all_have_version(cluster, 2))
             assert discovery.call("GET", "/standin/state")["whole"] <= 3
             for node in cluster.nodes:
                 path = Path(cluster.config(node)["PROXY_CONFIG"])
                 path.write_text(path.read_text().replace(discovery.address, second.address))
             discovery.call("POST", "/standin/targets", rows(servers, 20))  # version 3
-            wait_until(lambda: all_at(cluster, 3))
+            wait_until(lambda: all_have_version(cluster, 3))
             cluster.signal(signal.SIGHUP, *cluster.nodes)
-            wait_until(lambda: all_at(cluster, 2) and listed(cluster, 0)["epoch"] == 2)
+            wait_until(
+                lambda: all_have_version(cluster, 2) and list_status(cluster, 0)["epoch"] == 2
+            )
             assert second.call("GET", "/standin/state")["asked for all"] <= 2
-            serve(cluster, "h")
+            assert_requests_succeed(cluster, "h")
