--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -96,7 +96,7 @@
         self._readers = readers
         self._backoff.use_list_readers()
 
-    # Called by the host:
+    # Methods that the host calls
 
     def load_configured(self, raw: Any) -> list[Listing]:
         """Apply the endpoint list of the configuration; returns its listings.
--- a/loadbalancer/sources/http_get.py
+++ b/loadbalancer/sources/http_get.py
@@ -89,7 +89,7 @@
         except OSError:
             self._finish(None)
 
-    # Called by asyncio:
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
@@ -118,11 +118,11 @@
             self._finish(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report that there is no complete response."""
+        """Report None if the connection is lost before the response is complete."""
         del exc
         self._finish(None)
 
-    # Called by httptools:
+    # Callbacks of httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header field."""
--- a/loadbalancer/sources/watchers.py
+++ b/loadbalancer/sources/watchers.py
@@ -77,7 +77,7 @@
         self._target = b""
         self._idle_timer: asyncio.TimerHandle | None = None
 
-    # Called by asyncio:
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for a request, or reject the connection if the host has too many."""
@@ -116,7 +116,7 @@
             loop = asyncio.get_running_loop()
             self._idle_timer = loop.call_later(IDLE_TIMEOUT_S, self._transport.abort)
 
-    # Called by httptools:
+    # Callbacks of httptools
 
     def on_url(self, url: bytes) -> None:
         """Store a part of the request target."""
