--- a/tests/core/endpoints/test_poll_timing.py
+++ b/tests/core/endpoints/test_poll_timing.py
@@ -200,7 +200,7 @@
 def test_a_malformed_list_is_refused_completely(tmp_path: Path, raw: dict[str, object]) -> None:
     current = EndpointList(load(config(tmp_path, roster(), 1)))
     with pytest.raises(ListError):
-        current.read(raw)
+        current.decode(raw)
     assert current.endpoints == {}
     assert current.rev == 0
 
@@ -208,7 +208,7 @@
 def test_a_list_with_duplicate_rows_nulls_and_unknown_keys_is_used(tmp_path: Path) -> None:
     current = EndpointList(load(config(tmp_path, roster(), 1)))
     unusual_row = row(az=None, pod_group=None, boot_ms=None, capacity_hint=None, colour="red")
-    _, rows, endpoints = current.read(roster(unusual_row, unusual_row, rev=8))
+    _, rows, endpoints = current.decode(roster(unusual_row, unusual_row, rev=8))
     assert {r.backend for r in rows} == set(endpoints)
     assert len(endpoints) == 1
     assert rows[0].rating == 1.0
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -562,7 +562,7 @@
         discovery.endpoint_list.rev = plain["from"] or 0
         address = parse_address(plain["address"])
         if plain["from"] is None:  # its service has moved
-            found = await _called(lambda: discovery.move(address, SETTINGS))
+            found = await _called(lambda: discovery.reconfigure(address, SETTINGS))
         else:
             discovery._address = address
             found = await _called(discovery.watch)
@@ -611,7 +611,7 @@
     roster = EndpointList(_node_config())
     try:
         with _clocks():
-            update, rows, endpoints = roster.read(raw)
+            update, rows, endpoints = roster.decode(raw)
     except ListError:
         return {"refused": "a list that can't be used"}
     return {
