--- a/loadbalancer/config/__init__.py
+++ b/loadbalancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and files, read and checked as a whole."""
+"""Reads and validates configuration files and settings."""
--- a/loadbalancer/config/address.py
+++ b/loadbalancer/config/address.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets, as settings and files write them."""
+"""Socket addresses in the form used by settings and configuration files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Address(NamedTuple):
-    """A host, by name or number, and a TCP or UDP port."""
+    """A host name or IP address, and a TCP or UDP port."""
 
     host: str
     port: int
@@ -18,15 +18,15 @@
 
 
 def parse_address(text: object) -> Address:
-    """Split "host:port"; port 0 lets the kernel choose.
+    """Parse "host:port"; port 0 lets the kernel choose a free port.
 
     Raises:
-        ValueError: on anything else.
+        ValueError: if the text has another form.
     """
     host, colon, port = str(text).rpartition(":")
     valid_port = port.isascii() and port.isdigit() and int(port) <= MAX_PORT
     if not colon or not host or not valid_port:
         raise ValueError(f"{text!r} is no host:port")
     if host.startswith("[") and host.endswith("]"):
-        host = host[1:-1]  # an IPv6 address, as RFC 3986, section 3.2.2, writes it
+        host = host[1:-1]  # bracketed IPv6 address (RFC 3986, section 3.2.2)
     return Address(host, int(port))
--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -1,6 +1,7 @@
-"""A node's configuration: a JSON file and environment variables, checked once and frozen.
+"""A node's configuration, loaded from a JSON file and environment variables.
 
-The file's `limits` bound the process, its `settings` are the simulator's (see `settings`).
+The file's `limits` object limits the process's resources. Its `settings` object has the same format
+as the simulator's settings; see `loadbalancer.config.settings`.
 """
 
 from __future__ import annotations
@@ -26,19 +27,19 @@
 DEFAULT_IDLE_CLOSE_NS = 15_000_000_000
 MIN_SOCKETS = 64
 SEED_BASE = 16
-# Keys that the environment's PROXY_KEY goes before.
+# Keys that an environment variable named PROXY_ and the key in upper case overrides.
 ENVIRONMENT_KEYS = ("name", "listen", "discovery", "routes", "consul", "admin", "fleet")
 REQUIRED_KEYS = ("name", "listen", "discovery")
-OPTIONAL_CLASS_KEYS = {"aim_stretch"}  # a class that lacks one is complete
+OPTIONAL_CLASS_KEYS = {"aim_stretch"}  # a reload may leave these out of a class
 
 
 class ConfigError(ConfigurationError):
-    """The environment or the configuration can't be used; the text says why."""
+    """The environment or the configuration file is invalid; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A node's configuration; times in nanoseconds."""
+    """A node's validated configuration; durations are in nanoseconds."""
 
     name: str
     listen: Address
@@ -53,34 +54,34 @@
     idle_close: int
     max_open: int
     reports: bool
-    routes: str  # the routes file's path, empty where there is none
-    consul: str  # likewise of the consul file
-    admin: Address | None  # the second address, where there is one
-    fleet: str  # the fleet file's path
-    peer_listen: Address | None  # where gossip between nodes is allowed
-    peers: tuple[Address, ...]  # by the nodes' numbers
-    keys: frozenset[str]  # what the file had, for a reload to miss what has gone
+    routes: str  # path of the routes file; empty if there is none
+    consul: str  # path of the Consul file; empty if there is none
+    admin: Address | None  # address of the admin interface, if configured
+    fleet: str  # path of the fleet file; empty if there is none
+    peer_listen: Address | None  # gossip address; None if gossip is disabled
+    peers: tuple[Address, ...]  # gossip addresses, indexed by node number
+    keys: frozenset[str]  # paths of the file's keys; a reload must not remove any
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the file named by PROXY_CONFIG; the other variables override what it says.
+    """Load the file named by PROXY_CONFIG; other PROXY_ variables override its values.
 
     Raises:
-        ConfigError: where the file can't be read, or its first unusable key.
+        ConfigError: if the file can't be read, or naming its first invalid key.
     """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     raw = _read_object(path)
-    # Not the endpoint list: its rows have their own reader, and may be many.
+    # The endpoint list keeps its nulls: it may be long, and its own reader decodes its rows.
     known = raw.pop("known", None)
     raw = without_nulls(raw) | {"known": known}
-    keys = _keys(raw)
+    keys = _key_paths(raw)
     for key in ENVIRONMENT_KEYS:
         raw[key] = environ.get(f"PROXY_{key.upper()}") or raw.get(key)
     try:
         check_types(raw)
-        return _config(raw, keys)
+        return _decode_config(raw, keys)
     except KeyError as err:
         raise ConfigError(f"{path}: the configuration lacks {err.args[0]!r}") from None
     except SettingsError as err:
@@ -90,7 +91,7 @@
 
 
 def _read_object(path: str) -> dict[str, Any]:
-    """The JSON object in a file; ConfigError where there is none."""
+    """Read a JSON object from a file; raises ConfigError if there is none."""
     try:
         with open(path, "rb") as file:
             raw = json.load(file)
@@ -104,18 +105,21 @@
 
 
 def reload(environ: Mapping[str, str], old: Config) -> Config:
-    """Read a replaced file: the old configuration with what may change in flight.
+    """Re-read the file and return the old configuration with its reloadable values replaced.
 
-    That is where discovery and the routes are, and the settings but for what open
-    requests and backends are counted by. For discovery the file overrides the
-    variable, which still holds the value of the start.
+    Reloadable are the addresses and paths of discovery and the routes file, the idle and open
+    limits, and the settings, except for the tenants, zones and kinds: open requests and backends
+    are counted by those. For discovery the file takes precedence over the environment variable,
+    which still holds the value from the process's start.
 
     Raises:
-        ConfigError: where the file can't be used, or lacks a key that it had: a file that was
-            cut off while it was written must not pass for a shorter one.
+        ConfigError: if the file is invalid, or lacks a key that it had before. A file that was
+            truncated while being written must not be accepted as a shorter configuration.
     """
-    at_start = {name: value for name, value in environ.items() if name != "PROXY_DISCOVERY"}
-    new = load(at_start)
+    environ_without_discovery = {
+        name: value for name, value in environ.items() if name != "PROXY_DISCOVERY"
+    }
+    new = load(environ_without_discovery)
     missing = sorted(old.keys - new.keys)
     if missing:
         raise ConfigError(f"the configuration lacks {missing[0]!r}, which it had")
@@ -138,40 +142,41 @@
     )
 
 
-def _keys(raw: dict[str, Any]) -> frozenset[str]:
-    """The paths of all keys; of classes those that each of them has."""
-    found: set[str] = set()
-    _collect_keys("", raw, found)
+def _key_paths(raw: dict[str, Any]) -> frozenset[str]:
+    """The paths of all keys; for request classes, only the keys that every class has."""
+    paths: set[str] = set()
+    _collect_keys("", raw, paths)
     settings = raw.get("settings")
     classes = settings.get("classes") if isinstance(settings, dict) else None
     if isinstance(classes, list) and classes and all(isinstance(c, dict) for c in classes):
         shared = set.intersection(*(set(c) for c in classes)) - OPTIONAL_CLASS_KEYS
-        found.update(f"settings.classes.{key}" for key in shared)
-    return frozenset(found)
+        paths.update(f"settings.classes.{key}" for key in shared)
+    return frozenset(paths)
 
 
-def _collect_keys(prefix: str, value: Any, found: set[str]) -> None:
+def _collect_keys(prefix: str, value: Any, paths: set[str]) -> None:
+    """Add the dotted paths of an object's keys, except those inside `known` and `classes`."""
     if not isinstance(value, dict):
         return
     for key, inner in value.items():
         if inner is not None:
-            found.add(f"{prefix}{key}")
+            paths.add(f"{prefix}{key}")
         if key not in ("known", "classes"):
-            _collect_keys(f"{prefix}{key}.", inner, found)
+            _collect_keys(f"{prefix}{key}.", inner, paths)
 
 
-def _check(settings: NodeSettings) -> None:
-    """Refuse what would make a node of no use, or break a rule: ValueError names the key."""
+def _check_settings(settings: NodeSettings) -> None:
+    """Reject values out of range and duplicate class names; the ValueError names the key."""
     if settings.max_attempts < 1:
-        raise ValueError("limits.max_attempts must be over 0")
+        raise ValueError("limits.max_attempts must be greater than 0")
     names = [request_class.name for request_class in settings.classes]
     for name in names:
         if names.count(name) > 1:
             raise ValueError(f"class {name!r} stands twice")
     for request_class in settings.classes:
         if request_class.repeat_window < 0:
-            raise ValueError(f"class {request_class.name!r}: repeat_window must not be under 0")
-    spans_ns = {
+            raise ValueError(f"class {request_class.name!r}: repeat_window must not be negative")
+    durations_ns = {
         "ask_within": settings.poll_within,
         "drain_grace": settings.drain_grace,
         "cold": settings.cold,
@@ -179,13 +184,13 @@
         "answer_slack": settings.answer_slack,
         "connect_timeout": settings.connect_timeout,
     }
-    for key, span in spans_ns.items():
-        if span < 0:
-            raise ValueError(f"{key} must not be under 0")
+    for key, duration in durations_ns.items():
+        if duration < 0:
+            raise ValueError(f"{key} must not be negative")
 
 
-def _config(raw: dict[str, Any], keys: frozenset[str]) -> Config:
-    """Decode a file's values, whose types have been checked."""
+def _decode_config(raw: dict[str, Any], keys: frozenset[str]) -> Config:
+    """Decode the file's values, whose types `check_types` has validated."""
     for key in REQUIRED_KEYS:
         if not raw[key]:
             raise KeyError(key)
@@ -193,13 +198,13 @@
     settings = raw["settings"]
     known = raw.get("known") or {"rev": 0, "all": True, "targets": []}
     if not isinstance(known, dict):
-        raise TypeError("known is no list of backends")
+        raise TypeError("known is not an endpoint list object")
     checked = settings_from_json(json.dumps(settings).encode())
-    _check(checked)
+    _check_settings(checked)
     sockets = int(limits.get("sockets", DEFAULT_SOCKETS))
     if sockets < MIN_SOCKETS:
         raise ValueError(f"sockets must be at least {MIN_SOCKETS}")
-    gossips = bool(settings.get("limits", {}).get("peers", False)) and raw.get("peer_listen")
+    gossip_enabled = bool(settings.get("limits", {}).get("peers", False)) and raw.get("peer_listen")
     return Config(
         name=str(raw["name"]),
         listen=parse_address(raw["listen"]),
@@ -218,7 +223,9 @@
         consul=str(raw["consul"] or ""),
         admin=parse_address(raw["admin"]) if raw["admin"] else None,
         fleet=str(raw["fleet"] or ""),
-        peer_listen=parse_address(raw["peer_listen"]) if gossips else None,
-        peers=tuple(parse_address(peer) for peer in raw.get("peers") or ()) if gossips else (),
+        peer_listen=parse_address(raw["peer_listen"]) if gossip_enabled else None,
+        peers=tuple(parse_address(peer) for peer in raw.get("peers") or ())
+        if gossip_enabled
+        else (),
         keys=keys,
     )
--- a/loadbalancer/config/routes_file.py
+++ b/loadbalancer/config/routes_file.py
@@ -1,4 +1,4 @@
-"""A routes file on disk, read and checked: the way into `core.routes` for every process."""
+"""Reads a routes file from disk and validates it with `core.routes`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 def check_file(path: str, settings: Settings | None) -> Result:
-    """A file's table or faults; what can't be read or parsed is a fault like any other.
+    """Return the file's routing table or its faults.
+
+    A file that can't be read or parsed is reported as a fault too.
 
     Args:
-        path: the routes file.
-        settings: the node's, which classes and limits are checked against; None for none.
+        path: path of the routes file.
+        settings: the node's settings, against which classes and limits are checked; None skips
+            those checks.
     """
     try:
         raw, lines = read(path)
--- a/loadbalancer/config/settings.py
+++ b/loadbalancer/config/settings.py
@@ -1,9 +1,9 @@
-"""The settings object of the wire and of a node's configuration, as `Settings`.
+"""Decodes the JSON settings object of the protocol and of a node's configuration into `Settings`.
 
-The only place that knows the settings' keys. Most keep a plain word of the protocol's pages; the
-field names of `Settings`, `RequestClass` and `Tenant` beside them are the terms that the code uses.
-Unknown keys are skipped, so that newer settings can be read; a key whose value is null is absent.
-Times are integer nanoseconds on the wire too.
+Only this module decodes the settings' keys. Many keys differ from the names that the code uses:
+the fields of `Settings`, `RequestClass` and `Tenant`.
+Unknown keys are ignored, so that newer settings can be read. A null value counts as absent.
+Durations are integer nanoseconds, in JSON as in the code.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 
 EFFECTS = {"pure": Effect.PURE, "token": Effect.TOKEN, "side_effect": Effect.SIDE_EFFECT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-OFF = "off"  # of load reports and of endpoints' weights: there are none
-POLLED = "ask"  # the registry's mode in which nodes poll; in the other, lists are pushed
-RATED = ("nominal", "rough")  # kinds of weights that the endpoint list carries
+OFF = "off"  # load reports or endpoint weights are disabled
+POLL_MODE = (
+    "ask"  # registry mode in which nodes poll for endpoint lists instead of getting them pushed
+)
+WEIGHT_KINDS = ("nominal", "rough")  # kinds of endpoint weights in the endpoint list
 
 DEFAULT_POLL_WITHIN_NS = 10_000_000_000
-DEFAULT_COLD_FROM = 0.1  # of an endpoint's capacity, at its start
+DEFAULT_COLD_FROM = 0.1  # fraction of its capacity that an endpoint has at its start
 DEFAULT_FALL_NS = 1_000_000_000
 DEFAULT_CONNECT_TIMEOUT_NS = 250_000_000
 DEFAULT_TICK_NS = 1_000_000
@@ -38,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings(Settings):
-    """A node's settings, with the values that are accepted and checked but that no decision reads.
+    """A node's settings, including values that are validated but that no decision uses.
 
-    A bad one is refused like any other, and a reload that changes one takes the settings as new.
+    An invalid one is rejected like any other, and a reload that changes one counts as a change.
     """
 
     answer_slack: int = 0  # nanoseconds
@@ -48,14 +50,14 @@
     tick: int = DEFAULT_TICK_NS  # nanoseconds
     worst_class: float = 0.0
     cross_zone_price: float = 0.0
-    rated: bool = False  # the endpoint list carries weights
+    rated: bool = False  # the endpoint list has weights
 
 
 def settings_from_json(text: bytes) -> NodeSettings:
     """Decode the settings object.
 
     Raises:
-        SettingsError: where it is not JSON, lacks a key, or holds an unusable value.
+        SettingsError: if the text is not JSON, lacks a key, or has an invalid value.
     """
     try:
         raw = json.loads(text)
@@ -64,7 +66,7 @@
     if not isinstance(raw, dict):
         raise SettingsError("settings are not a JSON object")
     try:
-        return _settings(without_nulls(raw))
+        return _decode_settings(without_nulls(raw))
     except KeyError as err:
         raise SettingsError(f"settings lack {err.args[0]!r}") from None
     except (TypeError, ValueError, AttributeError) as err:
@@ -72,7 +74,7 @@
 
 
 def without_nulls(raw: dict[str, Any]) -> dict[str, Any]:
-    """The same object, at every depth without the keys whose value is null."""
+    """Copy an object without the keys whose value is null, at every depth."""
 
     def clean(value: Any) -> Any:
         if isinstance(value, dict):
@@ -82,12 +84,12 @@
     return {key: clean(value) for key, value in raw.items() if value is not None}
 
 
-def _settings(raw: dict[str, Any]) -> NodeSettings:
+def _decode_settings(raw: dict[str, Any]) -> NodeSettings:
     rules, limits = raw["rules"], raw.get("limits", {})
     goal, prices = raw.get("goal", {}), raw.get("prices", {})
     load_info = raw.get("load_info", {})
-    classes = tuple(_request_class(i, spec) for i, spec in enumerate(raw["classes"]))
-    tenants = tuple(_tenant(i, spec) for i, spec in enumerate(raw.get("realms", [])))
+    classes = tuple(_decode_request_class(i, spec) for i, spec in enumerate(raw["classes"]))
+    tenants = tuple(_decode_tenant(i, spec) for i, spec in enumerate(raw.get("realms", [])))
     return NodeSettings(
         node=int(raw.get("me", 0)),
         nodes=int(raw["balancers"]),
@@ -96,7 +98,7 @@
         classes=classes,
         tenants=tenants,
         load_columns=tuple(load_info.get("columns", ())) if load_info.get("how") != OFF else (),
-        poll=raw.get("registry_mode") == POLLED,
+        poll=raw.get("registry_mode") == POLL_MODE,
         poll_within=int(rules.get("ask_within", DEFAULT_POLL_WITHIN_NS)),
         drain_grace=int(rules.get("drain_grace", 0)),
         cold_from=float(rules.get("cold_from", DEFAULT_COLD_FROM)),
@@ -114,11 +116,11 @@
         tick=int(raw.get("tick", DEFAULT_TICK_NS)),
         worst_class=float(goal.get("worst_class", 0.0)),
         cross_zone_price=float(prices.get("cross_zone", 0.0)),
-        rated=raw.get("weights", OFF) in RATED,
+        rated=raw.get("weights", OFF) in WEIGHT_KINDS,
     )
 
 
-def _request_class(number: int, spec: dict[str, Any]) -> RequestClass:
+def _decode_request_class(number: int, spec: dict[str, Any]) -> RequestClass:
     return RequestClass(
         name=str(spec.get("name", number)),
         latency_objective=int(spec["target"]),
@@ -133,7 +135,7 @@
     )
 
 
-def _tenant(number: int, spec: dict[str, Any]) -> Tenant:
+def _decode_tenant(number: int, spec: dict[str, Any]) -> Tenant:
     return Tenant(
         name=str(spec.get("name", number)),
         portion=float(spec.get("portion", 1.0)),
--- a/loadbalancer/config/toml_file.py
+++ b/loadbalancer/config/toml_file.py
@@ -1,8 +1,8 @@
-"""A TOML file's values, and the line of each of its keys.
+"""Parses a TOML file into its values and the line number of each key.
 
-The standard library's parser gives the values and refuses what is not TOML; a
-syntax tree by tree-sitter gives the lines, which the former does not keep. Only
-imported where a file is set.
+The standard library's parser yields the values and rejects invalid TOML, but does not keep line
+numbers; those come from tree-sitter's syntax tree. This module is imported only when a TOML file
+is configured.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 MAX_FILE_BYTES = 16 << 20
 _TOML = Language(tree_sitter_toml.language())
-_AT_LINE = re.compile(r" \(at line (\d+), column \d+\)$")
+_LINE_SUFFIX = re.compile(r" \(at line (\d+), column \d+\)$")
 
 Key = tuple[str | int, ...]
 
@@ -27,7 +27,7 @@
 class FileError(ConfigurationError):
     """A file that can't be read, or is not TOML.
 
-    `line` counts from 1; `rule` is the rule's name, `wrong` what breaks it, `right` the remedy.
+    `line` is 1-based; `rule` names the violated rule, `wrong` the problem and `right` its remedy.
     """
 
     def __init__(self, line: int, rule: str, wrong: str, right: str) -> None:
@@ -39,10 +39,10 @@
 
 
 def read(path: str | Path) -> tuple[dict[str, Any], dict[Key, int]]:
-    """The values and, by key path (arrays by index), the lines from 1 on.
+    """Read a file's values and the 1-based line of each key path (array items by index).
 
     Raises:
-        FileError: where the file can't be read, is too large, or is not TOML.
+        FileError: if the file can't be read, is too large, or is not TOML.
     """
     try:
         with open(path, "rb") as file:
@@ -55,7 +55,7 @@
 
 
 def parse(data: bytes) -> tuple[dict[str, Any], dict[Key, int]]:
-    """As `read`, of a file's bytes."""
+    """Parse a file's bytes; returns and raises as `read` does."""
     try:
         values = tomllib.loads(data.decode())
     except UnicodeDecodeError as err:
@@ -63,7 +63,7 @@
         raise FileError(line, "syntax", "is not UTF-8 here", "save it as UTF-8") from None
     except tomllib.TOMLDecodeError as err:
         text = str(err)
-        match = _AT_LINE.search(text)
+        match = _LINE_SUFFIX.search(text)
         line = int(match[1]) if match else data.count(b"\n") + 1
         wrong = text[: match.start()] if match else text.removesuffix(" (at end of document)")
         raise FileError(line, "syntax", wrong, "write valid TOML") from None
@@ -71,44 +71,44 @@
         raise FileError(1, "syntax", "nests too deeply", "write it flat") from None
     lines: dict[Key, int] = {}
     if values:
-        _LineCollector(lines).document(Parser(_TOML).parse(data).root_node)
+        _LineCollector(lines).add_document(Parser(_TOML).parse(data).root_node)
     return values, lines
 
 
 class _LineCollector:
-    """Notes the line of each key; the text is known to be valid by now."""
+    """Records the line of each key in the syntax tree of a text known to be valid TOML."""
 
     def __init__(self, lines: dict[Key, int]) -> None:
         self.lines = lines
-        self.counts: dict[Key, int] = {}  # tables of an array so far
+        self.counts: dict[Key, int] = {}  # tables seen so far, by array of tables
 
-    def document(self, root: Node) -> None:
-        """Note the lines of a whole file's keys."""
+    def add_document(self, root: Node) -> None:
+        """Record the lines of all keys of the file."""
         for node in root.named_children:
             if node.type == "pair":
-                self.pair(node, ())
+                self.add_pair(node, ())
             elif node.type in ("table", "table_array_element"):
-                self.section(node)
+                self.add_section(node)
 
-    def section(self, node: Node) -> None:
-        """Note a table's header and its keys."""
+    def add_section(self, node: Node) -> None:
+        """Record a table's header and its keys."""
         names = _names(node.named_children[0])
-        path = self.latest(names[:-1])
+        path = self.resolve_header(names[:-1])
         if node.type == "table_array_element":
             array = (*path, names[-1])
             count = self.counts.get(array, 0)
             self.counts[array] = count + 1
-            self.note(array, node)
+            self.record_line(array, node)
             path = (*array, count)
         else:
             path = (*path, names[-1])
-        self.note(path, node)
+        self.record_line(path, node)
         for child in node.named_children[1:]:
             if child.type == "pair":
-                self.pair(child, path)
+                self.add_pair(child, path)
 
-    def latest(self, names: list[str]) -> Key:
-        """A header's path: within an array of tables it means the last one."""
+    def resolve_header(self, names: list[str]) -> Key:
+        """Resolve a header's names to a path; an array of tables stands for its last table."""
         path: Key = ()
         for name in names:
             path = (*path, name)
@@ -116,33 +116,33 @@
                 path = (*path, self.counts[path] - 1)
         return path
 
-    def pair(self, node: Node, path: Key) -> None:
-        """Note a key, which may be dotted, and the keys within its value."""
+    def add_pair(self, node: Node, path: Key) -> None:
+        """Record a key, which may be dotted, and the keys within its value."""
         key, value = node.named_children[0], node.named_children[-1]
         for name in _names(key):
             path = (*path, name)
-            self.note(path, key)
-        self.value(value, path)
+            self.record_line(path, key)
+        self.add_value(value, path)
 
-    def value(self, node: Node, path: Key) -> None:
-        """Note the keys within a value: an array's items and an inline table's pairs."""
+    def add_value(self, node: Node, path: Key) -> None:
+        """Record the keys within a value: an array's items and an inline table's pairs."""
         if node.type == "array":
             items = [c for c in node.named_children if c.type != "comment"]
             for i, item in enumerate(items):
-                self.note((*path, i), item)
-                self.value(item, (*path, i))
+                self.record_line((*path, i), item)
+                self.add_value(item, (*path, i))
         elif node.type == "inline_table":
             for child in node.named_children:
                 if child.type == "pair":
-                    self.pair(child, path)
+                    self.add_pair(child, path)
 
-    def note(self, path: Key, node: Node) -> None:
-        """Remember a key's line; a table's first line stays its line."""
+    def record_line(self, path: Key, node: Node) -> None:
+        """Record a key's line; only the first line recorded for a key counts."""
         self.lines.setdefault(path, node.start_point.row + 1)
 
 
 def _names(node: Node) -> list[str]:
-    """The parts of a bare, quoted or dotted key."""
+    """Split a bare, quoted or dotted key into its parts."""
     if node.type == "dotted_key":
         return [name for child in node.named_children for name in _names(child)]
     text = (node.text or b"").decode()
--- a/loadbalancer/config/toml_section.py
+++ b/loadbalancer/config/toml_section.py
@@ -1,4 +1,4 @@
-"""One table of a TOML file, read key by key; every fault is collected with its line and rule."""
+"""Reads one table of a TOML file key by key, collecting each fault with its line and rule."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def read_file(path: str, decode: Decode[T], error: type[Exception]) -> T:
-    """A file decoded as a whole; raises `error` with every fault and its line, one a line."""
+    """Decode a whole file; raises `error` with all faults and their line numbers, one per line."""
     try:
         raw, lines = read(path)
     except FileError as err:
@@ -32,7 +32,7 @@
 def top_of(
     raw: dict[str, Any], lines: Mapping[Key, int], folder: Path, keys: tuple[str, ...]
 ) -> Section:
-    """A file's outermost table, with its keys and its version checked."""
+    """Return a file's root table after checking its keys and version."""
     top = Section(raw, (), lines, folder, [])
     top.known(keys)
     if raw.get("version") != 1:
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Section:
-    """One table of the file, and the faults found so far in all of them."""
+    """One table of the file, and the faults found so far in all of the file's tables."""
 
     raw: dict[str, Any]
     at: Key
@@ -51,16 +51,16 @@
     faults: list[Fault] = field(default_factory=list)
 
     def sub(self, raw: dict[str, Any], *at: str | int) -> Section:
-        """A table within this one, at a key or at an array's index."""
+        """Return a nested table, at the given keys and array indexes."""
         return replace(self, raw=raw, at=(*self.at, *at))
 
     def fault(self, key: str, rule: str, wrong: str, right: str) -> None:
-        """Note a fault at a key's line, or at the table's where the key is absent."""
+        """Record a fault at a key's line, or at the table's line if the key is absent."""
         line = self.lines.get((*self.at, key), self.lines.get(self.at, 1))
         self.faults.append(Fault(line, rule, wrong, right))
 
     def known(self, keys: tuple[str, ...]) -> None:
-        """Note each key of the table that is not among these."""
+        """Record a fault for each key of the table that is not among `keys`."""
         for key in self.raw:
             if key not in keys:
                 similar = get_close_matches(key, keys, 1)
@@ -69,7 +69,7 @@
                 self.fault(key, "unknown-key", f"no key {key!r}", right)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string that is not empty; a fault and "" otherwise."""
+        """Return a non-empty string; otherwise record a fault and return ""."""
         value = self.raw.get(key, default)
         if isinstance(value, str) and value:
             return value
@@ -77,11 +77,11 @@
         return ""
 
     def path(self, key: str) -> Path:
-        """A path, relative to the file's folder."""
+        """Return a path, resolved against the file's folder."""
         return self.folder / self.text(key)
 
     def address(self, key: str, default: str | None = None) -> Address | None:
-        """A numeric address with its port; a fault and None otherwise."""
+        """Return an IP address with its port; otherwise record a fault and return None."""
         value = self.text(key, default)
         if not value:
             return None
--- a/loadbalancer/config/value_types.py
+++ b/loadbalancer/config/value_types.py
@@ -1,7 +1,7 @@
-"""The types that a configuration's values must have, by their keys' paths.
+"""Checks the types of a configuration's values by the paths of their keys.
 
-Checked before anything is decoded, so that a wrong value is named by its key and not by whatever
-fails on it first. Null is absent everywhere.
+The check runs before decoding, so that the error names the key of a wrong value and not whatever
+code fails on it first. A null value counts as absent.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     "settings.prices",
 )
 LISTS = ("peers", "settings.classes", "settings.areas", "settings.skus", "settings.realms")
-# Keys whose value is a number, by the object that they stand in.
+# Keys with numeric values, by the path of the object that contains them.
 NUMBERS = {
     "limits": ("memory_mb", "sockets"),
     "settings": ("me", "my_zone", "balancers", "tick"),
@@ -47,22 +47,22 @@
 
 
 def check_types(raw: dict[str, Any]) -> None:
-    """Check every key's value.
+    """Check the type of each listed key's value.
 
     Raises:
-        TypeError, ValueError: names the first key whose value is not what it must be.
+        TypeError, ValueError: names the first key with an invalid value.
     """
-    for paths, kind, what in ((OBJECTS, dict, "an object"), (LISTS, list, "a list")):
+    for paths, kind, expected in ((OBJECTS, dict, "an object"), (LISTS, list, "a list")):
         for path in paths:
             value = _value_at(raw, path)
             if value is not None and not isinstance(value, kind):
-                raise TypeError(f"{path} must be {what}, not {value!r:.40}")
-    for path, value in _numbers(raw):
+                raise TypeError(f"{path} must be {expected}, not {value!r:.40}")
+    for path, value in _numeric_values(raw):
         _check_number(path, value)
 
 
-def _numbers(raw: dict[str, Any]) -> Iterator[tuple[str, object]]:
-    """The paths and values of all keys that hold numbers."""
+def _numeric_values(raw: dict[str, Any]) -> Iterator[tuple[str, object]]:
+    """Yield the path and value of each key that must be numeric."""
     for path, keys in NUMBERS.items():
         for key in keys:
             yield f"{path}.{key}", _value_at(raw, f"{path}.{key}")
@@ -75,7 +75,7 @@
 
 
 def _value_at(raw: dict[str, Any], path: str) -> Any:
-    """The value at a dotted path, None where there is none."""
+    """Return the value at a dotted path, or None if there is none."""
     value: Any = raw
     for key in path.split("."):
         value = value.get(key) if isinstance(value, dict) else None
@@ -86,4 +86,4 @@
     if value is not None and (isinstance(value, bool) or not isinstance(value, int | float)):
         raise TypeError(f"{path} must be a number, not {value!r:.40}")
     if isinstance(value, float) and not isfinite(value):
-        raise ValueError(f"{path} must be a number that ends, not {value}")
+        raise ValueError(f"{path} must be a finite number, not {value}")
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings object: keys to terms, and what can't be used is named."""
+"""Tests for decoding the settings object: field names, and errors that name the invalid value."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         settings_from_json(json.dumps({"classes": [], "rules": {}}).encode())
 
 
-def test_the_wires_keys_become_the_codes_terms() -> None:
+def test_keys_are_decoded_into_their_fields() -> None:
     raw = MINIMAL | {
         "areas": ["a", "b"],
         "me": 1,
@@ -62,13 +62,15 @@
         ({"rules": []}, "settings hold an unusable value"),
     ],
 )
-def test_an_unusable_value_is_named(change: dict[str, object], message: str) -> None:
+def test_an_invalid_value_is_rejected_with_its_reason(
+    change: dict[str, object], message: str
+) -> None:
     with pytest.raises(SettingsError, match=message):
         settings_from_json(json.dumps(MINIMAL | change).encode())
 
 
 @pytest.mark.parametrize("text", [b"{", b"[]", b"null", b"\xff"])
-def test_what_is_no_json_object_is_refused(text: bytes) -> None:
+def test_text_that_is_not_a_json_object_is_rejected(text: bytes) -> None:
     with pytest.raises(SettingsError, match="not JSON|not a JSON object"):
         settings_from_json(text)
 
@@ -84,9 +86,9 @@
     assert without_nulls(raw) == {"b": {"d": [1, {}]}}
 
 
-# ---- values that no decision reads ------------------------------------------
+# ---- values that no decision uses -------------------------------------------
 
-UNUSED = [
+UNUSED_VALUES = [
     ({"tick": 5}, "tick", 5),
     ({"rules": {"grace_to_answer": 12}}, "answer_slack", 12),
     ({"limits": {"probes": True}}, "can_probe", True),
@@ -96,11 +98,11 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "name", "value"), UNUSED)
-def test_a_value_that_no_decision_reads_is_accepted_and_makes_other_settings(
+@pytest.mark.parametrize(("change", "name", "value"), UNUSED_VALUES)
+def test_an_unused_value_is_accepted_and_changes_the_settings(
     change: dict[str, object], name: str, value: object
 ) -> None:
-    """A reload that changes only such a value takes the settings as new, and logs it."""
+    """A reload that changes only such a value counts as a change of settings and is logged."""
     before = settings_from_json(json.dumps(MINIMAL).encode())
     after = settings_from_json(json.dumps(MINIMAL | change).encode())
     assert getattr(after, name) == value
@@ -113,14 +115,14 @@
     [
         ({"tick": "soon"}, "settings.tick must be a number, not 'soon'"),
         ({"rules": {"grace_to_answer": []}}, "settings.rules.grace_to_answer must be a number"),
-        ({"rules": {"grace_to_answer": -1}}, "answer_slack must not be under 0"),
+        ({"rules": {"grace_to_answer": -1}}, "answer_slack must not be negative"),
         ({"goal": {"worst_class": "x"}}, "settings hold an unusable value: could not convert"),
         ({"goal": 7}, "settings.goal must be an object, not 7"),
         ({"prices": {"cross_zone": "x"}}, "settings hold an unusable value: could not convert"),
         ({"prices": []}, r"settings.prices must be an object, not \[\]"),
     ],
 )
-def test_a_bad_value_that_no_decision_reads_is_refused_by_place_and_rule(
+def test_an_invalid_unused_value_is_rejected_with_its_path_and_reason(
     tmp_path: Path, change: dict[str, object], message: str
 ) -> None:
     environ = config(tmp_path, roster(), 1, settings=change)
