--- a/loadbalancer/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `python -m loadbalancer COMMAND`, one module a sub-command."""
+"""The command line, `python -m loadbalancer COMMAND`, with one module per sub-command."""
--- a/loadbalancer/cli/check.py
+++ b/loadbalancer/cli/check.py
@@ -1,6 +1,7 @@
-"""`python -m loadbalancer check FILE...`: every fault of files under deploy/, with place and rule.
+"""`python -m loadbalancer check FILE...`: validate configuration files like those in deploy/.
 
-A file's kind shows in its keys. Status 0 where all files are good, 2 where one is not.
+Prints each fault with its file, line and rule. A file's kind is inferred from its top-level keys.
+Exits with status 0 if all files are valid, and 2 otherwise.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from loadbalancer.core.routes.specs import REPEAT_NAMES
 from loadbalancer.core.routes.table import Policy
 
-NOTHING_SET = "as without a file"
+SOURCE_IF_UNSET = "default, as without a routes file"
 NS_PER_MS = 1_000_000
 
 
 class SettingsFileError(ConfigurationError):
-    """A node's JSON configuration holds no usable settings; the text says why."""
+    """A node's JSON configuration has no valid settings; the message says why."""
 
 
 def check_any(path: str, settings: Settings | None) -> Result:
-    """As `check_file`, for each kind of file; only a routes file has a table."""
+    """Check a file of any kind; only the result for a routes file has a routing table."""
     try:
         raw, lines = read(path)
     except FileError:
@@ -55,10 +56,10 @@
 
 
 def settings_of(path: str) -> Settings:
-    """The settings in a node's JSON configuration.
+    """Read the settings from a node's JSON configuration.
 
     Raises:
-        SettingsFileError: where the file can't be read or its settings can't be used.
+        SettingsFileError: if the file can't be read or its settings are invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -69,14 +70,14 @@
 
 
 def explain(explained: Explained) -> str:
-    """One policy's values, each with the section and line it comes from."""
+    """Format one policy's values, each with the section and line of the file that sets it."""
     policy = explained.policy
     lines = [f"route {policy.name}, class {policy.cls}: repeats {REPEAT_NAMES[policy.effect]}"]
     for key, text in _value_texts(policy).items():
         given = explained.values.get(key)
-        source = f"({given.where}, line {given.line})" if given else f"({NOTHING_SET})"
+        source = f"({given.where}, line {given.line})" if given else f"({SOURCE_IF_UNSET})"
         if given is None and key == "retry_on" and policy.retry_on is not None:
-            source = "(what never ran, since it repeats never)"
+            source = "(only attempts that never ran, since requests are never repeated)"
         lines.append(f"  {key:<16}{text or '-':<40}{source}")
     return "\n".join(lines)
 
@@ -86,7 +87,7 @@
 
 
 def _value_texts(policy: Policy) -> dict[str, str]:
-    """A policy's values by their keys in the file; an empty text for what it does not set."""
+    """Format a policy's values by their keys in the file; a value that is not set is empty."""
     retry_on = ""
     if policy.retry_on is not None:
         retry_on = ", ".join(sorted(policy.retry_on)) or "nothing"
@@ -118,14 +119,19 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the sub-command's arguments to the parser."""
     parser.add_argument("files", nargs="+", metavar="FILE")
-    parser.add_argument("--config", help="a node's JSON configuration, to check against")
-    parser.add_argument("--explain", action="store_true", help="print each resolved policy")
+    parser.add_argument(
+        "--config",
+        help="check routes files against the settings in this JSON configuration of a node",
+    )
+    parser.add_argument(
+        "--explain", action="store_true", help="print each route's effective policy"
+    )
 
 
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
-    """Check files; 0, or 2 where one has a fault or can't be checked."""
+    """Check the files; returns 0, or 2 if a file has a fault or can't be checked."""
     settings = None
     if arguments.config:
         try:
@@ -135,19 +141,19 @@
             return 2
     results = {path: check_any(path, settings) for path in arguments.files}
     for path, result in results.items():
-        _report(path, result, arguments.explain, out)
+        _print_result(path, result, arguments.explain, out)
     return 2 if any(result.faults for result in results.values()) else 0
 
 
-def _report(path: str, result: Result, explained: bool, out: TextIO) -> None:
-    """Print one file's faults and warnings, its policies where asked for, or that it is good."""
+def _print_result(path: str, result: Result, show_policies: bool, out: TextIO) -> None:
+    """Print one file's faults and warnings, its policies if requested, or that it is valid."""
     for fault in result.faults:
         print(f"{path}:{fault}", file=out)
     for warning in result.warnings:
         print(f"warning: {path}:{warning}", file=out)
-    if explained and result.table is not None:
-        for one in result.explained:
-            print(explain(one), file=out)
+    if show_policies and result.table is not None:
+        for explained in result.explained:
+            print(explain(explained), file=out)
     if not result.faults:
         table = result.table
         routes = (
--- a/loadbalancer/cli/commands.py
+++ b/loadbalancer/cli/commands.py
@@ -1,8 +1,8 @@
-"""The sub-commands in one place, and the parser that they share.
+"""The table of sub-commands, and the entry point that runs one.
 
 A sub-command is a module with `configure(parser)`, which adds its arguments, and
 `run(arguments, out)`, which returns the exit status. A module is imported only when its
-sub-command is called: each has dependencies that the others do without.
+sub-command is called, since each has dependencies that the others don't need.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Command(NamedTuple):
-    """A sub-command: its name, the module that runs it, its arguments in short, what it does."""
+    """A sub-command: its name and module, a synopsis of its arguments, and a one-line summary."""
 
     name: str
     module: str
@@ -30,40 +30,42 @@
         "check",
         "loadbalancer.cli.check",
         "FILE...",
-        "check the files of deploy/ but balancer.toml",
+        "check configuration files like those in deploy/, except balancer.toml",
     ),
     Command("control", "loadbalancer.cli.control", "FILE", "serve other proxies over xDS"),
-    Command("members", "loadbalancer.cli.members", "FILE", "list Consul's servers and their state"),
-    Command("peers", "loadbalancer.cli.peers", "ADDRESS", "show what a node has from the others"),
+    Command(
+        "members", "loadbalancer.cli.members", "FILE", "list Consul's servers and their states"
+    ),
+    Command("peers", "loadbalancer.cli.peers", "ADDRESS", "show what a node learned by gossip"),
     Command("scale", "loadbalancer.cli.scale", "FILE --machine NAME", "run one control machine"),
-    Command("demo", "loadbalancer.cli.demo", "", "run a node before fake servers, under load"),
+    Command("demo", "loadbalancer.cli.demo", "", "run a node in front of fake servers, under load"),
 )
 
 
 class CommandModule(Protocol):
-    """What a sub-command's module offers."""
+    """The interface of a sub-command's module."""
 
     __doc__: str | None
     configure: Callable[[argparse.ArgumentParser], None]
     run: Callable[[argparse.Namespace, TextIO], int]
 
 
-def main(words: Sequence[str], out: TextIO | None = None) -> int:
+def main(argv: Sequence[str], out: TextIO | None = None) -> int:
     """Run a sub-command.
 
     Args:
-        words: the command line behind the program, the sub-command's name first.
-        out: where its results go, standard output by default; errors go to standard error.
+        argv: the command line after the program name, starting with the sub-command's name.
+        out: stream for the results, standard output by default; errors go to standard error.
 
     Returns:
-        The exit status: the sub-command's own, 2 for an unknown one or unusable arguments.
+        The sub-command's exit status, or 2 for an unknown sub-command or invalid arguments.
     """
     out = out or sys.stdout
-    name, *arguments = words
+    name, *arguments = argv
     if name in ("-h", "--help"):
         print(usage(), file=out)
         return 0
-    command = next((one for one in COMMANDS if one.name == name), None)
+    command = next((known for known in COMMANDS if known.name == name), None)
     if command is None:
         print(usage(), file=sys.stderr)
         return 2
@@ -78,9 +80,9 @@
 
 
 def usage() -> str:
-    """All sub-commands, a line each."""
+    """Return the usage text, with one line per sub-command."""
     rows = [("", "the proxy, configured by PROXY_CONFIG")]
-    rows += [(f"{one.name} {one.usage}".rstrip(), one.summary) for one in COMMANDS]
+    rows += [(f"{command.name} {command.usage}".rstrip(), command.summary) for command in COMMANDS]
     width = max(len(call) for call, _ in rows)
     lines = [f"{PROGRAM} {call:<{width}}  {summary}" for call, summary in rows]
     return "usage: " + "\n       ".join(lines)
--- a/loadbalancer/cli/demo.py
+++ b/loadbalancer/cli/demo.py
@@ -1,7 +1,8 @@
-"""`python -m loadbalancer demo`: a node, fake servers and a short mixed load, with no set-up.
+"""`python -m loadbalancer demo`: run a node and fake servers under a short mixed load.
 
-Everything runs on ephemeral loopback ports and ends by itself. Halfway through,
-one of the servers starts to fail. Status 0 where every request was answered, 1 where one was not.
+It needs no set-up: all processes use ephemeral loopback ports and stop by themselves. Halfway
+through, one of the servers starts to fail. Exits with status 0 if every request was answered, and
+1 otherwise.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from typing import Any, TextIO
 
 SERVERS = 5
-WORK_MS = 4.0  # of a server for a request
-RATE = 150.0  # requests a second
+WORK_MS = 4.0  # a server's processing time per request
+REQUESTS_PER_S = 150.0
 FAULT = {"error": 0.3, "slow": 10.0, "refuse": 0.1}
 OK, UNAVAILABLE, NO_ANSWER = 200, 503, 0
-POLICY_COUNTS = "route policies: "  # begins the text of the node's log line with them
+POLICY_COUNTS = "route policies: "  # prefix of the node's log line with these counts
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the sub-command's arguments to the parser."""
     parser.add_argument("--requests", type=int, default=600)
 
 
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
-    """Run the demo; 0 where every request was answered, 1 where one was not."""
-    # By name: the product does not depend on its fakes, only this sub-command does.
+    """Run the demo; returns 0 if every request was answered, and 1 otherwise."""
+    # Imported by name: only this sub-command depends on the fakes, not the proxy itself.
     processes, nodes = import_module("fakes.processes"), import_module("fakes.node")
     load = import_module("fakes.load")
     routes = str(processes.ROOT / "deploy" / "routes.toml")
@@ -46,12 +47,12 @@
                 print(f"server s-{number} {server.address}", file=out)
             half = arguments.requests // 2
             print(
-                f"{arguments.requests} requests; from number {half} on s-{SERVERS} fails: {FAULT}",
+                f"{arguments.requests} requests; s-{SERVERS} fails from request {half} on: {FAULT}",
                 file=out,
             )
             clients = load.Clients(node.address, seed=1)
             faults = {half: lambda: servers[-1].call("POST", "/standin/faults", FAULT)}
-            asyncio.run(load.send_at_rate(clients, RATE, arguments.requests, at=faults))
+            asyncio.run(load.send_at_rate(clients, REQUESTS_PER_S, arguments.requests, at=faults))
             states = [server.call("GET", "/standin/state") for server in servers]
     _print_clients(clients, out)
     _print_servers(states, out)
@@ -69,7 +70,7 @@
 
 
 def _print_clients(clients: Any, out: TextIO) -> None:
-    """What the clients of each class got, and how long those served took."""
+    """Print each class's results and the latency of its served requests."""
     columns = f"{'class':<10}{'sent':>7}{'served':>8}{'refused':>9}{'failed':>8}"
     print(f"\n{columns}{'p50 ms':>9}{'p99 ms':>9}", file=out)
     for cls, results in sorted(clients.results.items()):
@@ -81,7 +82,7 @@
 
 
 def _print_servers(states: Sequence[dict[str, int]], out: TextIO) -> None:
-    """What each server received and ran, and whether an effect happened twice."""
+    """Print what each server received and ran, and how many effects it applied twice."""
     columns = f"{'server':<10}{'attempts':>9}{'ran':>7}{'errors':>8}{'refused':>9}{'doubled':>9}"
     print(f"\n{columns}", file=out)
     for number, state in enumerate(states, 1):
--- a/loadbalancer/cli/members.py
+++ b/loadbalancer/cli/members.py
@@ -1,8 +1,9 @@
-"""`python -m loadbalancer members FILE`: the merged list, and why each server is in or out.
+"""`python -m loadbalancer members FILE`: list the servers that Consul has, with their states.
 
-With --serve it stays and serves the list to nodes as their discovery; with --why it prints one
-server's health checks. Status 0 where servers are listed, 1 where none is or Consul did not answer
-in time, 2 where the file or an address can't be used.
+The list is merged from all datacentres and says why each server is in or out. With --serve, the
+command keeps running and serves the list to nodes as their discovery; with --why, it prints one
+server's health checks. Exits with status 0 if servers are listed, 1 if none is or Consul did not
+answer in time, and 2 if the file or an address can't be used.
 """
 
 from __future__ import annotations
@@ -33,17 +34,21 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Add the arguments."""
-    parser.add_argument("file", help="a consul.toml")
-    parser.add_argument("--seconds", type=float, default=60.0, help="how long to wait for it")
+    """Add the sub-command's arguments to the parser."""
+    parser.add_argument("file", help="a file in the format of deploy/consul.toml")
+    parser.add_argument(
+        "--seconds", type=float, default=60.0, help="how long to wait for the complete list"
+    )
     parser.add_argument(
         "--serve", metavar="HOST:PORT", help="serve the list to nodes as their discovery"
     )
-    parser.add_argument("--why", metavar="ID", help="print one server's checks and their output")
+    parser.add_argument(
+        "--why", metavar="ID", help="print one server's health checks and their output"
+    )
 
 
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
-    """Print the list, or serve it; 2 for a bad file, 1 where Consul did not answer in time."""
+    """Print or serve the list, or print one server's checks; returns the exit status."""
     logs.configure("")
     try:
         file = read_consul(arguments.file)
@@ -71,7 +76,7 @@
 
 
 async def _read_once(file: ConsulFile, timeout_s: float) -> tuple[MergedList, bool]:
-    """One complete round of every datacentre; False where it did not end in time."""
+    """Read every datacentre once; returns the list and whether it was complete in time."""
     done = asyncio.Event()
     updater = ListUpdater(file, done.set, time.time_ns())
     updater.start()
@@ -85,7 +90,7 @@
 
 
 def _server_line(server: ListedServer, now: int) -> str:
-    """One server: where it is, its state and why, and what each source reports since when."""
+    """Format a server's address, its state and reason, and each source's report with its age."""
     reports = ", ".join(
         f"{report.source} {report.health.name.lower()} for {(now - report.since) // SECOND} s"
         for report in server.reports
@@ -95,61 +100,67 @@
 
 
 def _serve_nodes(file: ConsulFile, listen: str) -> int:
-    """Serve nodes until a signal ends it; 2 where the address can't be used."""
+    """Serve the list to nodes until a signal; returns 2 if the address can't be used."""
     try:
         asyncio.run(serve(file, parse_address(listen), time.time_ns()))
     except (OSError, ValueError) as err:
         print(f"members: --serve: {err}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, asyncio.CancelledError):
-        # An operator's Ctrl-C is the usual end of it.
+        # Ctrl-C is the usual way to stop the command.
         return 0
     return 0
 
 
 async def _query(file: ConsulFile, path: str, query: str = "") -> list[Any]:
-    """One GET to the first agent for every datacentre; the answers that can be read."""
+    """Send the first agent one GET per datacentre; returns the responses that are valid JSON."""
     credentials = open_credentials(file)
     headers, tls = credentials.headers, credentials.tls
-    found = []
+    bodies = []
     for datacentre in file.zones_by_datacentre:
         done: asyncio.Future[Response | None] = asyncio.get_running_loop().create_future()
         target = f"{path}?dc={quote(datacentre, safe='')}&stale{query}"
         HttpGet(file.agents[0], target, CALL_TIMEOUT_S, done.set_result, headers, tls)
         answer = await done
         if answer is not None and answer.status == OK:
-            # An agent that answers with something else counts as one that did not answer.
+            # A response that is not JSON counts as no response.
             with contextlib.suppress(ValueError, RecursionError):
-                found.append(json.loads(answer.body))
-    return found
+                bodies.append(json.loads(answer.body))
+    return bodies
 
 
 async def _similar_names(file: ConsulFile) -> list[str]:
-    """Services of the catalogue whose names are close to the file's.
+    """Return the catalogue's services with names similar to the configured one.
 
-    Source: Consul HTTP API, "Catalog": GET /v1/catalog/services answers with tags by name.
+    Source: Consul HTTP API, "Catalog": GET /v1/catalog/services returns the tags by service name.
     """
     found = await _query(file, "/v1/catalog/services")
-    names = {name for one in found if isinstance(one, dict) for name in one}
+    names = {name for services in found if isinstance(services, dict) for name in services}
     return get_close_matches(file.service, names)
 
 
 async def _check_lines(file: ConsulFile, uid: str) -> list[str] | None:
-    """One server's checks with their output, a line each; None without an answer.
+    """Format one server's health checks, one per line; None if no agent answered.
 
     Source: Consul HTTP API, "Health": GET /v1/health/state/any, with a filter.
     """
     name = json.dumps(uid.rpartition("/")[2], ensure_ascii=False)
     expression = quote(f"ServiceID == {name}", safe="")
     found = await _query(file, "/v1/health/state/any", f"&filter={expression}")
-    rows = [row for one in found if isinstance(one, list) for row in one if isinstance(row, dict)]
+    rows = [
+        row
+        for checks in found
+        if isinstance(checks, list)
+        for row in checks
+        if isinstance(row, dict)
+    ]
     keys = ("Node", "CheckID", "Status", "Output")
     lines = [" ".join(str(row.get(key, "")) for key in keys).rstrip() for row in rows]
     return lines if found else None
 
 
 def _print_checks(file: ConsulFile, uid: str, out: TextIO) -> int:
-    """Print a server's checks; 1 where there are none."""
+    """Print a server's health checks; returns 1 if there are none."""
     lines = asyncio.run(_check_lines(file, uid))
     for line in lines or ():
         print(line, file=out)
--- a/loadbalancer/cli/peers.py
+++ b/loadbalancer/cli/peers.py
@@ -1,8 +1,9 @@
-"""`python -m loadbalancer peers ADDRESS`: what a running node has from the others by gossip.
+"""`python -m loadbalancer peers ADDRESS`: show what a running node learned by gossip.
 
-ADDRESS is the node's second one. Shown are the members and their states, the records on each
-server with their sources, ages and verdict, and how many messages were received, sent or dropped.
-Status 0 where every node lives, 1 where some do not, 2 where the node can't be asked.
+ADDRESS is the node's admin address. The output has the members and their states, the records on
+each server with their sources, ages and verdict, and the counts of messages received, sent or
+dropped. Exits with status 0 if every node is alive, 1 if some are not, and 2 if the node can't be
+queried.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 
 class NodeStatusError(PeerError):
-    """A node's second address gives no gossip status; the text says why."""
+    """A node's admin address returned no gossip status; the message says why."""
 
 
 def read(address: str) -> dict[str, Any]:
-    """The node's gossip status, as its JSON has it.
+    """Fetch the node's gossip status as decoded JSON.
 
     Raises:
-        NodeStatusError: where the node can't be reached or has no gossip.
-        ValueError: where the address is not in the form host:port.
+        NodeStatusError: if the node can't be reached or has gossip disabled.
+        ValueError: if the address is not in the form host:port.
     """
     host, port = parse_address(address)
     connection = HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
@@ -39,7 +40,7 @@
         response = connection.getresponse()
         body = response.read()
     except (OSError, HTTPException) as err:
-        raise NodeStatusError(f"{address} can't be asked: {err}") from None
+        raise NodeStatusError(f"{address} can't be queried: {err}") from None
     finally:
         connection.close()
     if response.status != OK:
@@ -49,17 +50,17 @@
     except ValueError as err:
         raise NodeStatusError(str(err)) from None
     if not isinstance(status, dict):
-        raise NodeStatusError(f"{address} is no node's second address")
+        raise NodeStatusError(f"{address} is not a node's admin address")
     return status
 
 
 def lines(status: dict[str, Any]) -> list[str]:
-    """For people: nodes that are not as usual first, then servers, then counts."""
+    """Format the status as text: nodes with problems first, then servers, then counts."""
     out = [_summary_line(status), *_member_lines(status["nodes"])]
-    for way, preposition in (("lent", "to"), ("borrowed", "from")):
-        for node, eighths, remaining_ms in status[way]:
+    for direction, preposition in (("lent", "to"), ("borrowed", "from")):
+        for node, eighths, remaining_ms in status[direction]:
             out.append(
-                f"  slots {way}: at {eighths} in 8 servers {preposition} node {node}, "
+                f"  slots {direction}: at {eighths} in 8 servers {preposition} node {node}, "
                 f"for {remaining_ms} ms more"
             )
     if "list" in status:
@@ -70,34 +71,34 @@
 
 
 def _summary_line(status: dict[str, Any]) -> str:
-    caught = "caught up" if status["caught_up"] else "catching up: it tells nothing yet"
+    progress = "caught up" if status["caught_up"] else "catching up: it tells nothing yet"
     return (
-        f"node {status['me']}, incarnation {status['incarnation']}: {caught}; "
+        f"node {status['me']}, incarnation {status['incarnation']}: {progress}; "
         f"{status['living']} of {len(status['nodes']) + 1} nodes live; "
-        f"accused {status['refuted']} times, "
+        f"refuted {status['refuted']} suspicions of itself, "
         f"waits {1 + status['health']} times as long as usual for answers"
     )
 
 
 def _member_lines(nodes: list[Any]) -> list[str]:
-    """The members that are not alive, or doubted, and how many are as usual."""
+    """Format each member that is not alive, was never heard or is doubted; count the others."""
     out = []
-    usual = 0
+    healthy = 0
     for node, state, incarnation, age_ms, doubted in nodes:
         if state == "alive" and not doubted and age_ms is not None:
-            usual += 1
+            healthy += 1
             continue
         since = "never heard" if age_ms is None else f"last heard {_seconds(age_ms)} ago"
-        two = "; two processes speak under its name" if doubted else ""
-        out.append(f"  node {node} {state}, incarnation {incarnation}, {since}{two}")
-    return [*out, f"  {usual} others alive and heard"]
+        duplicate = "; two processes use its name" if doubted else ""
+        out.append(f"  node {node} {state}, incarnation {incarnation}, {since}{duplicate}")
+    return [*out, f"  {healthy} others alive and heard"]
 
 
 def _server_lines(records: list[Any]) -> list[str]:
-    """Each server's verdict and, beside one another, the records that it comes from."""
+    """Format each server's verdict, followed by the records from which it is derived."""
     servers: dict[str, list[str]] = {}
     for server, author, age_ms, text, verdict in records:
-        source = "the list" if author == "list" else f"node {author}"
+        source = "the endpoint list" if author == "list" else f"node {author}"
         rows = servers.setdefault(server, [f"server {server}: {verdict}"])
         rows.append(f"  {source}, {_seconds(age_ms)} ago: {text}")
     if not servers:
@@ -106,7 +107,7 @@
 
 
 def _list_lines(state: dict[str, Any]) -> list[str]:
-    """The list that some nodes read for all: the version here, and the state of its readers."""
+    """Format the state of the endpoint list, which a few list readers fetch for all nodes."""
     reads = ", which asks for it" if state["reads"] else ""
     out = [f"  list: {state['rows']} rows, version {state['rev']} of epoch {state['epoch']}{reads}"]
     for node, reading, epoch, rev, age_ms in state["readers"]:
@@ -123,13 +124,13 @@
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
-    """Add the arguments."""
-    parser.add_argument("address", metavar="ADDRESS", help="a node's second address")
-    parser.add_argument("--json", action="store_true", help="as the node gives it")
+    """Add the sub-command's arguments to the parser."""
+    parser.add_argument("address", metavar="ADDRESS", help="a node's admin address")
+    parser.add_argument("--json", action="store_true", help="print the node's status as JSON")
 
 
 def run(arguments: argparse.Namespace, out: TextIO) -> int:
-    """Show it; 0, 1 where nodes are missing, 2 where the node can't be asked."""
+    """Print the status; returns 0, 1 if a node is not alive, 2 if the node can't be queried."""
     try:
         status = read(arguments.address)
     except (NodeStatusError, ValueError) as err:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The sub-commands: each can be called, says what it takes, and refuses what it can't use."""
+"""Tests for the sub-commands: help, required arguments, and errors for invalid input."""
 
 from __future__ import annotations
 
@@ -46,10 +46,10 @@
     [
         (["check", "--config", "none.json", "none.toml"], "check: none.json holds no settings"),
         (["peers", "127.0.0.1"], "peers: '127.0.0.1' is no host:port"),
-        (["peers", "127.0.0.1:1"], "peers: 127.0.0.1:1 can't be asked"),
+        (["peers", "127.0.0.1:1"], "peers: 127.0.0.1:1 can't be queried"),
     ],
 )
-def test_what_can_not_be_used_is_one_line_and_status_2(
+def test_invalid_input_prints_one_line_and_ends_with_status_2(
     arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(arguments) == 2
@@ -58,16 +58,16 @@
     assert error.count("\n") == 1
 
 
-# ---- as processes ------------------------------------------------------------
+# ---- as a process ------------------------------------------------------------
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the program with these arguments to its end."""
+    """Run the program with these arguments until it exits."""
     command = [sys.executable, "-m", "loadbalancer", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
 
-def test_the_demo_ends_with_no_effect_twice() -> None:
+def test_the_demo_applies_no_effect_twice() -> None:
     done = run("demo", "--requests", "60")
     assert done.returncode == 0, done.stderr
     assert "without an answer" in done.stdout
@@ -76,7 +76,7 @@
     assert sum(int(rows[f"s-{i}"][-1]) for i in range(1, 6)) == 0
 
 
-def test_the_program_with_an_unknown_sub_command_says_which_there_are() -> None:
+def test_the_program_lists_its_sub_commands_for_an_unknown_one() -> None:
     done = run("chekc")
     assert done.returncode == 2
     assert "check FILE" in done.stderr
