--- a/loadbalancer/cli/peers.py
+++ b/loadbalancer/cli/peers.py
@@ -71,7 +71,7 @@
 
 
 def _summary_line(status: dict[str, Any]) -> str:
-    progress = "caught up" if status["caught_up"] else "catching up: it tells nothing yet"
+    progress = "caught up" if status["caught_up"] else "catching up, sends no gossip updates yet"
     return (
         f"node {status['me']}, incarnation {status['incarnation']}: {progress}; "
         f"{status['living']} of {len(status['nodes']) + 1} nodes live; "
--- a/loadbalancer/config/node.py
+++ b/loadbalancer/config/node.py
@@ -47,13 +47,13 @@
     seed: int
     memory_mb: int
     sockets: int
-    known: dict[str, Any]
+    known: dict[str, Any]  # the endpoint list to start with
     settings: NodeSettings
-    zones: tuple[str, ...]
+    zones: tuple[str, ...]  # zone names, indexed by zone number
     kinds: tuple[str, ...]
     idle_close: int
     max_open: int
-    reports: bool
+    reports: bool  # whether load reports are enabled
     routes: str  # path of the routes file; empty if there is none
     consul: str  # path of the Consul file; empty if there is none
     admin: Address | None  # address of the admin interface, if configured
@@ -107,10 +107,10 @@
 def reload(environ: Mapping[str, str], old: Config) -> Config:
     """Re-read the file and return the old configuration with its reloadable values replaced.
 
-    Reloadable are the addresses and paths of discovery and the routes file, the idle and open
-    limits, and the settings, except for the tenants, zones and kinds: open requests and backends
-    are counted by those. For discovery the file takes precedence over the environment variable,
-    which still holds the value from the process's start.
+    The reloadable values are the discovery address, the path of the routes file, and the settings
+    except the tenants, zones and kinds, by which open requests and backends are counted.
+    For discovery the file takes precedence over the environment variable, which still holds the
+    value from the process's start.
 
     Raises:
         ConfigError: if the file is invalid, or lacks a key that it had before. A file that was
@@ -122,7 +122,7 @@
     new = load(environ_without_discovery)
     missing = sorted(old.keys - new.keys)
     if missing:
-        raise ConfigError(f"the configuration lacks {missing[0]!r}, which it had")
+        raise ConfigError(f"the configuration lacks {missing[0]!r}, which it had before")
     for name, before, after in (
         ("settings.realms", old.settings.tenants, new.settings.tenants),
         ("settings.areas", old.zones, new.zones),
@@ -143,7 +143,7 @@
 
 
 def _key_paths(raw: dict[str, Any]) -> frozenset[str]:
-    """The paths of all keys; for request classes, only the keys that every class has."""
+    """Return the paths of all keys; for request classes, only the keys that every class has."""
     paths: set[str] = set()
     _collect_keys("", raw, paths)
     settings = raw.get("settings")
--- a/loadbalancer/config/toml_file.py
+++ b/loadbalancer/config/toml_file.py
@@ -48,9 +48,11 @@
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as err:
-        raise FileError(1, "unreadable", f"can't be read: {err.strerror}", "see its path") from None
+        raise FileError(
+            1, "unreadable", f"can't be read: {err.strerror}", "check its path"
+        ) from None
     if len(data) > MAX_FILE_BYTES:
-        raise FileError(1, "too-large", f"has over {MAX_FILE_BYTES} bytes", "divide it")
+        raise FileError(1, "too-large", f"is larger than {MAX_FILE_BYTES} bytes", "split it")
     return parse(data)
 
 
@@ -68,7 +70,7 @@
         wrong = text[: match.start()] if match else text.removesuffix(" (at end of document)")
         raise FileError(line, "syntax", wrong, "write valid TOML") from None
     except RecursionError:
-        raise FileError(1, "syntax", "nests too deeply", "write it flat") from None
+        raise FileError(1, "syntax", "is nested too deeply", "reduce the nesting") from None
     lines: dict[Key, int] = {}
     if values:
         _LineCollector(lines).add_document(Parser(_TOML).parse(data).root_node)
--- a/loadbalancer/config/toml_section.py
+++ b/loadbalancer/config/toml_section.py
@@ -65,7 +65,7 @@
             if key not in keys:
                 similar = get_close_matches(key, keys, 1)
                 hint = f"did you mean {similar[0]!r}? " if similar else ""
-                right = f"{hint}known are {', '.join(keys)}"
+                right = f"{hint}known keys are {', '.join(keys)}"
                 self.fault(key, "unknown-key", f"no key {key!r}", right)
 
     def text(self, key: str, default: str | None = None) -> str:
