--- a/loadbalancer/core/routes/__init__.py
+++ b/loadbalancer/core/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: canonical forms, the table that is matched, its file and the file's rules."""
+"""Request routing: canonical paths, route matching, and decoding of the routes file."""
--- a/loadbalancer/core/routes/canonical.py
+++ b/loadbalancer/core/routes/canonical.py
@@ -1,9 +1,9 @@
-"""One canonical form for hosts and paths, used for matching and for what goes on.
+"""Canonical form of hosts and paths, used both for matching and for forwarding.
 
-Two spellings that a server may take for the same resource get one form here, or
-are refused: otherwise a request could be matched under one route's policy and
-run under another's. Sources: RFC 3986 sections 3.2.2, 5.2.4 and 6.2.2; RFC 9112
-section 3.2. Pure functions over bytes.
+Spellings that a server may treat as the same resource are normalized to one form
+or rejected. Otherwise a request could be matched by one route's policy while the
+server runs it as a request of another route. References: RFC 3986 sections 3.2.2,
+5.2.4 and 6.2.2; RFC 9112 section 3.2. All functions are pure and work on bytes.
 """
 
 from __future__ import annotations
@@ -14,41 +14,44 @@
 
 from loadbalancer.core.errors import ProtocolError
 
-MAX_PATH = 8192  # bytes, as sent
+MAX_PATH = 8192  # bytes, before normalization
 MAX_SEGMENTS = 256
 MAX_HOST = 255
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 5
-FIRST_PRINTABLE = 0x20  # of ASCII, as DELETE is
+FIRST_PRINTABLE = 0x20  # ASCII code; lower codes and DELETE are control characters
 DELETE = 0x7F
 
 _SEGMENT = rb"[A-Za-z0-9\-._~!$&'()*+,;=:@]"
-# Nothing encoded, no empty and no dot segment: what nearly every request has.
+# A path that is already canonical: no percent-encoding, empty segment or dot segment.
+# Nearly every request matches this.
 _PLAIN = re.compile(rb"(?:/(?!\.{1,2}(?:/|\Z))" + _SEGMENT + rb"+)+/?|/").fullmatch
-# As above for segments that begin with no dot: without the look ahead it costs a third.
-_QUICK = re.compile(
+# Like _PLAIN, but also without segments that begin with a dot. This avoids the lookahead and
+# takes a third of the time.
+_PLAIN_WITHOUT_DOTS = re.compile(
     rb"(?:/[A-Za-z0-9\-_~!$&'()*+,;=:@][A-Za-z0-9\-._~!$&'()*+,;=:@]*)+/?|/"
 ).fullmatch
-_ALLOWED = re.compile(rb"(?:" + _SEGMENT + rb"|[/%])*").fullmatch
+_PATH_CHARACTERS = re.compile(rb"(?:" + _SEGMENT + rb"|[/%])*").fullmatch
 _HEX_DIGITS = re.compile(rb"[0-9A-Fa-f]{2}").fullmatch
 _TRIPLET = re.compile(rb"%(..)?", re.DOTALL)
 _QUERY = re.compile(rb"[\x21\x22\x24-\x7e]*").fullmatch
-_LABELS = re.compile(
+_HOST_NAME = re.compile(
     rb"[a-z0-9_](?:[a-z0-9_-]*[a-z0-9_])?(?:\.[a-z0-9_](?:[a-z0-9_-]*[a-z0-9_])?)*"
 )
 _UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-_ABSOLUTE = re.compile(rb"(?i:https?)://([^/?]*)(.*)", re.DOTALL).fullmatch
+_ABSOLUTE_FORM = re.compile(rb"(?i:https?)://([^/?]*)(.*)", re.DOTALL).fullmatch
 
 
 class FormError(ProtocolError, ValueError):
-    """A host or path without a canonical form; the text says which rule it breaks."""
+    """A host or path that has no canonical form; the message names the violated rule."""
 
 
 class Target(NamedTuple):
-    """A request target: `path` canonical, `query` with its `?` or empty, unchanged.
+    """A parsed request target with a canonical `path`.
 
-    `authority` is that of the absolute form (it goes before Host, RFC 9112
-    section 3.2.2), None in the origin form.
+    `query` is unchanged and includes its leading `?`; it is empty if there is none.
+    `authority` comes from the absolute form, where it takes precedence over the Host
+    field (RFC 9112 section 3.2.2). It is None in the origin form.
     """
 
     path: bytes
@@ -57,47 +60,50 @@
 
 
 def is_canonical(raw: bytes) -> bool:
-    """Whether a target is a canonical path with no query, by a quick look that may say no."""
-    return len(raw) <= MAX_SEGMENTS and _QUICK(raw) is not None
+    """Fast check for a canonical path without a query; may return False for one that is."""
+    return len(raw) <= MAX_SEGMENTS and _PLAIN_WITHOUT_DOTS(raw) is not None
 
 
 def target(raw: bytes) -> Target:
-    """Take apart and canonise a request target; FormError where it has no one meaning."""
+    """Split and normalize a request target; raises FormError if it is invalid or ambiguous."""
     authority = None
     if raw[:1] != b"/":
-        match = _ABSOLUTE(raw)
+        match = _ABSOLUTE_FORM(raw)
         if match is None:
-            raise FormError("a request target is a path or an http URL")
+            raise FormError("request target is neither an absolute path nor an http URL")
         authority, raw = match.groups()
         if raw[:1] != b"/":
             raw = b"/" + raw
     path, mark, query = raw.partition(b"?")
     if mark and not _QUERY(query):
-        raise FormError("a query holds no fragment, space or byte beyond ASCII")
+        raise FormError(
+            "query contains a fragment, a space, a control character or a non-ASCII byte"
+        )
     return Target(canonical_path(path), mark + query, authority)
 
 
 def canonical_path(raw: bytes) -> bytes:
-    """The canonical form of an absolute path without its query.
+    """Return the canonical form of an absolute path without a query.
 
-    Unreserved characters are decoded and other triplets upper-cased, then dot
-    segments removed, then empty segments; a trailing slash stays. Refused are an
-    encoded slash, backslash or control character (servers disagree on whether
-    they divide), `..` above the root, and what RFC 3986 does not allow.
+    Percent-encoded unreserved characters are decoded and the other triplets
+    converted to upper case, then dot segments are removed, then empty segments. A
+    trailing slash is kept. FormError is raised for an encoded slash, backslash or
+    control character (servers disagree on whether they separate segments), for `..`
+    above the root, and for characters that RFC 3986 does not allow.
     """
     if len(raw) > MAX_PATH:
-        raise FormError(f"a path has at most {MAX_PATH} bytes")
+        raise FormError(f"path is longer than {MAX_PATH} bytes")
     if _PLAIN(raw):
         if raw.count(b"/") > MAX_SEGMENTS:
-            raise FormError(f"a path has at most {MAX_SEGMENTS} segments")
+            raise FormError(f"path has more than {MAX_SEGMENTS} segments")
         return raw
     if raw[:1] != b"/":
-        raise FormError("a path begins with /")
-    if not _ALLOWED(raw):
-        raise FormError("a path holds a character that RFC 3986 does not allow there")
+        raise FormError("path does not begin with /")
+    if not _PATH_CHARACTERS(raw):
+        raise FormError("path contains a character that RFC 3986 does not allow")
     if raw.count(b"/") > MAX_SEGMENTS:
-        raise FormError(f"a path has at most {MAX_SEGMENTS} segments")
-    segments = _without_dots(_TRIPLET.sub(_decoded, raw).split(b"/")[1:])
+        raise FormError(f"path has more than {MAX_SEGMENTS} segments")
+    segments = _remove_dot_segments(_TRIPLET.sub(_normalize_triplet, raw).split(b"/")[1:])
     trailing = not segments or segments[-1] == b""
     named = [segment for segment in segments if segment]
     if not named:
@@ -105,62 +111,66 @@
     return b"/" + b"/".join(named) + (b"/" if trailing else b"")
 
 
-def _decoded(match: re.Match[bytes]) -> bytes:
+def _normalize_triplet(match: re.Match[bytes]) -> bytes:
     digits = match[1]
     if digits is None or not _HEX_DIGITS(digits):
-        raise FormError("a % in a path is followed by two hex digits")
+        raise FormError("% in the path is not followed by two hex digits")
     code = int(digits, 16)
     if code in _UNRESERVED:
         return bytes((code,))
     if code in b"/\\":
-        raise FormError("a path holds no encoded slash or backslash")
+        raise FormError("path contains an encoded slash or backslash")
     if code < FIRST_PRINTABLE or code == DELETE:
-        raise FormError("a path holds no encoded control character")
+        raise FormError("path contains an encoded control character")
     return b"%%%02X" % code
 
 
-def _without_dots(segments: list[bytes]) -> list[bytes]:
-    out: list[bytes] = []
+def _remove_dot_segments(segments: list[bytes]) -> list[bytes]:
+    kept: list[bytes] = []
     last = len(segments) - 1
     for i, segment in enumerate(segments):
         if segment == b"..":
-            if not out:
-                raise FormError("a path's .. leads above the root")
-            out.pop()
+            if not kept:
+                raise FormError(".. in the path leads above the root")
+            kept.pop()
         elif segment != b".":
-            out.append(segment)
+            kept.append(segment)
             continue
         if i == last:
-            out.append(b"")  # "/a/." and "/a/b/.." are the folder "/a/"
-    return out
+            kept.append(b"")  # "/a/." and "/a/b/.." both become "/a/"
+    return kept
 
 
 def canonical_host(raw: bytes) -> tuple[bytes, bytes]:
-    """The canonical host and the port (empty where none) of a Host field or authority.
+    """Return the canonical host and the port (empty if absent) of a Host field or authority.
 
-    Names and IPv4 addresses in lower case without a trailing dot, IPv6 literals
-    in brackets in the short form of RFC 5952. FormError for anything else, user
-    information included.
+    Names and IPv4 addresses are converted to lower case without a trailing dot, IPv6
+    literals to the compressed form of RFC 5952 in brackets. Anything else raises
+    FormError, including an authority with user information.
     """
     if not raw or len(raw) > MAX_HOST + 6:
-        raise FormError(f"a host has 1 to {MAX_HOST} bytes")
+        raise FormError(f"host is empty or longer than {MAX_HOST} bytes")
     if raw[:1] == b"[":
         literal, bracket, after = raw[1:].partition(b"]")
         if not bracket or b"%" in literal:
-            raise FormError("a host in brackets is an IPv6 address")
+            raise FormError("host in brackets is not an IPv6 address")
         try:
             host = b"[" + str(IPv6Address(literal.decode("ascii"))).encode() + b"]"
         except (AddressValueError, UnicodeDecodeError):
-            raise FormError("a host in brackets is an IPv6 address") from None
+            raise FormError("host in brackets is not an IPv6 address") from None
         name, colon, port = b"", after[:1], after[1:]
         if after and colon != b":":
-            raise FormError("a host's closing bracket is followed by a port or nothing")
+            raise FormError(
+                "closing bracket of the host is followed by something other than a port"
+            )
     else:
         name, colon, port = raw.partition(b":")
         name = name.lower()
         host = name[:-1] if name[-1:] == b"." else name
-        if len(host) > MAX_HOST or not _LABELS.fullmatch(host):
-            raise FormError("a host is labels of letters, digits, - and _ divided by dots")
+        if len(host) > MAX_HOST or not _HOST_NAME.fullmatch(host):
+            raise FormError(
+                "host is not a list of labels of letters, digits, - and _ separated by dots"
+            )
     if port and (not port.isdigit() or len(port) > MAX_PORT_DIGITS or int(port) > MAX_PORT):
-        raise FormError("a host's port is a number up to 65535")
+        raise FormError("port is not a number from 0 to 65535")
     return host, port
--- a/loadbalancer/core/routes/faults.py
+++ b/loadbalancer/core/routes/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file: every fault with its line, its rule and a remedy."""
+"""Faults and warnings of a configuration file, each with its line, rule and remedy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Fault(NamedTuple):
-    """One thing wrong: the line (from 1), the rule's id, what is wrong, what would be right."""
+    """One violation: line (from 1), id of the rule, description and suggested correction."""
 
     line: int
     rule: str
@@ -28,23 +28,23 @@
         self._reported: set[tuple[int, str]] = set()
 
     def add(self, line: int, rule: str, wrong: str, right: str) -> None:
-        """Keep a fault."""
+        """Record a fault."""
         self._faults.add(Fault(line, rule, wrong, right))
 
     def add_once(self, line: int, rule: str, wrong: str, right: str) -> None:
-        """As add, for what one written value breaks wherever it is inherited."""
+        """Record a fault once per line and rule, as one value may be inherited often."""
         if (line, rule) not in self._reported:
             self._reported.add((line, rule))
             self.add(line, rule, wrong, right)
 
     def warn(self, line: int, rule: str, wrong: str, right: str) -> None:
-        """Keep a warning, which leaves the file usable."""
+        """Record a warning; the file remains usable."""
         self._warnings.add(Fault(line, rule, wrong, right))
 
     def faults(self) -> list[Fault]:
-        """All faults in the file's order."""
+        """Return all faults sorted by line."""
         return sorted(self._faults)
 
     def warnings(self) -> list[Fault]:
-        """All warnings in the file's order."""
+        """Return all warnings sorted by line."""
         return sorted(self._warnings)
--- a/loadbalancer/core/routes/file.py
+++ b/loadbalancer/core/routes/file.py
@@ -1,9 +1,9 @@
-"""The routes file: what a TOML parser made of it, decoded into a table or into faults.
+"""Decodes a parsed routes file into a table, or into the list of its faults.
 
-Returns a frozen `table.Table` or faults, never both. Free of I/O. Each rule has an
-id and a paragraph in docs/operate/routes.md. Inheritance goes defaults -> class (its
-`base` first) -> route; a value keeps the line where it was written, so that a fault
-points at what has to be changed, not at where it took effect.
+The result is either an immutable `table.Table` or faults, never both. No I/O. Each
+rule has an id and a paragraph in docs/operate/routes.md. Values are inherited in the
+order defaults -> class (its `base` first) -> route. Each keeps the line where it was
+written, so that a fault points at the value to change and not at where it applies.
 """
 
 from __future__ import annotations
@@ -27,7 +27,10 @@
 
 @dataclass(slots=True)
 class Result:
-    """`table` is None exactly where there are faults. Both lists are in the file's order."""
+    """The outcome of decoding; `table` is None if and only if there are faults.
+
+    `faults` and `warnings` are sorted by line.
+    """
 
     table: Table | None
     faults: list[Fault]
@@ -38,10 +41,10 @@
 def decode(
     raw: dict[str, Any], at: Mapping[KeyPath, int], settings: Settings | None = None
 ) -> Result:
-    """Check a whole file.
+    """Decode and check a whole file.
 
-    `raw` is the parsed TOML, `at` the line of each key path. With `settings` the
-    file is held against the classes and limits of the node that is to use it.
+    `raw` is the parsed TOML, `at` the line of each key path. With `settings`,
+    the file is also checked against the classes and limits of the node that will use it.
     """
     faults = FaultLog()
     lines = Lines(at)
--- a/loadbalancer/core/routes/overlaps.py
+++ b/loadbalancer/core/routes/overlaps.py
@@ -1,4 +1,7 @@
-"""Routes of one service that hide one another, or take what another class must have."""
+"""Checks for routes of one service that overlap.
+
+A route may make another unreachable, or take requests of a stricter class.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from loadbalancer.core.routes.specs import METHODS, REPEAT_NAMES, ClassSpec, RouteSpec
 from loadbalancer.core.routes.table import Pattern
 
-Way = tuple[bytes, bytes]  # a method and a declared class, b"" for none declared
+MethodAndClass = tuple[bytes, bytes]  # method and declared class; b"" if none is declared
 
 
 class OverlapRules:
@@ -25,24 +28,24 @@
         self._faults = faults
 
     def check(self, routes: Sequence[RouteSpec]) -> None:
-        """Report every route that is hidden, equal to another, or captures a stricter class."""
+        """Report routes that are unreachable, ambiguous, or take a stricter class's requests."""
         self._check_hidden(routes)
         self._check_captures(routes)
 
-    # ---- which route hides which --------------------------------------
+    # ---- unreachable and ambiguous routes -----------------------------
 
-    def _ways(self, route: RouteSpec) -> set[Way]:
-        """The (method, declared class) pairs with which a request can reach a route.
+    def _matching_requests(self, route: RouteSpec) -> set[MethodAndClass]:
+        """Return the (method, declared class) pairs whose requests can match a route.
 
-        A safe class is asked by GET, others by POST, and a request that names a
-        class must name the one it falls under; "" stands for one that names none.
+        Requests of a safe class use GET, all others POST. A request that declares a
+        class must declare the one that applies to it; b"" means that it declares none.
         """
         methods = route.methods or frozenset(m.encode() for m in METHODS)
         declared = route.classes or frozenset((*(c.encode() for c in self._classes), b""))
-        ways = {(method, name) for method in methods for name in declared}
+        requests = {(method, name) for method in methods for name in declared}
         if route.deny:
-            return ways
-        return {(method, name) for method, name in ways if self._reaches(route, method, name)}
+            return requests
+        return {(method, name) for method, name in requests if self._reaches(route, method, name)}
 
     def _reaches(self, route: RouteSpec, method: bytes, declared: bytes) -> bool:
         cls = route.assigned or declared.decode()
@@ -54,7 +57,7 @@
         return method == (b"GET" if safe else b"POST")
 
     def _effect_of(self, cls: str) -> Effect:
-        """What the protocol's methods follow: the settings where given, else the file."""
+        """Return the effect that decides on the method: of the settings if given, else the file."""
         if self._settings is not None:
             for known in self._settings.classes:
                 if known.name == cls:
@@ -62,10 +65,11 @@
         return self._classes[cls].effect
 
     def _check_hidden(self, routes: Sequence[RouteSpec]) -> None:
-        """Routes that no request can reach, and those that are equal where they meet.
+        """Report routes that no request can reach and routes of equal precedence that overlap.
 
-        Under the order a route is hidden only by routes on the same path: on any
-        other that meets it, the leftmost segment that differs leaves it paths.
+        Only routes on the same path can make a route unreachable. Any other route that
+        overlaps it differs in some segment, and the leftmost such segment leaves it paths
+        that the other does not match.
         """
         groups: dict[tuple[tuple[bytes | None, ...], bool], list[RouteSpec]] = {}
         for route in routes:
@@ -74,43 +78,46 @@
             self._check_one_path(sorted(group, key=lambda r: -r.conditions()))
 
     def _check_one_path(self, group: list[RouteSpec]) -> None:
-        """Routes on one path, in the order in which they are tried."""
-        reached: dict[Way, RouteSpec] = {}
+        """Check routes on one path, given in the order in which they are tried."""
+        reached: dict[MethodAndClass, RouteSpec] = {}
         for i, route in enumerate(group):
-            equal = next((r for r in group[:i] if r.clashes(route)), None)
+            equal = next((r for r in group[:i] if r.conflicts_with(route)), None)
             if equal is not None:
-                self._equal(equal, route)
+                self._report_equal(equal, route)
                 continue
-            ways = self._ways(route)
-            self._check_reached(route, ways, reached)
-            for way in ways:
-                reached.setdefault(way, route)
+            requests = self._matching_requests(route)
+            self._check_reached(route, requests, reached)
+            for request in requests:
+                reached.setdefault(request, route)
 
-    def _equal(self, one: RouteSpec, other: RouteSpec) -> None:
+    def _report_equal(self, one: RouteSpec, other: RouteSpec) -> None:
         first, second = sorted((one, other), key=lambda r: r.line)
-        wrong = f"route {second.full} and {first.full} (line {first.line}) take the "
-        wrong += f"same requests at {other.pattern}, and none goes before the other"
-        right = "give one a method or class that the other lacks"
+        wrong = f"route {second.full} and {first.full} (line {first.line}) match the "
+        wrong += f"same requests at {other.pattern}, and neither takes precedence"
+        right = "restrict one to a method or class that the other does not have"
         self._faults.add(second.path_line, "equal-routes", wrong, right)
 
     def _check_reached(
-        self, route: RouteSpec, ways: set[Way], taken: Mapping[Way, RouteSpec]
+        self,
+        route: RouteSpec,
+        requests: set[MethodAndClass],
+        taken: Mapping[MethodAndClass, RouteSpec],
     ) -> None:
-        if not ways:
-            wrong = f"no request can reach route {route.full}: none of its classes is "
-            wrong += "asked by its methods"
-            right = "safe classes are asked by GET, others by POST"
+        if not requests:
+            wrong = f"no request can reach route {route.full}: its methods are "
+            wrong += "not those of its classes"
+            right = "requests of safe classes use GET, others POST"
             self._faults.add(route.path_line, "unreachable-route", wrong, right)
-        elif ways <= taken.keys():
-            by = sorted({taken[way].full for way in ways})
-            wrong = f"no request can reach route {route.full}: {', '.join(by)} take them all"
-            right = "leave it out, or narrow what hides it"
+        elif requests <= taken.keys():
+            by = sorted({taken[request].full for request in requests})
+            wrong = f"no request can reach route {route.full}: {', '.join(by)} take all of them"
+            right = "remove it, or narrow the routes before it"
             self._faults.add(route.path_line, "unreachable-route", wrong, right)
 
-    # ---- which route takes a stricter class's path --------------------
+    # ---- routes that take a stricter class's path ---------------------
 
     def _check_captures(self, routes: Sequence[RouteSpec]) -> None:
-        """Routes that take a class's own path under a class that repeats more freely."""
+        """Report routes that assign a class's own path to a class with a less strict repeat."""
         strict = [c for c in self._classes.values() if c.effect != Effect.PURE]
         for route in routes:
             if route.deny or not route.assigned:
@@ -120,18 +127,20 @@
                 if cls.name == route.assigned or effect >= cls.effect:
                     continue
                 own = Pattern((cls.name.encode(),), prefix=True)
-                if route.pattern.meets(own) and not _guarded(route, own, routes):
-                    self._captures(route, effect, cls, own)
+                if route.pattern.meets(own) and not _is_preceded(route, own, routes):
+                    self._report_capture(route, effect, cls, own)
 
-    def _captures(self, route: RouteSpec, effect: Effect, cls: ClassSpec, own: Pattern) -> None:
-        wrong = f"route {route.full} takes {own} as class {route.assigned}, which repeats "
-        wrong += f"{REPEAT_NAMES[effect]}; class {cls.name} repeats {REPEAT_NAMES[cls.effect]}"
+    def _report_capture(
+        self, route: RouteSpec, effect: Effect, cls: ClassSpec, own: Pattern
+    ) -> None:
+        wrong = f"route {route.full} takes {own} as class {route.assigned}, with repeat "
+        wrong += f"{REPEAT_NAMES[effect]}; class {cls.name} has repeat {REPEAT_NAMES[cls.effect]}"
         right = f'narrow its path, or add a route with prefix = "/{cls.name}" before it'
         self._faults.add_once(route.path_line, "captures-stricter", wrong, right)
 
 
-def _guarded(route: RouteSpec, own: Pattern, routes: Sequence[RouteSpec]) -> bool:
-    """Whether another route, without conditions, takes all of `own` before this one."""
+def _is_preceded(route: RouteSpec, own: Pattern, routes: Sequence[RouteSpec]) -> bool:
+    """Whether another route without conditions takes all of `own` before this one."""
     return any(
         other is not route
         and not other.conditions()
--- a/loadbalancer/core/routes/policy.py
+++ b/loadbalancer/core/routes/policy.py
@@ -1,4 +1,4 @@
-"""The policy keys that defaults, classes and routes share: reading and resolving them."""
+"""Reads and resolves the policy keys shared by defaults, classes and routes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     "budget",
     "second_copy",
 )
-MAX_BUDGET_FLOOR = 1000  # further attempts a second
+MAX_BUDGET_FLOOR = 1000  # retries and hedges per second
 MIN_PERCENTILE, MAX_PERCENTILE = 50, 99.9
 
 T = TypeVar("T")
 
 
 def read_policy_keys(table: TableReader, where: str) -> Values:
-    """The policy keys of one section, named `where`."""
+    """Read the policy keys of one section; `where` names it in explanations."""
     found: dict[str, Any] = {
         "wanted": table.duration("wanted"),
         "timeout": table.duration("timeout"),
@@ -45,7 +45,7 @@
 
 
 def read_budget(parent: TableReader) -> BudgetSpec | None:
-    """The budget of further attempts in a section, None where it has none."""
+    """Read the budget for retries and hedges of a section; None if it has none."""
     table = parent.child("budget")
     if table is None:
         return None
@@ -53,7 +53,7 @@
     part = table.value("part", float)
     floor = table.number("floor", 0, MAX_BUDGET_FLOOR)
     if part is not None and not 0 <= part <= 1:
-        wrong = f"part is {part}: more further attempts than requests, or none at all"
+        wrong = f"part is {part}, which is not a share of the requests"
         table.fault("part", "budget-over-whole", wrong, "write 0 to 1 (0.2 is a fifth)")
     if "part" not in table.raw:
         right = "write { part = 0.2, floor = 3 }"
@@ -75,7 +75,7 @@
 
 
 def _read_backoff(table: TableReader | None) -> tuple[int, int] | None:
-    """The base and the longest backoff, in nanoseconds."""
+    """Read the base and maximum backoff in nanoseconds."""
     if table is None:
         return None
     table.known(("base", "most"))
@@ -84,7 +84,7 @@
     if "base" not in table.raw:
         table.fault_here("missing-key", "backoff has no base", 'write base = "10ms"')
     if base is not None and longest is not None and longest < base:
-        table.fault("most", "backoff-order", "backoff's most is under its base", "write more")
+        table.fault("most", "backoff-order", "most is less than base", "raise most or lower base")
     return None if base is None else (base, longest or base)
 
 
@@ -96,17 +96,17 @@
     percentile = table.number("percentile", MIN_PERCENTILE, MAX_PERCENTILE)
     max_part = table.number("most", 0, 1)
     if ("after" in table.raw) == ("percentile" in table.raw):
-        right = 'write after = "80ms" or percentile = 95, one of them'
-        wrong = "second_copy has both or neither of its times"
+        right = 'write after = "80ms" or percentile = 95'
+        wrong = "second_copy needs exactly one of after and percentile"
         table.fault_here("missing-key", wrong, right)
     if "most" not in table.raw:
-        wrong = "second_copy has no bound on how many requests may have one"
+        wrong = "second_copy has no most, the share of requests that may be hedged"
         table.fault_here("missing-key", wrong, "write most = 0.05")
     return HedgingSpec(after or 0, percentile or 0.0, max_part or 0.0)
 
 
 def resolve_policy(name: str, spec: ClassSpec, effect: Effect, values: Values) -> Policy:
-    """The policy that these values, defaults and bases included, make for a class."""
+    """Build the policy of a class from values that include its defaults and bases."""
 
     def value(key: str, default: T) -> T:
         return cast(T, values[key].value) if key in values else default
--- a/loadbalancer/core/routes/reader.py
+++ b/loadbalancer/core/routes/reader.py
@@ -1,7 +1,7 @@
-"""Typed values out of parsed TOML; what can't be read is a fault at its line.
+"""Reads typed values from parsed TOML and reports invalid ones with their line.
 
-A value that is absent and one that is a fault both read as None, so that a
-decoder goes on to the next key and a file's faults are all found in one run.
+Absent and invalid values are both returned as None, so that a decoder continues with
+the next key and one run finds all faults of a file.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from loadbalancer.core.routes.faults import FaultLog
 
 MAX_DURATION = 3600 * 1_000_000_000  # nanoseconds
-MAX_QUOTED = 40  # characters of a wrong value that a fault quotes
+MAX_QUOTED = 40  # characters of an invalid value quoted in a fault
 
 KeyPath = tuple[str | int, ...]
 T = TypeVar("T")
@@ -34,29 +34,29 @@
 
 
 def suggestion(value: str, known: Iterable[str], otherwise: str) -> str:
-    """The known word nearest to a wrong one, or `otherwise` where none is near."""
+    """Suggest the known word closest to `value`, or return `otherwise` if none is close."""
     near = get_close_matches(value, known, 1)
     return f"did you mean {near[0]!r}?" if near else otherwise
 
 
 def is_name(text: str) -> bool:
-    """Whether a class, service or route may be named so."""
+    """Whether this is a valid name for a class, service or route."""
     return _NAME(text) is not None
 
 
 def parse_duration(text: str) -> int | None:
-    """Nanoseconds of a text such as "250ms", None where it is no number with a unit."""
+    """Parse a duration such as "250ms" to nanoseconds; None if it is not a number and unit."""
     match = _DURATION(text)
     if match is None:
         return None
-    # Scaled in whole numbers: 0.1 s is not a sum of binary fractions.
+    # Integer arithmetic, as 0.1 s has no exact binary floating-point representation.
     integer, _, fraction = match[1].partition(".")
     unit = _UNITS[match[2]]
     return int(integer) * unit + int(fraction or "0") * unit // int(10 ** len(fraction))
 
 
 class Lines:
-    """Where each key stands; a key that is not in the file stands where its table does."""
+    """Line of each key; a key that is not in the file gets the line of its table."""
 
     __slots__ = ("_at",)
 
@@ -64,7 +64,7 @@
         self._at = at
 
     def of(self, path: KeyPath) -> int:
-        """The line of a key, from 1."""
+        """Return the line of a key, counted from 1."""
         while path:
             if path in self._at:
                 return self._at[path]
@@ -73,7 +73,7 @@
 
 
 class TableReader:
-    """One table of the file, read key by key."""
+    """Reads the keys of one table of the file."""
 
     __slots__ = ("faults", "lines", "path", "raw")
 
@@ -86,7 +86,7 @@
         self.faults = faults
 
     def line(self, *keys: str | int) -> int:
-        """The line of a key of this table, or of the table itself."""
+        """Return the line of a key of this table, or of the table itself."""
         return self.lines.of((*self.path, *keys))
 
     def fault(self, key: str, rule: str, wrong: str, right: str) -> None:
@@ -94,39 +94,39 @@
         self.faults.add(self.line(key), rule, wrong, right)
 
     def fault_here(self, rule: str, wrong: str, right: str) -> None:
-        """Report a fault of the table as a whole."""
+        """Report a fault at the line of this table."""
         self.faults.add(self.line(), rule, wrong, right)
 
     def dotted(self, *keys: str) -> str:
-        """The name of this table, or of a key in it, without positions in arrays."""
+        """Return the dotted name of this table or of a key in it, without array indexes."""
         return ".".join((*(part for part in self.path if isinstance(part, str)), *keys))
 
     # ---- whole tables -------------------------------------------------
 
     def known(self, keys: Sequence[str]) -> None:
-        """Report every key that is not one of these."""
+        """Report every key of this table that is not in `keys`."""
         for key in self.raw:
             if key not in keys:
-                right = suggestion(key, keys, f"known are {', '.join(keys)}")
+                right = suggestion(key, keys, f"known keys are {', '.join(keys)}")
                 where = self.dotted() or "the file"
                 self.fault(key, "unknown-key", f"{where} has no key {key!r}", right)
 
     def child(self, key: str) -> TableReader | None:
-        """A table in this one, None where it is absent."""
+        """Return a nested table, or None if it is absent."""
         raw = self.value(key, dict)
         return None if raw is None else self._at(raw, key)
 
     def section(self, key: str) -> TableReader:
-        """As child, empty where it is absent."""
+        """Return a nested table, or an empty one if it is absent."""
         return self._at(self.value(key, dict) or {}, key)
 
     def children(self, key: str) -> list[TableReader]:
-        """An array of tables, empty where it is absent."""
+        """Return an array of tables, or an empty list if it is absent."""
         found = self.value(key, list) or []
         if all(isinstance(table, dict) for table in found):
             return [self._at(table, key, i) for i, table in enumerate(found)]
         right = f"write [[{self.dotted(key)}]]"
-        self.fault(key, "wrong-type", f"{key} is no array of tables", right)
+        self.fault(key, "wrong-type", f"{key} is not an array of tables", right)
         return []
 
     def _at(self, raw: Mapping[str, Any], *keys: str | int) -> TableReader:
@@ -135,45 +135,47 @@
     # ---- single values ------------------------------------------------
 
     def value(self, key: str, kind: type[T]) -> T | None:
-        """A value of this type; a whole number will do for a float."""
+        """Return a value of this type; an integer is accepted as a float."""
         value = self.raw.get(key)
         if value is None:
             return None
         if isinstance(value, bool) and kind is not bool:
-            good = False
+            valid = False
         else:
-            good = isinstance(value, kind) or (kind is float and isinstance(value, int))
-        if good:
+            valid = isinstance(value, kind) or (kind is float and isinstance(value, int))
+        if valid:
             return cast(T, value)
         wrong = f"{key} is {type(value).__name__} {str(value)[:MAX_QUOTED]!r}"
         self.fault(key, "wrong-type", wrong, f"write {_TYPE_NAMES[kind]}")
         return None
 
     def number(self, key: str, low: float, high: float) -> float | None:
-        """A number from `low` to `high`."""
+        """Return a number from `low` to `high`, both inclusive."""
         value = self.value(key, float)
         if value is None or low <= value <= high:
             return value
-        self.fault(key, "bad-value", f"{key} is {value}", f"write {low:g} to {high:g}")
+        self.fault(
+            key, "bad-value", f"{key} is {value}", f"write a number from {low:g} to {high:g}"
+        )
         return None
 
     def duration(self, key: str) -> int | None:
-        """Nanoseconds of a string such as "250ms", above 0 and up to MAX_DURATION."""
+        """Return a duration such as "250ms" in nanoseconds, above 0 and up to MAX_DURATION."""
         value = self.raw.get(key)
         if value is None:
             return None
         result = parse_duration(value) if isinstance(value, str) else None
         if result is None:
-            right = 'write a number and us, ms, s or m as a string, such as "250ms"'
+            right = 'write a string of a number and a unit (us, ms, s or m), such as "250ms"'
             self.fault(key, "bad-unit", f"{key} is {str(value)[:MAX_QUOTED]!r}", right)
             return None
         if not 0 < result <= MAX_DURATION:
-            self.fault(key, "bad-value", f"{key} is {value}", "write more than 0, 60m at most")
+            self.fault(key, "bad-value", f"{key} is {value}", "write more than 0 and at most 60m")
             return None
         return result
 
     def choice(self, key: str, choices: Mapping[str, T]) -> T | None:
-        """What one of these words stands for."""
+        """Return the value that the word given for this key maps to."""
         value = self.value(key, str)
         if value is None:
             return None
@@ -184,7 +186,7 @@
         return None
 
     def choices(self, key: str, known: Sequence[str], rule: str) -> list[str] | None:
-        """An array of some of these words; any other breaks `rule` and is left out."""
+        """Return an array of known words; others are reported under `rule` and left out."""
         values = self.value(key, list)
         if values is None:
             return None
@@ -193,27 +195,27 @@
             if isinstance(value, str) and value in known:
                 good.append(value)
                 continue
-            right = suggestion(str(value), known, f"known are {', '.join(known)}")
-            wrong = f"{key} names {str(value)[:MAX_QUOTED]!r}"
+            right = suggestion(str(value), known, f"known values are {', '.join(known)}")
+            wrong = f"{key} contains {str(value)[:MAX_QUOTED]!r}"
             self.faults.add(self.line(key, i), rule, wrong, right)
         return good
 
     def name(self, others: dict[str, int], what: str) -> str:
-        """This table's own name, which `others` (names and their lines) must not have yet."""
+        """Return the `name` of this table, which must not be in `others` (names with lines)."""
         name = self.value("name", str)
         if name is None:
             if "name" not in self.raw:
                 self.fault("name", "missing-key", f"a {what} has no name", 'write name = "..."')
             return f"{what}-{self.path[-1]}"
         if not is_name(name):
-            self.fault("name", "bad-value", f"a {what} is named {name[:70]!r}", _NAME_RULE)
+            self.fault("name", "bad-value", f"{what} is named {name[:70]!r}", _NAME_RULE)
         if name in others:
-            wrong = f"{what} {name!r} is there already, in line {others[name]}"
+            wrong = f"{what} {name!r} is already used in line {others[name]}"
             self.fault("name", "duplicate-name", wrong, "give it another name")
         others.setdefault(name, self.line("name"))
         return name
 
     def check_own_name(self, name: str, what: str) -> None:
-        """Report a table whose key, its name, is not one that may be given."""
+        """Report a table whose key is not a valid name."""
         if not is_name(name):
             self.fault_here("bad-value", f"{what} is named {name!r}", _NAME_RULE)
--- a/loadbalancer/core/routes/rules.py
+++ b/loadbalancer/core/routes/rules.py
@@ -1,7 +1,7 @@
-"""The rules that each resolved policy keeps; docs/operate/routes.md has one paragraph for each.
+"""Checks each resolved policy against the rules described in docs/operate/routes.md.
 
-A fault stands where the value that breaks the rule was written, not where it took
-effect.
+A fault is reported at the line where the violating value was written, not where it
+applies.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 
 class _Checked(NamedTuple):
-    """One policy under check."""
+    """A policy being checked."""
 
     policy: Policy
     spec: ClassSpec
     values: Values
     faults: FaultLog
 
-    def broken(self, key: str, rule: str, wrong: str, right: str) -> None:
-        """Report the rule at the line of the value that breaks it."""
+    def report(self, key: str, rule: str, wrong: str, right: str) -> None:
+        """Report a violated rule at the line of the value that violates it."""
         policy = self.policy
         who = f"class {policy.cls}"
         if policy.name != who:
@@ -35,7 +35,7 @@
 
 
 class PolicyRules:
-    """Checks policies against the rules, and against the settings where they are given."""
+    """Checks policies against the rules and, if given, against the settings."""
 
     __slots__ = ("_faults", "_lines", "_settings", "max_attempts")
 
@@ -46,7 +46,7 @@
         self.max_attempts = settings.max_attempts if settings else MAX_ATTEMPTS
 
     def check(self, policy: Policy, spec: ClassSpec, values: Values) -> None:
-        """Report every rule that one resolved policy breaks."""
+        """Report every rule that a resolved policy violates."""
         checked = _Checked(policy, spec, values, self._faults)
         if policy.effect == Effect.SIDE_EFFECT:
             _check_never_repeated(checked)
@@ -60,8 +60,8 @@
     def _check_attempts(self, checked: _Checked) -> None:
         attempts, allowed = checked.policy.attempts, self.max_attempts
         if attempts > allowed:
-            wrong = f"gets {attempts} attempts, the settings allow {allowed}"
-            checked.broken("attempts", "attempts-over-most", wrong, f"write {allowed} at most")
+            wrong = f"has {attempts} attempts, the limit is {allowed}"
+            checked.report("attempts", "attempts-over-most", wrong, f"write {allowed} at most")
 
     def _check_hedging(self, checked: _Checked) -> None:
         policy = checked.policy
@@ -69,14 +69,14 @@
         after = policy.hedging.after
         end = policy.attempt_timeout or policy.timeout
         if end and after >= end:
-            wrong = f"gets a second copy after {_ms(after)}, its attempt ends at {_ms(end)}"
-            checked.broken("second_copy", "copy-after-end", wrong, f"write less than {_ms(end)}")
+            wrong = f"sends a second copy after {_ms(after)}, but its attempt ends after {_ms(end)}"
+            checked.report("second_copy", "copy-after-end", wrong, f"write less than {_ms(end)}")
         if policy.attempts == 1 and policy.effect == Effect.PURE:
-            wrong = "gets a second copy and one attempt; a copy is an attempt"
-            checked.broken("second_copy", "copy-attempts", wrong, "write attempts = 2 or more")
+            wrong = "has a second copy but one attempt only; the copy counts as an attempt"
+            checked.report("second_copy", "copy-attempts", wrong, "write attempts = 2 or more")
         settings = self._settings
         if settings is not None and not (settings.hedging and settings.can_cancel):
-            wrong = f"{policy.name}: the settings allow no second copies"
+            wrong = f"{policy.name}: the settings do not allow second copies"
             line = self._lines.of(("defaults",))
             self._faults.warn(line, "copy-not-allowed", wrong, "none will be sent")
 
@@ -84,53 +84,53 @@
 def _check_never_repeated(checked: _Checked) -> None:
     policy = checked.policy
     if policy.attempts > 1:
-        wrong = f"repeats never and gets {policy.attempts} attempts"
-        right = "write attempts = 1, or none: then what never ran is tried again as the "
-        right += "settings allow"
-        checked.broken("attempts", "never-attempts", wrong, right)
+        wrong = f"has repeat never but {policy.attempts} attempts"
+        right = "write attempts = 1, or leave it out: the settings then limit the retries of "
+        right += "requests that never ran"
+        checked.report("attempts", "never-attempts", wrong, right)
     may_have_run = sorted((policy.retry_on or frozenset()) - NEVER_RAN)
     if may_have_run:
         after = ", ".join(may_have_run)
-        wrong = f"repeats never and is tried again after {after}, when it may have run"
-        right = f"keep to {', '.join(sorted(NEVER_RAN))}"
-        checked.broken("retry_on", "never-condition", wrong, right)
+        wrong = f"has repeat never but is retried after {after}, when it may have run"
+        right = f"use only {', '.join(sorted(NEVER_RAN))}"
+        checked.report("retry_on", "never-condition", wrong, right)
     if policy.hedging is not None:
         right = "leave it out, or set it for safe classes only"
-        checked.broken("second_copy", "never-copy", "repeats never and gets second copies", right)
+        checked.report("second_copy", "never-copy", "has repeat never but second copies", right)
 
 
 def _check_keyed(checked: _Checked) -> None:
     policy = checked.policy
     if policy.hedging is not None:
         right = "leave it out: two copies of a keyed request may reach servers at once"
-        checked.broken("second_copy", "keyed-copy", "repeats keyed and gets second copies", right)
+        checked.report("second_copy", "keyed-copy", "has repeat keyed but second copies", right)
     window = checked.spec.window
     last_begins = policy.attempt_timeout * max(policy.attempts - 1, 0)
     if window and last_begins >= window:
         right = "shorten attempt_timeout or attempts: servers forget the key"
-        checked.broken("attempt_timeout", "keyed-window", "is tried beyond its window", right)
+        checked.report("attempt_timeout", "keyed-window", "may be retried after its window", right)
 
 
 def _check_times(checked: _Checked) -> None:
     policy, give_up = checked.policy, checked.spec.give_up
     if give_up and policy.timeout > give_up:
-        wrong = f"may take {_ms(policy.timeout)}, its clients give up after {_ms(give_up)}"
-        checked.broken("timeout", "timeout-over-give-up", wrong, f"write {_ms(give_up)} or less")
+        wrong = f"may take {_ms(policy.timeout)}, but its clients give up after {_ms(give_up)}"
+        checked.report("timeout", "timeout-over-give-up", wrong, f"write {_ms(give_up)} or less")
     total = policy.timeout or give_up
     if not total:
         return
     if policy.wanted > total:
-        wrong = f"is wanted within {_ms(policy.wanted)} and given up after {_ms(total)}"
-        checked.broken("wanted", "wanted-over-timeout", wrong, "write less than its time-out")
+        wrong = f"has wanted = {_ms(policy.wanted)} but ends after {_ms(total)}"
+        checked.report("wanted", "wanted-over-timeout", wrong, "write its timeout or less")
     attempts, each = policy.attempts, policy.attempt_timeout
     if each > total:
-        wrong = f"gives an attempt {_ms(each)}, the whole {_ms(total)}"
+        wrong = f"allows {_ms(each)} for an attempt but {_ms(total)} in total"
         right = f"write {_ms(total)} or less"
-        checked.broken("attempt_timeout", "attempt-over-timeout", wrong, right)
+        checked.report("attempt_timeout", "attempt-over-timeout", wrong, right)
     elif attempts > 1 and each * (attempts - 1) >= total:
-        wrong = f"can't fit {attempts} attempts of {_ms(each)} in {_ms(total)}"
+        wrong = f"cannot fit {attempts} attempts of {_ms(each)} into {_ms(total)}"
         right = "lower attempts or attempt_timeout"
-        checked.broken("attempts", "attempts-dont-fit", wrong, right)
+        checked.report("attempts", "attempts-dont-fit", wrong, right)
 
 
 def _ms(ns: int) -> str:
--- a/loadbalancer/core/routes/services.py
+++ b/loadbalancer/core/routes/services.py
@@ -1,4 +1,4 @@
-"""The services of a routes file and their routes, decoded and resolved."""
+"""Decodes and resolves the services of a routes file and their routes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Explained:
-    """One resolved policy and, for each of its values, where it comes from."""
+    """A resolved policy and the origin of each of its values."""
 
     policy: Policy
     values: Values
@@ -65,12 +65,12 @@
         self._classes = classes
         self._rules = rules
         self._overlaps = OverlapRules(classes, settings, top.faults)
-        self._hosts: dict[str, tuple[str, int]] = {}  # whose each host is, and its line
+        self._hosts: dict[str, tuple[str, int]] = {}  # service and line of each host
         self._route_count = 0
         self.explained: list[Explained] = []
 
     def read(self) -> list[Service]:
-        """All services in the file's order."""
+        """Return all services in the order of the file."""
         names: dict[str, int] = {}
         tables = self._top.children("service")
         if not tables:
@@ -84,8 +84,8 @@
         specs = list(self._read_routes(table, name))
         self._overlaps.check(specs)
         if not any(spec.catches_all() for spec in specs):
-            right = 'add a route with prefix = "/", with deny = true where nothing is to pass'
-            wrong = f"service {name} has no route for all that no other takes"
+            right = 'add a route with prefix = "/", with deny = true to reject the other requests'
+            wrong = f"service {name} has no route for requests that match no other route"
             table.fault_here("no-catch", wrong, right)
         return Service(name, hosts, [self._resolve(spec) for spec in specs])
 
@@ -94,23 +94,23 @@
         if not found and "hosts" not in table.raw:
             right = 'write hosts = ["topup.example.org"], or ["*"]'
             table.fault_here("missing-key", f"service {service} has no hosts", right)
-        good = []
+        valid = []
         for i, host in enumerate(found or ()):
             line = table.line("hosts", i)
             try:
-                good.append(check_host(host))
+                valid.append(check_host(host))
             except FormError as err:
                 right = 'write a name, "*.suffix" or "*", without port or upper case'
                 self._faults.add(line, "bad-host", f"host {str(host)[:60]!r}: {err}", right)
                 continue
             self._claim_host(host, service, line)
-        return good
+        return valid
 
     def _claim_host(self, host: str, service: str, line: int) -> None:
         if host in self._hosts:
             other, at = self._hosts[host]
-            wrong = f"host {host!r} is service {other}'s already, in line {at}"
-            self._faults.add(line, "duplicate-host", wrong, "let one service have it")
+            wrong = f"host {host!r} already belongs to service {other}, in line {at}"
+            self._faults.add(line, "duplicate-host", wrong, "list it in one service only")
         self._hosts.setdefault(host, (service, line))
 
     # ---- routes -------------------------------------------------------
@@ -122,7 +122,7 @@
             if self._route_count > MAX_ROUTES:
                 wrong = f"more than {MAX_ROUTES} routes"
                 if self._route_count == MAX_ROUTES + 1:
-                    route.fault_here("bad-value", wrong, "divide them among nodes")
+                    route.fault_here("bad-value", wrong, "distribute them over several nodes")
                 return
             spec = self._read_route(route, names, service)
             if spec is not None:
@@ -141,8 +141,13 @@
         deny = table.value("deny", bool) or False
         assigned = self._read_assigned(table)
         if deny and (values or assigned):
-            right = "leave out either deny or what it grants"
-            table.fault("deny", "deny-grants", f"route {full} denies and grants", right)
+            right = "remove either deny or the class and policy keys"
+            table.fault(
+                "deny",
+                "deny-grants",
+                f"route {full} has deny but also a class or policy keys",
+                right,
+            )
         if pattern is None:
             return None
         path_line = table.line(_path_key(table))
@@ -151,27 +156,27 @@
         )
 
     def _read_assigned(self, table: TableReader) -> str | None:
-        """The class that a route puts its requests under."""
+        """Read the class that a route assigns to its requests."""
         assigned = table.value("class", str)
         if assigned is None or assigned in self._classes:
             return assigned
         right = suggestion(assigned, self._classes, "name a class of this file")
-        table.fault("class", "unknown-class", f"{assigned!r} is no class", right)
+        table.fault("class", "unknown-class", f"{assigned!r} is not a class of this file", right)
         return None
 
     # ---- resolution ---------------------------------------------------
 
     def _resolve(self, spec: RouteSpec) -> Route:
         policies: dict[bytes, Policy] = {}
-        for name in self._granted(spec):
+        for name in self._classes_with_policy(spec):
             policies[name.encode()] = self._resolve_for(spec, self._classes[name])
         assigned = spec.assigned.encode() if spec.assigned else None
         return Route(
             spec.full, spec.pattern, spec.methods, spec.classes, assigned, spec.deny, policies
         )
 
-    def _granted(self, spec: RouteSpec) -> list[str]:
-        """The classes that a route has a policy for."""
+    def _classes_with_policy(self, spec: RouteSpec) -> list[str]:
+        """Return the classes for which a route has a policy."""
         if spec.deny:
             return []
         if spec.assigned:
@@ -181,7 +186,7 @@
     def _resolve_for(self, spec: RouteSpec, cls: ClassSpec) -> Policy:
         given = spec.values.get("repeat")
         if given is not None and given.value < cls.effect:
-            wrong = f"route {spec.full} repeats {REPEAT_NAMES[given.value]}, class {cls.name} "
+            wrong = f"route {spec.full} has repeat {REPEAT_NAMES[given.value]}, class {cls.name} "
             wrong += REPEAT_NAMES[cls.effect]
             right = "a route may be stricter than its class, never looser"
             self._faults.add_once(given.line, "repeat-looser", wrong, right)
@@ -193,7 +198,7 @@
 
 
 def _read_values(table: TableReader, where: str) -> Values:
-    """A route's policy keys and its own word on repeats."""
+    """Read a route's policy keys and its `repeat`."""
     values = read_policy_keys(table, where)
     effect = table.choice("repeat", REPEATS)
     if effect is not None:
@@ -204,7 +209,7 @@
 def _read_condition(
     table: TableReader, key: str, known: list[str] | tuple[str, ...], rule: str
 ) -> frozenset[bytes]:
-    """The values that a request must have one of; empty for any."""
+    """Read the values of which a request must have one; empty if any value matches."""
     given = table.choices(key, known, rule)
     if given == [] and table.raw[key] == []:
         table.fault(key, "bad-value", f"{key} is empty", "name one, or leave it out for any")
@@ -218,7 +223,7 @@
 def _read_pattern(table: TableReader, full: str) -> Pattern | None:
     key = _path_key(table)
     if ("path" in table.raw) == ("prefix" in table.raw):
-        wrong = f"route {full} has both or neither of path and prefix"
+        wrong = f"route {full} needs exactly one of path and prefix"
         right = 'write path = "/balance/{id}" or prefix = "/"'
         table.fault(key, "missing-key", wrong, right)
         return None
--- a/loadbalancer/core/routes/specs.py
+++ b/loadbalancer/core/routes/specs.py
@@ -1,7 +1,7 @@
-"""A routes file's classes and routes as decoded, before they are resolved.
+"""Decoded but unresolved classes and routes of a routes file.
 
-Values keep the line and the section that wrote them, through defaults, bases and
-classes, so that a fault points at what has to be changed.
+Values inherited from defaults, bases and classes keep the line and section where they
+were written, so that a fault points at the value to change.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 REPEATS = {"safe": Effect.PURE, "keyed": Effect.TOKEN, "never": Effect.SIDE_EFFECT}
 REPEAT_NAMES = {effect: name for name, effect in REPEATS.items()}
-METHODS = ("GET", "POST")  # the protocol's: safe classes are asked by GET, others by POST
+METHODS = ("GET", "POST")  # requests of safe classes use GET, others POST
 
 
 class Given(NamedTuple):
-    """A value as written, with its line and the section that wrote it."""
+    """A value with the line and section where it was written."""
 
     value: Any
     line: int
@@ -30,13 +30,13 @@
 
 @dataclass(slots=True)
 class ClassSpec:
-    """A class as the file (and, where given, the settings) have it. Times in nanoseconds."""
+    """A class as the file and, if given, the settings define it; times in nanoseconds."""
 
     name: str
     number: int
     line: int
     effect: Effect
-    values: Values  # defaults and bases included
+    values: Values  # including defaults and bases
     give_up: int = 0
     scope: Scope = Scope.ALL
     window: int = 0
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class RouteSpec:
-    """A route as the file has it; `full` is its service's name and its own."""
+    """A route as the file defines it; `full` is `service/route`."""
 
     name: str
     full: str
@@ -58,16 +58,16 @@
     path_line: int
 
     def before(self, other: RouteSpec) -> bool:
-        """Whether this is tried before the other, on paths that fit both."""
+        """Whether this route is tried first on paths that match both."""
         mine = (self.pattern.rank(), -self.conditions())
         return mine < (other.pattern.rank(), -other.conditions())
 
     def conditions(self) -> int:
-        """How narrow its conditions are, by `table.conditions`."""
+        """Return the precedence of the route's conditions, see `table.conditions`."""
         return conditions(self.methods, self.classes)
 
-    def clashes(self, other: RouteSpec) -> bool:
-        """Whether two routes on one path with the same kinds of conditions share requests."""
+    def conflicts_with(self, other: RouteSpec) -> bool:
+        """Whether two routes on one path have equal precedence and match some same request."""
         return (
             self.conditions() == other.conditions()
             and (not self.methods or bool(self.methods & other.methods))
@@ -75,10 +75,10 @@
         )
 
     def catches_all(self) -> bool:
-        """Whether it takes every request that no other route takes."""
+        """Whether this route matches every request that no other route matches."""
         return self.pattern.prefix and not self.pattern.segments and not self.conditions()
 
     def effect_of(self, spec: ClassSpec) -> Effect:
-        """What a repeat may do to a request of this class: the stricter of both their words."""
+        """Return the effect of a repeat: the stricter one of the route and the class."""
         given = self.values.get("repeat")
         return spec.effect if given is None else max(spec.effect, given.value)
--- a/loadbalancer/core/routes/table.py
+++ b/loadbalancer/core/routes/table.py
@@ -1,14 +1,15 @@
-"""Routes: which service and policy a request falls under.
+"""Matches requests to services, routes and policies.
 
-Frozen data and matching, free of I/O. A table is built whole by `file.decode`, is
-never changed, and is shared by all requests that arrive under it. The order in
-which routes are tried is total (docs/operate/routes.md):
+Immutable data and matching without I/O. `file.decode` builds a complete table, which
+never changes and is shared by all requests that arrive while it is in use. Routes are
+tried in a total order (docs/operate/routes.md):
 
 1. The host chooses the service: an exact name, then the longest `*.suffix`,
-   then `*`. A request never falls through to another service.
-2. The path: compared segment by segment from the left, a literal goes before a
-   `{parameter}` and either before the end of a prefix.
-3. On one path: method and class conditions, then method, then class, then none.
+   then `*`. There is no fallback to another service.
+2. Paths are compared segment by segment from the left: a literal takes precedence
+   over a `{parameter}`, and both over the end of a prefix.
+3. On one path, routes with method and class conditions come first, then those with
+   a method, then those with a class, then those without conditions.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Condition(StrEnum):
-    """What may be tried again, by the names of the routes file."""
+    """Failures after which a request may be retried, as named in the routes file."""
 
     CONNECT_FAILURE = "connect-failure"
     REFUSED = "refused"
@@ -37,16 +38,16 @@
     Outcome.FULL: Condition.REFUSED,
     Outcome.TIMEOUT: Condition.TIMEOUT,
     Outcome.RESET: Condition.RESET,
-    # Our own want of a descriptor: for the request that is a connection not made.
+    # The proxy had no file descriptor left, so no connection was made for the request.
     Outcome.MOOT: Condition.CONNECT_FAILURE,
 }
 
 
 def condition(outcome: int, connected: bool) -> Condition | None:
-    """The condition that an attempt's end meets; None where it is no failure to try again.
+    """Return the condition of an attempt's outcome; None if it is not a retryable failure.
 
-    `connected` tells a connection that broke before the request's last byte from
-    one that never came up: neither ran.
+    For a failed connection, `connected` tells whether it broke before the last byte of
+    the request was sent or was never established. The request ran in neither case.
     """
     if outcome == Outcome.CONNECT_FAILED:
         return Condition.RESET_BEFORE_SENT if connected else Condition.CONNECT_FAILURE
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSpec:
-    """Further attempts: `part` of requests (0 to 1) plus `floor` a second."""
+    """Limit on retries and hedges: `part` of the requests (0 to 1) plus `floor` per second."""
 
     part: float
     floor: float
@@ -66,9 +67,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HedgingSpec:
-    """A hedged request `after` nanoseconds, or at a learned `percentile` (0 to 100).
+    """Hedge after `after` nanoseconds, or at a measured latency `percentile` (0 to 100).
 
-    `max_part` is the part of requests that may have one.
+    `max_part` is the share of requests that may be hedged.
     """
 
     after: int
@@ -78,16 +79,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What one route grants requests of one class, resolved.
+    """The resolved policy of one route for requests of one class.
 
-    Times in nanoseconds. 0 or None: not set, the Balancer does as without a file.
+    Times are in nanoseconds. 0 or None means not set: the Balancer then behaves as
+    without a routes file.
     """
 
     name: str  # service/route
     cls: str
-    number: int  # the class's place in the settings
+    number: int  # index of the class in the settings
     effect: Effect
-    scope: Scope = Scope.ALL  # of a keyed one, with its window
+    scope: Scope = Scope.ALL  # scope and window apply to keyed classes
     window: int = 0
     wanted: int = 0
     timeout: int = 0
@@ -102,7 +104,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """A path: literal segments, None for a parameter; `prefix` where more may follow."""
+    """A path pattern: literal segments, None for a parameter.
+
+    With `prefix`, further segments may follow.
+    """
 
     segments: tuple[bytes | None, ...]
     prefix: bool
@@ -112,7 +117,7 @@
         return f"{text} and below" if self.prefix else text
 
     def meets(self, other: Pattern) -> bool:
-        """Whether some path fits both."""
+        """Whether some path matches both patterns."""
         for a, b in zip(self.segments, other.segments, strict=False):
             if a is not None and b is not None and a != b:
                 return False
@@ -122,7 +127,7 @@
         return shorter.prefix or len(shorter.segments) == len(longer.segments)
 
     def covers(self, other: Pattern) -> bool:
-        """Whether every path that fits `other` fits this."""
+        """Whether every path that matches `other` also matches this pattern."""
         n = len(self.segments)
         if n > len(other.segments) or (not self.prefix and (n < len(other.segments))):
             return False
@@ -134,19 +139,22 @@
         )
 
     def rank(self) -> tuple[tuple[int, bytes], ...]:
-        """Sorts patterns that meet in the order in which they are tried."""
+        """Return a key that sorts overlapping patterns in the order in which they are tried."""
         steps = [(1, b"") if s is None else (0, s) for s in self.segments]
         return (*steps, (2, b"") if self.prefix else (-1, b""))
 
 
 def conditions(methods: frozenset[bytes], classes: frozenset[bytes]) -> int:
-    """The more conditions the earlier: 3 method and class, 2 method, 1 class, 0 none."""
+    """Return the precedence of conditions: 3 method and class, 2 method, 1 class, 0 none."""
     return 2 * bool(methods) + bool(classes)
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """`methods` and `classes` empty: any. `assigned` None: the path's first segment names it."""
+    """A route; empty `methods` or `classes` match any.
+
+    If `assigned` is None, the first segment of the path names the class.
+    """
 
     name: str
     pattern: Pattern
@@ -157,24 +165,24 @@
     policies: Mapping[bytes, Policy]  # by class
 
     def conditions(self) -> int:
-        """How many conditions a request has to meet."""
+        """Return the precedence of the route's conditions, see `conditions`."""
         return conditions(self.methods, self.classes)
 
     def takes(self, method: bytes, declared: bytes) -> bool:
-        """Whether a request of this method and declared class meets the conditions."""
+        """Whether a request with this method and declared class satisfies the conditions."""
         return (not self.methods or method in self.methods) and (
             not self.classes or declared in self.classes
         )
 
 
-class _Step:
-    """One segment of the patterns' tree."""
+class _TreeNode:
+    """A node of the tree of path segments."""
 
     __slots__ = ("ends", "literals", "parameter", "prefixes")
 
     def __init__(self) -> None:
-        self.literals: dict[bytes, _Step] = {}
-        self.parameter: _Step | None = None
+        self.literals: dict[bytes, _TreeNode] = {}
+        self.parameter: _TreeNode | None = None
         self.ends: tuple[Route, ...] = ()
         self.prefixes: tuple[Route, ...] = ()
 
@@ -184,10 +192,10 @@
 
 
 class Service:
-    """The routes of some hosts, as a tree over segments.
+    """The hosts of a service and its routes, as a tree over path segments.
 
-    A look-up visits at most one literal and one parameter a segment, so its cost
-    grows with the path and the parameters in the file, not with the routes.
+    A lookup follows at most one literal and one parameter per tree node, so its cost
+    grows with the path and the parameters in the file, not with the number of routes.
     """
 
     __slots__ = ("_exact", "_root", "hosts", "name", "routes")
@@ -196,7 +204,7 @@
         self.name = name
         self.hosts = tuple(hosts)
         self.routes = tuple(routes)
-        self._root = _Step()
+        self._root = _TreeNode()
         self._exact: dict[bytes, tuple[Route, ...]] = {}
         for route in routes:
             self._add(route)
@@ -206,10 +214,10 @@
         pattern = route.pattern
         for segment in pattern.segments:
             if segment is None:
-                step.parameter = step.parameter or _Step()
+                step.parameter = step.parameter or _TreeNode()
                 step = step.parameter
             else:
-                step = step.literals.setdefault(segment, _Step())
+                step = step.literals.setdefault(segment, _TreeNode())
         if pattern.prefix:
             step.prefixes = _by_conditions(step.prefixes, route)
             return
@@ -221,7 +229,10 @@
     def match(
         self, path: bytes, segments: list[bytes], method: bytes, declared: bytes
     ) -> Route | None:
-        """The first route in the order for a canonical path and what its slashes divide."""
+        """Return the first matching route for a canonical path and its segments.
+
+        `segments` is the path split at its slashes, so its first item is empty.
+        """
         for route in self._exact.get(path, ()):
             if route.takes(method, declared):
                 return route
@@ -229,7 +240,7 @@
 
 
 def _find(
-    step: _Step, segments: list[bytes], at: int, method: bytes, declared: bytes
+    step: _TreeNode, segments: list[bytes], at: int, method: bytes, declared: bytes
 ) -> Route | None:
     if at == len(segments):
         routes: tuple[Route, ...] = step.ends
@@ -255,7 +266,7 @@
 
 
 def suffixes(host: bytes) -> Iterator[bytes]:
-    """A host's suffixes with their leading dot, longest first."""
+    """Yield the suffixes of a host with their leading dot, longest first."""
     at = host.find(b".")
     while at >= 0:
         yield host[at:]
@@ -263,7 +274,7 @@
 
 
 class Table:
-    """All services of one file."""
+    """All services of one routes file, by host."""
 
     __slots__ = ("_any", "_hosts", "_suffixes", "node_budget", "services")
 
@@ -283,7 +294,7 @@
                     self._hosts[host.encode()] = service
 
     def service(self, host: bytes) -> Service | None:
-        """The service of a canonical host, None where no service has it."""
+        """Return the service of a canonical host, or None if no service has it."""
         found = self._hosts.get(host)
         if found is None and self._suffixes and host[:1] != b"[":
             for suffix in suffixes(host):
@@ -293,5 +304,5 @@
         return found or self._any
 
     def names(self) -> set[str]:
-        """The full names of all routes that grant anything."""
+        """Return the full names of all routes that have a policy."""
         return {p.name for s in self.services for r in s.routes for p in r.policies.values()}
