--- a/loadbalancer/core/routes/reader.py
+++ b/loadbalancer/core/routes/reader.py
@@ -208,7 +208,7 @@
                 self.fault("name", "missing-key", f"a {what} has no name", 'write name = "..."')
             return f"{what}-{self.path[-1]}"
         if not is_name(name):
-            self.fault("name", "bad-value", f"{what} is named {name[:70]!r}", _NAME_RULE)
+            self.fault("name", "bad-value", f"a {what} is named {name[:70]!r}", _NAME_RULE)
         if name in others:
             wrong = f"{what} {name!r} is already used in line {others[name]}"
             self.fault("name", "duplicate-name", wrong, "give it another name")
--- a/loadbalancer/core/routes/rules.py
+++ b/loadbalancer/core/routes/rules.py
@@ -124,7 +124,7 @@
         checked.report("wanted", "wanted-over-timeout", wrong, "write its timeout or less")
     attempts, each = policy.attempts, policy.attempt_timeout
     if each > total:
-        wrong = f"allows {_ms(each)} for an attempt but {_ms(total)} in total"
+        wrong = f"allows an attempt {_ms(each)}, more than its total of {_ms(total)}"
         right = f"write {_ms(total)} or less"
         checked.report("attempt_timeout", "attempt-over-timeout", wrong, right)
     elif attempts > 1 and each * (attempts - 1) >= total:
