--- a/tests/core/routes/test_route_file.py
+++ b/tests/core/routes/test_route_file.py
@@ -1,4 +1,4 @@
-"""Bad routes files: every fault, with its line and its rule, and nothing else."""
+"""Tests that an invalid routes file yields exactly the expected faults, by line and rule."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 )
 
 
-def checked(text: str, settings: Settings | None = None) -> Result:
+def decode_text(text: str, settings: Settings | None = None) -> Result:
     try:
         raw, lines = parse(text.encode())
     except FileError as err:
@@ -37,13 +37,13 @@
     return decode(raw, lines, settings)
 
 
-def found(text: str, settings: Settings | None = None) -> list[tuple[int, str]]:
-    return [(f.line, f.rule) for f in checked(text, settings).faults]
+def fault_lines(text: str, settings: Settings | None = None) -> list[tuple[int, str]]:
+    return [(f.line, f.rule) for f in decode_text(text, settings).faults]
 
 
 @pytest.mark.parametrize("settings", [None, SETTINGS])
-def test_the_good_file_is_good(settings: Settings | None) -> None:
-    result = checked(GOOD, settings)
+def test_valid_file_has_no_faults_or_warnings(settings: Settings | None) -> None:
+    result = decode_text(GOOD, settings)
     assert not result.faults
     assert not result.warnings
     assert result.table is not None
@@ -53,9 +53,9 @@
 ROUTE = '\n[[service.route]]\nname = "more"\n'
 CATCH_ALL = 'name = "rest"\nprefix = "/"\ndeny = true\n'
 
-# name: (changes, then for each fault expected: a mark in the faulty file's line, and its rule)
-BAD: dict[str, tuple[list[tuple[str, str]], list[tuple[str, str]]]] = {
-    "no TOML": ([("version = 1", "version = ")], [("version", "syntax")]),
+# name: (changes to the valid file, and for each expected fault a text in its line and its rule)
+INVALID_FILES: dict[str, tuple[list[tuple[str, str]], list[tuple[str, str]]]] = {
+    "invalid TOML": ([("version = 1", "version = ")], [("version", "syntax")]),
     "key twice": ([("attempts = 3", "attempts = 3\nattempts = 2")], [("attempts = 2", "syntax")]),
     "no version": ([("version = 1\n", "")], [("\n", "version")]),
     "other version": ([("version = 1", "version = 2")], [("version", "version")]),
@@ -70,70 +70,70 @@
     "duration without unit": ([('"800ms"', '"800"')], [('wanted = "800"', "bad-unit")]),
     "duration as a number": ([('"800ms"', "800")], [("wanted = 800", "bad-unit")]),
     "duration in hours": ([('"800ms"', '"1h"')], [('"1h"', "bad-unit")]),
-    "duration of nothing": ([('"800ms"', '"0ms"')], [('"0ms"', "bad-value")]),
+    "zero duration": ([('"800ms"', '"0ms"')], [('"0ms"', "bad-value")]),
     "negative duration": ([('"800ms"', '"-5ms"')], [('"-5ms"', "bad-unit")]),
     "attempts as a string": ([("attempts = 3", 'attempts = "3"')], [('"3"', "wrong-type")]),
-    "attempts as a truth": ([("attempts = 3", "attempts = true")], [("= true", "wrong-type")]),
-    "no attempts at all": ([("attempts = 3", "attempts = 0")], [("attempts = 0", "bad-value")]),
+    "attempts as a boolean": ([("attempts = 3", "attempts = true")], [("= true", "wrong-type")]),
+    "zero attempts": ([("attempts = 3", "attempts = 0")], [("attempts = 0", "bad-value")]),
     "unknown condition": ([('"reset", ', '"rest", ')], [('"rest", ', "bad-value")]),
-    "condition on a line of its own": (
+    "unknown condition in a multi-line array": (
         [('retry_on = ["connect-failure", "refused", "reset", "error", "timeout"]',
           'retry_on = [\n  "refused",\n  "eror",\n]')],
         [('"eror"', "bad-value")],
     ),
     "unknown repeat": ([('"safe"', '"always"')], [('"always"', "bad-value")]),
     "no repeat": ([('repeat = "never"\n', "")], [("[class.credit]", "missing-key")]),
-    "credit's second attempt": (
+    "second attempt for a never-repeated class": (
         [('give_up = "3s"', 'give_up = "3s"\nattempts = 2')],
         [("attempts = 2", "never-attempts")],
     ),
-    "credit's second attempt by defaults": (
+    "second attempt inherited from defaults": (
         [("[defaults]", "[defaults]\nattempts = 2")],
         [("attempts = 2", "never-attempts")],
     ),
-    "credit's second attempt by its base": (
+    "second attempt inherited from a base": (
         [('repeat = "never"', 'repeat = "never"\nbase = "balance"'),
          ("second_copy = { after", "# second_copy = { after")],
         [("attempts = 3", "never-attempts")],
     ),
-    "credit's second attempt by its route": (
+    "second attempt granted by a route": (
         [('class = "credit"', 'class = "credit"\nattempts = 2')],
         [("attempts = 2", "never-attempts")],
     ),
-    "credit's path as a safe class": (
+    "path of a stricter class assigned to a safe class": (
         [('prefix = "/credit"\nclass = "credit"', 'prefix = "/credit"\nclass = "balance"')],
         [('prefix = "/credit"', "captures-stricter")],
     ),
-    "a part of credit's path as a safe class": (
+    "part of a stricter class's path assigned to a safe class": (
         [(CATCH_ALL, 'name = "by-id"\npath = "/credit/{id}"\nclass = "balance"\n'
           "\n[[service.route]]\n" + CATCH_ALL)],
         [('path = "/credit/{id}"', "captures-stricter")],
     ),
-    "credit's path by a parameter": (
+    "path of a stricter class matched by a parameter": (
         [(CATCH_ALL, 'name = "by-id"\npath = "/{any}/{id}"\nclass = "balance"\n'
           "\n[[service.route]]\n" + CATCH_ALL), ('prefix = "/credit"', 'prefix = "/pay"')],
         [('path = "/{any}', "captures-stricter")],
     ),
-    "everything as a safe class": (
+    "catch-all route assigned to a safe class": (
         [("deny = true", 'class = "balance"'), ('prefix = "/credit"', 'path = "/credit"')],
         [('prefix = "/"', "captures-stricter")],
     ),
-    "a copy of a credit": (
+    "second copy for a never-repeated class": (
         [('give_up = "3s"', 'give_up = "3s"\nsecond_copy = { after = "9ms", most = 0.1 }')],
         [('"9ms"', "never-copy")],
     ),
-    "a condition that may have run, for credit": (
+    "never-repeated class retried when it may have run": (
         [('"reset-before-sent"', '"reset-before-sent", "timeout"')],
         [('"timeout"]\n\n[class.topup]', "never-condition")],
     ),
-    "a copy of a keyed one": (
+    "second copy for a keyed class": (
         [('scope = "zone"', 'scope = "zone"\nsecond_copy = { after = "9ms", most = 0.1 }'),
          ('class = "credit"', 'class = "topup"\nmethods = ["POST"]'),
          ('prefix = "/credit"', 'prefix = "/topup"')],
         [('"9ms"', "keyed-copy")],
     ),
-    "a keyed one without window": ([('window = "5s"\n', "")], [("[class.topup]", "keyed-window")]),
-    "a keyed one tried beyond its window": (
+    "keyed class without window": ([('window = "5s"\n', "")], [("[class.topup]", "keyed-window")]),
+    "keyed class retried after its window": (
         [('window = "5s"', 'window = "1s"\nattempts = 3\nattempt_timeout = "500ms"')],
         [('"500ms"', "keyed-window")],
     ),
@@ -141,7 +141,7 @@
         [('give_up = "3s"', 'give_up = "3s"\ntimeout = "4s"')],
         [('"4s"', "timeout-over-give-up")],
     ),
-    "attempt over the whole": (
+    "attempt timeout over the total timeout": (
         [('attempt_timeout = "600ms"', 'attempt_timeout = "1600ms"')],
         [('"1600ms"', "attempt-over-timeout")],
     ),
@@ -162,11 +162,11 @@
         [('after = "80ms"', 'after = "80ms", percentile = 95')],
         [("second_copy", "missing-key")],
     ),
-    "more attempts than the settings' most": (
+    "more attempts than the limit": (
         [("attempts = 4", "attempts = 2")],
         [("attempts = 3", "attempts-over-most")],
     ),
-    "budget over the whole": (
+    "budget part over 1": (
         [("part = 0.2, floor = 3", "part = 1.5, floor = 3")],
         [("part = 1.5", "budget-over-whole")],
     ),
@@ -174,15 +174,15 @@
         [("part = 0.2, floor = 3", "part = -0.1, floor = 3")],
         [("part = -0.1", "budget-over-whole")],
     ),
-    "budget of the node over the whole": (
+    "node budget part over 1": (
         [("part = 0.2, floor = 5", "part = 2, floor = 5")],
         [("part = 2", "budget-over-whole")],
     ),
-    "back-off the wrong way round": (
+    "backoff maximum under its base": (
         [('most = "40ms"', 'most = "1ms"')],
         [("backoff", "backoff-order")],
     ),
-    "wanted after the end": ([('"800ms"', '"1600ms"')], [('"1600ms"', "wanted-over-timeout")]),
+    "wanted over the timeout": ([('"800ms"', '"1600ms"')], [('"1600ms"', "wanted-over-timeout")]),
     "unknown class of a route": (
         [('class = "credit"', 'class = "credits"')],
         [('"credits"', "unknown-class")],
@@ -192,11 +192,11 @@
         [('"credti"', "unknown-class"), ('prefix = "/credit"', "")],
     ),
     "unknown base": ([('scope = "zone"', 'scope = "zone"\nbase = "x"')], [('"x"', "unknown-base")]),
-    "a class its own base": (
+    "class that is its own base": (
         [('scope = "zone"', 'scope = "zone"\nbase = "topup"')],
         [('base = "topup"', "inherit-loop")],
     ),
-    "bases that go round": (
+    "cycle of bases": (
         [('repeat = "safe"', 'repeat = "safe"\nbase = "topup"'),
          ('scope = "zone"', 'scope = "zone"\nbase = "balance"')],
         [('base = "topup"', "inherit-loop"), ('base = "balance"', "inherit-loop"),
@@ -223,7 +223,7 @@
         [("[[service]]", "missing-key")],
     ),
     "no service": ([(GOOD[GOOD.index("[[service]]") :], "")], [("version", "missing-key")]),
-    "no catch": ([('prefix = "/"\n', 'prefix = "/rest"\n')], [("[[service]]", "no-catch")]),
+    "no catch-all": ([('prefix = "/"\n', 'prefix = "/rest"\n')], [("[[service]]", "no-catch")]),
     "equal routes": (
         [(CATCH_ALL, 'name = "b2"\nprefix = "/balance"  # again\nclass = "balance"\n'
           "\n[[service.route]]\n" + CATCH_ALL)],
@@ -235,11 +235,11 @@
           "\n[[service.route]]\n" + CATCH_ALL)],
         [("# again", "equal-routes")],
     ),
-    "a route that its methods hide": (
+    "route whose methods exclude its class": (
         [('prefix = "/balance"\n', 'prefix = "/balance"\nmethods = ["POST"]\n')],
         [('prefix = "/balance"', "unreachable-route")],
     ),
-    "a route that two others hide together": (
+    "route hidden by two others together": (
         [(CATCH_ALL, 'name = "g"\npath = "/x"\nmethods = ["GET"]\ndeny = true\n'
           '\n[[service.route]]\nname = "p"\npath = "/x"\nmethods = ["POST"]\ndeny = true\n'
           '\n[[service.route]]\nname = "x"\npath = "/x"  # hidden\n'
@@ -255,10 +255,10 @@
     "path with an encoded slash": ([('"/credit"', '"/a%2Fb"')], [("%2F", "bad-path")]),
     "path with an encoded letter": ([('"/credit"', '"/%63redit"')], [("%63", "bad-path")]),
     "path with an empty segment": ([('"/credit"', '"/a//b"')], [("/a//b", "bad-path")]),
-    "half a parameter": ([('"/credit"', '"/credit/x{id}"')], [("x{id}", "bad-path")]),
+    "partial parameter": ([('"/credit"', '"/credit/x{id}"')], [("x{id}", "bad-path")]),
     "parameter twice": ([('"/credit"', '"/{a}/{a}"')], [("/{a}", "bad-path")]),
     "prefix with a slash at its end": ([('"/credit"', '"/credit/"')], [('"/credit/"', "bad-path")]),
-    "a denial that grants": (
+    "deny with a policy key": (
         [("deny = true", "deny = true\nattempts = 2")],
         [("deny = true", "deny-grants")],
     ),
@@ -278,16 +278,16 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_file_is_refused_at_its_line_and_rule(name: str) -> None:
-    changes, expected = BAD[name]
+@pytest.mark.parametrize("name", INVALID_FILES)
+def test_invalid_file_is_rejected_with_line_and_rule(name: str) -> None:
+    changes, expected = INVALID_FILES[name]
     text = with_changes(*changes)
     want = sorted((line_of(text, mark), rule) for mark, rule in expected if rule)
-    assert sorted(found(text)) == want
-    assert checked(text).table is None
+    assert sorted(fault_lines(text)) == want
+    assert decode_text(text).table is None
 
 
-AGAINST = {
+CONTRADICTING_SETTINGS = {
     "a class the settings lack": ([("class.topup", "class.tpoup")], "class.tpoup", "unknown-class"),
     "looser than the settings": (
         [('repeat = "never"', 'repeat = "safe"'), ('prefix = "/credit"', 'prefix = "/pay"')],
@@ -296,28 +296,28 @@
     ),
     "a window longer than servers remember": ([('"5s"', '"6s"')], '"6s"', "keyed-window"),
     "a scope wider than servers know": ([('"zone"', '"all"')], '"all"', "keyed-scope"),
-    "clients that leave earlier": ([('"3s"', '"4s"')], '"4s"', "give-up-late"),
+    "clients that give up earlier": ([('"3s"', '"4s"')], '"4s"', "give-up-late"),
 }
 
 
-@pytest.mark.parametrize("name", AGAINST)
-def test_a_file_that_the_settings_contradict_is_refused(name: str) -> None:
-    changes, mark, rule = AGAINST[name]
+@pytest.mark.parametrize("name", CONTRADICTING_SETTINGS)
+def test_file_that_contradicts_the_settings_is_rejected(name: str) -> None:
+    changes, mark, rule = CONTRADICTING_SETTINGS[name]
     text = with_changes(*changes)
-    assert (line_of(text, mark), rule) in found(text, SETTINGS)
+    assert (line_of(text, mark), rule) in fault_lines(text, SETTINGS)
 
 
-def test_a_class_that_the_file_leaves_out_is_held_to_its_rules() -> None:
-    """credit is in the settings alone; the defaults must not reach it."""
+def test_class_that_the_file_omits_is_checked_too() -> None:
+    """Defaults apply to a class of the settings only, so its rules must be checked as well."""
     text = with_changes(
         ("[defaults]", "[defaults]\nattempts = 2"),
         (GOOD[GOOD.index("[class.credit]") : GOOD.index("[class.topup]")], ""),
         ('window = "5s"', 'window = "5s"\nattempts = 1'),
     )
-    assert (line_of(text, "attempts = 2"), "never-attempts") in found(text, SETTINGS)
+    assert (line_of(text, "attempts = 2"), "never-attempts") in fault_lines(text, SETTINGS)
 
 
-def test_check_prints_every_fault_and_tells_by_its_status(tmp_path: Path) -> None:
+def test_check_command_prints_faults_and_returns_their_exit_status(tmp_path: Path) -> None:
     bad, good = tmp_path / "bad.toml", tmp_path / "good.toml"
     bad.write_text(with_changes(("attempts = 3", "atempts = 3"), ('"800ms"', '"800"')))
     good.write_text(GOOD)
@@ -334,14 +334,14 @@
 
 
 @pytest.mark.parametrize("name", ["routes.toml", "control.toml"])
-def test_the_examples_that_are_delivered_are_good(name: str) -> None:
+def test_delivered_example_files_are_valid(name: str) -> None:
     result = check_any(str(ROOT / "deploy" / name), None)
     assert not result.faults
     assert not result.warnings
     assert run_command(["check", str(ROOT / "deploy" / name)], io.StringIO()) == 0
 
 
-def test_lines_are_kept_through_every_way_of_writing_a_key() -> None:
+def test_parser_records_lines_for_every_key_syntax() -> None:
     text = b'a."b c".d = 1\n[[t]]\nx = [\n 1,\n 2]\n[[t]]\n[t.u]\ny = { z = 1 }\n'
     values, lines = parse(text)
     assert values == {
@@ -356,7 +356,7 @@
 
 
 @pytest.mark.parametrize("text", [b"\xff = 1", b"a = [", b"=", b"a = '''x", b"[" * 5000])
-def test_what_is_no_toml_is_refused_at_a_line_that_exists(text: bytes) -> None:
+def test_invalid_toml_is_rejected_with_an_existing_line(text: bytes) -> None:
     with pytest.raises(FileError) as caught:
         parse(text)
     assert 1 <= caught.value.line <= text.count(b"\n") + 1
--- a/tests/core/routes/test_routes.py
+++ b/tests/core/routes/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route takes a request, against the order stated in words."""
+"""Tests route matching against a direct implementation of the documented order."""
 
 from __future__ import annotations
 
@@ -36,20 +36,22 @@
     return Route(name, Pattern(segments, prefix), methods, classes, None, False, {})
 
 
-def by_the_book(routes: list[Route], path: bytes, method: bytes, cls: bytes) -> Route | None:
-    """Every route that fits, the most specific by the documented comparison."""
+def first_match_by_precedence(
+    routes: list[Route], path: bytes, method: bytes, cls: bytes
+) -> Route | None:
+    """Reference matcher: compare all matching routes by the documented precedence."""
     segments = path[1:].split(b"/")
 
-    def fits(r: Route) -> bool:
+    def matches(r: Route) -> bool:
         own = r.pattern.segments
         enough = len(segments) >= len(own) if r.pattern.prefix else len(segments) == len(own)
         same = all(s == t or (t is None and s) for s, t in zip(segments, own, strict=False))
         return bool(enough and same and r.takes(method, cls))
 
-    fitting = sorted(
-        (r for r in routes if fits(r)), key=lambda r: (r.pattern.rank(), -r.conditions())
+    matching = sorted(
+        (r for r in routes if matches(r)), key=lambda r: (r.pattern.rank(), -r.conditions())
     )
-    return fitting[0] if fitting else None
+    return matching[0] if matching else None
 
 
 @settings(max_examples=400, derandomize=True, deadline=None)
@@ -68,7 +70,7 @@
     st.sampled_from([b"GET", b"POST"]),
     st.sampled_from([b"x", b"y"]),
 )
-def test_the_tree_finds_what_the_order_says(
+def test_tree_lookup_finds_the_route_of_highest_precedence(
     rows: list[tuple[list[bytes | None], bool, frozenset[bytes], frozenset[bytes]]],
     path: list[bytes],
     method: bytes,
@@ -82,10 +84,10 @@
     routes = list(unique.values())
     target = b"/" + b"/".join(path)
     found = Service("s", ["*"], routes).match(target, target.split(b"/"), method, cls)
-    assert found == by_the_book(routes, target, method, cls)
+    assert found == first_match_by_precedence(routes, target, method, cls)
 
 
-def test_literals_go_before_parameters_and_these_before_a_prefix() -> None:
+def test_literal_precedes_parameter_and_parameter_precedes_prefix() -> None:
     routes = [
         route("prefix", b"a", prefix=True),
         route("parameter", b"a", None),
@@ -99,7 +101,7 @@
     for path, name in {
         b"/a/b": "literal",
         b"/a/x": "parameter",
-        b"/a/b/c": "below",  # the leftmost difference decides: b before {}
+        b"/a/b/c": "below",  # the leftmost difference decides: literal b precedes the parameter
         b"/a/x/c": "longer",
         b"/a/x/d": "prefix",
         b"/a": "prefix",
@@ -112,7 +114,7 @@
         assert found.name == name, path
 
 
-def test_a_host_chooses_its_service_and_no_other_is_queried() -> None:
+def test_host_selects_the_most_specific_service() -> None:
     exact = Service("exact", ["a.b.org"], [route("r", b"x")])
     near = Service("near", ["*.b.org"], [])
     far = Service("far", ["*.org"], [])
@@ -134,7 +136,7 @@
     st.lists(SEGMENTS, max_size=3),
     st.booleans(),
 )
-def test_meeting_and_covering_agree_with_all_short_paths(
+def test_meets_and_covers_agree_with_enumerated_short_paths(
     first: list[bytes | None], p: bool, second: list[bytes | None], q: bool
 ) -> None:
     a, b = Pattern(tuple(first), p or not first), Pattern(tuple(second), q or not second)
@@ -143,14 +145,14 @@
     for _ in range(3):
         paths += [[*p, segment] for p in paths for segment in segments if len(p) < 4]
 
-    def fits(pattern: Pattern, path: list[bytes]) -> bool:
+    def matches(pattern: Pattern, path: list[bytes]) -> bool:
         service = Service("s", ["*"], [route("r", *pattern.segments, prefix=pattern.prefix)])
         return service.match(b"/" + b"/".join(path), [b"", *path], b"GET", b"") is not None
 
     paths += [[*p, b""] for p in [[], *paths]]
     unique = {tuple(p) for p in paths}
-    in_a = {p for p in unique if fits(a, list(p))}
-    in_b = {p for p in unique if fits(b, list(p))}
+    in_a = {p for p in unique if matches(a, list(p))}
+    in_b = {p for p in unique if matches(b, list(p))}
     assert a.meets(b) == b.meets(a) == bool(in_a & in_b)
     assert a.covers(b) == (in_b <= in_a)
 
@@ -168,33 +170,33 @@
         (Outcome.OK, True, None),
     ],
 )
-def test_each_end_of_an_attempt_is_one_condition(
+def test_outcome_maps_to_its_retry_condition(
     outcome: Outcome, connected: bool, expected: Condition | None
 ) -> None:
     assert condition(outcome, connected) == expected
 
 
-# ---- any generated file ------------------------------------------------
+# ---- generated routes files --------------------------------------------
 
-NAMES = ("attempts = 3", "attempts = 1", 'attempt_timeout = "400ms"', 'timeout = "1900ms"',
+POLICY_LINES = ("attempts = 3", "attempts = 1", 'attempt_timeout = "400ms"', 'timeout = "1900ms"',
          'retry_on = ["error", "refused"]', 'retry_on = ["refused"]', "attempts = 2",
          'second_copy = { after = "50ms", most = 0.1 }', 'budget = { part = 0.5, floor = 1 }',
          'backoff = { base = "1ms" }', 'repeat = "never"', 'repeat = "safe"', 'base = "balance"',
          'wanted = "3s"')  # fmt: skip
-PLACES = ("[defaults]", "[class.balance]", "[class.credit]", "[class.topup]",
+SECTIONS = ("[defaults]", "[class.balance]", "[class.credit]", "[class.topup]",
           'class = "balance"', 'class = "credit"')  # fmt: skip
 
 
 @settings(max_examples=400, derandomize=True, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from(PLACES), st.sampled_from(NAMES)),
+        st.tuples(st.sampled_from(SECTIONS), st.sampled_from(POLICY_LINES)),
         max_size=5,
         unique_by=lambda t: (t[0], t[1].split(" ")[0]),
     ),
     st.sets(st.sampled_from([line for line in GOOD.splitlines() if " = " in line]), max_size=8),
 )
-def test_any_file_loads_and_keeps_the_rules_or_is_refused_at_a_line(
+def test_generated_file_follows_the_rules_or_is_rejected_with_a_line(
     added: list[tuple[str, str]], removed: set[str]
 ) -> None:
     text = "\n".join(x for x in GOOD.splitlines() if x not in removed or x.startswith("version"))
@@ -216,11 +218,11 @@
     for service in result.table.services:
         for one in service.routes:
             for policy in one.policies.values():
-                keeps_the_rules(text, policy)
+                assert_policy_follows_rules(text, policy)
 
 
-def keeps_the_rules(text: str, policy: object) -> None:
-    """Every class, every way an attempt ends, every number of it, against the file's own words."""
+def assert_policy_follows_rules(text: str, policy: object) -> None:
+    """Check every outcome and attempt number of a policy against `repeat` in the file."""
     from loadbalancer.core.routes.table import Policy
 
     assert isinstance(policy, Policy)
@@ -234,6 +236,7 @@
                 granted = number < max_attempts and (
                     policy.retry_on is None or cause in policy.retry_on
                 )
+                # After FULL, CONNECT_FAILED and MOOT the endpoint has not executed the request.
                 may_have_run = outcome not in (3, 5, 8)
                 if repeat == "never" and granted and may_have_run:
                     raise AssertionError(f"{policy.name}: {cause} after attempt {number}")
@@ -245,7 +248,7 @@
         assert policy.attempt_timeout <= policy.timeout
 
 
-def test_a_part_of_a_path_is_no_route_of_its_own() -> None:
+def test_prefix_matches_whole_segments_only() -> None:
     raw, lines = parse(with_changes(("deny = true", 'class = "credit"')).encode())
     table = decode(raw, lines).table
     assert table is not None
--- a/tests/routefiles.py
+++ b/tests/routefiles.py
@@ -1,4 +1,4 @@
-"""A good routes file to be made faulty, line by line."""
+"""A valid routes file and helpers to derive invalid ones from it."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def with_changes(*changes: tuple[str, str]) -> str:
-    """The good file with each (old, new) replaced once."""
+    """Return the valid file with the first occurrence of each `old` replaced by `new`."""
     text = GOOD
     for old, new in changes:
         assert old in text, old
@@ -66,5 +66,5 @@
 
 
 def line_of(text: str, mark: str) -> int:
-    """The line, from 1, that holds this mark first."""
+    """Return the line, counted from 1, where `mark` first occurs."""
     return text[: text.index(mark)].count("\n") + 1
