--- a/loadbalancer/core/routes/canonical.py
+++ b/loadbalancer/core/routes/canonical.py
@@ -126,19 +126,19 @@
 
 
 def _remove_dot_segments(segments: list[bytes]) -> list[bytes]:
-    kept: list[bytes] = []
+    normalized: list[bytes] = []
     last = len(segments) - 1
     for i, segment in enumerate(segments):
         if segment == b"..":
-            if not kept:
+            if not normalized:
                 raise FormError(".. in the path leads above the root")
-            kept.pop()
+            normalized.pop()
         elif segment != b".":
-            kept.append(segment)
+            normalized.append(segment)
             continue
         if i == last:
-            kept.append(b"")  # "/a/." and "/a/b/.." both become "/a/"
-    return kept
+            normalized.append(b"")  # "/a/." and "/a/b/.." both become "/a/"
+    return normalized
 
 
 def canonical_host(raw: bytes) -> tuple[bytes, bytes]:
--- a/loadbalancer/core/routes/overlaps.py
+++ b/loadbalancer/core/routes/overlaps.py
@@ -101,15 +101,15 @@
         self,
         route: RouteSpec,
         requests: set[MethodAndClass],
-        taken: Mapping[MethodAndClass, RouteSpec],
+        claimed_by: Mapping[MethodAndClass, RouteSpec],
     ) -> None:
         if not requests:
             wrong = f"no request can reach route {route.full}: its methods are "
             wrong += "not those of its classes"
             right = "requests of safe classes use GET, others POST"
             self._faults.add(route.path_line, "unreachable-route", wrong, right)
-        elif requests <= taken.keys():
-            by = sorted({taken[request].full for request in requests})
+        elif requests <= claimed_by.keys():
+            by = sorted({claimed_by[request].full for request in requests})
             wrong = f"no request can reach route {route.full}: {', '.join(by)} take all of them"
             right = "remove it, or narrow the routes before it"
             self._faults.add(route.path_line, "unreachable-route", wrong, right)
@@ -127,7 +127,7 @@
                 if cls.name == route.assigned or effect >= cls.effect:
                     continue
                 own = Pattern((cls.name.encode(),), prefix=True)
-                if route.pattern.meets(own) and not _is_preceded(route, own, routes):
+                if route.pattern.overlaps(own) and not _is_preceded(route, own, routes):
                     self._report_capture(route, effect, cls, own)
 
     def _report_capture(
@@ -145,6 +145,6 @@
         other is not route
         and not other.conditions()
         and other.pattern.covers(own)
-        and other.before(route)
+        and other.precedes(route)
         for other in routes
     )
--- a/loadbalancer/core/routes/specs.py
+++ b/loadbalancer/core/routes/specs.py
@@ -57,7 +57,7 @@
     values: Values
     path_line: int
 
-    def before(self, other: RouteSpec) -> bool:
+    def precedes(self, other: RouteSpec) -> bool:
         """Whether this route is tried first on paths that match both."""
         mine = (self.pattern.rank(), -self.conditions())
         return mine < (other.pattern.rank(), -other.conditions())
--- a/loadbalancer/core/routes/table.py
+++ b/loadbalancer/core/routes/table.py
@@ -116,7 +116,7 @@
         text = "/" + "/".join("{}" if s is None else s.decode() for s in self.segments)
         return f"{text} and below" if self.prefix else text
 
-    def meets(self, other: Pattern) -> bool:
+    def overlaps(self, other: Pattern) -> bool:
         """Whether some path matches both patterns."""
         for a, b in zip(self.segments, other.segments, strict=False):
             if a is not None and b is not None and a != b:
--- a/tests/core/routes/test_routes.py
+++ b/tests/core/routes/test_routes.py
@@ -136,7 +136,7 @@
     st.lists(SEGMENTS, max_size=3),
     st.booleans(),
 )
-def test_meets_and_covers_agree_with_enumerated_short_paths(
+def test_overlaps_and_covers_agree_with_enumerated_short_paths(
     first: list[bytes | None], p: bool, second: list[bytes | None], q: bool
 ) -> None:
     a, b = Pattern(tuple(first), p or not first), Pattern(tuple(second), q or not second)
@@ -153,7 +153,7 @@
     unique = {tuple(p) for p in paths}
     in_a = {p for p in unique if matches(a, list(p))}
     in_b = {p for p in unique if matches(b, list(p))}
-    assert a.meets(b) == b.meets(a) == bool(in_a & in_b)
+    assert a.overlaps(b) == b.overlaps(a) == bool(in_a & in_b)
     assert a.covers(b) == (in_b <= in_a)
 
 
@@ -248,7 +248,7 @@
         assert policy.attempt_timeout <= policy.timeout
 
 
-def test_prefix_matches_whole_segments_only() -> None:
+def test_prefix_matches_complete_segments_only() -> None:
     raw, lines = parse(with_changes(("deny = true", 'class = "credit"')).encode())
     table = decode(raw, lines).table
     assert table is not None
