--- a/loadbalancer/core/routes/rules.py
+++ b/loadbalancer/core/routes/rules.py
@@ -105,8 +105,8 @@
         right = "leave it out: two copies of a keyed request may reach servers at once"
         checked.report("second_copy", "keyed-copy", "has repeat keyed but second copies", right)
     window = checked.spec.window
-    last_begins = policy.attempt_timeout * max(policy.attempts - 1, 0)
-    if window and last_begins >= window:
+    last_attempt_start = policy.attempt_timeout * max(policy.attempts - 1, 0)
+    if window and last_attempt_start >= window:
         right = "shorten attempt_timeout or attempts: servers forget the key"
         checked.report("attempt_timeout", "keyed-window", "may be retried after its window", right)
 
@@ -122,13 +122,13 @@
     if policy.wanted > total:
         wrong = f"has wanted = {_ms(policy.wanted)} but ends after {_ms(total)}"
         checked.report("wanted", "wanted-over-timeout", wrong, "write its timeout or less")
-    attempts, each = policy.attempts, policy.attempt_timeout
-    if each > total:
-        wrong = f"allows an attempt {_ms(each)}, more than its total of {_ms(total)}"
+    attempts, attempt_timeout = policy.attempts, policy.attempt_timeout
+    if attempt_timeout > total:
+        wrong = f"allows an attempt {_ms(attempt_timeout)}, more than its total of {_ms(total)}"
         right = f"write {_ms(total)} or less"
         checked.report("attempt_timeout", "attempt-over-timeout", wrong, right)
-    elif attempts > 1 and each * (attempts - 1) >= total:
-        wrong = f"cannot fit {attempts} attempts of {_ms(each)} into {_ms(total)}"
+    elif attempts > 1 and attempt_timeout * (attempts - 1) >= total:
+        wrong = f"cannot fit {attempts} attempts of {_ms(attempt_timeout)} into {_ms(total)}"
         right = "lower attempts or attempt_timeout"
         checked.report("attempts", "attempts-dont-fit", wrong, right)
 
--- a/loadbalancer/core/routes/table.py
+++ b/loadbalancer/core/routes/table.py
@@ -140,8 +140,8 @@
 
     def rank(self) -> tuple[tuple[int, bytes], ...]:
         """Return a key that sorts overlapping patterns in the order in which they are tried."""
-        steps = [(1, b"") if s is None else (0, s) for s in self.segments]
-        return (*steps, (2, b"") if self.prefix else (-1, b""))
+        segment_ranks = [(1, b"") if s is None else (0, s) for s in self.segments]
+        return (*segment_ranks, (2, b"") if self.prefix else (-1, b""))
 
 
 def conditions(methods: frozenset[bytes], classes: frozenset[bytes]) -> int:
@@ -210,21 +210,21 @@
             self._add(route)
 
     def _add(self, route: Route) -> None:
-        step = self._root
+        node = self._root
         pattern = route.pattern
         for segment in pattern.segments:
             if segment is None:
-                step.parameter = step.parameter or _TreeNode()
-                step = step.parameter
+                node.parameter = node.parameter or _TreeNode()
+                node = node.parameter
             else:
-                step = step.literals.setdefault(segment, _TreeNode())
+                node = node.literals.setdefault(segment, _TreeNode())
         if pattern.prefix:
-            step.prefixes = _by_conditions(step.prefixes, route)
+            node.prefixes = _by_conditions(node.prefixes, route)
             return
-        step.ends = _by_conditions(step.ends, route)
+        node.ends = _by_conditions(node.ends, route)
         if None not in pattern.segments:
             path = b"/" + b"/".join(s for s in pattern.segments if s is not None)
-            self._exact[path] = step.ends
+            self._exact[path] = node.ends
 
     def match(
         self, path: bytes, segments: list[bytes], method: bytes, declared: bytes
@@ -240,26 +240,26 @@
 
 
 def _find(
-    step: _TreeNode, segments: list[bytes], at: int, method: bytes, declared: bytes
+    node: _TreeNode, segments: list[bytes], index: int, method: bytes, declared: bytes
 ) -> Route | None:
-    if at == len(segments):
-        routes: tuple[Route, ...] = step.ends
+    if index == len(segments):
+        routes: tuple[Route, ...] = node.ends
         for route in routes:
             if route.takes(method, declared):
                 return route
     else:
-        segment = segments[at]
-        child = step.literals.get(segment)
+        segment = segments[index]
+        child = node.literals.get(segment)
         if child is not None:
-            hit = _find(child, segments, at + 1, method, declared)
-            if hit is not None:
-                return hit
-        child = step.parameter
+            found = _find(child, segments, index + 1, method, declared)
+            if found is not None:
+                return found
+        child = node.parameter
         if child is not None and segment:
-            hit = _find(child, segments, at + 1, method, declared)
-            if hit is not None:
-                return hit
-    for route in step.prefixes:
+            found = _find(child, segments, index + 1, method, declared)
+            if found is not None:
+                return found
+    for route in node.prefixes:
         if route.takes(method, declared):
             return route
     return None
@@ -267,10 +267,10 @@
 
 def suffixes(host: bytes) -> Iterator[bytes]:
     """Yield the suffixes of a host with their leading dot, longest first."""
-    at = host.find(b".")
-    while at >= 0:
-        yield host[at:]
-        at = host.find(b".", at + 1)
+    dot = host.find(b".")
+    while dot >= 0:
+        yield host[dot:]
+        dot = host.find(b".", dot + 1)
 
 
 class Table:
