--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -76,11 +76,11 @@
         """Whether each answer ends its connection."""
         return self.stopping or self.standby or self.relieved
 
-    def successor_serves(self, now: int) -> None:
+    def on_successor_accepting(self, now: int) -> None:
         """A successor accepts from now on."""
         self._relieved_at = now
 
-    def successor_gone(self) -> None:
+    def on_successor_disconnected(self) -> None:
         """The successor has gone."""
         self._relieved_at = 0
 
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -197,7 +197,7 @@
     def _begin_drain(self, state: Draining) -> None:
         process, node = self._process, self._process.node
         process.listener.hold_back()
-        process.lifecycle.successor_serves(time.monotonic_ns())
+        process.lifecycle.on_successor_accepting(time.monotonic_ns())
         self.close()
         node.discovery.suspend()
         if node.peers is not None:
@@ -244,7 +244,7 @@
         restart. So each step is followed by the next whatever it raises.
         """
         process = self._process
-        run_logged(process.lifecycle.successor_gone)
+        run_logged(process.lifecycle.on_successor_disconnected)
         run_logged(process.node.end_sharing)
         if process.lifecycle.stopping:
             return
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -67,13 +67,13 @@
 
 def test_a_relieved_process_is_ready_and_closes_its_idle_connections(lifecycle: Lifecycle) -> None:
     """Its successor serves, and the two are one node."""
-    lifecycle.successor_serves(1000 * MS)
+    lifecycle.on_successor_accepting(1000 * MS)
     lifecycle.stopping = True
     assert lifecycle.answer_readiness_check(1100 * MS)
     assert lifecycle.closes
     assert lifecycle.idle_to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
     assert lifecycle.idle_to_close(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
-    lifecycle.successor_gone()
+    lifecycle.on_successor_disconnected()
     assert not lifecycle.answer_readiness_check(1200 * MS)
 
 
--- a/tests/upgrade/test_calls_while_handing_over.py
+++ b/tests/upgrade/test_calls_while_handing_over.py
@@ -75,7 +75,7 @@
     node.releasable_descriptors.return_value = 100
     node.open_request_ids = set()
     made = mock.MagicMock(node=node, lifecycle=SimpleNamespace(standby=False))
-    made.lifecycle.successor_serves = mock.Mock()
+    made.lifecycle.on_successor_accepting = mock.Mock()
     made.set_standby = lambda on: setattr(made.lifecycle, "standby", on)
     return made
 
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -97,7 +97,9 @@
 RESUMED = ["listener.accept_again", "node.discovery.resume", "node.peers.reopen"]
 
 
-@pytest.mark.parametrize("faulty", ["lifecycle.successor_gone", "node.end_sharing", *RESUMED])
+@pytest.mark.parametrize(
+    "faulty", ["lifecycle.on_successor_disconnected", "node.end_sharing", *RESUMED]
+)
 def test_a_step_that_raises_does_not_keep_the_others_from_resuming(
     draining: Predecessor, process: Any, faulty: str
 ) -> None:
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -125,7 +125,7 @@
     made._on_message(Serving())
     assert not link.is_open
     assert not made.relieved
-    process.lifecycle.successor_gone.assert_called_once_with()
+    process.lifecycle.on_successor_disconnected.assert_called_once_with()
     process.node.end_sharing.assert_called_once_with()
     process.listener.accept_again.assert_called_once_with()
     process.node.discovery.resume.assert_called_once_with()
@@ -153,7 +153,7 @@
     process.lifecycle.stopping = True
     predecessor._on_message(Serving())
     predecessor._on_closed()
-    process.lifecycle.successor_gone.assert_called_once_with()
+    process.lifecycle.on_successor_disconnected.assert_called_once_with()
     process.listener.accept_again.assert_not_called()
 
 
