--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -84,6 +84,6 @@
         self._process.pass_on(SetStandby(on=False))
         self._process.set_standby(False)
         lifecycle = self._process.lifecycle
-        if lifecycle.stopping and not lifecycle.relieved:
+        if lifecycle.stopping and not lifecycle.handed_over:
             return Reply(CONFLICT, "stopping: this process takes no clients any more")
         return Reply(OK, "active")
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -123,7 +123,7 @@
         It is once nothing is open, and nothing lies unread, that a stop must wait for.
         """
         registry = self.registry
-        if self.lifecycle.relieved:
+        if self.lifecycle.handed_over:
             registry.send_away(time.monotonic_ns())  # spread out: nobody waits for the places
         else:
             registry.close_idle()
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -202,7 +202,7 @@
         """
         fresh = [conn for conn in self.fresh if conn.idle_sweeps() > FRESH_SWEEPS]
         idle = [*self.idle, *fresh]
-        for conn in idle[: self.lifecycle.idle_to_close(now, len(idle))]:
+        for conn in idle[: self.lifecycle.idle_close_count(now, len(idle))]:
             if conn.can_close():
                 conn.close()
 
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -103,7 +103,11 @@
         if self._queued:
             return False  # accepted: each of them is owed its response
         registry = self._registry
-        return registry.lifecycle.closes or self._half_closed or registry.too_many_idle()
+        return (
+            registry.lifecycle.closes_after_response
+            or self._half_closed
+            or registry.too_many_idle()
+        )
 
     # ---- streamed responses: the connection is the sink of their flow ----------
 
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -62,7 +62,7 @@
         return self._standby_at != 0
 
     @property
-    def relieved(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether a successor serves the clients' address."""
         return self._relieved_at != 0
 
@@ -72,9 +72,9 @@
         return self.serving and self.has_usable_list and not self.stopping
 
     @property
-    def closes(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether each answer ends its connection."""
-        return self.stopping or self.standby or self.relieved
+        return self.stopping or self.standby or self.handed_over
 
     def on_successor_accepting(self, now: int) -> None:
         """A successor accepts from now on."""
@@ -100,12 +100,12 @@
         A relieved process answers for its successor, as both are one node. Without a list
         the front has other nodes to send clients to, who would be rejected here.
         """
-        if not self.standby and (self.relieved or not self.stopping):
+        if not self.standby and (self.handed_over or not self.stopping):
             return self.has_usable_list
         self._first_failed_check_at = self._first_failed_check_at or now
         return False
 
-    def idle_to_close(self, now: int, idle: int) -> int:
+    def idle_close_count(self, now: int, idle: int) -> int:
         """How many of so many idle connections to close in this tick.
 
         They are spread over the time that is left, and all are closed once it is over: each
@@ -127,7 +127,7 @@
             if self._first_failed_check_at:
                 begin = self._first_failed_check_at + SETTLE_NS
             return CloseWindow(begin, self._standby_at + EMPTY_BY_NS)
-        if self.relieved:
+        if self.handed_over:
             at = self._relieved_at
             return CloseWindow(at + RELIEVED_FROM_NS, at + RELIEVED_BY_NS)
         return None
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -27,21 +27,21 @@
 def test_idle_connections_are_closed_over_the_time_after_the_first_failed_check(
     lifecycle: Lifecycle,
 ) -> None:
-    assert lifecycle.idle_to_close(0, 5) == 0
+    assert lifecycle.idle_close_count(0, 5) == 0
     assert lifecycle.answer_readiness_check(5)
     lifecycle.begin_standby(1000 * MS)
     assert not lifecycle.answer_readiness_check(1100 * MS)
     assert not lifecycle.answer_readiness_check(1200 * MS)
-    assert lifecycle.idle_to_close(1100 * MS + SETTLE_NS - 1, 100) == 0
+    assert lifecycle.idle_close_count(1100 * MS + SETTLE_NS - 1, 100) == 0
     idle, now = 100, 1100 * MS + SETTLE_NS
     closed = []
     while now < 1000 * MS + EMPTY_BY_NS:
-        closed.append(lifecycle.idle_to_close(now, idle))
+        closed.append(lifecycle.idle_close_count(now, idle))
         idle -= closed[-1]
         now += DRAIN_TICK_NS
     assert max(closed) <= 6
     assert idle == 0
-    assert lifecycle.idle_to_close(now, 7) == 7  # what comes after that is closed at once
+    assert lifecycle.idle_close_count(now, 7) == 7  # what comes after that is closed at once
 
 
 def test_a_drain_without_checks_begins_by_itself_and_a_second_call_does_not_put_it_off(
@@ -49,20 +49,20 @@
 ) -> None:
     lifecycle.begin_standby(1000 * MS)
     lifecycle.begin_standby(1500 * MS)
-    assert lifecycle.idle_to_close(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
-    assert lifecycle.idle_to_close(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
-    assert lifecycle.idle_to_close(1000 * MS + EMPTY_BY_NS, 10) == 10
+    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
+    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
+    assert lifecycle.idle_close_count(1000 * MS + EMPTY_BY_NS, 10) == 10
 
 
 def test_a_drain_that_ends_leaves_a_stop_in_force(lifecycle: Lifecycle) -> None:
     lifecycle.begin_standby(1000 * MS)
     lifecycle.end_standby()
     assert lifecycle.answer_readiness_check(0)
-    assert lifecycle.idle_to_close(9000 * MS, 10) == 0
+    assert lifecycle.idle_close_count(9000 * MS, 10) == 0
     lifecycle.stopping = True
-    assert lifecycle.closes
+    assert lifecycle.closes_after_response
     assert not lifecycle.answer_readiness_check(0)
-    assert lifecycle.idle_to_close(9000 * MS, 10) == 10
+    assert lifecycle.idle_close_count(9000 * MS, 10) == 10
 
 
 def test_a_relieved_process_is_ready_and_closes_its_idle_connections(lifecycle: Lifecycle) -> None:
@@ -70,9 +70,9 @@
     lifecycle.on_successor_accepting(1000 * MS)
     lifecycle.stopping = True
     assert lifecycle.answer_readiness_check(1100 * MS)
-    assert lifecycle.closes
-    assert lifecycle.idle_to_close(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
-    assert lifecycle.idle_to_close(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
+    assert lifecycle.closes_after_response
+    assert lifecycle.idle_close_count(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
+    assert lifecycle.idle_close_count(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
     lifecycle.on_successor_disconnected()
     assert not lifecycle.answer_readiness_check(1200 * MS)
 
