--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -75,7 +75,7 @@
         logger.info("stopping")
         node = self._node
         if node.peers is not None:
-            run_logged(node.peers.close, not self._lifecycle.relieved)
+            run_logged(node.peers.close, not self._lifecycle.handed_over)
         run_logged(log_route_counters, node)
         run_logged(self._use_longest_deadline)
 
