--- a/loadbalancer/proxy/downstream/connection.py
+++ b/loadbalancer/proxy/downstream/connection.py
@@ -171,7 +171,7 @@
         self._drop_flow()
         self._drop_unbegun()
         registry.host.clients -= 1
-        registry.host.freed()
+        registry.host.on_descriptor_freed()
 
     # ---- what the registry and the host ask --------------------------------------
 
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -54,7 +54,7 @@
         self._establishing: set[asyncio.Task[None]] = set()
         self._saturation_check: asyncio.TimerHandle | None = None  # while places are freed
         self._max_ended = 1  # connections ended at a time
-        host.freed = self.freed
+        host.on_descriptor_freed = self.on_descriptor_freed
 
     @property
     def sock(self) -> socket.socket | None:
@@ -91,7 +91,7 @@
         """Undo `hold_back`: the successor has not taken over."""
         if self._state is HELD_BACK:
             self._state = PAUSED
-        self.freed()
+        self.on_descriptor_freed()
 
     def _pause(self) -> None:
         if self._state is ACCEPTING:
@@ -165,9 +165,9 @@
             sock.detach()
             if conn not in self.registry.connections:
                 self.host.clients -= 1
-                self.freed()
+                self.on_descriptor_freed()
 
-    def freed(self) -> None:
+    def on_descriptor_freed(self) -> None:
         """A descriptor has been freed: accept again if there is capacity."""
         sock = self._sock
         if self._state is PAUSED and sock is not None and self.host.may_accept_client():
@@ -177,7 +177,7 @@
     def sweep(self) -> None:
         """One more sweep over all connections, then capacity for those that wait."""
         self.registry.sweep()
-        self.freed()
+        self.on_descriptor_freed()
         if self._state is PAUSED:
             self._free_places()
 
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -64,7 +64,9 @@
     ) -> None:
         super().__init__(config, loop)
         DescriptorBudget.__init__(self, config)
-        self.freed: Callable[[], None] = lambda: None  # set by the listener: a descriptor is free
+        self.on_descriptor_freed: Callable[[], None] = (
+            lambda: None
+        )  # set by the listener: a descriptor is free
         self._on_list_usable = on_list_usable
         self.upstream = ConnectionPool(self)
         self.discovery: Discovery | ConsulMembers = self._endpoint_source()
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -62,7 +62,7 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     budget: BufferBudget
-    freed: Callable[[], None]  # a descriptor has been closed
+    on_descriptor_freed: Callable[[], None]  # a descriptor has been closed
 
     def log(self, text: str) -> None:
         """Write a line of the log."""
--- a/loadbalancer/proxy/upstream/connection.py
+++ b/loadbalancer/proxy/upstream/connection.py
@@ -214,4 +214,4 @@
         if self._state is not CLOSED:
             self._state = CLOSED
             self.pool.count -= 1
-            self.host.freed()
+            self.host.on_descriptor_freed()
--- a/tests/proxy/downstream/surroundings.py
+++ b/tests/proxy/downstream/surroundings.py
@@ -116,7 +116,7 @@
     def body_received(self, made: Any) -> None:
         self.events.append(("body received", made.label))
 
-    def freed(self) -> None:
+    def on_descriptor_freed(self) -> None:
         """Nobody waits for a place."""
 
     def max_clients(self) -> int:
--- a/tests/proxy/downstream/test_capacity.py
+++ b/tests/proxy/downstream/test_capacity.py
@@ -152,7 +152,7 @@
         max_clients=lambda: 1,
         may_accept_client=lambda: False,
         close_surplus_upstream=lambda: None,
-        freed=None,
+        on_descriptor_freed=None,
         budget=SimpleNamespace(body_finished=lambda _conn: None),
     )
 
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -47,7 +47,7 @@
         self.config = SimpleNamespace(settings=settings)
         self.concluded: list[Outcome] = []
         self.is_freed = asyncio.Event()
-        self.freed = self.is_freed.set
+        self.on_descriptor_freed = self.is_freed.set
 
     def may_begin(self, _attempt: Attempt) -> bool:
         return True
--- a/tests/proxy/upstream/test_half_closed_backend.py
+++ b/tests/proxy/upstream/test_half_closed_backend.py
@@ -100,7 +100,7 @@
 class Host:
     """A host that lets every attempt begin, and notes how attempts end."""
 
-    freed: Any = staticmethod(lambda: None)
+    on_descriptor_freed: Any = staticmethod(lambda: None)
 
     def __init__(self) -> None:
         self.concluded: list[Outcome] = []
@@ -174,7 +174,7 @@
     host.loop = cast(Any, loop)
     closed = asyncio.Event()
     pool = SimpleNamespace(host=host, pending={}, count=1, remove=lambda _: None)
-    host.freed = closed.set
+    host.on_descriptor_freed = closed.set
     connection = BackendConnection(
         cast(Any, pool), 1, Address("127.0.0.1", listener.getsockname()[1])
     )
