--- a/loadbalancer/proxy/downstream/head_checker.py
+++ b/loadbalancer/proxy/downstream/head_checker.py
@@ -73,7 +73,7 @@
             segment = incoming.path.split(b"/", 2)[1]
             name = segment.decode("latin-1")
         else:
-            incoming.policy = routing.place(incoming)
+            incoming.policy = routing.route_request(incoming)
             name = incoming.policy.cls
         cls = self._host.balancer.find_class(
             time.monotonic_ns(), name, incoming.method == b"GET", incoming.has_idempotency_key
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -78,7 +78,7 @@
         self.table = table
         self._hosts.clear()
 
-    def place(self, head: Head) -> Policy:
+    def route_request(self, head: Head) -> Policy:
         """The policy of the route that takes a request, whose target is made canonical.
 
         Raises:
