--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -108,7 +108,7 @@
         """Whether this node polls the list service itself."""
         return self._shared_list.is_polling
 
-    def unread(self) -> bool:
+    def needs_first_list(self) -> bool:
         """Whether the list in hand is from the configuration, and no node has read it."""
         return not self._shared_list.replica.version.epoch
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -127,7 +127,7 @@
         if backoff_ns > 0:
             self._schedule_retry(backoff_ns)
             return
-        if self.readers is not None and self.readers.unread():
+        if self.readers is not None and self.readers.needs_first_list():
             self._expect_full()
         self._send(0)
 
