--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -45,7 +45,7 @@
     def may_poll(self) -> bool:
         """Whether this node is one that polls."""
 
-    def unread(self) -> bool:
+    def needs_first_list(self) -> bool:
         """Whether no node has read a list yet: a complete one is needed."""
 
     def read(self, raw: dict[str, Any]) -> None:
@@ -136,7 +136,7 @@
         """Whether one more connection to a backend may be opened."""
 
 
-class Leaving(Protocol):
+class PredecessorNode(Protocol):
     """What a process that hands over is asked for."""
 
     balancer: Balancer
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from loadbalancer.core.balancing.records import Endpoint
-    from loadbalancer.proxy.ports import Leaving
+    from loadbalancer.proxy.ports import PredecessorNode
 
 NO_BOOT = -1  # in place of an age: the endpoint's start is not known
 
@@ -45,7 +45,7 @@
     standby: bool
 
 
-def export(node: Leaving, standby: bool) -> dict[str, Any]:
+def export(node: PredecessorNode, standby: bool) -> dict[str, Any]:
     """What this node hands over, as data for JSON."""
     now = time.monotonic_ns()
     endpoint_list = node.discovery.endpoint_list
