--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -33,7 +33,7 @@
     node: Node
     lifecycle: Lifecycle
 
-    def pass_on(self, message: Message) -> None:
+    def forward(self, message: Message) -> None:
         """Send a message to the other process of this node, where there is one."""
 
     def set_standby(self, on: bool) -> None:
@@ -75,13 +75,13 @@
 
     def begin_standby(self) -> Reply:
         """Send clients away; a stop does so too, and the answer is the same."""
-        self._process.pass_on(SetStandby(on=True))
+        self._process.forward(SetStandby(on=True))
         self._process.set_standby(True)
         return Reply(OK, "standby")
 
     def end_standby(self) -> Reply:
         """Take clients again, unless this process stops."""
-        self._process.pass_on(SetStandby(on=False))
+        self._process.forward(SetStandby(on=False))
         self._process.set_standby(False)
         lifecycle = self._process.lifecycle
         if lifecycle.stopping and not lifecycle.handed_over:
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -153,23 +153,23 @@
 
     # ---- the other process of this node --------------------------------------
 
-    def pass_on(self, message: Message) -> None:
+    def forward(self, message: Message) -> None:
         """Send a message to the other process of this node, where there is one."""
         if self._successor is not None:
-            self._successor.pass_on(message)
+            self._successor.forward(message)
         if self._predecessor is not None:
-            self._predecessor.pass_on(message)
+            self._predecessor.forward(message)
 
     # ---- reload and drain ----------------------------------------------------
 
-    def reload(self, passed_on: bool = False) -> None:
+    def reload(self, forwarded: bool = False) -> None:
         """Use the configuration's file as it is now; one that can't be used changes nothing.
 
         Args:
-            passed_on: the other process of this node was signalled, and has passed it on.
+            forwarded: the other process of this node was signalled, and has passed it on.
         """
-        if not passed_on:
-            self.pass_on(Reload())
+        if not forwarded:
+            self.forward(Reload())
         try:
             config = reload(os.environ, self.config)
             apply_configuration(self.node, config)
--- a/loadbalancer/upgrade/ports.py
+++ b/loadbalancer/upgrade/ports.py
@@ -19,8 +19,8 @@
     listener: Listener
     lifecycle: Lifecycle
 
-    def reload(self, passed_on: bool = False) -> None:
-        """Read the configuration again; `passed_on`: the other process asked for it."""
+    def reload(self, forwarded: bool = False) -> None:
+        """Read the configuration again; `forwarded`: the other process asked for it."""
 
     def set_standby(self, on: bool) -> None:
         """Begin or end a standby."""
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -100,7 +100,7 @@
         """Let no further successor find this process."""
         self._upgrade_listener.close()
 
-    def pass_on(self, message: Message) -> None:
+    def forward(self, message: Message) -> None:
         """Send a message to the successor; one that still starts is told once it serves.
 
         Failure: a call or SIGHUP comes after the successor was handed the standby and has read
@@ -166,7 +166,7 @@
             case ListUpdate(body):
                 self._process.node.discovery.on_forwarded(body)
             case Reload():
-                self._process.reload(passed_on=True)
+                self._process.reload(forwarded=True)
             case SetStandby(on):
                 if isinstance(self._state, HandingOver):
                     self._state.standby_called = True  # it may cross the standby handed over
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -169,7 +169,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(first_report, RETAINED_TIMEOUT_S)
 
-    def pass_on(self, message: Message) -> None:
+    def forward(self, message: Message) -> None:
         """Send a message to the predecessor, where there is one."""
         if isinstance(message, SetStandby):
             self._called_standby = message.on
@@ -177,7 +177,7 @@
             self._state.link.send(message)
 
     def _forward_list(self, body: bytes) -> None:
-        self.pass_on(ListUpdate(body))
+        self.forward(ListUpdate(body))
 
     # ---- the predecessor's messages -------------------------------------------
 
@@ -188,7 +188,7 @@
             case RetainedCapacity():
                 self._divide(message)
             case Reload():
-                self._process.reload(passed_on=True)
+                self._process.reload(forwarded=True)
             case SetStandby(on):
                 self._process.set_standby(on)
 
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -328,7 +328,7 @@
             asyncio.run(_serve(heir))
     else:
         run = SimpleNamespace(
-            pass_on=made.send,
+            forward=made.send,
             set_standby=lambda _on: None,
             lifecycle=Lifecycle(),
             node=None,
@@ -375,7 +375,7 @@
             on_forwarded=lambda body: received.update(says="news", answer=body.decode())
         ),
     )
-    host.reload = lambda passed_on: received.update(says="reload")
+    host.reload = lambda forwarded: received.update(says="reload")
     host.set_standby = lambda on: received.update(says="standby", on=on)
     heir, elder = Successor(host), Predecessor(host)
     awaited: Any = SimpleNamespace(
@@ -470,7 +470,7 @@
         lifecycle=lifecycle,
         loop=SimpleNamespace(add_reader=lambda *_: None, call_later=lambda *_: mock.Mock()),
         node=SimpleNamespace(peers=_peers() if plain["gossip"] else None),
-        pass_on=lambda _frame: None,
+        forward=lambda _frame: None,
         set_standby=lambda on: lifecycle.begin_standby(NOW) if on else lifecycle.end_standby(),
     )
     run.set_standby(plain["standby"])
--- a/tests/upgrade/test_calls_while_handing_over.py
+++ b/tests/upgrade/test_calls_while_handing_over.py
@@ -96,7 +96,7 @@
 
 def call(predecessor: Predecessor, process: Any, on: bool) -> None:
     """An operator's call at the predecessor's second address."""
-    predecessor.pass_on(SetStandby(on))
+    predecessor.forward(SetStandby(on))
     process.set_standby(on)
 
 
@@ -143,7 +143,7 @@
     It was not passed on: the new process served with the replaced settings, and the log of
     the old one said `reloaded the configuration`.
     """
-    predecessor.pass_on(Reload())
+    predecessor.forward(Reload())
     predecessor._on_message(Serving())
     assert link.commands() == [(Reload, None)]
 
@@ -198,7 +198,7 @@
 
         async def connect(make_link: Any, _sock: Any) -> tuple[Any, None]:
             link = make_link()
-            successor.pass_on(SetStandby(on))
+            successor.forward(SetStandby(on))
             link.connection_made(FakeTransport())
             link.data_received(encode(HandedState({})))
             return FakeTransport(), None
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -159,7 +159,7 @@
 
 def test_a_successor_that_starts_is_passed_nothing(predecessor: Predecessor, link: Any) -> None:
     """It reads the configuration itself, and is handed the standby with the state."""
-    predecessor.pass_on(SetStandby(on=True))
+    predecessor.forward(SetStandby(on=True))
     assert link.sent == []
 
 
@@ -260,7 +260,7 @@
     either = request.getfixturevalue(side)
     either._on_message(Reload())
     either._on_message(SetStandby(on=True))
-    process.reload.assert_called_once_with(passed_on=True)
+    process.reload.assert_called_once_with(forwarded=True)
     process.set_standby.assert_called_once_with(True)
 
 
