--- a/loadbalancer/proxy/__init__.py
+++ b/loadbalancer/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: connections of clients and to backends, and the host of one Balancer."""
+"""The data plane: client connections, backend connections, and the host that runs one Balancer."""
--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -1,9 +1,9 @@
-"""The second address: a listener that takes one call on each connection.
+"""HTTP server of a node's admin address: one request per connection.
 
-Its sockets are its own and few, and what is asked here is answered whatever the clients do.
-Each caller is bounded in bytes and time. One more than MAX_CALLERS closes the oldest, answered
-or not: callers that send nothing, or that do not leave, keep nobody else out. What is answered
-is not decided here.
+It has a small number of sockets of its own, so it answers under any load of clients. Each
+connection is limited in bytes and in time. When MAX_CONNECTIONS are open, the oldest is closed
+for a new one, even if it has not been answered: a caller that sends nothing, or that never
+closes its connection, locks nobody else out. `admin_calls` has the handlers.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 logger = logging.getLogger(__name__)
 
-MAX_CALLERS = 8
-MAX_CALL_BYTES = 4 << 10  # head and body
-CALL_TIMEOUT_S = 2.0  # for the complete call to come, its answer to go, and the caller to leave
-ACCEPT_RETRY_S = 0.1  # until the next accept, where the system is short of descriptors
-BACKLOG = 64
-DESCRIPTORS = MAX_CALLERS + 2  # with the listener, and one caller that is being closed
+MAX_CONNECTIONS = 8
+MAX_REQUEST_BYTES = 4 << 10  # of head and body together
+CONNECTION_TIMEOUT_S = 2.0  # from accept until the caller has closed the connection
+ACCEPT_RETRY_S = 0.1  # pause after an accept that failed, as without a free descriptor
+LISTEN_BACKLOG = 64
+DESCRIPTORS = MAX_CONNECTIONS + 2  # and the listening socket, and one connection that is closing
 
 OK = 200
 BAD_REQUEST = 400
@@ -52,7 +52,7 @@
 
 
 class Reply(NamedTuple):
-    """A status, one line that says why, and with METHOD_NOT_ALLOWED the method to use."""
+    """A response: status, body text, and for METHOD_NOT_ALLOWED the supported method."""
 
     status: int
     text: str
@@ -60,36 +60,36 @@
 
 
 class Route(NamedTuple):
-    """The one method of a path, and what answers it."""
+    """The only method that a path supports, and the handler of its requests."""
 
     method: str
-    answer: Callable[[], Reply]
+    handler: Callable[[], Reply]
 
 
-class Admin:
-    """The listener of the second address, and its callers from the oldest to the latest.
+class AdminListener:
+    """Accepts connections at the admin address; `connections` is ordered from oldest to newest.
 
     Args:
         loop: the event loop of the process.
-        routes: the calls that there are, by their paths.
+        routes: the supported paths, and how each is handled.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, routes: Mapping[str, Route]) -> None:
         self.loop = loop
         self.routes = routes
-        self.callers: dict[Caller, None] = {}
+        self.connections: dict[AdminConnection, None] = {}
         self._sock: socket.socket | None = None
 
     def listen(self, address: Address) -> int:
-        """Accept calls at this address; returns the port. OSError where it can't be bound."""
-        sock = listening_socket(address, BACKLOG)
+        """Listen at `address` and return the port; raises OSError if it can't be bound."""
+        sock = listening_socket(address, LISTEN_BACKLOG)
         self._sock = sock
         self.loop.add_reader(sock, self._accept)
         return int(sock.getsockname()[1])
 
     def _accept(self) -> None:
         assert self._sock is not None
-        for _ in range(MAX_CALLERS):
+        for _ in range(MAX_CONNECTIONS):
             try:
                 sock, _address = self._sock.accept()
             except BlockingIOError:
@@ -97,27 +97,27 @@
             except OSError as err:
                 self._pause_accepting(err)
                 return
-            if len(self.callers) >= MAX_CALLERS:
-                next(iter(self.callers)).close()
+            if len(self.connections) >= MAX_CONNECTIONS:
+                next(iter(self.connections)).close()
             sock.setblocking(False)
-            self.callers[Caller(self, sock)] = None
+            self.connections[AdminConnection(self, sock)] = None
 
     def _pause_accepting(self, err: OSError) -> None:
-        """Accept again a moment later.
+        """Stop accepting for ACCEPT_RETRY_S.
 
-        Failure: the system is short of descriptors, and the socket stays readable. The loop
-        would try again in each of its turns, with a line of the log for each.
+        Without a pause: when accept fails because no descriptor is free, the listening socket
+        stays readable, and the event loop would retry and log the error in every iteration.
         """
         assert self._sock is not None
-        logger.info("second address: accept: %s", err)
+        logger.info("admin address: accept failed: %s", err)
         self.loop.remove_reader(self._sock)
         self.loop.call_later(ACCEPT_RETRY_S, self.loop.add_reader, self._sock, self._accept)
 
     def reply(self, method: str, url: bytes) -> Reply:
-        """The answer to a call.
+        """Handle a request and return its response.
 
-        Failure: what answers a call raises. Within the caller's parser that would pass for a
-        call that can't be read: the caller is told 400, and the log says nothing.
+        A handler's exception is caught and logged here. Otherwise the parser, whose callback
+        this runs in, would report it as a parse error: a 400 to the caller and nothing logged.
         """
         path = url.partition(b"?")[0].decode("latin-1")
         route = self.routes.get(path)
@@ -126,77 +126,78 @@
         if route.method != method:
             return Reply(METHOD_NOT_ALLOWED, f"{path} takes {route.method}", route.method)
         try:
-            return route.answer()
+            return route.handler()
         except Exception:
-            logger.exception("second address: %s raised", path)
+            logger.exception("admin address: the handler of %s raised", path)
             return Reply(INTERNAL_ERROR, f"{path} failed; the log says why")
 
 
-class Caller:
-    """One connection on the second address; `on_...` are callbacks of its parser."""
+class AdminConnection:
+    """One connection at the admin address; the HTTP parser calls the `on_...` methods."""
 
     __slots__ = (
-        "_admin", "_answered", "_parser", "_size", "_sock", "_timer", "_unsent", "_url",
+        "_listener", "_answered", "_parser", "_size", "_sock", "_timeout_timer", "_unsent", "_url",
         "_watches_writable",
     )  # fmt: skip
 
-    def __init__(self, admin: Admin, sock: socket.socket) -> None:
-        self._admin = admin
+    def __init__(self, listener: AdminListener, sock: socket.socket) -> None:
+        self._listener = listener
         self._sock = sock
         self._size = 0
         self._url = b""
         self._answered = False
-        self._unsent = b""  # of the answer
+        self._unsent = b""  # the rest of the response
         self._watches_writable = False
         self._parser = httptools.HttpRequestParser(self)
-        admin.loop.add_reader(sock, self._read)
-        self._timer = admin.loop.call_later(CALL_TIMEOUT_S, self._on_timeout)
+        listener.loop.add_reader(sock, self._read)
+        self._timeout_timer = listener.loop.call_later(CONNECTION_TIMEOUT_S, self._on_timeout)
 
     def _read(self) -> None:
         try:
-            data = self._sock.recv(MAX_CALL_BYTES)
+            data = self._sock.recv(MAX_REQUEST_BYTES)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data and self._unsent:
-            self._admin.loop.remove_reader(self._sock)  # it may still read: the timer closes
+            # The caller may have shut down only its sending side; `_on_timeout` closes.
+            self._listener.loop.remove_reader(self._sock)
         elif not data:
             self.close()
-        elif not self._answered:  # what follows the one call is dropped
-            self._feed(data)
+        elif not self._answered:  # ignores anything after the first request
+            self._feed_parser(data)
 
-    def _feed(self, data: bytes) -> None:
+    def _feed_parser(self, data: bytes) -> None:
         self._size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._answer(Reply(BAD_REQUEST, "this is no HTTP/1.1 call"))
-        if not self._answered and self._size >= MAX_CALL_BYTES:
-            text = f"a call has at most {MAX_CALL_BYTES} bytes"
-            self._answer(Reply(CONTENT_TOO_LARGE, text))
+            self._respond(Reply(BAD_REQUEST, "this is no HTTP/1.1 call"))
+        if not self._answered and self._size >= MAX_REQUEST_BYTES:
+            text = f"a call has at most {MAX_REQUEST_BYTES} bytes"
+            self._respond(Reply(CONTENT_TOO_LARGE, text))
 
     def on_url(self, url: bytes) -> None:
-        """A part of the call's target has been read."""
+        """Parser callback: a part of the request target has been read."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        """The call has been read to its end."""
+        """Parser callback: the request is complete."""
         if not self._answered:
             method = self._parser.get_method().decode("latin-1")
-            self._answer(self._admin.reply(method, self._url))
+            self._respond(self._listener.reply(method, self._url))
 
     def _on_timeout(self) -> None:
         if not self._answered:
-            text = f"a call has to come within {CALL_TIMEOUT_S:g} s"
-            self._answer(Reply(REQUEST_TIMEOUT, text))
+            text = f"a call has to come within {CONNECTION_TIMEOUT_S:g} s"
+            self._respond(Reply(REQUEST_TIMEOUT, text))
         self.close()
 
-    def _answer(self, reply: Reply) -> None:
-        """Write an answer; the caller closes.
+    def _respond(self, reply: Reply) -> None:
+        """Send the response and shut down the sending side; the caller closes the connection.
 
-        Failure: a close while bytes of the call are unread resets the connection, and the
-        reset may reach the caller before it has read the answer. So only the sending ends.
+        Closing the socket while bytes of the request are unread would reset the connection, and
+        the reset could reach the caller before it has read the response.
         """
         self._answered = True
         content = reply.text.encode() + b"\n"
@@ -209,10 +210,10 @@
         self._send()
 
     def _send(self) -> None:
-        """Write what the socket takes, and end the sending after the last byte.
+        """Write as much as the socket accepts; shut down the sending side after the last byte.
 
-        Failure: an answer is longer than the socket's buffer, as what a fleet of thousands says
-        of its nodes. What one write leaves over would be lost, and the caller get a part.
+        A response may exceed the socket's send buffer, as the peers of a fleet of thousands of
+        nodes do. The rest has to be sent later, or the caller gets a truncated response.
         """
         try:
             sent = self._sock.send(self._unsent)
@@ -220,25 +221,25 @@
             if not self._unsent:
                 self._sock.shutdown(socket.SHUT_WR)
         except BlockingIOError:
-            pass  # its buffer is full
+            pass  # the send buffer is full
         except OSError:
-            self._unsent = b""  # the caller has gone
+            self._unsent = b""  # the caller has disconnected
         self._watch_writable(bool(self._unsent))
 
     def _watch_writable(self, on: bool) -> None:
-        """Have `_send` called whenever the socket takes bytes again, or no longer."""
+        """Start or stop calling `_send` when the socket is writable."""
         if on == self._watches_writable:
             return
         self._watches_writable = on
         if on:
-            self._admin.loop.add_writer(self._sock, self._send)
+            self._listener.loop.add_writer(self._sock, self._send)
         else:
-            self._admin.loop.remove_writer(self._sock)
+            self._listener.loop.remove_writer(self._sock)
 
     def close(self) -> None:
-        """Close the connection; nothing where it is closed."""
-        if self._admin.callers.pop(self, self) is None:
-            self._timer.cancel()
-            self._admin.loop.remove_reader(self._sock)
+        """Close the connection; a second call does nothing."""
+        if self._listener.connections.pop(self, self) is None:
+            self._timeout_timer.cancel()
+            self._listener.loop.remove_reader(self._sock)
             self._watch_writable(False)
             self._sock.close()
--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -1,4 +1,4 @@
-"""The calls on the second address: a node's status, its drain, and its gossip."""
+"""Handlers of the admin address: a node's status, its standby mode, and its gossip peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     NOT_FOUND,
     OK,
     SERVICE_UNAVAILABLE,
-    Admin,
+    AdminListener,
     Reply,
     Route,
 )
@@ -27,38 +27,42 @@
 
 
 class ControlledProcess(Protocol):
-    """The process that the calls are about."""
+    """What the handlers use of the process that they control."""
 
     loop: asyncio.AbstractEventLoop
     node: Node
     lifecycle: Lifecycle
 
     def forward(self, message: Message) -> None:
-        """Send a message to the other process of this node, where there is one."""
+        """Send a message to the other process of this node, if there is one."""
 
     def set_standby(self, on: bool) -> None:
-        """Begin or end a drain."""
+        """Begin or end a drain of this process."""
 
 
 class AdminCalls:
-    """Answers the calls. A drain that a call begins or ends is the whole node's."""
+    """Handles the admin requests of one process.
+
+    During an upgrade a node has two processes. A drain that a request begins or ends is also
+    forwarded to the other one.
+    """
 
     def __init__(self, process: ControlledProcess) -> None:
         self._process = process
 
     def listen(self, address: Address) -> None:
-        """Answer calls at this address; OSError where it can't be bound."""
+        """Serve admin requests at `address`; raises OSError if it can't be bound."""
         routes = {
             "/status": Route("GET", self.status),
             "/standby": Route("POST", self.begin_standby),
             "/active": Route("POST", self.end_standby),
             "/peers": Route("GET", self.peers),
         }
-        port = Admin(self._process.loop, routes).listen(address)
+        port = AdminListener(self._process.loop, routes).listen(address)
         logger.info("calls at %s:%d", address.host, port)
 
     def status(self) -> Reply:
-        """Whether this process serves."""
+        """Whether this process can serve requests: 200 with its mode, or 503 with the reason."""
         lifecycle = self._process.lifecycle
         if lifecycle.can_serve:
             return Reply(OK, "standby" if lifecycle.standby else "active")
@@ -67,20 +71,24 @@
         return Reply(SERVICE_UNAVAILABLE, "stopping" if lifecycle.stopping else "not serving yet")
 
     def peers(self) -> Reply:
-        """What this node knows of the others, as JSON."""
+        """The state of the other nodes, as gossip has it, in JSON."""
         peers = self._process.node.peers
         if peers is None:
             return Reply(NOT_FOUND, "no gossip between nodes")
         return Reply(OK, peers.status())
 
     def begin_standby(self) -> Reply:
-        """Send clients away; a stop does so too, and the answer is the same."""
+        """Begin a drain; a process that is stopping drains anyway, and the response is the same."""
         self._process.forward(SetStandby(on=True))
         self._process.set_standby(True)
         return Reply(OK, "standby")
 
     def end_standby(self) -> Reply:
-        """Take clients again, unless this process stops."""
+        """End the drain.
+
+        It can't be ended in a process that is stopping, except where its successor accepts the
+        clients by now.
+        """
         self._process.forward(SetStandby(on=False))
         self._process.set_standby(False)
         lifecycle = self._process.lifecycle
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -54,7 +54,7 @@
 from loadbalancer.gossip_transport.settings import FleetFile
 from loadbalancer.gossip_transport.shared_list import answer_from_update, rows_from_answer
 from loadbalancer.proxy import process
-from loadbalancer.proxy.admin import Admin, Caller
+from loadbalancer.proxy.admin import AdminConnection, AdminListener
 from loadbalancer.proxy.admin_calls import AdminCalls
 from loadbalancer.proxy.lifecycle import Lifecycle
 from loadbalancer.sources.consul.credentials import Credentials
@@ -458,11 +458,11 @@
     }  # fmt: skip
 
 
-# ---- the second address ------------------------------------------------------------------
+# ---- the admin address -------------------------------------------------------------------
 
 
 def _encode_reply(plain: Plain) -> bytes:
-    """The answer to a call at a node in this state, as the caller gets it."""
+    """The response to an admin request at a node in this state, as the caller receives it."""
     lifecycle = Lifecycle()
     lifecycle.serving, lifecycle.has_usable_list = plain["serving"], plain["listed"]
     lifecycle.stopping = plain["stopping"]
@@ -474,18 +474,18 @@
         set_standby=lambda on: lifecycle.begin_standby(NOW) if on else lifecycle.end_standby(),
     )
     run.set_standby(plain["standby"])
-    made: list[Admin] = []
+    made: list[AdminListener] = []
 
-    def listen(admin: Admin, _address: Address) -> int:
+    def listen(admin: AdminListener, _address: Address) -> int:
         made.append(admin)
         return 9000
 
-    with mock.patch.object(Admin, "listen", listen):
+    with mock.patch.object(AdminListener, "listen", listen):
         AdminCalls(run).listen(Address("127.0.0.1", 9000))
     ours, theirs = socket.socketpair()
     with ours, theirs, _clocks():
         ours.sendall(plain["call"].encode())
-        caller = Caller(made[0], theirs)
+        caller = AdminConnection(made[0], theirs)
         caller._read()
         return ours.recv(1 << 16)
 
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from loadbalancer.config.address import Address
-from loadbalancer.proxy.admin import OK, Admin, Reply, Route
+from loadbalancer.proxy.admin import OK, AdminListener, Reply, Route
 from tests.harness import (
     Running,
     accept,
@@ -187,7 +187,7 @@
     """All that a caller gets, who begins to read only when nothing more is written."""
 
     async def call() -> bytes:
-        admin = Admin(asyncio.get_running_loop(), {"/call": route})
+        admin = AdminListener(asyncio.get_running_loop(), {"/call": route})
         port = admin.listen(Address("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1024)
         writer.write(b"GET /call HTTP/1.1\r\nHost: x\r\n\r\n")
