--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -1,4 +1,4 @@
-"""What connections to clients report to a host: new requests, and clients that leave."""
+"""The events that client connections report to the host: requests, disconnects, stalled uploads."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class ClientEvents(AttemptHost, ABC):
-    """Admits requests, and ends them where their clients leave."""
+    """Admits requests, and ends them when their clients disconnect."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(config, loop)
-        self._last_id = 0
+        self._last_request_id = 0
 
     def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
-        """Admit a client's request; None where it has to come again.
+        """Admit a client's request, or return None if the client has to retry.
 
-        That is where as many are open as the configuration allows, and where new settings
-        have removed its class while it was read.
+        It is not admitted if `max_open` requests are open already, or if a reload has removed
+        its class while it was being read.
 
         Args:
-            client: the connection that it came on; its answer may be given to it at once.
+            client: the connection that it arrived on, which may be answered within this call.
             incoming: the request.
             waited_ns: how much of its timeout has passed since it was read, in nanoseconds.
         """
         if self.open_count >= self.config.max_open or incoming.cls.number < 0:
             return None
         now = self.enter()
-        self._last_id += 1
-        number = self._last_id
+        self._last_request_id += 1
+        number = self._last_request_id
         remaining = incoming.timeout - waited_ns
         max_attempts = self.config.settings.max_attempts
         request = Request(number, client, incoming, now, remaining, max_attempts)
@@ -58,7 +58,7 @@
                 incoming.retried,
                 incoming.policy,
             )
-        except Exception:  # noqa: BLE001 -- a fault of a decision must not end the process
+        except Exception:  # noqa: BLE001 -- an exception of the Balancer must not end the process
             self._log_fault()
             if not request.open_attempts:
                 self.end_unanswered(request, BAD_GATEWAY)
@@ -67,14 +67,13 @@
         return request
 
     def client_disconnected(self, request: Request) -> None:
-        """A request's client has disconnected: it is owed no answer.
+        """A request's client has disconnected, so it needs no response.
 
-        An attempt whose request has been written goes on to its outcome. A message that is
-        under way is given up.
-
-        Failure: half of a response that nobody reads, or half of a request that is never
-        completed, uses a slot and its backend's connection up to the deadline. A long body
-        is discarded with its request, also the part that waits in this process.
+        An attempt whose request has been sent completely runs on to its outcome. One that is
+        still sending its request, or that is streaming its response, is given up: a partial
+        response that nobody reads, or a partial request that is never completed, would use a
+        slot and a connection to the backend until the deadline. A streamed request body is
+        discarded, together with what is buffered of it.
         """
         if request.ended:
             return
@@ -91,11 +90,12 @@
             self.leave()
 
     def client_half_closed(self, request: Request) -> None:
-        """A request's client sends nothing more: it has closed, or waits for this answer.
+        """A request's client has shut down its sending side.
 
-        Which of the two can't be told. So no attempt begins from here on: without one in
-        flight the request is rejected, and a retry is harmless as nothing was executed. What
-        a backend has already may still answer it.
+        It may have disconnected, or it may still read its response; the two look the same. So
+        no further attempt begins. If none is in flight, the request is rejected, which the
+        client may safely retry as nothing was executed. An attempt that a backend has received
+        completely may still be answered.
         """
         if request.ended or request.half_closed:
             return
@@ -103,13 +103,13 @@
         try:
             request.half_closed = True
             self.notify_balancer(self.balancer.on_client_half_closed, request.id)
-            if request.flow is None:  # a long body is under way already
+            if request.flow is None:  # a streamed body goes on as it is
                 self.give_up_unwritten(request)
         finally:
             self.leave()
 
     def upload_stalled(self, request: Request) -> None:
-        """A backend accepts no more of a long body: its attempts end, without execution."""
+        """A backend has stopped accepting a streamed body: give up all attempts of its request."""
         self.enter()
         try:
             self._give_up_all(request, Outcome.TIMEOUT)
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -1,8 +1,9 @@
-"""How a node's file descriptors are divided between clients and backends.
+"""How a node's file descriptors are divided between client and backend connections.
 
-The configuration bounds the descriptors of a node. Some are reserved for its own needs; the
-rest are the connections' of clients and backends. Clients come to the process unasked, so
-a part of them is retained for backends; while backends use more than that, clients use less.
+The configuration limits a node's descriptors. Some are reserved for the process itself; the
+rest are for connections. Clients connect whenever they like and could take all of them, so a
+fraction is kept for connections to backends. While backends use more than that fraction, fewer
+clients are accepted.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
     from loadbalancer.proxy.upstream.pool import ConnectionPool
 
 RESERVED = 24  # for the listener, the event loop, discovery and the log
-# Of the reserved ones, for connections that replace one that was given up just now. That is
-# closed with the next turn of the event loop, and until then both are open.
-OVERLAP = 8
-HANDOVER_DESCRIPTORS = 8  # for the process before and the one after this one
-UPSTREAM_FRACTION = 4  # one in so many descriptors is for backends
+# Of the reserved ones, for connections to backends that replace an idle one at the limit. The
+# event loop closes the replaced one in its next iteration, and until then both are open.
+REPLACEMENT_DESCRIPTORS = 8
+HANDOVER_DESCRIPTORS = 8  # for connections to a predecessor and to a successor during an upgrade
+UPSTREAM_FRACTION = 4  # one in this many connection descriptors is kept for backends
 
 
 class DescriptorBudget:
-    """Counts the descriptors in use; `clients` is counted by the clients' listener."""
+    """Limits the descriptors in use; the clients' listener keeps the count in `clients`."""
 
     config: Config
     upstream: ConnectionPool
@@ -35,43 +36,43 @@
         self.reserved = RESERVED
         if config.admin is not None:
             self.reserved += ADMIN_DESCRIPTORS + HANDOVER_DESCRIPTORS
-        self.sockets = config.sockets - self.reserved  # for clients and backends together
+        self.sockets = config.sockets - self.reserved  # for client and backend connections together
 
     # ---- clients -----------------------------------------------------------
 
     def max_clients(self) -> int:
-        """The most connections of clients, leaving backends their part."""
+        """The maximum number of client connections that leaves backends their descriptors."""
         return self.sockets - max(self.sockets // UPSTREAM_FRACTION, self.upstream.count)
 
     def may_accept_client(self) -> bool:
-        """Whether a further client may be accepted."""
+        """Whether one more client connection may be accepted."""
         return self.clients < self.max_clients()
 
     def close_surplus_upstream(self) -> None:
-        """Close an idle connection to a backend for a client, unless they are all retained."""
+        """Close an idle backend connection for a client, if backends exceed their fraction."""
         if self.upstream.count > self.sockets // UPSTREAM_FRACTION:
             self.upstream.close_oldest()
 
     # ---- backends ----------------------------------------------------------
 
     def may_open_upstream(self) -> bool:
-        """Whether one more connection to a backend may be opened; an idle one closes for it."""
+        """Whether one more backend connection may be opened; at the limit, closes an idle one."""
         used = self.clients + self.upstream.count
         if used < self.sockets:
             return True
-        return used < self.sockets + OVERLAP and self.upstream.close_oldest()
+        return used < self.sockets + REPLACEMENT_DESCRIPTORS and self.upstream.close_oldest()
 
-    # ---- while two processes are one node ------------------------------------
+    # ---- while an upgrade runs two processes of this node ----------------------
 
     def set_other_process_descriptors(self, descriptors_of_other: int) -> None:
-        """Leave so many of the node's descriptors to the other process."""
+        """Leave this many of the node's descriptors to the other process."""
         self.sockets = self.config.sockets - self.reserved - descriptors_of_other
 
     def descriptors(self) -> int:
-        """The most that this process uses, as long as the other process leaves it no more."""
+        """The maximum number that this process uses until the other process releases some to it."""
         return self.reserved + max(self.sockets, self.clients + self.upstream.count)
 
     def releasable_descriptors(self) -> int:
-        """How many descriptors a process that drains can leave to its successor by now."""
-        used = self.clients + self.upstream.count + OVERLAP
+        """How many descriptors a draining process can leave to its successor now."""
+        used = self.clients + self.upstream.count + REPLACEMENT_DESCRIPTORS
         return max(self.config.sockets - self.reserved - used, 0)
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -1,9 +1,9 @@
-"""Whether a process serves, drains or stops: one state, without I/O or a clock.
+"""Whether a process serves, drains or stops: a state machine without I/O or a clock.
 
-Readiness checks, the end of each answer's connection, the second address and the signals go
-by this state. The checks come from the front: the balancer or DNS in front of the nodes,
-which takes a node out of use whose checks fail. Times are integer nanoseconds of one monotonic
-clock, given with each call.
+It decides the answers to readiness checks, whether a response closes its connection, and when
+idle connections are closed. Readiness checks come from the load balancer or DNS in front of the
+nodes (`front` below), which sends no clients to a node that fails them. Times are integer
+nanoseconds of one monotonic clock, passed with each call.
 """
 
 from __future__ import annotations
@@ -12,38 +12,43 @@
 
 from loadbalancer.core.balancing.model import MS
 
-DRAIN_TICK_NS = 50 * MS  # between two looks at the idle connections while a process drains
+DRAIN_TICK_NS = 50 * MS  # interval at which a draining process closes idle connections
 
-# A drain, from the call that begins it.
-EMPTY_BY_NS = 1600 * MS  # what is used more than 2 s later could have a new request at 4 s
-UNCHECKED_FROM_NS = 600 * MS  # connections are closed from here on if the front checks nothing
-# ... and if it does, from so long after its first check that failed: connections go on coming
-# for 0.2 s after that.
-SETTLE_NS = 300 * MS
+# Times after the call that begins a drain.
+# All idle connections are closed by then: one in use more than 2 s after the call could still
+# have a new request at 4 s.
+DRAIN_CLOSE_END_NS = 1600 * MS
+# Closing begins then if the front has sent no readiness check.
+UNCHECKED_CLOSE_BEGIN_NS = 600 * MS
+# If it has, closing begins this long after the first check that failed: the front goes on
+# sending new connections for 0.2 s after that check.
+FAILED_CHECK_DELAY_NS = 300 * MS
 
-# A process that has handed over, from the time at which its successor accepts.
-RELIEVED_FROM_NS = 200 * MS
-RELIEVED_BY_NS = 2000 * MS
+# Times after a successor has begun to accept, for the process that has handed over to it.
+HANDOVER_CLOSE_BEGIN_NS = 200 * MS
+HANDOVER_CLOSE_END_NS = 2000 * MS
 
 
 class CloseWindow(NamedTuple):
-    """The time over which a process closes its idle connections."""
+    """The period over which a process closes its idle connections."""
 
     begin: int
     end: int
 
 
 class Lifecycle:
-    """Active, standby, relieved by a successor, or stopping, which alone is for good.
+    """The state of one process: active, in standby, handed over to a successor, or stopping.
 
-    `has_usable_list`: a list with an endpoint to send to has come once, or a complete one
-    without. It stays set: a node that loses its endpoints later rejects requests itself, with a
-    Retry-After. Were it not ready then, the front would take every node out at once, and
-    clients would reach none.
+    Standby means that an operator drains the process. All but stopping can be reversed.
+
+    `has_usable_list`: an endpoint list has arrived that has an endpoint to send to, or that is
+    complete even if empty. It is never reset. A node that loses its endpoints later rejects
+    requests itself, with a Retry-After: if all nodes failed their readiness checks at once
+    instead, the front would take all of them out and clients could reach none.
     """
 
     __slots__ = (
-        "_first_failed_check_at", "_relieved_at", "_standby_at", "has_usable_list", "serving",
+        "_first_failed_check_at", "_handed_over_at", "_standby_at", "has_usable_list", "serving",
         "stopping",
     )  # fmt: skip
 
@@ -51,54 +56,55 @@
         self.serving = False  # listening
         self.has_usable_list = False
         self.stopping = False
-        # Since when, 0 for not.
+        # Times; 0 for a state that doesn't apply.
         self._standby_at = 0
-        self._relieved_at = 0
-        self._first_failed_check_at = 0  # the first readiness check that failed in this drain
+        self._handed_over_at = 0
+        self._first_failed_check_at = 0  # of this drain
 
     @property
     def standby(self) -> bool:
-        """Whether clients are sent away, by an operator's call."""
+        """Whether an operator has begun a drain of this node."""
         return self._standby_at != 0
 
     @property
     def handed_over(self) -> bool:
-        """Whether a successor serves the clients' address."""
-        return self._relieved_at != 0
+        """Whether a successor accepts the clients of this node."""
+        return self._handed_over_at != 0
 
     @property
     def can_serve(self) -> bool:
-        """Whether a request would be served; what the second address reports."""
+        """Whether a request would be served; the admin address reports it."""
         return self.serving and self.has_usable_list and not self.stopping
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether each answer ends its connection."""
+        """Whether a client's connection is closed after its response."""
         return self.stopping or self.standby or self.handed_over
 
     def on_successor_accepting(self, now: int) -> None:
-        """A successor accepts from now on."""
-        self._relieved_at = now
+        """A successor has begun to accept clients."""
+        self._handed_over_at = now
 
     def on_successor_disconnected(self) -> None:
-        """The successor has gone."""
-        self._relieved_at = 0
+        """The successor has ended or its connection was lost: this process serves alone again."""
+        self._handed_over_at = 0
 
     def begin_standby(self, now: int) -> None:
-        """Send clients away; a second call changes nothing, so that it puts nothing off."""
+        """Begin a drain. A second call doesn't restart it, which would delay its end."""
         if not self.standby:
             self._standby_at = now
             self._first_failed_check_at = 0
 
     def end_standby(self) -> None:
-        """Take clients again; a process that stops takes none all the same."""
+        """End a drain. A process that is stopping still accepts no clients."""
         self._standby_at = 0
 
     def answer_readiness_check(self, now: int) -> bool:
-        """The answer to a readiness check of the front; the first that fails is noted.
+        """Answer a readiness check of the front, and record the first failure in a drain.
 
-        A relieved process answers for its successor, as both are one node. Without a list
-        the front has other nodes to send clients to, who would be rejected here.
+        A process that has handed over answers for its successor, as the two are one node.
+        Without a usable list the check fails: clients would be rejected here, and the front has
+        other nodes to send them to.
         """
         if not self.standby and (self.handed_over or not self.stopping):
             return self.has_usable_list
@@ -106,10 +112,11 @@
         return False
 
     def idle_close_count(self, now: int, idle: int) -> int:
-        """How many of so many idle connections to close in this tick.
+        """How many of `idle` connections to close in this tick.
 
-        They are spread over the time that is left, and all are closed once it is over: each
-        close may cross a request that its client then has to send again.
+        The closes are spread evenly over the rest of the close window, and all that remain are
+        closed at its end. A close may cross a request on the wire, which its client then has to
+        retry; spreading the closes spreads these retries.
         """
         window = self._close_window()
         if window is None:
@@ -123,11 +130,11 @@
 
     def _close_window(self) -> CloseWindow | None:
         if self.standby:
-            begin = self._standby_at + UNCHECKED_FROM_NS
+            begin = self._standby_at + UNCHECKED_CLOSE_BEGIN_NS
             if self._first_failed_check_at:
-                begin = self._first_failed_check_at + SETTLE_NS
-            return CloseWindow(begin, self._standby_at + EMPTY_BY_NS)
+                begin = self._first_failed_check_at + FAILED_CHECK_DELAY_NS
+            return CloseWindow(begin, self._standby_at + DRAIN_CLOSE_END_NS)
         if self.handed_over:
-            at = self._relieved_at
-            return CloseWindow(at + RELIEVED_FROM_NS, at + RELIEVED_BY_NS)
+            at = self._handed_over_at
+            return CloseWindow(at + HANDOVER_CLOSE_BEGIN_NS, at + HANDOVER_CLOSE_END_NS)
         return None
--- a/loadbalancer/proxy/open_requests.py
+++ b/loadbalancer/proxy/open_requests.py
@@ -1,7 +1,7 @@
 """The requests of one host, from their admission to the outcome of their last attempt.
 
-A request *ends* when its client has its answer, or is owed none any more. Its attempts may
-go on after that; it is *forgotten* once it has ended and the last of them is settled.
+A request *ends* when its client has its response, or needs none any more. Its attempts may
+run on after that; it is *forgotten* once it has ended and all its attempts have outcomes.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 class OpenRequests:
     """The requests that have not been forgotten, by their numbers in this process.
 
-    `open_request_ids`: the ids that clients gave those that have not ended.
-    `other_process_request_ids`: the same of the process before or after this one, while both
-    are one node.
+    `open_request_ids`: the request ids, chosen by clients, of requests that have not ended.
+    `other_process_request_ids`: the same for the other process of this node during an upgrade.
     """
 
     def __init__(self, budget: BufferBudget) -> None:
         self.budget = budget
         self.requests: dict[int, Request] = {}
-        self.open_count = 0  # of those that have not ended
+        self.open_count = 0  # requests that have not ended
         self.open_request_ids: set[bytes] = set()
         self.other_process_request_ids: set[bytes] = set()
 
     def finish(self, request: Request, status: int, retry_after_ns: int = 0) -> None:
-        """Give a request its final answer without service, unless it has ended.
+        """Answer a request with an error status, unless it has ended.
 
-        A client that has a part of a response sees that as incomplete instead.
+        If its client has already received part of a response, that response is aborted, so
+        that the client sees it as incomplete.
 
         Args:
             request: the request.
-            status: the status of the answer.
-            retry_after_ns: when the client may come again, in nanoseconds; 0 for no such field.
+            status: the status of the response.
+            retry_after_ns: value of its Retry-After header, in nanoseconds; 0 for no header.
         """
         if request.ended:
             return
@@ -54,16 +54,18 @@
             client.respond_empty(status, retry_after_ns)
 
     def fail_all(self) -> None:
-        """At the very end of a stop: fail all requests that are still open."""
+        """Fail all requests that are still open, as the last step of a stop."""
         for request in list(self.requests.values()):
-            run_logged(self.finish, request, BAD_GATEWAY)  # the others get their answers
+            # Logged, so that one that raises doesn't keep the others from their responses.
+            run_logged(self.finish, request, BAD_GATEWAY)
 
     def end(self, request: Request) -> None:
-        """Note that a request's client has its answer, or is owed none any more."""
+        """End a request: its client has its response, or needs none any more."""
         request.ended = True
         request.client = None
-        # Counted before its body is discarded: where that raises, the request would count as open
-        # for good, hold a stop to its last moment, and have its id rejected as open already.
+        # These come before the body is discarded, which may raise. Otherwise the request would
+        # count as open forever: a stop would wait for it up to its time limit, and other requests
+        # with the same id would be rejected as duplicates.
         self.open_count -= 1
         self.open_request_ids.discard(request.label)
         if request.flow is not None:
@@ -71,14 +73,14 @@
         self.forget(request)
 
     def forget(self, request: Request) -> None:
-        """Drop a request that has ended and has no attempt open."""
+        """Remove a request that has ended and has no open attempt; otherwise do nothing."""
         if not request.ended or request.open_attempts:
             return
         if self.requests.pop(request.id, None) is None:
             return
         request.body = []
-        # Failure: attempts refer back to their request, and objects in a cycle are freed by
-        # the garbage collector alone. It runs rarely here, and memory would grow meanwhile.
+        # Attempts refer back to their request. Only the garbage collector frees such a cycle, and
+        # it runs rarely in this process (see `process.GC_THRESHOLDS`), so memory use would grow.
         request.attempts = []
         if request.flow is None:
             self.budget.release(request.size)
--- a/loadbalancer/proxy/sockets.py
+++ b/loadbalancer/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: opening one that listens, and giving one over to the event loop."""
+"""Opening listening sockets, and handing sockets over to the event loop."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def listening_socket(address: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """Open a socket that listens at `address`; OSError where it can't be bound.
+    """Open a socket that listens at `address`; raises OSError if it can't be bound.
 
     `shared`: another process that also sets SO_REUSEPORT may listen at the same address.
     """
@@ -27,13 +27,13 @@
 
 
 def release_socket(transport: asyncio.BaseTransport, sock: socket.socket) -> None:
-    """Detach `sock` from its descriptor where its transport has closed that already.
+    """Detach `sock` from its descriptor if its transport has closed that already.
 
-    The event loop takes a socket over only a turn after `connection_made`. Where the
-    transport closes in that turn, as after a first write that fails, the Python object
-    still counts as the owner and closes the number again when it is freed. By then the
-    number often belongs to another connection, which ends without any message in the log:
-    a client sees its connection closed right after it was accepted.
+    The event loop takes ownership of a socket one iteration after `connection_made`. If the
+    transport closes before that, as after a first write that fails, the Python object still owns
+    the descriptor and closes the same number again when it is freed. By then the number often
+    belongs to another connection, which is then closed without any log line: its client sees
+    the connection end right after it was accepted.
     """
     if transport.is_closing():
         sock.detach()
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from loadbalancer.proxy.descriptors import OVERLAP, RESERVED, DescriptorBudget
+from loadbalancer.proxy.descriptors import REPLACEMENT_DESCRIPTORS, RESERVED, DescriptorBudget
 from loadbalancer.proxy.sockets import release_socket
 from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize(
     ("used", "idle", "may_open"),
-    [(99, 0, True), (100, 0, False), (100, 1, True), (100 + OVERLAP, 1, False)],
+    [(99, 0, True), (100, 0, False), (100, 1, True), (100 + REPLACEMENT_DESCRIPTORS, 1, False)],
 )
 def test_at_the_limit_a_connection_to_a_backend_replaces_an_idle_one(
     budget: DescriptorBudget, pool: Pool, used: int, idle: int, may_open: bool
@@ -92,10 +92,10 @@
 ) -> None:
     budget.clients = 50
     pool.count = 10
-    assert budget.releasable_descriptors() == 100 - 60 - OVERLAP
+    assert budget.releasable_descriptors() == 100 - 60 - REPLACEMENT_DESCRIPTORS
     budget.set_other_process_descriptors(budget.releasable_descriptors())
-    assert budget.sockets == 60 + OVERLAP
-    assert budget.descriptors() == RESERVED + 60 + OVERLAP
+    assert budget.sockets == 60 + REPLACEMENT_DESCRIPTORS
+    assert budget.descriptors() == RESERVED + 60 + REPLACEMENT_DESCRIPTORS
     budget.clients = 80  # more than its part: accepted before it left the others to its successor
     assert budget.descriptors() == RESERVED + 90
 
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -6,12 +6,12 @@
 
 from loadbalancer.core.balancing.model import MS
 from loadbalancer.proxy.lifecycle import (
+    DRAIN_CLOSE_END_NS,
     DRAIN_TICK_NS,
-    EMPTY_BY_NS,
-    RELIEVED_BY_NS,
-    RELIEVED_FROM_NS,
-    SETTLE_NS,
-    UNCHECKED_FROM_NS,
+    FAILED_CHECK_DELAY_NS,
+    HANDOVER_CLOSE_BEGIN_NS,
+    HANDOVER_CLOSE_END_NS,
+    UNCHECKED_CLOSE_BEGIN_NS,
     Lifecycle,
 )
 
@@ -32,10 +32,10 @@
     lifecycle.begin_standby(1000 * MS)
     assert not lifecycle.answer_readiness_check(1100 * MS)
     assert not lifecycle.answer_readiness_check(1200 * MS)
-    assert lifecycle.idle_close_count(1100 * MS + SETTLE_NS - 1, 100) == 0
-    idle, now = 100, 1100 * MS + SETTLE_NS
+    assert lifecycle.idle_close_count(1100 * MS + FAILED_CHECK_DELAY_NS - 1, 100) == 0
+    idle, now = 100, 1100 * MS + FAILED_CHECK_DELAY_NS
     closed = []
-    while now < 1000 * MS + EMPTY_BY_NS:
+    while now < 1000 * MS + DRAIN_CLOSE_END_NS:
         closed.append(lifecycle.idle_close_count(now, idle))
         idle -= closed[-1]
         now += DRAIN_TICK_NS
@@ -49,9 +49,9 @@
 ) -> None:
     lifecycle.begin_standby(1000 * MS)
     lifecycle.begin_standby(1500 * MS)
-    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_FROM_NS - 1, 10) == 0
-    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_FROM_NS, 10) > 0
-    assert lifecycle.idle_close_count(1000 * MS + EMPTY_BY_NS, 10) == 10
+    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_CLOSE_BEGIN_NS - 1, 10) == 0
+    assert lifecycle.idle_close_count(1000 * MS + UNCHECKED_CLOSE_BEGIN_NS, 10) > 0
+    assert lifecycle.idle_close_count(1000 * MS + DRAIN_CLOSE_END_NS, 10) == 10
 
 
 def test_a_drain_that_ends_leaves_a_stop_in_force(lifecycle: Lifecycle) -> None:
@@ -71,8 +71,8 @@
     lifecycle.stopping = True
     assert lifecycle.answer_readiness_check(1100 * MS)
     assert lifecycle.closes_after_response
-    assert lifecycle.idle_close_count(1000 * MS + RELIEVED_FROM_NS - 1, 10) == 0
-    assert lifecycle.idle_close_count(1000 * MS + RELIEVED_BY_NS - DRAIN_TICK_NS, 10) == 10
+    assert lifecycle.idle_close_count(1000 * MS + HANDOVER_CLOSE_BEGIN_NS - 1, 10) == 0
+    assert lifecycle.idle_close_count(1000 * MS + HANDOVER_CLOSE_END_NS - DRAIN_TICK_NS, 10) == 10
     lifecycle.on_successor_disconnected()
     assert not lifecycle.answer_readiness_check(1200 * MS)
 
