--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -1,14 +1,14 @@
-"""The host of one Balancer: composes its parts, and brings it its endpoint list.
+"""The host of one Balancer: combines its parts, and passes on the endpoint list.
 
-A host turns what happens into events of the Balancer and the Balancer's actions into what
-is to happen; it decides nothing. Its parts, each above those that it uses:
+A host reports events to the Balancer and carries out the Balancer's actions; it makes no
+decisions itself. Its parts, of which each uses only those above it:
 
-- `open_requests`: which requests are open, and their end;
-- `balancer_events`: how an event reaches the Balancer; each attempt's one outcome;
-- `attempts`: the actions that make attempts, and giving them up;
-- `client_events`: requests that arrive, clients that leave;
-- `timer_events`, `timers`: what has run out of time;
-- `descriptors`: how many connections there may be.
+- `open_requests`: which requests are open, and how they end;
+- `balancer_events`: calls into the Balancer, and the single outcome of each attempt;
+- `attempts`: the actions that start attempts, and giving up attempts;
+- `client_events`: requests that arrive, clients that disconnect;
+- `timers`, `timer_events`: timeouts of attempts and requests, and the Balancer's timers;
+- `descriptors`: limits of the numbers of connections.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 logger = logging.getLogger(__name__)
 
-MIN_FLEET = 2  # nodes; a single one has no other to gossip with
+MIN_FLEET = 2  # nodes; a single one has no peer to gossip with
 
 
 class Node(ClientEvents, TimerEvents, DescriptorBudget):
@@ -49,11 +49,11 @@
     Args:
         config: the node's configuration.
         loop: the event loop of the process.
-        on_list_usable: called with each endpoint list that requests can be served or
-            rejected by: one with an endpoint that is ready, or a complete one.
+        on_list_usable: called after each update of the endpoint list that the node can work
+            with: if the Balancer has an endpoint that is ready, or if the list is complete.
 
     Raises:
-        SourceError: where the file that names the source of endpoints can't be used.
+        SourceError: the file that names the source of endpoints can't be used.
     """
 
     def __init__(
@@ -64,17 +64,15 @@
     ) -> None:
         super().__init__(config, loop)
         DescriptorBudget.__init__(self, config)
-        self.on_descriptor_freed: Callable[[], None] = (
-            lambda: None
-        )  # set by the listener: a descriptor is free
+        self.on_descriptor_freed: Callable[[], None] = lambda: None  # set by the clients' listener
         self._on_list_usable = on_list_usable
         self.upstream = ConnectionPool(self)
         self.discovery: Discovery | ConsulMembers = self._endpoint_source()
         self.balancer = Balancer(config.settings, config.seed, self)
-        # What the Balancer has taken over whole; None where it has raised on further settings.
+        # The settings that the Balancer has applied completely; None after it raised on new ones.
         self.applied_settings: Settings | None = config.settings
-        self.peers: GossipTransport | None = None  # where gossip between nodes is allowed
-        # With a routes file, see `reload`: what is in force, and what counts for open requests.
+        self.peers: GossipTransport | None = None  # None if gossip is not configured
+        # Set by `reload` if there is a routes file: the current routes, and the retry budgets.
         self.routing: Routing | None = None
         self.policies: RoutePolicies | None = None
 
@@ -82,7 +80,7 @@
         config = self.config
         if not config.consul:
             return Discovery(config, self.on_list_update)
-        # Imported here: a node without Consul does not pay for the modules.
+        # Imported here, so that a node without Consul does not load the modules.
         from pathlib import Path
 
         from loadbalancer.core.endpoints.attempt_evidence import AttemptEvidence, evidence_of
@@ -96,13 +94,13 @@
     # ---- start -------------------------------------------------------------
 
     def start(self, inheritance: Inheritance | None = None) -> None:
-        """Begin with the endpoint list of the configuration.
+        """Start with the endpoint list of the configuration, or with the state of a predecessor.
 
-        What a predecessor left goes before that: its list, and what it had learned. The
-        list is then watched at once, as the two processes are to have one watch.
+        A predecessor's list and learned state take precedence over the configuration. The
+        list service is then watched at once, as of the two processes only one should watch it.
 
         Raises:
-            ListError: the list is malformed.
+            ListError: the endpoint list of the configuration is malformed.
             FleetError: the file that describes the fleet can't be used.
         """
         rows = self.discovery.load_configured(self.config.known)
@@ -125,8 +123,8 @@
         if self.peers is not None:
             self.peers.open()
         if self.config.consul or inheritance is not None or not self.config.settings.poll:
-            # Where the list is polled for, the Balancer says when: nodes that start together
-            # are not to poll together. A source that pushes its list has it at once.
+            # If the list is polled, the Balancer chooses the time, to spread the polls of nodes
+            # that start together. A source that pushes its list is watched at once.
             self.discovery.watch()
 
     def _prepare_gossip(self) -> None:
@@ -135,9 +133,9 @@
             return
         number = config.settings.node
         if number >= len(config.peers):
-            logger.info("no gossip between nodes: peers name no node %d", number)
+            logger.info("gossip between nodes is off: the setting peers has no node %d", number)
             return
-        # Imported here: a node without gossip does not pay for the modules.
+        # Imported here, so that a node without gossip does not load the modules.
         from loadbalancer.gossip_transport.transport import GossipTransport
 
         self.peers = GossipTransport(self, config)
@@ -145,12 +143,13 @@
     # ---- the endpoint list -------------------------------------------------
 
     def on_list_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
-        """The source has an update of the endpoint list, or its poll has failed.
+        """The source has an update of the endpoint list, or a poll of it has failed.
 
         Args:
-            update: what the update is.
-            rows: the endpoints that it lists.
-            stale: the backends whose connections it makes useless.
+            update: the kind of update.
+            rows: the endpoints in it.
+            stale: backends that are removed, draining or at a new address: their idle connections
+                are closed.
         """
         for backend in stale:
             self.upstream.close_idle(backend)
@@ -162,14 +161,14 @@
                 self._on_list_usable()
             self.withdraw(stale)
 
-    # ---- two processes as one node -------------------------------------------
+    # ---- an upgrade, in which two processes are one node ------------------------
 
     def use_limit_share(self, part: LimitShare) -> None:
-        """Use only this part of the endpoints' caps from now on."""
+        """Use only this share of the endpoints' concurrency limits from now on."""
         self._set_limit_share(part)
 
     def end_sharing(self) -> None:
-        """The other process of this node has ended: what it used is this one's again."""
+        """The other process of this node has ended: use its limits and descriptors again."""
         self.other_process_request_ids = set()
         self.set_other_process_descriptors(0)
         if self.balancer.has_limit_share:
@@ -182,25 +181,25 @@
     # ---- further actions of the Balancer -----------------------------------
 
     def refuse(self, request: int, retry_after_ns: int) -> None:
-        """Reject a request: a retry is harmless, after `retry_after_ns` nanoseconds."""
+        """Reject a request that was not executed; its client may retry after `retry_after_ns`."""
         open_request = self.requests.get(request)
         if open_request is not None:
             self.finish(open_request, SERVICE_UNAVAILABLE, retry_after_ns)
 
     def fail(self, request: int) -> None:
-        """Fail a request: it may have been executed."""
+        """Fail a request that may have been executed."""
         open_request = self.requests.get(request)
         if open_request is not None:
             self.finish(open_request, BAD_GATEWAY)
 
     def watch(self) -> None:
-        """Poll for the endpoint list."""
+        """Fetch the endpoint list from its source, and watch it for changes."""
         self.discovery.watch()
 
     def log(self, text: str) -> None:
-        """Write a line of the log."""
+        """Log a message of the Balancer."""
         logger.info("%s", text)
 
     def sweep(self) -> None:
-        """Close the connections to backends that have been idle for long."""
+        """Close the backend connections that have been idle for too long."""
         self.upstream.close_expired(time.monotonic_ns())
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -1,6 +1,7 @@
-"""What the host's adapters use of it, and what it uses of them, as interfaces.
+"""Interfaces between the host and its adapters for clients, backends and endpoint lists.
 
-Below all of them: an adapter knows the host by one of these, and no adapter knows another.
+This module depends on none of them. An adapter uses the host through one of these protocols
+alone, and adapters don't use each other.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 
 
 class Listed(Protocol):
-    """The present endpoint list: the address of each backend, and the list's version."""
+    """The current endpoint list: the address of each backend, and the list's version."""
 
     endpoints: dict[int, Address]
     rev: int
 
     def boot_ms(self, backend: int) -> int:
-        """When a backend was started, in milliseconds as its source counts them."""
+        """When a backend was started, in milliseconds on the clock of the list's source."""
 
 
 class Source(Protocol):
@@ -36,23 +37,23 @@
 
     @property
     def endpoint_list(self) -> Listed:
-        """The present list."""
+        """The current list."""
 
 
 class ListReaders(Protocol):
-    """Nodes of which a few poll for the list and share it with all."""
+    """The fleet's list readers: a few nodes poll for the list and share it with all others."""
 
     def may_poll(self) -> bool:
-        """Whether this node is one that polls."""
+        """Whether this node is a list reader."""
 
     def needs_first_list(self) -> bool:
-        """Whether no node has read a list yet: a complete one is needed."""
+        """Whether no node has read a list yet, so that a complete one has to be requested."""
 
     def read(self, raw: dict[str, Any]) -> None:
-        """This node has read an answer of the list's service."""
+        """This node has received a response of the list service."""
 
     def failed(self, older: bool) -> None:
-        """This node's poll has failed; `older`: its answer was older than the present list."""
+        """This node's poll has failed; `older`: its response was older than the current list."""
 
 
 # ---- the host ----------------------------------------------------------------
@@ -62,18 +63,18 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     budget: BufferBudget
-    on_descriptor_freed: Callable[[], None]  # a descriptor has been closed
+    on_descriptor_freed: Callable[[], None]  # called once a connection is closed
 
     def log(self, text: str) -> None:
-        """Write a line of the log."""
+        """Log a message."""
 
 
 class ClientHost(_Host, Protocol):
-    """What connections of clients and their listener use of the host.
+    """What client connections and their listener use of the host.
 
-    `clients`: descriptors of clients, counted by the listener and the connections.
-    `open_request_ids` and `other_process_request_ids`: the ids of open requests, here and at
-    the other process of this node.
+    `clients`: the number of client descriptors, which the listener and the connections update.
+    `open_request_ids` and `other_process_request_ids`: the ids of the open requests of this
+    process, and of the other process of this node during an upgrade.
     """
 
     clients: int
@@ -83,61 +84,61 @@
     routing: Routing | None
 
     def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
-        """Admit a request; None where its client has to come again."""
+        """Admit a request, or return None if its client has to retry."""
 
     def client_disconnected(self, request: Request) -> None:
         """A request's client has disconnected."""
 
     def client_half_closed(self, request: Request) -> None:
-        """A request's client sends nothing more, but may wait for its answer."""
+        """A request's client has shut down its sending side, but may wait for the response."""
 
     def body_received(self, request: Request) -> None:
-        """A long body has been read to its end."""
+        """A streamed request body has been received completely."""
 
     def upload_stalled(self, request: Request) -> None:
-        """A backend accepts no more of a long body."""
+        """A backend has stopped accepting a streamed request body."""
 
     def max_clients(self) -> int:
-        """The most connections of clients."""
+        """The maximum number of client connections."""
 
     def may_accept_client(self) -> bool:
-        """Whether a further client may be accepted."""
+        """Whether one more client connection may be accepted."""
 
     def close_surplus_upstream(self) -> None:
-        """Close an idle connection to a backend for a client, if any may go."""
+        """Close an idle backend connection for a client, if backends exceed their fraction."""
 
 
 class BackendHost(_Host, Protocol):
-    """What the pool and its connections to backends use of the host."""
+    """What the connection pool and the backend connections use of the host."""
 
     @property
     def discovery(self) -> Source:
         """Where the endpoint list comes from."""
 
     def conclude(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = ()) -> None:
-        """Settle an attempt, with the load that its backend reports."""
+        """Record the outcome of an attempt, with the load that its backend reports."""
 
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt may write its first byte, now that its connection is established."""
 
     def response_begins(self, attempt: Attempt) -> None:
-        """A long response has begun to go to the client."""
+        """A streamed response has begun to be sent to the client."""
 
     def body_begins(self, attempt: Attempt) -> None:
-        """The first bytes of a long body are about to be written."""
+        """The first bytes of a streamed request body are about to be written."""
 
     def body_sent(self, attempt: Attempt) -> None:
-        """A long body has been written to its end, by this attempt."""
+        """This attempt has written a streamed request body completely."""
 
     def finish(self, request: Request, status: int, retry_after_ns: int = 0) -> None:
-        """Give a request its final answer without service; `retry_after_ns` in nanoseconds."""
+        """Answer a request with an error status; `retry_after_ns` 0 for no Retry-After."""
 
     def may_open_upstream(self) -> bool:
-        """Whether one more connection to a backend may be opened."""
+        """Whether one more backend connection may be opened."""
 
 
 class PredecessorNode(Protocol):
-    """What a process that hands over is asked for."""
+    """The host of a process that hands over, as its exported state is made from it."""
 
     balancer: Balancer
 
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -1,7 +1,7 @@
-"""One node as a process: its start, its signals, and its end.
+"""A node's process: its start, its signals, and its end.
 
-A node with a second address may have two processes for a while, the older of which hands
-over to the newer one (`upgrade`).
+During an upgrade a node with an admin address has two processes: the predecessor, which hands
+over, and its successor (see the package `upgrade`).
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 
 logger = logging.getLogger(__name__)
 
-UNUSABLE_STATUS = 2  # the exit status where the configuration or the address can't be used
-# For a port that another process holds which neither hands it over nor shares it.
+UNUSABLE_STATUS = 2  # exit status if the configuration or an address can't be used
+# How long to retry a bind to a port held by a process that neither hands it over nor shares it.
 BIND_TIMEOUT_S = 15.0
 BIND_RETRY_S = 0.05
-# Objects allocated before each generation of the garbage collector runs. What the start has
-# made is frozen, and a collection among requests finds little.
+# Thresholds of the garbage collector's generations, far above the defaults: the objects of the
+# start are frozen, and a collection among the objects of requests frees little.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Process:
-    """One process of a node, from its start to its end.
+    """One process of a node.
 
     Raises:
         SourceError: the file that names the source of endpoints can't be used.
@@ -66,8 +66,8 @@
             loop, self.node, self.listener, self.lifecycle, self._close_predecessor
         )
         self._drain_timer: asyncio.TimerHandle | None = None
-        # The sides of a handover, where there is a second address: to the process before
-        # this one, and to the one after it.
+        # The two roles in an upgrade, if there is an admin address: successor of the process
+        # before this one, predecessor of the one after it.
         self._successor: Successor | None = None
         self._predecessor: Predecessor | None = None
 
@@ -79,11 +79,12 @@
     # ---- start -------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until a stop has ended.
+        """Serve until the process has been stopped and its last responses are sent.
 
         Raises:
             OSError: an address can't be bound.
-            ListError, RoutesError, SourceError: what the configuration names can't be used.
+            ListError, RoutesError, SourceError: the endpoint list, the routes file or the file of
+                the list's source can't be used.
         """
         port = await self._begin()
         for number in early_signals.STOP_SIGNALS:
@@ -102,20 +103,20 @@
         await self._shutdown.ended
 
     async def _begin(self) -> int:
-        """Listen, taking over from a running process where there is one; returns the port."""
+        """Listen, taking over from a running predecessor if there is one; returns the port."""
         admin = self.config.admin
         if admin is None:
             apply_routes(self.node)
             self.node.start()
             return self.listener.listen(self.config.listen)
-        # Imported here: a node without a second address does not pay for the modules.
+        # Imported here, so that a node without an admin address does not load the modules.
         from loadbalancer.upgrade.predecessor import Predecessor
         from loadbalancer.upgrade.successor import Successor
 
         successor = self._successor = Successor(self)
         await successor.find()
-        # Each process has a second address of its own. It is bound before the handover, so that
-        # a wrong one ends this process and not the old one.
+        # Each process of the node binds an admin address of its own. This happens before the
+        # handover, so that an unusable address ends this process and not the predecessor.
         AdminCalls(self).listen(admin)
         inheritance = await successor.meet()
         apply_routes(self.node)
@@ -132,7 +133,7 @@
         return port
 
     async def _listen_shared(self) -> int:
-        """Listen beside a process that can't hand over; wait for one that does not share."""
+        """Listen beside a process that can't hand over, or wait for the port if it isn't shared."""
         give_up_at_s = self.loop.time() + BIND_TIMEOUT_S
         while True:
             try:
@@ -151,10 +152,10 @@
         if self._predecessor is not None and not self._predecessor.relieved:
             self._predecessor.close()
 
-    # ---- the other process of this node --------------------------------------
+    # ---- the other process of this node during an upgrade --------------------
 
     def forward(self, message: Message) -> None:
-        """Send a message to the other process of this node, where there is one."""
+        """Send a message to the other process of this node, if there is one."""
         if self._successor is not None:
             self._successor.forward(message)
         if self._predecessor is not None:
@@ -163,10 +164,11 @@
     # ---- reload and drain ----------------------------------------------------
 
     def reload(self, forwarded: bool = False) -> None:
-        """Use the configuration's file as it is now; one that can't be used changes nothing.
+        """Reread and apply the configuration file; an unusable one changes nothing.
 
         Args:
-            forwarded: the other process of this node was signalled, and has passed it on.
+            forwarded: the other process of this node received the signal and forwarded it, so
+                it isn't forwarded back.
         """
         if not forwarded:
             self.forward(Reload())
@@ -177,43 +179,46 @@
             logger.info("reload: %s; going on as before", err)
             return
         except Exception:
-            # Not "as before": the Balancer may have begun to use the new settings.
-            logger.exception("reload: the new settings were not taken over: SIGHUP tries again")
+            # Unlike above, the Balancer may have applied a part of the new settings.
+            logger.exception("reload: applying the new settings failed; send SIGHUP to retry")
             return
         self.config = config
         self.node.discovery.move(config.discovery, config.settings)
         logger.info("reloaded the configuration")
 
     def set_standby(self, on: bool) -> None:
-        """Begin or end a drain, by a call here or at the other process of this node."""
+        """Begin or end a drain, as requested here or at the other process of this node."""
         if on == self.lifecycle.standby:
             return
         if not on:
-            logger.info("active: the drain has ended")
+            logger.info("active: the drain was ended by an operator")
             self.lifecycle.end_standby()
             return
         logger.info("standby: sending clients away")
         self.lifecycle.begin_standby(time.monotonic_ns())
         if self._drain_timer is not None:
-            self._drain_timer.cancel()  # of a drain that has only just ended
+            self._drain_timer.cancel()  # still pending from a drain that has just been ended
         self._drain()
 
     def _drain(self) -> None:
-        """While clients are sent away, close idle connections at each tick."""
+        """Close idle connections in each tick while the drain lasts."""
         if self.lifecycle.standby and not self.lifecycle.stopping:
             run_logged(self.listener.send_away, time.monotonic_ns())
             self._drain_timer = self.loop.call_later(DRAIN_TICK_NS / SECOND, self._drain)
 
 
 def run_node() -> int:
-    """Run the node that the environment describes; returns only where it can't start."""
+    """Run the node configured by the environment.
+
+    Returns an exit status only if it can't start; otherwise the process exits here.
+    """
     try:
         config = load(os.environ)
     except ConfigError as err:
         print(f"loadbalancer: {err}", file=sys.stderr)
         return UNUSABLE_STATUS
     logs.configure(config.name, logs.SERVICE_LINES_PER_SECOND)
-    # Failure: whoever reads the log stops, its pipe is full, and a write waits with the loop.
+    # If the log's reader stops reading, the pipe fills up; a blocking write would stop the loop.
     os.set_blocking(sys.stderr.fileno(), False)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
@@ -223,9 +228,9 @@
     except (ListError, RoutesError, SourceError, OSError) as err:
         print(f"loadbalancer: {err}", file=sys.stderr)
         return UNUSABLE_STATUS
-    # What a log that nobody reads still holds must not turn the exit into a failure.
+    # A flush to a log that nobody reads fails; that must not change the exit status.
     with contextlib.suppress(OSError):
         sys.stderr.flush()
-    # Not by the interpreter's own exit: it takes the loop and each connection apart one by
-    # one, in time that a stop does not have.
+    # Skips the interpreter's own shutdown, which frees the loop and each connection one by one
+    # and takes longer than a stop has left.
     os._exit(0)
