--- a/loadbalancer/proxy/reload.py
+++ b/loadbalancer/proxy/reload.py
@@ -1,7 +1,8 @@
-"""A replaced configuration and routes file at a running node: taken over completely or not.
+"""Applies a replaced configuration and routes file to a running node, completely or not at all.
 
-Open requests retain the policy that they were admitted with, and the retry budgets that it
-counts in. What is not set costs nothing: its modules are imported with the first file.
+Open requests keep the policy that they were admitted under, and the retry budgets that it uses.
+The routing modules are imported when the first routes file is applied, so that a node without
+one does not load them.
 """
 
 from __future__ import annotations
@@ -19,20 +20,21 @@
 
 
 def apply_configuration(node: Node, config: Config) -> None:
-    """Use another configuration from now on.
+    """Apply another configuration.
 
     Raises:
         RoutesError: its routes file can't be used with its settings; nothing has changed.
     """
-    # Failure: the routes file is replaced by one with a fault while it is read a second time. The
-    # new settings are in force by then, beside the old routes, and the log says that all goes on
-    # as before. It is read once, before anything is changed: a file that can't be used shows here.
+    # The routes file is read once, before anything is changed. If it were checked first and read
+    # again after the settings are applied, it could be replaced by an unusable one in between:
+    # new settings with old routes, and a log line that says that nothing has changed.
     table = _read_routes(config)
     if config.settings != node.applied_settings:
-        # Failure: the Balancer raises on the new settings, and the node counts them as in force.
-        # The next SIGHUP finds nothing changed, logs `reloaded the configuration`, and they are
-        # never applied. Until the Balancer has taken them over, `applied_settings` is None: the
-        # next reload applies its settings, even the earlier ones, part of which may be replaced.
+        # If the Balancer raises, it may have applied only a part of the new settings. So
+        # `applied_settings` stays None until it returns, and the next reload applies its settings
+        # whatever they are, including the former ones. If the new settings counted as applied
+        # here, the next SIGHUP would find no change, log `reloaded the configuration`, and never
+        # apply them.
         node.applied_settings = None
         with node.event() as now:
             node.balancer.on_settings(now, config.settings)
@@ -44,7 +46,7 @@
 
 
 def apply_routes(node: Node) -> None:
-    """Use the routes file that the node's configuration names, or none where it names none.
+    """Apply the routes file named by the node's configuration, or none if it names none.
 
     Raises:
         RoutesError: the file can't be used; nothing has changed.
@@ -80,7 +82,7 @@
 
 
 def log_route_counters(node: Node) -> None:
-    """Log how many requests the routes refused, by reason, and what their policies sent."""
+    """Log the counts of requests refused by the routes, by reason, and of policies' attempts."""
     if node.routing is None:
         return
     for reason, count in sorted(node.routing.refused.items()):
--- a/loadbalancer/proxy/routing.py
+++ b/loadbalancer/proxy/routing.py
@@ -1,8 +1,8 @@
-"""The routes file in force at one node, and each request's place in it.
+"""Routes requests by the current routes file of one node.
 
-Imported only where a file is set. Matching and rules are in `core.routes`; here the file is
-read, replaced completely or not at all, and a request that no route takes is refused and
-counted by reason.
+This module is imported only if a routes file is configured. `core.routes` has the matching and
+the rules. Here the file is read, its table is replaced as one step, and a request that matches no
+route is refused and counted by reason.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from loadbalancer.core.routes.table import Policy, Service, Table
 from loadbalancer.errors import BadRequestError, RoutesError
 
-MAX_HOSTS = 1024  # spellings of Host that are cached; clients choose them
+MAX_CACHED_HOSTS = 1024  # bound of the Host cache: its keys are sent by clients
 
-# Why a request is refused: the keys of the counters in the log.
+# Why a request is refused: keys of the counters that are logged at a stop.
 UNKNOWN_HOST = "unknown-host"
 UNKNOWN_PATH = "unknown-path"
 DENIED = "denied"
@@ -36,7 +36,7 @@
 
 
 class Head(Protocol):
-    """What routing reads of a request, and writes: `url` and the Host line in canonical form."""
+    """The head of a request; routing replaces `url` and the Host line by their canonical forms."""
 
     url: bytes
     method: bytes
@@ -46,10 +46,10 @@
 
 
 def read_table(path: str, settings: Settings) -> Table:
-    """The table of a routes file under a node's settings, whose classes the routes may name.
+    """Read a routes file, whose routes may name the classes in `settings`.
 
     Raises:
-        RoutesError: the file can't be used; names its first fault.
+        RoutesError: the file can't be used; the message has the first fault and their number.
     """
     result = check_file(path, settings)
     if result.table is None:
@@ -59,30 +59,30 @@
 
 
 class KnownHost(NamedTuple):
-    """What one spelling of a Host stands for."""
+    """The lookup of a Host header value: its service and its canonical form."""
 
-    service: Service | None  # None for a host that no service has
+    service: Service | None  # None if no service has this host
     canonical: bytes
 
 
 class Routing:
-    """The table in force. A replaced one is freed: requests retain only their own policy."""
+    """Routes requests by a table; a replaced one is freed, as requests refer to policies only."""
 
     def __init__(self, table: Table) -> None:
         self.table = table
-        self.refused: Counter[str] = Counter()  # requests by reason
+        self.refused: Counter[str] = Counter()  # refused requests by reason
         self._hosts: dict[bytes, KnownHost] = {}
 
     def replace(self, table: Table) -> None:
-        """Use another table from now on."""
+        """Replace the table."""
         self.table = table
         self._hosts.clear()
 
     def route_request(self, head: Head) -> Policy:
-        """The policy of the route that takes a request, whose target is made canonical.
+        """Return the policy of the route that matches a request, and make its target canonical.
 
         Raises:
-            BadRequestError: no route takes it, or it is not allowed there.
+            BadRequestError: the request is malformed, matches no route, or is not allowed.
         """
         fields = head.fields
         host = given = fields.get(b"host", b"")
@@ -111,8 +111,8 @@
             raise self._refusal(UNKNOWN_PATH)
         if route.deny:
             raise self._refusal(DENIED)
-        # A class is assigned by its route, or is the path's first segment. The header that
-        # declares one has to agree: by the header alone a client could choose its policy.
+        # The class is assigned by the route, or is the first segment of the path. A class that
+        # the header declares has to be the same: otherwise a client could choose its policy.
         name = first if route.assigned is None else route.assigned
         policy = route.policies.get(name)
         if policy is None:
@@ -122,19 +122,19 @@
         return policy
 
     def _resolve_host(self, raw: bytes) -> KnownHost:
-        """Look a Host up by its canonical form, and cache it as it is spelled."""
+        """Look up the canonical form of a Host value, and cache the result under the raw value."""
         try:
             host, port = canonical_host(raw)
         except FormError:
             raise self._refusal(BAD_HOST) from None
-        if len(self._hosts) >= MAX_HOSTS:
+        if len(self._hosts) >= MAX_CACHED_HOSTS:
             self._hosts.clear()
         known = KnownHost(self.table.service(host), host + b":" + port if port else host)
         self._hosts[raw] = known
         return known
 
     def _refusal(self, reason: str) -> BadRequestError:
-        """Count a refused request; returns the error to raise."""
+        """Count a refused request, and return the error to raise."""
         self.refused[reason] += 1
         return BadRequestError(*RESPONSES[reason])
 
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -1,7 +1,8 @@
-"""The end of a node's process: it accepts for a moment, answers what it has, and exits.
+"""Graceful stop of a node's process: accept for a short time, answer open requests, and exit.
 
-Connections go on coming for 0.4 s after a stop begins, as what is in front of the node
-learns of it late. The node may be killed after the longest deadline of a class and 0.7 s.
+The front (the load balancer or DNS before the nodes) notices a stop late and sends new
+connections for another 0.4 s. The node may be killed 0.7 s after the longest deadline of a
+class, counted from the begin of the stop, so all responses have to be sent before that.
 """
 
 from __future__ import annotations
@@ -23,26 +24,26 @@
 
 logger = logging.getLogger(__name__)
 
-ACCEPT_S = 0.5  # from the stop's begin until the listening socket closes
-KILL_MARGIN_S = 0.7  # after the longest deadline the node may be killed
-LAST_ANSWERS_S = 0.12  # before that: to write the last answers, and to exit
+ACCEPT_S = 0.5  # from the begin of the stop until the listening socket is closed
+KILL_MARGIN_S = 0.7  # from the longest deadline until the node may be killed
+LAST_RESPONSES_S = 0.12  # of that, kept for sending the last responses and for the exit
 POLL_INTERVAL_S = 0.01
-FALLBACK_DEADLINE_S = 5.0  # taken for the longest one where a fault hides the classes' own
+FALLBACK_DEADLINE_S = 5.0  # if computing the longest deadline of the classes raises
 
 
 class Shutdown:
-    """Stops a node; `ended` is done once nothing is left to wait for.
+    """Stops a node; `ended` is done once all responses are sent, or at the time limit.
 
-    Failure: one step of the stop raises, and no later one comes. The process would serve on,
-    or wait, until it is killed, and a second signal would change nothing, as the stop has begun.
-    So each step is followed by the next whatever it raises, and the last moment is kept to.
+    Each step is followed by the next one even if it raises, and the time limit is kept. Otherwise
+    one exception would end the stop half-way: the process would serve on or wait until it is
+    killed, and a second signal would do nothing as the stop has begun already.
 
     Args:
         loop: the event loop of the process.
         node: the host.
         listener: the clients' listener.
         lifecycle: the state that readiness checks report.
-        before_close: called just before the listening socket closes.
+        before_close: called just before the listening socket is closed.
     """
 
     def __init__(
@@ -59,19 +60,19 @@
         self._lifecycle = lifecycle
         self._before_close = before_close
         self._fail_all_at_s = 0.0  # on the loop's clock
-        self._is_finished = False  # nothing is left to wait for
-        self._has_look_raised = False
+        self._is_finished = False  # all clients have their responses
+        self._has_check_raised = False
         self.ended: asyncio.Future[None] = loop.create_future()
 
     def begin(self) -> None:
-        """Begin the stop; nothing where it has begun."""
+        """Begin the stop; a second call does nothing."""
         if self._lifecycle.stopping:
             return
         self._lifecycle.stopping = True
-        # Failure: something below raises before the timer of the next step is set. The stop has
-        # begun and never ends, and a second signal changes nothing. So the timer comes first.
+        # The timer of the next step is set first: if anything below raised before that, the stop
+        # would never end, and a second signal would do nothing.
         self._loop.call_later(ACCEPT_S, self._close)
-        self._set_last_moment(FALLBACK_DEADLINE_S)
+        self._set_time_limit(FALLBACK_DEADLINE_S)
         logger.info("stopping")
         node = self._node
         if node.peers is not None:
@@ -80,45 +81,45 @@
         run_logged(self._use_longest_deadline)
 
     def _use_longest_deadline(self) -> None:
-        self._set_last_moment(max(c.spec.deadline for c in self._node.balancer.classes) / SECOND)
+        self._set_time_limit(max(c.spec.deadline for c in self._node.balancer.classes) / SECOND)
 
-    def _set_last_moment(self, longest_s: float) -> None:
-        self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_ANSWERS_S
+    def _set_time_limit(self, longest_s: float) -> None:
+        self._fail_all_at_s = self._loop.time() + longest_s + KILL_MARGIN_S - LAST_RESPONSES_S
 
     def _close(self) -> None:
         run_logged(self._before_close)
         run_logged(self._listener.stop_accepting)
-        self._wait()
+        self._poll()
 
-    def _wait(self) -> None:
-        """Look whether all clients have their answers; at the last moment fail the others."""
-        is_late = self._loop.time() >= self._fail_all_at_s
-        if is_late:
+    def _poll(self) -> None:
+        """Poll until all clients have their responses; at the time limit fail the open requests."""
+        is_overdue = self._loop.time() >= self._fail_all_at_s
+        if is_overdue:
             run_logged(self._node.fail_all)
         else:
-            self._look_whether_finished()
-        if is_late or self._is_finished:
+            self._check_finished()
+        if is_overdue or self._is_finished:
             run_logged(self._node.discovery.close)
-            # One more turn of the loop, in which the last answers are written.
+            # One more iteration of the event loop, in which the last responses are written.
             self._loop.call_later(POLL_INTERVAL_S, self._end)
         else:
-            self._loop.call_later(POLL_INTERVAL_S, self._wait)
+            self._loop.call_later(POLL_INTERVAL_S, self._poll)
 
-    def _look_whether_finished(self) -> None:
-        """See whether the listener is finished; where that raises it counts as not.
+    def _check_finished(self) -> None:
+        """Update `_is_finished`; an exception leaves it as it is, and only the first one is logged.
 
-        Failure: it raises each time, a hundred times a second. The log's allowance of lines is
-        used up by it, and those of other faults are dropped. So only the first is logged.
+        The check runs a hundred times a second. If it raised and was logged each time, it would
+        use up the log's rate limit, and messages about other faults would be dropped.
         """
-        if self._has_look_raised:
+        if self._has_check_raised:
             with contextlib.suppress(Exception):
                 self._update_finished()
         else:
-            self._has_look_raised = not run_logged(self._update_finished)
+            self._has_check_raised = not run_logged(self._update_finished)
 
     def _update_finished(self) -> None:
-        # Open requests are looked at too: a connection whose state raises is not waited for, and
-        # the stop would cut the answer that it still owes.
+        # Open requests are checked too: the listener doesn't wait for a connection whose check
+        # raises, and the stop would cut off the response that this connection still has to send.
         is_idle = self._listener.close_idle_and_is_finished()
         self._is_finished = is_idle and not self._node.open_count
 
