--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a real node before one backend, and a host alone between fakes."""
+"""Fixtures: a node process with one backend, and a host with fakes around it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
-    """A node with one backend."""
+    """A node process with one backend."""
     with node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running:
         yield running
 
@@ -39,8 +39,8 @@
 
 @pytest.fixture
 def host(tmp_path: Path, clock: Clock) -> Iterator[Node]:
-    """A host that has not been started, with the Balancer and the pool of this file."""
-    del clock  # in force before the node is made
+    """A host that has not been started, with a fake Balancer and a fake connection pool."""
+    del clock  # patched in before the node reads the clock
     loop = asyncio.new_event_loop()
     made = Node(load(config(tmp_path, roster(target("s-1", 9)), 1)), loop)
     made.balancer = cast(Any, Balancer())
--- a/tests/proxy/full_backlog.py
+++ b/tests/proxy/full_backlog.py
@@ -1,4 +1,4 @@
-"""A backend to which no connection comes up until the test lets it."""
+"""A backend to which no connection is established until the test allows it."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from tests.harness import LIMIT, LONG_MS, SETTINGS, Peer, patient_classes
 
-SYN_SENT = "02"  # as /proc/net/tcp has it
+SYN_SENT = "02"  # the state as /proc/net/tcp shows it
 NS_PER_MS = 1_000_000
 
 
 def patient_settings(**overrides: Any) -> dict[str, Any]:
-    """Settings under which connecting may take long, and so may a request's wait for a slot."""
+    """Settings with long timeouts for connecting and for a request's wait for a slot."""
     limits = SETTINGS["limits"] | {"dial_timeout": LONG_MS * NS_PER_MS}
     return {"limits": limits, "classes": patient_classes()} | overrides
 
@@ -42,7 +42,7 @@
             sock.close()
 
     def open(self) -> Peer:
-        """Empty the queue; returns the first other connection that comes up then."""
+        """Empty the accept queue; returns the first connection that is not one of the fillers."""
         fillers = self._filler_ports()
         while True:
             sock, (_, port) = self.sock.accept()
@@ -51,7 +51,7 @@
             sock.close()
 
     def is_awaited(self) -> bool:
-        """Whether somebody else is connecting, as the kernel has it."""
+        """Whether any other socket is connecting here, by the kernel's table of sockets."""
         to_here = f":{self.port:04X}"
         rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
         ports = {int(r[1][-4:], 16) for r in rows if r[2].endswith(to_here) and r[3] == SYN_SENT}
--- a/tests/proxy/host_fakes.py
+++ b/tests/proxy/host_fakes.py
@@ -1,4 +1,4 @@
-"""What a host is put between in its tests: a Balancer, clients and connections that only note."""
+"""Fakes around a host in its tests: a Balancer, clients and connections that record calls."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def raise_fault() -> None:
-    """What a faulty step does."""
+    """Raise, as a stand-in for a faulty function."""
     raise ZeroDivisionError
 
 
 class Clock:
-    """The monotonic clock, moved by the test."""
+    """A monotonic clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 1_000_000 * MS
@@ -32,7 +32,7 @@
 
 
 class Balancer:
-    """Notes events and is never called from within one; `acts` is what its next event does."""
+    """Records events and checks that none begins within another; the next one calls `acts`."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
@@ -65,7 +65,7 @@
 
 
 class Client:
-    """A client's connection that notes its answers."""
+    """A client's connection that records its responses."""
 
     def __init__(self) -> None:
         self.statuses: list[int] = []
@@ -83,7 +83,7 @@
 
 
 class Connection:
-    """A connection to a backend on which an attempt's request was written, or was not."""
+    """A backend connection; `request_written` says whether it has sent the request completely."""
 
     def __init__(self, written: bool) -> None:
         self.request_written = written
@@ -95,12 +95,12 @@
 
 
 class Upstream:
-    """A pool that gives each attempt a connection, or settles it at once."""
+    """A pool that gives each attempt a connection, or reports `settles_as` as its outcome."""
 
     def __init__(self, host: Node) -> None:
         self._host = host
         self.count = 0
-        self.written = False  # whether the requests of the next attempts get written
+        self.written = False  # whether the next attempts send their requests completely
         self.settles_as: Outcome | None = None
         self.attempts: list[Attempt] = []
 
@@ -117,7 +117,7 @@
 
 
 def admit(host: Node, client: Client, attempts: int = 0) -> Request:
-    """An unsafe request of this client, with so many attempts."""
+    """Admit an unsafe request of this client, and start this many attempts of it."""
     incoming = SimpleNamespace(
         head=b"", label=b"r-1", method=b"POST", body=[b"x"], size=1, flow=None, chunked=False,
         cls=SimpleNamespace(number=1), timeout=TIMEOUT_NS, tenant=0, key=0, hint=0, retried=False,
--- a/tests/proxy/routed_node.py
+++ b/tests/proxy/routed_node.py
@@ -1,4 +1,4 @@
-"""A node under a routes file, before one scripted backend."""
+"""A node with a routes file and one scripted backend."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.scripted import Scripted
 
 UNLIMITED_BUDGET = "[node]\nbudget = { part = 1.0, floor = 100 }"
-# Lines of a class: what its policy sends again after.
+# Lines of a class in the routes file: after which failures its policy retries.
 RETRY_ALL = (
     'retry_on = ["connect-failure", "refused", "reset-before-sent", "reset", "error", "timeout"]'
 )
@@ -19,7 +19,7 @@
 
 
 def routes_text(balance: str = "", credit: str = "", more: str = "") -> str:
-    """A routes file with further lines for its classes, and further routes."""
+    """A routes file with extra lines for its two classes, and with extra routes."""
     hosts = ("app.svc", "*.app.svc", "[::1]")
     return routes_toml(balance, credit, more=more, hosts=hosts, head=UNLIMITED_BUDGET)
 
@@ -28,9 +28,9 @@
 def routed_node(
     tmp_path: Path, file: str, ways: tuple[str, ...] = (), settings: dict[str, object] | None = None
 ) -> Iterator[tuple[Running, Scripted]]:
-    """A node under a routes file, and its backend, which is listed under three names.
+    """A node with this routes file, and its backend, which is listed under three names.
 
-    `ways`: how the backend ends the first attempts, see `Scripted`; all others are served.
+    `ways`: how the backend ends the first attempts, see `Scripted`; it serves all others.
     """
     path = tmp_path / "routes.toml"
     path.write_text(file)
@@ -46,7 +46,7 @@
 def exchange(
     n: Running, cls: str, rid: str = "r1", path: str = "", timeout: int = 1500, **headers: str
 ) -> tuple[str, bytes]:
-    """Send one request on a connection of its own; returns its status line and body."""
+    """Send one request on a new connection; returns the status line and body of its response."""
     client = n.connect()
     body = None if cls == "balance" else b"amount=5"
     path = path or f"/{cls}/7f3a"
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address at a real node, and the drains that its calls begin and end."""
+"""The admin address of a node process, and the drains that its requests begin and end."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 @pytest.fixture
 def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
-    """A node with a second address and one backend; it stops with status 0."""
+    """A node with an admin address and one backend; it has to stop with status 0."""
     known = roster(target("s-1", backend.getsockname()[1]))
     with node(tmp_path, known, admin=ADMIN) as running:
         yield running
         assert running.stop() == 0
 
 
-def test_calls_are_answered_one_to_a_connection(n: Running) -> None:
+def test_each_connection_serves_one_request(n: Running) -> None:
     line, headers, body = n.call("GET /status")
     assert (line, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"active\n")
     assert n.call("GET /nothing")[0] == "HTTP/1.1 404 Not Found"
@@ -56,7 +56,9 @@
         (b"POST /standby HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n" + b"z" * 5000, 413),
     ],
 )
-def test_a_bad_call_costs_only_itself(n: Running, sent: bytes, status: int) -> None:
+def test_a_malformed_request_is_rejected_and_the_next_one_served(
+    n: Running, sent: bytes, status: int
+) -> None:
     peer = n.caller()
     peer.send(sent)
     assert peer.message()[0].startswith(f"HTTP/1.1 {status} ")
@@ -64,8 +66,8 @@
     assert n.call("GET /status")[2] == b"active\n"
 
 
-def test_callers_that_send_nothing_or_half_a_call_hold_no_place(n: Running) -> None:
-    """The oldest goes for a new one: with all places taken a call is still answered."""
+def test_connections_without_a_complete_request_lock_nobody_out(n: Running) -> None:
+    """With the maximum of connections open, the oldest is closed for a new one."""
     idle = [n.caller() for _ in range(30)]
     for peer in idle[::2]:
         peer.send(b"GET /sta")
@@ -74,14 +76,16 @@
     assert len(idle) == 30
 
 
-def test_a_caller_whose_call_does_not_come_gets_a_408_and_is_closed(n: Running) -> None:
+def test_an_incomplete_request_times_out_with_408_and_a_close(n: Running) -> None:
     peer = n.caller()
     peer.send(b"GET /status HTTP/1.1\r\n")
     assert peer.message()[0] == "HTTP/1.1 408 Request Timeout"
     assert peer.ends() == b""
 
 
-def test_a_standby_ends_each_connection_with_its_answer(n: Running, backend: socket.socket) -> None:
+def test_standby_closes_each_connection_after_its_response(
+    n: Running, backend: socket.socket
+) -> None:
     in_flight, idle, silent = n.connect(), n.connect(), n.connect()
     in_flight.send(request())
     peer = accept(backend)
@@ -92,14 +96,14 @@
     assert n.call("POST /standby")[0] == "HTTP/1.1 200 OK"
     assert n.call("GET /status")[2] == b"standby\n"
     assert not n.ready()
-    late = n.connect()  # the front deals out some more until it has heard
+    late = n.connect()  # the front sends new connections until it notices the drain
     late.send(request(rid="late"))
     second = accept(backend)
     second.message()
     second.send(answer(b"late"))
     line, headers, body = late.message()
     assert (body, headers["connection"]) == (b"late", "close")
-    # A request under way is not cut: its answer comes, and ends its connection.
+    # A request in flight is answered, and its connection closes after the response.
     peer.send(answer(b"served"))
     line, headers, body = in_flight.message()
     assert (line, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"served")
@@ -115,10 +119,10 @@
     assert "connection" not in again.message()[1]
 
 
-def test_a_standby_cuts_neither_a_long_body_nor_requests_that_wait(
+def test_standby_answers_an_upload_in_progress_and_pipelined_requests(
     n: Running, backend: socket.socket
 ) -> None:
-    """What was taken before the call is answered, then its connection ends."""
+    """Requests received before the drain are answered, and then their connections close."""
     long = b"z" * 1_000_000
     uploading, behind = n.connect(), n.connect()
     upload = request("/credit/1", long, rid="long")
@@ -137,7 +141,7 @@
     second.send(answer(b"p2"))
     line, headers, body = behind.message()
     assert body == b"p1"
-    assert "connection" not in headers  # the other one is owed its answer
+    assert "connection" not in headers  # the second pipelined request is still open
     line, headers, body = behind.message()
     assert (body, headers["connection"]) == (b"p2", "close")
     assert first.message()[2] == long
@@ -149,7 +153,7 @@
     assert behind.ends() == b""
 
 
-def test_a_drain_that_ends_at_once_and_begins_again_is_carried_out(n: Running) -> None:
+def test_a_drain_that_is_ended_and_begun_again_closes_idle_connections(n: Running) -> None:
     assert n.call("POST /active")[0] == "HTTP/1.1 200 OK"  # without a standby
     for _ in range(3):
         n.call("POST /standby")
@@ -157,14 +161,14 @@
     assert n.ready()
     idle = n.connect()
     n.call("POST /standby")
-    n.process.send_signal(signal.SIGHUP)  # a reload meanwhile changes nothing of it
+    n.process.send_signal(signal.SIGHUP)  # a reload must not end the drain
     assert not n.ready()
     assert idle.ends() == b""
     assert n.call("POST /active")[0] == "HTTP/1.1 200 OK"
     assert n.ready()
 
 
-def test_a_stop_in_standby_can_not_be_taken_back(n: Running, backend: socket.socket) -> None:
+def test_a_stop_during_a_drain_can_not_be_reverted(n: Running, backend: socket.socket) -> None:
     client = n.connect()
     client.send(request())
     peer = accept(backend)
@@ -183,8 +187,11 @@
 # ---- the listener alone --------------------------------------------------------------
 
 
-def answer_of(route: Route, half_closes: bool = False) -> bytes:
-    """All that a caller gets, who begins to read only when nothing more is written."""
+def response_of(route: Route, half_closes: bool = False) -> bytes:
+    """All that a caller receives that starts to read 0.2 s after its request.
+
+    By then the node has filled the socket's buffers and can write no more.
+    """
 
     async def call() -> bytes:
         admin = AdminListener(asyncio.get_running_loop(), {"/call": route})
@@ -203,26 +210,27 @@
 
 
 @pytest.mark.parametrize("half_closes", [False, True])
-def test_an_answer_longer_than_the_sockets_buffer_comes_whole(half_closes: bool) -> None:
-    """What a node of a large fleet says of the others is some hundred thousand bytes.
+def test_a_response_longer_than_the_socket_buffer_is_complete(half_closes: bool) -> None:
+    """Guards against a truncated response: a large fleet's /peers has some hundred thousand bytes.
 
-    It was written once, and what the socket's buffer did not take was lost: the caller got a
-    part of the JSON, and the end.
+    With a single write, the bytes that exceeded the socket's send buffer were lost, and the
+    caller received a part of the JSON.
     """
     text = "n" * (16 << 20)
-    head, _, content = answer_of(
+    head, _, content = response_of(
         Route("GET", lambda: Reply(OK, text)), half_closes=half_closes
     ).partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 OK\r\n")
     assert content == text.encode() + b"\n"
 
 
-def test_a_fault_in_answering_a_call_is_not_the_callers(
+def test_a_handler_that_raises_yields_a_logged_500(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What answers a call raises, as where a drain fails to begin.
+    """Guards against reporting a handler's exception as the caller's mistake.
 
-    The caller was told 400, as if it had sent no HTTP, and the log said nothing.
+    Handlers run in a callback of the HTTP parser, which took the exception for a parse error:
+    the caller received a 400 and nothing was logged.
     """
     logged: list[str] = []
     logger = logging.getLogger("loadbalancer.proxy.admin")
@@ -231,13 +239,13 @@
     def fail() -> Reply:
         raise ZeroDivisionError("odd")
 
-    assert answer_of(Route("GET", fail)).startswith(b"HTTP/1.1 500 Internal Server Error\r\n")
+    assert response_of(Route("GET", fail)).startswith(b"HTTP/1.1 500 Internal Server Error\r\n")
     assert len(logged) == 1
     assert "/call" in logged[0]
     assert "odd" in logged[0]
 
 
-def test_an_admin_address_that_is_none_is_one_line_and_status_2(tmp_path: Path) -> None:
+def test_an_unusable_admin_address_is_reported_in_one_line_with_status_2(tmp_path: Path) -> None:
     process = launch(config(tmp_path, roster(), 1, admin="here"))
     _, err = process.communicate(timeout=20)
     assert process.returncode == 2
