--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptors of a node: who may use how many, and who closes them."""
+"""A node's file descriptors: their limits for clients and backends, and who closes them."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from loadbalancer.proxy.sockets import release_socket
 from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
-SOCKETS = 124  # of the configuration; the budget's own are 100
+SOCKETS = 124  # in the configuration; 100 of them are left for connections
 
 
 class Pool:
-    """A pool of connections to backends, some of which are idle."""
+    """A fake pool of backend connections, some of which are idle."""
 
     def __init__(self) -> None:
         self.count = 0
         self.idle = 0
 
     def close_oldest(self) -> bool:
-        """As the pool does: the descriptor is free with the next turn of the loop alone."""
+        """Keeps `count`: a real descriptor is freed only in the loop's next iteration."""
         if not self.idle:
             return False
         self.idle -= 1
@@ -50,7 +50,7 @@
     return budget
 
 
-def test_a_quarter_is_for_backends_and_clients_use_less_while_those_use_more(
+def test_clients_may_use_three_quarters_and_less_while_backends_use_more(
     budget: DescriptorBudget, pool: Pool
 ) -> None:
     assert budget.sockets == SOCKETS - RESERVED == 100
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("backends", "closed"), [(25, 0), (26, 1)])
-def test_a_client_takes_no_connection_of_the_backends_own_part(
+def test_a_client_replaces_a_backend_connection_only_above_the_backends_fraction(
     budget: DescriptorBudget, pool: Pool, backends: int, closed: int
 ) -> None:
     pool.count = backends
@@ -80,14 +80,14 @@
 def test_at_the_limit_a_connection_to_a_backend_replaces_an_idle_one(
     budget: DescriptorBudget, pool: Pool, used: int, idle: int, may_open: bool
 ) -> None:
-    """Both are open for a turn of the loop, and only so many at a time."""
+    """Both are open for one iteration of the event loop, so the number of them is limited."""
     budget.clients = used - 20
     pool.count = 20
     pool.idle = idle
     assert budget.may_open_upstream() == may_open
 
 
-def test_two_processes_of_a_node_use_its_descriptors_once(
+def test_two_processes_of_a_node_share_its_descriptors(
     budget: DescriptorBudget, pool: Pool
 ) -> None:
     budget.clients = 50
@@ -96,21 +96,22 @@
     budget.set_other_process_descriptors(budget.releasable_descriptors())
     assert budget.sockets == 60 + REPLACEMENT_DESCRIPTORS
     assert budget.descriptors() == RESERVED + 60 + REPLACEMENT_DESCRIPTORS
-    budget.clients = 80  # more than its part: accepted before it left the others to its successor
+    budget.clients = 80  # clients that were accepted before it released descriptors
     assert budget.descriptors() == RESERVED + 90
 
 
 class AbortsAtOnce(asyncio.Protocol):
-    """Aborts its connection in the turn in which it is made, as a first write that fails does."""
+    """Aborts its connection in `connection_made`, as a first write that fails does."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         cast(asyncio.Transport, transport).abort()
 
 
-def test_a_connection_closed_as_it_comes_up_leaves_its_number_to_the_next() -> None:
-    """Its transport has closed the descriptor, and another connection has the number by then.
+def test_a_connection_closed_when_established_does_not_close_its_descriptor_twice() -> None:
+    """Guards against closing another connection's descriptor.
 
-    The socket object must not close the number again when it is freed.
+    The transport has closed the descriptor, and its number belongs to another connection by the
+    time that the socket object is freed. The object must not close the number again.
     """
     loop = uvloop.new_event_loop()
     with listen() as server, listen() as other:
@@ -120,7 +121,7 @@
             sock.setblocking(False)
             number = sock.fileno()
             transport, _ = await loop.create_connection(AbortsAtOnce, sock=sock)
-            os.dup2(other.fileno(), number)  # as the next accept would take it
+            os.dup2(other.fileno(), number)  # as an accept that gets the same number
             release_socket(cast(asyncio.BaseTransport, transport), sock)
             return number
 
@@ -131,10 +132,10 @@
     loop.close()
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_discovery_and_backends_theirs(
+def test_idle_clients_leave_descriptors_for_discovery_and_backends(
     tmp_path: Path,
 ) -> None:
-    """The process may hold 64, as its configuration says, and discovery is down meanwhile."""
+    """200 idle clients connect to a process limited to 64 descriptors while discovery is down."""
     with listen() as discovery, listen() as removed, listen() as backend:
         known = roster(target("s-1", removed.getsockname()[1]), rev=7)
         port = discovery.getsockname()[1]
@@ -149,7 +150,7 @@
             idle += [n.connect() for _ in range(100)]
             for _ in range(3):
                 down.reset()
-                down = accept(discovery)  # however full it is, the next call comes
+                down = accept(discovery)  # the node can still connect to retry
             down.message()
             row = target("s-2", backend.getsockname()[1])
             down.send(answer(json.dumps(roster(row, rev=9)).encode()))
--- a/tests/proxy/test_lifecycle.py
+++ b/tests/proxy/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state of a process alone: readiness, and the idle connections that it closes."""
+"""The lifecycle of a process: readiness, and how many idle connections it closes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @pytest.fixture
 def lifecycle() -> Lifecycle:
-    """A process that serves."""
+    """A process that has a usable list and serves."""
     lifecycle = Lifecycle()
     lifecycle.has_usable_list = True
     return lifecycle
 
 
-def test_idle_connections_are_closed_over_the_time_after_the_first_failed_check(
+def test_a_drain_spreads_the_closes_over_the_time_after_the_first_failed_check(
     lifecycle: Lifecycle,
 ) -> None:
     assert lifecycle.idle_close_count(0, 5) == 0
@@ -41,10 +41,10 @@
         now += DRAIN_TICK_NS
     assert max(closed) <= 6
     assert idle == 0
-    assert lifecycle.idle_close_count(now, 7) == 7  # what comes after that is closed at once
+    assert lifecycle.idle_close_count(now, 7) == 7  # later ones are closed at once
 
 
-def test_a_drain_without_checks_begins_by_itself_and_a_second_call_does_not_put_it_off(
+def test_a_drain_without_readiness_checks_closes_and_a_second_call_does_not_delay_it(
     lifecycle: Lifecycle,
 ) -> None:
     lifecycle.begin_standby(1000 * MS)
@@ -54,7 +54,7 @@
     assert lifecycle.idle_close_count(1000 * MS + DRAIN_CLOSE_END_NS, 10) == 10
 
 
-def test_a_drain_that_ends_leaves_a_stop_in_force(lifecycle: Lifecycle) -> None:
+def test_a_stop_still_closes_connections_after_a_drain_has_ended(lifecycle: Lifecycle) -> None:
     lifecycle.begin_standby(1000 * MS)
     lifecycle.end_standby()
     assert lifecycle.answer_readiness_check(0)
@@ -65,8 +65,10 @@
     assert lifecycle.idle_close_count(9000 * MS, 10) == 10
 
 
-def test_a_relieved_process_is_ready_and_closes_its_idle_connections(lifecycle: Lifecycle) -> None:
-    """Its successor serves, and the two are one node."""
+def test_a_process_that_has_handed_over_is_ready_and_closes_idle_connections(
+    lifecycle: Lifecycle,
+) -> None:
+    """Its readiness is the node's, whose clients the successor accepts."""
     lifecycle.on_successor_accepting(1000 * MS)
     lifecycle.stopping = True
     assert lifecycle.answer_readiness_check(1100 * MS)
@@ -77,7 +79,7 @@
     assert not lifecycle.answer_readiness_check(1200 * MS)
 
 
-def test_without_a_list_a_node_is_not_ready_and_once_it_had_one_it_stays_so() -> None:
+def test_a_node_becomes_ready_with_its_first_usable_list() -> None:
     lifecycle = Lifecycle()
     lifecycle.serving = True
     assert not lifecycle.can_serve
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP takes over a replaced configuration, and nothing else changes."""
+"""A reload by SIGHUP applies a replaced configuration completely, or changes nothing."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 def replace_config(tmp_path: Path, text: str) -> None:
-    """Replace the node's configuration by this text, as one step."""
+    """Replace the node's configuration file by this text atomically."""
     new = tmp_path / "new.json"
     new.write_text(text)
     new.rename(tmp_path / "config.json")
 
 
-def test_a_reload_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
-    """PROXY_DISCOVERY still names the old one; the first list of the new one is used at once."""
+def test_a_reload_switches_to_the_discovery_service_in_the_file(tmp_path: Path) -> None:
+    """The file takes precedence over PROXY_DISCOVERY; the first list of the new one is used."""
     with listen() as first, listen() as second, listen() as backend:
         old, new, serves = (s.getsockname()[1] for s in (first, second, backend))
         removed = target("s-1", 1)
@@ -46,7 +46,7 @@
             n.process.send_signal(signal.SIGHUP)
             poll = accept(second)
             assert poll.message()[0] == "GET /registry/instances HTTP/1.1"
-            assert watch.ends() == b""  # the old one is polled no more
+            assert watch.ends() == b""  # the node no longer polls the old one
             body = json.dumps(roster(target("s-2", serves), rev=3)).encode()
             poll.send(answer(body))
             assert "from=3" in accept(second).message()[0]
@@ -58,7 +58,7 @@
 def test_a_reload_of_an_unusable_file_changes_nothing(
     tmp_path: Path, n: Running, backend: socket.socket, text: str
 ) -> None:
-    """An operator replaces the file by one with a fault while a request is in flight."""
+    """The file is replaced by an unusable one while a request is in flight."""
     client = n.connect()
     client.send(request())
     peer = accept(backend)
@@ -75,13 +75,13 @@
     assert n.stop() == 0
 
 
-def test_a_routes_file_that_changes_while_it_is_read_is_used_as_it_was_read_first(
+def test_a_reload_reads_the_routes_file_only_once(
     tmp_path: Path, host: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An operator's editor writes a routes file again within the reload that reads it.
+    """Guards against a routes file that is replaced by an unusable one during the reload.
 
-    It was read twice, to be checked and to be used. The second read found a fault when the new
-    settings were in force, and the node went on with new settings and old routes.
+    The file used to be read twice, to be checked and then to be used. If the second read failed,
+    the new settings were already applied, and the node went on with new settings and old routes.
     """
     path = tmp_path / "routes.toml"
     path.write_text(routes_text())
@@ -103,7 +103,7 @@
 
 
 def bare_process(node: Node, monkeypatch: pytest.MonkeyPatch, config: Config) -> Process:
-    """A process that was not started, whose file holds this configuration from now on."""
+    """A process that was not started, whose next reload reads this configuration."""
     made: Any = object.__new__(Process)
     made.node = node
     made.config = node.config
@@ -113,17 +113,16 @@
     return cast(Process, made)
 
 
-def test_settings_on_which_the_balancer_raised_are_applied_by_the_next_reload(
+def test_settings_that_the_balancer_failed_to_apply_are_applied_by_the_next_reload(
     host: Node,
     balancer: Balancer,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The Balancer raises as it takes new settings over, and the operator sends SIGHUP again.
+    """Guards against settings that are never applied because the Balancer raised on them once.
 
-    The node had the new configuration already. So the second reload found nothing changed,
-    logged that it had reloaded, and the settings were never applied; of the first one no line
-    of the log said that it had failed.
+    The node already had the new configuration then. The next SIGHUP found no change, logged a
+    successful reload, and did not apply the settings. The first failure was not logged.
     """
     caplog.set_level(logging.INFO)
     monkeypatch.setattr(logging.getLogger("loadbalancer"), "propagate", True)
@@ -140,13 +139,14 @@
     assert (process.config, host.config) == (new, new)
 
 
-def test_the_former_settings_are_applied_again_after_others_that_raised(
+def test_a_reload_of_the_former_settings_applies_them_after_a_failed_one(
     host: Node, balancer: Balancer
 ) -> None:
-    """The Balancer raises on new settings, and the operator puts the old file back.
+    """Guards against partly applied settings when an operator restores the former file.
 
-    Where the settings of the node's configuration are compared, these are its present ones and
-    not applied: what the Balancer had taken over of the new ones before it raised stays in force.
+    The former settings equal those of the node's configuration. If this comparison decided, they
+    would not be applied, and the part of the new settings that the Balancer had applied before
+    it raised would stay in force.
     """
     old = host.config
     new = replace(old, settings=replace(old.settings, tick=old.settings.tick + 1))
--- a/tests/proxy/test_route_files.py
+++ b/tests/proxy/test_route_files.py
@@ -1,4 +1,4 @@
-"""A node's routes file at its start, and replaced by a reload."""
+"""A node's routes file: read at the start, and replaced by a reload."""
 
 from __future__ import annotations
 
@@ -22,7 +22,9 @@
 from tests.scripted import Scripted
 
 
-def test_a_bad_file_at_the_start_is_one_line_and_status_2(tmp_path: Path) -> None:
+def test_an_unusable_file_at_the_start_is_reported_in_one_line_with_status_2(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "routes.toml"
     path.write_text(routes_text(credit="attempts = 2\natempts = 1"))
     environ = config(tmp_path, roster(), 1) | {"PROXY_ROUTES": str(path)}
@@ -34,7 +36,7 @@
     assert "(faults: 2)" in log
 
 
-def test_another_kind_of_file_is_refused_with_its_faults(tmp_path: Path) -> None:
+def test_a_file_of_another_kind_is_refused_with_its_first_fault(tmp_path: Path) -> None:
     path = tmp_path / "control.toml"
     path.write_text('version = 1\nlisten = "127.0.0.1:0"\nconfig = "c"\nroutes = "r"\n')
     process = launch(config(tmp_path, roster(), 1) | {"PROXY_ROUTES": str(path)})
@@ -51,8 +53,8 @@
     n.process.send_signal(signal.SIGHUP)
 
 
-def test_a_good_file_takes_over_whole_and_requests_keep_their_policy(tmp_path: Path) -> None:
-    """The route of a request that waits to be tried again is taken away under it."""
+def test_a_reload_replaces_all_routes_and_open_requests_keep_their_policy(tmp_path: Path) -> None:
+    """The route of an open request is removed, and the request is still retried by its policy."""
     path = tmp_path / "routes.toml"
     path.write_text(routes_text(f"{RETRY_ALL}\nattempts = 2"))
     with listen() as backend:
@@ -67,12 +69,12 @@
             n.says("reloaded the configuration")
             assert exchange(n, "balance", "r2")[0].split(" ")[1] == "403"
             peer.send(answer(b"", "500 Oops"))
-            peer.message()  # again, as the file that it came under has it
+            peer.message()  # the retry that its original policy allows
             peer.send(answer(b"served"))
             assert client.message()[2] == b"served"
 
 
-def test_a_bad_file_changes_nothing_and_says_where_and_how_many(tmp_path: Path) -> None:
+def test_a_reload_of_an_unusable_file_logs_its_fault_and_changes_nothing(tmp_path: Path) -> None:
     with routed_node(tmp_path, routes_text()) as (n, backend):
         bad = routes_text(balance='attempts = "3"\nwanted = 5', more="x = 1")
         reload(n, tmp_path, bad)
@@ -86,7 +88,7 @@
         assert backend.received == {"r1": 1, "r3": 1}
 
 
-def test_a_file_may_come_and_go_with_a_reload(tmp_path: Path) -> None:
+def test_a_reload_adds_and_removes_the_routes_file(tmp_path: Path) -> None:
     backend = Scripted()
     (tmp_path / "routes.toml").write_text(routes_text())
     try:
--- a/tests/proxy/test_routing.py
+++ b/tests/proxy/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing at a real node: hosts and paths that no route takes, and every spelling of them."""
+"""Routing in a node process: unknown hosts and paths, and equivalent spellings of known ones."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 
 
 @pytest.mark.parametrize("name", REFUSED)
-def test_an_unknown_host_is_refused_at_once_and_goes_nowhere(tmp_path: Path, name: str) -> None:
+def test_a_request_with_an_unknown_host_is_refused_and_reaches_no_backend(
+    tmp_path: Path, name: str
+) -> None:
     line, status = REFUSED[name]
     with routed_node(tmp_path, routes_text()) as (n, backend):
         client = n.connect()
@@ -27,12 +29,13 @@
         head, _, body = client.ends().partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 " + status)
         assert body
-        assert str(backend.port).encode() not in body  # nor anything else of what is behind
+        assert str(backend.port).encode() not in body  # reveals nothing about the backends
         assert b"topup" not in body
         assert not backend.received
 
 
-SPELLED = {  # a target, and the status or the path that goes on
+# Request targets, each with the status of its refusal or the path that the backend receives.
+TARGETS = {
     "/balance/x": "/balance/x",
     "//balance//x": "/balance/x",
     "/./balance/../balance/x": "/balance/x",
@@ -55,9 +58,9 @@
 }
 
 
-def test_no_spelling_of_a_path_reaches_a_backend_under_another_policy(tmp_path: Path) -> None:
+def test_each_spelling_of_a_path_is_made_canonical_or_refused(tmp_path: Path) -> None:
     with routed_node(tmp_path, routes_text()) as (n, backend):
-        for i, (spelling, expected) in enumerate(SPELLED.items()):
+        for i, (spelling, expected) in enumerate(TARGETS.items()):
             client = n.connect()
             head = request(rid=f"r{i}", X_Priority_Class="").partition(b"\r\n")[2]
             client.send(b"GET " + spelling.encode() + b" HTTP/1.1\r\n" + head)
@@ -71,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "goes_on"),
+    ("sent", "forwarded"),
     [
         ("App.SVC", "app.svc"),
         ("app.svc.", "app.svc"),
@@ -80,13 +83,15 @@
         ("[0:0::1]:80", "[::1]:80"),
     ],
 )
-def test_every_spelling_of_a_host_is_one(tmp_path: Path, sent: str, goes_on: str) -> None:
+def test_each_spelling_of_a_host_is_made_canonical(
+    tmp_path: Path, sent: str, forwarded: str
+) -> None:
     with routed_node(tmp_path, routes_text()) as (n, backend):
         assert exchange(n, "balance", Host=sent)[1] == b"served"
-        assert backend.heads[0]["host"] == goes_on
+        assert backend.heads[0]["host"] == forwarded
 
 
-def test_a_missing_host_or_another_class_than_the_routes_is_refused(tmp_path: Path) -> None:
+def test_a_missing_host_or_a_class_that_differs_from_the_route_is_refused(tmp_path: Path) -> None:
     with routed_node(tmp_path, routes_text()) as (n, backend):
         assert exchange(n, "balance", Host="")[0].startswith("HTTP/1.1 400")
         line, _ = exchange(n, "credit", path="/balance/x")
@@ -97,7 +102,7 @@
         assert not backend.received
 
 
-def test_a_route_gives_a_path_of_its_own_to_a_class(tmp_path: Path) -> None:
+def test_a_route_assigns_its_class_to_the_requests_of_its_path(tmp_path: Path) -> None:
     more = '[[service.route]]\nname = "pay"\npath = "/pay/{id}"\nclass = "credit"\n'
     with routed_node(tmp_path, routes_text(more=more), ("error",) * 4) as (n, backend):
         line, _ = exchange(n, "credit", path="/pay/77")
