--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -1,4 +1,4 @@
-"""A host's events: their order, faults of its Balancer, and the end of requests."""
+"""The events of a host: their order, exceptions of its Balancer, and the end of requests."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 # ---- events ------------------------------------------------------------------
 
 
-def test_an_outcome_that_an_action_causes_is_reported_after_the_event(
+def test_the_outcome_of_an_attempt_that_fails_within_an_event_is_reported_after_it(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client
 ) -> None:
-    """Two attempts in a row fail at once, as where no descriptor is left."""
+    """Successive attempts fail as soon as they are sent, as without a free descriptor."""
     upstream.settles_as = Outcome.MOOT
     balancer.acts = lambda: host.send(1, BACKEND, 0)
     request = admit(host, client)
@@ -43,7 +43,7 @@
     assert request.open_attempts == 0
 
 
-def test_a_request_without_time_left_is_not_sent(
+def test_a_request_past_its_deadline_is_not_sent(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client, clock: Clock
 ) -> None:
     request = admit(host, client)
@@ -55,10 +55,10 @@
     assert not upstream.attempts
 
 
-def test_an_old_request_is_not_sent_once_its_client_has_ended_its_sending(
+def test_an_old_request_is_not_sent_after_its_client_has_half_closed(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client, clock: Clock
 ) -> None:
-    """The loop may have the client's end still to report, so its socket is asked."""
+    """The event loop may not have reported the half-close yet, so the socket is checked."""
     request = admit(host, client)
     client.half_closed = True
     clock.now += 51 * MS
@@ -70,10 +70,10 @@
     assert not upstream.attempts
 
 
-# ---- faults of the Balancer ----------------------------------------------------
+# ---- exceptions of the Balancer ------------------------------------------------
 
 
-def test_a_fault_in_an_event_fails_its_request_alone(
+def test_an_exception_in_a_request_event_fails_only_that_request(
     host: Node, balancer: Balancer, client: Client
 ) -> None:
     balancer.acts = raise_fault
@@ -84,7 +84,7 @@
     assert not host.open_request_ids
 
 
-def test_a_fault_in_an_outcome_fails_its_request_and_does_not_reject_it(
+def test_an_exception_in_an_outcome_event_fails_its_request_and_does_not_reject_it(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client
 ) -> None:
     upstream.written = True
@@ -95,10 +95,10 @@
     assert not host.requests
 
 
-def test_a_timer_whose_event_raised_comes_again(
+def test_a_timer_whose_event_raised_fires_again(
     host: Node, balancer: Balancer, clock: Clock
 ) -> None:
-    """The Balancer sets its next timer in this event: it would never be called again."""
+    """The Balancer sets its next timer in this event, so a lost event would end its timers."""
     host.set_timer(7, clock.now)
     balancer.acts = raise_fault
     host._on_timers_due()
@@ -120,12 +120,13 @@
     assert balancer.names() == ["on_request", "on_client_disconnected"]
 
 
-def test_the_answer_to_an_attempt_that_ends_in_the_same_event_goes_before_that(
+def test_the_balancers_answer_precedes_the_hosts_own_limit_when_both_are_due(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client, clock: Clock
 ) -> None:
-    """The process has paused: the attempt's time and the request's last limit are over at once.
+    """After a pause of the process, an attempt's timeout and the host's limit are due together.
 
-    The Balancer's answer says whether a retry is harmless. A 504 in its place says nothing.
+    The status that the Balancer chooses tells the client whether it may retry; the host's 504
+    does not.
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
@@ -136,37 +137,36 @@
     assert balancer.outcomes == [Outcome.TIMEOUT]
 
 
-def takes_new_settings(host: Node) -> None:
+def apply_new_settings(host: Node) -> None:
     settings = replace(host.config.settings, max_attempts=host.config.settings.max_attempts + 1)
     apply_configuration(host, replace(host.config, settings=settings))
 
 
-def shares_its_limits(host: Node) -> None:
+def use_limit_share(host: Node) -> None:
     host.use_limit_share(SuccessorShare())
 
 
-def has_its_limits_back(host: Node) -> None:
+def end_sharing(host: Node) -> None:
     host.end_sharing()
 
 
-def starts(host: Node) -> None:
+def start(host: Node) -> None:
     host.start()
 
 
-@pytest.mark.parametrize(
-    "event", [takes_new_settings, shares_its_limits, has_its_limits_back, starts]
-)
-def test_outcomes_are_reported_after_an_event_that_an_exception_has_left(
+@pytest.mark.parametrize("event", [apply_new_settings, use_limit_share, end_sharing, start])
+def test_outcomes_are_reported_after_an_event_that_raised(
     host: Node,
     balancer: Balancer,
     upstream: Upstream,
     client: Client,
     event: Callable[[Node], None],
 ) -> None:
-    """The Balancer raises in an event that is not about a request, such as new settings.
+    """Guards against an event that never ends because the Balancer raised in it.
 
-    The event never ended. Each outcome after it was taken for one within it, and was queued
-    and not reported: every request waited for its deadline, until the process was restarted.
+    This concerns events that are not about a request, such as new settings. All later outcomes
+    were queued until the end of that event and never reported, so that every request waited for
+    its deadline until the process was restarted.
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
@@ -178,16 +178,17 @@
     assert not host.requests
 
 
-def test_outcomes_are_reported_after_a_list_whose_use_raised(
+def test_outcomes_are_reported_after_a_list_update_that_raised(
     host: Node,
     balancer: Balancer,
     upstream: Upstream,
     client: Client,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What waits for a connection to a removed backend is given up, and that raises.
+    """Guards against an event that never ends because giving up attempts raised.
 
-    As with new settings: the event never ended, and no later outcome was reported.
+    A list update gives up the attempts that are still connecting to a removed backend. When that
+    raised, no later outcome was reported.
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
@@ -199,7 +200,7 @@
     assert balancer.outcomes == [Outcome.OK]
 
 
-def test_a_timer_that_raises_delays_no_other(
+def test_a_timeout_that_raises_delays_no_other(
     host: Node,
     balancer: Balancer,
     upstream: Upstream,
@@ -207,10 +208,10 @@
     clock: Clock,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Two attempts run out of time at once, and the first one's connection raises as it closes.
+    """Guards against losing all timeouts because one raised.
 
-    The event never ended, and the loop's timer was not set again: neither the second attempt
-    nor any other was timed out from then on.
+    Two attempts time out together, and closing the first one's connection raises. The event
+    never ended and the loop's timer was not set again, so no attempt timed out from then on.
     """
     upstream.written = True
     request = admit(host, client, attempts=2)
@@ -224,17 +225,18 @@
     assert balancer.outcomes == [Outcome.TIMEOUT]
 
 
-def test_outcomes_are_reported_after_a_report_that_raised(
+def test_queued_outcomes_are_reported_after_one_that_raised(
     host: Node,
     balancer: Balancer,
     upstream: Upstream,
     client: Client,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The Balancer's fault in an outcome fails the request, and its client's connection raises.
+    """Guards against losing queued outcomes because the report of one raised.
 
-    The event's end itself was left by the exception: the outcomes that were queued behind this
-    one waited for the next event, and no later outcome was reported.
+    The Balancer raises in an outcome event, and the connection of the client raises as the
+    request is failed. The exception interrupted the reports at the end of the event: the queued
+    outcomes behind this one, and all later ones, were not reported.
     """
     upstream.written = True
     first, second, third = (admit(host, c, attempts=1) for c in (client, Client(), Client()))
@@ -250,12 +252,13 @@
     assert not host.requests
 
 
-def test_a_request_whose_end_raises_is_forgotten_all_the_same(
+def test_a_request_is_forgotten_even_if_its_end_raises(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client
 ) -> None:
-    """The Balancer's fault in an outcome fails a request, and the release of its body raises.
+    """Guards against a memory leak when discarding the body of a request raises.
 
-    The exception went past the request's removal: it and its body stayed in memory for good.
+    The Balancer raises in an outcome event, so the request is failed, and discarding its body
+    raises too. The request was not removed, and stayed in memory with its body.
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
@@ -265,14 +268,14 @@
     host.conclude(request.attempts[0], Outcome.RESET)
     host.leave()
     assert not host.requests
-    assert host.open_count == 0  # a stop waits for those that are open
+    assert host.open_count == 0  # a stop waits for open requests
     assert not host.open_request_ids
 
 
 # ---- the end of requests -------------------------------------------------------
 
 
-def test_an_ended_request_is_forgotten_with_its_last_attempt(
+def test_an_ended_request_is_forgotten_after_the_outcome_of_its_last_attempt(
     host: Node, upstream: Upstream, client: Client
 ) -> None:
     upstream.written = True
@@ -290,9 +293,7 @@
     assert host.budget.buffered == 0
 
 
-def test_a_client_with_a_part_of_its_response_sees_it_as_incomplete(
-    host: Node, client: Client
-) -> None:
+def test_a_started_response_is_aborted_when_its_request_fails(host: Node, client: Client) -> None:
     request = admit(host, client)
     request.started = True
     host.finish(request, 503)
@@ -308,24 +309,24 @@
     assert not host.requests
 
 
-@pytest.mark.parametrize("class_is_gone", [False, True])
-def test_what_can_not_be_admitted_is_left_to_its_connection(
-    host: Node, balancer: Balancer, client: Client, class_is_gone: bool
+@pytest.mark.parametrize("class_is_removed", [False, True])
+def test_a_request_that_can_not_be_admitted_is_returned_to_its_connection(
+    host: Node, balancer: Balancer, client: Client, class_is_removed: bool
 ) -> None:
-    """At the limit of open requests, and where a reload has removed the class meanwhile."""
-    if not class_is_gone:
+    """At the limit of open requests, or after a reload that has removed the request's class."""
+    if not class_is_removed:
         host.open_count = host.config.max_open
-    incoming = SimpleNamespace(cls=SimpleNamespace(number=-1 if class_is_gone else 0))
+    incoming = SimpleNamespace(cls=SimpleNamespace(number=-1 if class_is_removed else 0))
     assert host.request(cast(Any, client), cast(Any, incoming), 0) is None
     assert not balancer.events
 
 
-def test_an_event_within_an_event_raises_and_the_outer_one_goes_on(
+def test_a_nested_event_raises_and_the_outer_one_goes_on(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client
 ) -> None:
-    """A step of an event begins another one, whose end would end both.
+    """Guards against nested events: the end of the inner one would end the outer one too.
 
-    The outcomes of the outer event would be reported from within a call of the Balancer.
+    Outcomes would then be reported while the Balancer is still in a call of the outer event.
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
@@ -338,8 +339,8 @@
     assert not host.inside
 
 
-def test_an_event_of_the_balancers_ends_whatever_it_raises(host: Node) -> None:
-    """What the Balancer raises is no ordinary fault, as where the process is interrupted."""
+def test_an_event_ends_even_after_an_interrupt(host: Node) -> None:
+    """The Balancer's call raises a BaseException that is no Exception."""
 
     def interrupt(_now: int) -> None:
         raise KeyboardInterrupt
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -1,4 +1,4 @@
-"""The ordinary path of the real node, on loopback sockets."""
+"""The basic function of a node process, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 
-def test_a_request_passes_through_unchanged_and_connections_are_reused(
+def test_a_request_is_forwarded_unchanged_and_connections_are_reused(
     n: Running, backend: socket.socket
 ) -> None:
     client = n.connect()
@@ -49,7 +49,7 @@
     assert client.message()[2] == b"again"
 
 
-def test_ready_and_a_stop_with_status_0(n: Running) -> None:
+def test_a_node_answers_the_readiness_check_and_stops_with_status_0(n: Running) -> None:
     client = n.connect()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert client.message()[0] == "HTTP/1.1 200 OK"
@@ -57,11 +57,11 @@
 
 
 @pytest.mark.parametrize("servers", [1, 0])
-def test_a_node_is_ready_once_it_has_had_a_usable_list(tmp_path: Path, servers: int) -> None:
+def test_a_node_is_ready_after_its_first_usable_list(tmp_path: Path, servers: int) -> None:
     """A node starts without an endpoint list, and its discovery service answers late.
 
-    Until then the front has other nodes to send clients to. A complete list without servers is
-    usable: there is none to wait for.
+    It is not ready until then, so that the front sends clients to other nodes. A complete list
+    without servers is usable, as there is no server to wait for.
     """
     with listen() as discovery, listen() as backend:
         port = discovery.getsockname()[1]
@@ -79,7 +79,7 @@
             assert n.call("GET /status")[2] == b"active\n"
             again = accept(discovery)
             again.message()
-            # Its servers leave. It stays ready: else the front would take out all nodes at once.
+            # Its servers are removed. It stays ready, or the front would remove all nodes at once.
             again.send(answer(json.dumps(roster(rev=3)).encode()))
             accept(discovery).message()
             assert n.ready()
@@ -91,7 +91,7 @@
     peer = accept(backend)
     peer.message()
     n.process.send_signal(signal.SIGTERM)
-    late = n.connect()  # the kernel goes on taking connections
+    late = n.connect()  # the listening socket is still open
     late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     line, headers, _ = late.message()
     assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
@@ -121,7 +121,7 @@
         ('{"discovery":"127.0.0.1:1","settings":{"rules":{"cold":1e999}}}', "settings.rules.cold"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_status_2(
+def test_an_unusable_configuration_is_reported_in_one_line_with_status_2(
     tmp_path: Path, text: str | None, fault: str
 ) -> None:
     environ = config(tmp_path, roster(), 1)
@@ -138,7 +138,7 @@
     assert process.returncode == 2
     assert fault in err
     assert len(err.splitlines()) == 1
-    assert "config.json" in err  # which file
+    assert "config.json" in err  # the line names the file
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
         ({"rules": SETTINGS["rules"] | {"drain_grace": -1}}, "drain_grace"),
     ],
 )
-def test_settings_that_no_request_could_meet_are_refused_at_the_start(
+def test_settings_out_of_range_are_refused_at_the_start(
     tmp_path: Path, change: dict[str, Any], says: str
 ) -> None:
     environ = config(tmp_path, roster(), 1, settings=change)
@@ -164,15 +164,15 @@
     assert with_nulls.settings == load(config(tmp_path, roster(), 1, settings=absent)).settings
 
 
-def test_a_log_that_nobody_reads_stops_nothing(n: Running) -> None:
-    """What reads a node's log has ended: each write to the pipe raises an error."""
+def test_a_node_stops_with_status_0_after_its_logs_reader_has_ended(n: Running) -> None:
+    """Without a reader, each write to the pipe of the log raises an error."""
     assert n.process.stderr is not None
     n.process.stderr.close()
-    assert n.stop() == 0  # which it logs first
+    assert n.stop() == 0  # a stop writes to the log
 
 
-def test_a_node_without_a_routes_file_does_not_load_what_reads_one(tmp_path: Path) -> None:
-    """What is off must cost neither memory nor time at the start."""
+def test_a_node_without_a_routes_file_does_not_load_its_parser(tmp_path: Path) -> None:
+    """A feature that is not configured must cost no memory and no time at the start."""
     with node(tmp_path, roster()) as n:
         maps = Path(f"/proc/{n.process.pid}/maps").read_text()
         assert "tree_sitter" not in maps
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -1,4 +1,4 @@
-"""Periodic work and the steps of a stop: a fault in one is logged, and the next ones come."""
+"""Periodic work and the steps of a stop: an exception is logged, and the next step still runs."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class StepError(Exception):
-    """What a step raises here."""
+    """Raised by a faulty step in these tests."""
 
 
 class Collector(logging.Handler):
-    """Collects each message with its exception."""
+    """A log handler that collects each message with its exception."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
 
 @pytest.fixture(autouse=True)
 def logged() -> Iterator[list[str]]:
-    """What is logged meanwhile."""
+    """The log messages of the test."""
     lines: list[str] = []
     handler = Collector(lines)
     root = logging.getLogger("loadbalancer")
@@ -48,7 +48,7 @@
 
 
 class Loop:
-    """Notes what is to be called later; the test calls it."""
+    """An event loop that records delayed calls; `turn` runs them."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -73,7 +73,7 @@
 
 
 def bare_process(loop: Loop) -> Any:
-    """A process that was not started: only its periodic tasks are called."""
+    """A process that was not started, for tests of its periodic work."""
     made: Any = object.__new__(Process)
     made.loop = loop
     made.lifecycle = Lifecycle()
@@ -83,11 +83,11 @@
     return made
 
 
-def test_sweeps_go_on_after_one_that_raised(loop: Loop, logged: list[str]) -> None:
-    """A sweep over the clients raises once.
+def test_sweeps_continue_after_one_that_raised(loop: Loop, logged: list[str]) -> None:
+    """Guards against the end of all sweeps because one raised.
 
-    The timer of the next sweep was set after it, so there was none: from then on no client
-    was timed out and no idle connection to a backend closed, without a line that says so.
+    The timer of the next sweep was set after the sweep itself. Once one raised, no client was
+    timed out and no idle backend connection closed any more, and nothing was logged.
     """
     process = bare_process(loop)
     process.listener.sweep.side_effect = [StepError("odd"), None]
@@ -99,8 +99,8 @@
     assert "odd" in logged[0]
 
 
-def test_a_drain_goes_on_after_a_tick_that_raised(loop: Loop, logged: list[str]) -> None:
-    """A tick of an operator's drain raises: clients that were idle stayed, for good."""
+def test_a_drain_continues_after_a_tick_that_raised(loop: Loop, logged: list[str]) -> None:
+    """Guards against a drain that ends at the first exception and keeps idle clients forever."""
     process = bare_process(loop)
     process.listener.send_away.side_effect = [StepError, None]
     process.set_standby(True)
@@ -125,10 +125,10 @@
     return [mock.Mock(spec=Connection), mock.Mock(spec=Connection)]
 
 
-def test_a_connection_whose_sweep_raises_ends_no_others_time_outs(
+def test_connections_are_swept_after_one_whose_sweep_raises(
     registry: ConnectionRegistry,
 ) -> None:
-    """Each sweep raised at one and the same connection: those behind it were never swept."""
+    """Guards against a sweep that always ends at the same faulty connection."""
     connections = two_connections()
     registry.connections.update(connections)
     for conn in connections:
@@ -141,10 +141,10 @@
 def test_paused_clients_are_checked_after_a_check_that_raised(
     registry: ConnectionRegistry, loop: Loop
 ) -> None:
-    """The check of one paused client raises.
+    """Guards against the end of the half-close checks because one raised.
 
-    The next one was never set, so that no end of a paused client's sending was seen any more,
-    and requests were sent for clients that had gone.
+    No half-close of a paused client was noticed any more, and requests were sent to backends for
+    clients that had disconnected.
     """
     first, second = two_connections()
     first.check_half_close.side_effect = StepError
@@ -159,7 +159,7 @@
 
 
 class Stop:
-    """A stop whose parts are mocks."""
+    """A `Shutdown` whose collaborators are mocks."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
@@ -181,7 +181,7 @@
     def has_ended(self) -> bool:
         return bool(cast(Any, self.shutdown.ended).set_result.called)
 
-    def run_to_the_last_moment(self) -> None:
+    def run_to_the_time_limit(self) -> None:
         self.shutdown.begin()
         for _ in range(4):
             self.loop.turn()
@@ -198,30 +198,30 @@
         "listener.close_idle_and_is_finished", "node.fail_all", "node.discovery.close",
     ],
 )  # fmt: skip
-def test_a_stop_ends_whatever_one_of_its_steps_raises(
-    loop: Loop, logged: list[str], faulty: str
-) -> None:
-    """A step of the stop raises, and the later ones never came.
+def test_a_stop_ends_after_a_step_that_raises(loop: Loop, logged: list[str], faulty: str) -> None:
+    """Guards against a stop that ends at its first exception.
 
-    The process went on until it was killed: the open requests' clients got no answer.
+    The later steps did not run. The process went on until it was killed, and the clients of open
+    requests received no response.
     """
     stop = Stop(loop)
     step: Any = stop
     for name in faulty.split("."):
         step = getattr(step, name)
     step.side_effect = StepError
-    stop.run_to_the_last_moment()
+    stop.run_to_the_time_limit()
     assert stop.has_ended
     stop.node.fail_all.assert_called_once_with()
     stop.listener.stop_accepting.assert_called_once_with()
     assert any("StepError" in line for line in logged)
 
 
-def test_a_stop_whose_longest_deadline_raises_ends_in_time(loop: Loop, logged: list[str]) -> None:
-    """A signal begins the stop, and the longest deadline of the classes can't be had.
+def test_a_stop_ends_in_time_if_computing_the_longest_deadline_raises(
+    loop: Loop, logged: list[str]
+) -> None:
+    """Guards against a stop that raises before the timer of its next step is set.
 
-    The stop had begun without a timer of its next step: it never ended, and a second signal
-    changed nothing, as the stop had begun.
+    Such a stop never ended, and a second signal did nothing because the stop had begun.
     """
     stop = Stop(loop)
     stop.node.balancer.classes = []
@@ -238,10 +238,11 @@
     assert any("raised" in line for line in logged)
 
 
-def test_a_look_that_raises_each_time_is_logged_once(loop: Loop, logged: list[str]) -> None:
-    """While a process stops, the look at its connections raises, each 10 ms.
+def test_a_check_that_raises_each_time_is_logged_once(loop: Loop, logged: list[str]) -> None:
+    """Guards against a flood of log lines: the check of a stop runs every 10 ms.
 
-    Each was logged, and with twenty lines a second the log dropped those of other faults.
+    When each exception was logged, the rate limit of twenty lines a second was used up, and
+    messages about other faults were dropped.
     """
     stop = Stop(loop)
     stop.listener.close_idle_and_is_finished.side_effect = StepError
@@ -252,10 +253,11 @@
     assert len([line for line in logged if "raised" in line]) == 1
 
 
-def test_a_stop_waits_for_open_requests_whatever_the_listener_says(loop: Loop) -> None:
-    """A connection whose state raises is not waited for, while its request is open.
+def test_a_stop_waits_for_open_requests_even_if_the_listener_is_finished(loop: Loop) -> None:
+    """Guards against cutting off the response to an open request.
 
-    The stop ended as soon as all others were done, and cut the answer that came a moment later.
+    The listener ignores a connection whose check raises. The stop ended once all others were
+    finished, although a request on the ignored connection was still open.
     """
     stop = Stop(loop)
     stop.node.open_count = 1
@@ -270,12 +272,12 @@
     assert stop.has_ended
 
 
-def test_one_connection_that_raises_does_not_hold_a_stop(
+def test_a_connection_whose_check_raises_does_not_delay_a_stop(
     registry: ConnectionRegistry, logged: list[str]
 ) -> None:
-    """All clients have their answers, and one connection raises when asked whether it is done.
+    """Guards against a stop that waits until its time limit for a single faulty connection.
 
-    The stop went on to its last moment for it, however long the longest deadline was.
+    All clients have their responses, but the check of one connection raises each time.
     """
     faulty, other = two_connections()
     registry.connections.update((faulty, other))
@@ -288,10 +290,11 @@
     assert len(logged) == 1
 
 
-def test_a_client_whose_answer_raises_costs_no_others_answer_at_a_stops_end(host: Node) -> None:
-    """The last moment of a stop fails the open requests, and the first one's client raises.
+def test_the_end_of_a_stop_answers_the_other_clients_if_one_raises(host: Node) -> None:
+    """Guards against missing responses at the time limit of a stop.
 
-    Those behind it got no answer, and could not tell whether to come again.
+    The open requests are failed then, and the connection of the first one's client raises. The
+    clients of the others received no response and could not tell whether to retry.
     """
     first, second = mock.Mock(), Client()
     first.respond_empty.side_effect = StepError
--- a/tests/proxy/test_policies.py
+++ b/tests/proxy/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies at a real node: how often a request reaches backends, and what its client gets."""
+"""Route policies in a node process: the attempts of a request, and the response to its client."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
     }
 }
 
-# ---- each class, by the way that attempts end and the policy ------------------
+# ---- attempts by class, by the way that they end, and by policy ---------------
 
-ATTEMPT_TIMEOUT_MS = 400  # of the policy that ends attempts without a response itself
-OBJECTIVE_MS = 800  # of the class, where nothing but that ends such an attempt
+ATTEMPT_TIMEOUT_MS = 400  # of the policy that times out attempts itself
+OBJECTIVE_MS = 800  # of the class, used where only it ends an attempt without a response
 POLICIES = {
     "none": routes_text(),
     "one attempt": routes_text("attempts = 1", "attempts = 1"),
@@ -57,27 +57,27 @@
 
 
 def attempts_granted(cls: str, way: str, policy: str) -> int:
-    """How many attempts of one request, all ending this way, may reach a backend."""
+    """How many attempts of a request may reach a backend if all of them end this way."""
     if policy == "one attempt":
         return 1
     if way in MAY_HAVE_RUN:
         if cls == "credit" or policy == "not executed":
             return 1
         if policy == "none" and way == "silent":
-            return 1  # its timeout is the objective itself, which leaves no time
+            return 1  # it ends only at the objective, which leaves no time for a retry
     return 3 if policy == "all" and cls == "balance" else 4
 
 
 def times_out(cls: str, way: str, policy: str) -> bool:
-    """Whether the policy ends an attempt without a response, and not the class's objective."""
+    """Whether the policy times out an attempt without a response, not the class's objective."""
     return (cls, way, policy) == ("balance", "silent", "all")
 
 
 def one_timeout(cls: str, way: str, policy: str) -> dict[str, object]:
-    """Settings under which nothing times out but what is to end an attempt without a response.
+    """Settings in which only the timeout that is to end a silent attempt can expire.
 
-    The client's timeout, LONG_MS, never does: in a process that gets its turn some milliseconds
-    late that one and an attempt's would come due together.
+    The client's timeout is LONG_MS, which is never reached. If it were close to an attempt's
+    timeout, both could be due together in a process that is scheduled some milliseconds late.
     """
     classes = patient_classes()
     if way == "silent" and not times_out(cls, way, policy):
@@ -91,7 +91,7 @@
 def test_no_attempt_beyond_the_policy_and_one_answer(
     tmp_path: Path, cls: str, way: str, policy: str
 ) -> None:
-    """A credit that may have run is failed, never rejected: its client may not repeat it."""
+    """A credit that may have been executed is failed, not rejected: a retry is unsafe."""
     settings = one_timeout(cls, way, policy)
     file = POLICIES["all, timed" if times_out(cls, way, policy) else policy]
     granted = attempts_granted(cls, way, policy)
@@ -111,11 +111,13 @@
             assert backend.received == {"r1": 1}
 
 
-def test_a_credit_cut_before_its_last_byte_goes_again_and_after_it_never(tmp_path: Path) -> None:
-    """A backend resets its connection before it has got the last byte of an unsafe request.
+def test_a_credit_is_retried_only_if_its_connection_is_reset_before_its_last_byte(
+    tmp_path: Path,
+) -> None:
+    """A backend resets its connection before it has received the last byte of an unsafe request.
 
-    The reset has to come within the 2 ms for which that byte is withheld, which a busy machine
-    does not manage each time.
+    The node withholds that byte for 2 ms, and the reset has to arrive within this time. On a
+    busy machine it is sometimes late, so the test tries several times.
     """
     with routed_node(tmp_path, routes_text(credit=RETRY_NOT_EXECUTED)) as (n, backend):
         for i in range(50):
@@ -123,15 +125,15 @@
             line, body = exchange(n, "credit", f"r{i}")
             if body == b"served":
                 break
-            # Late, and its last byte may have come: failed, and not sent again.
+            # The reset was late, and the last byte may have arrived: failed, and not retried.
             assert line.split()[1] == "502"
             assert not backend.ways
         assert body == b"served"
         assert backend.received == {f"r{i}": 1}
 
 
-def test_a_credit_on_a_connection_that_its_backend_has_just_closed(tmp_path: Path) -> None:
-    """The node writes to a connection that was reset a moment ago; nothing has run there."""
+def test_a_credit_is_retried_if_its_idle_connection_was_just_reset(tmp_path: Path) -> None:
+    """The node writes to a connection that was reset just before; nothing was executed."""
     (tmp_path / "routes.toml").write_text(routes_text(credit=RETRY_NOT_EXECUTED))
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
@@ -151,12 +153,12 @@
 
 
 @pytest.mark.parametrize("cls", ["balance", "credit"])
-def test_the_balancer_answers_though_the_host_s_own_limit_is_due_in_the_same_turn(
+def test_the_balancers_answer_is_sent_if_the_hosts_limit_is_due_at_the_same_time(
     tmp_path: Path, cls: str
 ) -> None:
-    """The process stands still until an attempt has timed out and its request is overdue.
+    """The process is stopped until an attempt and the host's limit of its request are both due.
 
-    Both come due at once then. The Balancer's answer says whether a retry is harmless.
+    The status that the Balancer chooses tells the client whether it may retry.
     """
     with routed_node(tmp_path, POLICIES["one attempt"], ("silent",)) as (n, backend):
         client = n.connect()
@@ -178,16 +180,16 @@
 HEDGE = 'second_copy = { after = "40ms", most = 1.0 }\nattempts = 2'
 
 
-def test_a_hedge_is_served_and_the_first_ends(tmp_path: Path) -> None:
+def test_a_hedge_is_served_and_the_first_attempt_is_cancelled(tmp_path: Path) -> None:
     with routed_node(tmp_path, routes_text(HEDGE), ("silent",), HEDGING) as (n, backend):
         assert exchange(n, "balance")[1] == b"served"
         assert backend.received == {"r1": 2}
-        # The node has closed the other attempt's connection: its slot is free again.
+        # The node has closed the first attempt's connection, so its slot is free again.
         for i in range(5):
             assert exchange(n, "balance", f"n{i}")[1] == b"served"
 
 
-def test_both_answers_in_one_turn_are_one_answer(tmp_path: Path) -> None:
+def test_two_responses_received_together_yield_one_response(tmp_path: Path) -> None:
     (tmp_path / "routes.toml").write_text(routes_text(HEDGE))
     with listen() as first, listen() as second:
         known = roster(
@@ -201,7 +203,7 @@
             peers = [accept(first), accept(second)]
             for peer in peers:
                 assert peer.message()[1]["x-request-id"] == "r1"
-            # Stopped, the node finds both answers waiting when it goes on.
+            # The node is stopped meanwhile, and finds both responses when it continues.
             n.process.send_signal(signal.SIGSTOP)
             for peer in peers:
                 peer.send(answer(b"served"))
@@ -215,18 +217,19 @@
             assert not client.buffer
 
 
-LONG_CONTENT = bytes(range(256)) * 1200  # longer than what is buffered to its end
+LONG_CONTENT = bytes(range(256)) * 1200  # too long to be buffered completely
 LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_CONTENT)
 
 
 @pytest.mark.parametrize("other_ends", ["answers", "resets"])
-def test_nothing_of_the_other_attempt_gets_into_a_streamed_response(
+def test_the_other_attempt_does_not_affect_a_streamed_response(
     tmp_path: Path, other_ends: str
 ) -> None:
-    """Both attempts of a hedged request are out when one of them sends a long response.
+    """Guards against mixing two responses of a hedged request.
 
-    The client has begun to receive it. Then the other one answers, or breaks: its answer
-    would become a part of the content, and its end would end the request under the stream.
+    Both attempts are in flight when one begins a long response, which is streamed to the client.
+    Then the other one answers or its connection is reset. Its response must not become a part of
+    the content, and its end must not end the request.
     """
     (tmp_path / "routes.toml").write_text(routes_text(HEDGE))
     with listen() as first, listen() as second:
@@ -254,7 +257,7 @@
             assert not client.buffer
 
 
-def test_a_client_that_leaves_with_both_out_costs_no_third_attempt(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_during_a_hedge_causes_no_third_attempt(tmp_path: Path) -> None:
     with routed_node(tmp_path, routes_text(HEDGE), ("silent", "silent"), HEDGING) as (n, backend):
         client = n.connect()
         client.send(request(rid="r1"))
