--- a/tests/proxy/full_backlog.py
+++ b/tests/proxy/full_backlog.py
@@ -50,7 +50,7 @@
                 return Peer(sock)
             sock.close()
 
-    def is_awaited(self) -> bool:
+    def is_being_connected_to(self) -> bool:
         """Whether any other socket is connecting here, by the kernel's table of sockets."""
         to_here = f":{self.port:04X}"
         rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -91,7 +91,7 @@
             accept(discovery).message()  # the next poll: the list has been read
             sent = time.monotonic()
             peer.reset()  # it may have run; its retry connects to the other one
-            until(second.is_awaited)
+            until(second.is_being_connected_to)
             until(lambda: time.monotonic() > sent + REPEAT_WINDOW_S)
             retry = second.open()
             assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -86,11 +86,11 @@
             _, pool = connecting(host, backend.port)
             await asyncio.sleep(TIMEOUT_S / 2)
             assert host.concluded == []
-            assert backend.is_awaited()
+            assert backend.is_being_connected_to()
             await asyncio.wait_for(host.is_freed.wait(), 5)
             assert host.concluded == [Outcome.CONNECT_FAILED]
             assert pool.count == 0
-            assert not backend.is_awaited()
+            assert not backend.is_being_connected_to()
 
     run(main())
 
