--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -24,7 +24,7 @@
 
 
 @pytest.fixture
-def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
+def proxy(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
     """A node process with one backend."""
     with node(tmp_path, roster(target("s-1", backend.getsockname()[1]))) as running:
         yield running
--- a/tests/proxy/routed_node.py
+++ b/tests/proxy/routed_node.py
@@ -37,17 +37,17 @@
     backend = Scripted(ways)
     known = roster(*(target(f"s-{i}", backend.port) for i in range(3)))
     try:
-        with node(tmp_path, known, routes=str(path), settings=settings or {}) as n:
-            yield n, backend
+        with node(tmp_path, known, routes=str(path), settings=settings or {}) as proxy:
+            yield proxy, backend
     finally:
         backend.close()
 
 
 def exchange(
-    n: Running, cls: str, rid: str = "r1", path: str = "", timeout: int = 1500, **headers: str
+    proxy: Running, cls: str, rid: str = "r1", path: str = "", timeout: int = 1500, **headers: str
 ) -> tuple[str, bytes]:
     """Send one request on a new connection; returns the status line and body of its response."""
-    client = n.connect()
+    client = proxy.connect()
     body = None if cls == "balance" else b"amount=5"
     path = path or f"/{cls}/7f3a"
     client.send(request(path, body, timeout, rid, X_Priority_Class=cls, **headers))
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -31,7 +31,7 @@
 
 
 @pytest.fixture
-def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
+def proxy(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
     """A node with an admin address and one backend; it has to stop with status 0."""
     known = roster(target("s-1", backend.getsockname()[1]))
     with node(tmp_path, known, admin=ADMIN) as running:
@@ -39,13 +39,13 @@
         assert running.stop() == 0
 
 
-def test_each_connection_serves_one_request(n: Running) -> None:
-    line, headers, body = n.call("GET /status")
+def test_each_connection_serves_one_request(proxy: Running) -> None:
+    line, headers, body = proxy.call("GET /status")
     assert (line, headers["connection"], body) == ("HTTP/1.1 200 OK", "close", b"active\n")
-    assert n.call("GET /nothing")[0] == "HTTP/1.1 404 Not Found"
-    line, headers, _ = n.call("GET /standby")
+    assert proxy.call("GET /nothing")[0] == "HTTP/1.1 404 Not Found"
+    line, headers, _ = proxy.call("GET /standby")
     assert (line, headers["allow"]) == ("HTTP/1.1 405 Method Not Allowed", "POST")
-    assert n.call("POST /active", "Content-Length: 0\r\n")[0] == "HTTP/1.1 200 OK"
+    assert proxy.call("POST /active", "Content-Length: 0\r\n")[0] == "HTTP/1.1 200 OK"
 
 
 @pytest.mark.parametrize(
@@ -57,46 +57,46 @@
     ],
 )
 def test_a_malformed_request_is_rejected_and_the_next_one_served(
-    n: Running, sent: bytes, status: int
+    proxy: Running, sent: bytes, status: int
 ) -> None:
-    peer = n.caller()
+    peer = proxy.caller()
     peer.send(sent)
     assert peer.message()[0].startswith(f"HTTP/1.1 {status} ")
     peer.close()
-    assert n.call("GET /status")[2] == b"active\n"
+    assert proxy.call("GET /status")[2] == b"active\n"
 
 
-def test_connections_without_a_complete_request_lock_nobody_out(n: Running) -> None:
+def test_connections_without_a_complete_request_lock_nobody_out(proxy: Running) -> None:
     """With the maximum of connections open, the oldest is closed for a new one."""
-    idle = [n.caller() for _ in range(30)]
+    idle = [proxy.caller() for _ in range(30)]
     for peer in idle[::2]:
         peer.send(b"GET /sta")
-    assert n.call("GET /status")[0] == "HTTP/1.1 200 OK"
+    assert proxy.call("GET /status")[0] == "HTTP/1.1 200 OK"
     assert idle[0].ends() == b""
     assert len(idle) == 30
 
 
-def test_an_incomplete_request_times_out_with_408_and_a_close(n: Running) -> None:
-    peer = n.caller()
+def test_an_incomplete_request_times_out_with_408_and_a_close(proxy: Running) -> None:
+    peer = proxy.caller()
     peer.send(b"GET /status HTTP/1.1\r\n")
     assert peer.message()[0] == "HTTP/1.1 408 Request Timeout"
     assert peer.ends() == b""
 
 
 def test_standby_closes_each_connection_after_its_response(
-    n: Running, backend: socket.socket
+    proxy: Running, backend: socket.socket
 ) -> None:
-    in_flight, idle, silent = n.connect(), n.connect(), n.connect()
+    in_flight, idle, silent = proxy.connect(), proxy.connect(), proxy.connect()
     in_flight.send(request())
     peer = accept(backend)
     peer.message()
     idle.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert idle.message()[0] == "HTTP/1.1 200 OK"
-    assert n.call("POST /standby")[0] == "HTTP/1.1 200 OK"
-    assert n.call("POST /standby")[0] == "HTTP/1.1 200 OK"
-    assert n.call("GET /status")[2] == b"standby\n"
-    assert not n.ready()
-    late = n.connect()  # the front sends new connections until it notices the drain
+    assert proxy.call("POST /standby")[0] == "HTTP/1.1 200 OK"
+    assert proxy.call("POST /standby")[0] == "HTTP/1.1 200 OK"
+    assert proxy.call("GET /status")[2] == b"standby\n"
+    assert not proxy.ready()
+    late = proxy.connect()  # the front sends new connections until it notices the drain
     late.send(request(rid="late"))
     second = accept(backend)
     second.message()
@@ -110,9 +110,9 @@
     assert in_flight.ends() == b""
     assert idle.ends() == b""
     assert silent.ends() == b""
-    assert n.call("POST /active")[2] == b"active\n"
-    assert n.ready()
-    again = n.connect()
+    assert proxy.call("POST /active")[2] == b"active\n"
+    assert proxy.ready()
+    again = proxy.connect()
     again.send(request(rid="again"))
     peer.message()
     peer.send(answer(b"kept"))
@@ -120,11 +120,11 @@
 
 
 def test_standby_answers_an_upload_in_progress_and_pipelined_requests(
-    n: Running, backend: socket.socket
+    proxy: Running, backend: socket.socket
 ) -> None:
     """Requests received before the drain are answered, and then their connections close."""
     long = b"z" * 1_000_000
-    uploading, behind = n.connect(), n.connect()
+    uploading, behind = proxy.connect(), proxy.connect()
     upload = request("/credit/1", long, rid="long")
     uploading.send(upload[:200_000])
     first = accept(backend)
@@ -133,7 +133,7 @@
     behind.send(request(rid="p1") + request(rid="p2"))
     second = accept(backend)
     assert second.message()[1]["x-request-id"] == "p1"
-    n.call("POST /standby")
+    proxy.call("POST /standby")
     thread = threading.Thread(target=uploading.sock.sendall, args=(upload[200_000:],))
     thread.start()
     second.send(answer(b"p1"))
@@ -153,35 +153,35 @@
     assert behind.ends() == b""
 
 
-def test_a_drain_that_is_ended_and_begun_again_closes_idle_connections(n: Running) -> None:
-    assert n.call("POST /active")[0] == "HTTP/1.1 200 OK"  # without a standby
+def test_a_drain_that_is_ended_and_begun_again_closes_idle_connections(proxy: Running) -> None:
+    assert proxy.call("POST /active")[0] == "HTTP/1.1 200 OK"  # without a standby
     for _ in range(3):
-        n.call("POST /standby")
-        n.call("POST /active")
-    assert n.ready()
-    idle = n.connect()
-    n.call("POST /standby")
-    n.process.send_signal(signal.SIGHUP)  # a reload must not end the drain
-    assert not n.ready()
+        proxy.call("POST /standby")
+        proxy.call("POST /active")
+    assert proxy.ready()
+    idle = proxy.connect()
+    proxy.call("POST /standby")
+    proxy.process.send_signal(signal.SIGHUP)  # a reload must not end the drain
+    assert not proxy.ready()
     assert idle.ends() == b""
-    assert n.call("POST /active")[0] == "HTTP/1.1 200 OK"
-    assert n.ready()
+    assert proxy.call("POST /active")[0] == "HTTP/1.1 200 OK"
+    assert proxy.ready()
 
 
-def test_a_stop_during_a_drain_can_not_be_reverted(n: Running, backend: socket.socket) -> None:
-    client = n.connect()
+def test_a_stop_during_a_drain_can_not_be_reverted(proxy: Running, backend: socket.socket) -> None:
+    client = proxy.connect()
     client.send(request())
     peer = accept(backend)
     peer.message()
-    n.call("POST /standby")
-    n.process.send_signal(signal.SIGTERM)
-    n.says("stopping")
-    assert n.call("POST /standby")[0] == "HTTP/1.1 200 OK"
-    assert n.call("POST /active")[0] == "HTTP/1.1 409 Conflict"
-    assert n.call("GET /status")[0] == "HTTP/1.1 503 Service Unavailable"
+    proxy.call("POST /standby")
+    proxy.process.send_signal(signal.SIGTERM)
+    proxy.says("stopping")
+    assert proxy.call("POST /standby")[0] == "HTTP/1.1 200 OK"
+    assert proxy.call("POST /active")[0] == "HTTP/1.1 409 Conflict"
+    assert proxy.call("GET /status")[0] == "HTTP/1.1 503 Service Unavailable"
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
-    assert n.process.wait(20) == 0
+    assert proxy.process.wait(20) == 0
 
 
 # ---- the listener alone --------------------------------------------------------------
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -139,15 +139,15 @@
     with listen() as discovery, listen() as removed, listen() as backend:
         known = roster(target("s-1", removed.getsockname()[1]), rev=7)
         port = discovery.getsockname()[1]
-        with node(tmp_path, known, port, limits={"sockets": 64}) as n:
-            resource.prlimit(n.process.pid, resource.RLIMIT_NOFILE, (64, 64))
+        with node(tmp_path, known, port, limits={"sockets": 64}) as proxy:
+            resource.prlimit(proxy.process.pid, resource.RLIMIT_NOFILE, (64, 64))
             down = accept(discovery)
             idle = []
             for _ in range(100):
-                idle.append(n.connect())
+                idle.append(proxy.connect())
                 idle[-1].send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert idle[-1].message()[0] == "HTTP/1.1 200 OK"
-            idle += [n.connect() for _ in range(100)]
+            idle += [proxy.connect() for _ in range(100)]
             for _ in range(3):
                 down.reset()
                 down = accept(discovery)  # the node can still connect to retry
@@ -155,7 +155,7 @@
             row = target("s-2", backend.getsockname()[1])
             down.send(answer(json.dumps(roster(row, rev=9)).encode()))
             accept(discovery).message()
-            served_by(n, backend)
-            assert n.descriptors() <= 64
-            n.process.terminate()
-            assert n.process.wait(LIMIT) == 0
+            served_by(proxy, backend)
+            assert proxy.descriptors() <= 64
+            proxy.process.terminate()
+            assert proxy.process.wait(LIMIT) == 0
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -28,9 +28,9 @@
 
 
 def test_a_request_is_forwarded_unchanged_and_connections_are_reused(
-    n: Running, backend: socket.socket
+    proxy: Running, backend: socket.socket
 ) -> None:
-    client = n.connect()
+    client = proxy.connect()
     client.send(request("/credit/7f3a?x=%20y", b"body", Idempotency_Key="k1", X_Cost="12"))
     peer = accept(backend)
     first, headers, body = peer.message()
@@ -49,11 +49,11 @@
     assert client.message()[2] == b"again"
 
 
-def test_a_node_answers_the_readiness_check_and_stops_with_status_0(n: Running) -> None:
-    client = n.connect()
+def test_a_node_answers_the_readiness_check_and_stops_with_status_0(proxy: Running) -> None:
+    client = proxy.connect()
     client.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     assert client.message()[0] == "HTTP/1.1 200 OK"
-    assert n.stop() == 0
+    assert proxy.stop() == 0
 
 
 @pytest.mark.parametrize("servers", [1, 0])
@@ -66,40 +66,40 @@
     with listen() as discovery, listen() as backend:
         port = discovery.getsockname()[1]
         settings = {"registry_mode": "ask"}
-        with node(tmp_path, roster(), port, admin="127.0.0.1:0", settings=settings) as n:
+        with node(tmp_path, roster(), port, admin="127.0.0.1:0", settings=settings) as proxy:
             poll = accept(discovery)
             poll.message()
-            assert not n.ready()
-            line, _, body = n.call("GET /status")
+            assert not proxy.ready()
+            line, _, body = proxy.call("GET /status")
             assert (line[9:12], body) == ("503", b"no list of servers yet\n")
             rows = [target("s-1", backend.getsockname()[1])] * servers
             poll.send(answer(json.dumps(roster(*rows, rev=2)).encode()))
-            n.says("ready: an endpoint list is in use")
-            assert n.ready()
-            assert n.call("GET /status")[2] == b"active\n"
+            proxy.says("ready: an endpoint list is in use")
+            assert proxy.ready()
+            assert proxy.call("GET /status")[2] == b"active\n"
             again = accept(discovery)
             again.message()
             # Its servers are removed. It stays ready, or the front would remove all nodes at once.
             again.send(answer(json.dumps(roster(rev=3)).encode()))
             accept(discovery).message()
-            assert n.ready()
+            assert proxy.ready()
 
 
-def test_a_stop_answers_the_requests_in_flight(n: Running, backend: socket.socket) -> None:
-    client = n.connect()
+def test_a_stop_answers_the_requests_in_flight(proxy: Running, backend: socket.socket) -> None:
+    client = proxy.connect()
     client.send(request())
     peer = accept(backend)
     peer.message()
-    n.process.send_signal(signal.SIGTERM)
-    late = n.connect()  # the listening socket is still open
+    proxy.process.send_signal(signal.SIGTERM)
+    late = proxy.connect()  # the listening socket is still open
     late.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
     line, headers, _ = late.message()
     assert (line, headers["connection"]) == ("HTTP/1.1 503 Service Unavailable", "close")
-    n.process.send_signal(signal.SIGTERM)
+    proxy.process.send_signal(signal.SIGTERM)
     peer.send(answer(b"served"))
     line, headers, body = client.message()
     assert (line, body, headers["connection"]) == ("HTTP/1.1 200 OK", b"served", "close")
-    assert n.process.wait(20) == 0
+    assert proxy.process.wait(20) == 0
 
 
 @pytest.mark.parametrize(
@@ -164,15 +164,15 @@
     assert with_nulls.settings == load(config(tmp_path, roster(), 1, settings=absent)).settings
 
 
-def test_a_node_stops_with_status_0_after_its_logs_reader_has_ended(n: Running) -> None:
+def test_a_node_stops_with_status_0_after_its_logs_reader_has_ended(proxy: Running) -> None:
     """Without a reader, each write to the pipe of the log raises an error."""
-    assert n.process.stderr is not None
-    n.process.stderr.close()
-    assert n.stop() == 0  # a stop writes to the log
+    assert proxy.process.stderr is not None
+    proxy.process.stderr.close()
+    assert proxy.stop() == 0  # a stop writes to the log
 
 
 def test_a_node_without_a_routes_file_does_not_load_its_parser(tmp_path: Path) -> None:
     """A feature that is not configured must cost no memory and no time at the start."""
-    with node(tmp_path, roster()) as n:
-        maps = Path(f"/proc/{n.process.pid}/maps").read_text()
+    with node(tmp_path, roster()) as proxy:
+        maps = Path(f"/proc/{proxy.process.pid}/maps").read_text()
         assert "tree_sitter" not in maps
--- a/tests/proxy/test_policies.py
+++ b/tests/proxy/test_policies.py
@@ -96,12 +96,12 @@
     file = POLICIES["all, timed" if times_out(cls, way, policy) else policy]
     granted = attempts_granted(cls, way, policy)
     without_service = ("502",) if cls == "credit" and way in MAY_HAVE_RUN else ("502", "503")
-    with routed_node(tmp_path, file, (way,) * 8, settings) as (n, backend):
-        line, _ = exchange(n, cls, timeout=LONG_MS)
+    with routed_node(tmp_path, file, (way,) * 8, settings) as (proxy, backend):
+        line, _ = exchange(proxy, cls, timeout=LONG_MS)
         assert line.split(" ")[1] in without_service
         assert backend.received == {"r1": granted}
-    with routed_node(tmp_path, file, (way,), settings) as (n, backend):
-        line, body = exchange(n, cls, timeout=LONG_MS)
+    with routed_node(tmp_path, file, (way,), settings) as (proxy, backend):
+        line, body = exchange(proxy, cls, timeout=LONG_MS)
         status = line.split(" ")[1]
         if granted > 1:
             assert (status, body) == ("200", b"served")
@@ -119,10 +119,10 @@
     The node withholds that byte for 2 ms, and the reset has to arrive within this time. On a
     busy machine it is sometimes late, so the test tries several times.
     """
-    with routed_node(tmp_path, routes_text(credit=RETRY_NOT_EXECUTED)) as (n, backend):
+    with routed_node(tmp_path, routes_text(credit=RETRY_NOT_EXECUTED)) as (proxy, backend):
         for i in range(50):
             backend.ways = ["cut"]
-            line, body = exchange(n, "credit", f"r{i}")
+            line, body = exchange(proxy, "credit", f"r{i}")
             if body == b"served":
                 break
             # The reset was late, and the last byte may have arrived: failed, and not retried.
@@ -137,8 +137,8 @@
     (tmp_path / "routes.toml").write_text(routes_text(credit=RETRY_NOT_EXECUTED))
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, routes=str(tmp_path / "routes.toml")) as n:
-            client = n.connect()
+        with node(tmp_path, known, routes=str(tmp_path / "routes.toml")) as proxy:
+            client = proxy.connect()
             client.send(request("/credit/7f3a", b"a", rid="r1"))
             peer = accept(backend)
             peer.message()
@@ -160,16 +160,16 @@
 
     The status that the Balancer chooses tells the client whether it may retry.
     """
-    with routed_node(tmp_path, POLICIES["one attempt"], ("silent",)) as (n, backend):
-        client = n.connect()
+    with routed_node(tmp_path, POLICIES["one attempt"], ("silent",)) as (proxy, backend):
+        client = proxy.connect()
         body = None if cls == "balance" else b"amount=5"
         client.send(request(f"/{cls}/7f3a", body, 500, "r1", X_Priority_Class=cls))
         until(lambda: backend.received["r1"] == 1)
-        n.process.send_signal(signal.SIGSTOP)
+        proxy.process.send_signal(signal.SIGSTOP)
         try:
             time.sleep(0.7)
         finally:
-            n.process.send_signal(signal.SIGCONT)
+            proxy.process.send_signal(signal.SIGCONT)
         line, _, _ = client.message()
         client.close()
         assert line.split(" ")[1] in ("502", "503")
@@ -181,12 +181,12 @@
 
 
 def test_a_hedge_is_served_and_the_first_attempt_is_cancelled(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text(HEDGE), ("silent",), HEDGING) as (n, backend):
-        assert exchange(n, "balance")[1] == b"served"
+    with routed_node(tmp_path, routes_text(HEDGE), ("silent",), HEDGING) as (proxy, backend):
+        assert exchange(proxy, "balance")[1] == b"served"
         assert backend.received == {"r1": 2}
         # The node has closed the first attempt's connection, so its slot is free again.
         for i in range(5):
-            assert exchange(n, "balance", f"n{i}")[1] == b"served"
+            assert exchange(proxy, "balance", f"n{i}")[1] == b"served"
 
 
 def test_two_responses_received_together_yield_one_response(tmp_path: Path) -> None:
@@ -197,17 +197,17 @@
         )
         with node(
             tmp_path, known, routes=str(tmp_path / "routes.toml"), settings=HEDGING
-        ) as n:  # fmt: skip
-            client = n.connect()
+        ) as proxy:  # fmt: skip
+            client = proxy.connect()
             client.send(request(rid="r1"))
             peers = [accept(first), accept(second)]
             for peer in peers:
                 assert peer.message()[1]["x-request-id"] == "r1"
             # The node is stopped meanwhile, and finds both responses when it continues.
-            n.process.send_signal(signal.SIGSTOP)
+            proxy.process.send_signal(signal.SIGSTOP)
             for peer in peers:
                 peer.send(answer(b"served"))
-            n.process.send_signal(signal.SIGCONT)
+            proxy.process.send_signal(signal.SIGCONT)
             assert client.message()[2] == b"served"
             client.send(request(rid="r2"))
             peer = next(p for p in peers if p.more())
@@ -236,8 +236,8 @@
         known = roster(
             *(target(f"s-{i}", s.getsockname()[1]) for i, s in ((1, first), (2, second)))
         )
-        with node(tmp_path, known, routes=str(tmp_path / "routes.toml"), settings=HEDGING) as n:
-            client = n.connect()
+        with node(tmp_path, known, routes=str(tmp_path / "routes.toml"), settings=HEDGING) as proxy:
+            client = proxy.connect()
             client.send(request(rid="r1"))
             streaming, other = accept(first), accept(second)
             streaming.message()
@@ -258,11 +258,14 @@
 
 
 def test_a_client_that_disconnects_during_a_hedge_causes_no_third_attempt(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text(HEDGE), ("silent", "silent"), HEDGING) as (n, backend):
-        client = n.connect()
+    with routed_node(tmp_path, routes_text(HEDGE), ("silent", "silent"), HEDGING) as (
+        proxy,
+        backend,
+    ):
+        client = proxy.connect()
         client.send(request(rid="r1"))
         until(lambda: backend.received["r1"] == 2)
         client.reset()
         for i in range(5):
-            assert exchange(n, "balance", f"n{i}")[1] == b"served"
+            assert exchange(proxy, "balance", f"n{i}")[1] == b"served"
         assert backend.received["r1"] == 2
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -102,14 +102,14 @@
     ("path", "body"), [("/balance/1", None), ("/credit/1", b"x")], ids=["safe", "unsafe"]
 )
 def test_half_a_line_on_an_idle_connection_is_no_response(
-    backend: socket.socket, n: Running, path: str, body: bytes | None
+    backend: socket.socket, proxy: Running, path: str, body: bytes | None
 ) -> None:
     """A backend writes a part of a response on an idle connection.
 
     Sent there, the next request would get it as the beginning of its own response: it is
     sent on a new connection, and nothing is written on that one.
     """
-    client = n.connect()
+    client = proxy.connect()
     client.send(request(path, body, rid="first"))
     idle = accept(backend)
     idle.message()
@@ -125,23 +125,23 @@
 
 
 def test_signals_during_a_stop_change_nothing_for_an_open_request(
-    tmp_path: Path, backend: socket.socket, n: Running
+    tmp_path: Path, backend: socket.socket, proxy: Running
 ) -> None:
     """A reload and a second stop come while the node waits for its last response."""
     with listen() as moved:
-        client = n.connect()
+        client = proxy.connect()
         client.send(request("/credit/1", b"once", rid="open"))
         peer = accept(backend)
         peer.message()
-        n.process.send_signal(signal.SIGTERM)
-        n.says("stopping")
+        proxy.process.send_signal(signal.SIGTERM)
+        proxy.says("stopping")
         raw = json.loads((tmp_path / "config.json").read_text())
         raw["discovery"] = f"127.0.0.1:{moved.getsockname()[1]}"
         replace_config(tmp_path, json.dumps(raw))
-        n.process.send_signal(signal.SIGHUP)
-        n.says("reloaded")
-        n.process.send_signal(signal.SIGTERM)
+        proxy.process.send_signal(signal.SIGHUP)
+        proxy.says("reloaded")
+        proxy.process.send_signal(signal.SIGTERM)
         peer.send(answer(b"served"))
         assert client.message()[2] == b"served"
         client.close()
-        assert n.process.wait(LIMIT) == 0
+        assert proxy.process.wait(LIMIT) == 0
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -37,42 +37,42 @@
     with listen() as first, listen() as second, listen() as backend:
         old, new, serves = (s.getsockname()[1] for s in (first, second, backend))
         removed = target("s-1", 1)
-        with node(tmp_path, roster(removed, rev=41), old) as n:
+        with node(tmp_path, roster(removed, rev=41), old) as proxy:
             watch = accept(first)
             assert "from=41" in watch.message()[0]
             text = json.loads((tmp_path / "config.json").read_text())
             text["discovery"] = f"127.0.0.1:{new}"
             replace_config(tmp_path, json.dumps(text))
-            n.process.send_signal(signal.SIGHUP)
+            proxy.process.send_signal(signal.SIGHUP)
             poll = accept(second)
             assert poll.message()[0] == "GET /registry/instances HTTP/1.1"
             assert watch.ends() == b""  # the node no longer polls the old one
             body = json.dumps(roster(target("s-2", serves), rev=3)).encode()
             poll.send(answer(body))
             assert "from=3" in accept(second).message()[0]
-            served_by(n, backend)
-            assert n.stop() == 0
+            served_by(proxy, backend)
+            assert proxy.stop() == 0
 
 
 @pytest.mark.parametrize("text", ["{", "[]", '{"discovery": "nowhere"}', '{"settings": {}}'])
 def test_a_reload_of_an_unusable_file_changes_nothing(
-    tmp_path: Path, n: Running, backend: socket.socket, text: str
+    tmp_path: Path, proxy: Running, backend: socket.socket, text: str
 ) -> None:
     """The file is replaced by an unusable one while a request is in flight."""
-    client = n.connect()
+    client = proxy.connect()
     client.send(request())
     peer = accept(backend)
     peer.message()
     replace_config(tmp_path, text)
-    n.process.send_signal(signal.SIGHUP)
-    n.says("going on as before")
+    proxy.process.send_signal(signal.SIGHUP)
+    proxy.says("going on as before")
     peer.send(answer(b"served"))
     assert client.message()[2] == b"served"
     client.send(request())
     peer.message()
     peer.send(answer(b"again"))
     assert client.message()[2] == b"again"
-    assert n.stop() == 0
+    assert proxy.stop() == 0
 
 
 def test_a_reload_reads_the_routes_file_only_once(
--- a/tests/proxy/test_route_files.py
+++ b/tests/proxy/test_route_files.py
@@ -46,11 +46,11 @@
     assert f"{path}:1: [missing-key]" in log
 
 
-def reload(n: Running, tmp_path: Path, file: str) -> None:
+def reload(proxy: Running, tmp_path: Path, file: str) -> None:
     new = tmp_path / "routes.new"
     new.write_text(file)
     new.rename(tmp_path / "routes.toml")
-    n.process.send_signal(signal.SIGHUP)
+    proxy.process.send_signal(signal.SIGHUP)
 
 
 def test_a_reload_replaces_all_routes_and_open_requests_keep_their_policy(tmp_path: Path) -> None:
@@ -59,15 +59,15 @@
     path.write_text(routes_text(f"{RETRY_ALL}\nattempts = 2"))
     with listen() as backend:
         known = roster(target("s-1", backend.getsockname()[1]))
-        with node(tmp_path, known, routes=str(path)) as n:
-            client = n.connect()
+        with node(tmp_path, known, routes=str(path)) as proxy:
+            client = proxy.connect()
             client.send(request(rid="r1"))
             peer = accept(backend)
             peer.message()
             changed = routes_text().replace('prefix = "/balance"', 'prefix = "/saldo"')
-            reload(n, tmp_path, changed)
-            n.says("reloaded the configuration")
-            assert exchange(n, "balance", "r2")[0].split(" ")[1] == "403"
+            reload(proxy, tmp_path, changed)
+            proxy.says("reloaded the configuration")
+            assert exchange(proxy, "balance", "r2")[0].split(" ")[1] == "403"
             peer.send(answer(b"", "500 Oops"))
             peer.message()  # the retry that its original policy allows
             peer.send(answer(b"served"))
@@ -75,16 +75,16 @@
 
 
 def test_a_reload_of_an_unusable_file_logs_its_fault_and_changes_nothing(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text()) as (n, backend):
+    with routed_node(tmp_path, routes_text()) as (proxy, backend):
         bad = routes_text(balance='attempts = "3"\nwanted = 5', more="x = 1")
-        reload(n, tmp_path, bad)
-        n.says("[wrong-type]")
-        assert exchange(n, "balance")[1] == b"served"
-        assert exchange(n, "balance", "r2", Host="none.org")[0].split(" ")[1] == "404"
-        reload(n, tmp_path, routes_text().replace("app.svc", "new.svc"))
-        n.says("reloaded the configuration")
-        assert exchange(n, "balance", "r3", Host="new.svc")[1] == b"served"
-        assert exchange(n, "balance", "r4")[0].split(" ")[1] == "404"
+        reload(proxy, tmp_path, bad)
+        proxy.says("[wrong-type]")
+        assert exchange(proxy, "balance")[1] == b"served"
+        assert exchange(proxy, "balance", "r2", Host="none.org")[0].split(" ")[1] == "404"
+        reload(proxy, tmp_path, routes_text().replace("app.svc", "new.svc"))
+        proxy.says("reloaded the configuration")
+        assert exchange(proxy, "balance", "r3", Host="new.svc")[1] == b"served"
+        assert exchange(proxy, "balance", "r4")[0].split(" ")[1] == "404"
         assert backend.received == {"r1": 1, "r3": 1}
 
 
@@ -92,16 +92,16 @@
     backend = Scripted()
     (tmp_path / "routes.toml").write_text(routes_text())
     try:
-        with node(tmp_path, roster(target("s-1", backend.port))) as n:
-            assert exchange(n, "balance", "r1", Host="none.org")[1] == b"served"
+        with node(tmp_path, roster(target("s-1", backend.port))) as proxy:
+            assert exchange(proxy, "balance", "r1", Host="none.org")[1] == b"served"
             plain = json.loads((tmp_path / "config.json").read_text())
             for routes, status in ((str(tmp_path / "routes.toml"), "404"), ("", "200")):
                 new = tmp_path / "new.json"
                 new.write_text(json.dumps(plain | {"routes": routes}))
                 new.rename(tmp_path / "config.json")
-                n.process.send_signal(signal.SIGHUP)
-                n.says("reloaded the configuration")
-                line, _ = exchange(n, "balance", f"x{status}", Host="none.org")
+                proxy.process.send_signal(signal.SIGHUP)
+                proxy.says("reloaded the configuration")
+                line, _ = exchange(proxy, "balance", f"x{status}", Host="none.org")
                 assert line.split(" ")[1] == status
     finally:
         backend.close()
--- a/tests/proxy/test_routing.py
+++ b/tests/proxy/test_routing.py
@@ -23,8 +23,8 @@
     tmp_path: Path, name: str
 ) -> None:
     line, status = REFUSED[name]
-    with routed_node(tmp_path, routes_text()) as (n, backend):
-        client = n.connect()
+    with routed_node(tmp_path, routes_text()) as (proxy, backend):
+        client = proxy.connect()
         client.send(request().replace(b"Host: app.svc", line))
         head, _, body = client.ends().partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 " + status)
@@ -59,9 +59,9 @@
 
 
 def test_each_spelling_of_a_path_is_made_canonical_or_refused(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text()) as (n, backend):
+    with routed_node(tmp_path, routes_text()) as (proxy, backend):
         for i, (spelling, expected) in enumerate(TARGETS.items()):
-            client = n.connect()
+            client = proxy.connect()
             head = request(rid=f"r{i}", X_Priority_Class="").partition(b"\r\n")[2]
             client.send(b"GET " + spelling.encode() + b" HTTP/1.1\r\n" + head)
             line, _, _ = client.message()
@@ -86,17 +86,17 @@
 def test_each_spelling_of_a_host_is_made_canonical(
     tmp_path: Path, sent: str, forwarded: str
 ) -> None:
-    with routed_node(tmp_path, routes_text()) as (n, backend):
-        assert exchange(n, "balance", Host=sent)[1] == b"served"
+    with routed_node(tmp_path, routes_text()) as (proxy, backend):
+        assert exchange(proxy, "balance", Host=sent)[1] == b"served"
         assert backend.heads[0]["host"] == forwarded
 
 
 def test_a_missing_host_or_a_class_that_differs_from_the_route_is_refused(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text()) as (n, backend):
-        assert exchange(n, "balance", Host="")[0].startswith("HTTP/1.1 400")
-        line, _ = exchange(n, "credit", path="/balance/x")
+    with routed_node(tmp_path, routes_text()) as (proxy, backend):
+        assert exchange(proxy, "balance", Host="")[0].startswith("HTTP/1.1 400")
+        line, _ = exchange(proxy, "credit", path="/balance/x")
         assert line.startswith("HTTP/1.1 40")
-        client = n.connect()
+        client = proxy.connect()
         client.send(request("/balance/x", X_Priority_Class="credit"))
         assert client.ends().startswith(b"HTTP/1.1 400")
         assert not backend.received
@@ -104,18 +104,21 @@
 
 def test_a_route_assigns_its_class_to_the_requests_of_its_path(tmp_path: Path) -> None:
     more = '[[service.route]]\nname = "pay"\npath = "/pay/{id}"\nclass = "credit"\n'
-    with routed_node(tmp_path, routes_text(more=more), ("error",) * 4) as (n, backend):
-        line, _ = exchange(n, "credit", path="/pay/77")
+    with routed_node(tmp_path, routes_text(more=more), ("error",) * 4) as (proxy, backend):
+        line, _ = exchange(proxy, "credit", path="/pay/77")
         assert line.split(" ")[1] == "502"
         assert backend.received == {"r1": 1}
-        assert exchange(n, "balance", path="/pay/77", rid="r2")[0].split(" ")[1] in ("400", "405")
+        assert exchange(proxy, "balance", path="/pay/77", rid="r2")[0].split(" ")[1] in (
+            "400",
+            "405",
+        )
 
 
 def test_refusals_are_counted_by_reason(tmp_path: Path) -> None:
-    with routed_node(tmp_path, routes_text()) as (n, _):
+    with routed_node(tmp_path, routes_text()) as (proxy, _):
         for host in ("x.org", "y.org"):
-            exchange(n, "balance", Host=host)
-        exchange(n, "balance", path="/none")
-        n.process.send_signal(signal.SIGTERM)
-        n.says("refused by the routes: denied 1")
-        n.says("refused by the routes: unknown-host 2")
+            exchange(proxy, "balance", Host=host)
+        exchange(proxy, "balance", path="/none")
+        proxy.process.send_signal(signal.SIGTERM)
+        proxy.says("refused by the routes: denied 1")
+        proxy.says("refused by the routes: unknown-host 2")
--- a/tests/proxy/upstream/test_unfinished_uploads.py
+++ b/tests/proxy/upstream/test_unfinished_uploads.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
+def proxy(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
     """A node whose requests may take very long."""
     known = roster(target("s-1", backend.getsockname()[1]))
     with node(tmp_path, known, settings={"classes": patient_classes()}) as running:
@@ -65,12 +65,12 @@
     return peer
 
 
-def kernel_capacity(n: Running, backend: socket.socket) -> int:
+def kernel_capacity(proxy: Running, backend: socket.socket) -> int:
     """How much of an upload the kernel's buffers hold towards a backend that does not read.
 
     The node discards what they don't hold as soon as the backend ends its sending.
     """
-    client = n.connect()
+    client = proxy.connect()
     sender = threading.Thread(target=client.send, args=(upload(MANY_BYTES),))
     sender.start()
     peer = accept_upload(backend)
@@ -85,7 +85,7 @@
 
 
 def test_an_upload_that_waits_in_the_node_ends_with_its_client(
-    n: Running, backend: socket.socket
+    proxy: Running, backend: socket.socket
 ) -> None:
     """A client leaves once the node has read its long body, of which the end still waits.
 
@@ -93,8 +93,8 @@
     request's deadline: it used its slot and its backend's connection, and then counted
     against the backend as one that could not be connected to.
     """
-    message = upload(kernel_capacity(n, backend) + WAITING_BYTES)
-    client = n.connect()
+    message = upload(kernel_capacity(proxy, backend) + WAITING_BYTES)
+    client = proxy.connect()
     client.send(message)
     peer = accept_upload(backend)
     client.reset()
