--- a/loadbalancer/proxy/admin.py
+++ b/loadbalancer/proxy/admin.py
@@ -136,14 +136,14 @@
     """One connection at the admin address; the HTTP parser calls the `on_...` methods."""
 
     __slots__ = (
-        "_listener", "_answered", "_parser", "_size", "_sock", "_timeout_timer", "_unsent", "_url",
-        "_watches_writable",
+        "_listener", "_answered", "_parser", "_received_bytes", "_sock", "_timeout_timer",
+        "_unsent", "_url", "_watches_writable",
     )  # fmt: skip
 
     def __init__(self, listener: AdminListener, sock: socket.socket) -> None:
         self._listener = listener
         self._sock = sock
-        self._size = 0
+        self._received_bytes = 0
         self._url = b""
         self._answered = False
         self._unsent = b""  # the rest of the response
@@ -168,12 +168,12 @@
             self._feed_parser(data)
 
     def _feed_parser(self, data: bytes) -> None:
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._respond(Reply(BAD_REQUEST, "this is no HTTP/1.1 call"))
-        if not self._answered and self._size >= MAX_REQUEST_BYTES:
+        if not self._answered and self._received_bytes >= MAX_REQUEST_BYTES:
             text = f"a call has at most {MAX_REQUEST_BYTES} bytes"
             self._respond(Reply(CONTENT_TOO_LARGE, text))
 
--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -109,7 +109,10 @@
             self.leave()
 
     def upload_stalled(self, request: Request) -> None:
-        """A backend has stopped accepting a streamed body: give up all attempts of its request."""
+        """A backend has stopped accepting a streamed body: give up the attempts of its request.
+
+        Without the complete body the request has not been executed.
+        """
         self.enter()
         try:
             self._give_up_all(request, Outcome.TIMEOUT)
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -16,7 +16,8 @@
     from loadbalancer.config.node import Config
     from loadbalancer.proxy.upstream.pool import ConnectionPool
 
-RESERVED = 24  # for the listener, the event loop, discovery and the log
+# For the listening socket, the event loop, discovery and the log.
+RESERVED_DESCRIPTORS = 24
 # Of the reserved ones, for connections to backends that replace an idle one at the limit. The
 # event loop closes the replaced one in its next iteration, and until then both are open.
 REPLACEMENT_DESCRIPTORS = 8
@@ -33,7 +34,7 @@
     def __init__(self, config: Config) -> None:
         self.config = config
         self.clients = 0
-        self.reserved = RESERVED
+        self.reserved = RESERVED_DESCRIPTORS
         if config.admin is not None:
             self.reserved += ADMIN_DESCRIPTORS + HANDOVER_DESCRIPTORS
         self.sockets = config.sockets - self.reserved  # for client and backend connections together
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -71,7 +71,7 @@
         self.balancer = Balancer(config.settings, config.seed, self)
         # The settings that the Balancer has applied completely; None after it raised on new ones.
         self.applied_settings: Settings | None = config.settings
-        self.peers: GossipTransport | None = None  # None if gossip is not configured
+        self.peers: GossipTransport | None = None  # None without gossip between nodes
         # Set by `reload` if there is a routes file: the current routes, and the retry budgets.
         self.routing: Routing | None = None
         self.policies: RoutePolicies | None = None
--- a/loadbalancer/proxy/lifecycle.py
+++ b/loadbalancer/proxy/lifecycle.py
@@ -56,10 +56,10 @@
         self.serving = False  # listening
         self.has_usable_list = False
         self.stopping = False
-        # Times; 0 for a state that doesn't apply.
+        # When each state or event began, 0 if it does not apply.
         self._standby_at = 0
         self._handed_over_at = 0
-        self._first_failed_check_at = 0  # of this drain
+        self._first_failed_check_at = 0  # in the current drain
 
     @property
     def standby(self) -> bool:
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -44,8 +44,8 @@
 # How long to retry a bind to a port held by a process that neither hands it over nor shares it.
 BIND_TIMEOUT_S = 15.0
 BIND_RETRY_S = 0.05
-# Thresholds of the garbage collector's generations, far above the defaults: the objects of the
-# start are frozen, and a collection among the objects of requests frees little.
+# Thresholds of the garbage collector's three generations, as for `gc.set_threshold`: it runs
+# rarely, as the objects of the start are frozen and a collection among requests frees little.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -2,7 +2,7 @@
 
 The front (the load balancer or DNS before the nodes) notices a stop late and sends new
 connections for another 0.4 s. The node may be killed 0.7 s after the longest deadline of a
-class, counted from the begin of the stop, so all responses have to be sent before that.
+class, counted from the start of the stop, so all responses have to be sent before that.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 logger = logging.getLogger(__name__)
 
-ACCEPT_S = 0.5  # from the begin of the stop until the listening socket is closed
+ACCEPT_S = 0.5  # from the start of the stop until the listening socket is closed
 KILL_MARGIN_S = 0.7  # from the longest deadline until the node may be killed
 LAST_RESPONSES_S = 0.12  # of that, kept for sending the last responses and for the exit
 POLL_INTERVAL_S = 0.01
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -96,7 +96,7 @@
     assert proxy.call("POST /standby")[0] == "HTTP/1.1 200 OK"
     assert proxy.call("GET /status")[2] == b"standby\n"
     assert not proxy.ready()
-    late = proxy.connect()  # the front sends new connections until it notices the drain
+    late = proxy.connect()  # new connections still arrive until the drain is noticed
     late.send(request(rid="late"))
     second = accept(backend)
     second.message()
--- a/tests/proxy/test_descriptors.py
+++ b/tests/proxy/test_descriptors.py
@@ -15,7 +15,11 @@
 import pytest
 import uvloop
 
-from loadbalancer.proxy.descriptors import REPLACEMENT_DESCRIPTORS, RESERVED, DescriptorBudget
+from loadbalancer.proxy.descriptors import (
+    REPLACEMENT_DESCRIPTORS,
+    RESERVED_DESCRIPTORS,
+    DescriptorBudget,
+)
 from loadbalancer.proxy.sockets import release_socket
 from tests.harness import LIMIT, accept, answer, listen, node, roster, served_by, target
 
@@ -53,7 +57,7 @@
 def test_clients_may_use_three_quarters_and_less_while_backends_use_more(
     budget: DescriptorBudget, pool: Pool
 ) -> None:
-    assert budget.sockets == SOCKETS - RESERVED == 100
+    assert budget.sockets == SOCKETS - RESERVED_DESCRIPTORS == 100
     assert budget.max_clients() == 75
     pool.count = 40
     assert budget.max_clients() == 60
@@ -95,9 +99,9 @@
     assert budget.releasable_descriptors() == 100 - 60 - REPLACEMENT_DESCRIPTORS
     budget.set_other_process_descriptors(budget.releasable_descriptors())
     assert budget.sockets == 60 + REPLACEMENT_DESCRIPTORS
-    assert budget.descriptors() == RESERVED + 60 + REPLACEMENT_DESCRIPTORS
+    assert budget.descriptors() == RESERVED_DESCRIPTORS + 60 + REPLACEMENT_DESCRIPTORS
     budget.clients = 80  # clients that were accepted before it released descriptors
-    assert budget.descriptors() == RESERVED + 90
+    assert budget.descriptors() == RESERVED_DESCRIPTORS + 90
 
 
 class AbortsAtOnce(asyncio.Protocol):
--- a/tests/proxy/test_node.py
+++ b/tests/proxy/test_node.py
@@ -60,7 +60,7 @@
 def test_a_node_is_ready_after_its_first_usable_list(tmp_path: Path, servers: int) -> None:
     """A node starts without an endpoint list, and its discovery service answers late.
 
-    It is not ready until then, so that the front sends clients to other nodes. A complete list
+    It is not ready until then, so that clients are sent to other nodes. A complete list
     without servers is usable, as there is no server to wait for.
     """
     with listen() as discovery, listen() as backend:
@@ -79,7 +79,8 @@
             assert proxy.call("GET /status")[2] == b"active\n"
             again = accept(discovery)
             again.message()
-            # Its servers are removed. It stays ready, or the front would remove all nodes at once.
+            # Its servers are removed. It stays ready: if all nodes failed their readiness checks
+            # at once, clients could reach none.
             again.send(answer(json.dumps(roster(rev=3)).encode()))
             accept(discovery).message()
             assert proxy.ready()
