--- a/loadbalancer/proxy/admin_calls.py
+++ b/loadbalancer/proxy/admin_calls.py
@@ -86,8 +86,8 @@
     def end_standby(self) -> Reply:
         """End the drain.
 
-        It can't be ended in a process that is stopping, except where its successor accepts the
-        clients by now.
+        In a process that is stopping this is refused, except if a successor already accepts the
+        node's clients.
         """
         self._process.forward(SetStandby(on=False))
         self._process.set_standby(False)
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -1,9 +1,9 @@
 """How a node's file descriptors are divided between client and backend connections.
 
 The configuration limits a node's descriptors. Some are reserved for the process itself; the
-rest are for connections. Clients connect whenever they like and could take all of them, so a
-fraction is kept for connections to backends. While backends use more than that fraction, fewer
-clients are accepted.
+rest are for connections. The number of clients is not under the node's control and they could
+take all of them, so a fraction is kept for connections to backends. While backends use more than
+that fraction, fewer clients are accepted.
 """
 
 from __future__ import annotations
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -1,7 +1,7 @@
 """Interfaces between the host and its adapters for clients, backends and endpoint lists.
 
-This module depends on none of them. An adapter uses the host through one of these protocols
-alone, and adapters don't use each other.
+At run time this module imports neither side. An adapter uses the host only through one of these
+protocols, and adapters don't use each other.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 # ---- the endpoint list -----------------------------------------------------
 
 
-class Listed(Protocol):
+class EndpointListView(Protocol):
     """The current endpoint list: the address of each backend, and the list's version."""
 
     endpoints: dict[int, Address]
@@ -36,12 +36,12 @@
     """Where the host's endpoint list comes from."""
 
     @property
-    def endpoint_list(self) -> Listed:
+    def endpoint_list(self) -> EndpointListView:
         """The current list."""
 
 
 class ListReaders(Protocol):
-    """The fleet's list readers: a few nodes poll for the list and share it with all others."""
+    """The fleet's list readers, as one node sees them: a few poll and share the list with all."""
 
     def may_poll(self) -> bool:
         """Whether this node is a list reader."""
@@ -63,7 +63,7 @@
     config: Config
     loop: asyncio.AbstractEventLoop
     budget: BufferBudget
-    on_descriptor_freed: Callable[[], None]  # called once a connection is closed
+    on_descriptor_freed: Callable[[], None]  # called when a connection has closed its descriptor
 
     def log(self, text: str) -> None:
         """Log a message."""
@@ -138,7 +138,7 @@
 
 
 class PredecessorNode(Protocol):
-    """The host of a process that hands over, as its exported state is made from it."""
+    """The host of a process that hands over: what its successor's initial state is made from."""
 
     balancer: Balancer
 
