--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -103,7 +103,8 @@
         try:
             request.half_closed = True
             self.notify_balancer(self.balancer.on_client_half_closed, request.id)
-            if request.flow is None:  # a streamed body goes on as it is
+            # A request with a streamed body is not given up: its body is being sent already.
+            if request.flow is None:
                 self.give_up_unwritten(request)
         finally:
             self.leave()
--- a/loadbalancer/proxy/descriptors.py
+++ b/loadbalancer/proxy/descriptors.py
@@ -39,8 +39,6 @@
             self.reserved += ADMIN_DESCRIPTORS + HANDOVER_DESCRIPTORS
         self.sockets = config.sockets - self.reserved  # for client and backend connections together
 
-    # ---- clients -----------------------------------------------------------
-
     def max_clients(self) -> int:
         """The maximum number of client connections that leaves backends their descriptors."""
         return self.sockets - max(self.sockets // UPSTREAM_FRACTION, self.upstream.count)
@@ -54,8 +52,6 @@
         if self.upstream.count > self.sockets // UPSTREAM_FRACTION:
             self.upstream.close_oldest()
 
-    # ---- backends ----------------------------------------------------------
-
     def may_open_upstream(self) -> bool:
         """Whether one more backend connection may be opened; at the limit, closes an idle one."""
         used = self.clients + self.upstream.count
@@ -63,7 +59,7 @@
             return True
         return used < self.sockets + REPLACEMENT_DESCRIPTORS and self.upstream.close_oldest()
 
-    # ---- while an upgrade runs two processes of this node ----------------------
+    # While an upgrade runs two processes of this node:
 
     def set_other_process_descriptors(self, descriptors_of_other: int) -> None:
         """Leave this many of the node's descriptors to the other process."""
--- a/loadbalancer/proxy/host.py
+++ b/loadbalancer/proxy/host.py
@@ -91,8 +91,6 @@
 
         return ConsulMembers(Path(config.consul), config, self.on_list_update, evidence_of=evidence)
 
-    # ---- start -------------------------------------------------------------
-
     def start(self, inheritance: Inheritance | None = None) -> None:
         """Start with the endpoint list of the configuration, or with the state of a predecessor.
 
@@ -133,15 +131,16 @@
             return
         number = config.settings.node
         if number >= len(config.peers):
-            logger.info("gossip between nodes is off: the setting peers has no node %d", number)
+            logger.info(
+                "running without gossip: the list `peers` has no address for this node, number %d",
+                number,
+            )
             return
         # Imported here, so that a node without gossip does not load the modules.
         from loadbalancer.gossip_transport.transport import GossipTransport
 
         self.peers = GossipTransport(self, config)
 
-    # ---- the endpoint list -------------------------------------------------
-
     def on_list_update(self, update: Update, rows: list[Listing], stale: list[int]) -> None:
         """The source has an update of the endpoint list, or a poll of it has failed.
 
@@ -161,7 +160,7 @@
                 self._on_list_usable()
             self.withdraw(stale)
 
-    # ---- an upgrade, in which two processes are one node ------------------------
+    # For an upgrade, during which two processes are one node:
 
     def use_limit_share(self, part: LimitShare) -> None:
         """Use only this share of the endpoints' concurrency limits from now on."""
@@ -178,7 +177,7 @@
         with self.event() as now:
             self.balancer.set_limit_share(now, part)
 
-    # ---- further actions of the Balancer -----------------------------------
+    # Actions of the Balancer that `AttemptHost` doesn't implement:
 
     def refuse(self, request: int, retry_after_ns: int) -> None:
         """Reject a request that was not executed; its client may retry after `retry_after_ns`."""
--- a/loadbalancer/proxy/ports.py
+++ b/loadbalancer/proxy/ports.py
@@ -19,9 +19,6 @@
     from loadbalancer.proxy.routing import Routing
 
 
-# ---- the endpoint list -----------------------------------------------------
-
-
 class EndpointListView(Protocol):
     """The current endpoint list: the address of each backend, and the list's version."""
 
@@ -56,9 +53,6 @@
         """This node's poll has failed; `older`: its response was older than the current list."""
 
 
-# ---- the host ----------------------------------------------------------------
-
-
 class _Host(Protocol):
     config: Config
     loop: asyncio.AbstractEventLoop
--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -76,8 +76,6 @@
             self.lifecycle.has_usable_list = True
             logger.info("ready: an endpoint list is in use")
 
-    # ---- start -------------------------------------------------------------
-
     async def run(self) -> None:
         """Serve until the process has been stopped and its last responses are sent.
 
@@ -152,8 +150,6 @@
         if self._predecessor is not None and not self._predecessor.relieved:
             self._predecessor.close()
 
-    # ---- the other process of this node during an upgrade --------------------
-
     def forward(self, message: Message) -> None:
         """Send a message to the other process of this node, if there is one."""
         if self._successor is not None:
@@ -161,8 +157,6 @@
         if self._predecessor is not None:
             self._predecessor.forward(message)
 
-    # ---- reload and drain ----------------------------------------------------
-
     def reload(self, forwarded: bool = False) -> None:
         """Reread and apply the configuration file; an unusable one changes nothing.
 
@@ -179,7 +173,8 @@
             logger.info("reload: %s; going on as before", err)
             return
         except Exception:
-            # Unlike above, the Balancer may have applied a part of the new settings.
+            # The log must not claim that nothing has changed: before it raised, the Balancer may
+            # have applied a part of the new settings.
             logger.exception("reload: applying the new settings failed; send SIGHUP to retry")
             return
         self.config = config
@@ -228,7 +223,8 @@
     except (ListError, RoutesError, SourceError, OSError) as err:
         print(f"loadbalancer: {err}", file=sys.stderr)
         return UNUSABLE_STATUS
-    # A flush to a log that nobody reads fails; that must not change the exit status.
+    # Flushing stderr raises if nobody reads the log any more (its pipe is closed or full). The
+    # stop itself has succeeded, so the exit status stays 0.
     with contextlib.suppress(OSError):
         sys.stderr.flush()
     # Skips the interpreter's own shutdown, which frees the loop and each connection one by one
--- a/loadbalancer/proxy/shutdown.py
+++ b/loadbalancer/proxy/shutdown.py
@@ -59,7 +59,7 @@
         self._listener = listener
         self._lifecycle = lifecycle
         self._before_close = before_close
-        self._fail_all_at_s = 0.0  # on the loop's clock
+        self._fail_all_at_s = 0.0  # when open requests are failed, by the event loop's clock
         self._is_finished = False  # all clients have their responses
         self._has_check_raised = False
         self.ended: asyncio.Future[None] = loop.create_future()
@@ -106,10 +106,11 @@
             self._loop.call_later(POLL_INTERVAL_S, self._poll)
 
     def _check_finished(self) -> None:
-        """Update `_is_finished`; an exception leaves it as it is, and only the first one is logged.
+        """Check whether the stop can end; if the check raises, the stop goes on waiting.
 
-        The check runs a hundred times a second. If it raised and was logged each time, it would
-        use up the log's rate limit, and messages about other faults would be dropped.
+        Only the first exception is logged. The check runs a hundred times a second, so logging
+        each one would use up the log's rate limit, and messages about other faults would be
+        dropped.
         """
         if self._has_check_raised:
             with contextlib.suppress(Exception):
--- a/tests/proxy/test_admin.py
+++ b/tests/proxy/test_admin.py
@@ -184,9 +184,6 @@
     assert proxy.process.wait(20) == 0
 
 
-# ---- the listener alone --------------------------------------------------------------
-
-
 def response_of(route: Route, half_closes: bool = False) -> bytes:
     """All that a caller receives that starts to read 0.2 s after its request.
 
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -25,8 +25,6 @@
     raise_fault,
 )
 
-# ---- events ------------------------------------------------------------------
-
 
 def test_the_outcome_of_an_attempt_that_fails_within_an_event_is_reported_after_it(
     host: Node, balancer: Balancer, upstream: Upstream, client: Client
@@ -70,9 +68,6 @@
     assert not upstream.attempts
 
 
-# ---- exceptions of the Balancer ------------------------------------------------
-
-
 def test_an_exception_in_a_request_event_fails_only_that_request(
     host: Node, balancer: Balancer, client: Client
 ) -> None:
@@ -272,9 +267,6 @@
     assert not host.open_request_ids
 
 
-# ---- the end of requests -------------------------------------------------------
-
-
 def test_an_ended_request_is_forgotten_after_the_outcome_of_its_last_attempt(
     host: Node, upstream: Upstream, client: Client
 ) -> None:
--- a/tests/proxy/test_periodic_work.py
+++ b/tests/proxy/test_periodic_work.py
@@ -109,9 +109,6 @@
     assert any("StepError" in line for line in logged)
 
 
-# ---- connections ---------------------------------------------------------------------
-
-
 @pytest.fixture
 def registry(loop: Loop) -> ConnectionRegistry:
     host = SimpleNamespace(
@@ -155,9 +152,6 @@
     assert second.check_half_close.call_count == 2
 
 
-# ---- the stop -------------------------------------------------------------------------
-
-
 class Stop:
     """A `Shutdown` whose collaborators are mocks."""
 
--- a/tests/proxy/test_policies.py
+++ b/tests/proxy/test_policies.py
@@ -39,8 +39,6 @@
     }
 }
 
-# ---- attempts by class, by the way that they end, and by policy ---------------
-
 ATTEMPT_TIMEOUT_MS = 400  # of the policy that times out attempts itself
 OBJECTIVE_MS = 800  # of the class, used where only it ends an attempt without a response
 POLICIES = {
@@ -175,8 +173,6 @@
         assert line.split(" ")[1] in ("502", "503")
 
 
-# ---- hedged requests -----------------------------------------------------------
-
 HEDGE = 'second_copy = { after = "40ms", most = 1.0 }\nattempts = 2'
 
 
