--- a/loadbalancer/gossip_transport/shared_list.py
+++ b/loadbalancer/gossip_transport/shared_list.py
@@ -110,7 +110,7 @@
         """Whether this node polls the list service itself."""
         return self._shared_list.is_polling
 
-    def unread(self) -> bool:
+    def needs_first_list(self) -> bool:
         """Whether the present list is from the configuration, and no node has read a list yet."""
         return not self._shared_list.replica.version.epoch
 
--- a/loadbalancer/proxy/downstream/listener.py
+++ b/loadbalancer/proxy/downstream/listener.py
@@ -123,7 +123,7 @@
         That is the case once no request is open or unread, and all responses have been delivered.
         """
         registry = self.registry
-        if self.lifecycle.relieved:
+        if self.lifecycle.handed_over:
             # The successor serves new clients, so closing may be spread over time.
             registry.close_idle_gradually(time.monotonic_ns())
         else:
--- a/loadbalancer/proxy/downstream/registry.py
+++ b/loadbalancer/proxy/downstream/registry.py
@@ -202,7 +202,7 @@
         """
         silent = [conn for conn in self.silent if conn.idle_sweeps() > SILENT_GRACE_SWEEPS]
         idle = [*self.idle, *silent]
-        for conn in idle[: self.lifecycle.idle_to_close(now, len(idle))]:
+        for conn in idle[: self.lifecycle.idle_close_count(now, len(idle))]:
             if conn.can_close():
                 conn.close()
 
--- a/loadbalancer/proxy/downstream/response_writer.py
+++ b/loadbalancer/proxy/downstream/response_writer.py
@@ -102,7 +102,11 @@
         if self._queued:
             return False  # queued requests have been accepted and must be answered
         registry = self._registry
-        return registry.lifecycle.closes or self._half_closed or registry.too_many_idle()
+        return (
+            registry.lifecycle.closes_after_response
+            or self._half_closed
+            or registry.too_many_idle()
+        )
 
     # For streamed responses, the connection is the sink of their flow.
 
--- a/loadbalancer/sources/discovery.py
+++ b/loadbalancer/sources/discovery.py
@@ -128,7 +128,7 @@
         if backoff_ns > 0:
             self._schedule_retry(backoff_ns)
             return
-        if self.readers is not None and self.readers.unread():
+        if self.readers is not None and self.readers.needs_first_list():
             self._require_full_list()
         self._send(0)
 
--- a/tests/proxy/test_races.py
+++ b/tests/proxy/test_races.py
@@ -93,7 +93,7 @@
             accept(discovery).message()  # the next poll: the list has been read
             sent = time.monotonic()
             peer.reset()  # possibly executed; the retry connects to the other backend
-            until(second.is_awaited)
+            until(second.is_being_connected_to)
             until(lambda: time.monotonic() > sent + REPEAT_WINDOW_S)
             retry = second.open()
             assert client.message()[0] == "HTTP/1.1 502 Bad Gateway"
@@ -104,14 +104,14 @@
     ("path", "body"), [("/balance/1", None), ("/credit/1", b"x")], ids=["safe", "unsafe"]
 )
 def test_bytes_on_an_idle_connection_are_not_taken_for_a_response(
-    backend: socket.socket, n: Running, path: str, body: bytes | None
+    backend: socket.socket, proxy: Running, path: str, body: bytes | None
 ) -> None:
     """A backend writes a part of a response, such as a 408, on an idle connection.
 
     On this connection the next request would take it as the start of its own response. So that
     request is sent on a new connection, and nothing is written on the old one.
     """
-    client = n.connect()
+    client = proxy.connect()
     client.send(request(path, body, rid="first"))
     idle = accept(backend)
     idle.message()
@@ -127,23 +127,23 @@
 
 
 def test_signals_during_a_stop_do_not_affect_an_open_request(
-    tmp_path: Path, backend: socket.socket, n: Running
+    tmp_path: Path, backend: socket.socket, proxy: Running
 ) -> None:
     """SIGHUP and a second SIGTERM arrive while the stopping node waits for its last response."""
     with listen() as moved:
-        client = n.connect()
+        client = proxy.connect()
         client.send(request("/credit/1", b"once", rid="open"))
         peer = accept(backend)
         peer.message()
-        n.process.send_signal(signal.SIGTERM)
-        n.says("stopping")
+        proxy.process.send_signal(signal.SIGTERM)
+        proxy.says("stopping")
         raw = json.loads((tmp_path / "config.json").read_text())
         raw["discovery"] = f"127.0.0.1:{moved.getsockname()[1]}"
         replace_config(tmp_path, json.dumps(raw))
-        n.process.send_signal(signal.SIGHUP)
-        n.says("reloaded")
-        n.process.send_signal(signal.SIGTERM)
+        proxy.process.send_signal(signal.SIGHUP)
+        proxy.says("reloaded")
+        proxy.process.send_signal(signal.SIGTERM)
         peer.send(answer(b"served"))
         assert client.message()[2] == b"served"
         client.close()
-        assert n.process.wait(LIMIT) == 0
+        assert proxy.process.wait(LIMIT) == 0
--- a/tests/proxy/upstream/test_connect_timeout.py
+++ b/tests/proxy/upstream/test_connect_timeout.py
@@ -86,11 +86,11 @@
             _, pool = begin_connecting(host, backend.port)
             await asyncio.sleep(TIMEOUT_S / 2)
             assert host.outcomes == []
-            assert backend.is_awaited()
+            assert backend.is_being_connected_to()
             await asyncio.wait_for(host.descriptor_closed.wait(), 5)
             assert host.outcomes == [Outcome.CONNECT_FAILED]
             assert pool.count == 0
-            assert not backend.is_awaited()
+            assert not backend.is_being_connected_to()
 
     run(main())
 
--- a/tests/proxy/upstream/test_unfinished_uploads.py
+++ b/tests/proxy/upstream/test_unfinished_uploads.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def n(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
+def proxy(tmp_path: Path, backend: socket.socket) -> Iterator[Running]:
     """A node with very long request timeouts."""
     known = roster(target("s-1", backend.getsockname()[1]))
     with node(tmp_path, known, settings={"classes": patient_classes()}) as running:
@@ -65,12 +65,12 @@
     return peer
 
 
-def kernel_capacity(n: Running, backend: socket.socket) -> int:
+def kernel_capacity(proxy: Running, backend: socket.socket) -> int:
     """Measure how much of an upload fits into the kernel's buffers if the backend does not read.
 
     The node discards the rest of the upload once the backend shuts down its sending side.
     """
-    client = n.connect()
+    client = proxy.connect()
     sender = threading.Thread(target=client.send, args=(upload(MANY_BYTES),))
     sender.start()
     peer = accept_upload(backend)
@@ -85,7 +85,7 @@
 
 
 def test_an_upload_buffered_in_the_node_ends_when_its_client_disconnects(
-    n: Running, backend: socket.socket
+    proxy: Running, backend: socket.socket
 ) -> None:
     """A client disconnects after the node has read its long body but not yet written its end.
 
@@ -93,8 +93,8 @@
     used to continue until the request's deadline: it occupied a slot and a backend connection,
     and then counted as a failed connect against the backend.
     """
-    message = upload(kernel_capacity(n, backend) + WAITING_BYTES)
-    client = n.connect()
+    message = upload(kernel_capacity(proxy, backend) + WAITING_BYTES)
+    client = proxy.connect()
     client.send(message)
     peer = accept_upload(backend)
     client.reset()
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -130,7 +130,7 @@
     made._on_message(Serving())
     assert not link.is_open
     assert not made.relieved
-    process.lifecycle.successor_gone.assert_called_once_with()
+    process.lifecycle.on_successor_disconnected.assert_called_once_with()
     process.node.end_sharing.assert_called_once_with()
     process.listener.resume_accepting.assert_called_once_with()
     process.node.discovery.resume.assert_called_once_with()
@@ -158,13 +158,13 @@
     process.lifecycle.stopping = True
     predecessor._on_message(Serving())
     predecessor._on_closed()
-    process.lifecycle.successor_gone.assert_called_once_with()
+    process.lifecycle.on_successor_disconnected.assert_called_once_with()
     process.listener.resume_accepting.assert_not_called()
 
 
 def test_a_successor_that_starts_is_passed_nothing(predecessor: Predecessor, link: Any) -> None:
     """It reads the configuration itself, and is handed the standby with the state."""
-    predecessor.pass_on(SetStandby(on=True))
+    predecessor.forward(SetStandby(on=True))
     assert link.sent == []
 
 
@@ -265,7 +265,7 @@
     either = request.getfixturevalue(side)
     either._on_message(Reload())
     either._on_message(SetStandby(on=True))
-    process.reload.assert_called_once_with(passed_on=True)
+    process.reload.assert_called_once_with(forwarded=True)
     process.set_standby.assert_called_once_with(True)
 
 
