--- a/loadbalancer/proxy/process.py
+++ b/loadbalancer/proxy/process.py
@@ -113,16 +113,16 @@
         from loadbalancer.upgrade.successor import Successor
 
         successor = self._successor = Successor(self)
-        await successor.find()
+        await successor.find_predecessor()
         # Each process has a second address of its own. It is bound before the handover, so that
         # a wrong one ends this process and not the old one.
         AdminCalls(self).listen(admin)
-        inheritance = await successor.meet()
+        inheritance = await successor.receive_state()
         apply_routes(self.node)
         self.node.start(inheritance)
         if inheritance is not None and inheritance.standby:
             self.set_standby(True)
-        await successor.serve()
+        await successor.announce_serving()
         if successor.listener is not None:
             port = self.listener.adopt(successor.listener)
         else:
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -162,7 +162,7 @@
     def _on_message(self, message: Message) -> None:
         match message:
             case Serving():
-                self._relieve()
+                self._start_draining()
             case ListUpdate(body):
                 self._process.node.discovery.on_forwarded(body)
             case Reload():
@@ -174,7 +174,7 @@
 
     # ---- draining ----------------------------------------------------------
 
-    def _relieve(self) -> None:
+    def _start_draining(self) -> None:
         """Accept nothing more and begin to drain: the successor serves."""
         handing_over = self._state
         if not isinstance(handing_over, HandingOver):
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -1,8 +1,12 @@
 """The new process's side of an upgrade: it takes over from a running process, if there is one.
 
-    Alone --find--> Connected --meet--> AwaitingState --HandedState--> Starting
-                                                                           |
-      Alone <--- the link closes, in any state <--- Sharing <---- serve ---+
+    Alone --find_predecessor--> Connected --receive_state--> AwaitingState
+                                                                   |
+                                                              HandedState
+                                                                   v
+      Sharing <-----------------announce_serving--------------- Starting
+
+When the link closes, in any state, the process returns to Alone.
 
 Every wait for the predecessor is bounded: one that is unresponsive must not stop a start.
 """
@@ -103,7 +107,7 @@
         self._called_standby: bool | None = None  # what the last call at this process said
         self.listener: socket.socket | None = None  # the predecessor's, once it is given
 
-    async def find(self) -> None:
+    async def find_predecessor(self) -> None:
         """Look for a predecessor and take its listening socket.
 
         Failure: the predecessor is stopped (SIGSTOP) or swapped out. Its kernel accepts the
@@ -129,7 +133,7 @@
             self._state = Connected(sock)
             return
 
-    async def meet(self) -> Inheritance | None:
+    async def receive_state(self) -> Inheritance | None:
         """What the predecessor hands over; None where there is none, or it sends nothing.
 
         Failure: `/active` comes at this process while the predecessor's standby is on its way.
@@ -154,7 +158,7 @@
             return inheritance._replace(standby=self._called_standby)
         return inheritance
 
-    async def serve(self) -> None:
+    async def announce_serving(self) -> None:
         """Announce that this process serves, and wait for what the predecessor retains.
 
         Failure: without that wait both would use all slots of an endpoint for a moment. The
@@ -196,7 +200,7 @@
         """Take what the predecessor hands over; without a usable state, start alone."""
         state = self._state
         if not isinstance(state, AwaitingState) or state.inheritance.done():
-            return  # later than STATE_TIMEOUT_S: `meet` is about to close the link
+            return  # later than STATE_TIMEOUT_S: `receive_state` is about to close the link
         try:
             inheritance = handed_state.parse(message.state, time.monotonic_ns())
         except HandedStateError as err:
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -356,7 +356,7 @@
 
 async def _serve(heir: Any) -> None:
     heir._process.loop = asyncio.get_running_loop()
-    await heir.serve()
+    await heir.announce_serving()
 
 
 def _refuse(_node: object, _config: object) -> None:
@@ -383,7 +383,7 @@
     )
     reported: Any = SimpleNamespace(done=lambda: True)
     with (
-        mock.patch.object(elder, "_relieve", lambda: received.update(says="serving")),
+        mock.patch.object(elder, "_start_draining", lambda: received.update(says="serving")),
         mock.patch.object(handed, "parse", lambda raw, _now: raw),
     ):
         made, _ = _link(heir._on_message)
--- a/tests/upgrade/test_calls_while_handing_over.py
+++ b/tests/upgrade/test_calls_while_handing_over.py
@@ -204,7 +204,7 @@
             return FakeTransport(), None
 
         monkeypatch.setattr(loop, "connect_accepted_socket", connect, raising=False)
-        return await successor.meet()
+        return await successor.receive_state()
 
     inheritance = asyncio.run(start())
     assert inheritance is not None
