--- a/loadbalancer/upgrade/__init__.py
+++ b/loadbalancer/upgrade/__init__.py
@@ -1,1 +1,4 @@
-"""Handing over from one process to the next at the same addresses; both are one node meanwhile."""
+"""Upgrade of a node: a new process takes over the listening address from the running one.
+
+Until the old process has drained, both together act as one node.
+"""
--- a/loadbalancer/upgrade/codec.py
+++ b/loadbalancer/upgrade/codec.py
@@ -1,7 +1,9 @@
-"""Messages as bytes: a length of four bytes, big endian, and one JSON object.
+"""Encoding of the messages between two processes of one node.
 
-A message is known by its first key; the keys below are the wire's words for the records of
-`messages`. A peer of another version may send further keys or messages: they are ignored.
+Each frame is a four-byte big-endian length followed by one JSON object. The kind of a message
+is recognized by a key that only this kind has; the constants below are the keys on the wire.
+Unknown keys and messages of an unknown kind are ignored, as a peer of another version may send
+them.
 """
 
 from __future__ import annotations
@@ -23,7 +25,7 @@
 
 LENGTH = struct.Struct(">I")
 MAX_FRAME_BYTES = 16 << 20
-REQUEST_ID_CHARSET = "latin-1"  # gives every byte a character
+REQUEST_ID_CHARSET = "latin-1"  # maps every byte to one character, so that any id can be encoded
 
 HANDED_STATE = "state"
 SERVING = "serving"
@@ -34,37 +36,37 @@
 
 
 class MessageError(ProtocolError):
-    """Bytes that are no message."""
+    """A frame or message that can't be decoded."""
 
 
 def encode(message: Message) -> bytes:
-    """A message's frame."""
+    """Encode a message as a frame."""
     return encode_frame(_fields(message))
 
 
 def encode_frame(fields: dict[str, Any]) -> bytes:
-    """The frame of one JSON object."""
+    """Encode a JSON object as a frame."""
     body = json.dumps(fields).encode()
     return LENGTH.pack(len(body)) + body
 
 
 def decode(fields: dict[str, Any]) -> Message | None:
-    """The message of a frame's JSON object, None where its kind is not known.
+    """Decode the JSON object of a frame; returns None for a message of an unknown kind.
 
     Raises:
-        MessageError: its kind is known and it is malformed.
+        MessageError: the message is of a known kind but malformed.
     """
     try:
         return _decode(fields)
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as err:
-        raise MessageError(f"a malformed message: {err}") from err
+        raise MessageError(f"malformed message: {err}") from err
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames.
+    """Splits a byte stream into frames.
 
-    Failure: a peer that announces a huge frame would have this process buffer it. A length
-    beyond MAX_FRAME_BYTES is an error before any of the frame is read.
+    A length above MAX_FRAME_BYTES is rejected as soon as it is read: otherwise a peer that
+    announces a huge frame would make this process buffer all of it.
     """
 
     __slots__ = ("_buffer",)
@@ -73,20 +75,20 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take the stream's next bytes."""
+        """Append received bytes."""
         self._buffer += data
 
     def next_frame(self) -> dict[str, Any] | None:
-        """The next frame's JSON object, None until all of it has come.
+        """Return the JSON object of the next frame, or None until the frame is complete.
 
         Raises:
-            MessageError: it is too long, or no JSON object.
+            MessageError: the frame is too long, or does not hold a JSON object.
         """
         if len(self._buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self._buffer)
         if length > MAX_FRAME_BYTES:
-            raise MessageError(f"a frame of {length} bytes")
+            raise MessageError(f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
         end = LENGTH.size + length
         if len(self._buffer) < end:
             return None
@@ -99,9 +101,9 @@
     try:
         fields = json.loads(body)
     except (ValueError, RecursionError) as err:
-        raise MessageError(f"no JSON: {err}") from err
+        raise MessageError(f"frame is not valid JSON: {err}") from err
     if not isinstance(fields, dict):
-        raise MessageError("no JSON object")
+        raise MessageError("frame is not a JSON object")
     return fields
 
 
@@ -125,7 +127,7 @@
     return {
         RETAINED_SLOTS: {str(backend): slots for backend, slots in message.slots.items()},
         DESCRIPTORS: message.descriptors,
-        REQUEST_IDS: [label.decode(REQUEST_ID_CHARSET) for label in message.request_ids],
+        REQUEST_IDS: [request_id.decode(REQUEST_ID_CHARSET) for request_id in message.request_ids],
         DRAINED: message.drained,
     }
 
@@ -150,6 +152,8 @@
     return RetainedCapacity(
         slots={int(key): int(slots) for key, slots in fields[RETAINED_SLOTS].items()},
         descriptors=int(fields[DESCRIPTORS]),
-        request_ids=tuple(str(label).encode(REQUEST_ID_CHARSET) for label in fields[REQUEST_IDS]),
+        request_ids=tuple(
+            str(request_id).encode(REQUEST_ID_CHARSET) for request_id in fields[REQUEST_IDS]
+        ),
         drained=bool(fields.get(DRAINED)),
     )
--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -1,4 +1,7 @@
-"""A relieved process's share of the node, which shrinks as its clients leave."""
+"""The part of a node's capacity that a draining process still uses.
+
+It shrinks as the clients of the process disconnect.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +16,30 @@
 
 
 class Drain:
-    """What a predecessor still uses of the node's slots, idle connections and descriptors.
+    """Tracks the slots, idle connections and descriptors that the predecessor still uses.
 
-    Failure: the two processes together would send an endpoint more than the node's limit, or
-    open more descriptors than the node may. So each figure is only ever lowered, and lowered
-    here before the successor learns of it: a message that is late leaves some unused.
+    The two processes together must neither exceed the node's limit at an endpoint nor the
+    node's limit of descriptors. So the predecessor never takes back what it has released, and
+    it stops using slots and descriptors before it tells the successor. A delayed report only
+    leaves some of them unused for a while.
 
-    Failure: slots are released, and a later step raises before they are reported. A report
-    holds only what has changed, so neither process would use them until this one exits. What
-    is released stays in `_unreported` until a report with it is made.
+    A report holds only the slots that have changed since the previous one. If an exception
+    occurs between the release of slots and their report, the slots would stay unused by both
+    processes until this one exits. Released slots are therefore kept in `_unreported` until
+    they have been included in a report.
     """
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._share = PredecessorShare()
         self._initial_clients = 1
-        self._initial_idle = 0
+        self._initial_idle = 0  # idle connections to endpoints
         self._released_descriptors = 0
-        self._unreported: dict[int, int] = {}  # slots by endpoint
-        self.need = 1.0  # the part of the clients that is left
+        self._unreported: dict[int, int] = {}  # slots still retained, by endpoint id
+        self.need = 1.0  # fraction of the initial clients that are still connected
 
     def begin(self) -> RetainedCapacity:
-        """Divide the node's slots; what this process retains of them."""
+        """Divide the slots between both processes and report those that this process retains."""
         self._initial_clients = max(self._node.clients, 1)
         self._initial_idle = self._node.upstream.idle_count()
         retained = self._share.begin(self._endpoint_usage())
@@ -42,7 +47,7 @@
         return self.report(retained)
 
     def advance(self) -> RetainedCapacity:
-        """Release what the clients that have left no longer need."""
+        """Release the capacity of disconnected clients and report what is still retained."""
         node = self._node
         self.need = min(self.need, node.clients / self._initial_clients)
         self._unreported |= self._share.release(self._endpoint_usage(), self.need)
@@ -53,7 +58,11 @@
         return report
 
     def report(self, slots: dict[int, int]) -> RetainedCapacity:
-        """The message that says so, with these slots; first leaves descriptors to the successor."""
+        """Build a report with these slots.
+
+        Before that, this process lowers its own limit of descriptors by those that the
+        successor may open.
+        """
         node = self._node
         self._released_descriptors = max(self._released_descriptors, node.releasable_descriptors())
         node.set_other_process_descriptors(self._released_descriptors)
--- a/loadbalancer/upgrade/handed_state.py
+++ b/loadbalancer/upgrade/handed_state.py
@@ -1,7 +1,8 @@
-"""What a process hands its successor: the endpoint list, what was learned, its standby.
+"""The state that a process hands over to its successor.
 
-The data are as JSON can carry them. Times are spans before the moment of writing, so that the
-two processes need no common clock.
+It consists of the endpoint list, the learned state of the load balancer and whether the node is
+in standby, in a form that JSON can represent. Times are ages relative to the moment of the
+export, so that the two processes need no common clock.
 """
 
 from __future__ import annotations
@@ -18,35 +19,35 @@
     from loadbalancer.core.balancing.records import Endpoint
     from loadbalancer.proxy.ports import Leaving
 
-NO_BOOT = -1  # in place of an age: the endpoint's start is not known
+UNKNOWN_AGE = -1  # stands for the age of an endpoint whose start time is not known
 
-# Keys of the handed state.
+# JSON keys of the handed-over state.
 VERSION, ENDPOINTS, LEARNED, STANDBY = "rev", "members", "learned", "standby"
 
 
 class HandedStateError(ProtocolError, ValueError):
-    """Malformed data; also a ValueError, as for any unsuitable value."""
+    """The handed-over state is malformed; a ValueError too, like other unsuitable values."""
 
 
 class InheritedEndpoint(NamedTuple):
-    """One endpoint of the list."""
+    """One endpoint of the handed-over list."""
 
     listing: Listing
     address: Address
-    boot_ms: int  # Unix time as discovery gave it, to compare with its next list
+    boot_ms: int  # Unix time as reported by discovery, to be compared with its next list
 
 
 class Inheritance(NamedTuple):
-    """What a predecessor handed over."""
+    """The state received from a predecessor."""
 
-    rev: int  # the list's version
+    rev: int  # revision of the endpoint list
     members: tuple[InheritedEndpoint, ...]
     learned: learned_state.LearnedState
     standby: bool
 
 
 def export(node: Leaving, standby: bool) -> dict[str, Any]:
-    """What this node hands over, as data for JSON."""
+    """Return the state that this node hands over, as JSON-compatible data."""
     now = time.monotonic_ns()
     endpoint_list = node.discovery.endpoint_list
     rows = []
@@ -65,21 +66,25 @@
 
 
 def parse(raw: Any, now: int) -> Inheritance:
-    """Check exported data; `now` is the monotonic clock's time in nanoseconds.
+    """Parse and check exported data.
+
+    Args:
+        raw: the data, as decoded from JSON.
+        now: time of the monotonic clock, in nanoseconds.
 
     Raises:
-        HandedStateError: any of it is malformed.
+        HandedStateError: the data is malformed.
     """
     try:
         members = tuple(_parse_endpoint(row, now) for row in raw[ENDPOINTS])
         learned = learned_state.parse(raw[LEARNED])
         return Inheritance(int(raw[VERSION]), members, learned, bool(raw[STANDBY]))
     except (KeyError, TypeError, ValueError, OverflowError) as err:
-        raise HandedStateError(f"not what a process hands over: {err}") from None
+        raise HandedStateError(f"malformed state: {err}") from None
 
 
 def _export_endpoint(endpoint: Endpoint, address: Address, boot_ms: int, now: int) -> list[Any]:
-    age = max(now - endpoint.boot, 0) if endpoint.boot else NO_BOOT
+    age = max(now - endpoint.boot, 0) if endpoint.boot else UNKNOWN_AGE
     return [
         endpoint.id,
         int(endpoint.state),
@@ -96,8 +101,8 @@
 def _parse_endpoint(row: Any, now: int) -> InheritedEndpoint:
     backend, state, zone, cell, kind, age, rating, host, port, boot_ms = row
     if not math.isfinite(rating):
-        raise HandedStateError(f"{rating!r} is no rating")
-    boot = 0 if age < 0 else max(now - int(age), 1)  # 0 stands for an unknown start
+        raise HandedStateError(f"rating {rating!r} is not a finite number")
+    boot = 0 if age < 0 else max(now - int(age), 1)  # 0: start time not known
     listing = Listing(
         int(backend), State(state), int(zone), int(cell), int(kind), boot, float(rating)
     )
--- a/loadbalancer/upgrade/link.py
+++ b/loadbalancer/upgrade/link.py
@@ -1,4 +1,4 @@
-"""The connection between the two processes of one node, once they have greeted each other."""
+"""The message connection between the two processes of one node, after the greeting."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 
 
 class Link(asyncio.Protocol):
-    """Messages over a connected socket.
+    """Sends and receives messages over a connected socket.
 
     `on_message` is called with each message; `on_closed` is called once, whichever side closes.
 
-    Failure: the peer is another version, or another program, and sends what is no message.
-    The link is closed then, as if the peer had ended, and the process goes on alone.
+    If the peer sends bytes that can't be decoded, because it is of another version or another
+    program, the link is closed as if the peer had exited, and this process goes on alone.
 
-    Failure: `on_message` raises, as where a reload has a fault. An exception that reached the
-    event loop would end the link: each process would take the other for dead while both serve,
-    and use the whole of every cap. It is logged, and the link goes on with the next message.
+    An exception in `on_message`, such as a bug in a reload, is logged, and the link continues
+    with the next message. If the exception reached the event loop, the loop would close the
+    link: each process would assume that the other had exited although both serve, and both
+    would use each endpoint's whole limit.
     """
 
     def __init__(
@@ -35,11 +36,11 @@
         self._on_closed: Callable[[], None] | None = on_closed
         self._frames = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self._unsent: list[Message] = []  # of the time before the transport
+        self._unsent: list[Message] = []  # messages queued until the transport is connected
 
     @property
     def is_open(self) -> bool:
-        """Whether `on_closed` is still to be called."""
+        """Whether the link has not been closed yet, by either side."""
         return self._on_closed is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -50,10 +51,10 @@
             self.send(message)
 
     def send(self, message: Message) -> None:
-        """Send a message; it is lost where the link is closed.
+        """Send a message; on a closed link it is dropped.
 
-        Failure: an operator's call comes in the turns of the loop before the transport is made.
-        Dropped, it would hold for one of the two processes. It is sent with the transport.
+        Messages sent before the transport is connected are queued. An operator's call may
+        arrive that early, and if it were dropped, only one of the two processes would obey it.
         """
         if self._transport is None:
             self._unsent.append(message)
@@ -69,7 +70,10 @@
                 if message is not None:
                     run_logged(self._on_message, message)
         except MessageError as err:
-            logger.info("upgrade: the other process sent what can't be used: %s", err)
+            logger.info(
+                "upgrade: received an invalid message from the other process; closing the link: %s",
+                err,
+            )
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -78,7 +82,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection, without waiting for what is still to be written."""
+        """Close the connection at once, discarding unsent data."""
         on_closed, self._on_closed = self._on_closed, None
         if on_closed is None:
             return
--- a/loadbalancer/upgrade/messages.py
+++ b/loadbalancer/upgrade/messages.py
@@ -1,6 +1,6 @@
-"""What the two processes of one node say to each other while one succeeds the other.
+"""Messages that the two processes of one node exchange during an upgrade.
 
-Way of each: `codec` gives its JSON form, `link` carries it.
+`codec` defines their JSON form, `link` sends and receives them.
 """
 
 from __future__ import annotations
@@ -10,40 +10,40 @@
 
 
 class HandedState(NamedTuple):
-    """Predecessor, once: all that it hands over, in the form of `handed_state.export`."""
+    """Sent once by the predecessor: its state, as returned by `handed_state.export`."""
 
     state: Any
 
 
 class Serving:
-    """Successor, once: it accepts the clients' connections from now on."""
+    """Sent once by the successor: from now on it accepts the clients' connections."""
 
     __slots__ = ()
 
 
 class RetainedCapacity(NamedTuple):
-    """Predecessor, in answer to Serving and then with every tick: what it still uses."""
+    """Sent by the predecessor in answer to Serving and then at every drain tick: what it uses."""
 
-    slots: Mapping[int, int]  # by endpoint; only those that have changed, 0 where released
-    descriptors: int  # the most that it has open
-    request_ids: tuple[bytes, ...]  # of its clients' open requests
-    drained: bool  # no client's connection is left
+    slots: Mapping[int, int]  # by endpoint id; only changed ones, 0 for released
+    descriptors: int  # upper bound of the open descriptors
+    request_ids: tuple[bytes, ...]  # of its open requests
+    drained: bool  # no client is connected any more
 
 
 class ListUpdate(NamedTuple):
-    """Successor: an answer of discovery's, which only the successor polls."""
+    """Sent by the successor: an answer of the discovery service, which only it polls."""
 
     body: bytes
 
 
 class Reload:
-    """Either: it was asked to read its configuration again."""
+    """Sent by either process after SIGHUP: read the configuration again."""
 
     __slots__ = ()
 
 
 class SetStandby(NamedTuple):
-    """Either: an operator began a standby or ended it."""
+    """Sent by either process after an operator's call: begin or end the standby."""
 
     on: bool
 
--- a/loadbalancer/upgrade/ports.py
+++ b/loadbalancer/upgrade/ports.py
@@ -1,4 +1,4 @@
-"""What an upgrade asks of the process that it is of."""
+"""The interface through which the upgrade code uses the process that it runs in."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
     lifecycle: Lifecycle
 
     def reload(self, passed_on: bool = False) -> None:
-        """Read the configuration again; `passed_on`: the other process asked for it."""
+        """Read the configuration again.
+
+        Args:
+            passed_on: the request came from the other process, so it is not sent back.
+        """
 
     def set_standby(self, on: bool) -> None:
-        """Begin or end a standby."""
+        """Begin (True) or end (False) a standby."""
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -1,12 +1,12 @@
-"""The running process's side of an upgrade: it hands over to a successor, then drains.
+"""The old process's side of an upgrade: it hands over to a successor, then drains.
 
                   HELLO of a successor                Serving
            Sole ------------------------> HandingOver ---------> Draining
              ^                                 |                     |
              +-------- the link closes --------+---------------------+
 
-What the two processes may use meanwhile is decided in `core/process_pair`; what readiness,
-answers and idle connections do while this one drains, in `proxy/lifecycle`.
+`core/process_pair` decides how the two processes divide the node's limits. `proxy/lifecycle`
+decides how a draining process answers readiness checks and when it closes connections.
 """
 
 from __future__ import annotations
@@ -44,26 +44,28 @@
 
 
 class Sole:
-    """No successor has connected: this process is the whole node."""
+    """No successor is connected: this process is the only one of the node."""
 
     __slots__ = ()
 
 
 class HandingOver:
-    """A successor has the listening socket and starts; this process serves as before."""
+    """A successor has received the listening socket and starts up; this process still serves."""
 
     __slots__ = ("link", "reload_requested", "standby_called", "start")
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.start: asyncio.Task[None] | None = None  # the loop itself holds no task
-        # Whether these have come while the successor starts, at either process.
+        self.start: asyncio.Task[None] | None = (
+            None  # referenced here, as the event loop keeps only weak references to tasks
+        )
+        # Whether either process received such a call or signal while the successor starts up.
         self.standby_called = False
         self.reload_requested = False
 
 
 class Draining:
-    """The successor serves; this process serves the clients that it still has."""
+    """The successor serves new clients; this process serves those still connected to it."""
 
     __slots__ = ("drain", "link", "timer")
 
@@ -76,8 +78,9 @@
 class Predecessor:
     """Waits for a successor and hands over to it.
 
-    Failure: the successor ends at any point, by a crash or a faulty configuration. Its link
-    closes, and this process is the whole node again, with the listening socket that it kept.
+    The successor may exit at any point, through a crash or an invalid configuration. Its link
+    then closes, and this process serves alone again, on the listening socket that it has kept
+    open.
     """
 
     def __init__(self, process: Process) -> None:
@@ -89,23 +92,24 @@
 
     @property
     def relieved(self) -> bool:
-        """Whether a successor serves the clients' address."""
+        """Whether a successor has taken over the clients' address."""
         return isinstance(self._state, Draining)
 
     def open(self) -> None:
-        """Let a successor find this process from now on."""
+        """Start listening for a successor."""
         self._upgrade_listener.open()
 
     def close(self) -> None:
-        """Let no further successor find this process."""
+        """Stop listening for a successor."""
         self._upgrade_listener.close()
 
     def pass_on(self, message: Message) -> None:
-        """Send a message to the successor; one that still starts is told once it serves.
+        """Forward a message to the successor; one that is starting up gets it once it serves.
 
-        Failure: a call or SIGHUP comes after the successor was handed the standby and has read
-        the configuration. Not passed on, the successor serves as active while its operator was
-        answered `standby`, or serves with the replaced settings. `_send_missed` repeats it.
+        A call or SIGHUP may arrive after the successor has received the standby flag and read
+        its configuration. Without being forwarded, the successor would serve as active although
+        the operator was answered `standby`, or would serve with outdated settings.
+        `_send_missed` sends what arrived during the startup.
         """
         state = self._state
         if isinstance(state, Draining):
@@ -120,26 +124,26 @@
         return isinstance(self._state, Sole)
 
     def _hand_over(self, caller: socket.socket) -> None:
-        """Give a successor the listening socket and begin to talk to it.
+        """Send a successor the listening socket and start the link to it.
 
         Raises:
-            OSError: it can't be given, or another successor has it.
+            OSError: the socket can't be sent, or another successor has connected first.
         """
         listener = self._process.listener.sock
         if listener is None:
-            raise GreetingError("this process listens no longer")
+            raise GreetingError("this process no longer listens")
         if not self._is_sole():
-            raise GreetingError("another successor has come first")
+            raise GreetingError("another successor has connected first")
         send_listener(caller, listener)
         link = Link(self._on_message, self._on_closed)
         self._state = state = HandingOver(link)
         state.start = self._process.loop.create_task(self._start_link(link, caller))
 
     async def _start_link(self, link: Link, caller: socket.socket) -> None:
-        """Connect the link and send the state.
+        """Connect the link and send the state; any exception closes the link.
 
-        Failure: a fault ends this task unseen, and the state says for good that a successor
-        starts: every later one is rejected. So whatever is raised closes the link.
+        Otherwise the exception would go unnoticed in this task, and the process would stay in
+        HandingOver and reject every later successor until a restart.
         """
         try:
             transport, _ = await self._process.loop.connect_accepted_socket(lambda: link, caller)
@@ -148,12 +152,12 @@
             link.close()
             return
         except Exception:
-            logger.exception("upgrade: not handed over")
+            logger.exception("upgrade: can't start the link to the successor")
             link.close()
             return
         logger.info("upgrade: a successor has connected")
         if not run_logged(self._send_state, link):
-            link.close()  # the successor starts without; it would wait, and then do the same
+            link.close()  # so that the successor need not wait for the state until its timeout
 
     def _send_state(self, link: Link) -> None:
         state = handed_state.export(self._process.node, self._process.lifecycle.standby)
@@ -169,13 +173,15 @@
                 self._process.reload(passed_on=True)
             case SetStandby(on):
                 if isinstance(self._state, HandingOver):
-                    self._state.standby_called = True  # it may cross the standby handed over
+                    self._state.standby_called = (
+                        True  # the state already sent may hold the old flag
+                    )
                 self._process.set_standby(on)
 
     # ---- draining ----------------------------------------------------------
 
     def _start_draining(self) -> None:
-        """Accept nothing more and begin to drain: the successor serves."""
+        """Stop accepting connections and start to drain, as the successor serves."""
         handing_over = self._state
         if not isinstance(handing_over, HandingOver):
             return
@@ -185,12 +191,12 @@
         try:
             self._begin_drain(state)
         except Exception:
-            # Failure: a fault here leaves a process that neither accepts nor drains. Closing
-            # the link undoes what was begun.
-            logger.exception("upgrade: the drain can't begin")
+            # Otherwise this process would neither accept connections nor drain. Closing the
+            # link undoes the steps that have been done.
+            logger.exception("upgrade: can't start to drain; closing the link to the successor")
             state.link.close()
             return
-        logger.info("upgrade: the successor serves; draining %d connections", node.clients)
+        logger.info("upgrade: the successor serves; draining %d client connections", node.clients)
         run_logged(self._send_missed, handing_over)
         self._advance(state)
 
@@ -201,15 +207,16 @@
         self.close()
         node.discovery.suspend()
         if node.peers is not None:
-            # One process gossips for the node: two writers of one node's records would
-            # contradict each other at all the others.
+            # Only one process gossips for the node: if both wrote the node's records, the
+            # other nodes would see them contradict each other.
             node.peers.close(leaving=False)
         state.link.send(state.drain.begin())
 
     def _send_missed(self, handing_over: HandingOver) -> None:
-        """Send what the successor was not told while it started.
+        """Send the calls and signals that arrived while the successor was starting up.
 
-        Only where a call has come: a needless SetStandby could cross one at the successor.
+        SetStandby is sent only after a call: an unneeded one could cross a newer call at the
+        successor and undo it.
         """
         if handing_over.standby_called:
             handing_over.link.send(SetStandby(self._process.lifecycle.standby))
@@ -217,7 +224,7 @@
             handing_over.link.send(Reload())
 
     def _advance(self, state: Draining) -> None:
-        """Close idle clients, release what is no longer needed, and say so; then once a tick."""
+        """Close idle clients, release and report unused capacity; repeats at every drain tick."""
         run_logged(self._process.listener.send_away, time.monotonic_ns())
         run_logged(self._report, state)
         state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
@@ -225,23 +232,23 @@
     def _report(self, state: Draining) -> None:
         state.link.send(state.drain.advance())
 
-    # ---- the successor has gone ----------------------------------------------
+    # ---- the end of the link -------------------------------------------------
 
     def _on_closed(self) -> None:
         state, self._state = self._state, Sole()
         if not isinstance(state, Draining):
-            logger.info("upgrade: the successor left before it served")
+            logger.info("upgrade: the link to the successor has closed before it served")
             return
         if state.timer is not None:
             state.timer.cancel()
         self._resume()
 
     def _resume(self) -> None:
-        """Be the whole node again; a process that stops does not accept again.
+        """Serve alone again; a process that is stopping does not accept connections again.
 
-        Failure: one step raises, and no later one comes. The process would accept again but
-        poll no discovery, or not gossip, or no further successor would find it, until a
-        restart. So each step is followed by the next whatever it raises.
+        An exception in one step is logged and does not prevent the next. Otherwise the process
+        might accept connections but neither poll discovery nor gossip nor listen for another
+        successor, until a restart.
         """
         process = self._process
         run_logged(process.lifecycle.successor_gone)
--- a/loadbalancer/upgrade/socket_path.py
+++ b/loadbalancer/upgrade/socket_path.py
@@ -1,6 +1,7 @@
-"""The Unix socket at which a new process finds the running one.
+"""The Unix socket through which a new process connects to the running one.
 
-Its path follows from the listening address alone, so that both processes compute the same.
+Its path is derived from the listening address and the temporary folder, so that both processes
+compute the same path.
 """
 
 from __future__ import annotations
@@ -15,32 +16,31 @@
 
 from loadbalancer.config.address import Address
 
-BACKLOG = 4  # connections that wait to be accepted
+BACKLOG = 4  # pending connections
 SOCKET_MODE = 0o600
 DIGEST_BYTES = 8
 PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
 def socket_path(listen: Address) -> str:
-    """The path for the processes that serve this address.
+    """Return the path of the upgrade socket for processes that serve this address.
 
-    Built without tempfile and pathlib: their imports would delay every start of a node.
+    It avoids tempfile and pathlib, as importing them would delay every start of a node.
     """
     name = blake2b(str(listen).encode(), digest_size=DIGEST_BYTES).hexdigest()
     return os.path.join(os.environ.get("TMPDIR") or "/tmp", f"windrelay-{name}.sock")
 
 
 class UpgradeSocket:
-    """The socket at one path, for the process that connects and for the one that listens.
+    """The Unix socket at one path; used by the process that connects and the one that listens.
 
-    The folder is open to every user, so that anything may be at the path. Guards:
+    Every user can write to the temporary folder, so anything may exist at the path:
 
-    * A file or folder of another program: nothing is connected to; `listen` replaces a file.
-    * A socket left by a process that was killed: the connection is refused, and `listen`
-      replaces it.
-    * A socket of another user, who would be given this node's clients: the peer's credentials
-      are checked before anything is sent.
-    * A socket that a successor has put there since: `close` compares inodes and leaves it.
+    * A file or folder of another program: `connect` ignores it; `listen` replaces a file.
+    * A stale socket of a killed process: the connection is refused; `listen` replaces it.
+    * A socket of another user, who could otherwise take over this node's clients: the peer's
+      credentials are checked before anything is sent.
+    * The socket of a successor that listens by now: `close` compares inodes and keeps it.
     """
 
     __slots__ = ("_inode", "_path", "listener")
@@ -51,10 +51,10 @@
         self.listener: socket.socket | None = None  # None while this process does not listen
 
     def connect(self, timeout: float) -> socket.socket | None:
-        """Connect to the process that listens at the path, None where there is none.
+        """Connect to the process that listens at the path; returns None if there is none.
 
         Args:
-            timeout: of the connection and of each later call on it, in seconds.
+            timeout: in seconds, for connecting and for each later operation on the socket.
         """
         with contextlib.suppress(OSError), _short_path(self._path) as path:
             if not stat.S_ISSOCK(os.lstat(path).st_mode):
@@ -72,10 +72,10 @@
         return None
 
     def listen(self) -> socket.socket:
-        """Listen at the path, in place of any process that did; returns the listening socket.
+        """Listen at the path, replacing any existing socket; returns the listening socket.
 
         Raises:
-            OSError: the socket can't be made there.
+            OSError: the socket can't be created there.
         """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
@@ -103,7 +103,7 @@
         self._inode = os.lstat(path).st_ino
 
     def close(self) -> None:
-        """Stop listening, and remove the socket's file if it is still this process's own."""
+        """Stop listening, and remove the socket file unless another process has replaced it."""
         if self.listener is None:
             return
         self.listener.close()
@@ -114,7 +114,7 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end runs as this one's user."""
+    """Whether the peer process runs as the same user as this one."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _pid, uid, _gid = PEER_CREDENTIALS.unpack(credentials)
     return bool(uid == os.getuid())
@@ -122,10 +122,10 @@
 
 @contextlib.contextmanager
 def _short_path(path: str) -> Iterator[str]:
-    """The same path by way of its folder's descriptor, for the block.
+    """Yield a short alias of the path, through a descriptor of its folder.
 
-    Failure: a Unix socket's address holds 107 bytes. With a longer TMPDIR neither process
-    could bind or connect, and every upgrade would share the port without a handover.
+    The address of a Unix socket holds at most 107 bytes. With a longer TMPDIR neither process
+    could bind or connect, and in every upgrade both would share the port without a handover.
     """
     folder, name = os.path.split(path)
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -1,4 +1,4 @@
-"""The new process's side of an upgrade: it takes over from a running process, if there is one.
+"""The new process's side of an upgrade: it takes over from a running process, if any.
 
     Alone --find_predecessor--> Connected --receive_state--> AwaitingState
                                                                    |
@@ -8,7 +8,7 @@
 
 When the link closes, in any state, the process returns to Alone.
 
-Every wait for the predecessor is bounded: one that is unresponsive must not stop a start.
+Every wait for the predecessor has a timeout, so that an unresponsive one can't block a start.
 """
 
 from __future__ import annotations
@@ -44,22 +44,22 @@
 logger = logging.getLogger(__name__)
 
 GREETING_TIMEOUT_S = 0.8
-STATE_TIMEOUT_S = 0.8  # for what the predecessor hands over
-RETAINED_TIMEOUT_S = 0.3  # for its first RetainedCapacity
+STATE_TIMEOUT_S = 0.8  # for the predecessor's HandedState
+RETAINED_TIMEOUT_S = 0.3  # for the predecessor's first RetainedCapacity
 GREETING_ATTEMPTS = 30
 GREETING_INTERVAL_S = 0.1
 
-NOT_HANDED_OVER = "upgrade: not handed over: %s; starting alone"
+HANDOVER_FAILED = "upgrade: handover failed: %s; starting without the predecessor's state"
 
 
 class Alone:
-    """No predecessor was found, or it has ended: this process is the whole node."""
+    """No predecessor was found, or its link has closed: this process serves alone."""
 
     __slots__ = ()
 
 
 class Connected:
-    """The predecessor has given its listening socket."""
+    """The predecessor has sent its listening socket."""
 
     __slots__ = ("sock",)
 
@@ -68,7 +68,7 @@
 
 
 class AwaitingState:
-    """The predecessor's state is to come; None in its place where the link closes first."""
+    """Waiting for the predecessor's state; the result is None if the link closes first."""
 
     __slots__ = ("inheritance", "link")
 
@@ -78,7 +78,7 @@
 
 
 class Starting:
-    """This process starts from what it was handed; the predecessor still serves."""
+    """This process starts up with the received state; the predecessor still serves."""
 
     __slots__ = ("link",)
 
@@ -87,35 +87,37 @@
 
 
 class Sharing:
-    """This process serves, within what the predecessor does not retain while it drains."""
+    """This process serves with the capacity that the draining predecessor does not retain."""
 
     __slots__ = ("first_report", "link", "share")
 
     def __init__(self, link: Link, first_report: asyncio.Future[None]) -> None:
         self.link = link
         self.share = SuccessorShare()
-        self.first_report = first_report  # of the predecessor's retained capacity
+        self.first_report = first_report  # done at the first RetainedCapacity
 
 
 class Successor:
-    """Takes the clients' address over from a running process, or finds that there is none."""
+    """Takes over the clients' address from a running process, if there is one."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
         self._upgrade_socket = UpgradeSocket(socket_path(process.node.config.listen))
         self._state: Alone | Connected | AwaitingState | Starting | Sharing = Alone()
-        self._called_standby: bool | None = None  # what the last call at this process said
-        self.listener: socket.socket | None = None  # the predecessor's, once it is given
+        self._called_standby: bool | None = (
+            None  # the flag of the last operator's call, None without one
+        )
+        self.listener: socket.socket | None = None  # received from the predecessor
 
     async def find_predecessor(self) -> None:
-        """Look for a predecessor and take its listening socket.
+        """Connect to a predecessor, if there is one, and receive its listening socket.
 
-        Failure: the predecessor is stopped (SIGSTOP) or swapped out. Its kernel accepts the
-        connection but no answer comes, and this process would never start. After
-        GREETING_TIMEOUT_S it goes on without: the two share the port.
+        If the predecessor is suspended (SIGSTOP) or swapped out, the kernel accepts the
+        connection but no answer arrives, and this process would never start. After
+        GREETING_TIMEOUT_S it starts without a handover, and the two share the port.
 
-        Failure: the predecessor is busy with another successor, and closes the connection.
-        It is asked again, for that one may end.
+        A predecessor that is busy with another successor closes the connection. This process
+        retries, as the other successor may exit.
         """
         for _ in range(GREETING_ATTEMPTS):
             sock = self._upgrade_socket.connect(GREETING_TIMEOUT_S)
@@ -134,11 +136,12 @@
             return
 
     async def receive_state(self) -> Inheritance | None:
-        """What the predecessor hands over; None where there is none, or it sends nothing.
+        """Return the predecessor's state; None without a predecessor or if no state arrives.
 
-        Failure: `/active` comes at this process while the predecessor's standby is on its way.
-        Begun after the call was answered, that standby would overrule it. So what this process
-        was last called stands in its place; the predecessor is sent it too.
+        An operator's `/active` may arrive at this process while the predecessor's state, with
+        its standby flag, is on its way. Applied after the call was answered, that flag would
+        override the call. So the flag of the last call at this process replaces the received
+        one; the call is also forwarded to the predecessor.
         """
         if not isinstance(self._state, Connected):
             return None
@@ -151,7 +154,7 @@
             release_socket(transport, sock)
             inheritance = await asyncio.wait_for(state.inheritance, STATE_TIMEOUT_S)
         except (TimeoutError, OSError) as err:
-            logger.info(NOT_HANDED_OVER, str(err) or f"nothing came in {STATE_TIMEOUT_S:g} s")
+            logger.info(HANDOVER_FAILED, str(err) or f"no state received in {STATE_TIMEOUT_S:g} s")
             link.close()
             return None
         if inheritance is not None and self._called_standby is not None:
@@ -159,10 +162,10 @@
         return inheritance
 
     async def announce_serving(self) -> None:
-        """Announce that this process serves, and wait for what the predecessor retains.
+        """Tell the predecessor that this process serves, and wait for the slots it retains.
 
-        Failure: without that wait both would use all slots of an endpoint for a moment. The
-        wait is bounded, for clients' connections are accepted by nobody meanwhile.
+        Without this wait both processes would use all slots of an endpoint for a moment. The
+        wait is limited to RETAINED_TIMEOUT_S, as neither process accepts connections meanwhile.
         """
         if not isinstance(self._state, Starting):
             return
@@ -174,7 +177,7 @@
             await asyncio.wait_for(first_report, RETAINED_TIMEOUT_S)
 
     def pass_on(self, message: Message) -> None:
-        """Send a message to the predecessor, where there is one."""
+        """Forward a message to the predecessor, if there is one."""
         if isinstance(message, SetStandby):
             self._called_standby = message.on
         if isinstance(self._state, AwaitingState | Starting | Sharing):
@@ -183,36 +186,36 @@
     def _forward_list(self, body: bytes) -> None:
         self.pass_on(ListUpdate(body))
 
-    # ---- the predecessor's messages -------------------------------------------
+    # ---- messages from the predecessor ---------------------------------------
 
     def _on_message(self, message: Message) -> None:
         match message:
             case HandedState():
-                self._inherit(message)
+                self._accept_state(message)
             case RetainedCapacity():
-                self._divide(message)
+                self._apply_retained(message)
             case Reload():
                 self._process.reload(passed_on=True)
             case SetStandby(on):
                 self._process.set_standby(on)
 
-    def _inherit(self, message: HandedState) -> None:
-        """Take what the predecessor hands over; without a usable state, start alone."""
+    def _accept_state(self, message: HandedState) -> None:
+        """Accept the predecessor's state; a malformed one closes the link."""
         state = self._state
         if not isinstance(state, AwaitingState) or state.inheritance.done():
-            return  # later than STATE_TIMEOUT_S: `receive_state` is about to close the link
+            return  # after STATE_TIMEOUT_S: `receive_state` is about to close the link
         try:
             inheritance = handed_state.parse(message.state, time.monotonic_ns())
         except HandedStateError as err:
-            logger.info(NOT_HANDED_OVER, err)
+            logger.info(HANDOVER_FAILED, err)
             state.inheritance.set_result(None)
             state.link.close()
             return
         self._state = Starting(state.link)
         state.inheritance.set_result(inheritance)
 
-    def _divide(self, message: RetainedCapacity) -> None:
-        """Use what the predecessor does not retain."""
+    def _apply_retained(self, message: RetainedCapacity) -> None:
+        """Limit this process to the capacity that the predecessor does not retain."""
         state = self._state
         if not isinstance(state, Sharing):
             return
@@ -225,10 +228,10 @@
             state.first_report.set_result(None)
 
     def _on_closed(self) -> None:
-        """The predecessor has ended: what it retained is free."""
+        """The link has closed: use the whole capacity of the node."""
         state, self._state = self._state, Alone()
         if isinstance(state, AwaitingState) and not state.inheritance.done():
-            logger.info(NOT_HANDED_OVER, "the connection has ended")
+            logger.info(HANDOVER_FAILED, "the predecessor has closed the connection")
             state.inheritance.set_result(None)
         if isinstance(state, Starting):
             logger.info("upgrade: the predecessor has exited before this process served")
@@ -237,4 +240,4 @@
                 state.first_report.set_result(None)
             logger.info("upgrade: the predecessor has exited")
         self._process.node.discovery.forward = None
-        run_logged(self._process.node.end_sharing)  # a fault there must not end a start
+        run_logged(self._process.node.end_sharing)  # an exception there must not abort the start
--- a/loadbalancer/upgrade/upgrade_listener.py
+++ b/loadbalancer/upgrade/upgrade_listener.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of the upgrade socket, up to a successor's HELLO."""
+"""Accepts connections at the upgrade socket and reads the HELLO of a successor."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 logger = logging.getLogger(__name__)
 
 HELLO_TIMEOUT_S = 2.0
-MAX_CALLERS = 4
+MAX_CALLERS = 4  # connections that wait for HELLO at the same time
 
 
 class UpgradeListener:
-    """Accepts callers at the upgrade socket and waits for each one's HELLO.
+    """Accepts callers at the upgrade socket and waits for the HELLO of each.
 
-    `may_accept` says whether a caller is accepted at all. `hand_over` is called with the
-    connection of a caller that has sent HELLO; it raises OSError where it can't serve it.
+    `may_accept` returns whether callers are accepted at present. `hand_over` is called with the
+    connection of a caller that has sent HELLO; it raises OSError if it can't hand over.
 
-    Failure: a program that connects and sends nothing, or something else, would hold a
-    descriptor for good, and many of them would take those of the clients. So callers have
-    HELLO_TIMEOUT_S, and no more than MAX_CALLERS are accepted at a time.
+    A program that connects and sends nothing would hold a descriptor for ever, and many of them
+    would use up the descriptors for clients. So each caller must send HELLO within
+    HELLO_TIMEOUT_S, and at most MAX_CALLERS may be waiting at a time.
     """
 
     def __init__(
@@ -39,25 +39,29 @@
         self._may_accept = may_accept
         self._hand_over = hand_over
         self._upgrade_socket = UpgradeSocket(socket_path(listen))
-        self._timers: dict[socket.socket, asyncio.TimerHandle] = {}  # by caller
+        self._timers: dict[
+            socket.socket, asyncio.TimerHandle
+        ] = {}  # the HELLO timeout of each caller
 
     def open(self) -> None:
-        """Listen from now on.
+        """Start listening; does nothing if the socket is already open.
 
-        Where the socket can't be made, the process serves on: its successor finds none and
-        shares the port instead of taking over. Where it listens already, nothing changes.
+        If the socket can't be created, the process serves all the same. A successor then finds
+        no predecessor, and shares the port with this process instead of taking over.
         """
         if self._upgrade_socket.listener is not None:
             return
         try:
             listener = self._upgrade_socket.listen()
         except OSError as err:
-            logger.info("upgrade: no socket in the temporary folder: %s", err.strerror)
+            logger.info(
+                "upgrade: can't create the upgrade socket in the temporary folder: %s", err.strerror
+            )
             return
         self._loop.add_reader(listener, self._accept)
 
     def close(self) -> None:
-        """Stop listening, and close the connections that have sent no HELLO."""
+        """Stop listening, and close the callers that have not sent HELLO."""
         if self._upgrade_socket.listener is not None:
             self._loop.remove_reader(self._upgrade_socket.listener)
         self._upgrade_socket.close()
@@ -73,7 +77,7 @@
         except OSError:
             return
         if not is_same_user(caller) or not self._may_accept() or len(self._timers) >= MAX_CALLERS:
-            caller.close()  # a successor takes it for a busy predecessor and tries again
+            caller.close()  # a successor retries, as the predecessor may be busy with another
             return
         caller.setblocking(False)
         self._timers[caller] = self._loop.call_later(HELLO_TIMEOUT_S, self._reject, caller)
@@ -83,16 +87,16 @@
         try:
             data = caller.recv(len(HELLO))
             if data != HELLO:
-                raise GreetingError(f"a caller said {data!r}")
+                raise GreetingError(f"caller sent {data!r} in place of HELLO")
             self._hand_over(caller)
         except OSError as err:
-            logger.info("upgrade: not handed over: %s", err)
+            logger.info("upgrade: rejected a caller at the upgrade socket: %s", err)
             self._reject(caller)
             return
         self._release(caller)
 
     def _release(self, caller: socket.socket) -> bool:
-        """Stop waiting for a caller's HELLO; False where it was no longer waited for."""
+        """Stop waiting for a caller's HELLO; returns False if it was not being waited for."""
         timer = self._timers.pop(caller, None)
         if timer is None:
             return False
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -197,7 +197,7 @@
     made._state = HandingOver(link)
     process.listener.hold_back.side_effect = ZeroDivisionError
     link.data_received(encode(Serving()))
-    assert "the drain can't begin" in caplog.text
+    assert "can't start to drain" in caplog.text
     assert "the link to the successor has closed; serving again" in caplog.text
     assert "exited" not in caplog.text
 
--- a/tests/upgrade/test_process_ends.py
+++ b/tests/upgrade/test_process_ends.py
@@ -60,7 +60,7 @@
     take_listener(caller).close()
     old.says("a successor has connected")
     caller.close()
-    old.says("left before it served")
+    old.says("the link to the successor has closed before it served")
     assert "connection" not in serve_one(backend, send_request(old, "after"))
     assert old.stop() == 0
 
@@ -125,10 +125,10 @@
 @pytest.mark.parametrize(
     ("give", "reason"),
     [
-        (give_nothing, "nothing came in 0.8 s"),
-        (give_the_end, "the connection has ended"),
-        (give_no_state, "not what a process hands over: 'members'"),
-        (give_no_message, "no JSON object"),
+        (give_nothing, "no state received in 0.8 s"),
+        (give_the_end, "the predecessor has closed the connection"),
+        (give_no_state, "malformed state: 'members'"),
+        (give_no_message, "frame is not a JSON object"),
     ],
 )
 def test_a_new_process_says_why_nothing_was_handed_over(
@@ -157,7 +157,7 @@
     new = start()
     thread.join(LIMIT)
     assert [line for line in new.said.splitlines() if "upgrade: " in line and reason in line]
-    assert "not handed over" in new.said
+    assert "handover failed" in new.said
     assert new.stop() == 0
     links[0].close()
     listener.close()
