--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -56,10 +56,10 @@
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.start: asyncio.Task[None] | None = (
-            None  # referenced here, as the event loop keeps only weak references to tasks
-        )
-        # Whether either process received such a call or signal while the successor starts up.
+        # Referenced here, as the event loop keeps only weak references to tasks.
+        self.start: asyncio.Task[None] | None = None
+        # Whether a standby call was made at either process, or this process received SIGHUP,
+        # while the successor starts up.
         self.standby_called = False
         self.reload_requested = False
 
@@ -173,9 +173,8 @@
                 self._process.reload(passed_on=True)
             case SetStandby(on):
                 if isinstance(self._state, HandingOver):
-                    self._state.standby_called = (
-                        True  # the state already sent may hold the old flag
-                    )
+                    # The state already sent may hold the old flag.
+                    self._state.standby_called = True
                 self._process.set_standby(on)
 
     # ---- draining ----------------------------------------------------------
