--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -36,7 +36,7 @@
         self._initial_idle = 0  # idle connections to endpoints
         self._released_descriptors = 0
         self._unreported: dict[int, int] = {}  # slots still retained, by endpoint id
-        self.need = 1.0  # fraction of the initial clients that are still connected
+        self.remaining_fraction = 1.0  # of the clients at the start of the drain
 
     def begin(self) -> RetainedCapacity:
         """Divide the slots between both processes and report those that this process retains."""
@@ -49,9 +49,9 @@
     def advance(self) -> RetainedCapacity:
         """Release the capacity of disconnected clients and report what is still retained."""
         node = self._node
-        self.need = min(self.need, node.clients / self._initial_clients)
-        self._unreported |= self._share.release(self._endpoint_usage(), self.need)
-        node.upstream.trim(int(self._initial_idle * self.need))
+        self.remaining_fraction = min(self.need, node.clients / self._initial_clients)
+        self._unreported |= self._share.release(self._endpoint_usage(), self.remaining_fraction)
+        node.upstream.trim(int(self._initial_idle * self.remaining_fraction))
         node.use_limit_share(self._share)
         report = self.report(self._unreported)
         self._unreported = {}
@@ -67,7 +67,10 @@
         self._released_descriptors = max(self._released_descriptors, node.releasable_descriptors())
         node.set_other_process_descriptors(self._released_descriptors)
         return RetainedCapacity(
-            slots, node.descriptors(), tuple(node.open_request_ids), drained=self.need == 0
+            slots,
+            node.descriptors(),
+            tuple(node.open_request_ids),
+            drained=self.remaining_fraction == 0,
         )
 
     def _endpoint_usage(self) -> list[EndpointUsage]:
--- a/tests/golden/bindings_node.py
+++ b/tests/golden/bindings_node.py
@@ -309,7 +309,7 @@
             set_other_process_descriptors=lambda _count: None,
         )
         drain = Drain(node)
-        drain.need = 0.0 if plain["empty"] else 1.0
+        drain.remaining_fraction = 0.0 if plain["empty"] else 1.0
         made.send(drain.report({int(server): slots for server, slots in plain["keeps"].items()}))
     elif kind == "state":
         side = Predecessor(_process())
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -175,7 +175,7 @@
     process.node.clients = 8
     process.node.releasable_descriptors.return_value = 50
     drain.advance()
-    assert drain.need == 0.2
+    assert drain.remaining_fraction == 0.2
     process.node.set_other_process_descriptors.assert_called_with(100)
     process.node.upstream.trim.assert_called_with(0)
 
