--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -49,7 +49,7 @@
     def advance(self) -> RetainedCapacity:
         """Release the capacity of disconnected clients and report what is still retained."""
         node = self._node
-        self.remaining_fraction = min(self.need, node.clients / self._initial_clients)
+        self.remaining_fraction = min(self.remaining_fraction, node.clients / self._initial_clients)
         self._unreported |= self._share.release(self._endpoint_usage(), self.remaining_fraction)
         node.upstream.trim(int(self._initial_idle * self.remaining_fraction))
         node.use_limit_share(self._share)
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -104,9 +104,8 @@
         self._process = process
         self._upgrade_socket = UpgradeSocket(socket_path(process.node.config.listen))
         self._state: Alone | Connected | AwaitingState | Starting | Sharing = Alone()
-        self._called_standby: bool | None = (
-            None  # the flag of the last operator's call, None without one
-        )
+        # The flag of the last operator's call at this process, None without one.
+        self._called_standby: bool | None = None
         self.listener: socket.socket | None = None  # received from the predecessor
 
     async def find_predecessor(self) -> None:
