--- a/tests/upgrade/test_calls_while_handing_over.py
+++ b/tests/upgrade/test_calls_while_handing_over.py
@@ -74,10 +74,10 @@
     node.balancer.endpoints = {}
     node.releasable_descriptors.return_value = 100
     node.open_request_ids = set()
-    made = mock.MagicMock(node=node, lifecycle=SimpleNamespace(standby=False))
-    made.lifecycle.successor_serves = mock.Mock()
-    made.set_standby = lambda on: setattr(made.lifecycle, "standby", on)
-    return made
+    process = mock.MagicMock(node=node, lifecycle=SimpleNamespace(standby=False))
+    process.lifecycle.successor_serves = mock.Mock()
+    process.set_standby = lambda on: setattr(process.lifecycle, "standby", on)
+    return process
 
 
 @pytest.fixture
@@ -88,10 +88,10 @@
 @pytest.fixture
 def predecessor(process: Any, link: Any) -> Predecessor:
     """A predecessor that has handed over its state to a successor that is starting up."""
-    made = Predecessor(process)
-    made._upgrade_listener = mock.Mock()
-    made._state = HandingOver(link)
-    return made
+    predecessor = Predecessor(process)
+    predecessor._upgrade_listener = mock.Mock()
+    predecessor._state = HandingOver(link)
+    return predecessor
 
 
 def call(predecessor: Predecessor, process: Any, on: bool) -> None:
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -1,4 +1,4 @@
-"""A step of one process raises during an upgrade: neither process takes the other for dead."""
+"""Exceptions in one step of an upgrade: the other steps and the link continue."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def process() -> Any:
-    """A process with ten clients and two endpoints, over a loop whose timers never fire."""
+    """A process with ten clients, two endpoints, and an event loop whose timers never fire."""
     node = mock.MagicMock()
     node.config.listen = Address("127.0.0.1", 8080)
     node.clients = 10
@@ -37,29 +37,29 @@
     node.releasable_descriptors.return_value = 100
     node.descriptors.return_value = 60
     node.open_request_ids = set()
-    made = mock.MagicMock(node=node)
-    made.lifecycle.stopping = False
-    return made
+    process = mock.MagicMock(node=node)
+    process.lifecycle.stopping = False
+    return process
 
 
 @pytest.fixture
 def draining(process: Any) -> Predecessor:
-    """A predecessor whose successor serves."""
-    made = Predecessor(process)
-    made._upgrade_listener = mock.Mock()
-    made._state = HandingOver(mock.Mock())
-    made._on_message(Serving())
-    assert made.relieved
-    return made
+    """A draining predecessor."""
+    predecessor = Predecessor(process)
+    predecessor._upgrade_listener = mock.Mock()
+    predecessor._state = HandingOver(mock.Mock())
+    predecessor._on_message(Serving())
+    assert predecessor.relieved
+    return predecessor
 
 
 def test_a_message_whose_handling_raises_does_not_close_the_link(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The other process passed on a reload, and this one's own reload raised.
+    """The other process forwards a reload, and this one's reload raises.
 
-    The exception left `data_received`, and the event loop closed the link for it. Each process
-    took the other for dead while both served, and used the whole of every endpoint's cap.
+    If the exception leaves `data_received`, the event loop closes the link. Each process then
+    assumes that the other has exited, and both use each endpoint's whole limit.
     """
     handled: list[Message] = []
 
@@ -77,8 +77,8 @@
     assert "ZeroDivisionError" in caplog.text
 
 
-def test_a_share_that_can_not_be_used_leaves_the_successor_sharing(process: Any) -> None:
-    """The successor's `use_limit_share` raises once; the next report is used."""
+def test_a_report_whose_handling_raises_leaves_the_successor_sharing(process: Any) -> None:
+    """The successor's `use_limit_share` raises once; the next report is applied."""
 
     async def share() -> None:
         successor = Successor(process)
@@ -98,13 +98,13 @@
 
 
 @pytest.mark.parametrize("faulty", ["lifecycle.successor_gone", "node.end_sharing", *RESUMED])
-def test_a_step_that_raises_does_not_keep_the_others_from_resuming(
+def test_resuming_continues_after_a_step_that_raises(
     draining: Predecessor, process: Any, faulty: str
 ) -> None:
-    """The successor exits, and one step of the old process's return raises.
+    """The successor exits, and one step by which the old process resumes raises.
 
-    No later step came: it accepted again but polled no discovery, or did not gossip, or no
-    further successor could find it, until a restart.
+    If the later steps are skipped, it accepts connections but, until a restart, does not poll
+    discovery, does not gossip, or does not listen for another successor.
     """
 
     def step(name: str) -> Any:
@@ -121,38 +121,38 @@
     opened.assert_called_once_with()
 
 
-def test_a_drain_that_can_not_be_made_closes_the_link(process: Any) -> None:
-    """What this process still uses can't be counted when its successor serves.
+def test_a_drain_that_can_not_start_closes_the_link(process: Any) -> None:
+    """Counting the capacity in use raises when the successor begins to serve.
 
-    Were the link kept, the successor would wait for a report that never comes, and this
-    process would accept beside it, with the whole of every cap, as if none had come.
+    If the link stayed open, the successor would wait for a report that never arrives, and this
+    process would continue to accept connections and use each endpoint's whole limit.
     """
-    made = Predecessor(process)
-    made._upgrade_listener = mock.Mock()
-    link = Link(made._on_message, made._on_closed)
-    made._state = HandingOver(link)
+    predecessor = Predecessor(process)
+    predecessor._upgrade_listener = mock.Mock()
+    link = Link(predecessor._on_message, predecessor._on_closed)
+    predecessor._state = HandingOver(link)
     process.node.upstream.idle_count.side_effect = ZeroDivisionError
     link.data_received(encode(Serving()))
     assert not link.is_open
-    assert isinstance(made._state, Sole)
+    assert isinstance(predecessor._state, Sole)
 
 
 def test_a_link_that_can_not_be_started_leaves_the_predecessor_sole(
     process: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The link's transport could not be made, by another fault than the operating system's.
+    """Connecting the link's transport raises something other than OSError.
 
-    It ended in a task that nobody looked at, with nothing in the log. The process stayed with
-    a successor that had gone: every later one was rejected, until a restart.
+    The exception would go unnoticed in its task, and the process would keep waiting for that
+    successor and reject every later one until a restart.
     """
-    made = Predecessor(process)
-    link = Link(made._on_message, made._on_closed)
-    made._state = HandingOver(link)
+    predecessor = Predecessor(process)
+    link = Link(predecessor._on_message, predecessor._on_closed)
+    predecessor._state = HandingOver(link)
     process.loop.connect_accepted_socket = mock.AsyncMock(side_effect=ValueError("no stream"))
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        asyncio.run(made._start_link(link, ours))
-    assert isinstance(made._state, Sole)
+        asyncio.run(predecessor._start_link(link, ours))
+    assert isinstance(predecessor._state, Sole)
     assert "no stream" in caplog.text
 
 
@@ -162,12 +162,12 @@
 def test_released_slots_are_reported_after_a_tick_that_raised(process: Any, faulty: str) -> None:
     """Slots are released, and a later step of the tick raises before they are reported.
 
-    The next report held what had changed since, so not these: the successor did without the
-    slots, which neither process used until the old one exited.
+    If the next report held only later changes, neither process would use these slots until the
+    old one exits.
     """
     drain = Drain(process.node)
-    begun = drain.begin().slots
-    assert begun[1] >= 10
+    initial_slots = drain.begin().slots
+    assert initial_slots[1] >= 10
     process.node.clients = 0
     step = process.node
     for part in faulty.split("."):
@@ -182,19 +182,19 @@
     assert drain.advance().slots == {}
 
 
-def test_the_log_does_not_say_that_a_successor_exited_which_still_serves(
+def test_the_log_does_not_report_the_exit_of_a_successor_that_still_serves(
     process: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The drain could not begin, and this process closed the link itself.
+    """The drain can't begin, and this process closes the link itself.
 
-    The log then said that the successor had exited: whoever read it did not look for the
-    process that went on accepting beside this one.
+    If the log said that the successor had exited, an operator would not look for the second
+    process, which still accepts connections.
     """
     caplog.set_level(logging.INFO)
-    made = Predecessor(process)
-    made._upgrade_listener = mock.Mock()
-    link = Link(made._on_message, made._on_closed)
-    made._state = HandingOver(link)
+    predecessor = Predecessor(process)
+    predecessor._upgrade_listener = mock.Mock()
+    link = Link(predecessor._on_message, predecessor._on_closed)
+    predecessor._state = HandingOver(link)
     process.listener.hold_back.side_effect = ZeroDivisionError
     link.data_received(encode(Serving()))
     assert "can't start to drain" in caplog.text
@@ -202,12 +202,12 @@
     assert "exited" not in caplog.text
 
 
-def test_an_upgrade_socket_that_is_open_is_not_opened_again(
+def test_opening_an_open_upgrade_socket_does_nothing(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """The drain can't begin, before the upgrade's socket is closed, and this process resumes.
+    """The drain fails before the upgrade socket is closed, and this process resumes.
 
-    The socket was opened a second time: the first one and its reader stayed for good.
+    A second `open` must not create another socket: the first one and its reader would leak.
     """
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
     loop = mock.Mock()
--- a/tests/upgrade/test_states.py
+++ b/tests/upgrade/test_states.py
@@ -1,4 +1,4 @@
-"""The states of both sides, over a process and a link that only record what is asked of them."""
+"""State transitions of the predecessor and the successor, with a mock process and link."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def process() -> Any:
-    """A process with ten clients, no backend, and a loop whose timers never fire."""
+    """A process with ten clients, no endpoints, and an event loop whose timers never fire."""
     node = mock.MagicMock()
     node.config.listen = Address("127.0.0.1", 8080)
     node.clients = 10
@@ -59,13 +59,13 @@
 
 @pytest.fixture
 def predecessor(process: Any, link: Any) -> Predecessor:
-    """It has handed over to a successor that starts."""
-    made = Predecessor(process)
-    made._state = HandingOver(link)
-    return made
+    """A predecessor that has handed over to a successor that is starting up."""
+    predecessor = Predecessor(process)
+    predecessor._state = HandingOver(link)
+    return predecessor
 
 
-def test_a_predecessor_says_what_it_retains_as_soon_as_its_successor_serves(
+def test_a_predecessor_reports_its_capacity_as_soon_as_its_successor_serves(
     predecessor: Predecessor, process: Any, link: Any
 ) -> None:
     predecessor._on_message(Serving())
@@ -74,7 +74,7 @@
     assert [type(message) for message in link.sent] == [RetainedCapacity] * 2
 
 
-def test_serving_said_twice_begins_one_drain(
+def test_a_repeated_serving_message_starts_one_drain(
     predecessor: Predecessor, process: Any, link: Any
 ) -> None:
     predecessor._on_message(Serving())
@@ -83,13 +83,13 @@
     assert len(link.sent) == 2
 
 
-def test_a_drain_goes_on_after_a_tick_that_raised(
+def test_a_drain_continues_after_a_tick_that_raises(
     predecessor: Predecessor, process: Any, link: Any
 ) -> None:
-    """A tick of the drain raises once, in closing clients or in counting what is retained.
+    """A drain tick raises once, while closing clients or while counting the retained capacity.
 
-    The next tick was never set: the clients stayed, and the successor was never given the
-    caps and descriptors that this process held.
+    If the next tick is not scheduled, the clients stay connected, and the successor never
+    receives the slots and descriptors of this process.
     """
     process.listener.send_away.side_effect = ZeroDivisionError
     predecessor._on_message(Serving())
@@ -107,24 +107,24 @@
     "faulty",
     ["listener.hold_back", "node.discovery.suspend", "node.peers.close", "node.use_limit_share"],
 )
-def test_a_drain_that_fails_to_begin_is_undone(process: Any, faulty: str) -> None:
-    """The successor serves, and a step of this process's retreat raises.
+def test_a_drain_that_fails_to_start_is_undone(process: Any, faulty: str) -> None:
+    """The successor serves, and a step by which this process begins to drain raises.
 
-    The link closed, which was taken for the end of a successor that had never served: nothing
-    was undone. This process neither accepted nor drained, and asked for no list, for good.
+    Closing the link must undo the steps done so far. Otherwise this process would, until a
+    restart, neither accept connections nor drain nor poll discovery.
     """
-    made = Predecessor(process)
-    made._upgrade_listener = mock.Mock()
+    predecessor = Predecessor(process)
+    predecessor._upgrade_listener = mock.Mock()
     process.lifecycle.stopping = False
-    link = Link(made._on_message, made._on_closed)
-    made._state = HandingOver(link)
+    link = Link(predecessor._on_message, predecessor._on_closed)
+    predecessor._state = HandingOver(link)
     step = process
     for name in faulty.split("."):
         step = getattr(step, name)
     step.side_effect = ZeroDivisionError
-    made._on_message(Serving())
+    predecessor._on_message(Serving())
     assert not link.is_open
-    assert not made.relieved
+    assert not predecessor.relieved
     process.lifecycle.successor_gone.assert_called_once_with()
     process.node.end_sharing.assert_called_once_with()
     process.listener.accept_again.assert_called_once_with()
@@ -133,11 +133,11 @@
     process.loop.call_later.assert_not_called()
 
 
-def test_the_tick_of_a_drain_ends_with_its_link(predecessor: Predecessor) -> None:
-    """The successor ends and another one takes over within the same tick.
+def test_closing_the_link_cancels_the_timer_of_the_drain(predecessor: Predecessor) -> None:
+    """The successor exits and another one takes over within the same tick.
 
-    Were the first drain's timer still set, both would tick, and idle clients would be closed
-    at twice the pace.
+    If the first drain's timer stayed active, both drains would tick, and idle clients would be
+    closed at twice the rate.
     """
     predecessor._on_message(Serving())
     state = cast(Draining, predecessor._state)
@@ -157,16 +157,18 @@
     process.listener.accept_again.assert_not_called()
 
 
-def test_a_successor_that_starts_is_passed_nothing(predecessor: Predecessor, link: Any) -> None:
-    """It reads the configuration itself, and is handed the standby with the state."""
+def test_nothing_is_forwarded_while_the_successor_is_starting_up(
+    predecessor: Predecessor, link: Any
+) -> None:
+    """It reads the configuration itself, and the handed-over state holds the standby flag."""
     predecessor.pass_on(SetStandby(on=True))
     assert link.sent == []
 
 
 def test_a_drain_never_takes_back_what_it_has_released(process: Any) -> None:
-    """Clients leave, then more are counted again, as where a long accept queue empties.
+    """Clients disconnect, then more connect, as when a long accept queue is emptied.
 
-    The successor may use what was released by then: the figures must not rise.
+    The successor may already use the released capacity, so the retained one must not grow.
     """
     drain = Drain(process.node)
     drain.begin()
@@ -192,7 +194,7 @@
     return Successor(process)
 
 
-def test_a_state_that_can_not_be_used_closes_the_link(successor: Successor, link: Any) -> None:
+def test_a_malformed_state_closes_the_link(successor: Successor, link: Any) -> None:
     async def receive() -> None:
         successor._state = AwaitingState(link, asyncio.get_running_loop().create_future())
         successor._on_message(HandedState({"rev": 41}))
@@ -201,8 +203,8 @@
     assert link.closed
 
 
-def test_a_state_that_comes_too_late_is_ignored(successor: Successor, link: Any) -> None:
-    """It arrives in the turn of the loop in which the wait for it has ended."""
+def test_a_state_that_arrives_too_late_is_ignored(successor: Successor, link: Any) -> None:
+    """It arrives in the same iteration of the event loop in which the wait timed out."""
 
     async def receive() -> None:
         inheritance = asyncio.get_running_loop().create_future()
@@ -215,7 +217,7 @@
     assert not link.closed
 
 
-def test_what_the_predecessor_retains_counts_once_this_process_serves(
+def test_retained_capacity_is_applied_once_this_process_serves(
     successor: Successor, link: Any, process: Any
 ) -> None:
     report = RetainedCapacity({7: 3}, 60, (b"r-1",), drained=False)
@@ -235,10 +237,10 @@
     process.node.set_other_process_descriptors.assert_called_once_with(60)
 
 
-def test_a_predecessor_that_ends_leaves_the_whole_node(
+def test_the_successor_uses_the_whole_node_when_its_predecessor_exits(
     successor: Successor, link: Any, process: Any
 ) -> None:
-    """Whoever waits for its first report goes on at once."""
+    """The wait for its first report ends at once."""
 
     async def close() -> None:
         first_report = asyncio.get_running_loop().create_future()
@@ -253,10 +255,10 @@
 
 
 @pytest.mark.parametrize("side", ["predecessor", "successor"])
-def test_a_reload_and_a_standby_are_not_passed_back(
+def test_a_forwarded_reload_or_standby_is_not_sent_back(
     side: str, request: pytest.FixtureRequest, process: Any
 ) -> None:
-    """Passed back to the process that was asked, they would go to and fro for ever."""
+    """If they were sent back, the two processes would exchange them for ever."""
     either = request.getfixturevalue(side)
     either._on_message(Reload())
     either._on_message(SetStandby(on=True))
@@ -267,10 +269,10 @@
 def test_a_state_that_can_not_be_exported_closes_the_link(
     predecessor: Predecessor, process: Any, link: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What this process would hand over can't be put together, by a fault of its own.
+    """Exporting the state raises.
 
-    The successor was sent nothing, and the fault ended in a task that nobody looked at. Now it
-    is logged, and the successor learns at once that it starts alone.
+    The exception would go unnoticed in its task, and the successor would wait for its timeout.
+    It must be logged, and the link closed so that the successor starts without the state.
     """
     monkeypatch.setattr(handed_state, "export", mock.Mock(side_effect=KeyError))
     process.loop.connect_accepted_socket = mock.AsyncMock(return_value=(mock.Mock(), None))
--- a/tests/upgrade/test_takeover.py
+++ b/tests/upgrade/test_takeover.py
@@ -1,4 +1,4 @@
-"""A second process takes the clients' address over, and the first one drains."""
+"""A second process takes over the clients' address, and the first one drains."""
 
 from __future__ import annotations
 
@@ -23,10 +23,11 @@
 def test_the_successor_takes_the_address_and_the_predecessor_drains(
     tmp_path: Path, backend: socket.socket, start: StartProcess
 ) -> None:
-    """One client has a request open at the old process, another an idle connection.
+    """One client has an open request at the old process, another an idle connection.
 
-    New connections come to the new process. The old one answers both clients, closes their
-    connections with that, and still calls itself ready: the two are one node.
+    The new process receives new connections. The old one answers both clients and closes their
+    connections after the answer. It still reports that it is ready, as both processes are one
+    node.
     """
     old = start()
     client, idle = send_request(old, "open"), old.connect()
@@ -48,7 +49,7 @@
     assert not list(tmp_path.glob("*.sock"))
 
 
-def test_a_request_id_open_at_the_predecessor_is_a_conflict_at_the_successor(
+def test_the_successor_rejects_a_request_id_that_is_open_at_the_predecessor(
     backend: socket.socket, start: StartProcess
 ) -> None:
     old = start()
@@ -61,10 +62,10 @@
     stop_both(old, new)
 
 
-def test_a_long_body_is_finished_at_the_predecessor(
+def test_the_predecessor_completes_a_long_upload(
     backend: socket.socket, start: StartProcess
 ) -> None:
-    """A part of an upload has come when the successor takes over and SIGTERM follows."""
+    """SIGTERM reaches the predecessor after the takeover, in the middle of an upload."""
     old = start()
     upload = b"z" * 2_000_000
     message = request("/credit/1", upload, LONG_MS, "long")
@@ -105,7 +106,7 @@
     assert third.stop() == 0
 
 
-def test_a_node_without_a_second_address_can_not_be_found(tmp_path: Path) -> None:
+def test_a_node_without_an_admin_address_has_no_upgrade_socket(tmp_path: Path) -> None:
     with node(tmp_path, roster()) as process:
         assert not list(tmp_path.glob("*.sock"))
         assert process.stop() == 0
