--- a/loadbalancer/upgrade/drain.py
+++ b/loadbalancer/upgrade/drain.py
@@ -35,7 +35,7 @@
         self._initial_clients = 1
         self._initial_idle = 0  # idle connections to endpoints
         self._released_descriptors = 0
-        self._unreported: dict[int, int] = {}  # slots still retained, by endpoint id
+        self._unreported: dict[int, int] = {}  # changed slots by endpoint id, not yet in a report
         self.remaining_fraction = 1.0  # of the clients at the start of the drain
 
     def begin(self) -> RetainedCapacity:
--- a/loadbalancer/upgrade/socket_path.py
+++ b/loadbalancer/upgrade/socket_path.py
@@ -88,10 +88,10 @@
         return sock
 
     def _bind(self, sock: socket.socket, path: str) -> None:
-        """Bind under a name of this process's own, then rename.
+        """Bind to a temporary name that contains the process id, then rename it to the path.
 
-        Failure: a process that starts between an unlink and a bind would find no socket and
-        share the port instead of taking over. The rename leaves no such moment.
+        The rename replaces an old socket atomically. With unlink and bind, a process that
+        starts between the two would find no socket and share the port instead of taking over.
         """
         own_path = f"{path}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -43,11 +43,11 @@
 
 logger = logging.getLogger(__name__)
 
-GREETING_TIMEOUT_S = 0.8
+GREETING_TIMEOUT_S = 0.8  # for the predecessor's answer to HELLO
 STATE_TIMEOUT_S = 0.8  # for the predecessor's HandedState
 RETAINED_TIMEOUT_S = 0.3  # for the predecessor's first RetainedCapacity
 GREETING_ATTEMPTS = 30
-GREETING_INTERVAL_S = 0.1
+GREETING_INTERVAL_S = 0.1  # between two attempts
 
 HANDOVER_FAILED = "upgrade: handover failed: %s; starting without the predecessor's state"
 
@@ -199,7 +199,7 @@
                 self._process.set_standby(on)
 
     def _accept_state(self, message: HandedState) -> None:
-        """Accept the predecessor's state; a malformed one closes the link."""
+        """Accept the predecessor's state; if it is malformed, close the link."""
         state = self._state
         if not isinstance(state, AwaitingState) or state.inheritance.done():
             return  # after STATE_TIMEOUT_S: `receive_state` is about to close the link
@@ -227,16 +227,18 @@
             state.first_report.set_result(None)
 
     def _on_closed(self) -> None:
-        """The link has closed: use the whole capacity of the node."""
+        """End the wait for the predecessor's messages, and use the whole capacity of the node."""
         state, self._state = self._state, Alone()
         if isinstance(state, AwaitingState) and not state.inheritance.done():
             logger.info(HANDOVER_FAILED, "the predecessor has closed the connection")
             state.inheritance.set_result(None)
         if isinstance(state, Starting):
-            logger.info("upgrade: the predecessor has exited before this process served")
+            logger.info(
+                "upgrade: the link to the predecessor has closed before this process served"
+            )
         if isinstance(state, Sharing):
             if not state.first_report.done():
                 state.first_report.set_result(None)
-            logger.info("upgrade: the predecessor has exited")
+            logger.info("upgrade: the link to the predecessor has closed; using all slots")
         self._process.node.discovery.forward = None
         run_logged(self._process.node.end_sharing)  # an exception there must not abort the start
--- a/loadbalancer/upgrade/upgrade_listener.py
+++ b/loadbalancer/upgrade/upgrade_listener.py
@@ -39,9 +39,8 @@
         self._may_accept = may_accept
         self._hand_over = hand_over
         self._upgrade_socket = UpgradeSocket(socket_path(listen))
-        self._timers: dict[
-            socket.socket, asyncio.TimerHandle
-        ] = {}  # the HELLO timeout of each caller
+        # HELLO timeouts by caller.
+        self._timers: dict[socket.socket, asyncio.TimerHandle] = {}
 
     def open(self) -> None:
         """Start listening; does nothing if the socket is already open.
