--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -118,8 +118,6 @@
             state.standby_called |= isinstance(message, SetStandby)
             state.reload_requested |= isinstance(message, Reload)
 
-    # ---- handing over ------------------------------------------------------
-
     def _is_sole(self) -> bool:
         return isinstance(self._state, Sole)
 
@@ -177,8 +175,6 @@
                     self._state.standby_called = True
                 self._process.set_standby(on)
 
-    # ---- draining ----------------------------------------------------------
-
     def _start_draining(self) -> None:
         """Stop accepting connections and start to drain, as the successor serves."""
         handing_over = self._state
@@ -231,8 +227,6 @@
     def _report(self, state: Draining) -> None:
         state.link.send(state.drain.advance())
 
-    # ---- the end of the link -------------------------------------------------
-
     def _on_closed(self) -> None:
         state, self._state = self._state, Sole()
         if not isinstance(state, Draining):
--- a/loadbalancer/upgrade/successor.py
+++ b/loadbalancer/upgrade/successor.py
@@ -185,8 +185,6 @@
     def _forward_list(self, body: bytes) -> None:
         self.pass_on(ListUpdate(body))
 
-    # ---- messages from the predecessor ---------------------------------------
-
     def _on_message(self, message: Message) -> None:
         match message:
             case HandedState():
