--- a/loadbalancer/proxy/client_events.py
+++ b/loadbalancer/proxy/client_events.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from loadbalancer.core import Outcome
-from loadbalancer.proxy.attempts import BACKSTOP_NS, AttemptHost
+from loadbalancer.proxy.attempts import ANSWER_GRACE_NS, AttemptHost
 from loadbalancer.proxy.exchange import Request
 from loadbalancer.proxy.open_requests import BAD_GATEWAY
 
@@ -23,7 +23,9 @@
         super().__init__(config, loop)
         self._last_id = 0
 
-    def request(self, client: Client, incoming: ReceivedRequest, waited_ns: int) -> Request | None:
+    def admit_request(
+        self, client: Client, incoming: ReceivedRequest, waited_ns: int
+    ) -> Request | None:
         """Admit a client's request; None where it has to come again.
 
         That is where as many are open as the configuration allows, and where new settings
@@ -36,7 +38,7 @@
         """
         if self.open_count >= self.config.max_open or incoming.cls.number < 0:
             return None
-        now = self.enter()
+        now = self.begin_event()
         self._last_id += 1
         number = self._last_id
         remaining = incoming.timeout - waited_ns
@@ -44,8 +46,8 @@
         request = Request(number, client, incoming, now, remaining, max_attempts)
         self.requests[number] = request
         self.open_count += 1
-        self.open_request_ids.add(request.label)
-        self._timers.add(request.deadline + BACKSTOP_NS, request)
+        self.open_request_ids.add(request.client_request_id)
+        self._timers.add(request.deadline + ANSWER_GRACE_NS, request)
         try:
             self.balancer.on_request(
                 now,
@@ -63,7 +65,7 @@
             if not request.open_attempts:
                 self.end_unanswered(request, BAD_GATEWAY)
         finally:
-            self.leave()
+            self.end_event()
         return request
 
     def client_disconnected(self, request: Request) -> None:
@@ -78,7 +80,7 @@
         """
         if request.ended:
             return
-        self.enter()
+        self.begin_event()
         try:
             streaming = request.started
             self.end(request)
@@ -86,9 +88,9 @@
             if streaming:
                 self._give_up_all(request, Outcome.CANCELLED)
             else:
-                self.give_up_unwritten(request)
+                self.abort_unwritten_attempts(request)
         finally:
-            self.leave()
+            self.end_event()
 
     def client_half_closed(self, request: Request) -> None:
         """A request's client sends nothing more: it has closed, or waits for this answer.
@@ -99,23 +101,23 @@
         """
         if request.ended or request.half_closed:
             return
-        self.enter()
+        self.begin_event()
         try:
             request.half_closed = True
             self.notify_balancer(self.balancer.on_client_half_closed, request.id)
             if request.flow is None:  # a long body is under way already
-                self.give_up_unwritten(request)
+                self.abort_unwritten_attempts(request)
         finally:
-            self.leave()
+            self.end_event()
 
-    def upload_stalled(self, request: Request) -> None:
+    def upload_timed_out(self, request: Request) -> None:
         """A backend accepts no more of a long body: its attempts end, without execution."""
-        self.enter()
+        self.begin_event()
         try:
             self._give_up_all(request, Outcome.TIMEOUT)
         finally:
-            self.leave()
+            self.end_event()
 
     def _give_up_all(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
-            self.give_up(attempt, outcome)
+            self.abort_attempt(attempt, outcome)
--- a/loadbalancer/upgrade/predecessor.py
+++ b/loadbalancer/upgrade/predecessor.py
@@ -197,7 +197,7 @@
 
     def _begin_drain(self, state: Draining) -> None:
         process, node = self._process, self._process.node
-        process.listener.hold_back()
+        process.listener.suspend_accepting()
         process.lifecycle.successor_serves(time.monotonic_ns())
         self.close()
         node.discovery.suspend()
@@ -220,7 +220,7 @@
 
     def _advance(self, state: Draining) -> None:
         """Close idle clients, release and report unused capacity; repeats at every drain tick."""
-        run_logged(self._process.listener.send_away, time.monotonic_ns())
+        run_logged(self._process.listener.close_idle_gradually, time.monotonic_ns())
         run_logged(self._report, state)
         state.timer = self._process.loop.call_later(TICK_S, self._advance, state)
 
@@ -249,7 +249,7 @@
         if process.lifecycle.stopping:
             return
         logger.info("upgrade: the link to the successor has closed; serving again")
-        run_logged(process.listener.accept_again)
+        run_logged(process.listener.resume_accepting)
         run_logged(process.node.discovery.resume)
         if process.node.peers is not None:
             run_logged(process.node.peers.reopen)
--- a/tests/proxy/test_host.py
+++ b/tests/proxy/test_host.py
@@ -36,9 +36,9 @@
     balancer.acts = lambda: host.send(1, BACKEND, 0)
     request = admit(host, client)
     balancer.acts = lambda: host.send(request.id, BACKEND, 0)
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.names() == ["on_request", *["on_outcome"] * 3]
     assert request.open_attempts == 0
 
@@ -48,9 +48,9 @@
 ) -> None:
     request = admit(host, client)
     clock.now += TIMEOUT_NS
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.outcomes == [Outcome.MOOT]
     assert not upstream.attempts
 
@@ -62,9 +62,9 @@
     request = admit(host, client)
     client.half_closed = True
     clock.now += 51 * MS
-    host.enter()
+    host.begin_event()
     host.send(request.id, BACKEND, 0)
-    host.leave()
+    host.end_event()
     assert balancer.names() == ["on_request", "on_client_half_closed", "on_outcome"]
     assert balancer.outcomes == [Outcome.MOOT]
     assert not upstream.attempts
@@ -90,7 +90,7 @@
     upstream.written = True
     request = admit(host, client, attempts=1)
     balancer.acts = raise_fault
-    host.conclude(request.attempts[0], Outcome.RESET)
+    host.record_outcome(request.attempts[0], Outcome.RESET)
     assert client.statuses == [502]
     assert not host.requests
 
@@ -173,7 +173,7 @@
     balancer.acts = raise_fault
     with pytest.raises(ZeroDivisionError):
         event(host)
-    host.conclude(request.attempts[0], Outcome.OK)
+    host.record_outcome(request.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.OK]
     assert not host.requests
 
@@ -191,11 +191,11 @@
     """
     upstream.written = True
     request = admit(host, client, attempts=1)
-    monkeypatch.setattr(upstream, "connecting", lambda _backends: raise_fault())
+    monkeypatch.setattr(upstream, "connecting_attempts", lambda _backends: raise_fault())
     monkeypatch.setattr(upstream, "close_idle", lambda _backend: None, raising=False)
     with pytest.raises(ZeroDivisionError):
         host.on_list_update(Update.FULL, [], [BACKEND])
-    host.conclude(request.attempts[0], Outcome.OK)
+    host.record_outcome(request.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.OK]
 
 
@@ -220,7 +220,7 @@
         host._timers._fire()
     assert host._timers._handle is not None
     host._timers._fire()
-    assert request.attempts[1].closed
+    assert request.attempts[1].settled
     assert balancer.outcomes == [Outcome.TIMEOUT]
 
 
@@ -240,12 +240,12 @@
     first, second, third = (admit(host, c, attempts=1) for c in (client, Client(), Client()))
     balancer.acts = raise_fault
     monkeypatch.setattr(client, "respond_empty", lambda _status, _retry_after: raise_fault())
-    host.enter()
-    host.conclude(first.attempts[0], Outcome.RESET)
-    host.conclude(second.attempts[0], Outcome.OK)
-    host.leave()
+    host.begin_event()
+    host.record_outcome(first.attempts[0], Outcome.RESET)
+    host.record_outcome(second.attempts[0], Outcome.OK)
+    host.end_event()
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK]
-    host.conclude(third.attempts[0], Outcome.OK)
+    host.record_outcome(third.attempts[0], Outcome.OK)
     assert balancer.outcomes == [Outcome.RESET, Outcome.OK, Outcome.OK]
     assert not host.requests
 
@@ -261,9 +261,9 @@
     request = admit(host, client, attempts=1)
     request.flow = cast(Any, SimpleNamespace(discard=raise_fault))
     balancer.acts = raise_fault
-    host.enter()
-    host.conclude(request.attempts[0], Outcome.RESET)
-    host.leave()
+    host.begin_event()
+    host.record_outcome(request.attempts[0], Outcome.RESET)
+    host.end_event()
     assert not host.requests
     assert host.open_count == 0  # a stop waits for those that are open
     assert not host.open_request_ids
@@ -279,13 +279,13 @@
     host.budget.reserve(1)
     request = admit(host, client, attempts=2)
     first, second = request.attempts
-    host.conclude(first, Outcome.OK)
+    host.record_outcome(first, Outcome.OK)
     assert request.ended
     assert host.open_count == 0
     assert not host.open_request_ids
     assert host.requests == {request.id: request}
     assert host.budget.buffered == 1
-    host.conclude(second, Outcome.CANCELLED)
+    host.record_outcome(second, Outcome.CANCELLED)
     assert not host.requests
     assert host.budget.buffered == 0
 
@@ -316,7 +316,7 @@
     if not class_is_gone:
         host.open_count = host.config.max_open
     incoming = SimpleNamespace(cls=SimpleNamespace(number=-1 if class_is_gone else 0))
-    assert host.request(cast(Any, client), cast(Any, incoming), 0) is None
+    assert host.admit_request(cast(Any, client), cast(Any, incoming), 0) is None
     assert not balancer.events
 
 
@@ -330,12 +330,12 @@
     upstream.written = True
     request = admit(host, client, attempts=1)
     with host.event():
-        host.conclude(request.attempts[0], Outcome.OK)
+        host.record_outcome(request.attempts[0], Outcome.OK)
         with pytest.raises(AssertionError), host.event():
             pass
         assert balancer.outcomes == []
     assert balancer.outcomes == [Outcome.OK]
-    assert not host.inside
+    assert not host.in_event
 
 
 def test_an_event_of_the_balancers_ends_whatever_it_raises(host: Node) -> None:
@@ -346,4 +346,4 @@
 
     with pytest.raises(KeyboardInterrupt):
         host.notify_balancer(interrupt)
-    assert not host.inside
+    assert not host.in_event
--- a/tests/upgrade/test_local_faults.py
+++ b/tests/upgrade/test_local_faults.py
@@ -94,7 +94,7 @@
     asyncio.run(share())
 
 
-RESUMED = ["listener.accept_again", "node.discovery.resume", "node.peers.reopen"]
+RESUMED = ["listener.resume_accepting", "node.discovery.resume", "node.peers.reopen"]
 
 
 @pytest.mark.parametrize("faulty", ["lifecycle.successor_gone", "node.end_sharing", *RESUMED])
@@ -195,7 +195,7 @@
     predecessor._upgrade_listener = mock.Mock()
     link = Link(predecessor._on_message, predecessor._on_closed)
     predecessor._state = HandingOver(link)
-    process.listener.hold_back.side_effect = ZeroDivisionError
+    process.listener.suspend_accepting.side_effect = ZeroDivisionError
     link.data_received(encode(Serving()))
     assert "can't start to drain" in caplog.text
     assert "the link to the successor has closed; serving again" in caplog.text
